--- a/internal/simtest/admission_test.go
+++ b/internal/simtest/admission_test.go
@@ -101,7 +101,9 @@
 // play runs the day; every job must have got one final answer, accepted ones must end.
 func (f *flood) play(observed ...simtest.Observation) {
 	f.t.Helper()
-	if err := f.Run(330*second, 90*second); err != nil {
+	err := f.Run(330*second, 90*second)
+	logDigest(f.t, f.World)
+	if err != nil {
 		f.t.Fatal(err)
 	}
 	if left := f.Rules.Unfinished(); len(left) > 0 {
--- a/internal/simtest/users.go
+++ b/internal/simtest/users.go
@@ -82,6 +82,7 @@
 					if answered {
 						return
 					}
+					w.trace(edgeUserAnswer, n, r.job.ID, r.submission, v.Status, v.State, v.Done, v.Run, v.Why, v.RetryAfter)
 					if err := w.Rules.Told(w.now, given, r.job.ID, v.Status, v.State, r.submission); err != nil && w.err == nil {
 						w.err = err
 					}
--- a/internal/simtest/world.go
+++ b/internal/simtest/world.go
@@ -59,6 +59,7 @@
 	// OnCharge, OnEviction and OnRelease, if set, are called as a charge is stored, a worker stops a
 	// task of a drained machine, and the cloud has released machines.
 	OnCharge, OnEviction, OnRelease func()
+	digest                          traceDigest
 	// Observed counts what has happened, by name: a test of a overlap of faults that did not
 	// come about would show nothing.
 	Observed map[Observation]int
@@ -84,6 +85,7 @@
 		followedUp:       map[string]bool{},
 		failingJobs:      map[string]bool{},
 		Observed:         map[Observation]int{},
+		digest:           newTraceDigest(),
 	}
 	w.State.Committed = w.noteCommit
 	for i := range nodes {
--- a/internal/simtest/world_admission.go
+++ b/internal/simtest/world_admission.go
@@ -133,6 +133,7 @@
 	if from.controller != nil && from.leadership.Authority(w.clock(from)) {
 		policy = from.controller.AdmissionPolicy()
 	}
+	w.trace(edgeHeartbeat, from, to.name, offers, policy)
 	delay := w.between(1, 20)
 	if w.partitionedPairs[[2]int{min(from.id, to.id), max(from.id, to.id)}] {
 		delay += w.between(500, 20_000)
--- a/internal/simtest/world_drains.go
+++ b/internal/simtest/world_drains.go
@@ -239,7 +239,10 @@
 	}
 	w.onNode(n, w.between(1, 30), func() {
 		if n.controller != nil {
-			n.controller.DrainRequest(w.clock(n), w.now, q, finish)
+			n.controller.DrainRequest(w.clock(n), w.now, q, func(r drain.Response) {
+				w.trace(edgeOperatorAnswer, n, q, r)
+				finish(r)
+			})
 		}
 	})
 }
--- a/internal/simtest/world_machines.go
+++ b/internal/simtest/world_machines.go
@@ -32,6 +32,7 @@
 }
 
 func (w *World) call(n *node, p *controller.Controller, call controller.CloudCall) {
+	w.trace(edgeCloudCall, n, call.Op, call.Rent, call.Release)
 	var names []string
 	do := func() {
 		if call.Op == controller.CloudRent {
@@ -86,6 +87,7 @@
 	if err := w.Rules.Ordered(w.now, call.Request.Commands); err != nil && w.err == nil {
 		w.err = err
 	}
+	w.trace(edgeDirectCall, n, call.Machine, call.Addr, call.Request)
 	m := w.workers[call.Machine]
 	deliver := func(late bool) *wire.Report {
 		to := w.workers[call.Machine]
@@ -122,6 +124,7 @@
 	if n.controller != p {
 		return
 	}
+	w.trace(edgeCloudCall, n, "list")
 	asked := w.clock(n)
 	lag := time.Duration(w.Params.Cloud.ListLagS * (0.5 + w.rng.Float64()) * float64(time.Second))
 	rows := w.Cloud.List(w.now, lag)
--- a/internal/simtest/world_nodes.go
+++ b/internal/simtest/world_nodes.go
@@ -53,6 +53,7 @@
 	if n.leadership != nil {
 		sent := w.clock(n)
 		lease := n.lease
+		w.trace(edgeStateLease, n, "renew", lease)
 		w.toState(n, func() error { return w.State.Renew(w.now, lease) }, func(err error) {
 			switch {
 			case n.leadership == nil:
@@ -65,6 +66,7 @@
 		})
 		return
 	}
+	w.trace(edgeStateRead, n, store.KeyLeader, store.KeyTerm)
 	var leader, term wire.Item
 	var leaderErr, termErr error
 	w.toState(n, func() error {
@@ -100,6 +102,7 @@
 		w.load(n, election.NewLeadership(rec.Term+1, sent), lease, version)
 		again(tuning.RenewEvery)
 	}
+	w.trace(edgeStateLease, n, "grant")
 	w.toState(n, func() (err error) {
 		lease, err = w.State.Grant(w.now, tuning.LeaderTTL)
 		return err
@@ -114,6 +117,7 @@
 				won(res.Revision)
 			case errors.Is(err, httpc.ErrNoAnswer):
 				// Settled by reading.
+				w.trace(edgeStateRead, n, store.KeyLeader)
 				var got wire.Item
 				w.toState(n, func() (err error) {
 					got, err = w.State.Get(store.KeyLeader)
@@ -145,6 +149,7 @@
 		params.State = w.stateLimits(n)
 		p := controller.New(zerolog.Nop(), params, w.operatorOf(n), l.Term, won, controller.Grace(w.Params.Workers))
 		for _, prefix := range controller.Prefixes {
+			w.trace(edgeStateRead, n, prefix)
 			items, listErr := w.State.List(prefix)
 			if listErr != nil || err != nil {
 				w.depose(n)
@@ -253,6 +258,7 @@
 	case store.Deposed:
 		w.depose(n)
 	case store.Settle:
+		w.trace(edgeStateRead, n, store.KeyTerm)
 		var item wire.Item
 		w.toState(n, func() (err error) {
 			item, err = w.State.Get(store.KeyTerm)
--- a/internal/simtest/world_reports.go
+++ b/internal/simtest/world_reports.go
@@ -86,6 +86,7 @@
 	}
 	authority := n.leadership.Authority(s.clock(n))
 	answer, outcome := n.controller.Report(s.clock(n), s.report, authority)
+	s.trace(edgeWorkerAnswer, n, s.worker.ID, answer, outcome, copied)
 	s.observe(outcome, authority, copied)
 	if err := s.Rules.Ordered(s.now, answer.Commands); err != nil && s.err == nil {
 		s.err = err
--- a/internal/simtest/world_state.go
+++ b/internal/simtest/world_state.go
@@ -61,6 +61,7 @@
 // transact sends a transaction. Its answer may be lost though it is carried out
 // at once, or it may be carried out late, after newer ones of the same node.
 func (w *World) transact(n *node, txn wire.Txn, done func(wire.TxnResult, error)) {
+	w.trace(edgeTransaction, n, txn)
 	var res wire.TxnResult
 	w.toState(n, func() (err error) {
 		switch {
--- a/internal/simtest/world_test.go
+++ b/internal/simtest/world_test.go
@@ -76,7 +76,9 @@
 // is calm, and one about which questions go unanswered fail the test.
 func runToEnd(t *testing.T, w *simtest.World) *simtest.World {
 	t.Helper()
-	if err := w.Run(1800*time.Second, 300*time.Second); err != nil {
+	err := w.Run(1800*time.Second, 300*time.Second)
+	logDigest(t, w)
+	if err != nil {
 		t.Fatal(err)
 	}
 	if left := w.Rules.Unfinished(); len(left) > 0 {
