--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -66,9 +66,9 @@
 type Request struct {
 	ID  string
 	Key Key
-	// Level is the job's priority, 0 being the highest.
-	Level int
-	Tasks int
+	// PriorityRank is the job's priority, 0 being the highest.
+	PriorityRank int
+	Tasks        int
 	// Dependent: the job needs others, which were accepted before.
 	Dependent bool
 	// Waited is the time since the job was first refused, as far as the node that
@@ -91,7 +91,7 @@
 // Decision is what becomes of a request.
 type Decision struct {
 	Admitted bool
-	// RetryAfter is when a user who is refused should come back, in seconds.
+	// RetryAfterS is when a user who is refused should come back, in seconds.
 	RetryAfter int
 }
 
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -142,7 +142,7 @@
 // prolong nothing; one that is not renewed ends, and then all goes to the leader.
 func TestGateIgnoresOldPolicies(t *testing.T) {
 	none := []Share{{Key{"blue", "urgent"}, 0}}
-	life := tuning.AdmissionPolicyLife
+	life := tuning.AdmissionPolicyTTL
 	g := NewGate(settings(), 1)
 	asks := func(at time.Duration) bool {
 		d, _ := g.Decide(begin.Add(at), &Request{ID: "job-1", Key: Key{"blue", "urgent"}})
@@ -151,18 +151,18 @@
 	if !asks(0) {
 		t.Fatal("refused without a policy")
 	}
-	current := Policy{Term: 4, Revision: 100, LifeMS: life.Milliseconds(), Shares: none}
-	g.Learn(begin, current)
+	current := Policy{Term: 4, Revision: 100, TTLMS: life.Milliseconds(), Shares: none}
+	g.ApplyPolicy(begin, current)
 	if asks(0) {
 		t.Fatal("the policy is not applied")
 	}
-	g.Learn(begin.Add(life-1), current)
-	g.Learn(begin.Add(life-1), Policy{Term: 4, Revision: 99, LifeMS: life.Milliseconds(), Shares: none})
-	g.Learn(begin.Add(life-1), Policy{Term: 3, Revision: 900, LifeMS: life.Milliseconds(), Shares: none})
+	g.ApplyPolicy(begin.Add(life-1), current)
+	g.ApplyPolicy(begin.Add(life-1), Policy{Term: 4, Revision: 99, TTLMS: life.Milliseconds(), Shares: none})
+	g.ApplyPolicy(begin.Add(life-1), Policy{Term: 3, Revision: 900, TTLMS: life.Milliseconds(), Shares: none})
 	if !asks(life) {
 		t.Error("a copy or an older policy prolonged the one that has expired")
 	}
-	g.Learn(begin.Add(life), Policy{Term: 5, Revision: 90, LifeMS: time.Hour.Milliseconds(), Shares: none})
+	g.ApplyPolicy(begin.Add(life), Policy{Term: 5, Revision: 90, TTLMS: time.Hour.Milliseconds(), Shares: none})
 	if asks(life) {
 		t.Error("a later term's policy is not applied")
 	}
@@ -176,33 +176,33 @@
 func TestGateRemembersWithinBounds(t *testing.T) {
 	g := NewGate(settings(), 1)
 	request := func(team, id string) *Request { return &Request{ID: id, Key: Key{team, "urgent"}} }
-	g.Refused(begin, request("green", "job-1"))
-	g.Passed(request("green", "job-2"))
-	for i := range 3 * tuning.AdmissionRemembered {
+	g.RecordRejected(begin, request("green", "job-1"))
+	g.RecordAdmitted(request("green", "job-2"))
+	for i := range 3 * tuning.AdmissionMaxRemembered {
 		r := request("blue", fmt.Sprint("job-9", i))
-		g.Refused(begin, r)
-		g.Passed(r)
+		g.RecordRejected(begin, r)
+		g.RecordAdmitted(r)
 	}
-	g.Refused(begin, request("nobody", "job-3"))
+	g.RecordRejected(begin, request("nobody", "job-3"))
 	remembered := 0
 	for _, m := range g.teams {
 		remembered += m.refused.Len() + m.passed.Len()
 	}
-	if remembered > 2*tuning.AdmissionRemembered {
+	if remembered > 2*tuning.AdmissionMaxRemembered {
 		t.Errorf("%d ids remembered", remembered)
 	}
 	later := begin.Add(20 * time.Second)
-	if r := request("green", "job-1"); !g.Arrive(later, r) || r.Waited != 20*time.Second {
+	if r := request("green", "job-1"); !g.RecordArrival(later, r) || r.Waited != 20*time.Second {
 		t.Errorf("forgotten for another team's flood: waited %v", r.Waited)
 	}
-	if g.Arrive(later, request("green", "job-2")) {
+	if g.RecordArrival(later, request("green", "job-2")) {
 		t.Error("a job that was let through counts as new")
 	}
-	g.Refused(later, request("green", "job-2"))
-	if !g.Arrive(later, request("green", "job-2")) {
+	g.RecordRejected(later, request("green", "job-2"))
+	if !g.RecordArrival(later, request("green", "job-2")) {
 		t.Error("a job that the leader has refused doesn't count as new")
 	}
-	if r := request("green", "job-1"); !g.Arrive(begin.Add(time.Hour), r) || r.Waited != 0 {
+	if r := request("green", "job-1"); !g.RecordArrival(begin.Add(time.Hour), r) || r.Waited != 0 {
 		t.Errorf("a new try an hour later counts as having waited %v", r.Waited)
 	}
 	offers := g.Offers("n").Offers
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -65,8 +65,8 @@
 // those of an earlier process.
 func NewGate(s *Settings, started uint64) *Gate {
 	g := &Gate{settings: s, started: started, offers: map[Key]*Offers{}, teams: map[string]*memory{}}
-	g.checks = rate.NewLimiter(tuning.AdmissionChecks, tuning.AdmissionChecks)
-	size := max(tuning.AdmissionRemembered/max(len(s.Teams), 1), 1)
+	g.checks = rate.NewLimiter(tuning.AdmissionChecksPerSecond, tuning.AdmissionChecksPerSecond)
+	size := max(tuning.AdmissionMaxRemembered/max(len(s.Teams), 1), 1)
 	for _, t := range s.Teams {
 		// The only error is a size below one.
 		refused, _ := simplelru.NewLRU[string, time.Time](size, nil)
@@ -76,19 +76,19 @@
 	return g
 }
 
-// Learn takes in a policy. One that is not newer than the one known changes nothing: a
+// ApplyPolicy takes in a policy. One that is not newer than the one known changes nothing: a
 // copy that comes late prolongs nothing.
-func (g *Gate) Learn(now time.Time, p Policy) {
+func (g *Gate) ApplyPolicy(now time.Time, p Policy) {
 	if p.newerThan(&g.policy) {
 		g.policy = p
-		g.expires = now.Add(min(p.life(), tuning.AdmissionPolicyLife))
+		g.expires = now.Add(min(p.ttl(), tuning.AdmissionPolicyTTL))
 	}
 }
 
-// Arrive counts a submission and completes the request by what the node remembers. It
+// RecordArrival counts a submission and completes the request by what the node remembers. It
 // returns false if the job may have been accepted already, or its team is unknown: then
 // only the leader can tell.
-func (g *Gate) Arrive(now time.Time, r *Request) bool {
+func (g *Gate) RecordArrival(now time.Time, r *Request) bool {
 	m := g.teams[r.Key.Team]
 	if m == nil || m.passed.Contains(r.ID) {
 		return false
@@ -114,21 +114,21 @@
 	return g.policy.Decide(r), g.policy.Revision
 }
 
-// MayAsk reports whether the leader may be asked about a job that was refused before: it may
+// MayQueryLeader reports whether the leader may be asked about a job that was refused before: it may
 // have been accepted through another node.
-func (g *Gate) MayAsk(now time.Time, r *Request) bool {
+func (g *Gate) MayQueryLeader(now time.Time, r *Request) bool {
 	return r.Waited > 0 && g.checks.AllowN(now, 1)
 }
 
-// Passed notes that a job is let through.
-func (g *Gate) Passed(r *Request) {
+// RecordAdmitted notes that a job is let through.
+func (g *Gate) RecordAdmitted(r *Request) {
 	if m := g.teams[r.Key.Team]; m != nil {
 		m.passed.Add(r.ID, struct{}{})
 	}
 }
 
-// Refused notes that a job was turned away, here or by the leader.
-func (g *Gate) Refused(now time.Time, r *Request) {
+// RecordRejected notes that a job was turned away, here or by the leader.
+func (g *Gate) RecordRejected(now time.Time, r *Request) {
 	m := g.teams[r.Key.Team]
 	if m == nil {
 		return
@@ -157,10 +157,10 @@
 	}
 	o.Count++
 	o.Boosted += r.boost()
-	o.Weight += priorityWeight(r.Level)
+	o.Weight += priorityWeight(r.PriorityRank)
 }
 
 // priorityWeight is what a job of a priority counts in the division of its team's share.
 func priorityWeight(level int) float64 {
-	return float64(int(1) << max(0, tuning.AdmissionLowestLevel-level))
+	return float64(int(1) << max(0, tuning.AdmissionLowestRank-level))
 }
--- a/internal/admission/policy.go
+++ b/internal/admission/policy.go
@@ -15,8 +15,8 @@
 	// Revision grows with every policy. It follows the time of day in seconds, so that
 	// it goes on growing when the leader changes.
 	Revision uint64 `json:"revision"`
-	// LifeMS is how long a node may apply the policy after it first heard of it.
-	LifeMS int64 `json:"lifeMs"`
+	// TTLMS is how long a node may apply the policy after it first heard of it.
+	TTLMS int64 `json:"lifeMs"`
 	// Shares are the keys of which not everything is admitted.
 	Shares []Share `json:"shares,omitempty"`
 }
@@ -27,8 +27,8 @@
 	Admit float64 `json:"admit"`
 }
 
-// life is how long the policy may be applied.
-func (p *Policy) life() time.Duration { return time.Duration(p.LifeMS) * time.Millisecond }
+// ttl is how long the policy may be applied.
+func (p *Policy) ttl() time.Duration { return time.Duration(p.TTLMS) * time.Millisecond }
 
 // newerThan reports whether the policy replaces another one.
 func (p *Policy) newerThan(other *Policy) bool {
--- a/internal/admission/regulator.go
+++ b/internal/admission/regulator.go
@@ -123,7 +123,7 @@
 	r.measurePressure(passed, load)
 	r.adjustBudget(now, passed)
 	r.policy.Revision = max(r.policy.Revision+1, uint64(max(0, wall.Unix())))
-	r.policy.LifeMS = tuning.AdmissionPolicyLife.Milliseconds()
+	r.policy.TTLMS = tuning.AdmissionPolicyTTL.Milliseconds()
 	r.policy.Shares = nil
 	if r.shedding {
 		r.divideBudget(now)
@@ -139,7 +139,7 @@
 		d.count *= decay
 		d.boosted *= decay
 		d.weight *= decay
-		if d.count < tuning.AdmissionLeastOffer {
+		if d.count < tuning.AdmissionMinOfferRate {
 			delete(r.demands, k)
 		}
 	}
@@ -213,14 +213,14 @@
 			return
 		}
 		r.shedding = true
-		r.budget = admitted / min(r.pressure, tuning.AdmissionLargestCut)
+		r.budget = admitted / min(r.pressure, tuning.AdmissionMaxCut)
 		r.calmSince = now
 	case r.pressure > 1:
-		r.budget = min(r.budget, max(admitted, 1)) / min(r.pressure, tuning.AdmissionLargestCut)
+		r.budget = min(r.budget, max(admitted, 1)) / min(r.pressure, tuning.AdmissionMaxCut)
 	default:
 		r.budget = r.budget*tuning.AdmissionGrowth + tuning.AdmissionStep
 	}
-	r.budget = min(max(r.budget, tuning.AdmissionLeastBudget), r.settings.WriteRate)
+	r.budget = min(max(r.budget, tuning.AdmissionMinBudget), r.settings.WriteRate)
 	if r.pressure > 1 || r.offered() > r.budget {
 		r.calmSince = now
 	}
@@ -335,7 +335,7 @@
 // roomForTasks keeps a part of the room for unfinished tasks to those teams that use less
 // than their share of it: a few huge jobs of one team must not shut the others out.
 func (r *Regulator) roomForTasks(q *Request, tasks TaskLoad) bool {
-	if float64(tasks.All+q.Tasks) <= tuning.ActiveTasks*(1-tuning.AdmissionTaskReserve) {
+	if float64(tasks.All+q.Tasks) <= tuning.MaxActiveTasks*(1-tuning.AdmissionTaskReserve) {
 		return true
 	}
 	weight := 0.0
@@ -344,7 +344,7 @@
 			weight = weightOf(t.Weight)
 		}
 	}
-	return float64(tasks.Team+q.Tasks) <= tuning.ActiveTasks*weight/r.weights
+	return float64(tasks.Team+q.Tasks) <= tuning.MaxActiveTasks*weight/r.weights
 }
 
 // Summary are the figures that operators look at.
--- a/internal/admission/regulator_test.go
+++ b/internal/admission/regulator_test.go
@@ -28,7 +28,7 @@
 	for team, n := range map[string]int{"blue": 200, "green": 2, "guests": 2} {
 		for range n {
 			o.number++
-			q := Request{ID: fmt.Sprintf("job-%06d", o.number), Key: Key{team, "urgent"}, Level: 1, Tasks: 1}
+			q := Request{ID: fmt.Sprintf("job-%06d", o.number), Key: Key{team, "urgent"}, PriorityRank: 1, Tasks: 1}
 			count(o.counts, &q)
 			if o.Admit(o.at.Add(time.Duration(o.number%100)*time.Millisecond*9), &q, &Claim{}, TaskLoad{}).Admitted {
 				admitted[team]++
@@ -153,7 +153,7 @@
 		q := Request{ID: "job-1", Key: Key{team, "urgent"}, Tasks: 100_000}
 		return r.Admit(begin, &q, &Claim{}, TaskLoad{All: all, Team: own}).Admitted
 	}
-	if most := int(tuning.ActiveTasks * (1 - tuning.AdmissionTaskReserve)); !asks("blue", most-100_000, most-100_000) || asks("blue", most, most) {
+	if most := int(tuning.MaxActiveTasks * (1 - tuning.AdmissionTaskReserve)); !asks("blue", most-100_000, most-100_000) || asks("blue", most, most) {
 		t.Error("blue takes the room kept for others, or may not borrow")
 	} else if !asks("green", most, 0) {
 		t.Error("green is shut out by blue's tasks")
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -20,7 +20,7 @@
 
 // Service carries requests out, here or at the leader.
 type Service interface {
-	Do(ctx context.Context, c peer.Call) peer.Answer
+	Do(ctx context.Context, c peer.Call) peer.Response
 	Healthy() bool
 }
 
@@ -34,7 +34,7 @@
 }
 
 // New returns a server within the given limits.
-func New(log zerolog.Logger, s Service, limits config.Limits) *Server {
+func New(log zerolog.Logger, s Service, limits config.ProcessLimits) *Server {
 	connections, workers := fasthttp.DefaultConcurrency, fasthttp.DefaultConcurrency
 	if limits.MaxConnections > 0 {
 		connections = max(16, int(float64(limits.MaxConnections)*tuning.SocketShare))
@@ -46,9 +46,9 @@
 		Handler:                      srv.handle,
 		Concurrency:                  connections,
 		MaxRequestBodySize:           wire.MaxBody,
-		ReadTimeout:                  tuning.ReadLimit,
-		WriteTimeout:                 tuning.WriteLimit,
-		IdleTimeout:                  tuning.IdleConnection,
+		ReadTimeout:                  tuning.ReadTimeout,
+		WriteTimeout:                 tuning.WriteTimeout,
+		IdleTimeout:                  tuning.ConnectionIdleTimeout,
 		NoDefaultDate:                true,
 		DisablePreParseMultipartForm: true,
 		CloseOnShutdown:              true,
@@ -69,7 +69,7 @@
 func (s *Server) handle(rc *fasthttp.RequestCtx) {
 	path := string(rc.Path())
 	switch {
-	case path == wire.PathReport:
+	case path == wire.PathHeartbeat:
 		if only(rc, fasthttp.MethodPost) {
 			s.report(rc)
 		}
@@ -93,7 +93,7 @@
 			if only(rc, fasthttp.MethodGet) {
 				s.job(rc, peer.Call{Op: peer.OpQuery, Job: id})
 			}
-		case end == wire.EndCancel:
+		case end == wire.CancelSuffix:
 			if only(rc, fasthttp.MethodPost) {
 				s.job(rc, peer.Call{Op: peer.OpCancel, Job: id})
 			}
@@ -117,7 +117,7 @@
 
 func refuse(rc *fasthttp.RequestCtx, status int, why string) {
 	body, _ := json.Marshal(wire.Error{Error: why})
-	reply(rc, status, tuning.RetryAfter, body)
+	reply(rc, status, tuning.RetryAfterS, body)
 }
 
 func reply(rc *fasthttp.RequestCtx, status, retryAfter int, body []byte) {
@@ -151,7 +151,7 @@
 	if !s.workers.admit(rc.Conn()) {
 		rc.SetConnectionClose()
 	}
-	s.do(rc, peer.Call{Op: peer.OpReport, Report: r})
+	s.do(rc, peer.Call{Op: peer.OpHeartbeat, Heartbeat: r})
 }
 
 func (s *Server) job(rc *fasthttp.RequestCtx, c peer.Call) {
@@ -166,14 +166,14 @@
 	a := s.service.Do(s.ctx, c)
 	var body []byte
 	switch {
-	case a.Report != nil:
-		body, _ = json.Marshal(a.Report)
+	case a.Heartbeat != nil:
+		body, _ = json.Marshal(a.Heartbeat)
 	case a.Job != nil:
 		body, _ = json.Marshal(a.Job)
 	default:
-		body, _ = json.Marshal(wire.Error{Error: a.Why})
+		body, _ = json.Marshal(wire.Error{Error: a.Reason})
 	}
-	reply(rc, a.Status, max(a.RetryAfter, tuning.RetryAfter), body)
+	reply(rc, a.Status, max(a.RetryAfter, tuning.RetryAfterS), body)
 }
 
 // conns counts the connections that workers keep.
--- a/internal/api/api_test.go
+++ b/internal/api/api_test.go
@@ -20,18 +20,18 @@
 
 func (service) Healthy() bool { return true }
 
-func (service) Do(_ context.Context, c peer.Call) peer.Answer {
-	if c.Op == peer.OpReport {
-		return peer.Answer{Status: http.StatusOK, Report: &wire.ReportAnswer{Token: 1, Commands: []wire.Command{}}}
+func (service) Do(_ context.Context, c peer.Call) peer.Response {
+	if c.Op == peer.OpHeartbeat {
+		return peer.Response{Status: http.StatusOK, Heartbeat: &wire.HeartbeatResponse{FencingToken: 1, Commands: []wire.Command{}}}
 	}
-	return peer.Answer{Status: http.StatusOK, Job: &wire.JobStatus{ID: c.Job, State: wire.JobQueued}}
+	return peer.Response{Status: http.StatusOK, Job: &wire.JobStatus{ID: c.Job, State: wire.JobQueued}}
 }
 
 // TestWorkersLeaveRoomForUsers: when workers have taken the sockets that they
 // may, all others are answered too, but their connections end with the answer,
 // and users and health checks are answered.
 func TestWorkersLeaveRoomForUsers(t *testing.T) {
-	srv := New(zerolog.Nop(), service{}, config.Limits{MaxConnections: 50})
+	srv := New(zerolog.Nop(), service{}, config.ProcessLimits{MaxConnections: 50})
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -58,16 +58,16 @@
 	for range srv.workers.most {
 		c := client()
 		workers = append(workers, c)
-		if got := ask(c, "POST", wire.PathReport, report); got != 200 || closed {
+		if got := ask(c, "POST", wire.PathHeartbeat, report); got != 200 || closed {
 			t.Fatalf("worker %d: %d, closed: %v", len(workers), got, closed)
 		}
 	}
 	for range 2 * srv.http.Concurrency {
-		if got := ask(client(), "POST", wire.PathReport, report); got != 200 || !closed {
+		if got := ask(client(), "POST", wire.PathHeartbeat, report); got != 200 || !closed {
 			t.Fatalf("one worker too many: %d, closed: %v", got, closed)
 		}
 	}
-	if got := ask(workers[0], "POST", wire.PathReport, report); got != 200 || closed {
+	if got := ask(workers[0], "POST", wire.PathHeartbeat, report); got != 200 || closed {
 		t.Errorf("a worker that is here already: %d, closed: %v", got, closed)
 	}
 	for _, path := range []string{wire.PathHealth, wire.PathJobs + "/job-000001"} {
@@ -78,7 +78,7 @@
 	// A connection that ends makes room.
 	workers[0].CloseIdleConnections()
 	for range 500 {
-		if ask(client(), "POST", wire.PathReport, report); !closed {
+		if ask(client(), "POST", wire.PathHeartbeat, report); !closed {
 			return
 		}
 	}
--- a/internal/provision/provision.go
+++ b/internal/autoscale/provision.go
@@ -1,6 +1,6 @@
-// Package provision decides which machines to rent and which to give back.
+// Package autoscale decides which machines to rent and which to give back.
 // It is pure: it works on a snapshot of demand and machines.
-package provision
+package autoscale
 
 import (
 	"math"
@@ -8,7 +8,7 @@
 	"sort"
 	"time"
 
-	"switchshore.example/switchshore/internal/sched"
+	"switchshore.example/switchshore/internal/placement"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -23,13 +23,13 @@
 // Demand is the work of one job that waits for room.
 type Demand struct {
 	Tasks     int
-	Need      sched.Resources
+	Request   placement.Resources
 	EstimateS float64
 	Types     []string
 	Zone      string
 	Spot      bool
-	// HorizonS is the time within which the tasks should begin.
-	HorizonS float64
+	// StartWithinS is the time within which the tasks should begin.
+	StartWithinS float64
 	// Avoid names machines where the job has failed: their room is none to it.
 	// Counted as room, a faulty machine that is alone would keep it waiting for ever.
 	Avoid map[string]bool
@@ -39,22 +39,22 @@
 type Machine struct {
 	ID    string
 	Offer Offer
-	Total sched.Resources
-	Free  sched.Resources
+	Total placement.Resources
+	Free  placement.Resources
 	// BusyS is the work in CPU seconds still to be done there.
 	BusyS float64
-	// ReadyInS is the time until a booting machine is expected to be up.
-	ReadyInS float64
-	Open     bool // takes new tasks now or once booted
-	Idle     bool // no task may be there
-	IdleFor  time.Duration
-	Price    float64
+	// BootRemainingS is the time until a booting machine is expected to be up.
+	BootRemainingS float64
+	Schedulable    bool // takes new tasks now or once booted
+	Idle           bool // no task may be there
+	IdleFor        time.Duration
+	Price          float64
 }
 
 // Plan is what to do.
 type Plan struct {
-	Rent   map[Offer]int
-	Return []string
+	ScaleOut map[Offer]int
+	ScaleIn  []string
 }
 
 // Input is a snapshot.
@@ -62,8 +62,8 @@
 	Demand   []Demand
 	Machines []Machine
 	Types    []wire.MachineType
-	// Refused tells which offers had no capacity just now.
-	Refused func(Offer) bool
+	// Unavailable tells which offers had no capacity just now.
+	Unavailable func(Offer) bool
 	// Reserve is the number of CPUs wanted on top, by smoothed demand.
 	ReserveCPUs float64
 	// InflowCPUs are needed for the work that keeps coming, by its recent rate.
@@ -77,9 +77,9 @@
 type bin struct {
 	id     string // empty: not there yet
 	offer  Offer
-	total  sched.Resources
-	free   sched.Resources // room that nothing takes yet
-	busyS  float64         // CPU seconds of work given to it
+	total  placement.Resources
+	free   placement.Resources // room that nothing takes yet
+	busyS  float64             // CPU seconds of work given to it
 	readyS float64
 	open   bool
 	used   bool // demand was given to it
@@ -88,13 +88,13 @@
 // take gives the bin as many of the tasks as it can start at once or begin
 // within the horizon, and returns how many.
 func (b *bin) take(d Demand, tasks int, horizonS float64) int {
-	each := max(d.EstimateS, tuning.MinimumEstimate) * d.Need.CPUs
-	left := b.total.CPUs*usable(b.total, d.Need)*(horizonS-min(b.readyS, horizonS/2)) - b.busyS
-	n := max(slots(b.free, d.Need), int(left/each))
+	each := max(d.EstimateS, tuning.MinimumEstimate) * d.Request.CPUs
+	left := b.total.CPUs*usable(b.total, d.Request)*(horizonS-min(b.readyS, horizonS/2)) - b.busyS
+	n := max(slots(b.free, d.Request), int(left/each))
 	n = max(0, min(n, tasks))
 	b.used = b.used || n > 0
 	b.busyS += float64(n) * each
-	b.free = b.free.Add(d.Need, -float64(n))
+	b.free = b.free.Add(d.Request, -float64(n))
 	return n
 }
 
@@ -108,33 +108,33 @@
 	count  int // machines, those to be rented included
 }
 
-// Make plans. It fills the demand, the most urgent first, into the machines
+// NewPlan plans. It fills the demand, the most urgent first, into the machines
 // there are, up to what they can begin within the horizon, and rents the
 // cheapest offer for the rest.
-func Make(in Input) Plan {
+func NewPlan(in Input) Plan {
 	p := newPlanner(in)
 	openCPUs, freeCPUs := p.openCPUs()
-	sort.SliceStable(in.Demand, func(i, k int) bool { return in.Demand[i].HorizonS < in.Demand[k].HorizonS })
+	sort.SliceStable(in.Demand, func(i, k int) bool { return in.Demand[i].StartWithinS < in.Demand[k].StartWithinS })
 	for _, d := range in.Demand {
 		p.meet(d)
 	}
 	p.in.steady(&p.plan, openCPUs, freeCPUs, p.count, p.offers, p.types)
 	// At several hundred machines something is rented nearly always, somewhere:
 	// machines that the demand has no use for go back all the same.
-	p.plan.Return = surplus(in, p.bins, openCPUs)
+	p.plan.ScaleIn = surplus(in, p.bins, openCPUs)
 	return p.plan
 }
 
 func newPlanner(in Input) *planner {
 	p := &planner{
-		in: in, plan: Plan{Rent: map[Offer]int{}}, types: map[string]wire.MachineType{},
+		in: in, plan: Plan{ScaleOut: map[Offer]int{}}, types: map[string]wire.MachineType{},
 		offers: offersByPrice(in.Types), bins: make([]bin, 0, len(in.Machines)), count: len(in.Machines),
 	}
 	for _, t := range in.Types {
 		p.types[t.Name] = t
 	}
 	for _, m := range in.Machines {
-		p.bins = append(p.bins, bin{id: m.ID, offer: m.Offer, total: m.Total, free: m.Free, busyS: m.BusyS, readyS: m.ReadyInS, open: m.Open})
+		p.bins = append(p.bins, bin{id: m.ID, offer: m.Offer, total: m.Total, free: m.Free, busyS: m.BusyS, readyS: m.BootRemainingS, open: m.Schedulable})
 	}
 	return p
 }
@@ -142,11 +142,11 @@
 // openCPUs are the CPUs of the machines that take work, and those free now.
 func (p *planner) openCPUs() (open, free float64) {
 	for _, m := range p.in.Machines {
-		if !m.Open {
+		if !m.Schedulable {
 			continue
 		}
 		open += m.Total.CPUs
-		if m.ReadyInS == 0 {
+		if m.BootRemainingS == 0 {
 			free += m.Free.CPUs
 		}
 	}
@@ -155,10 +155,10 @@
 
 // meet gives the demand what the machines can begin in time, and rents for the rest.
 func (p *planner) meet(d Demand) {
-	tasks := p.fill(d, d.Tasks, d.HorizonS)
+	tasks := p.fill(d, d.Tasks, d.StartWithinS)
 	waited := false
 	for tasks > 0 && (p.in.MaxMachines == 0 || p.count < p.in.MaxMachines) {
-		o, price, ok := cheapest(p.offers, d, p.types, p.in.Refused, p.plan.Rent)
+		o, price, ok := cheapest(p.offers, d, p.types, p.in.Unavailable, p.plan.ScaleOut)
 		if !ok {
 			return
 		}
@@ -166,10 +166,10 @@
 			// The dearer the offer, the longer the work waits for the
 			// machines there are.
 			waited = true
-			tasks = p.fill(d, tasks, d.HorizonS*math.Sqrt(price/p.offers[0].price))
+			tasks = p.fill(d, tasks, d.StartWithinS*math.Sqrt(price/p.offers[0].price))
 			continue
 		}
-		tasks -= p.rent(o, d, tasks)
+		tasks -= p.scaleOut(o, d, tasks)
 	}
 }
 
@@ -178,20 +178,20 @@
 func (p *planner) fill(d Demand, tasks int, horizonS float64) int {
 	for i := range p.bins {
 		b := &p.bins[i]
-		if tasks > 0 && b.open && !d.Avoid[b.id] && allowed(d, b.offer) && b.total.Fits(d.Need) {
+		if tasks > 0 && b.open && !d.Avoid[b.id] && allowed(d, b.offer) && b.total.Fits(d.Request) {
 			tasks -= b.take(d, tasks, horizonS)
 		}
 	}
 	return tasks
 }
 
-// rent adds one machine, and returns for how many of the tasks it is.
-func (p *planner) rent(o Offer, d Demand, tasks int) int {
+// scaleOut adds one machine, and returns for how many of the tasks it is.
+func (p *planner) scaleOut(o Offer, d Demand, tasks int) int {
 	size := total(p.types[o.Type])
 	b := bin{offer: o, total: size, free: size, open: true}
-	taken := max(1, b.take(d, tasks, d.HorizonS))
+	taken := max(1, b.take(d, tasks, d.StartWithinS))
 	p.bins = append(p.bins, b)
-	p.plan.Rent[o]++
+	p.plan.ScaleOut[o]++
 	p.count++
 	return taken
 }
@@ -202,18 +202,18 @@
 // and with more and dearer machines than it takes. Only the cheapest offers are
 // rented so: dear ones are for what presses.
 func (in *Input) steady(plan *Plan, openCPUs, freeCPUs float64, count int, offers []priced, types map[string]wire.MachineType) {
-	for o, n := range plan.Rent {
+	for o, n := range plan.ScaleOut {
 		openCPUs += float64(n) * types[o.Type].CPUs
 	}
 	for _, d := range in.Demand {
-		waiting := float64(d.Tasks)*d.Need.CPUs - freeCPUs
+		waiting := float64(d.Tasks)*d.Request.CPUs - freeCPUs
 		freeCPUs = max(0, -waiting)
 		for waiting > 0 && openCPUs < in.InflowCPUs && (in.MaxMachines == 0 || count < in.MaxMachines) {
-			o, price, ok := cheapest(offers, d, types, in.Refused, plan.Rent)
+			o, price, ok := cheapest(offers, d, types, in.Unavailable, plan.ScaleOut)
 			if !ok || price > offers[0].price {
 				break
 			}
-			plan.Rent[o]++
+			plan.ScaleOut[o]++
 			count++
 			cpus := types[o.Type].CPUs
 			waiting -= cpus
@@ -223,7 +223,7 @@
 }
 
 // slots is how many tasks of this shape fit side by side.
-func slots(room, need sched.Resources) int {
+func slots(room, need placement.Resources) int {
 	n := math.Inf(1)
 	for _, x := range [][2]float64{{room.CPUs, need.CPUs}, {room.MemoryGB, need.MemoryGB}, {room.GPUs, need.GPUs}} {
 		if x[1] > 0 {
@@ -234,15 +234,15 @@
 }
 
 // usable is the share of a machine's CPUs that tasks of this shape can use.
-func usable(total, need sched.Resources) float64 {
+func usable(total, need placement.Resources) float64 {
 	if total.CPUs <= 0 {
 		return 0
 	}
 	return min(1, float64(slots(total, need))*need.CPUs/total.CPUs)
 }
 
-func total(t wire.MachineType) sched.Resources {
-	return sched.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
+func total(t wire.MachineType) placement.Resources {
+	return placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
 }
 
 func allowed(d Demand, o Offer) bool {
@@ -275,7 +275,7 @@
 	var best *priced
 	for i := range offers {
 		o := &offers[i]
-		if !allowed(d, o.Offer) || refused(o.Offer) || !total(types[o.Type]).Fits(d.Need) {
+		if !allowed(d, o.Offer) || refused(o.Offer) || !total(types[o.Type]).Fits(d.Request) {
 			continue
 		}
 		if best == nil || o.price == best.price && rent[o.Offer] < rent[best.Offer] {
@@ -296,14 +296,14 @@
 func surplus(in Input, bins []bin, openCPUs float64) []string {
 	idle := make([]Machine, 0)
 	for i, m := range in.Machines {
-		if m.Idle && !bins[i].used && (m.IdleFor >= in.KeepIdle || !m.Open) {
+		if m.Idle && !bins[i].used && (m.IdleFor >= in.KeepIdle || !m.Schedulable) {
 			idle = append(idle, m)
 		}
 	}
 	sort.SliceStable(idle, func(i, j int) bool { return idle[i].Price > idle[j].Price })
 	var out []string
 	for _, m := range idle {
-		if m.Open {
+		if m.Schedulable {
 			// A smoothed demand never quite reaches zero: less than a CPU is none.
 			if openCPUs-m.Total.CPUs < in.ReserveCPUs-1 {
 				continue
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -13,29 +13,29 @@
 	"golang.org/x/time/rate"
 
 	"switchshore.example/switchshore/internal/config"
-	"switchshore.example/switchshore/internal/httpc"
+	"switchshore.example/switchshore/internal/httpclient"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
 
-// Errors of the cloud. httpc.ErrNoAnswer stands for an unknown outcome.
+// Errors of the cloud. httpclient.ErrNoResponse stands for an unknown outcome.
 var (
-	// ErrRefused: no capacity, too many calls or an outage; nothing was done.
-	ErrRefused = errors.New("cloud refused")
-	// ErrMalformed: the cloud did not understand the request.
-	ErrMalformed = errors.New("malformed request")
+	// ErrUnavailable: no capacity, too many calls or an outage; nothing was done.
+	ErrUnavailable = errors.New("cloud refused")
+	// ErrInvalidRequest: the cloud did not understand the request.
+	ErrInvalidRequest = errors.New("malformed request")
 )
 
 // Client is the HTTP client of the cloud.
 type Client struct {
-	http  *httpc.Client
+	http  *httpclient.Client
 	calls *rate.Limiter
 }
 
 // NewClient returns a client for addr.
-func NewClient(addr string, c config.Cloud) *Client {
+func NewClient(addr string, c config.CloudLimits) *Client {
 	return &Client{
-		http: httpc.New(addr, 16, tuning.IdleConnection),
+		http: httpclient.New(addr, 16, tuning.ConnectionIdleTimeout),
 		// One call of burst: a predecessor may have used up the cloud's.
 		calls: rate.NewLimiter(rate.Limit(c.RPS*tuning.CloudShare), max(1, int(c.RPS*tuning.CloudShare))),
 	}
@@ -43,7 +43,7 @@
 
 func (c *Client) do(ctx context.Context, method, uri string, body, out any) error {
 	if err := c.calls.Wait(ctx); err != nil {
-		return fmt.Errorf("%w: %w", ErrRefused, err)
+		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	status, err := c.http.Do(ctx, tuning.CloudTimeout, method, uri, body, out)
 	switch {
@@ -52,22 +52,22 @@
 	case status/100 == 2:
 		return nil
 	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
-		return ErrRefused
+		return ErrUnavailable
 	case status == http.StatusBadRequest:
-		return fmt.Errorf("%w: %s %s", ErrMalformed, method, uri)
+		return fmt.Errorf("%w: %s %s", ErrInvalidRequest, method, uri)
 	}
-	return fmt.Errorf("%w: status %d", httpc.ErrNoAnswer, status)
+	return fmt.Errorf("%w: status %d", httpclient.ErrNoResponse, status)
 }
 
-// Types reads the catalogue with current prices.
-func (c *Client) Types(ctx context.Context) ([]wire.MachineType, error) {
+// MachineTypes reads the catalogue with current prices.
+func (c *Client) MachineTypes(ctx context.Context) ([]wire.MachineType, error) {
 	var res wire.MachineTypes
 	err := c.do(ctx, http.MethodGet, "/machine_types", nil, &res)
 	return res.Types, err
 }
 
-// Rent asks for machines; the request's name makes repeats harmless.
-func (c *Client) Rent(ctx context.Context, r wire.RentRequest) ([]string, error) {
+// Provision asks for machines; the request's name makes repeats harmless.
+func (c *Client) Provision(ctx context.Context, r wire.ProvisionRequest) ([]string, error) {
 	var res wire.MachineNames
 	err := c.do(ctx, http.MethodPost, "/rentals", r, &res)
 	return res.Machines, err
@@ -78,8 +78,8 @@
 	return c.do(ctx, http.MethodPost, "/rentals/release", wire.MachineNames{Machines: names}, nil)
 }
 
-// List reads the whole machine list.
-func (c *Client) List(ctx context.Context) ([]wire.ListedMachine, error) {
+// ListMachines reads the whole machine list.
+func (c *Client) ListMachines(ctx context.Context) ([]wire.ListedMachine, error) {
 	const page = 500
 	var all []wire.ListedMachine
 	after := ""
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -53,7 +53,7 @@
 	}
 	go func() { _ = srv.Serve(ln) }()
 	defer ln.Close()
-	list, err := cloud.NewClient(ln.Addr().String(), config.Cloud{RPS: 1000, ListLagS: 1}).List(context.Background())
+	list, err := cloud.NewClient(ln.Addr().String(), config.CloudLimits{RPS: 1000, ListLagS: 1}).ListMachines(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -55,10 +55,10 @@
 
 func (p *Params) check(k *checker) {
 	checkTeams(k, p.Teams)
-	k.positive(p.Workers.ReportS, "facts.workers.report_s")
+	k.positive(p.Workers.HeartbeatIntervalS, "facts.workers.report_s")
 	k.positive(p.Workers.LeaseS, "facts.workers.lease_s")
-	k.positive(p.Workers.CancelS, "facts.workers.cancel_s")
-	k.need(p.Workers.CancelS > p.Workers.LeaseS, "facts.workers.cancel_s", "must be above lease_s")
+	k.positive(p.Workers.CancelDeadlineS, "facts.workers.cancel_s")
+	k.need(p.Workers.CancelDeadlineS > p.Workers.LeaseS, "facts.workers.cancel_s", "must be above lease_s")
 	p.State.check(k, "facts.state")
 	p.State.Tightest().check(k, "facts.state.next")
 	k.positive(p.Cloud.RPS, "facts.cloud.rps")
@@ -78,7 +78,7 @@
 	}
 }
 
-func (s State) check(k *checker, table string) {
+func (s StateLimits) check(k *checker, table string) {
 	k.positive(s.RPS, table+".rps")
 	k.positive(s.WriteRPS, table+".write_rps")
 	k.need(s.ValueKB >= 1, table+".value_kb", "must be at least 1")
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -37,15 +37,15 @@
 
 // Params are the facts of the deployment.
 type Params struct {
-	Nodes      int         `toml:"initial_size"`
-	Zones      []string    `toml:"zones"`
-	ClockOffMS float64     `toml:"clock_error_ms"`
-	Teams      []Team      `toml:"teams"`
-	Objectives []Objective `toml:"objectives"`
-	Workers    Workers     `toml:"workers"`
-	State      State       `toml:"state"`
-	Cloud      Cloud       `toml:"cloud"`
-	Limits     Limits      `toml:"resources"`
+	Nodes      int           `toml:"initial_size"`
+	Zones      []string      `toml:"zones"`
+	ClockOffMS float64       `toml:"clock_error_ms"`
+	Teams      []Team        `toml:"teams"`
+	Objectives []Objective   `toml:"objectives"`
+	Workers    Workers       `toml:"workers"`
+	State      StateLimits   `toml:"state"`
+	Cloud      CloudLimits   `toml:"cloud"`
+	Limits     ProcessLimits `toml:"resources"`
 }
 
 // Team is a team's guarantee and limit.
@@ -68,24 +68,24 @@
 
 // Workers are the times of the worker protocol, in seconds.
 type Workers struct {
-	ReportS float64 `toml:"report_s"`
-	LeaseS  float64 `toml:"lease_s"`
-	CancelS float64 `toml:"cancel_s"`
+	HeartbeatIntervalS float64 `toml:"report_s"`
+	LeaseS             float64 `toml:"lease_s"`
+	CancelDeadlineS    float64 `toml:"cancel_s"`
 }
 
-// State are the limits of the state service.
-type State struct {
+// StateLimits are the limits of the state service.
+type StateLimits struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
 	TxnOps   int     `toml:"txn_ops"`
-	// Next holds the limits that the state service will have from some moment
+	// Upcoming holds the limits that the state service will have from some moment
 	// on, without notice; what is left out stays.
-	Next StateNext `toml:"next"`
+	Upcoming UpcomingStateLimits `toml:"next"`
 }
 
-// StateNext are limits of the state service to come.
-type StateNext struct {
+// UpcomingStateLimits are limits of the state service to come.
+type UpcomingStateLimits struct {
 	RPS      *float64 `toml:"rps"`
 	WriteRPS *float64 `toml:"write_rps"`
 	ValueKB  *float64 `toml:"value_kb"`
@@ -94,9 +94,9 @@
 
 // Tightest are the limits that hold before and after those to come: nobody is
 // told when they change, and a request above them is refused.
-func (s State) Tightest() State {
-	next := s.Next
-	return State{
+func (s StateLimits) Tightest() StateLimits {
+	next := s.Upcoming
+	return StateLimits{
 		RPS:      tighter(s.RPS, next.RPS),
 		WriteRPS: tighter(s.WriteRPS, next.WriteRPS),
 		ValueKB:  tighter(s.ValueKB, next.ValueKB),
@@ -111,14 +111,14 @@
 	return min(now, *next)
 }
 
-// Cloud are the limits of the cloud.
-type Cloud struct {
+// CloudLimits are the limits of the cloud.
+type CloudLimits struct {
 	RPS      float64 `toml:"rps"`
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// Limits are the resources of this process.
-type Limits struct {
+// ProcessLimits are the resources of this process.
+type ProcessLimits struct {
 	CPUShare       float64 `toml:"core_share"`
 	MemoryMB       float64 `toml:"memory_mb"`
 	MaxConnections int     `toml:"fd_limit"`
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -151,7 +151,7 @@
 	p := &config.Params{
 		Teams:      []config.Team{{Name: "blue", CPUs: 8}, {Name: "green"}},
 		Objectives: []config.Objective{{Class: "urgent"}, {Class: "urgent"}, {Class: "nightly"}, {}},
-		State:      config.State{WriteRPS: 80},
+		State:      config.StateLimits{WriteRPS: 80},
 	}
 	parse := func(inner string) (*config.Operator, error) {
 		return config.ParseOperator([]byte("<switchshore>"+inner+"</switchshore>"), p)
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -21,7 +21,7 @@
 	MaxMachines int
 	// KeepIdleS overrides how long an idle machine is kept, in seconds.
 	KeepIdleS float64
-	// HorizonS overrides the planning horizon, in seconds.
+	// StartWithinS overrides the planning horizon, in seconds.
 	HorizonS float64
 	// Admission turns fair admission under overload on; nil is off.
 	Admission *Admission
--- a/internal/drain/budget.go
+++ b/internal/drain/budget.go
@@ -45,10 +45,10 @@
 	Attempt Attempt
 	// LossS is the run time that stopping the task throws away, at most.
 	LossS float64
-	// Ends: the task is expected to end in time by itself.
-	Ends bool
-	// NoPlace: the task could run nowhere else.
-	NoPlace bool
+	// EndsSoon: the task is expected to end in time by itself.
+	EndsSoon bool
+	// NoAlternative: the task could run nowhere else.
+	NoAlternative bool
 }
 
 // Evictions chooses which tasks to stop now, those that lose least first, within what the
@@ -74,10 +74,10 @@
 	budget, used := budgets.For(e.Team), ledger.Used(e.Team, now)
 	here := charge.Teams[e.Team]
 	switch {
-	case e.Ends:
+	case e.EndsSoon:
 		return WaitTasks
-	case e.NoPlace && !force:
-		return WaitNoPlace
+	case e.NoAlternative && !force:
+		return WaitNoAlternative
 	case ledger.Unavailable(e.Team)+here.Evictions+1 > budget.MaxUnavailable:
 		return WaitUnavailable
 	case used.Evictions+here.Evictions+1 > budget.Evictions:
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -119,9 +119,9 @@
 		"lost time":         {func(b *Budgets, _ []Candidate) { b.Default = Budget{MaxUnavailable: 9, Evictions: 9, LostS: 99} }, false, 2, WaitLostTime},
 		"budget 0":          {func(b *Budgets, _ []Candidate) { b.Default.MaxUnavailable = 0 }, true, 0, WaitUnavailable},
 		"a team of its own": {func(b *Budgets, _ []Candidate) { b.Teams = map[string]Budget{"blue": {}} }, false, 0, WaitUnavailable},
-		"ends by itself":    {func(_ *Budgets, l []Candidate) { l[2].Ends = true }, false, 2, WaitTasks},
-		"no other place":    {func(_ *Budgets, l []Candidate) { l[1].NoPlace, l[0].NoPlace = true, true }, false, 1, WaitNoPlace},
-		"forced":            {func(_ *Budgets, l []Candidate) { l[1].NoPlace, l[0].NoPlace = true, true }, true, 2, WaitUnavailable},
+		"ends by itself":    {func(_ *Budgets, l []Candidate) { l[2].EndsSoon = true }, false, 2, WaitTasks},
+		"no other place":    {func(_ *Budgets, l []Candidate) { l[1].NoAlternative, l[0].NoAlternative = true, true }, false, 1, WaitNoAlternative},
+		"forced":            {func(_ *Budgets, l []Candidate) { l[1].NoAlternative, l[0].NoAlternative = true, true }, true, 2, WaitUnavailable},
 	} {
 		b, list, charge := *budgets, append([]Candidate(nil), three...), NewCharge("zone-a", now)
 		c.change(&b, list)
@@ -185,7 +185,7 @@
 				t.Fatalf("seed %d step %d: used %+v of %+v, %d unavailable of %d", seed, step, used, sum, ledger.Unavailable("blue"), len(out))
 			}
 		}
-		ledger.Over("job-1")
+		ledger.JobEnded("job-1")
 		if keys := ledger.Expire(at.Add(time.Hour)); len(ledger.charges) != 0 || len(ledger.charged) != 0 || ledger.Unavailable("blue") != 0 {
 			t.Fatalf("left after all is over: %v", keys)
 		}
@@ -229,7 +229,7 @@
 		deadline := now.Add(time.Minute)
 		r := NewRecord(Spec{Name: "a", Deadline: &deadline, Force: force}, now)
 		r.State = Running
-		reason := Reason{Cause: WaitNoPlace, Team: "blue"}
+		reason := Reason{Cause: WaitNoAlternative, Team: "blue"}
 		r.Wait(now, reason)
 		if r.State != Running {
 			t.Fatal("paused before the deadline")
--- a/internal/drain/file.go
+++ b/internal/drain/file.go
@@ -47,16 +47,16 @@
 		s.Selector.Machines = append(s.Selector.Machines, strings.TrimSpace(name))
 	}
 	var err error
-	if s.Selector.RentedBefore, err = moment("selector/rentedBefore", f.Before); err != nil {
+	if s.Selector.RentedBefore, err = parseTime("selector/rentedBefore", f.Before); err != nil {
 		return nil, err
 	}
-	if s.Deadline, err = moment("deadline", f.Deadline); err != nil {
+	if s.Deadline, err = parseTime("deadline", f.Deadline); err != nil {
 		return nil, err
 	}
-	if s.Replace, err = yesOrNo("replace", f.Replace); err != nil {
+	if s.Replace, err = parseBool("replace", f.Replace); err != nil {
 		return nil, err
 	}
-	if s.Force, err = yesOrNo("force", f.Force); err != nil {
+	if s.Force, err = parseBool("force", f.Force); err != nil {
 		return nil, err
 	}
 	if s.BatchSize, err = strconv.Atoi(strings.TrimSpace(f.BatchSize)); err != nil {
@@ -107,8 +107,8 @@
 	return nil
 }
 
-// moment reads a time of day, nil if there is none.
-func moment(field, text string) (*time.Time, error) {
+// parseTime reads a time of day, nil if there is none.
+func parseTime(field, text string) (*time.Time, error) {
 	text = strings.TrimSpace(text)
 	if text == "" {
 		return nil, nil
@@ -121,8 +121,8 @@
 	return &t, nil
 }
 
-// yesOrNo reads a choice, no if there is none.
-func yesOrNo(field, text string) (bool, error) {
+// parseBool reads a choice, no if there is none.
+func parseBool(field, text string) (bool, error) {
 	switch strings.TrimSpace(text) {
 	case "", "no":
 		return false, nil
--- a/internal/drain/ledger.go
+++ b/internal/drain/ledger.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// Over counts no task of a job any more.
-func (l *Ledger) Over(job string) {
+// JobEnded counts no task of a job any more.
+func (l *Ledger) JobEnded(job string) {
 	if n := len(l.out[job]); n > 0 {
 		l.team(l.teamOf[job]).unavailable -= n
 	}
--- a/internal/drain/record.go
+++ b/internal/drain/record.go
@@ -32,27 +32,27 @@
 	Cancelled State = "cancelled"
 )
 
-// Over reports whether nothing more is drained.
-func (s State) Over() bool { return s == Done || s == Cancelled }
+// IsTerminal reports whether nothing more is drained.
+func (s State) IsTerminal() bool { return s == Done || s == Cancelled }
 
 // Cause is why a drain waits or is paused.
 type Cause string
 
 // Causes.
 const (
-	WaitTasks       Cause = "waits for tasks to end"
-	WaitUnavailable Cause = "budget of unavailable tasks is used up"
-	WaitEvictions   Cause = "budget of evictions is used up"
-	WaitLostTime    Cause = "budget of lost run time is used up"
-	WaitNoPlace     Cause = "tasks have no place outside the drained machines"
-	WaitReplacement Cause = "waits for replacement machines"
-	WaitMachines    Cause = "waits for machines to be gone"
-	HeldGuarantee   Cause = "the guarantee of a team with waiting work would not fit"
-	HeldOverload    Cause = "new jobs are being shed"
-	HeldPartition   Cause = "machines are cut off"
-	HeldNewLeader   Cause = "the leader is new"
-	NoReplacement   Cause = "no replacement machine came up in time"
-	ByOperator      Cause = "paused by an operator"
+	WaitTasks         Cause = "waits for tasks to end"
+	WaitUnavailable   Cause = "budget of unavailable tasks is used up"
+	WaitEvictions     Cause = "budget of evictions is used up"
+	WaitLostTime      Cause = "budget of lost run time is used up"
+	WaitNoAlternative Cause = "tasks have no place outside the drained machines"
+	WaitReplacement   Cause = "waits for replacement machines"
+	WaitMachines      Cause = "waits for machines to be gone"
+	HeldGuarantee     Cause = "the guarantee of a team with waiting work would not fit"
+	HeldOverload      Cause = "new jobs are being shed"
+	HeldPartition     Cause = "machines are cut off"
+	HeldNewLeader     Cause = "the leader is new"
+	NoReplacement     Cause = "no replacement machine came up in time"
+	ByOperator        Cause = "paused by an operator"
 )
 
 // Reason is why a drain waits or is paused, with the team that it is about, if any.
@@ -152,7 +152,7 @@
 		return errors.New("selects nothing")
 	case !slices.Contains([]State{Pending, Running, Paused, Done, Cancelled}, r.State):
 		return fmt.Errorf("unknown state %q", r.State)
-	case r.Batch != nil && (len(r.Batch.Machines) == 0 || r.State.Over()):
+	case r.Batch != nil && (len(r.Batch.Machines) == 0 || r.State.IsTerminal()):
 		return errors.New("a batch without machines, or of a drain that is over")
 	}
 	return nil
@@ -198,7 +198,7 @@
 
 // Pause lets the drain stand still. It reports whether the record has changed.
 func (r *Record) Pause(reason Reason) bool {
-	if r.State == Paused || r.State.Over() {
+	if r.State == Paused || r.State.IsTerminal() {
 		return false
 	}
 	r.State, r.Reason = Paused, reason
--- a/internal/drain/request.go
+++ b/internal/drain/request.go
@@ -45,6 +45,6 @@
 // Response is the leader's answer.
 type Response struct {
 	Status int    // as of HTTP
-	Why    string // what is wrong, if anything is
+	Reason string // what is wrong, if anything is
 	Drains []Status
 }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -13,12 +13,16 @@
 
 	"github.com/rs/zerolog"
 
-	"switchshore.example/switchshore/internal/httpc"
-	"switchshore.example/switchshore/internal/store"
+	"switchshore.example/switchshore/internal/httpclient"
+	"switchshore.example/switchshore/internal/kvstore"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
 
+// LeadershipAcquired is the log message of a node that has become the leader; tools that follow
+// the logs wait for it.
+const LeadershipAcquired = "leadership acquired"
+
 // LeaderRecord is the value of the leader key.
 type LeaderRecord struct {
 	Node  string `json:"node"`
@@ -42,60 +46,60 @@
 // NewLeadership returns a term confirmed by a renewal sent at the given time.
 func NewLeadership(term uint64, sent time.Time) *Leadership {
 	l := &Leadership{Term: term}
-	l.Confirm(sent)
+	l.LeaseRenewed(sent)
 	return l
 }
 
-// Confirm extends the authority by a renewal that was sent at the given time
+// LeaseRenewed extends the authority by a renewal that was sent at the given time
 // and has succeeded.
-func (l *Leadership) Confirm(sent time.Time) {
+func (l *Leadership) LeaseRenewed(sent time.Time) {
 	until := authorityFrom(sent)
 	l.until.Store(&until)
 }
 
-// End ends the authority for good.
-func (l *Leadership) End() { l.lost.Store(true) }
+// Revoke ends the authority for good.
+func (l *Leadership) Revoke() { l.lost.Store(true) }
 
-// Authority reports whether this node certainly is the leader at now.
-func (l *Leadership) Authority(now time.Time) bool {
+// HoldsLease reports whether this node certainly is the leader at now.
+func (l *Leadership) HoldsLease(now time.Time) bool {
 	return !l.lost.Load() && now.Before(*l.until.Load())
 }
 
-// Grace reports whether this node may still answer reports in its term: it
+// InGracePeriod reports whether this node may still answer reports in its term: it
 // has authority, or lost touch with the state service less than grace ago
 // and doesn't know of a successor.
-func (l *Leadership) Grace(now time.Time, grace time.Duration) bool {
+func (l *Leadership) InGracePeriod(now time.Time, grace time.Duration) bool {
 	return !l.lost.Load() && now.Before(l.until.Load().Add(grace))
 }
 
 // authorityFrom is the end of the authority that a renewal sent at the given
 // time gives: the lease can't end before, as seen from this clock.
 func authorityFrom(sent time.Time) time.Time {
-	life := time.Duration(float64(tuning.LeaderTTL) * (1 - tuning.ClockDrift))
-	return sent.Add(life - tuning.AuthorityMargin)
+	life := time.Duration(float64(tuning.LeaderLeaseTTL) * (1 - tuning.ClockDrift))
+	return sent.Add(life - tuning.LeaseSafetyMargin)
 }
 
-// CampaignTxn takes the leader key on a lease and raises the term, if both
+// NewCampaignTxn takes the leader key on a lease and raises the term, if both
 // keys still have the versions read.
-func CampaignTxn(rec LeaderRecord, term, lease, leaderVersion, termVersion uint64) wire.Txn {
+func NewCampaignTxn(rec LeaderRecord, term, lease, leaderVersion, termVersion uint64) wire.Txn {
 	leaderValue, _ := json.Marshal(rec)
-	termValue, _ := json.Marshal(store.TermRecord{Term: term})
+	termValue, _ := json.Marshal(kvstore.TermRecord{Term: term})
 	return wire.Txn{
-		If: []wire.Guard{{Key: store.KeyLeader, Version: leaderVersion}, {Key: store.KeyTerm, Version: termVersion}},
-		Then: []wire.Write{
-			{Put: store.KeyLeader, Value: leaderValue, Lease: lease},
-			{Put: store.KeyTerm, Value: termValue},
+		If: []wire.Compare{{Key: kvstore.KeyLeader, Version: leaderVersion}, {Key: kvstore.KeyTerm, Version: termVersion}},
+		Then: []wire.Mutation{
+			{Put: kvstore.KeyLeader, Value: leaderValue, Lease: lease},
+			{Put: kvstore.KeyTerm, Value: termValue},
 		},
 	}
 }
 
 // Election campaigns for one node.
 type Election struct {
-	Store store.API
+	Store kvstore.Store
 	Node  string
 	Log   zerolog.Logger
-	// Lead runs while the node leads; its context ends with the term.
-	Lead func(context.Context, *Leadership) error
+	// OnElected runs while the node leads; its context ends with the term.
+	OnElected func(context.Context, *Leadership) error
 
 	nonce uint64
 	held  atomic.Bool
@@ -111,8 +115,8 @@
 	for ctx.Err() == nil {
 		l, err := e.campaign(ctx)
 		if err != nil {
-			e.Log.Debug().Err(err).Msg("campaign")
-			_ = store.Pause(ctx, tuning.CampaignRetry)
+			e.Log.Debug().Err(err).Msg("campaign failed")
+			_ = kvstore.Pause(ctx, tuning.CampaignRetryDelay)
 			continue
 		}
 		if l != nil {
@@ -134,30 +138,30 @@
 		return nil, err
 	}
 	sent := time.Now()
-	lease, err := e.Store.Grant(ctx, tuning.LeaderTTL)
+	lease, err := e.Store.Grant(ctx, tuning.LeaderLeaseTTL)
 	if err != nil {
 		return nil, err
 	}
 	e.nonce++
 	l := &Leadership{Term: term + 1, lease: lease}
-	txn := CampaignTxn(LeaderRecord{Node: e.Node, Nonce: e.nonce}, l.Term, lease, leaderVersion, termVersion)
+	txn := NewCampaignTxn(LeaderRecord{Node: e.Node, Nonce: e.nonce}, l.Term, lease, leaderVersion, termVersion)
 	version, won, err := e.commitCampaign(ctx, txn, lease)
 	if err != nil || !won {
 		return nil, err
 	}
 	l.LeaderVersion, l.TermVersion = version, version
 	l.WonAt = time.Now()
-	l.Confirm(sent)
+	l.LeaseRenewed(sent)
 	return l, nil
 }
 
 // awaitFreeKey reports whether the leader key may be taken, and its version. While
 // another process holds it, it waits for a change, for a bounded time.
 func (e *Election) awaitFreeKey(ctx context.Context) (version uint64, free bool, err error) {
-	leader, err := e.Store.Get(ctx, store.KeyLeader)
+	leader, err := e.Store.Get(ctx, kvstore.KeyLeader)
 	e.held.Store(false)
-	if errors.Is(err, store.ErrNotFound) {
-		return 0, true, store.Pause(ctx, rand.N(tuning.CampaignJitter))
+	if errors.Is(err, kvstore.ErrNotFound) {
+		return 0, true, kvstore.Pause(ctx, rand.N(tuning.CampaignJitter))
 	}
 	if err != nil {
 		return 0, false, err
@@ -172,19 +176,19 @@
 		return leader.Version, true, nil
 	}
 	e.held.Store(holder.Node != e.Node)
-	return 0, false, e.Store.Wait(ctx, store.KeyLeader, leader.Version, tuning.WatchBlock)
+	return 0, false, e.Store.Watch(ctx, kvstore.KeyLeader, leader.Version, tuning.WatchTimeout)
 }
 
 // lastTerm reads the last term and the version of its key, 0 for none.
 func (e *Election) lastTerm(ctx context.Context) (term, version uint64, err error) {
-	item, err := e.Store.Get(ctx, store.KeyTerm)
-	if errors.Is(err, store.ErrNotFound) {
+	item, err := e.Store.Get(ctx, kvstore.KeyTerm)
+	if errors.Is(err, kvstore.ErrNotFound) {
 		return 0, item.Version, nil
 	}
 	if err != nil {
 		return 0, 0, err
 	}
-	var rec store.TermRecord
+	var rec kvstore.TermRecord
 	err = json.Unmarshal(item.Value, &rec)
 	return rec.Term, item.Version, err
 }
@@ -195,9 +199,9 @@
 	switch {
 	case err == nil:
 		return res.Revision, true, nil
-	case errors.Is(err, httpc.ErrNoAnswer):
+	case errors.Is(err, httpclient.ErrNoResponse):
 		return e.settleCampaign(ctx)
-	case errors.Is(err, store.ErrConflict):
+	case errors.Is(err, kvstore.ErrConflict):
 		err = nil
 	}
 	_ = e.Store.Revoke(ctx, lease)
@@ -208,7 +212,7 @@
 // either the key carries its nonce, or, should the transaction come later, nobody
 // renews its lease.
 func (e *Election) settleCampaign(ctx context.Context) (version uint64, won bool, err error) {
-	leader, err := e.Store.Get(ctx, store.KeyLeader)
+	leader, err := e.Store.Get(ctx, kvstore.KeyLeader)
 	if err != nil {
 		return 0, false, err
 	}
@@ -221,14 +225,14 @@
 
 // reign runs Lead and renews the lease until the term is known to be over.
 func (e *Election) reign(ctx context.Context, l *Leadership) {
-	e.Log.Info().Uint64("term", l.Term).Msg("leading")
+	e.Log.Info().Uint64("term", l.Term).Msg(LeadershipAcquired)
 	ctx, cancel := context.WithCancel(ctx)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		defer cancel()
-		if err := e.Lead(ctx, l); err != nil && ctx.Err() == nil {
-			e.Log.Info().Err(err).Uint64("term", l.Term).Msg("lead ended")
+		if err := e.OnElected(ctx, l); err != nil && ctx.Err() == nil {
+			e.Log.Info().Err(err).Uint64("term", l.Term).Msg("leader loop failed")
 		}
 	}()
 	for ctx.Err() == nil {
@@ -236,14 +240,14 @@
 		err := e.Store.Renew(ctx, l.lease)
 		switch {
 		case err == nil:
-			l.Confirm(sent)
-			_ = store.Pause(ctx, tuning.RenewEvery)
-		case errors.Is(err, store.ErrNotFound):
-			e.Log.Info().Uint64("term", l.Term).Msg("lease lost")
-			l.End()
+			l.LeaseRenewed(sent)
+			_ = kvstore.Pause(ctx, tuning.LeaseRenewInterval)
+		case errors.Is(err, kvstore.ErrNotFound):
+			e.Log.Info().Uint64("term", l.Term).Msg("leader lease lost")
+			l.Revoke()
 			cancel()
 		default:
-			_ = store.Pause(ctx, tuning.StoreRetry)
+			_ = kvstore.Pause(ctx, tuning.StoreRetryDelay)
 		}
 		if l.lost.Load() {
 			// A successor is known: keeping the state up would cost the work
@@ -251,13 +255,13 @@
 			cancel()
 		}
 	}
-	l.End()
+	l.Revoke()
 	cancel()
 	<-done
 	// A term that ended by itself frees the key for the others; failing that,
 	// the lease runs out.
-	bg, stop := context.WithTimeout(context.Background(), tuning.RenewTimeout)
+	bg, stop := context.WithTimeout(context.Background(), tuning.LeaseRenewTimeout)
 	defer stop()
 	_ = e.Store.Revoke(bg, l.lease)
-	e.Log.Info().Uint64("term", l.Term).Msg("led")
+	e.Log.Info().Uint64("term", l.Term).Msg("leadership ended")
 }
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -14,19 +14,19 @@
 	sent := time.Unix(1_700_000_000, 0)
 	grace := 17 * time.Second
 	l := NewLeadership(3, sent)
-	end := sent.Add(tuning.LeaderTTL)
-	if !l.Authority(sent.Add(time.Second)) || l.Authority(end.Add(-tuning.AuthorityMargin)) {
+	end := sent.Add(tuning.LeaderLeaseTTL)
+	if !l.HoldsLease(sent.Add(time.Second)) || l.HoldsLease(end.Add(-tuning.LeaseSafetyMargin)) {
 		t.Error("authority must end a margin before the lease can")
 	}
-	if !l.Grace(end.Add(grace-time.Second), grace) || l.Grace(end.Add(grace), grace) {
+	if !l.InGracePeriod(end.Add(grace-time.Second), grace) || l.InGracePeriod(end.Add(grace), grace) {
 		t.Error("reports may be answered for the grace and no longer")
 	}
-	l.Confirm(sent.Add(time.Second))
-	if !l.Authority(end.Add(-tuning.AuthorityMargin)) {
+	l.LeaseRenewed(sent.Add(time.Second))
+	if !l.HoldsLease(end.Add(-tuning.LeaseSafetyMargin)) {
 		t.Error("a renewal must extend the authority")
 	}
-	l.End()
-	if l.Authority(sent) || l.Grace(sent, grace) {
+	l.Revoke()
+	if l.HoldsLease(sent) || l.InGracePeriod(sent, grace) {
 		t.Error("a successor is known")
 	}
 }
--- a/internal/httpc/httpc.go
+++ b/internal/httpclient/httpc.go
@@ -1,6 +1,6 @@
-// Package httpc is the HTTP client under the state, cloud and worker clients:
+// Package httpclient is the HTTP client under the state, cloud and worker clients:
 // one host, JSON bodies, no hidden repeats.
-package httpc
+package httpclient
 
 import (
 	"context"
@@ -16,12 +16,12 @@
 )
 
 var (
-	// ErrNoAnswer means that a request may or may not have been carried out.
-	ErrNoAnswer = errors.New("no answer")
+	// ErrNoResponse means that a request may or may not have been carried out.
+	ErrNoResponse = errors.New("no answer")
 	// ErrNotSent means that there was no connection: a request was not and
-	// will not be carried out. It is an ErrNoAnswer, too, for callers who
+	// will not be carried out. It is an ErrNoResponse, too, for callers who
 	// need not know.
-	ErrNotSent = fmt.Errorf("%w: no connection", ErrNoAnswer)
+	ErrNotSent = fmt.Errorf("%w: no connection", ErrNoResponse)
 )
 
 // Client talks to one host.
@@ -52,7 +52,7 @@
 }
 
 // Do sends a request with a JSON body (nil: none), decodes a 2xx or 409
-// answer into out, and returns the status. Only ErrNoAnswer leaves open
+// answer into out, and returns the status. Only ErrNoResponse leaves open
 // whether the request was carried out.
 func (c *Client) Do(ctx context.Context, timeout time.Duration, method, uri string, body, out any) (int, error) {
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
@@ -76,12 +76,12 @@
 		if errors.Is(err, fasthttp.ErrNoFreeConns) {
 			err = ErrNotSent
 		}
-		return 0, fmt.Errorf("%w: %s %s: %w", ErrNoAnswer, method, uri, err)
+		return 0, fmt.Errorf("%w: %s %s: %w", ErrNoResponse, method, uri, err)
 	}
 	status := res.StatusCode()
 	if out != nil && (status/100 == 2 || status == fasthttp.StatusConflict) {
 		if err := json.Unmarshal(res.Body(), out); err != nil {
-			return status, fmt.Errorf("%w: %s %s: %w", ErrNoAnswer, method, uri, err)
+			return status, fmt.Errorf("%w: %s %s: %w", ErrNoResponse, method, uri, err)
 		}
 	}
 	return status, nil
--- a/internal/httpc/pool.go
+++ b/internal/httpclient/pool.go
@@ -1,4 +1,4 @@
-package httpc
+package httpclient
 
 import (
 	"context"
@@ -44,7 +44,7 @@
 		if len(p.hosts) >= p.most {
 			p.evict()
 		}
-		h = &pooled{client: New(addr, p.conns, tuning.WorkerIdle)}
+		h = &pooled{client: New(addr, p.conns, tuning.WorkerIdleTimeout)}
 		p.hosts[addr] = h
 	}
 	h.busy++
--- a/internal/httpc/pool_test.go
+++ b/internal/httpclient/pool_test.go
@@ -1,4 +1,4 @@
-package httpc
+package httpclient
 
 import (
 	"fmt"
--- a/internal/ranges/ranges.go
+++ b/internal/intervals/ranges.go
@@ -1,6 +1,6 @@
-// Package ranges keeps sets of task indexes compactly in memory (a bit each)
+// Package intervals keeps sets of task indexes compactly in memory (a bit each)
 // and as text ranges such as "0-3,7" in stored records.
-package ranges
+package intervals
 
 import (
 	"errors"
--- a/internal/ranges/ranges_test.go
+++ b/internal/intervals/ranges_test.go
@@ -1,10 +1,10 @@
-package ranges_test
+package intervals_test
 
 import (
 	"math/rand/v2"
 	"testing"
 
-	"switchshore.example/switchshore/internal/ranges"
+	"switchshore.example/switchshore/internal/intervals"
 )
 
 // TestRoundTrip: random sets survive the way through text, chunk by chunk.
@@ -12,13 +12,13 @@
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		size := 1 + rng.IntN(400)
-		a, b := ranges.New(size), ranges.New(size)
+		a, b := intervals.New(size), intervals.New(size)
 		for range rng.IntN(2 * size) {
 			a.Add(rng.IntN(size))
 		}
 		chunk := 1 + rng.IntN(100)
 		for from := 0; from < size; from += chunk {
-			if err := ranges.Each(a.Format(from, from+chunk), size, func(i int) { b.Add(i) }); err != nil {
+			if err := intervals.Each(a.Format(from, from+chunk), size, func(i int) { b.Add(i) }); err != nil {
 				t.Fatalf("seed %d: %v", seed, err)
 			}
 		}
@@ -27,7 +27,7 @@
 		}
 	}
 	for _, bad := range []string{"x", "3-", "5-2", "9", "-1"} {
-		if ranges.Each(bad, 9, func(int) {}) == nil {
+		if intervals.Each(bad, 9, func(int) {}) == nil {
 			t.Errorf("%q accepted", bad)
 		}
 	}
--- a/internal/store/export_test.go
+++ b/internal/kvstore/export_test.go
@@ -1,4 +1,4 @@
-package store
+package kvstore
 
 // For tests of what a transaction's time does to the next one's.
 var (
--- a/internal/store/store.go
+++ b/internal/kvstore/store.go
@@ -1,7 +1,7 @@
-// Package store is the client of the state service: reads, transactions,
+// Package kvstore is the client of the state service: reads, transactions,
 // leases and watches within this node's share of the budgets, and the writer
 // through which a leader makes its changes.
-package store
+package kvstore
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"golang.org/x/time/rate"
 
 	"switchshore.example/switchshore/internal/config"
-	"switchshore.example/switchshore/internal/httpc"
+	"switchshore.example/switchshore/internal/httpclient"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -27,35 +27,35 @@
 	KeyTerm   = "term"
 )
 
-// Errors of the state service. httpc.ErrNoAnswer stands for an unknown outcome.
+// Errors of the state service. httpclient.ErrNoResponse stands for an unknown outcome.
 var (
-	// ErrRefused: 429 or 503, the request was not executed.
-	ErrRefused = errors.New("state service refused")
+	// ErrUnavailable: 429 or 503, the request was not executed.
+	ErrUnavailable = errors.New("state service refused")
 	// ErrNotFound: no such key or lease.
 	ErrNotFound = errors.New("not found")
 	// ErrConflict: a guard of the transaction failed.
 	ErrConflict = errors.New("guard failed")
-	// ErrMalformed: the state service did not understand the request.
-	ErrMalformed = errors.New("malformed request")
+	// ErrInvalidRequest: the state service did not understand the request.
+	ErrInvalidRequest = errors.New("malformed request")
 )
 
-// API is what the service needs of the state service; tests put a stand-in here.
-type API interface {
-	Get(ctx context.Context, key string) (wire.Item, error)
-	List(ctx context.Context, prefix string, each func(wire.Item) error) error
+// Store is what the service needs of the state service; tests put a stand-in here.
+type Store interface {
+	Get(ctx context.Context, key string) (wire.KeyValue, error)
+	List(ctx context.Context, prefix string, each func(wire.KeyValue) error) error
 	Commit(ctx context.Context, txn wire.Txn) (wire.TxnResult, error)
 	Grant(ctx context.Context, ttl time.Duration) (uint64, error)
 	Renew(ctx context.Context, lease uint64) error
 	Revoke(ctx context.Context, lease uint64) error
-	Wait(ctx context.Context, prefix string, after uint64, block time.Duration) error
+	Watch(ctx context.Context, prefix string, after uint64, block time.Duration) error
 }
 
 // Client is the HTTP client of the state service.
 type Client struct {
-	http     *httpc.Client
+	http     *httpclient.Client
 	requests *rate.Limiter
 	writes   *rate.Limiter
-	state    config.State
+	state    config.StateLimits
 	others   int
 
 	mu      sync.Mutex
@@ -63,12 +63,12 @@
 	usual   time.Duration // smoothed time of a leader's transaction
 }
 
-var _ API = (*Client)(nil)
+var _ Store = (*Client)(nil)
 
 // NewClient returns a client with a follower's share of the budgets.
-func NewClient(addr string, state config.State, nodes int) *Client {
+func NewClient(addr string, state config.StateLimits, nodes int) *Client {
 	c := &Client{
-		http:     httpc.New(addr, 64, tuning.IdleConnection),
+		http:     httpclient.New(addr, 64, tuning.ConnectionIdleTimeout),
 		requests: rate.NewLimiter(1, 1),
 		writes:   rate.NewLimiter(1, 1),
 		state:    state,
@@ -101,13 +101,13 @@
 // write budget's burst.
 func (c *Client) MaxOps() int { return max(1, min(c.state.TxnOps, c.writes.Burst())-1) }
 
-// Spare is the number of changes that can be made now with half of the burst
+// SpareWrites is the number of changes that can be made now with half of the burst
 // left for those that users wait for.
-func (c *Client) Spare() int { return max(0, int(c.writes.Tokens())-c.writes.Burst()/2) }
+func (c *Client) SpareWrites() int { return max(0, int(c.writes.Tokens())-c.writes.Burst()/2) }
 
 func (c *Client) do(ctx context.Context, timeout time.Duration, method, uri string, body, out any) (int, error) {
 	if err := c.requests.Wait(ctx); err != nil {
-		return 0, fmt.Errorf("%w: %w", ErrRefused, err)
+		return 0, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	status, err := c.http.Do(ctx, timeout, method, uri, body, out)
 	if err != nil {
@@ -119,16 +119,16 @@
 	case status == http.StatusNotFound:
 		return status, ErrNotFound
 	case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable:
-		return status, ErrRefused
+		return status, ErrUnavailable
 	case status == http.StatusBadRequest:
-		return status, fmt.Errorf("%w: %s %s", ErrMalformed, method, uri)
+		return status, fmt.Errorf("%w: %s %s", ErrInvalidRequest, method, uri)
 	}
-	return status, fmt.Errorf("%w: status %d", httpc.ErrNoAnswer, status)
+	return status, fmt.Errorf("%w: status %d", httpclient.ErrNoResponse, status)
 }
 
 // Get reads one key.
-func (c *Client) Get(ctx context.Context, key string) (wire.Item, error) {
-	var item wire.Item
+func (c *Client) Get(ctx context.Context, key string) (wire.KeyValue, error) {
+	var item wire.KeyValue
 	_, err := c.do(ctx, tuning.StoreTimeout, http.MethodGet, "/store/"+key, nil, &item)
 	return item, err
 }
@@ -136,20 +136,20 @@
 // List reads all keys with a prefix, page by page. A page without an answer is
 // asked for again: a successor that began anew each time would not get through
 // its pages while the state service is slow.
-func (c *Client) List(ctx context.Context, prefix string, each func(wire.Item) error) error {
+func (c *Client) List(ctx context.Context, prefix string, each func(wire.KeyValue) error) error {
 	after := ""
 	for {
 		q := url.Values{"starts": {prefix}, "limit": {strconv.Itoa(tuning.PageSize)}}
 		if after != "" {
 			q.Set("since", after)
 		}
-		var page wire.Items
+		var page wire.KeyValuePage
 		_, err := c.do(ctx, tuning.StoreTimeout, http.MethodGet, "/store?"+q.Encode(), nil, &page)
 		switch {
 		case ctx.Err() != nil:
 			return ctx.Err()
-		case errors.Is(err, ErrRefused), errors.Is(err, httpc.ErrNoAnswer):
-			if err := Pause(ctx, tuning.StoreRetry); err != nil {
+		case errors.Is(err, ErrUnavailable), errors.Is(err, httpclient.ErrNoResponse):
+			if err := Pause(ctx, tuning.StoreRetryDelay); err != nil {
 				return err
 			}
 			continue
@@ -172,13 +172,13 @@
 func (c *Client) Commit(ctx context.Context, txn wire.Txn) (wire.TxnResult, error) {
 	var res wire.TxnResult
 	if txn.If == nil {
-		txn.If = []wire.Guard{}
+		txn.If = []wire.Compare{}
 	}
 	if txn.Then == nil {
-		txn.Then = []wire.Write{}
+		txn.Then = []wire.Mutation{}
 	}
 	if err := c.writes.WaitN(ctx, len(txn.Then)); err != nil {
-		return res, fmt.Errorf("%w: %w", ErrRefused, err)
+		return res, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	patience := c.patience()
 	sent := time.Now()
@@ -199,7 +199,7 @@
 	if !c.leading || c.usual == 0 {
 		return tuning.StoreTimeout
 	}
-	return min(max(tuning.StorePatience*c.usual, tuning.StorePatienceMin), tuning.StoreTimeout)
+	return min(max(tuning.StoreTimeoutFactor*c.usual, tuning.StoreTimeoutMin), tuning.StoreTimeout)
 }
 
 // took notes how long a transaction took; without an answer, the next one gets
@@ -209,20 +209,20 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case errors.Is(err, httpc.ErrNoAnswer):
+	case errors.Is(err, httpclient.ErrNoResponse):
 		c.usual = min(2*c.usual, tuning.StoreTimeout)
 	case err != nil:
 	case c.usual == 0:
 		c.usual = d
 	default:
-		c.usual += (d - c.usual) / tuning.StoreUsual
+		c.usual += (d - c.usual) / tuning.StoreLatencyWindow
 	}
 }
 
 // Grant asks for a lease.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
-	var res wire.LeaseAnswer
-	_, err := c.do(ctx, tuning.RenewTimeout, http.MethodPost, "/leases", wire.LeaseRequest{TTLMS: ttl.Milliseconds()}, &res)
+	var res wire.LeaseResponse
+	_, err := c.do(ctx, tuning.LeaseRenewTimeout, http.MethodPost, "/leases", wire.LeaseRequest{TTLMS: ttl.Milliseconds()}, &res)
 	return res.Lease, err
 }
 
@@ -230,18 +230,18 @@
 
 // Renew renews a lease; ErrNotFound means that it has ended.
 func (c *Client) Renew(ctx context.Context, lease uint64) error {
-	_, err := c.do(ctx, tuning.RenewTimeout, http.MethodPost, leaseURI(lease)+"/touch", struct{}{}, nil)
+	_, err := c.do(ctx, tuning.LeaseRenewTimeout, http.MethodPost, leaseURI(lease)+"/touch", struct{}{}, nil)
 	return err
 }
 
 // Revoke ends a lease.
 func (c *Client) Revoke(ctx context.Context, lease uint64) error {
-	_, err := c.do(ctx, tuning.RenewTimeout, http.MethodDelete, leaseURI(lease), nil, nil)
+	_, err := c.do(ctx, tuning.LeaseRenewTimeout, http.MethodDelete, leaseURI(lease), nil, nil)
 	return err
 }
 
-// Wait returns after a change below prefix, or when the time has run out.
-func (c *Client) Wait(ctx context.Context, prefix string, after uint64, block time.Duration) error {
+// Watch returns after a change below prefix, or when the time has run out.
+func (c *Client) Watch(ctx context.Context, prefix string, after uint64, block time.Duration) error {
 	q := url.Values{
 		"starts":  {prefix},
 		"since":   {strconv.FormatUint(after, 10)},
--- a/internal/store/store_test.go
+++ b/internal/kvstore/store_test.go
@@ -1,4 +1,4 @@
-package store_test
+package kvstore_test
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"github.com/valyala/fasthttp"
 
 	"switchshore.example/switchshore/internal/config"
-	"switchshore.example/switchshore/internal/httpc"
-	"switchshore.example/switchshore/internal/store"
+	"switchshore.example/switchshore/internal/httpclient"
+	"switchshore.example/switchshore/internal/kvstore"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -44,9 +44,9 @@
 	}
 	go func() { _ = srv.Serve(ln) }()
 	defer ln.Close()
-	c := store.NewClient(ln.Addr().String(), config.State{RPS: 1000, WriteRPS: 100, TxnOps: 10}, 1)
+	c := kvstore.NewClient(ln.Addr().String(), config.StateLimits{RPS: 1000, WriteRPS: 100, TxnOps: 10}, 1)
 	var got []string
-	if err := c.List(context.Background(), "k/", func(i wire.Item) error {
+	if err := c.List(context.Background(), "k/", func(i wire.KeyValue) error {
 		got = append(got, i.Key)
 		return nil
 	}); err != nil {
@@ -66,25 +66,25 @@
 // far longer than usual counts as unanswered soon, and the next gets more time;
 // a campaign waits for its full time.
 func TestLeaderDoesNotWaitForASlowAnswer(t *testing.T) {
-	c := store.NewClient("127.0.0.1:1", config.State{RPS: 1000, WriteRPS: 100, TxnOps: 10}, 1)
-	if got := store.Patience(c); got != tuning.StoreTimeout {
+	c := kvstore.NewClient("127.0.0.1:1", config.StateLimits{RPS: 1000, WriteRPS: 100, TxnOps: 10}, 1)
+	if got := kvstore.Patience(c); got != tuning.StoreTimeout {
 		t.Errorf("a campaign: %v", got)
 	}
 	c.SetLeading(true)
 	for range 20 {
-		store.Took(c, 80*time.Millisecond, nil)
+		kvstore.Took(c, 80*time.Millisecond, nil)
 	}
-	if got := store.Patience(c); got != tuning.StorePatience*80*time.Millisecond {
+	if got := kvstore.Patience(c); got != tuning.StoreTimeoutFactor*80*time.Millisecond {
 		t.Errorf("a leader: %v", got)
 	}
-	store.Took(c, 0, httpc.ErrNoAnswer)
-	if got := store.Patience(c); got != 2*tuning.StorePatience*80*time.Millisecond {
+	kvstore.Took(c, 0, httpclient.ErrNoResponse)
+	if got := kvstore.Patience(c); got != 2*tuning.StoreTimeoutFactor*80*time.Millisecond {
 		t.Errorf("after one without an answer: %v", got)
 	}
 	for range 9 {
-		store.Took(c, 0, httpc.ErrNoAnswer)
+		kvstore.Took(c, 0, httpclient.ErrNoResponse)
 	}
-	if got := store.Patience(c); got != tuning.StoreTimeout {
+	if got := kvstore.Patience(c); got != tuning.StoreTimeout {
 		t.Errorf("after many: %v", got)
 	}
 }
--- a/internal/store/writer.go
+++ b/internal/kvstore/writer.go
@@ -1,4 +1,4 @@
-package store
+package kvstore
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"switchshore.example/switchshore/internal/httpc"
+	"switchshore.example/switchshore/internal/httpclient"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -22,7 +22,7 @@
 	Fence uint64 `json:"fence,omitempty"`
 }
 
-// Writer makes a leader's changes, one transaction at a time. Every one is
+// FencedWriter makes a leader's changes, one transaction at a time. Every one is
 // guarded on the leader key, so that it dies once the leader has changed, and
 // on the term key, so that a transaction whose answer was lost and which was
 // then repeated cannot be applied a second time, later, over newer values.
@@ -33,13 +33,13 @@
 // turn, as the next one would send the same.
 //
 // The steps do no I/O: Begin, then Txn and Answer until the outcome is known.
-type Writer struct {
+type FencedWriter struct {
 	term    uint64
-	leader  wire.Guard
-	fence   wire.Guard
+	leader  wire.Compare
+	fence   wire.Compare
 	nonce   uint64
-	writes  []wire.Write
-	rest    [][]wire.Write // to follow, in this order
+	writes  []wire.Mutation
+	rest    [][]wire.Mutation // to follow, in this order
 	refused []string
 	fenced  bool
 }
@@ -49,43 +49,43 @@
 
 // Outcomes.
 const (
-	Applied Outcome = iota // durable
-	Again                  // send Txn once more
-	Next                   // send Txn, which goes on with the rest
-	Settle                 // read KeyTerm, then ask Settled
-	Deposed                // not applied now, and never will be
+	Applied        Outcome = iota // durable
+	Retry                         // send Txn once more
+	ContinueSplit                 // send Txn, which goes on with the rest
+	OutcomeUnknown                // read KeyTerm, then ask Settled
+	Deposed                       // not applied now, and never will be
 )
 
-// NewWriter returns a writer for a term whose leader and term keys have the
+// NewFencedWriter returns a writer for a term whose leader and term keys have the
 // given versions.
-func NewWriter(term, leaderVersion, termVersion uint64) *Writer {
-	return &Writer{
+func NewFencedWriter(term, leaderVersion, termVersion uint64) *FencedWriter {
+	return &FencedWriter{
 		term:   term,
-		leader: wire.Guard{Key: KeyLeader, Version: leaderVersion},
-		fence:  wire.Guard{Key: KeyTerm, Version: termVersion},
+		leader: wire.Compare{Key: KeyLeader, Version: leaderVersion},
+		fence:  wire.Compare{Key: KeyTerm, Version: termVersion},
 	}
 }
 
 // Begin starts a group of changes; the one before must have been applied.
-func (w *Writer) Begin(writes []wire.Write) {
+func (w *FencedWriter) Begin(writes []wire.Mutation) {
 	w.writes, w.fenced, w.rest, w.refused = writes, false, nil, nil
 }
 
 // Refused names the keys of the changes begun that were left out.
-func (w *Writer) Refused() []string { return w.refused }
+func (w *FencedWriter) Refused() []string { return w.refused }
 
 // Txn is the transaction to send.
-func (w *Writer) Txn() wire.Txn {
-	txn := wire.Txn{If: []wire.Guard{w.leader, w.fence}, Then: w.writes}
+func (w *FencedWriter) Txn() wire.Txn {
+	txn := wire.Txn{If: []wire.Compare{w.leader, w.fence}, Then: w.writes}
 	if w.fenced {
 		value, _ := json.Marshal(TermRecord{Term: w.term, Fence: w.nonce})
-		txn.Then = append(slices.Clip(w.writes), wire.Write{Put: KeyTerm, Value: value})
+		txn.Then = append(slices.Clip(w.writes), wire.Mutation{Put: KeyTerm, Value: value})
 	}
 	return txn
 }
 
 // Answer takes in the answer to Txn.
-func (w *Writer) Answer(res wire.TxnResult, err error) Outcome {
+func (w *FencedWriter) Answer(res wire.TxnResult, err error) Outcome {
 	switch {
 	case err == nil:
 		if w.fenced {
@@ -93,41 +93,41 @@
 		}
 		return w.next()
 	case errors.Is(err, ErrConflict):
-		if !w.fenced || slices.Contains(res.Failed, KeyLeader) {
+		if !w.fenced || slices.Contains(res.FailedKeys, KeyLeader) {
 			return Deposed
 		}
 		// An earlier try may have been the one that was applied.
-		return Settle
-	case errors.Is(err, ErrMalformed):
+		return OutcomeUnknown
+	case errors.Is(err, ErrInvalidRequest):
 		return w.split()
-	case errors.Is(err, httpc.ErrNoAnswer) && !w.fenced:
+	case errors.Is(err, httpclient.ErrNoResponse) && !w.fenced:
 		// From now on the tries carry a new fence: whichever try is applied
 		// first, no other one can be.
 		w.fenced = true
 		w.nonce++
 	}
-	return Again
+	return Retry
 }
 
 // next goes on with what a split has left over.
-func (w *Writer) next() Outcome {
+func (w *FencedWriter) next() Outcome {
 	if len(w.rest) == 0 {
 		return Applied
 	}
 	w.writes, w.rest, w.fenced = w.rest[0], w.rest[1:], false
-	return Next
+	return ContinueSplit
 }
 
 // split divides the changes of a transaction that was not understood, and was
 // thus not carried out. An earlier try without an answer may still be: the fence
 // stays with the first part. (If the first part is a change that can't be made,
 // that try can't either.)
-func (w *Writer) split() Outcome {
+func (w *FencedWriter) split() Outcome {
 	switch half := len(w.writes) / 2; {
 	case half > 0:
-		w.rest = append([][]wire.Write{w.writes[half:]}, w.rest...)
+		w.rest = append([][]wire.Mutation{w.writes[half:]}, w.rest...)
 		w.writes = w.writes[:half:half]
-		return Next
+		return ContinueSplit
 	case len(w.writes) == 1:
 		w.refused = append(w.refused, w.writes[0].Key())
 		return w.next()
@@ -135,14 +135,14 @@
 	return Deposed
 }
 
-// Settled takes in what KeyTerm was read to be.
-func (w *Writer) Settled(item wire.Item, err error) Outcome {
+// ResolveUnknown takes in what KeyTerm was read to be.
+func (w *FencedWriter) ResolveUnknown(item wire.KeyValue, err error) Outcome {
 	var rec TermRecord
 	switch {
 	case errors.Is(err, ErrNotFound):
 		return Deposed
 	case err != nil:
-		return Settle
+		return OutcomeUnknown
 	case json.Unmarshal(item.Value, &rec) != nil || rec.Term != w.term || rec.Fence != w.nonce:
 		return Deposed
 	}
@@ -153,12 +153,12 @@
 // Commit makes the changes durable or fails for good: it returns the keys of
 // those left out when the others are applied, ErrDeposed when they never will
 // be, or the context's error.
-func (w *Writer) Commit(ctx context.Context, s API, writes []wire.Write) ([]string, error) {
+func (w *FencedWriter) Commit(ctx context.Context, s Store, writes []wire.Mutation) ([]string, error) {
 	w.Begin(writes)
-	outcome := Again
+	outcome := Retry
 	for {
-		if outcome == Settle {
-			outcome = w.Settled(s.Get(ctx, KeyTerm))
+		if outcome == OutcomeUnknown {
+			outcome = w.ResolveUnknown(s.Get(ctx, KeyTerm))
 		} else {
 			outcome = w.Answer(s.Commit(ctx, w.Txn()))
 		}
@@ -167,10 +167,10 @@
 			return w.Refused(), nil
 		case Deposed:
 			return nil, ErrDeposed
-		case Next:
+		case ContinueSplit:
 			continue
 		}
-		if err := Pause(ctx, tuning.StoreRetry); err != nil {
+		if err := Pause(ctx, tuning.StoreRetryDelay); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/store/writer_test.go
+++ b/internal/kvstore/writer_test.go
@@ -1,4 +1,4 @@
-package store_test
+package kvstore_test
 
 import (
 	"fmt"
@@ -10,41 +10,41 @@
 	"time"
 
 	"switchshore.example/switchshore/internal/config"
-	"switchshore.example/switchshore/internal/httpc"
-	"switchshore.example/switchshore/internal/simtest"
-	"switchshore.example/switchshore/internal/store"
+	"switchshore.example/switchshore/internal/httpclient"
+	"switchshore.example/switchshore/internal/kvstore"
+	"switchshore.example/switchshore/internal/simulation"
 	"switchshore.example/switchshore/wire"
 )
 
-func put(key, value string) wire.Write {
-	return wire.Write{Put: key, Value: []byte(`"` + value + `"`)}
+func put(key, value string) wire.Mutation {
+	return wire.Mutation{Put: key, Value: []byte(`"` + value + `"`)}
 }
 
 // won sets up a state service with a leader of term 1.
-func won(t *testing.T) (*simtest.State, *store.Writer) {
+func won(t *testing.T) (*simulation.State, *kvstore.FencedWriter) {
 	t.Helper()
-	s := simtest.NewState()
-	res, err := s.Commit(wire.Txn{Then: []wire.Write{put(store.KeyLeader, "n"), put(store.KeyTerm, "t")}})
+	s := simulation.NewState()
+	res, err := s.Commit(wire.Txn{Then: []wire.Mutation{put(kvstore.KeyLeader, "n"), put(kvstore.KeyTerm, "t")}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s, store.NewWriter(1, res.Revision, res.Revision)
+	return s, kvstore.NewFencedWriter(1, res.Revision, res.Revision)
 }
 
 // TestLateTransactionIsRejected: a transaction whose answer was lost is repeated and
 // followed by a newer one; its late copy must not bring the old value back.
 func TestLateTransactionIsRejected(t *testing.T) {
 	s, w := won(t)
-	w.Begin([]wire.Write{put("k", "old")})
+	w.Begin([]wire.Mutation{put("k", "old")})
 	late := w.Txn()
-	if o := w.Answer(wire.TxnResult{}, httpc.ErrNoAnswer); o != store.Again {
+	if o := w.Answer(wire.TxnResult{}, httpclient.ErrNoResponse); o != kvstore.Retry {
 		t.Fatal("a lost answer must be followed by another try, got", o)
 	}
-	if o := w.Answer(s.Commit(w.Txn())); o != store.Applied {
+	if o := w.Answer(s.Commit(w.Txn())); o != kvstore.Applied {
 		t.Fatal("repeat:", o)
 	}
-	w.Begin([]wire.Write{put("k", "new")})
-	if o := w.Answer(s.Commit(w.Txn())); o != store.Applied {
+	w.Begin([]wire.Mutation{put("k", "new")})
+	if o := w.Answer(s.Commit(w.Txn())); o != kvstore.Applied {
 		t.Fatal("next:", o)
 	}
 	if _, err := s.Commit(late); err == nil {
@@ -59,20 +59,20 @@
 // answer lost as well; the third fails on its guard and a read settles it.
 func TestLostAnswersAreSettledByReading(t *testing.T) {
 	s, w := won(t)
-	w.Begin([]wire.Write{put("k", "v")})
-	w.Answer(wire.TxnResult{}, httpc.ErrNoAnswer)
+	w.Begin([]wire.Mutation{put("k", "v")})
+	w.Answer(wire.TxnResult{}, httpclient.ErrNoResponse)
 	if _, err := s.Commit(w.Txn()); err != nil {
 		t.Fatal(err)
 	}
-	w.Answer(wire.TxnResult{}, httpc.ErrNoAnswer)
-	if o := w.Answer(s.Commit(w.Txn())); o != store.Settle {
+	w.Answer(wire.TxnResult{}, httpclient.ErrNoResponse)
+	if o := w.Answer(s.Commit(w.Txn())); o != kvstore.OutcomeUnknown {
 		t.Fatal("third try:", o)
 	}
-	if o := w.Settled(s.Get(store.KeyTerm)); o != store.Applied {
+	if o := w.ResolveUnknown(s.Get(kvstore.KeyTerm)); o != kvstore.Applied {
 		t.Fatal("settled:", o)
 	}
-	w.Begin([]wire.Write{put("k", "w")})
-	if o := w.Answer(s.Commit(w.Txn())); o != store.Applied {
+	w.Begin([]wire.Mutation{put("k", "w")})
+	if o := w.Answer(s.Commit(w.Txn())); o != kvstore.Applied {
 		t.Fatal("the next change:", o)
 	}
 }
@@ -80,23 +80,23 @@
 // TestWriterIsFencedBySuccessor: once the leader key has changed no write passes.
 func TestWriterIsFencedBySuccessor(t *testing.T) {
 	s, w := won(t)
-	if _, err := s.Commit(wire.Txn{Then: []wire.Write{put(store.KeyLeader, "other")}}); err != nil {
+	if _, err := s.Commit(wire.Txn{Then: []wire.Mutation{put(kvstore.KeyLeader, "other")}}); err != nil {
 		t.Fatal(err)
 	}
-	w.Begin([]wire.Write{put("k", "v")})
-	if o := w.Answer(s.Commit(w.Txn())); o != store.Deposed {
+	w.Begin([]wire.Mutation{put("k", "v")})
+	if o := w.Answer(s.Commit(w.Txn())); o != kvstore.Deposed {
 		t.Fatal(o)
 	}
 }
 
 // TestLeaseEndsWithItsKeys: the stand-in itself, on which the days rest.
 func TestLeaseEndsWithItsKeys(t *testing.T) {
-	s := simtest.NewState()
+	s := simulation.NewState()
 	now := time.Unix(0, 0)
 	id, _ := s.Grant(now, time.Second)
 	w := put("k", "v")
 	w.Lease = id
-	if _, err := s.Commit(wire.Txn{Then: []wire.Write{w}}); err != nil {
+	if _, err := s.Commit(wire.Txn{Then: []wire.Mutation{w}}); err != nil {
 		t.Fatal(err)
 	}
 	s.Down = true
@@ -123,9 +123,9 @@
 		var want []string
 		for round := range 6 {
 			if round == 2 {
-				s.Limits = config.State{ValueKB: 1, TxnOps: 3}
+				s.Limits = config.StateLimits{ValueKB: 1, TxnOps: 3}
 			}
-			var writes []wire.Write
+			var writes []wire.Mutation
 			for i := range 1 + rng.IntN(7) {
 				writes = append(writes, put(fmt.Sprintf("k%d-%d", round, i), "v"))
 			}
@@ -135,22 +135,22 @@
 			}
 			w.Begin(writes)
 			var late []wire.Txn
-			for o := store.Again; o != store.Applied; {
-				if o == store.Deposed {
+			for o := kvstore.Retry; o != kvstore.Applied; {
+				if o == kvstore.Deposed {
 					t.Fatalf("seed %d, round %d: deposed", seed, round)
 				}
-				if o == store.Settle {
-					o = w.Settled(s.Get(store.KeyTerm))
+				if o == kvstore.OutcomeUnknown {
+					o = w.ResolveUnknown(s.Get(kvstore.KeyTerm))
 					continue
 				}
 				txn := w.Txn()
 				switch rng.IntN(4) {
 				case 0:
 					late = append(late, txn) // carried out late, or never
-					o = w.Answer(wire.TxnResult{}, httpc.ErrNoAnswer)
+					o = w.Answer(wire.TxnResult{}, httpclient.ErrNoResponse)
 				case 1:
 					_, _ = s.Commit(txn)
-					o = w.Answer(wire.TxnResult{}, httpc.ErrNoAnswer)
+					o = w.Answer(wire.TxnResult{}, httpclient.ErrNoResponse)
 				default:
 					o = w.Answer(s.Commit(txn))
 				}
--- a/internal/controller/admission_test.go
+++ b/internal/leader/admission_test.go
@@ -1,4 +1,4 @@
-package controller_test
+package leader_test
 
 import (
 	"encoding/json"
@@ -11,26 +11,26 @@
 
 	"switchshore.example/switchshore/internal/admission"
 	"switchshore.example/switchshore/internal/config"
-	"switchshore.example/switchshore/internal/controller"
+	"switchshore.example/switchshore/internal/leader"
 	"switchshore.example/switchshore/wire"
 )
 
 // sheddingLeader is a leader with admission control on that turns new jobs away, as users'
 // changes have waited for long. One job, job-1, is accepted.
-func sheddingLeader(t *testing.T) *leader {
+func sheddingLeader(t *testing.T) *testLeader {
 	t.Helper()
 	operator := config.Operator{Admission: &config.Admission{}}
-	l := &leader{
-		Controller: controller.New(zerolog.Nop(), params, operator, 5, start, controller.Grace(params.Workers)),
-		t:          t, now: start, kept: map[string]json.RawMessage{},
+	l := &testLeader{
+		Leader: leader.New(zerolog.Nop(), params, operator, 5, start, leader.GracePeriod(params.Workers)),
+		t:      t, now: start, kept: map[string]json.RawMessage{},
 	}
-	l.Loaded(start)
-	l.SetTypes([]wire.MachineType{bigType})
+	l.FinishLoading(start)
+	l.SetMachineTypes([]wire.MachineType{bigType})
 	l.submit("job-1")
 	l.UpdateAdmission(l.now, l.now, 0, nil)
 	for round := range 5 {
 		for i := range 120 {
-			l.Submit(l.now, l.now, spec(fmt.Sprintf("job-7%d%03d", round, i)), func(controller.Verdict) {})
+			l.Submit(l.now, l.now, spec(fmt.Sprintf("job-7%d%03d", round, i)), func(leader.Response) {})
 		}
 		l.now = l.now.Add(time.Second)
 		l.UpdateAdmission(l.now, l.now, 0, nil)
@@ -42,8 +42,8 @@
 }
 
 // submitClaimed submits a job and returns the answer, status 0 if it has to wait.
-func (l *leader) submitClaimed(j *wire.Job, claim *admission.Claim) (got controller.Verdict) {
-	l.SubmitClaimed(l.now, l.now, j, claim, func(v controller.Verdict) { got = v })
+func (l *testLeader) submitClaimed(j *wire.Job, claim *admission.Claim) (got leader.Response) {
+	l.SubmitWithClaim(l.now, l.now, j, claim, func(v leader.Response) { got = v })
 	return got
 }
 
@@ -73,7 +73,7 @@
 		t.Errorf("a question: %+v", v)
 	}
 	cancelled := false
-	l.Cancel(l.now, "job-1", func(v controller.Verdict) { cancelled = v.Status == 200 })
+	l.Cancel(l.now, "job-1", func(v leader.Response) { cancelled = v.Status == 200 })
 	l.commit()
 	if !cancelled {
 		t.Error("a cancellation is not carried out")
@@ -86,9 +86,9 @@
 	off := newLeader(t, 5, start, map[string]json.RawMessage{})
 	off.submit("job-1")
 	for i := range 120 {
-		off.Submit(off.now, off.now, spec(fmt.Sprint("job-7", i)), func(controller.Verdict) {})
+		off.Submit(off.now, off.now, spec(fmt.Sprint("job-7", i)), func(leader.Response) {})
 	}
-	for name, l := range map[string]*leader{"on": sheddingLeader(t), "off": off} {
+	for name, l := range map[string]*testLeader{"on": sheddingLeader(t), "off": off} {
 		l.report("m1", 1)
 		l.pass(time.Second)
 		starts, acceptances := 0, 0
@@ -118,8 +118,8 @@
 	} {
 		j := spec(fmt.Sprint("job-3", i))
 		change(j)
-		why := controller.AboveLimit(params.Teams, j)
-		if v := l.submitClaimed(j, nil); (why != "") != (v.Status == 422) || why != v.Why {
+		why := leader.AboveLimit(params.Teams, j)
+		if v := l.submitClaimed(j, nil); (why != "") != (v.Status == 422) || why != v.Reason {
 			t.Errorf("%d: %q, a leader says %+v", i, why, v)
 		}
 	}
--- a/internal/controller/cancellation_test.go
+++ b/internal/leader/cancellation_test.go
@@ -1,4 +1,4 @@
-package controller_test
+package leader_test
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"time"
 
 	"switchshore.example/switchshore/internal/config"
-	"switchshore.example/switchshore/internal/controller"
+	"switchshore.example/switchshore/internal/leader"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -14,8 +14,8 @@
 // answer, and forgotten by no successor.
 func TestCancelStopsEverywhere(t *testing.T) {
 	l, tr := running(t)
-	var got controller.Verdict
-	l.Cancel(l.now, "job-1", func(v controller.Verdict) { got = v })
+	var got leader.Response
+	l.Cancel(l.now, "job-1", func(v leader.Response) { got = v })
 	if got.Status != 0 {
 		t.Fatal("told before it is durable")
 	}
@@ -39,11 +39,11 @@
 // then forgotten.
 func TestUnwantedTaskIsStopped(t *testing.T) {
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
-	tr := wire.TaskReport{Task: "job-9/3", Attempt: 7, State: wire.TaskRunning}
+	tr := wire.TaskStatus{Task: "job-9/3", Attempt: 7, State: wire.TaskRunning}
 	if cs := l.report("m1", 1, tr); ops(cs) != "kill job-9/3" {
 		t.Fatal(ops(cs))
 	}
-	tr.State, tr.Why = wire.TaskExited, wire.WhyStopped
+	tr.State, tr.ExitReason = wire.TaskExited, wire.ExitStopped
 	if cs := l.report("m1", 1, tr); ops(cs) != "reap job-9/3" {
 		t.Fatal(ops(cs))
 	}
@@ -52,9 +52,9 @@
 // TestGraceFitsCancellation: an old leader's last answer, a worker's lease
 // and a reserve fit into the time for cancellations.
 func TestGraceFitsCancellation(t *testing.T) {
-	for _, w := range []config.Workers{{LeaseS: 17, CancelS: 47}, {LeaseS: 22, CancelS: 47}, {LeaseS: 30, CancelS: 31}} {
-		g := controller.Grace(w)
-		if g < 0 || g > 0 && g.Seconds()+w.LeaseS >= w.CancelS {
+	for _, w := range []config.Workers{{LeaseS: 17, CancelDeadlineS: 47}, {LeaseS: 22, CancelDeadlineS: 47}, {LeaseS: 30, CancelDeadlineS: 31}} {
+		g := leader.GracePeriod(w)
+		if g < 0 || g > 0 && g.Seconds()+w.LeaseS >= w.CancelDeadlineS {
 			t.Errorf("%+v: grace %v", w, g)
 		}
 	}
@@ -64,10 +64,10 @@
 // time for cancellations.
 func TestLateStartOfEndedJobIsFenced(t *testing.T) {
 	l, call, _ := leaderWithUnansweredCall(t)
-	l.DirectDone(l.now, call, controller.DirectUnknown, nil)
-	l.Cancel(l.now, "job-1", func(controller.Verdict) {})
+	l.DirectCallDone(l.now, call, leader.DirectUnknown, nil)
+	l.Cancel(l.now, "job-1", func(leader.Response) {})
 	l.commit()
-	l.Listed(l.now, l.now, []wire.ListedMachine{{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
+	l.ApplyMachineList(l.now, l.now, []wire.ListedMachine{{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
 	for range 30 {
 		l.report("m1", 1)
 		l.pass(time.Second)
@@ -75,12 +75,12 @@
 		if l.kept["j/job-1"] == nil {
 			t.Fatal("taken for gone while the start may come late")
 		}
-		for _, c := range l.Plan(l.now) {
-			if c.Op == controller.CloudRelease {
+		for _, c := range l.PlanScaling(l.now) {
+			if c.Op == leader.CloudRelease {
 				if len(c.Release) != 1 || c.Release[0] != "m1" {
 					t.Fatal(c.Release)
 				}
-				l.Released(l.now, c.Release)
+				l.ReleaseDone(l.now, c.Release)
 				l.commit()
 				if l.kept["j/job-1"] != nil {
 					t.Fatal("released, and still held")
@@ -98,27 +98,27 @@
 // until its worker is in a new session, in which the start is void.
 func TestLateStartOfEndedJobEndsItsSession(t *testing.T) {
 	l, call, _ := leaderWithUnansweredCall(t)
-	l.DirectDone(l.now, call, controller.DirectUnknown, nil)
-	l.Cancel(l.now, "job-1", func(controller.Verdict) {})
+	l.DirectCallDone(l.now, call, leader.DirectUnknown, nil)
+	l.Cancel(l.now, "job-1", func(leader.Response) {})
 	l.commit()
 	asked, last := l.now, l.now
-	report := func(session uint64) controller.ReportOutcome {
+	report := func(session uint64) leader.HeartbeatOutcome {
 		l.seq++
-		_, receipt := l.Report(l.now, &wire.Report{Machine: "m1", Addr: "m1:9", Type: "std-8", Zone: "a", Session: session, Seq: l.seq, Token: l.Term()}, false)
+		_, receipt := l.HandleHeartbeat(l.now, &wire.Heartbeat{Machine: "m1", Addr: "m1:9", Type: "std-8", Zone: "a", AgentEpoch: session, Sequence: l.seq, FencingToken: l.Term()}, false)
 		return receipt
 	}
 	for l.now.Sub(asked) < 60*time.Second {
-		if report(1) == controller.ReportApplied {
+		if report(1) == leader.HeartbeatApplied {
 			last = l.now
 		}
 		l.now = l.now.Add(time.Second)
 		l.Tick(l.now, false)
 	}
 	over := last.Sub(asked).Seconds() + params.Workers.LeaseS
-	if over >= params.Workers.CancelS || last.Sub(asked) < 5*time.Second {
+	if over >= params.Workers.CancelDeadlineS || last.Sub(asked) < 5*time.Second {
 		t.Fatalf("answered until %v: the session may last until %v s", last.Sub(asked), over)
 	}
-	if report(2) != controller.ReportApplied {
+	if report(2) != leader.HeartbeatApplied {
 		t.Fatal("a new session is answered")
 	}
 }
@@ -128,18 +128,18 @@
 // one to a report that the answer to a direct call has overtaken.
 func TestEveryAnswerStops(t *testing.T) {
 	l, tr := running(t)
-	l.Cancel(l.now, "job-1", func(controller.Verdict) {})
+	l.Cancel(l.now, "job-1", func(leader.Response) {})
 	l.commit()
 	next := newLeader(t, 6, l.now.Add(time.Second), l.kept)
-	list := []wire.TaskReport{tr, {Task: "job-9/0", Attempt: 1, State: wire.TaskFetching}, {Task: "job-9/1", Attempt: 1, State: wire.TaskExited, Why: wire.WhyError}}
-	a, receipt := next.Report(next.now, &wire.Report{Machine: "m1", Type: "std-8", Zone: "a", Session: 1, Seq: 50, Token: 5, Tasks: list}, false)
-	if receipt != controller.ReportApplied || ops(a.Commands) != "kill job-1/0, kill job-9/0" || a.Commands[0].Attempt != tr.Attempt {
+	list := []wire.TaskStatus{tr, {Task: "job-9/0", Attempt: 1, State: wire.TaskFetching}, {Task: "job-9/1", Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitError}}
+	a, receipt := next.HandleHeartbeat(next.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: 50, FencingToken: 5, Tasks: list}, false)
+	if receipt != leader.HeartbeatApplied || ops(a.Commands) != "kill job-1/0, kill job-9/0" || a.Commands[0].Attempt != tr.Attempt {
 		t.Fatalf("first heard in a term: %s", ops(a.Commands))
 	}
 	l, call, _ := leaderWithUnansweredCall(t)
 	l.seq++
-	l.DirectDone(l.now, call, controller.DirectAnswered, &wire.Report{Machine: "m1", Type: "std-8", Zone: "a", Session: 1, Seq: l.seq + 1, Token: 5, Tasks: []wire.TaskReport{tr}})
-	l.Cancel(l.now, "job-1", func(controller.Verdict) {})
+	l.DirectCallDone(l.now, call, leader.DirectAnswered, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.seq + 1, FencingToken: 5, Tasks: []wire.TaskStatus{tr}})
+	l.Cancel(l.now, "job-1", func(leader.Response) {})
 	if cs := l.report("m1", 1, tr); ops(cs) != "kill job-1/0" {
 		t.Fatalf("overtaken by the answer to a direct call: %q", ops(cs))
 	}
--- a/internal/controller/completion.go
+++ b/internal/leader/completion.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"encoding/json"
@@ -7,114 +7,114 @@
 	"sort"
 	"time"
 
-	"switchshore.example/switchshore/internal/ranges"
+	"switchshore.example/switchshore/internal/intervals"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
 // end decides how a job ends and writes its final state; only then is it told
 // to anyone, and followed by what it means for the jobs that need this one.
-func (c *Controller) end(now time.Time, j *job, state jobState, queue *writeQueue) {
+func (l *Leader) end(now time.Time, j *job, state jobState, queue *writeQueue) {
 	j.state, j.endedAt = state, now
 	j.ready = nil
-	delete(c.unsavedCompletions, j)
-	delete(c.live, j)
-	c.countOver(j)
+	delete(l.unsavedCompletions, j)
+	delete(l.live, j)
+	l.countOver(j)
 	f := final{finalDone, int32(j.done.Len())}
 	if state == jobCancelled {
 		f.how = finalCancelled
-		for _, need := range j.Needs {
-			c.scheduleCriticalPath(c.jobs[need])
+		for _, need := range j.DependsOn {
+			l.scheduleCriticalPath(l.jobs[need])
 		}
 	}
 	queue.put(keyFinal(j.ID), f.value(), func() {
-		c.finals[j.ID] = f
-		c.countUnfinished(j.Team, -j.Tasks)
-		j.ended = true
-		c.notifyDependents(j.ID, f)
-		j.tellWaiting(true)
-		c.tidy(j)
+		l.finals[j.ID] = f
+		l.countUnfinished(j.Team, -j.Tasks)
+		j.endDurable = true
+		l.notifyDependents(j.ID, f)
+		j.notifyWaiters(true)
+		l.removeIfFinished(j)
 	})
 }
 
-// tidy drops the record of an ended job once none of its tasks may be on a
+// removeIfFinished drops the record of an ended job once none of its tasks may be on a
 // machine: until then its team, zone and size are needed for the counts.
-func (c *Controller) tidy(j *job) {
-	if !j.ended || j.held > 0 || c.jobs[j.ID] != j {
+func (l *Leader) removeIfFinished(j *job) {
+	if !j.endDurable || j.allocatedTasks > 0 || l.jobs[j.ID] != j {
 		return
 	}
-	delete(c.jobs, j.ID)
-	delete(c.unsavedCompletions, j)
-	c.backgroundWrites.del(keyJob(j.ID))
+	delete(l.jobs, j.ID)
+	delete(l.unsavedCompletions, j)
+	l.backgroundWrites.del(keyJob(j.ID))
 	for _, key := range slices.Sorted(maps.Keys(j.keys)) {
-		c.backgroundWrites.del(key)
+		l.backgroundWrites.del(key)
 	}
 }
 
 // taskDone notes a completion; it is written soon and told only afterwards.
-func (c *Controller) taskDone(now time.Time, j *job, index int32) {
+func (l *Leader) taskDone(now time.Time, j *job, index int32) {
 	if !j.done.Add(int(index)) {
 		return
 	}
-	c.changed = true
-	c.countDone(j, index)
+	l.changed = true
+	l.countDone(j, index)
 	if j.state != jobActive {
 		return
 	}
 	if j.done.Full() {
-		c.logIfLate(now, j)
-		c.end(now, j, jobDone, &c.interactiveWrites)
+		l.logIfLate(now, j)
+		l.end(now, j, jobDone, &l.interactiveWrites)
 		return
 	}
-	j.chunks[int(index)/c.doneChunk()] = true
-	if _, ok := c.unsavedCompletions[j]; !ok {
-		c.unsavedCompletions[j] = now
+	j.chunks[int(index)/l.doneChunk()] = true
+	if _, ok := l.unsavedCompletions[j]; !ok {
+		l.unsavedCompletions[j] = now
 	}
 }
 
 // logIfLate tells what a job that is done after its deadline has spent its time on.
-func (c *Controller) logIfLate(now time.Time, j *job) {
+func (l *Leader) logIfLate(now time.Time, j *job) {
 	if j.DeadlineS == nil || now.Sub(j.submitted).Seconds() <= *j.DeadlineS {
 		return
 	}
-	c.log.Debug().Str("job", j.ID).Str("class", j.Class).Str("team", j.Team).Int("tasks", j.Tasks).
+	l.log.Debug().Str("job", j.ID).Str("class", j.Class).Str("team", j.Team).Int("tasks", j.Tasks).
 		Float64("deadline_s", *j.DeadlineS).Float64("done_s", now.Sub(j.submitted).Seconds()).
 		Float64("first_start_s", j.firstStartAt.Sub(j.submitted).Seconds()).
 		Float64("last_start_s", j.lastStartAt.Sub(j.submitted).Seconds()).
-		Float64("estimate_s", j.EstimateS).Float64("corrected_s", c.runTimes.estimate(j)).
+		Float64("estimate_s", j.EstimateS).Float64("corrected_s", l.runTimes.estimate(j)).
 		Int("interrupted", len(j.progress)).Int("failures", j.failures).Msg("deadline missed")
 }
 
 // flushDone queues the writes of completions that have waited long enough.
-func (c *Controller) flushDone(now time.Time) {
+func (l *Leader) flushDone(now time.Time) {
 	var due []*job
-	for j, since := range c.unsavedCompletions {
-		if now.Sub(since) >= tuning.DoneFlush {
+	for j, since := range l.unsavedCompletions {
+		if now.Sub(since) >= tuning.CompletionFlushDelay {
 			due = append(due, j)
 		}
 	}
 	sortByID(due)
 	for _, j := range due {
-		delete(c.unsavedCompletions, j)
+		delete(l.unsavedCompletions, j)
 		ks := make([]int, 0, len(j.chunks))
 		for k := range j.chunks {
 			ks = append(ks, k)
 		}
 		sort.Ints(ks)
 		for _, k := range ks {
-			key, text := c.doneRecord(j, k)
+			key, text := l.doneRecord(j, k)
 			value, _ := json.Marshal(text)
 			j.keys[key] = true
-			c.backgroundWrites.put(key, value, func() { c.durable(j, text) })
+			l.backgroundWrites.put(key, value, func() { l.markDurable(j, text) })
 		}
 		clear(j.chunks)
 	}
 }
 
-// durable marks attempts whose completion is stored: they may be forgotten.
-func (c *Controller) durable(j *job, covered string) {
-	_ = ranges.Each(covered, j.Tasks, func(i int) {
+// markDurable marks attempts whose completion is stored: they may be forgotten.
+func (l *Leader) markDurable(j *job, covered string) {
+	_ = intervals.Each(covered, j.Tasks, func(i int) {
 		if j.durable == nil {
-			j.durable = ranges.New(j.Tasks)
+			j.durable = intervals.New(j.Tasks)
 		}
 		j.durable.Add(i)
 	})
@@ -122,5 +122,5 @@
 
 // isDurable reports whether the completion of a task is stored.
 func (j *job) isDurable(index int32) bool {
-	return j.ended || j.durable != nil && j.durable.Has(int(index))
+	return j.endDurable || j.durable != nil && j.durable.Has(int(index))
 }
--- a/internal/controller/controller.go
+++ b/internal/leader/controller.go
@@ -1,8 +1,8 @@
-// Package controller is the leader's view of jobs, tasks and machines and
+// Package leader is the leader's view of jobs, tasks and machines and
 // all decisions about them. It does no I/O and reads no clock: time, requests,
 // reports and outcomes are passed in, and what has to be written, rented or
 // sent comes out. Callers serialise access.
-package controller
+package leader
 
 import (
 	"math"
@@ -12,12 +12,12 @@
 
 	"switchshore.example/switchshore/internal/admission"
 	"switchshore.example/switchshore/internal/config"
-	"switchshore.example/switchshore/internal/sched"
+	"switchshore.example/switchshore/internal/placement"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Controller is the state of one term. The parts embedded in it own what belongs together.
-type Controller struct {
+// Leader is the state of one term. The parts embedded in it own what belongs together.
+type Leader struct {
 	log      zerolog.Logger
 	params   config.Params
 	operator config.Operator
@@ -73,13 +73,13 @@
 
 type team struct {
 	config.Team
-	used sched.Resources // of all tasks that may be on a machine
+	used placement.Resources // of all tasks that may be on a machine
 }
 
 // New returns an empty state for a term won at now. grace is how long a
 // leader without the state service goes on answering reports.
-func New(log zerolog.Logger, p config.Params, o config.Operator, term uint64, now time.Time, grace time.Duration) *Controller {
-	c := &Controller{
+func New(log zerolog.Logger, p config.Params, o config.Operator, term uint64, now time.Time, grace time.Duration) *Leader {
+	c := &Leader{
 		log:                log,
 		params:             p,
 		operator:           o,
@@ -120,11 +120,11 @@
 	return t
 }
 
-// Grace is how long a leader without the state service goes on answering
+// GracePeriod is how long a leader without the state service goes on answering
 // reports: as long as possible, with a worker's lease on top still within
 // the time for cancellations.
-func Grace(w config.Workers) time.Duration {
-	return max(0, min(seconds(w.LeaseS), seconds(w.CancelS-w.LeaseS)-tuning.GraceReserve))
+func GracePeriod(w config.Workers) time.Duration {
+	return max(0, min(seconds(w.LeaseS), seconds(w.CancelDeadlineS-w.LeaseS)-tuning.GracePeriodReserve))
 }
 
 // lateStartBound is how long after the end of a job a machine may still be
@@ -132,30 +132,30 @@
 // within the time for cancellations, with the same reserve, and with its session
 // the start is void, even if nobody can release the machine.
 func lateStartBound(w config.Workers) time.Duration {
-	return max(0, min(seconds(w.CancelS)/tuning.FenceParts, seconds(w.CancelS-w.LeaseS)-tuning.GraceReserve))
+	return max(0, min(seconds(w.CancelDeadlineS)/tuning.FencingParts, seconds(w.CancelDeadlineS-w.LeaseS)-tuning.GracePeriodReserve))
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // leaseTime is the time after which a worker's lease has provably run out.
-func (c *Controller) leaseTime() time.Duration {
-	return seconds(c.params.Workers.LeaseS*(1+tuning.ClockDrift)) + tuning.ExpiryMargin
+func (l *Leader) leaseTime() time.Duration {
+	return seconds(l.params.Workers.LeaseS*(1+tuning.ClockDrift)) + tuning.LeaseExpiryMargin
 }
 
 // Term is the term of this state.
-func (c *Controller) Term() uint64 { return c.term }
+func (l *Leader) Term() uint64 { return l.term }
 
-// Ready reports whether submissions can be decided: the machine types are known.
-func (c *Controller) Ready() bool { return len(c.types) > 0 }
+// CatalogueKnown reports whether submissions can be decided: the machine types are known.
+func (l *Leader) CatalogueKnown() bool { return len(l.types) > 0 }
 
-func (c *Controller) nextAttempt() uint64 {
-	c.attempts++
-	return c.term<<32 | c.attempts
+func (l *Leader) nextAttempt() uint64 {
+	l.attempts++
+	return l.term<<32 | l.attempts
 }
 
 // Stop ends the term: everyone waiting is told that nothing is decided.
-func (c *Controller) Stop() {
-	for _, j := range c.jobs {
-		j.tellWaiting(false)
+func (l *Leader) Stop() {
+	for _, j := range l.jobs {
+		j.notifyWaiters(false)
 	}
 }
--- a/internal/controller/demand.go
+++ b/internal/leader/demand.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"math"
--- a/internal/controller/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -1,11 +1,11 @@
-package controller
+package leader
 
 import (
 	"fmt"
 	"net/http"
 	"time"
 
-	"switchshore.example/switchshore/internal/sched"
+	"switchshore.example/switchshore/internal/placement"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -27,15 +27,15 @@
 
 // checkDependencies returns an error if a job names one that was not accepted, or of
 // which that is not decided.
-func (c *Controller) checkDependencies(spec *wire.Job) *RejectedError {
-	for _, id := range spec.Needs {
-		if _, ended := c.finals[id]; ended {
+func (l *Leader) checkDependencies(spec *wire.Job) *RejectedError {
+	for _, id := range spec.DependsOn {
+		if _, ended := l.finals[id]; ended {
 			continue
 		}
-		switch j := c.jobs[id]; {
+		switch j := l.jobs[id]; {
 		case j == nil:
 			return &RejectedError{Status: http.StatusUnprocessableEntity, Reason: fmt.Sprintf("awaits %.*s, which was never accepted", wire.MaxIDLength, id)}
-		case !j.stored:
+		case !j.acceptanceDurable:
 			return &RejectedError{Status: http.StatusServiceUnavailable, Reason: "awaits " + id + ", which is being accepted"}
 		}
 	}
@@ -43,15 +43,15 @@
 }
 
 // linkDependencies counts what a job waits for, and notes it with the jobs it needs.
-func (c *Controller) linkDependencies(j *job) {
-	for _, id := range j.Needs {
-		f, ended := c.finals[id]
+func (l *Leader) linkDependencies(j *job) {
+	for _, id := range j.DependsOn {
+		f, ended := l.finals[id]
 		switch {
 		case !ended:
-			j.openNeeds++
-			c.dependents[id] = append(c.dependents[id], j)
+			j.openDependencies++
+			l.dependents[id] = append(l.dependents[id], j)
 		case f.how == finalCancelled:
-			j.needCancelled = true
+			j.dependencyCancelled = true
 		}
 	}
 }
@@ -84,28 +84,28 @@
 }
 
 // processDependencyChanges takes some of the steps that final states ask for.
-func (c *Controller) processDependencyChanges(now time.Time) {
-	steps := tuning.DependencySteps
-	for ; steps > 0 && len(c.toCancel) > 0; steps-- {
-		j := c.toCancel[0]
-		c.toCancel = c.toCancel[1:]
-		c.cancelDependent(now, j)
-	}
-	for ; steps > 0 && len(c.unblocked) > 0; steps-- {
-		j := c.unblocked[0]
-		c.unblocked = c.unblocked[1:]
-		if j.openNeeds--; j.openNeeds == 0 {
-			j.since, j.startAt = now, now
-			c.releaseIfUnblocked(now, j)
+func (l *Leader) processDependencyChanges(now time.Time) {
+	steps := tuning.DependencyStepsPerTick
+	for ; steps > 0 && len(l.toCancel) > 0; steps-- {
+		j := l.toCancel[0]
+		l.toCancel = l.toCancel[1:]
+		l.cancelDependent(now, j)
+	}
+	for ; steps > 0 && len(l.unblocked) > 0; steps-- {
+		j := l.unblocked[0]
+		l.unblocked = l.unblocked[1:]
+		if j.openDependencies--; j.openDependencies == 0 {
+			j.waitingSince, j.startAt = now, now
+			l.releaseIfUnblocked(now, j)
 		}
 	}
-	for ; steps > 0 && len(c.pathOutdated) > 0; steps-- {
-		j := c.pathOutdated[0]
-		c.pathOutdated = c.pathOutdated[1:]
+	for ; steps > 0 && len(l.pathOutdated) > 0; steps-- {
+		j := l.pathOutdated[0]
+		l.pathOutdated = l.pathOutdated[1:]
 		j.pathScheduled = false
-		if c.updateCriticalPath(j) {
-			for _, id := range j.Needs {
-				c.scheduleCriticalPath(c.jobs[id])
+		if l.updateCriticalPath(j) {
+			for _, id := range j.DependsOn {
+				l.scheduleCriticalPath(l.jobs[id])
 			}
 		}
 	}
@@ -113,30 +113,30 @@
 
 // cancelDependent cancels a job that needs one that was cancelled; those that need it
 // follow at once, as the first cancellation is durable.
-func (c *Controller) cancelDependent(now time.Time, j *job) {
+func (l *Leader) cancelDependent(now time.Time, j *job) {
 	if j.state == jobCancelled || j.state == jobDone {
 		return
 	}
-	j.needCancelled = true
-	queue := &c.dependentWrites
-	if !j.stored {
-		queue = &c.interactiveWrites // behind the acceptance; its user hears of both at once
+	j.dependencyCancelled = true
+	queue := &l.dependentWrites
+	if !j.acceptanceDurable {
+		queue = &l.interactiveWrites // behind the acceptance; its user hears of both at once
 	}
-	c.end(now, j, jobCancelled, queue)
-	c.notifyDependents(j.ID, final{how: finalCancelled})
+	l.end(now, j, jobCancelled, queue)
+	l.notifyDependents(j.ID, final{how: finalCancelled})
 }
 
 // releaseIfUnblocked lets a job that is stored take its turn, unless it waits for others.
-func (c *Controller) releaseIfUnblocked(now time.Time, j *job) {
+func (l *Leader) releaseIfUnblocked(now time.Time, j *job) {
 	switch {
 	case j.state != jobActive:
-	case j.needCancelled:
-		c.toCancel = append(c.toCancel, j)
-	case j.openNeeds == 0:
-		c.live[j] = struct{}{}
+	case j.dependencyCancelled:
+		l.toCancel = append(l.toCancel, j)
+	case j.openDependencies == 0:
+		l.live[j] = struct{}{}
 		j.fillReady()
-		c.countInflow(now, j.since, float64(j.Tasks)*j.CPUs*c.runTimes.estimate(j))
-		c.changed = true
+		l.countInflow(now, j.waitingSince, float64(j.Tasks)*j.CPUs*l.runTimes.estimate(j))
+		l.changed = true
 	}
 }
 
@@ -146,69 +146,69 @@
 	if j.DeadlineS != nil {
 		p = criticalPath{last: j, due: j.submitted.Add(seconds(*j.DeadlineS))}
 	}
-	return wire.Level(j.Priority), p
+	return wire.PriorityRank(j.Priority), p
 }
 
 // updateCriticalPath derives what is expected of a job from the jobs that need it, and
 // reports whether that has changed.
-func (c *Controller) updateCriticalPath(j *job) bool {
+func (l *Leader) updateCriticalPath(j *job) bool {
 	if j.cyclic {
 		return false
 	}
 	level, p := j.standalonePath()
-	for _, d := range c.dependents[j.ID] {
+	for _, d := range l.dependents[j.ID] {
 		if d.state == jobCancelled {
 			continue
 		}
-		level = min(level, d.level)
+		level = min(level, d.priorityRank)
 		if d.path.last == nil {
 			continue
 		}
-		takes := c.stageTime(d)
+		takes := l.stageTime(d)
 		if due := d.path.due.Add(-takes); p.last == nil || due.Before(p.due) {
 			p = criticalPath{d.path.last, due, d.path.left + takes}
 		}
 	}
-	changed := level != j.level || p != j.path
-	j.level, j.path = level, p
-	c.changed = c.changed || changed
+	changed := level != j.priorityRank || p != j.path
+	j.priorityRank, j.path = level, p
+	l.changed = l.changed || changed
 	return changed
 }
 
 // scheduleCriticalPath notes that what others expect of a job may have changed.
-func (c *Controller) scheduleCriticalPath(j *job) {
-	if j != nil && !j.pathScheduled && !j.ended {
+func (l *Leader) scheduleCriticalPath(j *job) {
+	if j != nil && !j.pathScheduled && !j.endDurable {
 		j.pathScheduled = true
-		c.pathOutdated = append(c.pathOutdated, j)
+		l.pathOutdated = append(l.pathOutdated, j)
 	}
 }
 
 // stageTime is the time that a job takes once the jobs that it needs are done, by
 // its estimate.
-func (c *Controller) stageTime(j *job) time.Duration {
+func (l *Leader) stageTime(j *job) time.Duration {
 	rate := 0.0
-	for _, t := range c.offers {
+	for _, t := range l.offers {
 		rate = max(rate, t.FetchGBPerS)
 	}
-	takes := c.runTimes.estimate(j)
+	takes := l.runTimes.estimate(j)
 	if rate > 0 {
-		takes += sched.FetchTime(j.ImageGB, rate)
+		takes += placement.FetchTime(j.ImageGB, rate)
 	}
 	return seconds(takes) + tuning.StageDelay
 }
 
 // linkAllDependencies derives, from the records that were loaded, what every job waits for
 // and what is expected of it: last stages first, so that each is weighed once.
-func (c *Controller) linkAllDependencies(jobs []*job) {
+func (l *Leader) linkAllDependencies(jobs []*job) {
 	for _, j := range jobs {
-		if !j.ended {
-			c.linkDependencies(j)
+		if !j.endDurable {
+			l.linkDependencies(j)
 		}
 	}
 	var last []*job
 	after := map[*job]int{}
 	for _, j := range jobs {
-		if after[j] = len(c.dependents[j.ID]); after[j] == 0 {
+		if after[j] = len(l.dependents[j.ID]); after[j] == 0 {
 			last = append(last, j)
 		}
 	}
@@ -216,16 +216,16 @@
 		j := last[len(last)-1]
 		last = last[:len(last)-1]
 		delete(after, j)
-		c.updateCriticalPath(j)
-		for _, id := range j.Needs {
-			need := c.jobs[id]
+		l.updateCriticalPath(j)
+		for _, id := range j.DependsOn {
+			need := l.jobs[id]
 			switch {
-			case j.ended:
+			case j.endDurable:
 			case need == nil:
-				if _, ended := c.finals[id]; !ended {
-					c.log.Error().Str("key", keyJob(j.ID)).Str("awaits", id).Msg("damaged record: waits for a job without a record")
+				if _, ended := l.finals[id]; !ended {
+					l.log.Error().Str("key", keyJob(j.ID)).Str("dependency", id).Msg("corrupt record: dependency without a record")
 				}
-			case !need.ended:
+			case !need.endDurable:
 				if after[need]--; after[need] == 0 {
 					last = append(last, need)
 				}
@@ -236,6 +236,6 @@
 	// can't be right. Those jobs wait, and can be cancelled.
 	for j := range after {
 		j.cyclic = true
-		c.log.Error().Str("key", keyJob(j.ID)).Msg("damaged records: a circle of jobs that wait for each other, or needed by one")
+		l.log.Error().Str("key", keyJob(j.ID)).Msg("corrupt records: dependency cycle")
 	}
 }
--- a/internal/controller/dependencies_test.go
+++ b/internal/leader/dependencies_test.go
@@ -1,4 +1,4 @@
-package controller_test
+package leader_test
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 	"time"
 
 	"switchshore.example/switchshore/internal/config"
-	"switchshore.example/switchshore/internal/controller"
+	"switchshore.example/switchshore/internal/leader"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -22,18 +22,18 @@
 
 func dependentJob(id string, needs ...string) *wire.Job {
 	j := spec(id)
-	j.Needs = needs
+	j.DependsOn = needs
 	return j
 }
 
 // ask submits a job without waiting until it is durable.
-func (l *leader) ask(j *wire.Job) *controller.Verdict {
-	v := &controller.Verdict{}
-	l.Submit(l.now, l.now, j, func(got controller.Verdict) { *v = got })
+func (l *testLeader) ask(j *wire.Job) *leader.Response {
+	v := &leader.Response{}
+	l.Submit(l.now, l.now, j, func(got leader.Response) { *v = got })
 	return v
 }
 
-func (l *leader) accept(jobs ...*wire.Job) {
+func (l *testLeader) accept(jobs ...*wire.Job) {
 	l.t.Helper()
 	for _, j := range jobs {
 		v := l.ask(j)
@@ -45,18 +45,18 @@
 }
 
 // some commits a batch of at most ops changes, of which spare need not be made.
-func (l *leader) some(ops, spare int) int {
+func (l *testLeader) some(ops, spare int) int {
 	b := l.NextBatch(ops, spare)
 	if b == nil {
 		return 0
 	}
 	l.keep(b.Writes)
-	l.Committed(b, nil)
+	l.BatchCommitted(b, nil)
 	return len(b.Writes)
 }
 
 // state is what a user would be told.
-func (l *leader) state(id string) string {
+func (l *testLeader) state(id string) string {
 	if v := l.Query(id); v.Status == 200 {
 		return v.State
 	} else {
@@ -64,8 +64,8 @@
 	}
 }
 
-func exited(task string, attempt uint64) wire.TaskReport {
-	return wire.TaskReport{Task: task, Attempt: attempt, State: wire.TaskExited, Why: wire.WhyDone}
+func exited(task string, attempt uint64) wire.TaskStatus {
+	return wire.TaskStatus{Task: task, Attempt: attempt, State: wire.TaskExited, ExitReason: wire.ExitDone}
 }
 
 // TestNoStartBeforeDependenciesAreDurable: a successor could run the earlier job
@@ -82,12 +82,12 @@
 	if got := ops(l.report("m1", 1, tr)); got != "run job-3/0" {
 		t.Fatalf("started %q", got)
 	}
-	tr.State, tr.Why = wire.TaskExited, wire.WhyDone
+	tr.State, tr.ExitReason = wire.TaskExited, wire.ExitDone
 	l.report("m1", 1, tr)
 	l.pass(time.Second)
 	l.report("m3", 1)
-	if n := l.Counts(); n.Held != 1 {
-		t.Fatalf("%d tasks placed before the end of job-1 is durable, want that of job-3", n.Held)
+	if n := l.Counts(); n.Allocated != 1 {
+		t.Fatalf("%d tasks placed before the end of job-1 is durable, want that of job-3", n.Allocated)
 	}
 	if next := newLeader(t, 6, l.now, l.kept); next.state("job-2") != wire.JobQueued || next.Counts().Ready != 0 {
 		t.Fatal("a successor starts job-2 although it does not know job-1 as done")
@@ -101,8 +101,8 @@
 	// A successor finds the same.
 	next := newLeader(t, 6, l.now, l.kept)
 	next.pass(time.Second)
-	if n := next.Counts(); n.Held != 2 {
-		t.Fatalf("%d tasks held after the succession", n.Held)
+	if n := next.Counts(); n.Allocated != 2 {
+		t.Fatalf("%d tasks held after the succession", n.Allocated)
 	}
 }
 
@@ -110,7 +110,7 @@
 func TestSubmissionsWithDependencies(t *testing.T) {
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
 	l.accept(spec("job-1"), spec("job-2"))
-	l.Cancel(l.now, "job-2", func(controller.Verdict) {})
+	l.Cancel(l.now, "job-2", func(leader.Response) {})
 	l.commit()
 	for _, c := range []struct {
 		job    *wire.Job
@@ -122,8 +122,8 @@
 		{dependentJob("job-3", "else"), 422, "else"},
 		{dependentJob("job-3", strings.Repeat("<", 60_000)), 422, "<<"},
 	} {
-		if v := l.ask(c.job); v.Status != c.status || !strings.Contains(v.Why, c.why) || len(v.Why) > 300 {
-			t.Errorf("%.60v: %d %.300s", c.job.Needs, v.Status, v.Why)
+		if v := l.ask(c.job); v.Status != c.status || !strings.Contains(v.Reason, c.why) || len(v.Reason) > 300 {
+			t.Errorf("%.60v: %d %.300s", c.job.DependsOn, v.Status, v.Reason)
 		}
 	}
 	// Known jobs are known, whatever they are said to need.
@@ -175,8 +175,8 @@
 	for range 1000 {
 		last = add(last)
 	}
-	told := controller.Verdict{}
-	l.Cancel(l.now, "job-0", func(v controller.Verdict) { told = v })
+	told := leader.Response{}
+	l.Cancel(l.now, "job-0", func(v leader.Response) { told = v })
 	for told.Status == 0 {
 		l.some(7, 0)
 	}
@@ -234,17 +234,17 @@
 func TestCancelledTooLate(t *testing.T) {
 	l, tr := running(t)
 	l.accept(dependentJob("job-2", "job-1"))
-	tr.State, tr.Why = wire.TaskExited, wire.WhyDone
+	tr.State, tr.ExitReason = wire.TaskExited, wire.ExitDone
 	l.report("m1", 1, tr)
-	var v controller.Verdict
-	l.Cancel(l.now, "job-1", func(got controller.Verdict) { v = got })
+	var v leader.Response
+	l.Cancel(l.now, "job-1", func(got leader.Response) { v = got })
 	l.commit()
 	if v.State != wire.JobDone {
 		t.Fatalf("%+v", v)
 	}
 	l.pass(time.Second)
-	if got := l.state("job-2"); got != wire.JobQueued || l.Counts().Held != 1 {
-		t.Fatalf("job-2 is called %s, %d held", got, l.Counts().Held)
+	if got := l.state("job-2"); got != wire.JobQueued || l.Counts().Allocated != 1 {
+		t.Fatalf("job-2 is called %s, %d held", got, l.Counts().Allocated)
 	}
 }
 
@@ -265,7 +265,7 @@
 			t.Fatalf("there is no room: %s", got)
 		}
 	}
-	tr.State, tr.Why = wire.TaskExited, wire.WhyDone
+	tr.State, tr.ExitReason = wire.TaskExited, wire.ExitDone
 	l.report("m1", 1, tr)
 	l.commit()
 	l.pass(time.Second)
@@ -293,8 +293,8 @@
 			l.accept(last)
 			l.Tick(l.now, false)
 			if cancelled {
-				l.Cancel(l.now, "job-4", func(controller.Verdict) {})
-				l.Cancel(l.now, "job-3", func(controller.Verdict) {})
+				l.Cancel(l.now, "job-4", func(leader.Response) {})
+				l.Cancel(l.now, "job-3", func(leader.Response) {})
 				l.commit()
 			}
 			if succession {
@@ -355,7 +355,7 @@
 			if got := ops(l.report("m2", 1)); got != "run job-0/0" {
 				t.Fatal(got)
 			}
-			first.Needs = []string{running.ID}
+			first.DependsOn = []string{running.ID}
 		}
 		l.accept(first)
 		l.now = l.now.Add(time.Second)
@@ -363,7 +363,7 @@
 		l.now = l.now.Add(time.Second)
 		l.accept(other)
 		if !waits {
-			l.Cancel(l.now, first.ID, func(controller.Verdict) {})
+			l.Cancel(l.now, first.ID, func(leader.Response) {})
 			l.commit()
 		}
 		l.report("m1", 1)
--- a/internal/controller/drain_replace.go
+++ b/internal/leader/drain_replace.go
@@ -1,12 +1,12 @@
-package controller
+package leader
 
 import (
 	"maps"
 	"slices"
 	"time"
 
+	"switchshore.example/switchshore/internal/autoscale"
 	"switchshore.example/switchshore/internal/drain"
-	"switchshore.example/switchshore/internal/provision"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
@@ -17,18 +17,18 @@
 
 // countReplacements counts the replacements of a batch. Those that will take no work are left
 // out; one is ready only once it has reported and takes work.
-func (c *Controller) countReplacements(now time.Time, b *drain.Batch) replacementCount {
+func (l *Leader) countReplacements(now time.Time, b *drain.Batch) replacementCount {
 	n := replacementCount{map[string]int{}, map[string]int{}, map[string]int{}}
 	for _, name := range b.Machines {
-		if m := c.machines[name]; m != nil {
+		if m := l.machines[name]; m != nil {
 			n.needed[m.machineType]++
 		}
 	}
 	for _, name := range b.Replacements {
-		m := c.machines[name]
+		m := l.machines[name]
 		switch {
-		case m == nil || m.releasing || m.cordonedFor(retiring|replaced):
-		case c.acceptsWork(now, m):
+		case m == nil || m.releasing || m.cordonedFor(cordonsRetiring|cordonReplaced):
+		case l.acceptsWork(now, m):
 			n.ready[m.machineType]++
 		default:
 			n.coming[m.machineType]++
@@ -59,7 +59,7 @@
 	switch {
 	case n.complete():
 		s.cordonBatch()
-	case s.wall.Sub(time.UnixMilli(s.record.Batch.Since)) > tuning.ReplacementPatience:
+	case s.wall.Sub(time.UnixMilli(s.record.Batch.Since)) > tuning.ReplacementTimeout:
 		if s.record.Pause(drain.Reason{Cause: drain.NoReplacement}) {
 			s.notePaused()
 		}
@@ -76,8 +76,8 @@
 }
 
 // awaitingReplacements is the drain whose batch waits for replacements, nil if none does.
-func (c *Controller) awaitingReplacements() *storedDrain {
-	for _, d := range c.drains {
+func (l *Leader) awaitingReplacements() *storedDrain {
+	for _, d := range l.drains {
 		if d.durable && d.State == drain.Running && d.Batch != nil && !d.Batch.Cordoned {
 			return d
 		}
@@ -86,26 +86,26 @@
 }
 
 // replacementCalls are the rentals that the running drain's batch waits for.
-func (c *Controller) replacementCalls(now time.Time) []CloudCall {
-	d := c.awaitingReplacements()
-	if d == nil || !c.listsComplete {
+func (l *Leader) replacementCalls(now time.Time) []CloudCall {
+	d := l.awaitingReplacements()
+	if d == nil || !l.listsComplete {
 		// A new leader must not rent anew what an earlier one has rented and no list has told yet.
 		return nil
 	}
-	for _, r := range c.pendingRentals {
+	for _, r := range l.pendingProvisions {
 		if r.replacementFor != "" {
 			return nil
 		}
 	}
-	n := c.countReplacements(now, d.Batch)
+	n := l.countReplacements(now, d.Batch)
 	var calls []CloudCall
 	for _, machineType := range slices.Sorted(maps.Keys(n.needed)) {
 		missing := n.missing(machineType)
-		if most := c.operator.MaxMachines; most > 0 {
-			missing = min(missing, most-len(c.machines))
+		if most := l.operator.MaxMachines; most > 0 {
+			missing = min(missing, most-len(l.machines))
 		}
-		if o, ok := c.replacementOffer(now, d.Batch, machineType); ok && missing > 0 {
-			calls = append(calls, c.rent(now, o, missing, d.Spec.Name))
+		if o, ok := l.replacementOffer(now, d.Batch, machineType); ok && missing > 0 {
+			calls = append(calls, l.provision(now, o, missing, d.Spec.Name))
 		}
 	}
 	return calls
@@ -113,32 +113,32 @@
 
 // replacementOffer is where to rent a replacement of a type: as the machine of the batch is,
 // or else in another zone, or else not as a spot machine.
-func (c *Controller) replacementOffer(now time.Time, b *drain.Batch, machineType string) (provision.Offer, bool) {
+func (l *Leader) replacementOffer(now time.Time, b *drain.Batch, machineType string) (autoscale.Offer, bool) {
 	i := slices.IndexFunc(b.Machines, func(name string) bool {
-		return c.machines[name] != nil && c.machines[name].machineType == machineType
+		return l.machines[name] != nil && l.machines[name].machineType == machineType
 	})
-	m := c.machines[b.Machines[i]]
-	zones := slices.Concat([]string{m.zone}, c.types[machineType].Zones)
+	m := l.machines[b.Machines[i]]
+	zones := slices.Concat([]string{m.zone}, l.types[machineType].Zones)
 	for _, spot := range []bool{m.spot, false} {
 		for _, zone := range zones {
-			o := provision.Offer{Type: machineType, Zone: zone, Spot: spot}
-			if slices.Contains(c.types[machineType].Zones, zone) && c.offered(now, o) {
+			o := autoscale.Offer{Type: machineType, Zone: zone, Spot: spot}
+			if slices.Contains(l.types[machineType].Zones, zone) && l.offered(now, o) {
 				return o, true
 			}
 		}
 	}
-	return provision.Offer{}, false
+	return autoscale.Offer{}, false
 }
 
 // noteReplacements adds machines that were rented for a drain to its batch.
-func (c *Controller) noteReplacements(name string, machines []string) {
-	d := c.drains[name]
+func (l *Leader) noteReplacements(name string, machines []string) {
+	d := l.drains[name]
 	if d == nil || d.Batch == nil || len(machines) == 0 {
 		return
 	}
 	// Those that have gone meanwhile make room in the record.
-	d.Batch.Replacements = slices.DeleteFunc(d.Batch.Replacements, c.gone)
+	d.Batch.Replacements = slices.DeleteFunc(d.Batch.Replacements, l.provablyGone)
 	d.Batch.Replacements = append(d.Batch.Replacements, machines...)
 	d.Counts.Replacements += len(machines)
-	c.storeDrain(d, nil)
+	l.storeDrain(d, nil)
 }
--- a/internal/controller/drain_state.go
+++ b/internal/leader/drain_state.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"encoding/json"
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
+	"switchshore.example/switchshore/internal/autoscale"
 	"switchshore.example/switchshore/internal/config"
 	"switchshore.example/switchshore/internal/drain"
-	"switchshore.example/switchshore/internal/provision"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
@@ -49,7 +49,7 @@
 	s := drainState{budgets: budgets, drains: map[string]*storedDrain{}, unreadable: map[string]bool{}}
 	if budgets != nil {
 		// What is charged may come into effect later than what is charged after it.
-		s.ledger = drain.NewLedger(budgets.Window + seconds(w.LeaseS*tuning.DrainDelivery))
+		s.ledger = drain.NewLedger(budgets.Window + seconds(w.LeaseS*tuning.DrainDeliveryLeases))
 	}
 	return s
 }
@@ -61,21 +61,21 @@
 	at     time.Time
 }
 
-func (c *Controller) loadDrain(name string, value json.RawMessage) error {
-	if c.budgets == nil {
+func (l *Leader) loadDrain(name string, value json.RawMessage) error {
+	if l.budgets == nil {
 		return nil
 	}
 	r, err := drain.DecodeRecord(name, value)
 	if err != nil {
-		c.unreadable[name] = true
+		l.unreadable[name] = true
 		return err
 	}
-	c.drains[name] = &storedDrain{r, true}
+	l.drains[name] = &storedDrain{r, true}
 	return nil
 }
 
-func (c *Controller) loadCharge(now, wall time.Time, id string, value json.RawMessage) error {
-	if c.budgets == nil {
+func (l *Leader) loadCharge(now, wall time.Time, id string, value json.RawMessage) error {
+	if l.budgets == nil {
 		return nil
 	}
 	charge, err := drain.DecodeCharge(value)
@@ -83,34 +83,34 @@
 		return err
 	}
 	at := now.Add(-max(0, wall.Sub(time.UnixMilli(charge.At))))
-	c.loadedCharges = append(c.loadedCharges, loadedCharge{keyCharges + id, charge, at})
+	l.loadedCharges = append(l.loadedCharges, loadedCharge{keyCharges + id, charge, at})
 	return nil
 }
 
 // applyLoadedDrains cordons what the loaded drains have cordoned, and counts what they have
 // been charged for, before the first placement.
-func (c *Controller) applyLoadedDrains() {
-	for _, l := range c.loadedCharges {
-		c.ledger.Charge(l.key, l.charge, l.at, c.teamOfAttempt)
+func (l *Leader) applyLoadedDrains() {
+	for _, loaded := range l.loadedCharges {
+		l.ledger.Charge(loaded.key, loaded.charge, loaded.at, l.teamOfAttempt)
 	}
-	c.loadedCharges = nil
-	for _, m := range c.machinesByName {
-		c.applyDrainCordon(m)
+	l.loadedCharges = nil
+	for _, m := range l.machinesByName {
+		l.applyDrainCordon(m)
 	}
 }
 
 // teamOfAttempt is the team of a task that is still to run.
-func (c *Controller) teamOfAttempt(a drain.Attempt) (string, bool) {
-	j := c.jobs[a.Job]
-	if j == nil || a.Index < 0 || int(a.Index) >= j.Tasks || !j.wants(int(a.Index)) {
+func (l *Leader) teamOfAttempt(a drain.Attempt) (string, bool) {
+	j := l.jobs[a.Job]
+	if j == nil || a.Index < 0 || int(a.Index) >= j.Tasks || !j.needsTask(int(a.Index)) {
 		return "", false
 	}
 	return j.Team, true
 }
 
 // storeDrain queues the write of a drain's record and calls then when it is durable.
-func (c *Controller) storeDrain(d *storedDrain, then func()) {
-	c.interactiveWrites.put(keyDrains+d.Spec.Name, d.Encode(), func() {
+func (l *Leader) storeDrain(d *storedDrain, then func()) {
+	l.interactiveWrites.put(keyDrains+d.Spec.Name, d.Encode(), func() {
 		d.durable = true
 		if then != nil {
 			then()
@@ -119,17 +119,17 @@
 }
 
 // storeCharge counts a charge and queues its write; then is called when it is durable.
-func (c *Controller) storeCharge(now time.Time, charge *drain.Charge, then func()) {
-	c.chargesNamed++
-	key := fmt.Sprintf("%s%08x-%08x", keyCharges, c.term, c.chargesNamed)
-	c.ledger.Charge(key, charge, now, c.teamOfAttempt)
-	c.interactiveWrites.put(key, charge.Encode(), then)
+func (l *Leader) storeCharge(now time.Time, charge *drain.Charge, then func()) {
+	l.chargesNamed++
+	key := fmt.Sprintf("%s%08x-%08x", keyCharges, l.term, l.chargesNamed)
+	l.ledger.Charge(key, charge, now, l.teamOfAttempt)
+	l.interactiveWrites.put(key, charge.Encode(), then)
 }
 
 // records are those of all drains, oldest first.
-func (c *Controller) records() []*drain.Record {
-	list := make([]*drain.Record, 0, len(c.drains))
-	for _, d := range c.drains {
+func (l *Leader) records() []*drain.Record {
+	list := make([]*drain.Record, 0, len(l.drains))
+	for _, d := range l.drains {
 		list = append(list, d.Record)
 	}
 	slices.SortFunc(list, (*drain.Record).Compare)
@@ -137,22 +137,22 @@
 }
 
 // applyDrainCordon cordons a machine as long as a drain keeps it from taking new work.
-func (c *Controller) applyDrainCordon(m *machine) {
-	m.setCordon(drained, c.anyDrain(func(r *drain.Record) bool { return r.Cordons(m.id) }))
+func (l *Leader) applyDrainCordon(m *machine) {
+	m.setCordon(cordonDrained, l.anyDrain(func(r *drain.Record) bool { return r.Cordons(m.id) }))
 }
 
 // closedByDrain reports whether a drain keeps machines of an offer from being rented.
-func (c *Controller) closedByDrain(o provision.Offer) bool {
-	return c.anyDrain(func(r *drain.Record) bool { return r.Closes(o.Type, o.Zone) })
+func (l *Leader) closedByDrain(o autoscale.Offer) bool {
+	return l.anyDrain(func(r *drain.Record) bool { return r.Closes(o.Type, o.Zone) })
 }
 
 // isReplacement reports whether a machine was rented in the place of those that are drained now.
-func (c *Controller) isReplacement(machine string) bool {
-	return c.anyDrain(func(r *drain.Record) bool { return r.State == drain.Running && r.Replaces(machine) })
+func (l *Leader) isReplacement(machine string) bool {
+	return l.anyDrain(func(r *drain.Record) bool { return r.State == drain.Running && r.Replaces(machine) })
 }
 
-func (c *Controller) anyDrain(holds func(*drain.Record) bool) bool {
-	for _, d := range c.drains {
+func (l *Leader) anyDrain(holds func(*drain.Record) bool) bool {
+	for _, d := range l.drains {
 		if holds(d.Record) {
 			return true
 		}
@@ -161,25 +161,25 @@
 }
 
 // countInterruption counts an attempt that is about to be dropped, if it may have run.
-func (c *Controller) countInterruption(now time.Time, a *attempt) {
+func (l *Leader) countInterruption(now time.Time, a *attempt) {
 	j := a.job
-	if c.ledger == nil || !j.wants(int(a.index)) || j.holders[a.index] > 1 || a.failed {
+	if l.ledger == nil || !j.needsTask(int(a.index)) || j.allocations[a.index] > 1 || a.failed {
 		return
 	}
 	switch {
-	case c.ledger.Charged(a.number), a.state == possiblyStarted:
-		c.ledger.Unknown(j.Team, j.ID, a.index)
+	case l.ledger.Charged(a.number), a.state == statePossiblyStarted:
+		l.ledger.Unknown(j.Team, j.ID, a.index)
 	case a.state.hasImage():
-		c.ledger.Interrupted(j.Team, j.ID, a.index, now, lostProgress(now, a))
+		l.ledger.Interrupted(j.Team, j.ID, a.index, now, lostProgress(now, a))
 	}
 }
 
 // lostProgress is the run time in seconds that goes with an attempt that is gone.
 func lostProgress(now time.Time, a *attempt) float64 {
 	switch {
-	case a.saved:
+	case a.checkpointSaved:
 		return 0
-	case a.job.CheckpointS > 0:
+	case a.job.CheckpointIntervalS > 0:
 		return unsavedProgress(now, a)
 	}
 	return now.Sub(a.runningAt).Seconds()
@@ -187,32 +187,32 @@
 
 // countRunning counts a task that was interrupted as running again, unless it is the very
 // attempt that a drain is about to stop.
-func (c *Controller) countRunning(a *attempt) {
-	if c.ledger == nil || a.evicting || c.ledger.Charged(a.number) && a.machine.cordonedFor(drained) {
+func (l *Leader) countRunning(a *attempt) {
+	if l.ledger == nil || a.evicting || l.ledger.Charged(a.number) && a.machine.cordonedFor(cordonDrained) {
 		return
 	}
-	c.ledger.Available(a.job.ID, a.index)
+	l.ledger.Available(a.job.ID, a.index)
 }
 
 // countDone counts a task that was interrupted as done.
-func (c *Controller) countDone(j *job, index int32) {
-	if c.ledger != nil {
-		c.ledger.Available(j.ID, index)
+func (l *Leader) countDone(j *job, index int32) {
+	if l.ledger != nil {
+		l.ledger.Available(j.ID, index)
 	}
 }
 
 // countOver counts no task of a job any more.
-func (c *Controller) countOver(j *job) {
-	if c.ledger != nil {
-		c.ledger.Over(j.ID)
+func (l *Leader) countOver(j *job) {
+	if l.ledger != nil {
+		l.ledger.JobEnded(j.ID)
 	}
 }
 
 // expireCharges deletes the charges that count no more.
-func (c *Controller) expireCharges(wall time.Time) {
-	keys := c.ledger.Expire(wall)
+func (l *Leader) expireCharges(wall time.Time) {
+	keys := l.ledger.Expire(wall)
 	slices.Sort(keys)
 	for _, key := range keys {
-		c.backgroundWrites.del(key)
+		l.backgroundWrites.del(key)
 	}
 }
--- a/internal/controller/drain_step.go
+++ b/internal/leader/drain_step.go
@@ -1,19 +1,19 @@
-package controller
+package leader
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
+	"switchshore.example/switchshore/internal/autoscale"
 	"switchshore.example/switchshore/internal/drain"
-	"switchshore.example/switchshore/internal/provision"
-	"switchshore.example/switchshore/internal/sched"
+	"switchshore.example/switchshore/internal/placement"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
 // drainStep is one step of the running drain.
 type drainStep struct {
-	*Controller
+	*Leader
 	record    *storedDrain
 	now, wall time.Time
 	places    map[*job]bool // whether tasks of the job have another place
@@ -21,23 +21,23 @@
 
 // AdvanceDrains takes the next step of the drain that runs; wall is the time of day. It needs
 // authority.
-func (c *Controller) AdvanceDrains(now, wall time.Time) {
-	if c.budgets == nil || now.Before(c.nextDrainStep) {
+func (l *Leader) AdvanceDrains(now, wall time.Time) {
+	if l.budgets == nil || now.Before(l.nextDrainStep) {
 		return
 	}
-	c.nextDrainStep = now.Add(tuning.DrainEvery)
-	c.expireCharges(wall)
-	r, changed := drain.Next(c.records())
+	l.nextDrainStep = now.Add(tuning.DrainStepInterval)
+	l.expireCharges(wall)
+	r, changed := drain.Next(l.records())
 	if r == nil {
 		return
 	}
-	s := &drainStep{Controller: c, record: c.drains[r.Spec.Name], now: now, wall: wall, places: map[*job]bool{}}
+	s := &drainStep{Leader: l, record: l.drains[r.Spec.Name], now: now, wall: wall, places: map[*job]bool{}}
 	if !s.record.durable {
 		return
 	}
 	if changed {
-		c.log.Info().Str("drain", r.Spec.Name).Msg("drain begins")
-		c.storeDrain(s.record, nil)
+		l.log.Info().Str("drain", r.Spec.Name).Msg("drain started")
+		l.storeDrain(s.record, nil)
 	}
 	s.advance()
 }
@@ -96,7 +96,7 @@
 	if s.now.Before(s.nextBatchLook) {
 		return
 	}
-	s.nextBatchLook = s.now.Add(tuning.DrainLook)
+	s.nextBatchLook = s.now.Add(tuning.DrainBatchInterval)
 	selected, leaving := s.selectedMachines()
 	if len(selected) == 0 {
 		s.finish(leaving)
@@ -114,7 +114,7 @@
 	}
 	s.applyBatchCordon()
 	s.record.Reason = drain.Reason{}
-	s.log.Info().Str("drain", s.record.Spec.Name).Strs("machines", s.record.Batch.Machines).Int("left", len(selected)).Msg("drain batch begins")
+	s.log.Info().Str("drain", s.record.Spec.Name).Strs("machines", s.record.Batch.Machines).Int("left", len(selected)).Msg("drain batch started")
 	s.storeDrain(s.record, nil)
 }
 
@@ -129,7 +129,7 @@
 
 // finish ends a drain that finds no machine any more, once those that are being released are gone.
 func (s *drainStep) finish(leaving int) {
-	if leaving > 0 || s.rentingSelected() {
+	if leaving > 0 || s.provisioningSelected() {
 		s.wait(drain.WaitMachines, "")
 		return
 	}
@@ -138,9 +138,9 @@
 	s.storeDrain(s.record, nil)
 }
 
-// rentingSelected reports whether a rental under way may bring machines that are selected.
-func (s *drainStep) rentingSelected() bool {
-	for _, r := range s.pendingRentals {
+// provisioningSelected reports whether a rental under way may bring machines that are selected.
+func (s *drainStep) provisioningSelected() bool {
+	for _, r := range s.pendingProvisions {
 		if s.record.Spec.Selector.Closes(r.offer.Type, r.offer.Zone) {
 			return true
 		}
@@ -166,7 +166,7 @@
 
 // selects reports whether a machine is to be drained.
 func (s *drainStep) selects(m *machine) bool {
-	rented := s.wall.Add(m.rentedAt.Sub(s.now))
+	rented := s.wall.Add(m.provisionedAt.Sub(s.now))
 	return s.record.Spec.Selector.Selects(drain.Machine{Name: m.id, Type: m.machineType, Zone: m.zone, RentedAt: rented})
 }
 
@@ -206,7 +206,7 @@
 // dropGone takes the machines that are provably gone out of the batch; without any left it
 // is over.
 func (s *drainStep) dropGone() {
-	left := slices.DeleteFunc(slices.Clone(s.record.Batch.Machines), s.gone)
+	left := slices.DeleteFunc(slices.Clone(s.record.Batch.Machines), s.provablyGone)
 	went := len(s.record.Batch.Machines) - len(left)
 	if went == 0 {
 		return
@@ -217,15 +217,15 @@
 		s.record.Batch = nil
 		s.record.Counts.Batches++
 		s.nextBatchLook = time.Time{}
-		s.log.Info().Str("drain", s.record.Spec.Name).Int("batches", s.record.Counts.Batches).Msg("drain batch over")
+		s.log.Info().Str("drain", s.record.Spec.Name).Int("batches", s.record.Counts.Batches).Msg("drain batch finished")
 	}
 	s.storeDrain(s.record, nil)
 }
 
-// gone reports whether a machine named by the record is provably gone: released with a 200, or
+// provablyGone reports whether a machine named by the record is provably gone: released with a 200, or
 // missing from a list that would have it.
-func (c *Controller) gone(name string) bool {
-	return c.machines[name] == nil && (c.released[name] || c.listsComplete)
+func (l *Leader) provablyGone(name string) bool {
+	return l.machines[name] == nil && (l.released[name] || l.listsComplete)
 }
 
 // evict stops tasks of the batch within the budgets. The charge is durable before the first
@@ -235,13 +235,13 @@
 	attempts := map[uint64]*attempt{}
 	for _, name := range s.record.Batch.Machines {
 		m := s.machines[name]
-		if m == nil || !m.confirmed || m.listedAt.IsZero() {
+		if m == nil || !m.reconciled || m.listedAt.IsZero() {
 			continue
 		}
 		for _, a := range m.attempts {
 			s.drainLooks++
 			switch {
-			case a.state < fetching || a.stop || a.evicting || !a.wanted():
+			case a.state < stateFetching || a.stopping || a.evicting || !a.wanted():
 			case s.ledger.Charged(a.number):
 				s.stopEvicted(a)
 			default:
@@ -251,7 +251,7 @@
 		}
 	}
 	charge := drain.NewCharge(s.record.Spec.Name, s.wall)
-	limit := int(float64(s.valueLimit()) * tuning.ValueShare)
+	limit := int(float64(s.valueLimit()) * tuning.StartRecordValueShare)
 	reason := drain.Evictions(charge, candidates, s.ledger, s.budgets, s.record.Forced(s.wall), s.now, limit)
 	s.stopCharged(charge, attempts)
 	if reason.Cause == "" {
@@ -271,11 +271,11 @@
 		a.evicting = true
 		evicted = append(evicted, a)
 		s.record.Counts.Evicted++
-		if a.job.CheckpointS > 0 {
+		if a.job.CheckpointIntervalS > 0 {
 			s.record.Counts.Moved++
 		}
 	}
-	c := s.Controller
+	c := s.Leader
 	c.storeCharge(s.now, charge, func() {
 		for _, a := range evicted {
 			if a.evicting && slices.Contains(a.machine.attempts, a) {
@@ -284,16 +284,16 @@
 		}
 	})
 	c.storeDrain(s.record, nil)
-	c.log.Info().Str("drain", s.record.Spec.Name).Int("tasks", len(evicted)).Msg("drain evicts")
+	c.log.Info().Str("drain", s.record.Spec.Name).Int("tasks", len(evicted)).Msg("drain evicting tasks")
 }
 
 // stopEvicted stops an attempt that has been charged for; it saves what it can.
-func (c *Controller) stopEvicted(a *attempt) {
-	a.evicting, a.stop, a.grace = true, true, 0
-	if a.job.CheckpointS > 0 {
-		a.grace = a.job.SaveS
+func (l *Leader) stopEvicted(a *attempt) {
+	a.evicting, a.stopping, a.gracePeriodS = true, true, 0
+	if a.job.CheckpointIntervalS > 0 {
+		a.gracePeriodS = a.job.CheckpointSaveS
 	}
-	c.scheduleCall(a.machine)
+	l.scheduleCall(a.machine)
 }
 
 // candidate describes a running task to the choice of evictions.
@@ -301,15 +301,15 @@
 	j := a.job
 	e := drain.Candidate{
 		Team: j.Team, Attempt: drain.Attempt{Job: j.ID, Index: a.index, Number: a.number},
-		NoPlace: !s.hasOtherPlace(j),
+		NoAlternative: !s.hasAlternative(j),
 	}
-	patience := tuning.DrainMovePatience
-	if j.CheckpointS <= 0 {
-		patience = tuning.DrainPatience
+	patience := tuning.DrainCheckpointWait
+	if j.CheckpointIntervalS <= 0 {
+		patience = tuning.DrainCompletionWait
 		e.LossS = s.lossAtMost(a)
 	}
 	patience -= s.wall.Sub(time.UnixMilli(s.record.Batch.Since))
-	e.Ends = patience > 0 && s.remaining(s.now, a) <= patience.Seconds()
+	e.EndsSoon = patience > 0 && s.remaining(s.now, a) <= patience.Seconds()
 	return e
 }
 
@@ -320,15 +320,15 @@
 	if a.number>>32 != s.term {
 		// Started under an earlier leader: not before its job came and its machine was rented.
 		began = a.job.submitted
-		if a.machine.rentedAt.After(began) {
-			began = a.machine.rentedAt
+		if a.machine.provisionedAt.After(began) {
+			began = a.machine.provisionedAt
 		}
 	}
 	return (s.now.Sub(began) + s.leaseTime()).Seconds()
 }
 
-// hasOtherPlace reports whether a task of the job could run on machines that are not drained.
-func (s *drainStep) hasOtherPlace(j *job) bool {
+// hasAlternative reports whether a task of the job could run on machines that are not drained.
+func (s *drainStep) hasAlternative(j *job) bool {
 	if has, known := s.places[j]; known {
 		return has
 	}
@@ -337,18 +337,18 @@
 		// All of its tasks leave the zone together.
 		probe.InZone = without(j.inZone, zone)
 	}
-	has := slices.ContainsFunc(s.openPlaces(), probe.Allowed)
+	has := slices.ContainsFunc(s.remainingPlacements(), probe.Allowed)
 	s.places[j] = has
 	return has
 }
 
-// openPlaces are the kinds of machine that can be rented while the drain lasts.
-func (s *drainStep) openPlaces() []*sched.Machine {
-	var places []*sched.Machine
+// remainingPlacements are the kinds of machine that can be rented while the drain lasts.
+func (s *drainStep) remainingPlacements() []*placement.Machine {
+	var places []*placement.Machine
 	for _, t := range s.offers {
 		for _, zone := range t.Zones {
-			if !s.closedByDrain(provision.Offer{Type: t.Name, Zone: zone}) {
-				places = append(places, &sched.Machine{Type: t.Name, Zone: zone, Total: resources(t)})
+			if !s.closedByDrain(autoscale.Offer{Type: t.Name, Zone: zone}) {
+				places = append(places, &placement.Machine{Type: t.Name, Zone: zone, Total: resources(t)})
 			}
 		}
 	}
--- a/internal/controller/drain_test.go
+++ b/internal/leader/drain_test.go
@@ -1,4 +1,4 @@
-package controller_test
+package leader_test
 
 import (
 	"encoding/json"
@@ -10,8 +10,8 @@
 	"time"
 
 	"switchshore.example/switchshore/internal/config"
-	"switchshore.example/switchshore/internal/controller"
 	"switchshore.example/switchshore/internal/drain"
+	"switchshore.example/switchshore/internal/leader"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -24,16 +24,16 @@
 var ample = drain.Budget{MaxUnavailable: 10, Evictions: 10, LostS: 10_000}
 
 // list tells the leader that the cloud has the machines, and that no other was there long ago.
-func (l *leader) list(names ...string) {
+func (l *testLeader) list(names ...string) {
 	var rows []wire.ListedMachine
 	for _, name := range names {
 		rows = append(rows, wire.ListedMachine{Name: name, Type: "std-8", Zone: "a", State: wire.MachineRunning, AgeS: 100})
 	}
-	l.Listed(l.now, l.now, rows)
+	l.ApplyMachineList(l.now, l.now, rows)
 }
 
 // drainRequest carries a request out and makes what it changes durable.
-func (l *leader) drainRequest(q drain.Request) drain.Response {
+func (l *testLeader) drainRequest(q drain.Request) drain.Response {
 	l.t.Helper()
 	var got drain.Response
 	l.DrainRequest(l.now, l.now, &q, func(r drain.Response) { got = r })
@@ -48,7 +48,7 @@
 }
 
 // advance lets the drains take steps for a time, machines reporting on the way.
-func (l *leader) advance(d time.Duration, each func()) {
+func (l *testLeader) advance(d time.Duration, each func()) {
 	for end := l.now.Add(d); l.now.Before(end); {
 		l.pass(time.Second)
 		each()
@@ -57,7 +57,7 @@
 }
 
 // charges are the keys of the stored charges.
-func (l *leader) charges() []string {
+func (l *testLeader) charges() []string {
 	var keys []string
 	for key := range l.kept {
 		if strings.HasPrefix(key, "b/") {
@@ -68,7 +68,7 @@
 }
 
 // leaderWithTask is a leader with one task that runs on m1 and has done so for a while.
-func leaderWithTask(t *testing.T, operator config.Operator) (*leader, wire.TaskReport) {
+func leaderWithTask(t *testing.T, operator config.Operator) (*testLeader, wire.TaskStatus) {
 	t.Helper()
 	l := newLeaderWith(t, operator, 5, start, map[string]json.RawMessage{})
 	l.submit("job-1")
@@ -76,7 +76,7 @@
 	l.list("m1")
 	l.pass(time.Second)
 	l.commit()
-	task := wire.TaskReport{Task: "job-1/0", Attempt: l.report("m1", 1)[0].Attempt, State: wire.TaskRunning}
+	task := wire.TaskStatus{Task: "job-1/0", Attempt: l.report("m1", 1)[0].Attempt, State: wire.TaskRunning}
 	l.advance(40*time.Second, func() { l.report("m1", 1, task); l.list("m1") })
 	return l, task
 }
@@ -90,7 +90,7 @@
 	if r := l.drainRequest(drainOf("maintenance", "m1")); r.Status != http.StatusCreated {
 		t.Fatalf("%+v", r)
 	}
-	l.advance(tuning.DrainPatience+5*time.Second, func() {
+	l.advance(tuning.DrainCompletionWait+5*time.Second, func() {
 		if cs := l.report("m1", 1, task); len(cs) != 0 {
 			t.Fatalf("stopped before the charge was durable: %s", ops(cs))
 		}
@@ -156,7 +156,7 @@
 		"nothing":         {drain.Request{Action: drain.Apply}, http.StatusBadRequest, "no drain"},
 		"unknown drain":   {drain.Request{Action: drain.Pause, Name: "none"}, http.StatusNotFound, "none"},
 	} {
-		if r := l.drainRequest(c.q); r.Status != c.status || !strings.Contains(r.Why, c.why) || strings.Contains(r.Why, "\n") {
+		if r := l.drainRequest(c.q); r.Status != c.status || !strings.Contains(r.Reason, c.why) || strings.Contains(r.Reason, "\n") {
 			t.Errorf("%s: %+v", name, r)
 		}
 	}
@@ -210,13 +210,13 @@
 	if r := l.drainRequest(drain.Request{Action: drain.Show, Name: "all"}); len(r.Drains) != 1 || r.Drains[0].Batch == nil || r.Drains[0].MachinesLeft != 4000 {
 		t.Fatalf("no batch: %+v", r)
 	}
-	before := l.Counts().DrainLooks
+	before := l.Counts().DrainSteps
 	const steps = 20
 	for range steps {
 		l.now = l.now.Add(time.Second)
 		l.AdvanceDrains(l.now, l.now)
 	}
-	if looks := l.Counts().DrainLooks - before; looks > steps*5*2 {
+	if looks := l.Counts().DrainSteps - before; looks > steps*5*2 {
 		t.Errorf("%d looks in %d steps", looks, steps)
 	}
 }
@@ -228,7 +228,7 @@
 	l := newLeaderWith(t, drainOperator(ample), 5, start, map[string]json.RawMessage{})
 	l.list()
 	l.drainRequest(drain.Request{Action: drain.Apply, Spec: &drain.Spec{Name: "zone", BatchSize: 1, Selector: drain.Selector{Zone: "a"}}})
-	l.advance(2*time.Minute, func() { l.list(); l.Plan(l.now); l.commit() })
+	l.advance(2*time.Minute, func() { l.list(); l.PlanScaling(l.now); l.commit() })
 	if r := l.drainRequest(drain.Request{Action: drain.Show, Name: "zone"}); r.Drains[0].State != drain.Done {
 		t.Fatalf("%+v", r.Drains[0])
 	}
@@ -238,7 +238,7 @@
 			l.drainRequest(drain.Request{Action: drain.Cancel, Name: "zone"})
 		}
 		l.pass(time.Minute)
-		if rented := rents(l.Plan(l.now)); rented != cancelled {
+		if rented := rents(l.PlanScaling(l.now)); rented != cancelled {
 			t.Errorf("cancelled: %v, rented: %v", cancelled, rented)
 		}
 	}
@@ -276,10 +276,10 @@
 	step := func() {
 		l.report("m1", 1, task)
 		l.list("m1")
-		for _, call := range l.Plan(l.now) {
-			if call.Op == controller.CloudRent {
+		for _, call := range l.PlanScaling(l.now) {
+			if call.Op == leader.CloudProvision {
 				rentals++
-				l.Rented(l.now, call.Rent, nil)
+				l.ProvisionDone(l.now, call.Provision, nil)
 			}
 		}
 		l.commit()
@@ -287,7 +287,7 @@
 	q := drainOf("maintenance", "m1")
 	q.Spec.Replace = true
 	l.drainRequest(q)
-	l.advance(tuning.ReplacementPatience-10*time.Second, step)
+	l.advance(tuning.ReplacementTimeout-10*time.Second, step)
 	show := drain.Request{Action: drain.Show, Name: "maintenance"}
 	if s := l.drainRequest(show).Drains[0]; s.State != drain.Running || s.Batch == nil || s.Batch.Cordoned || rentals < 10 {
 		t.Fatalf("%+v after %d rentals", s, rentals)
@@ -312,7 +312,7 @@
 // once they take work. A successor that finds them in the record, and not yet in a list, rents none.
 func TestReplacementsAreRentedOnce(t *testing.T) {
 	l, task := leaderWithTask(t, drainOperator(ample))
-	listed := func(l *leader, names ...string) {
+	listed := func(l *testLeader, names ...string) {
 		for _, name := range names {
 			if name == "m1" {
 				l.report(name, 1, task)
@@ -325,13 +325,13 @@
 	q := drainOf("maintenance", "m1")
 	q.Spec.Replace = true
 	l.drainRequest(q)
-	var rentals []wire.RentRequest
+	var rentals []wire.ProvisionRequest
 	l.advance(10*time.Second, func() {
 		listed(l, "m1")
-		for _, call := range l.Plan(l.now) {
-			if call.Op == controller.CloudRent {
-				rentals = append(rentals, call.Rent)
-				l.Rented(l.now, call.Rent, []string{"m2"})
+		for _, call := range l.PlanScaling(l.now) {
+			if call.Op == leader.CloudProvision {
+				rentals = append(rentals, call.Provision)
+				l.ProvisionDone(l.now, call.Provision, []string{"m2"})
 			}
 		}
 		l.commit()
@@ -343,7 +343,7 @@
 	next.seq = l.seq
 	next.advance(6*time.Second, func() {
 		listed(next, "m1")
-		if rents(next.Plan(next.now)) {
+		if rents(next.PlanScaling(next.now)) {
 			t.Fatal("a successor rents again what is not listed yet")
 		}
 	})
--- a/internal/controller/estimates.go
+++ b/internal/leader/estimates.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"time"
@@ -44,41 +44,41 @@
 // machines together would need for the rest of the job, as under a backlog
 // more jobs end in time when the small ones go first. Jobs without a time to
 // meet follow.
-func (c *Controller) urgency(now time.Time, j *job, cpus float64) float64 {
-	work := float64(j.Tasks-j.done.Len()) * j.CPUs * c.runTimes.estimate(j) / max(cpus, 1)
-	if slack, ok := c.slack(now, j); ok {
+func (l *Leader) urgency(now time.Time, j *job, cpus float64) float64 {
+	work := float64(j.Tasks-j.done.Len()) * j.CPUs * l.runTimes.estimate(j) / max(cpus, 1)
+	if slack, ok := l.deadlineSlack(now, j); ok {
 		return slack + tuning.SizeWeight*work
 	}
-	return tuning.LateSlack - now.Sub(j.since).Seconds()
+	return tuning.NoDeadlineSlack - now.Sub(j.waitingSince).Seconds()
 }
 
 // remaining is the run time left of an attempt by its estimate, at least zero.
-func (c *Controller) remaining(now time.Time, a *attempt) float64 {
+func (l *Leader) remaining(now time.Time, a *attempt) float64 {
 	ran := a.job.progress[a.index]
 	if !a.runningAt.IsZero() {
 		ran += now.Sub(a.runningAt).Seconds()
 	}
-	return max(0, c.runTimes.estimate(a.job)-ran)
+	return max(0, l.runTimes.estimate(a.job)-ran)
 }
 
-// horizon is the time within which a job's tasks should begin: a part of its
+// startWithin is the time within which a job's tasks should begin: a part of its
 // slack, so that pressing work makes the planner rent and patient work waits
 // for the machines there are.
-func (c *Controller) horizon(now time.Time, j *job) float64 {
-	if c.operator.HorizonS > 0 {
-		return c.operator.HorizonS
+func (l *Leader) startWithin(now time.Time, j *job) float64 {
+	if l.operator.HorizonS > 0 {
+		return l.operator.HorizonS
 	}
-	slack, ok := c.slack(now, j)
+	slack, ok := l.deadlineSlack(now, j)
 	if !ok {
-		return tuning.PlanHorizon.Seconds()
+		return tuning.StartWithinDefault.Seconds()
 	}
-	return min(max(slack*tuning.PlanSlack, tuning.PlanHorizonMin.Seconds()), tuning.PlanHorizonMax.Seconds())
+	return min(max(slack*tuning.StartWithinSlackShare, tuning.StartWithinMin.Seconds()), tuning.StartWithinMax.Seconds())
 }
 
 // remainingEstimate is the run time by its estimate of a job's ready tasks, of the one with
 // the least progress, or of a whole task if none is ready.
-func (c *Controller) remainingEstimate(j *job) float64 {
-	whole := c.runTimes.estimate(j)
+func (l *Leader) remainingEstimate(j *job) float64 {
+	whole := l.runTimes.estimate(j)
 	if len(j.progress) == 0 || len(j.ready) == 0 || len(j.ready) > len(j.progress) {
 		return whole
 	}
@@ -89,11 +89,11 @@
 	return max(tuning.MinimumEstimate, whole-least)
 }
 
-// slack is the time that may pass before a job can no longer be in time, by
+// deadlineSlack is the time that may pass before a job can no longer be in time, by
 // the deadline on its path and the objectives: of those it can still meet the
 // nearest. It is false if there is none.
-func (c *Controller) slack(now time.Time, j *job) (float64, bool) {
-	rest := c.remainingEstimate(j)
+func (l *Leader) deadlineSlack(now time.Time, j *job) (float64, bool) {
+	rest := l.remainingEstimate(j)
 	best, found := 0.0, false
 	due := func(since time.Time, after float64) {
 		if s := after - now.Sub(since).Seconds() - rest; s >= 0 && (!found || s < best) {
@@ -104,12 +104,12 @@
 	if last != nil {
 		due(last.submitted, *last.DeadlineS-left)
 	}
-	for _, o := range c.params.Objectives {
+	for _, o := range l.params.Objectives {
 		switch {
 		case o.Kind == "deadline" && last != nil && o.Class == last.Class:
 			due(last.submitted, *last.DeadlineS*max(o.Times, 1)-left)
 		case o.Kind == "finished" && o.WithinS > 0 && o.Class == j.Class:
-			due(j.since, o.WithinS)
+			due(j.waitingSince, o.WithinS)
 		}
 	}
 	return best, found
--- a/internal/controller/failures.go
+++ b/internal/leader/failures.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"switchshore.example/switchshore/internal/tuning"
@@ -11,42 +11,42 @@
 // faulty.
 
 // recordTaskFailure notes that a task of the job has failed on the machine.
-func (c *Controller) recordTaskFailure(j *job, m *machine) {
+func (l *Leader) recordTaskFailure(j *job, m *machine) {
 	if j.failedOn == nil {
 		j.failedOn = map[string]bool{}
 	}
 	j.failedOn[m.id] = true
-	m.avoid[j.ID] = true
+	m.avoidedJobs[j.ID] = true
 	if !j.failsEverywhere() {
-		m.countFailedJob(c, j)
+		m.countFailedJob(l, j)
 		return
 	}
 	for id := range j.failedOn {
-		if o := c.machines[id]; o != nil {
+		if o := l.machines[id]; o != nil {
 			delete(o.failedJobs, j.ID)
-			o.setCordon(faulty, len(o.failedJobs) >= tuning.FaultyJobs)
+			o.setCordon(cordonFaulty, len(o.failedJobs) >= tuning.QuarantineJobs)
 		}
 	}
 }
 
 // recordTaskSuccess notes that a task of the job has ended on the machine.
-func (c *Controller) recordTaskSuccess(j *job, m *machine) {
-	if !m.cordonedFor(faulty) {
+func (l *Leader) recordTaskSuccess(j *job, m *machine) {
+	if !m.cordonedFor(cordonFaulty) {
 		clear(m.failedJobs)
 	}
 	for id := range j.failedOn {
-		if o := c.machines[id]; o != nil && o != m {
-			o.countFailedJob(c, j)
+		if o := l.machines[id]; o != nil && o != m {
+			o.countFailedJob(l, j)
 		}
 	}
 	clear(j.failedOn)
 }
 
-func (m *machine) countFailedJob(c *Controller, j *job) {
+func (m *machine) countFailedJob(c *Leader, j *job) {
 	m.failedJobs[j.ID] = true
-	if len(m.failedJobs) >= tuning.FaultyJobs && !m.cordonedFor(faulty) {
-		c.log.Info().Str("machine", m.id).Msg("faulty machine, draining")
-		m.cordon(faulty)
+	if len(m.failedJobs) >= tuning.QuarantineJobs && !m.cordonedFor(cordonFaulty) {
+		c.log.Info().Str("machine", m.id).Msg("machine quarantined")
+		m.cordon(cordonFaulty)
 	}
 }
 
--- a/internal/controller/failures_test.go
+++ b/internal/leader/failures_test.go
@@ -1,4 +1,4 @@
-package controller_test
+package leader_test
 
 import (
 	"encoding/json"
@@ -15,7 +15,7 @@
 // and a machine on which several jobs fail gets no more work.
 func TestFailingJobBacksOff(t *testing.T) {
 	l, tr := running(t)
-	tr.State, tr.Why = wire.TaskExited, wire.WhyError
+	tr.State, tr.ExitReason = wire.TaskExited, wire.ExitError
 	if cs := l.report("m1", 1, tr); ops(cs) != "reap job-1/0" {
 		t.Fatal(ops(cs))
 	}
@@ -26,7 +26,7 @@
 	if ops(cs) != "run job-2/0" {
 		t.Fatalf("want job-2 only, got %q", ops(cs))
 	}
-	l.report("m1", 1, wire.TaskReport{Task: "job-2/0", Attempt: cs[0].Attempt, State: wire.TaskExited, Why: wire.WhyError})
+	l.report("m1", 1, wire.TaskStatus{Task: "job-2/0", Attempt: cs[0].Attempt, State: wire.TaskExited, ExitReason: wire.ExitError})
 	l.submit("job-3")
 	l.pass(time.Second)
 	l.commit()
@@ -42,7 +42,7 @@
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
 	machines := []string{"m1", "m2", "m3"}
 	bad := map[string]bool{} // machines that fail everything
-	lists := map[string][]wire.TaskReport{}
+	lists := map[string][]wire.TaskStatus{}
 	tried := map[string]int{}
 	turn := func() {
 		l.pass(time.Second)
@@ -53,13 +53,13 @@
 				case wire.OpStart:
 					id, _, _ := wire.SplitTask(cmd.Task)
 					tried[id+" on "+m]++
-					why := wire.WhyDone
+					why := wire.ExitDone
 					if id < "job-5" || bad[m] {
-						why = wire.WhyError
+						why = wire.ExitError
 					}
-					lists[m] = append(lists[m], wire.TaskReport{Task: cmd.Task, Attempt: cmd.Attempt, State: wire.TaskExited, Why: why})
+					lists[m] = append(lists[m], wire.TaskStatus{Task: cmd.Task, Attempt: cmd.Attempt, State: wire.TaskExited, ExitReason: why})
 				case wire.OpForget:
-					lists[m] = slices.DeleteFunc(lists[m], func(r wire.TaskReport) bool { return r.Task == cmd.Task && r.Attempt == cmd.Attempt })
+					lists[m] = slices.DeleteFunc(lists[m], func(r wire.TaskStatus) bool { return r.Task == cmd.Task && r.Attempt == cmd.Attempt })
 				}
 			}
 		}
@@ -102,10 +102,10 @@
 			t.Errorf("job-%d: %+v", 500+i, v)
 		}
 	}
-	l.Listed(l.now, l.now, nil)
+	l.ApplyMachineList(l.now, l.now, nil)
 	for range 70 {
 		l.pass(time.Second)
-		if rents(l.Plan(l.now)) {
+		if rents(l.PlanScaling(l.now)) {
 			return
 		}
 	}
--- a/internal/controller/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -1,4 +1,4 @@
-package controller_test
+package leader_test
 
 import (
 	"encoding/json"
@@ -11,18 +11,18 @@
 	"github.com/rs/zerolog"
 
 	"switchshore.example/switchshore/internal/config"
-	"switchshore.example/switchshore/internal/controller"
+	"switchshore.example/switchshore/internal/leader"
 	"switchshore.example/switchshore/wire"
 )
 
 var (
 	start   = time.Unix(1_700_000_000, 0)
-	bigType = wire.MachineType{Name: "std-8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 10, Zones: []string{"a"}}
+	bigType = wire.MachineType{Name: "std-8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootTimeS: 10, Zones: []string{"a"}}
 	params  = config.Params{
 		Teams:   []config.Team{{Name: "blue", CPUs: 8, CPUsMax: 16}},
-		Workers: config.Workers{ReportS: 3, LeaseS: 15, CancelS: 45},
-		State:   config.State{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 48},
-		Cloud:   config.Cloud{RPS: 5, ListLagS: 4},
+		Workers: config.Workers{HeartbeatIntervalS: 3, LeaseS: 15, CancelDeadlineS: 45},
+		State:   config.StateLimits{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 48},
+		Cloud:   config.CloudLimits{RPS: 5, ListLagS: 4},
 	}
 )
 
@@ -33,39 +33,39 @@
 	}
 }
 
-// leader is a controller with a map in the place of the state service.
-type leader struct {
-	*controller.Controller
+// testLeader is a leader with a map in the place of the state service.
+type testLeader struct {
+	*leader.Leader
 	t    *testing.T
 	now  time.Time
 	kept map[string]json.RawMessage
 	seq  uint64
 }
 
-func newLeader(t *testing.T, term uint64, now time.Time, kept map[string]json.RawMessage) *leader {
+func newLeader(t *testing.T, term uint64, now time.Time, kept map[string]json.RawMessage) *testLeader {
 	t.Helper()
 	return newLeaderWith(t, config.Operator{}, term, now, kept)
 }
 
-func newLeaderWith(t *testing.T, operator config.Operator, term uint64, now time.Time, kept map[string]json.RawMessage) *leader {
+func newLeaderWith(t *testing.T, operator config.Operator, term uint64, now time.Time, kept map[string]json.RawMessage) *testLeader {
 	t.Helper()
-	c := controller.New(zerolog.Nop(), params, operator, term, now, controller.Grace(params.Workers))
-	for _, prefix := range controller.Prefixes {
+	c := leader.New(zerolog.Nop(), params, operator, term, now, leader.GracePeriod(params.Workers))
+	for _, prefix := range leader.Prefixes {
 		for _, k := range slices.Sorted(maps.Keys(kept)) {
 			if strings.HasPrefix(k, prefix) {
-				if err := c.Load(now, now, wire.Item{Key: k, Value: kept[k]}); err != nil {
+				if err := c.LoadRecord(now, now, wire.KeyValue{Key: k, Value: kept[k]}); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
 	}
-	c.Loaded(now)
-	c.SetTypes([]wire.MachineType{bigType})
-	return &leader{Controller: c, t: t, now: now, kept: kept}
+	c.FinishLoading(now)
+	c.SetMachineTypes([]wire.MachineType{bigType})
+	return &testLeader{Leader: c, t: t, now: now, kept: kept}
 }
 
 // keep makes changes durable.
-func (l *leader) keep(writes []wire.Write) {
+func (l *testLeader) keep(writes []wire.Mutation) {
 	for _, w := range writes {
 		if w.Delete != "" {
 			delete(l.kept, w.Delete)
@@ -76,25 +76,25 @@
 }
 
 // commit makes all queued changes durable.
-func (l *leader) commit() {
+func (l *testLeader) commit() {
 	for b := l.NextBatch(10, 10); b != nil; b = l.NextBatch(10, 10) {
 		l.keep(b.Writes)
-		l.Committed(b, nil)
+		l.BatchCommitted(b, nil)
 	}
 }
 
-func (l *leader) pass(d time.Duration) {
+func (l *testLeader) pass(d time.Duration) {
 	l.now = l.now.Add(d)
 	l.Tick(l.now, true)
 }
 
-func (l *leader) report(machine string, session uint64, tasks ...wire.TaskReport) []wire.Command {
+func (l *testLeader) report(machine string, session uint64, tasks ...wire.TaskStatus) []wire.Command {
 	l.t.Helper()
 	l.seq++
-	a, receipt := l.Report(l.now, &wire.Report{
-		Machine: machine, Addr: machine + ":9", Type: "std-8", Zone: "a", Session: session, Seq: l.seq, Token: l.Term(), Tasks: tasks,
+	a, receipt := l.HandleHeartbeat(l.now, &wire.Heartbeat{
+		Machine: machine, Addr: machine + ":9", Type: "std-8", Zone: "a", AgentEpoch: session, Sequence: l.seq, FencingToken: l.Term(), Tasks: tasks,
 	}, true)
-	if receipt == controller.ReportSuperseded {
+	if receipt == leader.HeartbeatSuperseded {
 		l.t.Fatal("report refused")
 	}
 	return a.Commands
@@ -102,9 +102,9 @@
 
 // planned returns the machines of a release that the planner asks for now, if
 // the given one is among them.
-func (l *leader) planned(machine string) []string {
-	for _, c := range l.Plan(l.now) {
-		if c.Op == controller.CloudRelease && slices.Contains(c.Release, machine) {
+func (l *testLeader) planned(machine string) []string {
+	for _, c := range l.PlanScaling(l.now) {
+		if c.Op == leader.CloudRelease && slices.Contains(c.Release, machine) {
 			return c.Release
 		}
 	}
@@ -114,7 +114,7 @@
 // onlyAfterRelease checks that the task of m1 does not go to m2 before m1 is
 // released, that it is released, and that the task goes to m2 then. each runs
 // in every step.
-func (l *leader) onlyAfterRelease(step time.Duration, each func()) {
+func (l *testLeader) onlyAfterRelease(step time.Duration, each func()) {
 	l.t.Helper()
 	for range 40 {
 		l.pass(step)
@@ -125,7 +125,7 @@
 			l.t.Fatalf("placed elsewhere before the release: %s", ops(cs))
 		}
 		if release := l.planned("m1"); release != nil {
-			l.Released(l.now, release)
+			l.ReleaseDone(l.now, release)
 			l.pass(time.Second)
 			l.commit()
 			if cs := l.report("m2", 1); ops(cs) != "run job-1/0" {
@@ -137,10 +137,10 @@
 	l.t.Fatal("not released")
 }
 
-func (l *leader) submit(id string) {
+func (l *testLeader) submit(id string) {
 	l.t.Helper()
-	var got controller.Verdict
-	l.Submit(l.now, l.now, spec(id), func(v controller.Verdict) { got = v })
+	var got leader.Response
+	l.Submit(l.now, l.now, spec(id), func(v leader.Response) { got = v })
 	if got.Status != 0 {
 		l.t.Fatalf("answered %d before the job was durable", got.Status)
 	}
@@ -159,7 +159,7 @@
 }
 
 // running brings one job's only task to run on m1.
-func running(t *testing.T) (*leader, wire.TaskReport) {
+func running(t *testing.T) (*testLeader, wire.TaskStatus) {
 	t.Helper()
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
 	l.submit("job-1")
@@ -173,7 +173,7 @@
 	if ops(cs) != "run job-1/0" {
 		t.Fatalf("want a start, got %q", ops(cs))
 	}
-	tr := wire.TaskReport{Task: "job-1/0", Attempt: cs[0].Attempt, State: wire.TaskRunning}
+	tr := wire.TaskStatus{Task: "job-1/0", Attempt: cs[0].Attempt, State: wire.TaskRunning}
 	if cs := l.report("m1", 1, tr); len(cs) != 0 {
 		t.Fatal(ops(cs))
 	}
@@ -181,25 +181,25 @@
 }
 
 // rents reports whether a plan rents.
-func rents(calls []controller.CloudCall) bool {
-	return slices.ContainsFunc(calls, func(c controller.CloudCall) bool { return c.Op == controller.CloudRent })
+func rents(calls []leader.CloudCall) bool {
+	return slices.ContainsFunc(calls, func(c leader.CloudCall) bool { return c.Op == leader.CloudProvision })
 }
 
 // leaderWithUnansweredCall brings a start for m1 into a direct call.
-func leaderWithUnansweredCall(t *testing.T) (*leader, *controller.DirectCall, wire.TaskReport) {
+func leaderWithUnansweredCall(t *testing.T) (*testLeader, *leader.DirectCall, wire.TaskStatus) {
 	t.Helper()
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
 	l.submit("job-1")
 	l.report("m1", 1)
 	l.pass(time.Second)
-	if calls := l.Direct(l.now); len(calls) != 0 {
+	if calls := l.NextDirectCalls(l.now); len(calls) != 0 {
 		t.Fatal("called before the record was durable")
 	}
 	l.commit()
-	calls := l.Direct(l.now)
-	if len(calls) != 1 || ops(calls[0].Request.Commands) != "run job-1/0" || calls[0].Request.Token != 5 || calls[0].Request.Session != 1 {
+	calls := l.NextDirectCalls(l.now)
+	if len(calls) != 1 || ops(calls[0].Request.Commands) != "run job-1/0" || calls[0].Request.FencingToken != 5 || calls[0].Request.AgentEpoch != 1 {
 		t.Fatalf("%+v", calls)
 	}
-	tr := wire.TaskReport{Task: "job-1/0", Attempt: calls[0].Request.Commands[0].Attempt, State: wire.TaskRunning}
+	tr := wire.TaskStatus{Task: "job-1/0", Attempt: calls[0].Request.Commands[0].Attempt, State: wire.TaskRunning}
 	return l, calls[0], tr
 }
--- a/internal/controller/job.go
+++ b/internal/leader/job.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"encoding/json"
@@ -9,8 +9,8 @@
 	"strconv"
 	"time"
 
-	"switchshore.example/switchshore/internal/ranges"
-	"switchshore.example/switchshore/internal/sched"
+	"switchshore.example/switchshore/internal/intervals"
+	"switchshore.example/switchshore/internal/placement"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -56,31 +56,31 @@
 	wire.Job
 	at        int64 // submission, time of day in milliseconds
 	submitted time.Time
-	// since is when its waits begin: when it was submitted, or the last job
+	// waitingSince is when its waits begin: when it was submitted, or the last job
 	// that it needs was done.
-	since time.Time
-	// level is its priority, or that of a job that needs it, if higher.
-	level     int
-	path      criticalPath
-	state     jobState
-	endedAt   time.Time // when its end was decided, in this term
-	openNeeds int       // jobs that it needs and that are not over
-	// needCancelled: a job that it needs was cancelled, and so will it be.
-	needCancelled bool
-	cyclic        bool // its path can't be derived: damaged records lead in a circle
-	pathScheduled bool // among those to be reweighed
-	stored        bool // the acceptance is durable
-	ended         bool // the final state is durable
-	done          *ranges.Set
-	durable       *ranges.Set // completions known to be stored
-	ready         []int32     // tasks to be placed, last first
-	holders       map[int32]int8
-	held          int // tasks that may be on a machine
-	// claims are the attempts known from start records while those are loaded.
-	claims  map[int32]*attempt
-	running int
-	inZone  map[string]int
-	need    sched.Resources
+	waitingSince time.Time
+	// priorityRank is its priority, or that of a job that needs it, if higher.
+	priorityRank     int
+	path             criticalPath
+	state            jobState
+	endedAt          time.Time // when its end was decided, in this term
+	openDependencies int       // jobs that it needs and that are not over
+	// dependencyCancelled: a job that it needs was cancelled, and so will it be.
+	dependencyCancelled bool
+	cyclic              bool // its path can't be derived: damaged records lead in a circle
+	pathScheduled       bool // among those to be reweighed
+	acceptanceDurable   bool // the acceptance is durable
+	endDurable          bool // the final state is durable
+	done                *intervals.Set
+	durable             *intervals.Set // completions known to be stored
+	ready               []int32        // tasks to be placed, last first
+	allocations         map[int32]int8
+	allocatedTasks      int // tasks that may be on a machine
+	// recordedAttempts are the attempts known from start records while those are loaded.
+	recordedAttempts map[int32]*attempt
+	running          int
+	inZone           map[string]int
+	request          placement.Resources
 
 	// progress is what tasks that are to run again have saved, in seconds, as
 	// far as this term has seen it.
@@ -88,14 +88,14 @@
 
 	failures int
 	// failedOn are the machines where tasks have failed since one was done.
-	failedOn map[string]bool
-	notUntil time.Time
+	failedOn     map[string]bool
+	backOffUntil time.Time
 	// startAt is when a task of the job was last placed, or when the job came.
 	startAt time.Time
 	// firstStartAt and lastStartAt are when the first and the last task were placed in
 	// this term, zero before.
 	firstStartAt, lastStartAt time.Time
-	waiting                   []func(ok bool) // told when the acceptance is durable
+	waiters                   []func(ok bool) // told when the acceptance is durable
 	chunks                    map[int]bool    // parts of the done-set to be written
 	// keys are the records of the job beside its own.
 	keys map[string]bool
@@ -103,30 +103,30 @@
 
 func newJob(spec wire.Job, at int64, since time.Time) *job {
 	j := &job{
-		Job:       spec,
-		at:        at,
-		submitted: since,
-		since:     since,
-		startAt:   since,
-		done:      ranges.New(spec.Tasks),
-		holders:   map[int32]int8{},
-		inZone:    map[string]int{},
-		chunks:    map[int]bool{},
-		keys:      map[string]bool{},
-		need:      sched.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB},
+		Job:          spec,
+		at:           at,
+		submitted:    since,
+		waitingSince: since,
+		startAt:      since,
+		done:         intervals.New(spec.Tasks),
+		allocations:  map[int32]int8{},
+		inZone:       map[string]int{},
+		chunks:       map[int]bool{},
+		keys:         map[string]bool{},
+		request:      placement.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB},
 	}
-	j.level, j.path = j.standalonePath()
+	j.priorityRank, j.path = j.standalonePath()
 	return j
 }
 
-// wants reports whether a task of the job is still to run.
-func (j *job) wants(index int) bool { return j.state == jobActive && !j.done.Has(index) }
+// needsTask reports whether a task of the job is still to run.
+func (j *job) needsTask(index int) bool { return j.state == jobActive && !j.done.Has(index) }
 
 // fillReady queues every task that is neither done nor maybe on a machine.
 func (j *job) fillReady() {
 	j.ready = j.ready[:0]
 	for i := j.Tasks - 1; i >= 0; i-- {
-		if !j.done.Has(i) && j.holders[int32(i)] == 0 {
+		if !j.done.Has(i) && j.allocations[int32(i)] == 0 {
 			j.ready = append(j.ready, int32(i))
 		}
 	}
@@ -136,49 +136,49 @@
 // not durable, so whether it exists is not decided, or it is being cancelled
 // together with one that it needs. However long that takes to become durable,
 // nobody hears any more that the job waits or runs.
-func (j *job) undecided() bool { return !j.stored || j.needCancelled && !j.ended }
+func (j *job) undecided() bool { return !j.acceptanceDurable || j.dependencyCancelled && !j.endDurable }
 
 // releaseTask counts one holder of a task less, and queues the task again if
 // none is left.
-func (c *Controller) releaseTask(j *job, index int32) {
-	j.holders[index]--
-	if j.holders[index] > 0 {
+func (l *Leader) releaseTask(j *job, index int32) {
+	j.allocations[index]--
+	if j.allocations[index] > 0 {
 		return
 	}
-	delete(j.holders, index)
-	j.held--
+	delete(j.allocations, index)
+	j.allocatedTasks--
 	if j.state == jobActive && !j.done.Has(int(index)) {
 		j.ready = append(j.ready, index)
 	}
-	c.changed = true
-	c.tidy(j)
+	l.changed = true
+	l.removeIfFinished(j)
 }
 
 // backOffAfterFailure makes a job with failing tasks back off.
-func (c *Controller) backOffAfterFailure(now time.Time, j *job) {
+func (l *Leader) backOffAfterFailure(now time.Time, j *job) {
 	j.failures++
-	d := tuning.RetryMin << min(j.failures-1, 10)
-	if d > tuning.RetryMax {
-		d = tuning.RetryMax
+	d := tuning.FailureBackoffMin << min(j.failures-1, 10)
+	if d > tuning.FailureBackoffMax {
+		d = tuning.FailureBackoffMax
 	}
-	j.notUntil = now.Add(d)
+	j.backOffUntil = now.Add(d)
 }
 
-func (c *Controller) backOff(j *job, until time.Time) {
-	if until.After(j.notUntil) {
-		j.notUntil = until
+func (l *Leader) backOff(j *job, until time.Time) {
+	if until.After(j.backOffUntil) {
+		j.backOffUntil = until
 	}
 }
 
 // recordProgress notes the progress that an attempt that is gone has saved: by itself at
 // every interval, and when it was stopped with time to save.
 func (j *job) recordProgress(now time.Time, a *attempt) {
-	if a.runningAt.IsZero() || j.CheckpointS <= 0 || j.done.Has(int(a.index)) {
+	if a.runningAt.IsZero() || j.CheckpointIntervalS <= 0 || j.done.Has(int(a.index)) {
 		return
 	}
 	ran := now.Sub(a.runningAt).Seconds()
-	if !a.saved {
-		ran = math.Floor(ran/j.CheckpointS) * j.CheckpointS
+	if !a.checkpointSaved {
+		ran = math.Floor(ran/j.CheckpointIntervalS) * j.CheckpointIntervalS
 	}
 	if ran > 0 {
 		if j.progress == nil {
@@ -188,9 +188,9 @@
 	}
 }
 
-func (c *Controller) sortedJobs() []*job {
-	js := make([]*job, 0, len(c.jobs))
-	for _, j := range c.jobs {
+func (l *Leader) sortedJobs() []*job {
+	js := make([]*job, 0, len(l.jobs))
+	for _, j := range l.jobs {
 		js = append(js, j)
 	}
 	sortByID(js)
@@ -207,11 +207,11 @@
 	}
 }
 
-// tellWaiting answers all who wait for the job's acceptance or end; ok is false if the
+// notifyWaiters answers all who wait for the job's acceptance or end; ok is false if the
 // term is over and nothing is decided.
-func (j *job) tellWaiting(ok bool) {
-	for _, tell := range j.waiting {
+func (j *job) notifyWaiters(ok bool) {
+	for _, tell := range j.waiters {
 		tell(ok)
 	}
-	j.waiting = nil
+	j.waiters = nil
 }
--- a/internal/controller/placement_test.go
+++ b/internal/leader/placement_test.go
@@ -1,4 +1,4 @@
-package controller_test
+package leader_test
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"switchshore.example/switchshore/internal/controller"
+	"switchshore.example/switchshore/internal/leader"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -22,8 +22,8 @@
 	l.pass(time.Second)
 	l.commit()
 	l.seq++
-	a, receipt := l.Report(l.now, &wire.Report{Machine: "m1", Type: "std-8", Zone: "a", Session: 1, Seq: l.seq, Token: 5}, false)
-	if receipt != controller.ReportApplied || len(a.Commands) != 0 {
+	a, receipt := l.HandleHeartbeat(l.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.seq, FencingToken: 5}, false)
+	if receipt != leader.HeartbeatApplied || len(a.Commands) != 0 {
 		t.Fatalf("%v %+v", receipt, a)
 	}
 }
@@ -33,10 +33,10 @@
 func TestTeamAtItsLimitMakesWay(t *testing.T) {
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
 	patient := spec("job-1")
-	patient.Priority, patient.Tasks, patient.CPUs, patient.CheckpointS, patient.EstimateS = wire.PriorityNormal, 2, 8, 20, 300
-	l.Submit(l.now, l.now, patient, func(controller.Verdict) {})
+	patient.Priority, patient.Tasks, patient.CPUs, patient.CheckpointIntervalS, patient.EstimateS = wire.PriorityNormal, 2, 8, 20, 300
+	l.Submit(l.now, l.now, patient, func(leader.Response) {})
 	l.commit()
-	lists := map[string][]wire.TaskReport{"m1": nil, "m2": nil, "m3": nil}
+	lists := map[string][]wire.TaskStatus{"m1": nil, "m2": nil, "m3": nil}
 	machines := []string{"m1", "m2", "m3"}
 	step := func(d time.Duration) (stops, starts string) {
 		l.pass(d)
@@ -46,7 +46,7 @@
 				switch c.Op {
 				case wire.OpStart:
 					starts += c.Task + " "
-					lists[m] = append(lists[m], wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
+					lists[m] = append(lists[m], wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
 				case wire.OpStop:
 					stops += c.Task + " "
 					lists[m] = nil
@@ -88,8 +88,8 @@
 		firm := spec("job-1")
 		firm.Tasks, firm.CPUs, firm.EstimateS = 2, c.firmCPUs, 600
 		low := spec("job-2")
-		low.Priority, low.Tasks, low.CPUs, low.CheckpointS, low.EstimateS = wire.PriorityIdle, c.running, 1, 5, 300
-		lists := map[string][]wire.TaskReport{"m1": nil, "m2": nil, "m3": nil}
+		low.Priority, low.Tasks, low.CPUs, low.CheckpointIntervalS, low.EstimateS = wire.PriorityIdle, c.running, 1, 5, 300
+		lists := map[string][]wire.TaskStatus{"m1": nil, "m2": nil, "m3": nil}
 		stops := 0
 		step := func() {
 			l.pass(500 * time.Millisecond)
@@ -98,16 +98,16 @@
 				for _, command := range l.report(m, 1, lists[m]...) {
 					switch command.Op {
 					case wire.OpStart:
-						lists[m] = append(lists[m], wire.TaskReport{Task: command.Task, Attempt: command.Attempt, State: wire.TaskRunning})
+						lists[m] = append(lists[m], wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: wire.TaskRunning})
 					case wire.OpStop:
 						stops++
-						lists[m] = slices.DeleteFunc(lists[m], func(r wire.TaskReport) bool { return r.Task == command.Task })
+						lists[m] = slices.DeleteFunc(lists[m], func(r wire.TaskStatus) bool { return r.Task == command.Task })
 					}
 				}
 			}
 		}
 		for _, j := range []*wire.Job{firm, low} {
-			l.Submit(l.now, l.now, j, func(controller.Verdict) {})
+			l.Submit(l.now, l.now, j, func(leader.Response) {})
 			l.commit()
 			for range 3 {
 				step()
@@ -115,7 +115,7 @@
 		}
 		high := spec("job-3")
 		high.Priority, high.CPUs = wire.PriorityCritical, 4
-		l.Submit(l.now, l.now, high, func(controller.Verdict) {})
+		l.Submit(l.now, l.now, high, func(leader.Response) {})
 		l.commit()
 		for range 8 {
 			step()
@@ -132,15 +132,15 @@
 func TestRoomBeingMadeIsKept(t *testing.T) {
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
 	low := spec("job-1")
-	low.Priority, low.Tasks, low.CPUs, low.CheckpointS, low.EstimateS = wire.PriorityIdle, 2, 4, 5, 300
-	l.Submit(l.now, l.now, low, func(controller.Verdict) {})
+	low.Priority, low.Tasks, low.CPUs, low.CheckpointIntervalS, low.EstimateS = wire.PriorityIdle, 2, 4, 5, 300
+	l.Submit(l.now, l.now, low, func(leader.Response) {})
 	l.commit()
 	l.report("m1", 1)
 	l.pass(time.Second)
 	l.commit()
-	var running []wire.TaskReport
+	var running []wire.TaskStatus
 	for _, c := range l.report("m1", 1) {
-		running = append(running, wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
+		running = append(running, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
 	}
 	if len(running) != 2 {
 		t.Fatalf("%d of 2 tasks started", len(running))
@@ -148,14 +148,14 @@
 	l.report("m1", 1, running...)
 	high := spec("job-2")
 	high.CPUs = 8
-	l.Submit(l.now, l.now, high, func(controller.Verdict) {})
+	l.Submit(l.now, l.now, high, func(leader.Response) {})
 	l.commit()
 	l.pass(time.Second)
 	if cs := l.report("m1", 1, running...); len(cs) != 2 || cs[0].Op != wire.OpStop || cs[1].Op != wire.OpStop {
 		t.Fatalf("instead of two stops: %s", ops(cs))
 	}
-	exited := func(r wire.TaskReport) wire.TaskReport {
-		r.State, r.Why = wire.TaskExited, wire.WhyStopped
+	exited := func(r wire.TaskStatus) wire.TaskStatus {
+		r.State, r.ExitReason = wire.TaskExited, wire.ExitStopped
 		return r
 	}
 	l.report("m1", 1, exited(running[0]), running[1])
@@ -177,11 +177,11 @@
 // TestAgedStartIsLeftToRun: a task that began since its job had waited long is not
 // stopped for more urgent work before its start counts; after that it is.
 func TestAgedStartIsLeftToRun(t *testing.T) {
-	for _, waited := range []time.Duration{time.Second, tuning.AgeAfter} {
+	for _, waited := range []time.Duration{time.Second, tuning.AgingThreshold} {
 		l := newLeader(t, 5, start, map[string]json.RawMessage{})
 		idle := spec("job-1")
-		idle.Priority, idle.CPUs, idle.CheckpointS, idle.EstimateS = wire.PriorityIdle, 8, 5, 300
-		l.Submit(l.now, l.now, idle, func(controller.Verdict) {})
+		idle.Priority, idle.CPUs, idle.CheckpointIntervalS, idle.EstimateS = wire.PriorityIdle, 8, 5, 300
+		l.Submit(l.now, l.now, idle, func(leader.Response) {})
 		l.commit()
 		l.pass(waited)
 		l.report("m1", 1)
@@ -199,11 +199,11 @@
 			if l.now.Sub(began) > 90*time.Second {
 				t.Fatal("never stopped")
 			}
-			if len(l.report("m1", 1, wire.TaskReport{Task: "job-1/0", Attempt: cs[0].Attempt, State: wire.TaskRunning})) > 0 {
+			if len(l.report("m1", 1, wire.TaskStatus{Task: "job-1/0", Attempt: cs[0].Attempt, State: wire.TaskRunning})) > 0 {
 				break
 			}
 		}
-		if ran := l.now.Sub(began); ran > 30*time.Second != (waited == tuning.AgeAfter) {
+		if ran := l.now.Sub(began); ran > 30*time.Second != (waited == tuning.AgingThreshold) {
 			t.Errorf("after a wait of %v: stopped after %v", waited, ran)
 		}
 	}
@@ -217,23 +217,23 @@
 	large := spec("job-999999")
 	large.Priority, large.Tasks, large.CPUs, large.EstimateS = wire.PriorityIdle, 40, 8, 20
 	const after = 100 // seconds, when the backlog is there
-	lists := map[string][]wire.TaskReport{"m1": nil, "m2": nil}
+	lists := map[string][]wire.TaskStatus{"m1": nil, "m2": nil}
 	ends := map[string]time.Time{}
 	first, begun := time.Duration(0), 0
 	for second := range 600 {
 		if second == after {
-			l.Submit(l.now, l.now, large, func(controller.Verdict) {})
+			l.Submit(l.now, l.now, large, func(leader.Response) {})
 		}
 		// Two machines could do a third of this.
 		small := spec(fmt.Sprintf("job-%06d", second))
 		small.Tasks, small.EstimateS = 4, 6
-		l.Submit(l.now, l.now, small, func(controller.Verdict) {})
+		l.Submit(l.now, l.now, small, func(leader.Response) {})
 		l.pass(time.Second)
 		l.commit()
 		for _, m := range []string{"m1", "m2"} {
 			for i := range lists[m] {
 				if task := &lists[m][i]; !l.now.Before(ends[task.Task]) {
-					task.State, task.Why = wire.TaskExited, wire.WhyDone
+					task.State, task.ExitReason = wire.TaskExited, wire.ExitDone
 				}
 			}
 			for _, c := range l.report(m, 1, lists[m]...) {
@@ -247,9 +247,9 @@
 						}
 					}
 					ends[c.Task] = l.now.Add(run)
-					lists[m] = append(lists[m], wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
+					lists[m] = append(lists[m], wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
 				case wire.OpForget:
-					lists[m] = slices.DeleteFunc(lists[m], func(r wire.TaskReport) bool { return r.Task == c.Task })
+					lists[m] = slices.DeleteFunc(lists[m], func(r wire.TaskStatus) bool { return r.Task == c.Task })
 				}
 			}
 		}
@@ -270,15 +270,15 @@
 		l := newLeader(t, 5, start, map[string]json.RawMessage{})
 		submit := func(id string, estimate float64) {
 			j := spec(id)
-			j.CPUs, j.EstimateS, j.CheckpointS, j.SaveS = 4, estimate, checkpoint, 4
-			l.Submit(l.now, l.now, j, func(controller.Verdict) {})
+			j.CPUs, j.EstimateS, j.CheckpointIntervalS, j.CheckpointSaveS = 4, estimate, checkpoint, 4
+			l.Submit(l.now, l.now, j, func(leader.Response) {})
 		}
 		submit("job-0", 40) // shares m1 with job-1 at first
 		submit("job-1", 300)
-		l.Listed(l.now, l.now, []wire.ListedMachine{
+		l.ApplyMachineList(l.now, l.now, []wire.ListedMachine{
 			{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}, {Name: "m2", Type: "std-8", Zone: "a", State: wire.MachineRunning},
 		})
-		lists := map[string][]wire.TaskReport{}
+		lists := map[string][]wire.TaskStatus{}
 		moved, released := 0, ""
 		for second := range 120 {
 			if second == 5 {
@@ -292,29 +292,29 @@
 				}
 				for i := range lists[m] {
 					if second == 45 && lists[m][i].Task == "job-0/0" {
-						lists[m][i].State, lists[m][i].Why = wire.TaskExited, wire.WhyDone
+						lists[m][i].State, lists[m][i].ExitReason = wire.TaskExited, wire.ExitDone
 					}
 				}
 				for _, c := range l.report(m, 1, lists[m]...) {
-					at := slices.IndexFunc(lists[m], func(r wire.TaskReport) bool { return r.Task == c.Task })
+					at := slices.IndexFunc(lists[m], func(r wire.TaskStatus) bool { return r.Task == c.Task })
 					switch c.Op {
 					case wire.OpStart:
-						lists[m] = append(lists[m], wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
+						lists[m] = append(lists[m], wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
 					case wire.OpStop:
-						if c.GraceS == nil || *c.GraceS < 4 {
+						if c.GracePeriodS == nil || *c.GracePeriodS < 4 {
 							t.Fatalf("stopped without time to save: %+v", c)
 						}
 						moved++
-						lists[m][at].State, lists[m][at].Why, lists[m][at].Saved = wire.TaskExited, wire.WhyStopped, true
+						lists[m][at].State, lists[m][at].ExitReason, lists[m][at].CheckpointSaved = wire.TaskExited, wire.ExitStopped, true
 					case wire.OpForget:
 						lists[m] = slices.Delete(lists[m], at, at+1)
 					}
 				}
 			}
-			for _, c := range l.Plan(l.now) {
-				if c.Op == controller.CloudRelease {
+			for _, c := range l.PlanScaling(l.now) {
+				if c.Op == leader.CloudRelease {
 					released = c.Release[0]
-					l.Released(l.now, c.Release)
+					l.ReleaseDone(l.now, c.Release)
 				}
 			}
 		}
