--- a/internal/controller/preempt.go
+++ b/internal/leader/preempt.go
@@ -1,16 +1,16 @@
-package controller
+package leader
 
 import (
 	"math"
 	"sort"
 	"time"
 
-	"switchshore.example/switchshore/internal/sched"
+	"switchshore.example/switchshore/internal/placement"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// victim is a running task that could make room.
-type victim struct {
+// preemptionCandidate is a running task that could make room.
+type preemptionCandidate struct {
 	*attempt
 	lostS float64 // progress lost, and what its job loses by the wait
 }
@@ -18,54 +18,54 @@
 // unsavedProgress is the progress in seconds that stopping an attempt which saves
 // checkpoints throws away: all since the last one.
 func unsavedProgress(now time.Time, a *attempt) float64 {
-	return math.Mod(now.Sub(a.runningAt).Seconds(), a.job.CheckpointS)
+	return math.Mod(now.Sub(a.runningAt).Seconds(), a.job.CheckpointIntervalS)
 }
 
 // endsSoon reports whether an attempt is about to end by its estimate. One
 // that is over its estimate may go on for long: waiting for it is no plan.
-func (c *Controller) endsSoon(now time.Time, a *attempt) bool {
-	left := c.remaining(now, a)
-	return a.state == running && left > 0 && left < tuning.PreemptPatience.Seconds()
+func (l *Leader) endsSoon(now time.Time, a *attempt) bool {
+	left := l.remaining(now, a)
+	return a.state == stateRunning && left > 0 && left < tuning.PreemptEndsSoon.Seconds()
 }
 
 // preempt makes room for tasks that found none: it stops tasks of a lower
 // priority that lose little by it.
-func (c *Controller) preempt(now time.Time, ready []*sched.Ready, byID map[string]*job) {
+func (l *Leader) preempt(now time.Time, ready []*placement.PendingJob, byID map[string]*job) {
 	waiting := waitingByLevel(ready, byID)
-	lowest := c.lowestStoppable()
-	if len(waiting) == 0 || waiting[0].Level >= lowest {
+	lowest := l.lowestStoppable()
+	if len(waiting) == 0 || waiting[0].PriorityRank >= lowest {
 		return
 	}
-	p := c.newPreemption(now)
+	p := l.newPreemption(now)
 	for _, r := range waiting {
-		if r.Level >= lowest {
+		if r.PriorityRank >= lowest {
 			break
 		}
-		p.makeRoom(r, byID[r.Job])
+		p.makeRoomForJob(r, byID[r.Job])
 	}
 	if p.stops > 0 {
-		c.log.Debug().Int("tasks", p.stops).Msg("preempted")
+		l.log.Debug().Int("tasks", p.stops).Msg("tasks preempted")
 	}
 }
 
 // waitingByLevel are the jobs with tasks that found no room, highest priority first.
-func waitingByLevel(ready []*sched.Ready, byID map[string]*job) []*sched.Ready {
-	var waiting []*sched.Ready
+func waitingByLevel(ready []*placement.PendingJob, byID map[string]*job) []*placement.PendingJob {
+	var waiting []*placement.PendingJob
 	for _, r := range ready {
 		if j := byID[r.Job]; len(j.ready) > 0 && j.failures == 0 {
 			waiting = append(waiting, r)
 		}
 	}
-	sort.SliceStable(waiting, func(i, k int) bool { return waiting[i].Level < waiting[k].Level })
+	sort.SliceStable(waiting, func(i, k int) bool { return waiting[i].PriorityRank < waiting[k].PriorityRank })
 	return waiting
 }
 
 // lowestStoppable is the lowest priority of the running jobs that save checkpoints.
-func (c *Controller) lowestStoppable() int {
+func (l *Leader) lowestStoppable() int {
 	lowest := 0
-	for j := range c.live {
-		if j.running > 0 && j.CheckpointS > 0 {
-			lowest = max(lowest, j.level)
+	for j := range l.live {
+		if j.running > 0 && j.CheckpointIntervalS > 0 {
+			lowest = max(lowest, j.priorityRank)
 		}
 	}
 	return lowest
@@ -73,25 +73,25 @@
 
 // preemption is one look for room that stopping tasks could make.
 type preemption struct {
-	*Controller
+	*Leader
 	now time.Time
-	// coming is the room of each machine once stopping and soon-ending tasks have left.
-	coming map[*machine]sched.Resources
-	// leaving are the CPUs of these tasks, by team.
-	leaving map[string]float64
+	// expectedFree is the room of each machine once stopping and soon-ending tasks have left.
+	expectedFree map[*machine]placement.Resources
+	// expectedFreeCPUs are the CPUs of these tasks, by team.
+	expectedFreeCPUs map[string]float64
 	// candidates are the tasks that may be stopped, those that lose least first.
-	candidates map[*machine][]victim
+	candidates map[*machine][]preemptionCandidate
 	stops      int
 	looks      int
 }
 
-func (c *Controller) newPreemption(now time.Time) *preemption {
+func (l *Leader) newPreemption(now time.Time) *preemption {
 	p := &preemption{
-		Controller: c, now: now,
-		coming: map[*machine]sched.Resources{}, leaving: map[string]float64{}, candidates: map[*machine][]victim{},
+		Leader: l, now: now,
+		expectedFree: map[*machine]placement.Resources{}, expectedFreeCPUs: map[string]float64{}, candidates: map[*machine][]preemptionCandidate{},
 	}
-	for _, m := range c.machinesByName {
-		if c.acceptsWork(now, m) {
+	for _, m := range l.machinesByName {
+		if l.acceptsWork(now, m) {
 			p.addMachine(m)
 		}
 	}
@@ -99,14 +99,14 @@
 }
 
 func (p *preemption) addMachine(m *machine) {
-	p.coming[m] = m.free
+	p.expectedFree[m] = m.free
 	for _, a := range m.attempts {
 		switch {
-		case a.stop, a.state == saving, p.endsSoon(p.now, a):
+		case a.stopping, a.state == stateSaving, p.endsSoon(p.now, a):
 			p.leave(a, 1)
-		case a.afterLongWait && p.now.Sub(a.orderedAt) < tuning.AgedRun:
+		case a.afterLongWait && p.now.Sub(a.orderedAt) < tuning.AgedMinRunTime:
 			// Stopped at once, pass after pass, its job would never have begun.
-		case a.state == running && a.job.CheckpointS > 0:
+		case a.state == stateRunning && a.job.CheckpointIntervalS > 0:
 			p.addCandidate(a)
 		}
 	}
@@ -116,58 +116,58 @@
 
 func (p *preemption) addCandidate(a *attempt) {
 	loss := unsavedProgress(p.now, a)
-	if loss > tuning.PreemptLoss.Seconds() {
+	if loss > tuning.PreemptMaxLoss.Seconds() {
 		return
 	}
 	if len(a.job.ready) == 0 {
 		// Others of its job don't wait: the job would end later.
-		loss += tuning.PreemptDelay.Seconds()
+		loss += tuning.PreemptDelayCost.Seconds()
 	}
-	p.candidates[a.machine] = append(p.candidates[a.machine], victim{a, loss})
+	p.candidates[a.machine] = append(p.candidates[a.machine], preemptionCandidate{a, loss})
 }
 
 // leave counts an attempt as about to leave its machine, or, with -1, no more.
 func (p *preemption) leave(a *attempt, sign float64) {
-	p.coming[a.machine] = p.coming[a.machine].Add(a.job.need, sign)
-	p.leaving[a.job.Team] += a.job.CPUs * sign
+	p.expectedFree[a.machine] = p.expectedFree[a.machine].Add(a.job.request, sign)
+	p.expectedFreeCPUs[a.job.Team] += a.job.CPUs * sign
 }
 
-func (p *preemption) stop(v victim) {
-	v.stop, v.grace = true, 0
+func (p *preemption) stop(v preemptionCandidate) {
+	v.stopping, v.gracePeriodS = true, 0
 	p.leave(v.attempt, 1)
 	p.stops++
 	p.scheduleCall(v.machine)
 }
 
-func (p *preemption) undoStops(victims []victim) {
+func (p *preemption) undoStops(victims []preemptionCandidate) {
 	for _, v := range victims {
-		v.stop = false
+		v.stopping = false
 		p.leave(v.attempt, -1)
 		p.stops--
 	}
 }
 
-// makeRoom stops tasks for as many waiting tasks of the job as it finds room for.
-func (p *preemption) makeRoom(r *sched.Ready, j *job) {
+// makeRoomForJob stops tasks for as many waiting tasks of the job as it finds room for.
+func (p *preemption) makeRoomForJob(r *placement.PendingJob, j *job) {
 	t := p.teams[j.Team]
 	if t == nil {
 		return
 	}
 	for range j.ready {
 		p.looks++
-		if p.stops >= tuning.PreemptStops || p.looks > tuning.PreemptLooks || !p.makeRoomForOne(r, j, t) {
+		if p.stops >= tuning.PreemptMaxStops || p.looks > tuning.PreemptMaxSearches || !p.makeRoomForOne(r, j, t) {
 			return
 		}
 	}
 }
 
 // makeRoomForOne is false if there is no room to be made for a task of the job.
-func (p *preemption) makeRoomForOne(r *sched.Ready, j *job, t *team) bool {
+func (p *preemption) makeRoomForOne(r *placement.PendingJob, j *job, t *team) bool {
 	own, ok := p.makeRoomWithinLimit(r, j, t)
 	if !ok {
 		return false
 	}
-	best, victims := p.cheapestRoom(r)
+	best, victims := p.cheapestMachine(r)
 	if best == nil {
 		// No machine would have it even then: stopping for nothing, pass
 		// after pass, would keep the team's other work from ever ending.
@@ -178,10 +178,10 @@
 		p.stop(v)
 	}
 	if len(victims) > 0 {
-		best.reserve(p.now, r.Level)
+		best.reserve(p.now, r.PriorityRank)
 	}
-	p.coming[best] = p.coming[best].Add(j.need, -1)
-	p.leaving[j.Team] -= j.CPUs
+	p.expectedFree[best] = p.expectedFree[best].Add(j.request, -1)
+	p.expectedFreeCPUs[j.Team] -= j.CPUs
 	return true
 }
 
@@ -189,10 +189,10 @@
 // the team is at its limit, until another task of the job fits: all that it takes or none.
 // One that is too small, stopped pass after pass, would never end, and the larger one
 // would not begin either.
-func (p *preemption) makeRoomWithinLimit(r *sched.Ready, j *job, t *team) ([]victim, bool) {
-	var own []victim
-	for t.CPUsMax-t.used.CPUs+p.leaving[j.Team] < j.CPUs {
-		v, ok := p.ownVictim(r)
+func (p *preemption) makeRoomWithinLimit(r *placement.PendingJob, j *job, t *team) ([]preemptionCandidate, bool) {
+	var own []preemptionCandidate
+	for t.CPUsMax-t.used.CPUs+p.expectedFreeCPUs[j.Team] < j.CPUs {
+		v, ok := p.cheapestOfTeam(r)
 		if !ok {
 			p.undoStops(own)
 			return nil, false
@@ -208,19 +208,19 @@
 // was stopped, which then had to be stopped again, and the task that it all was for would
 // not start either.
 func (m *machine) reserve(now time.Time, level int) {
-	if !now.Before(m.reservedUntil) || level < m.reservedLevel {
-		m.reservedLevel = level
+	if !now.Before(m.reservedUntil) || level < m.reservedRank {
+		m.reservedRank = level
 	}
-	m.reservedUntil = now.Add(tuning.PreemptReserve)
+	m.reservedUntil = now.Add(tuning.PreemptReservation)
 }
 
-// ownVictim finds the task of the job's own team that loses least.
-func (p *preemption) ownVictim(r *sched.Ready) (victim, bool) {
-	var best victim
+// cheapestOfTeam finds the task of the job's own team that loses least.
+func (p *preemption) cheapestOfTeam(r *placement.PendingJob) (preemptionCandidate, bool) {
+	var best preemptionCandidate
 	found := false
 	for _, m := range p.machinesByName {
 		for _, v := range p.candidates[m] {
-			if v.job.Team == r.Team && v.job.level > r.Level && !v.stop && (!found || v.lostS < best.lostS) {
+			if v.job.Team == r.Team && v.job.priorityRank > r.PriorityRank && !v.stopping && (!found || v.lostS < best.lostS) {
 				best, found = v, true
 			}
 		}
@@ -229,37 +229,37 @@
 }
 
 // fetchTime is T(f) of the job's image on the machine.
-func (c *Controller) fetchTime(m *machine, r *sched.Ready) float64 {
+func (l *Leader) fetchTime(m *machine, r *placement.PendingJob) float64 {
 	if _, cached := m.images[r.Image]; cached {
 		return 0
 	}
-	return sched.FetchTime(r.ImageGB, c.types[m.machineType].FetchGBPerS)
+	return placement.FetchTime(r.ImageGB, l.types[m.machineType].FetchGBPerS)
 }
 
-// cheapestRoom finds the machine that can make room for one task at the least
+// cheapestMachine finds the machine that can make room for one task at the least
 // loss, and whom to stop there; no one, if room is coming anyway.
-func (p *preemption) cheapestRoom(r *sched.Ready) (*machine, []victim) {
+func (p *preemption) cheapestMachine(r *placement.PendingJob) (*machine, []preemptionCandidate) {
 	var best *machine
-	var victims []victim
+	var victims []preemptionCandidate
 	least := math.Inf(1)
 	for _, m := range p.machinesByName {
-		room, ok := p.coming[m]
-		if !ok || m.avoid[r.Job] || !r.Allowed(m.placement()) {
+		room, ok := p.expectedFree[m]
+		if !ok || m.avoidedJobs[r.Job] || !r.Allowed(m.placement()) {
 			continue
 		}
-		if room.Fits(r.Need) {
+		if room.Fits(r.Request) {
 			return m, nil
 		}
 		// A start on a machine without the image is late all the same.
-		var chosen []victim
-		sum := p.fetchTime(m, r) * r.Need.CPUs * tuning.PreemptFetchWeight
+		var chosen []preemptionCandidate
+		sum := p.fetchTime(m, r) * r.Request.CPUs * tuning.PreemptFetchWeight
 		for _, v := range p.candidates[m] {
-			if v.stop || v.job.level <= r.Level {
+			if v.stopping || v.job.priorityRank <= r.PriorityRank {
 				continue
 			}
 			chosen = append(chosen, v)
 			sum += v.lostS * v.job.CPUs
-			if room = room.Add(v.job.need, 1); room.Fits(r.Need) {
+			if room = room.Add(v.job.request, 1); room.Fits(r.Request) {
 				if sum < least {
 					best, victims, least = m, chosen, sum
 				}
--- /dev/null
+++ b/internal/leader/reachability.go
@@ -0,0 +1,116 @@
+package leader
+
+import (
+	"slices"
+	"time"
+
+	"switchshore.example/switchshore/internal/tuning"
+)
+
+// updateReachability looks at which machines known to be up can be heard. It notes the zones
+// that seem to be cut off: most of their machines are missed, while those
+// elsewhere are heard; what is rented there could not report. It returns whether
+// many others are missed, too: then it must be this node that has lost them, or
+// has not got round to their reports yet after a succession.
+func (l *Leader) updateReachability(now time.Time) (lost bool) {
+	zones := map[string]*heartbeatCount{}
+	all := &heartbeatCount{}
+	for _, m := range l.machinesByName {
+		if !m.joined {
+			continue
+		}
+		if zones[m.zone] == nil {
+			zones[m.zone] = &heartbeatCount{}
+		}
+		missed := l.unreachable(now, m)
+		zones[m.zone].count(missed)
+		all.count(missed)
+	}
+	rest := *all
+	for zone, z := range zones {
+		others := heartbeatCount{all.known - z.known, all.missing - z.missing}
+		switch {
+		case z.missing >= tuning.PartitionedMachines && z.share() <= tuning.PartitionedShare && others.share() >= tuning.ReachableShare:
+			// Those missed may be released before long.
+			l.partitionedZones[zone] = now.Add(l.leaseTime())
+			rest.known -= z.known
+			rest.missing -= z.missing
+		case z.known > z.missing:
+			delete(l.partitionedZones, zone)
+		}
+	}
+	return rest.known > 0 && rest.share() < tuning.ReachableShare
+}
+
+// heartbeatCount counts machines known to be up and those of them that are missed.
+type heartbeatCount struct{ known, missing int }
+
+func (h *heartbeatCount) count(missed bool) {
+	h.known++
+	if missed {
+		h.missing++
+	}
+}
+
+// share is the part that is heard, 0 of none.
+func (h *heartbeatCount) share() float64 {
+	return float64(h.known-h.missing) / float64(max(h.known, 1))
+}
+
+// unreachable reports whether a machine known to be up has not been heard of for
+// long, or not since this term began.
+func (l *Leader) unreachable(now time.Time, m *machine) bool {
+	return m.joined && l.heartbeatOverdue(now, m) && now.Sub(l.started) > l.heartbeatTimeout()
+}
+
+// holdsUrgentWork reports whether a machine that is missed may hold work that would be
+// late once its lease has run out, but not if it could start elsewhere now: the
+// release proves it gone. Silence mostly outlasts the lease, and then the work
+// on the machine is lost in any case. A successor would wait longest, as its
+// predecessor may be cut off together with the machine and go on answering it.
+func (l *Leader) holdsUrgentWork(now time.Time, m *machine) bool {
+	if m.releasing || !l.unreachable(now, m) {
+		return false
+	}
+	ends := m.leaseRenewedAt.Add(l.leaseTime())
+	if !m.reconciled {
+		ends = l.inheritedUntil
+	}
+	return slices.ContainsFunc(m.attempts, func(a *attempt) bool {
+		slack, ok := l.deadlineSlack(now, a.job)
+		return ok && slack < ends.Sub(now).Seconds() && a.wanted()
+	})
+}
+
+// shouldRelease reports whether a machine will do no more work: failed, never up,
+// silent for long, or emptied for a drain.
+func (l *Leader) shouldRelease(now time.Time, m *machine) bool {
+	boot := l.types[m.machineType].BootTimeS
+	switch {
+	case m.failed, m.cordonedFor(cordonReplaced), !m.releaseBy.IsZero() && now.After(m.releaseBy):
+		return true
+	case !m.joined:
+		return boot > 0 && now.Sub(m.provisionedAt).Seconds() > boot*tuning.BootTimeoutFactor
+	case l.heartbeatOverdue(now, m) && m.missedLists >= 2:
+		return true
+	case !m.responsesLostSince.IsZero() && now.Sub(m.responsesLostSince) > l.leaseTime()*3/2:
+		// It can't be told anything; its tasks died with its lease.
+		return true
+	case !m.reconciled && !m.firstHeartbeatAt.IsZero() && now.After(l.inheritedUntil) && now.Sub(m.firstHeartbeatAt) > l.leaseTime()+tuning.UnreachableReleaseDelay:
+		// Heard, but never in this term: it doesn't get our answers. Whatever
+		// it may hold waits for the release, which proves it gone.
+		return true
+	case m.staleHeartbeats >= tuning.MaxStaleHeartbeats && l.leaseExpired(now, m) && now.Sub(m.staleSince) > l.heartbeatTimeout():
+		// Only reports older than the newest: late copies, or a new worker that
+		// began anew. It must not be taken for the old one, and can't be told
+		// from copies, so the machine is replaced.
+		return true
+	case len(m.attempts) == 0 && m.cordonedFor(cordonsRetiring):
+		return true
+	}
+	heard := m.heartbeatAt
+	if heard.IsZero() {
+		heard = l.started
+	}
+	return now.Sub(heard) > l.leaseTime()+tuning.UnreachableReleaseDelay
+}
--- a/internal/controller/reachability_test.go
+++ b/internal/leader/reachability_test.go
@@ -1,4 +1,4 @@
-package controller_test
+package leader_test
 
 import (
 	"encoding/json"
@@ -7,13 +7,13 @@
 	"testing"
 	"time"
 
-	"switchshore.example/switchshore/internal/controller"
+	"switchshore.example/switchshore/internal/leader"
 	"switchshore.example/switchshore/wire"
 )
 
 // zoned is a leader of two zones with machines a0 to a9 and b0 to b9.
 type zoned struct {
-	*leader
+	*testLeader
 	gone map[string]bool // released
 }
 
@@ -30,12 +30,12 @@
 			rows = append(rows, wire.ListedMachine{Name: fmt.Sprint(zone, i), Addr: "x:1", Type: "std-8", Zone: zone, State: wire.MachineRunning, AgeS: 100})
 		}
 	}
-	z.Listed(now, now, rows)
+	z.ApplyMachineList(now, now, rows)
 	return z
 }
 
 // hear lets the machines of the zones report what they were told to start.
-func (z *zoned) hear(on map[string][]wire.TaskReport, zones ...string) {
+func (z *zoned) hear(on map[string][]wire.TaskStatus, zones ...string) {
 	for _, zone := range zones {
 		for i := range 10 {
 			id := fmt.Sprint(zone, i)
@@ -43,12 +43,12 @@
 				continue
 			}
 			z.seq++
-			a, _ := z.Report(z.now, &wire.Report{
-				Machine: id, Addr: "x:1", Type: "std-8", Zone: zone, Session: 1, Seq: z.seq, Token: z.Term(), Tasks: on[id],
+			a, _ := z.HandleHeartbeat(z.now, &wire.Heartbeat{
+				Machine: id, Addr: "x:1", Type: "std-8", Zone: zone, AgentEpoch: 1, Sequence: z.seq, FencingToken: z.Term(), Tasks: on[id],
 			}, true)
 			for _, c := range a.Commands {
 				if c.Op == wire.OpStart {
-					on[id] = append(on[id], wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
+					on[id] = append(on[id], wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
 				}
 			}
 		}
@@ -56,11 +56,11 @@
 }
 
 // run brings a job of 80 tasks, four to each machine, to run everywhere.
-func (z *zoned) run(j *wire.Job) map[string][]wire.TaskReport {
-	on := map[string][]wire.TaskReport{}
+func (z *zoned) run(j *wire.Job) map[string][]wire.TaskStatus {
+	on := map[string][]wire.TaskStatus{}
 	z.hear(on, zones...)
 	j.Tasks, j.Team = 80, "wide"
-	z.Submit(z.now, z.now, j, func(controller.Verdict) {})
+	z.Submit(z.now, z.now, j, func(leader.Response) {})
 	for range 4 {
 		z.commit()
 		z.pass(time.Second)
@@ -74,22 +74,22 @@
 
 // after plays a time during which only the given zones are heard, and returns
 // what is released and the zones in which machines are rented.
-func (z *zoned) after(d time.Duration, on map[string][]wire.TaskReport, heard ...string) (released, rented []string) {
+func (z *zoned) after(d time.Duration, on map[string][]wire.TaskStatus, heard ...string) (released, rented []string) {
 	for range int(d / time.Second) {
 		z.pass(time.Second)
 		z.hear(on, heard...)
 		z.commit()
-		for _, c := range z.Plan(z.now) {
-			if c.Op == controller.CloudRent {
-				rented = append(rented, c.Rent.Zone)
-				z.Rented(z.now, c.Rent, nil)
+		for _, c := range z.PlanScaling(z.now) {
+			if c.Op == leader.CloudProvision {
+				rented = append(rented, c.Provision.Zone)
+				z.ProvisionDone(z.now, c.Provision, nil)
 				continue
 			}
 			for _, id := range c.Release {
 				z.gone[id] = true
 			}
 			released = append(released, c.Release...)
-			z.Released(z.now, c.Release)
+			z.ReleaseDone(z.now, c.Release)
 		}
 	}
 	slices.Sort(released)
@@ -130,7 +130,7 @@
 	if _, more := z.after(3*time.Second, on, "a"); fmt.Sprint(append(rented, more...)) != "[a]" {
 		t.Errorf("rented in %v, then %v", rented, more)
 	}
-	if n := z.Counts(); n.Held != 40 || n.Ready != 40 {
+	if n := z.Counts(); n.Allocated != 40 || n.Ready != 40 {
 		t.Errorf("%+v", n)
 	}
 
@@ -141,7 +141,7 @@
 	for i := range 40 {
 		rows = append(rows, wire.ListedMachine{Name: fmt.Sprint("b9", i), Addr: "x:1", Type: "std-8", Zone: "b", State: wire.MachineBooting})
 	}
-	booting.Listed(booting.now, booting.now, rows)
+	booting.ApplyMachineList(booting.now, booting.now, rows)
 	if _, rented := booting.after(10*time.Second, on, "a"); fmt.Sprint(rented) != "[a]" {
 		t.Errorf("with machines booting in the zone: rented in %v", rented)
 	}
@@ -190,7 +190,7 @@
 	if released, _ := next.after(4*time.Second, on, "a"); len(released) != 10 {
 		t.Errorf("released: %v", released)
 	}
-	if n := next.Counts(); n.Held != 40 || n.Ready != 40 {
+	if n := next.Counts(); n.Allocated != 40 || n.Ready != 40 {
 		t.Errorf("%+v", n)
 	}
 }
--- a/internal/controller/records.go
+++ b/internal/leader/records.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"encoding/json"
@@ -39,33 +39,33 @@
 }
 
 // valueLimit is the largest value of the state service, in bytes.
-func (c *Controller) valueLimit() int { return int(c.params.State.ValueKB * 1024) }
+func (l *Leader) valueLimit() int { return int(l.params.State.ValueKB * 1024) }
 
 // storeJob queues the writes of a job and calls then when all are durable. Pieces
 // go before the record that names them: after a crash between them there is no
 // job, and a successor drops them.
-func (c *Controller) storeJob(j *job, then func()) {
+func (l *Leader) storeJob(j *job, then func()) {
 	rec := jobRecord{Job: j.Job, At: j.at}
 	value, _ := json.Marshal(rec)
-	if len(j.Needs) > 0 || len(value) > c.valueLimit() {
+	if len(j.DependsOn) > 0 || len(value) > l.valueLimit() {
 		rec.Job, rec.Whole = placeholder(j.Job), &j.Job
 		value, _ = json.Marshal(rec)
 	}
-	if len(value) > c.valueLimit() {
-		rec.Whole, rec.Term = nil, c.term
+	if len(value) > l.valueLimit() {
+		rec.Whole, rec.Term = nil, l.term
 		rest, _ := json.Marshal(j.Job)
-		size := (c.valueLimit() - len(`""`)) / 4 * 3 // as base64
+		size := (l.valueLimit() - len(`""`)) / 4 * 3 // as base64
 		for ; len(rest) > 0; rec.Pieces++ {
 			piece := rest[:min(size, len(rest))]
 			rest = rest[len(piece):]
-			key := keyPiece(j.ID, c.term, rec.Pieces)
+			key := keyPiece(j.ID, l.term, rec.Pieces)
 			text, _ := json.Marshal(piece)
 			j.keys[key] = true
-			c.interactiveWrites.put(key, text, nil)
+			l.interactiveWrites.put(key, text, nil)
 		}
 		value, _ = json.Marshal(rec)
 	}
-	c.interactiveWrites.put(keyJob(j.ID), value, then)
+	l.interactiveWrites.put(keyJob(j.ID), value, then)
 }
 
 // unknownType is a machine type that no cloud offers.
@@ -77,12 +77,12 @@
 func placeholder(j wire.Job) wire.Job {
 	j.Class, j.Image, j.Zone = "-", "-", ""
 	j.Types = []string{unknownType}
-	j.Needs = nil
+	j.DependsOn = nil
 	return j
 }
 
 // loadJob takes in a job's record; its pieces have been loaded before.
-func (c *Controller) loadJob(now, wall time.Time, id string, value json.RawMessage) error {
+func (l *Leader) loadJob(now, wall time.Time, id string, value json.RawMessage) error {
 	var rec jobRecord
 	if err := json.Unmarshal(value, &rec); err != nil {
 		return err
@@ -96,11 +96,11 @@
 		var text []byte
 		for k := range rec.Pieces {
 			key := keyPiece(id, rec.Term, k)
-			piece, ok := c.pieces[key]
+			piece, ok := l.pieces[key]
 			if !ok {
 				return fmt.Errorf("%s is missing", key)
 			}
-			delete(c.pieces, key)
+			delete(l.pieces, key)
 			keys = append(keys, key)
 			text = append(text, piece...)
 		}
@@ -114,21 +114,21 @@
 	}
 	age := max(0, wall.Sub(time.UnixMilli(rec.At)))
 	j := newJob(spec, rec.At, now.Add(-age))
-	j.state, j.stored = jobActive, true
+	j.state, j.acceptanceDurable = jobActive, true
 	for _, key := range keys {
 		j.keys[key] = true
 	}
-	c.jobs[id] = j
-	c.countUnfinished(j.Team, j.Tasks)
+	l.jobs[id] = j
+	l.countUnfinished(j.Team, j.Tasks)
 	return nil
 }
 
 // doneChunk is the number of tasks whose completion shares a record: the
 // largest power of two, up to a bound, with which the record fits into a value
 // however fragmented it is.
-func (c *Controller) doneChunk() int {
-	most := max(1, (c.valueLimit()-len(`""`))/tuning.DoneTaskBytes)
-	return min(tuning.DoneChunk, 1<<(bits.Len(uint(most))-1))
+func (l *Leader) doneChunk() int {
+	most := max(1, (l.valueLimit()-len(`""`))/tuning.CompletionBytesPerTask)
+	return min(tuning.CompletionChunkTasks, 1<<(bits.Len(uint(most))-1))
 }
 
 // doneRecord is the key and the text of a part of a job's done-set. Parts of
@@ -136,11 +136,11 @@
 // read all parts, whatever their bounds, but write their own with all that they
 // know of it; as each key stands for the same bounds to everybody, nobody takes
 // a completion out of a record that another one has written.
-func (c *Controller) doneRecord(j *job, number int) (key, text string) {
-	size := c.doneChunk()
+func (l *Leader) doneRecord(j *job, number int) (key, text string) {
+	size := l.doneChunk()
 	from, to := number*size, (number+1)*size
 	key = "d/" + j.ID + "/" + strconv.Itoa(number)
-	if size < tuning.DoneChunk {
+	if size < tuning.CompletionChunkTasks {
 		key = fmt.Sprintf("d/%s/%d-%d", j.ID, from, to-1)
 	}
 	return key, j.done.Format(from, to)
--- a/internal/controller/records_test.go
+++ b/internal/leader/records_test.go
@@ -1,4 +1,4 @@
-package controller_test
+package leader_test
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 	"github.com/rs/zerolog"
 
 	"switchshore.example/switchshore/internal/config"
-	"switchshore.example/switchshore/internal/controller"
+	"switchshore.example/switchshore/internal/leader"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -27,7 +27,7 @@
 	for i := range 400 {
 		id := fmt.Sprintf("job-%d", 1000+i)
 		l.accept(spec(id))
-		long.Needs = append(long.Needs, id)
+		long.DependsOn = append(long.DependsOn, id)
 	}
 	long.Types = []string{"std-8"}
 	for i := range 100 {
@@ -74,7 +74,7 @@
 		t.Errorf("%d pieces", pieces)
 	}
 	next := newLeader(t, 8, l.now, l.kept)
-	next.Cancel(next.now, long.Needs[17], func(controller.Verdict) {})
+	next.Cancel(next.now, long.DependsOn[17], func(leader.Response) {})
 	next.commit()
 	next.pass(time.Second)
 	next.commit()
@@ -95,20 +95,20 @@
 	useTightLimits(t)
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
 	l.accept(spec("job-1"), dependentJob("job-2", "job-1"), dependentJob("job-3", "job-2"))
-	load := func(kept map[string]json.RawMessage) (*controller.Controller, string, error) {
+	load := func(kept map[string]json.RawMessage) (*leader.Leader, string, error) {
 		var logs bytes.Buffer
-		c := controller.New(zerolog.New(&logs), params, config.Operator{}, 6, l.now, 0)
-		for _, prefix := range controller.Prefixes {
+		c := leader.New(zerolog.New(&logs), params, config.Operator{}, 6, l.now, 0)
+		for _, prefix := range leader.Prefixes {
 			for _, key := range slices.Sorted(maps.Keys(kept)) {
 				if !strings.HasPrefix(key, prefix) {
 					continue
 				}
-				if err := c.Load(l.now, l.now, wire.Item{Key: key, Value: kept[key]}); err != nil {
+				if err := c.LoadRecord(l.now, l.now, wire.KeyValue{Key: key, Value: kept[key]}); err != nil {
 					return nil, logs.String(), err
 				}
 			}
 		}
-		c.Loaded(l.now)
+		c.FinishLoading(l.now)
 		return c, logs.String(), nil
 	}
 	long := spec("job-5")
@@ -134,19 +134,19 @@
 	urgent := dependentJob("job-4", "job-3")
 	deadline := 100.0
 	urgent.DeadlineS = &deadline
-	c.Submit(l.now, l.now, urgent, func(controller.Verdict) {})
+	c.Submit(l.now, l.now, urgent, func(leader.Response) {})
 	for range 5 {
 		c.Tick(l.now, true)
 	}
-	if n := c.Counts().Chain; n != 0 {
+	if n := c.Counts().DependencySteps; n != 0 {
 		t.Errorf("%d steps left for jobs that need themselves", n)
 	}
 	if v := c.Query("job-3"); v.State != wire.JobQueued {
 		t.Errorf("%+v", v)
 	}
-	c.Cancel(l.now, "job-3", func(controller.Verdict) {})
+	c.Cancel(l.now, "job-3", func(leader.Response) {})
 	for b := c.NextBatch(10, 10); b != nil; b = c.NextBatch(10, 10) {
-		c.Committed(b, nil)
+		c.BatchCommitted(b, nil)
 		c.Tick(l.now, true)
 	}
 	if v := c.Query("job-2"); v.State != wire.JobCancelled {
@@ -166,7 +166,7 @@
 	if b == nil || !strings.HasPrefix(b.Writes[0].Put, "s/") {
 		t.Fatal("no start record")
 	}
-	l.Committed(b, []string{b.Writes[0].Put})
+	l.BatchCommitted(b, []string{b.Writes[0].Put})
 	if cs := l.report("m1", 1); len(cs) != 0 {
 		t.Fatalf("started without a record: %s", ops(cs))
 	}
@@ -186,27 +186,27 @@
 	l.accept(spec("job-1"), spec("job-2"))
 	params.State.ValueKB = 0.05 // less than any start record takes
 	var logs bytes.Buffer
-	c := controller.New(zerolog.New(&logs), params, config.Operator{}, 6, l.now, 0)
+	c := leader.New(zerolog.New(&logs), params, config.Operator{}, 6, l.now, 0)
 	for _, id := range []string{"job-1", "job-2"} {
-		if err := c.Load(l.now, l.now, wire.Item{Key: "j/" + id, Value: l.kept["j/"+id]}); err != nil {
+		if err := c.LoadRecord(l.now, l.now, wire.KeyValue{Key: "j/" + id, Value: l.kept["j/"+id]}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	c.Loaded(l.now)
-	c.SetTypes([]wire.MachineType{bigType})
-	next := &leader{Controller: c, t: t, now: l.now, kept: l.kept}
+	c.FinishLoading(l.now)
+	c.SetMachineTypes([]wire.MachineType{bigType})
+	next := &testLeader{Leader: c, t: t, now: l.now, kept: l.kept}
 	next.report("m1", 1)
 	next.pass(time.Second)
-	c.Cancel(next.now, "job-2", func(controller.Verdict) {})
+	c.Cancel(next.now, "job-2", func(leader.Response) {})
 	b := c.NextBatch(10, 10)
 	if b == nil || len(b.Writes) != 1 || b.Writes[0].Put != "f/job-2" {
 		t.Fatalf("%+v", b)
 	}
-	c.Committed(b, nil)
+	c.BatchCommitted(b, nil)
 	if !strings.Contains(logs.String(), `"key":"s/`) {
 		t.Errorf("not named: %s", logs.String())
 	}
-	if n := c.Counts(); n.Held != 0 || n.Ready != 1 {
+	if n := c.Counts(); n.Allocated != 0 || n.Ready != 1 {
 		t.Errorf("the task of the record left out is lost: %+v", n)
 	}
 }
--- a/internal/controller/recovery_test.go
+++ b/internal/leader/recovery_test.go
@@ -1,4 +1,4 @@
-package controller_test
+package leader_test
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 	"github.com/rs/zerolog"
 
 	"switchshore.example/switchshore/internal/config"
-	"switchshore.example/switchshore/internal/controller"
+	"switchshore.example/switchshore/internal/leader"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -27,8 +27,8 @@
 		t.Fatalf("placed a task that m1 may hold: %s", ops(cs))
 	}
 	// A report that knows an earlier term only proves nothing yet.
-	a, receipt := next.Report(next.now, &wire.Report{Machine: "m1", Type: "std-8", Zone: "a", Session: 1, Seq: 50, Token: 5}, true)
-	if receipt != controller.ReportApplied || a.Token != 6 || len(a.Commands) != 0 {
+	a, receipt := next.HandleHeartbeat(next.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: 50, FencingToken: 5}, true)
+	if receipt != leader.HeartbeatApplied || a.FencingToken != 6 || len(a.Commands) != 0 {
 		t.Fatalf("%+v", a)
 	}
 	next.pass(time.Second)
@@ -44,7 +44,7 @@
 	// Without a word from m1 the task is free once its lease is over,
 	// counted from the last answer that a predecessor may have given.
 	other := newLeader(t, 7, l.now, l.kept)
-	wait := controller.Grace(params.Workers) + 15*time.Second
+	wait := leader.GracePeriod(params.Workers) + 15*time.Second
 	for other.now.Before(l.now.Add(wait)) {
 		other.report("m2", 1)
 		other.pass(time.Second)
@@ -69,7 +69,7 @@
 	l, tr := running(t)
 	next := newLeader(t, 6, l.now, l.kept)
 	next.seq = 100
-	older := wire.TaskReport{Task: tr.Task, Attempt: 1, State: wire.TaskExited, Why: wire.WhyStopped}
+	older := wire.TaskStatus{Task: tr.Task, Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitStopped}
 	next.report("m1", 1, older, tr)
 	next.commit()
 	last := newLeader(t, 7, next.now, next.kept)
@@ -86,11 +86,11 @@
 // older than the one before it proves nothing.
 func TestAbsentFromTheListIsGone(t *testing.T) {
 	l, _ := running(t)
-	l.Listed(l.now, l.now, []wire.ListedMachine{{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
+	l.ApplyMachineList(l.now, l.now, []wire.ListedMachine{{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
 	try := func(d time.Duration) string {
 		l.now = l.now.Add(d)
 		l.report("m2", 1)
-		l.Listed(l.now, l.now, []wire.ListedMachine{{Name: "m2", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
+		l.ApplyMachineList(l.now, l.now, []wire.ListedMachine{{Name: "m2", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
 		l.pass(time.Second)
 		l.commit()
 		return ops(l.report("m2", 1))
@@ -109,15 +109,15 @@
 func TestSuccessorKnowsTheCatalogue(t *testing.T) {
 	l, _ := running(t)
 	l.commit()
-	next := controller.New(zerolog.Nop(), params, config.Operator{}, 6, l.now, 0)
+	next := leader.New(zerolog.Nop(), params, config.Operator{}, 6, l.now, 0)
 	for key, value := range l.kept {
-		if strings.HasPrefix(key, controller.Prefixes[0]) {
-			if err := next.Load(l.now, l.now, wire.Item{Key: key, Value: value}); err != nil {
+		if strings.HasPrefix(key, leader.Prefixes[0]) {
+			if err := next.LoadRecord(l.now, l.now, wire.KeyValue{Key: key, Value: value}); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	if !next.Ready() {
+	if !next.CatalogueKnown() {
 		t.Fatal("no machine types known")
 	}
 }
@@ -148,13 +148,13 @@
 		l, tr := running(t)
 		next := newLeader(t, 6, l.now, l.kept)
 		next.seq = 100
-		older := wire.TaskReport{Task: tr.Task, Attempt: 1, State: wire.TaskExited, Why: wire.WhyStopped}
+		older := wire.TaskStatus{Task: tr.Task, Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitStopped}
 		next.report("m1", 1, older, tr)
 		// What users wait for goes first and nearly fills the transaction.
 		for i := range 100 {
 			j := spec(fmt.Sprintf("job-%06d", i))
 			j.Class = strings.Repeat("x", 120+pad)
-			next.Submit(next.now, next.now, j, func(controller.Verdict) {})
+			next.Submit(next.now, next.now, j, func(leader.Response) {})
 		}
 		taken := false
 		for b := next.NextBatch(500, 500); b != nil; b = next.NextBatch(500, 500) {
@@ -166,7 +166,7 @@
 					t.Fatalf("pad %d: %s deleted before what took over from it", pad, w.Delete)
 				}
 			}
-			next.Committed(b, nil)
+			next.BatchCommitted(b, nil)
 		}
 		if !taken {
 			t.Fatal("the task seen was not recorded")
@@ -184,7 +184,7 @@
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
 	wide := spec("job-1")
 	wide.Tasks, wide.CPUs = 40, 8
-	l.Submit(l.now, l.now, wide, func(controller.Verdict) {})
+	l.Submit(l.now, l.now, wide, func(leader.Response) {})
 	l.commit()
 	for i := range wide.Tasks {
 		l.report(fmt.Sprintf("i-%06d", i), 1)
@@ -200,7 +200,7 @@
 			t.Errorf("%s has %d bytes", key, len(value))
 		}
 	}
-	if held := newLeader(t, 6, l.now, l.kept).Counts().Held; held != wide.Tasks || records < 2 {
+	if held := newLeader(t, 6, l.now, l.kept).Counts().Allocated; held != wide.Tasks || records < 2 {
 		t.Errorf("%d records name %d of %d tasks", records, held, wide.Tasks)
 	}
 }
--- /dev/null
+++ b/internal/leader/rentals.go
@@ -0,0 +1,388 @@
+package leader
+
+import (
+	"cmp"
+	"encoding/json"
+	"fmt"
+	"maps"
+	"slices"
+	"sort"
+	"time"
+
+	"switchshore.example/switchshore/internal/autoscale"
+	"switchshore.example/switchshore/internal/tuning"
+	"switchshore.example/switchshore/wire"
+)
+
+// cloudState is what is known of the cloud: its offers, and the calls to it under way.
+type cloudState struct {
+	types  map[string]wire.MachineType
+	offers []wire.MachineType
+	// catalogue is the stored form of the types.
+	catalogue         json.RawMessage
+	unavailableOffers map[autoscale.Offer]time.Time // without capacity, until then
+	partitionedZones  map[string]time.Time          // zones that seem to be cut off, until then
+	provisionsNamed   uint64                        // requests named so far
+	pendingProvisions map[string]*provisionRequest  // by request
+	// releasesInFlight is the number of releases without an answer.
+	releasesInFlight int
+	listsApplied     uint64 // machine lists
+}
+
+func newCloudState() cloudState {
+	return cloudState{
+		types:             map[string]wire.MachineType{},
+		unavailableOffers: map[autoscale.Offer]time.Time{},
+		partitionedZones:  map[string]time.Time{},
+		pendingProvisions: map[string]*provisionRequest{},
+	}
+}
+
+// provisionRequest is a request for machines without an answer.
+type provisionRequest struct {
+	offer autoscale.Offer
+	count int
+	at    time.Time
+	// replacementFor is the drain that the machines are replacements for, if any.
+	replacementFor string
+}
+
+// price is what the machine costs now.
+func (l *Leader) price(m *machine) float64 {
+	if m.spot {
+		return l.types[m.machineType].SpotPrice
+	}
+	return l.types[m.machineType].Price
+}
+
+// CloudOp is the kind of a cloud call.
+type CloudOp int
+
+// Cloud calls.
+const (
+	CloudProvision CloudOp = iota
+	CloudRelease
+)
+
+// CloudCall is a call to be made.
+type CloudCall struct {
+	Op        CloudOp
+	Provision wire.ProvisionRequest
+	Release   []string
+}
+
+// PlanScaling decides about renting and returning, at most once per planning period.
+func (l *Leader) PlanScaling(now time.Time) []CloudCall {
+	if now.Before(l.nextPlan) || len(l.types) == 0 || l.listsApplied == 0 {
+		return nil
+	}
+	l.nextPlan = now.Add(tuning.ScalingInterval)
+	isolated := l.updateReachability(now)
+	l.isolated = isolated
+	in := l.planInput(now)
+	if now.Sub(l.started) < seconds(l.params.Cloud.ListLagS) && l.term > 1 {
+		// Machines that a predecessor rented last are not listed yet.
+		in.Demand = nil
+	}
+	plan := autoscale.NewPlan(in)
+	calls := append(l.provisionCalls(now, plan.ScaleOut), l.replacementCalls(now)...)
+	if l.releasesInFlight > 0 {
+		// The next releases take all that has come together meanwhile: the
+		// budget of calls is better spent on rentals.
+		return calls
+	}
+	return append(calls, l.releaseCalls(l.machinesToRelease(now, plan.ScaleIn, isolated))...)
+}
+
+// provisionCalls are the calls for the wanted machines, as many as may be under way.
+func (l *Leader) provisionCalls(now time.Time, wanted map[autoscale.Offer]int) []CloudCall {
+	most := max(1, int(l.params.Cloud.RPS*tuning.CloudShare*tuning.ProvisionsInFlight))
+	var calls []CloudCall
+	for _, o := range slices.SortedFunc(maps.Keys(wanted), compareOffers) {
+		if len(l.pendingProvisions) >= most {
+			break
+		}
+		calls = append(calls, l.provision(now, o, wanted[o], ""))
+	}
+	return calls
+}
+
+// provision is the call for machines of an offer; replacementFor is the drain that they are for, or "".
+func (l *Leader) provision(now time.Time, o autoscale.Offer, count int, replacementFor string) CloudCall {
+	l.provisionsNamed++
+	r := wire.ProvisionRequest{
+		RequestID: fmt.Sprintf("r-%d-%d", l.term, l.provisionsNamed),
+		Type:      o.Type, Zone: o.Zone, Spot: o.Spot, Count: min(count, tuning.MaxProvisionCount),
+	}
+	l.pendingProvisions[r.RequestID] = &provisionRequest{offer: o, count: r.Count, at: now, replacementFor: replacementFor}
+	return CloudCall{Op: CloudProvision, Provision: r}
+}
+
+// compareOffers orders spot offers first, then by type and zone.
+func compareOffers(a, b autoscale.Offer) int {
+	if a.Spot != b.Spot {
+		if a.Spot {
+			return -1
+		}
+		return 1
+	}
+	return cmp.Or(cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone))
+}
+
+// machinesToRelease lists the machines to be returned, the most urgent first: those that keep
+// urgent work from starting elsewhere, unless it is this node that is isolated, then
+// those that the plan has no use for, then those that will do no more work.
+func (l *Leader) machinesToRelease(now time.Time, unneeded []string, isolated bool) []string {
+	var names []string
+	for _, m := range l.machinesByName {
+		if !isolated && l.holdsUrgentWork(now, m) {
+			names = append(names, m.id)
+		}
+	}
+	names = append(names, unneeded...)
+	for _, m := range l.machinesByName {
+		if !m.releasing && l.shouldRelease(now, m) {
+			names = append(names, m.id)
+		}
+	}
+	return names
+}
+
+// releaseCalls are the calls that return the named machines, as many as may be under way.
+func (l *Leader) releaseCalls(names []string) []CloudCall {
+	most := tuning.MaxReleaseCount * max(1, int(l.params.Cloud.RPS*tuning.CloudShare*tuning.ReleasesInFlight))
+	var releasing []string
+	for _, name := range names {
+		if m := l.machines[name]; m != nil && !m.releasing && len(releasing) < most {
+			m.releasing = true
+			releasing = append(releasing, name)
+		}
+	}
+	var calls []CloudCall
+	for some := range slices.Chunk(releasing, tuning.MaxReleaseCount) {
+		l.releasesInFlight++
+		calls = append(calls, CloudCall{Op: CloudRelease, Release: some})
+	}
+	return calls
+}
+
+// planInput is the snapshot that the planner decides on.
+func (l *Leader) planInput(now time.Time) autoscale.Input {
+	in := autoscale.Input{
+		Types:       l.offers,
+		KeepIdle:    tuning.ScaleInIdleTime,
+		MaxMachines: l.operator.MaxMachines,
+		Unavailable: func(o autoscale.Offer) bool { return !l.offered(now, o) },
+	}
+	if l.operator.KeepIdleS > 0 {
+		in.KeepIdle = seconds(l.operator.KeepIdleS)
+	}
+	in.Machines = slices.Concat(l.plannedMachines(now), l.machinesBeingProvisioned())
+	in.Demand = l.demand(now)
+	l.updateSmoothedCPUs(now, l.busyCPUs())
+	in.ReserveCPUs, in.InflowCPUs = l.smoothedCPUs, l.inflowNow(now)
+	return in
+}
+
+// offered reports whether machines of an offer may be rented now.
+func (l *Leader) offered(now time.Time, o autoscale.Offer) bool {
+	return !now.Before(l.unavailableOffers[o]) && !now.Before(l.partitionedZones[o.Zone]) && !l.closedByDrain(o)
+}
+
+// busyCPUs are those of all tasks that may be on machines which are not being released.
+func (l *Leader) busyCPUs() float64 {
+	busy := 0.0
+	for _, m := range l.machinesByName {
+		if m.releasing {
+			continue
+		}
+		for _, a := range m.attempts {
+			busy += a.job.CPUs
+		}
+	}
+	return busy
+}
+
+// plannedMachines are the machines as the planner sees them.
+func (l *Leader) plannedMachines(now time.Time) []autoscale.Machine {
+	list := make([]autoscale.Machine, 0, len(l.machinesByName))
+	for _, m := range l.machinesByName {
+		if m.releasing {
+			continue
+		}
+		p := autoscale.Machine{
+			ID: m.id, Offer: autoscale.Offer{Type: m.machineType, Zone: m.zone, Spot: m.spot},
+			Total: m.total, Free: m.free, Price: l.price(m),
+			Schedulable: !m.cordoned() && !(m.joined && l.heartbeatOverdue(now, m)),
+			Idle:        len(m.attempts) == 0 && m.joined && m.reconciled && now.Sub(m.provisionedAt) >= tuning.MinimumBillingTime && !l.isReplacement(m.id),
+			IdleFor:     now.Sub(m.idleSince),
+		}
+		if !m.joined {
+			p.Schedulable = p.Schedulable && !now.Before(l.partitionedZones[m.zone])
+			p.BootRemainingS = max(0, l.types[m.machineType].BootTimeS-now.Sub(m.provisionedAt).Seconds())
+		}
+		for _, a := range m.attempts {
+			p.BusyS += l.remaining(now, a) * a.job.CPUs
+		}
+		list = append(list, p)
+	}
+	return list
+}
+
+// machinesBeingProvisioned stand for what rentals without an answer will bring.
+func (l *Leader) machinesBeingProvisioned() []autoscale.Machine {
+	var list []autoscale.Machine
+	for _, name := range slices.Sorted(maps.Keys(l.pendingProvisions)) {
+		r := l.pendingProvisions[name]
+		t := l.types[r.offer.Type]
+		for range r.count {
+			list = append(list, autoscale.Machine{
+				Offer: r.offer, Total: resources(t), Free: resources(t), Schedulable: true, BootRemainingS: t.BootTimeS,
+			})
+		}
+	}
+	return list
+}
+
+// demand is the work that waits for room, within the teams' limits.
+func (l *Leader) demand(now time.Time) []autoscale.Demand {
+	room := map[string]float64{}
+	for name, t := range l.teams {
+		room[name] = t.CPUsMax - t.used.CPUs
+	}
+	ready, byID := l.readyJobs(now)
+	sort.SliceStable(ready, func(i, k int) bool { return ready[i].PriorityRank < ready[k].PriorityRank })
+	var demand []autoscale.Demand
+	for _, r := range ready {
+		j := byID[r.Job]
+		limit := int(min(max(0, room[j.Team])/max(j.CPUs, 1e-9), float64(r.Tasks)))
+		// A failing job tries one task at a time, but it has to find a machine
+		// for that one: without demand of its own it could wait for ever.
+		n := min(r.Tasks, limit)
+		room[j.Team] -= float64(n) * j.CPUs
+		if n == 0 {
+			continue
+		}
+		demand = append(demand, autoscale.Demand{
+			Tasks: n, StartWithinS: l.startWithin(now, j), Request: j.request, EstimateS: r.EstimateS + float64(l.startDelay),
+			Types: j.Types, Zone: j.Zone, Spot: j.Spot, Avoid: j.failedOn,
+		})
+	}
+	return demand
+}
+
+// ProvisionDone takes in the answer of a rental: names, or none if refused.
+func (l *Leader) ProvisionDone(now time.Time, r wire.ProvisionRequest, names []string) {
+	rent := l.pendingProvisions[r.RequestID]
+	delete(l.pendingProvisions, r.RequestID)
+	if rent == nil {
+		return
+	}
+	for _, id := range names {
+		if l.released[id] || l.machines[id] != nil {
+			continue
+		}
+		m := l.addMachine(now, id, r.Type, r.Zone, "", r.Spot)
+		m.provisionedAt = rent.at
+	}
+	l.noteReplacements(rent.replacementFor, names)
+	if len(names) < r.Count {
+		l.unavailableOffers[rent.offer] = now.Add(tuning.UnavailableOfferBackoff)
+	}
+	l.log.Debug().Str("request", r.RequestID).Str("zone", r.Zone).Bool("spot", r.Spot).Int("requested", r.Count).Int("received", len(names)).Msg("machines provisioned")
+}
+
+// ReleaseDone takes in that machines, and all on them, are gone.
+func (l *Leader) ReleaseDone(now time.Time, names []string) {
+	l.releasesInFlight = max(0, l.releasesInFlight-1)
+	l.remove(now, names)
+}
+
+// remove forgets machines that are gone, with all on them.
+func (l *Leader) remove(now time.Time, names []string) {
+	for _, id := range names {
+		l.released[id] = true
+		m := l.machines[id]
+		if m == nil {
+			continue
+		}
+		l.releaseAll(now, m)
+		l.removeMachine(m)
+	}
+	l.log.Debug().Strs("machines", names).Msg("machines removed")
+	l.changed = true
+}
+
+// ApplyMachineList takes in a complete machine list, asked for at the given time.
+func (l *Leader) ApplyMachineList(asked, now time.Time, list []wire.ListedMachine) {
+	l.listsApplied++
+	l.listsComplete = l.listsComplete || asked.Sub(l.started) > l.longestListLag()
+	listed := make(map[string]bool, len(list))
+	for _, row := range list {
+		listed[row.Name] = true
+		if !l.released[row.Name] {
+			l.applyListed(asked, now, row)
+		}
+	}
+	if gone := l.missingLongEnough(asked, listed); len(gone) > 0 {
+		l.remove(now, gone)
+	}
+}
+
+// applyListed applies one row of a machine list.
+func (l *Leader) applyListed(asked, now time.Time, row wire.ListedMachine) {
+	m := l.machines[row.Name]
+	if m == nil {
+		m = l.addMachine(asked, row.Name, row.Type, row.Zone, row.Addr, row.Spot)
+	}
+	// What a predecessor rented is older than this term: a successor that
+	// took it for new kept idle machines through its minimum bill again.
+	if at := asked.Add(-seconds(row.AgeS)); at.Before(m.provisionedAt) {
+		m.provisionedAt = at
+	}
+	if m.addr == "" {
+		m.addr = row.Addr
+	}
+	if m.listedAt.IsZero() {
+		m.listedAt = now
+	}
+	m.missedLists = 0
+	if row.State == wire.MachineFailed {
+		m.failed = true
+	}
+}
+
+// longestListLag is by how much a machine list may be older than the request for it.
+func (l *Leader) longestListLag() time.Duration {
+	return seconds(l.params.Cloud.ListLagS * (1 + tuning.ClockDrift) * 2)
+}
+
+// missingLongEnough counts the machines that a list lacks, and names those that are
+// provably gone. A machine stays listed until it is gone, and a list is at most twice
+// its lag old: one asked for later than that after a machine was first listed
+// describes a time at which it had been listed.
+func (l *Leader) missingLongEnough(asked time.Time, listed map[string]bool) []string {
+	var gone []string
+	lag := l.longestListLag()
+	for _, m := range l.machinesByName {
+		if listed[m.id] || m.listedAt.IsZero() && !m.fromRecord {
+			continue
+		}
+		m.missedLists++
+		if !m.listedAt.IsZero() && asked.Sub(m.listedAt) > lag {
+			gone = append(gone, m.id)
+		}
+	}
+	return gone
+}
+
+// HeartbeatsMissing reports whether machines that were heard of have fallen silent: the
+// next list may tell that they are gone.
+func (l *Leader) HeartbeatsMissing(now time.Time) bool {
+	for _, m := range l.machinesByName {
+		if m.reconciled && len(m.attempts) > 0 && now.Sub(m.heartbeatAt) > seconds(l.params.Workers.HeartbeatIntervalS*tuning.LateHeartbeatIntervals) {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/controller/reports_test.go
+++ b/internal/leader/reports_test.go
@@ -1,11 +1,11 @@
-package controller_test
+package leader_test
 
 import (
 	"encoding/json"
 	"testing"
 	"time"
 
-	"switchshore.example/switchshore/internal/controller"
+	"switchshore.example/switchshore/internal/leader"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -24,9 +24,9 @@
 	if cs := l.report("m1", 1, tr); len(cs) != 0 {
 		t.Fatalf("a late report of a lost session got %s", ops(cs))
 	}
-	l.report("m2", 1, wire.TaskReport{Task: "job-1/0", Attempt: cs[0].Attempt, State: wire.TaskRunning})
-	if v := l.Query("job-1"); v.Run != 1 {
-		t.Fatalf("running %d", v.Run)
+	l.report("m2", 1, wire.TaskStatus{Task: "job-1/0", Attempt: cs[0].Attempt, State: wire.TaskRunning})
+	if v := l.Query("job-1"); v.Running != 1 {
+		t.Fatalf("running %d", v.Running)
 	}
 }
 
@@ -34,7 +34,7 @@
 // the task to the machine, and is not forgotten there while it may come.
 func TestUnansweredCallKeepsItsTask(t *testing.T) {
 	l, call, tr := leaderWithUnansweredCall(t)
-	l.DirectDone(l.now, call, controller.DirectUnknown, nil)
+	l.DirectCallDone(l.now, call, leader.DirectUnknown, nil)
 	if cs := l.report("m1", 1); ops(cs) != "run job-1/0" || cs[0].Attempt != tr.Attempt {
 		t.Fatalf("want the same start again, got %s", ops(cs))
 	}
@@ -46,7 +46,7 @@
 		t.Fatalf("placed elsewhere: %s", ops(cs))
 	}
 	l.report("m1", 1, tr)
-	tr.State, tr.Why = wire.TaskExited, wire.WhyError
+	tr.State, tr.ExitReason = wire.TaskExited, wire.ExitError
 	for range 2 {
 		if cs := l.report("m1", 1, tr); len(cs) != 0 {
 			t.Fatalf("while the start may come late: %s", ops(cs))
@@ -61,14 +61,14 @@
 // the answer to an earlier report, with a start in it, is still on its way.
 func TestReorderedAnswerIsNoProof(t *testing.T) {
 	l, call, _ := leaderWithUnansweredCall(t)
-	l.DirectDone(l.now, call, controller.DirectNever, nil)
+	l.DirectCallDone(l.now, call, leader.DirectNotDelivered, nil)
 	if cs := l.report("m1", 1); ops(cs) != "run job-1/0" {
 		t.Fatal(ops(cs))
 	}
-	l.Cancel(l.now, "job-1", func(controller.Verdict) {})
+	l.Cancel(l.now, "job-1", func(leader.Response) {})
 	l.commit()
 	l.seq++
-	l.DirectDone(l.now, call, controller.DirectAnswered, &wire.Report{Machine: "m1", Type: "std-8", Zone: "a", Session: 1, Seq: l.seq, Token: 5})
+	l.DirectCallDone(l.now, call, leader.DirectAnswered, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.seq, FencingToken: 5})
 	l.commit()
 	if l.kept["j/job-1"] == nil {
 		t.Fatal("the task was taken for gone while its start was on its way")
@@ -85,7 +85,7 @@
 // lease has run out, it gets no more work, and it is released.
 func TestMachineThatLosesAnswersIsReplaced(t *testing.T) {
 	l, tr := running(t)
-	l.Listed(l.now, l.now, []wire.ListedMachine{{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
+	l.ApplyMachineList(l.now, l.now, []wire.ListedMachine{{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
 	for range 5 {
 		l.pass(3 * time.Second)
 		l.report("m1", 1, tr)
@@ -138,11 +138,11 @@
 func TestMachineThatNeverLearnsTheTerm(t *testing.T) {
 	l, tr := running(t)
 	next := newLeader(t, 6, l.now, l.kept)
-	next.Listed(next.now, next.now, []wire.ListedMachine{{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
+	next.ApplyMachineList(next.now, next.now, []wire.ListedMachine{{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
 	seq := uint64(100)
 	next.onlyAfterRelease(3*time.Second, func() {
 		seq++
-		next.Report(next.now, &wire.Report{Machine: "m1", Type: "std-8", Zone: "a", Session: 1, Seq: seq, Token: 5, Tasks: []wire.TaskReport{tr}}, true)
+		next.HandleHeartbeat(next.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: seq, FencingToken: 5, Tasks: []wire.TaskStatus{tr}}, true)
 	})
 }
 
@@ -150,10 +150,10 @@
 // lease from being presumed over nor get an answer, which would renew it.
 func TestLateCopiesRenewNoLease(t *testing.T) {
 	l, tr := running(t)
-	late := &wire.Report{Machine: "m1", Addr: "m1:9", Type: "std-8", Zone: "a", Session: 1, Seq: l.seq, Token: 5, Tasks: []wire.TaskReport{tr}}
+	late := &wire.Heartbeat{Machine: "m1", Addr: "m1:9", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.seq, FencingToken: 5, Tasks: []wire.TaskStatus{tr}}
 	for range 10 {
 		l.pass(2 * time.Second)
-		if a, receipt := l.Report(l.now, late, true); receipt != controller.ReportStale || len(a.Commands) != 0 {
+		if a, receipt := l.HandleHeartbeat(l.now, late, true); receipt != leader.HeartbeatStale || len(a.Commands) != 0 {
 			t.Fatalf("a late copy was answered: %v %+v", receipt, a)
 		}
 		l.report("m2", 1)
@@ -163,8 +163,8 @@
 	if cs := l.report("m2", 1); ops(cs) != "run job-1/0" {
 		t.Fatalf("want a start elsewhere once the lease is over, got %q", ops(cs))
 	}
-	late.Seq += 100
-	if _, receipt := l.Report(l.now, late, true); receipt != controller.ReportStale {
+	late.Sequence += 100
+	if _, receipt := l.HandleHeartbeat(l.now, late, true); receipt != leader.HeartbeatStale {
 		t.Fatal("a session known to be over came back")
 	}
 }
@@ -174,11 +174,11 @@
 // may hold is free only once the machine is released.
 func TestNewWorkerIsNotTheOldOne(t *testing.T) {
 	l, call, _ := leaderWithUnansweredCall(t)
-	l.DirectDone(l.now, call, controller.DirectAnswered, &wire.Report{
-		Machine: "m1", Type: "std-8", Zone: "a", Session: 1, Seq: 1, Token: 5,
-		Tasks: []wire.TaskReport{{Task: "job-1/0", Attempt: call.Request.Commands[0].Attempt, State: wire.TaskRunning}},
+	l.DirectCallDone(l.now, call, leader.DirectAnswered, &wire.Heartbeat{
+		Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: 1, FencingToken: 5,
+		Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: call.Request.Commands[0].Attempt, State: wire.TaskRunning}},
 	})
-	l.Listed(l.now, l.now, []wire.ListedMachine{{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
+	l.ApplyMachineList(l.now, l.now, []wire.ListedMachine{{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
 	released := false
 	var release []string
 	for i := range 20 {
@@ -188,7 +188,7 @@
 				t.Fatal("not released")
 			}
 			released = true
-			l.Released(l.now, release)
+			l.ReleaseDone(l.now, release)
 		}
 		l.report("m2", 1)
 		l.commit()
@@ -209,8 +209,8 @@
 // worker have got it: it stays bound until the machine is released.
 func TestUnansweredCallOutlivesTheLease(t *testing.T) {
 	l, call, _ := leaderWithUnansweredCall(t)
-	l.DirectDone(l.now, call, controller.DirectUnknown, nil)
-	l.Listed(l.now, l.now, []wire.ListedMachine{{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
+	l.DirectCallDone(l.now, call, leader.DirectUnknown, nil)
+	l.ApplyMachineList(l.now, l.now, []wire.ListedMachine{{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
 	l.onlyAfterRelease(time.Second, func() {})
 }
 
@@ -219,11 +219,11 @@
 // replaced; it need not be silent for long on top.
 func TestReplacedWorkerIsReleased(t *testing.T) {
 	l, _ := running(t)
-	l.Listed(l.now, l.now, []wire.ListedMachine{{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
+	l.ApplyMachineList(l.now, l.now, []wire.ListedMachine{{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
 	for i := range 9 {
 		l.pass(3 * time.Second)
-		_, receipt := l.Report(l.now, &wire.Report{Machine: "m1", Type: "std-8", Zone: "a", Session: 1, Seq: uint64(i%2 + 1)}, true)
-		if receipt != controller.ReportStale {
+		_, receipt := l.HandleHeartbeat(l.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: uint64(i%2 + 1)}, true)
+		if receipt != leader.HeartbeatStale {
 			t.Fatal("taken for the old worker")
 		}
 		if l.planned("m1") != nil {
@@ -239,15 +239,15 @@
 func TestReorderedReportIsAnswered(t *testing.T) {
 	l, call, tr := leaderWithUnansweredCall(t)
 	l.seq += 2
-	l.DirectDone(l.now, call, controller.DirectAnswered, &wire.Report{Machine: "m1", Type: "std-8", Zone: "a", Session: 1, Seq: l.seq, Token: 5, Tasks: []wire.TaskReport{tr}})
-	overtaken := &wire.Report{Machine: "m1", Type: "std-8", Zone: "a", Session: 1, Seq: l.seq - 1, Token: 5}
-	if a, receipt := l.Report(l.now, overtaken, true); receipt != controller.ReportApplied || len(a.Commands) != 0 {
+	l.DirectCallDone(l.now, call, leader.DirectAnswered, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.seq, FencingToken: 5, Tasks: []wire.TaskStatus{tr}})
+	overtaken := &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.seq - 1, FencingToken: 5}
+	if a, receipt := l.HandleHeartbeat(l.now, overtaken, true); receipt != leader.HeartbeatApplied || len(a.Commands) != 0 {
 		t.Fatalf("%v %+v", receipt, a)
 	}
-	if v := l.Query("job-1"); v.Run != 1 {
+	if v := l.Query("job-1"); v.Running != 1 {
 		t.Fatal("an overtaken report moved the state back")
 	}
-	if _, receipt := l.Report(l.now, overtaken, true); receipt != controller.ReportStale {
+	if _, receipt := l.HandleHeartbeat(l.now, overtaken, true); receipt != leader.HeartbeatStale {
 		t.Fatal("its copy was answered")
 	}
 }
--- /dev/null
+++ b/internal/leader/requests.go
@@ -0,0 +1,225 @@
+package leader
+
+import (
+	"net/http"
+	"time"
+
+	"switchshore.example/switchshore/internal/admission"
+	"switchshore.example/switchshore/internal/config"
+	"switchshore.example/switchshore/internal/placement"
+	"switchshore.example/switchshore/internal/tuning"
+	"switchshore.example/switchshore/wire"
+)
+
+// Response is the outcome of a request: a status for the user, with a job's state or why the
+// request is refused.
+type Response struct {
+	Status  int
+	State   string
+	Done    int
+	Running int
+	Reason  string
+	// RetryAfterS is when a user who is refused should come back, in seconds; 0 for the
+	// usual time.
+	RetryAfter int
+}
+
+// IsTerminal reports whether the verdict stays true for good, whoever leads: others may
+// be told only by a leader.
+func (v Response) IsTerminal() bool {
+	return v.Status/100 == 2 && wire.IsTerminal(v.State)
+}
+
+func (l *Leader) response(id string) (Response, bool) {
+	if f, ok := l.finals[id]; ok {
+		state := wire.JobDone
+		if f.how == finalCancelled {
+			state = wire.JobCancelled
+		}
+		return Response{Status: http.StatusOK, State: state, Done: int(f.done)}, true
+	}
+	j := l.jobs[id]
+	if j == nil {
+		return Response{Status: http.StatusNotFound}, false
+	}
+	v := Response{Status: http.StatusOK, State: wire.JobQueued, Done: j.done.Len(), Running: j.running}
+	if j.running > 0 {
+		v.State = wire.JobRunning
+	}
+	return v, true
+}
+
+// RejectedError is why a submission is not accepted: now, or ever.
+type RejectedError struct {
+	Status     int
+	Reason     string
+	RetryAfter int
+}
+
+func (e *RejectedError) Error() string { return e.Reason }
+
+func (e *RejectedError) response() Response {
+	return Response{Status: e.Status, Reason: e.Reason, RetryAfter: e.RetryAfter}
+}
+
+// Submit takes a checked submission of which no other node has told anything.
+func (l *Leader) Submit(now time.Time, wall time.Time, spec *wire.Job, then func(Response)) {
+	l.SubmitWithClaim(now, wall, spec, nil, then)
+}
+
+// SubmitWithClaim takes a checked submission with what the node that its user has reached
+// says of it. It either answers at once or calls then later, when the job is durable or
+// the term is over.
+func (l *Leader) SubmitWithClaim(now time.Time, wall time.Time, spec *wire.Job, claim *admission.Claim, then func(Response)) {
+	// Until the acceptance is durable nobody may be told of the job, not even
+	// once its cancellation has been asked for.
+	if j := l.jobs[spec.ID]; j != nil && j.undecided() {
+		j.waiters = append(j.waiters, func(ok bool) { then(l.accepted(ok, spec.ID, http.StatusOK)) })
+		return
+	}
+	if v, known := l.response(spec.ID); known {
+		then(v)
+		return
+	}
+	rejected := l.checkSubmission(spec)
+	if rejected == nil {
+		rejected = l.checkAdmission(now, spec, claim)
+	}
+	if rejected != nil {
+		then(rejected.response())
+		return
+	}
+	l.accept(now, wall, spec, then)
+}
+
+// checkSubmission returns why a job that is not known yet can't be accepted, or nil.
+func (l *Leader) checkSubmission(spec *wire.Job) *RejectedError {
+	if !l.CatalogueKnown() {
+		return &RejectedError{Status: http.StatusServiceUnavailable, Reason: "machine types not known yet"}
+	}
+	if why := l.impossible(spec); why != "" {
+		return &RejectedError{Status: http.StatusUnprocessableEntity, Reason: why}
+	}
+	if rejected := l.checkDependencies(spec); rejected != nil {
+		return rejected
+	}
+	if l.active+spec.Tasks > tuning.MaxActiveTasks || l.interactiveWrites.len() >= l.maxInteractiveWrites() {
+		// More than the state service takes while users wait for an answer:
+		// waiting in line would only end in a timeout.
+		return &RejectedError{Status: http.StatusServiceUnavailable, Reason: "too much work queued"}
+	}
+	return nil
+}
+
+// accept stores a new job; its user is told when it is durable.
+func (l *Leader) accept(now time.Time, wall time.Time, spec *wire.Job, then func(Response)) {
+	j := newJob(*spec, wall.UnixMilli(), now)
+	l.jobs[j.ID] = j
+	l.countUnfinished(j.Team, j.Tasks)
+	l.linkDependencies(j)
+	for _, need := range j.DependsOn {
+		l.scheduleCriticalPath(l.jobs[need])
+	}
+	j.waiters = append(j.waiters, func(ok bool) { then(l.accepted(ok, j.ID, http.StatusCreated)) })
+	l.storeJob(j, func() {
+		j.acceptanceDurable = true
+		if j.state == jobAccepting {
+			j.state = jobActive
+			l.releaseIfUnblocked(now, j)
+		}
+		if j.state == jobActive {
+			j.notifyWaiters(true)
+		}
+	})
+	if j.dependencyCancelled {
+		l.cancelDependent(now, j)
+	}
+}
+
+// maxInteractiveWrites is how many changes the write budget takes while a user waits.
+func (l *Leader) maxInteractiveWrites() int {
+	return max(1, int(l.params.State.WriteRPS*tuning.StoreWriteShare*tuning.SubmitTimeout.Seconds()))
+}
+
+func (l *Leader) accepted(ok bool, id string, status int) Response {
+	if !ok {
+		return Response{Status: http.StatusServiceUnavailable, Reason: "the term ended"}
+	}
+	v, _ := l.response(id)
+	v.Status = status
+	return v
+}
+
+// impossible says why a job can never run, or "".
+func (l *Leader) impossible(spec *wire.Job) string {
+	if why := aboveLimit(l.teams[spec.Team], spec); why != "" {
+		return why
+	}
+	need := placement.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}
+	probe := placement.PendingJob{Types: spec.Types, Zone: spec.Zone, Spot: true, Request: need, Total: spec.Tasks}
+	for _, mt := range l.types {
+		for _, zone := range mt.Zones {
+			if probe.Allowed(&placement.Machine{Type: mt.Name, Zone: zone, Total: resources(mt)}) {
+				return ""
+			}
+		}
+	}
+	return "a task fits no allowed machine type"
+}
+
+// aboveLimit says why a job can never run, as far as its team's settings tell, or "".
+func aboveLimit(t *team, spec *wire.Job) string {
+	if t == nil {
+		return "unknown team"
+	}
+	if !(placement.Resources{CPUs: t.CPUsMax, GPUs: t.GPUsMax}).Fits(placement.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs}) {
+		return "a task needs more than the team's limit"
+	}
+	return ""
+}
+
+// AboveLimit says why a job can never run, as far as the settings alone tell, or "": any
+// node can say that, whether or not a leader is known.
+func AboveLimit(teams []config.Team, spec *wire.Job) string {
+	for _, t := range teams {
+		if t.Name == spec.Team {
+			return aboveLimit(&team{Team: withLimits(t)}, spec)
+		}
+	}
+	return aboveLimit(nil, spec)
+}
+
+func resources(t wire.MachineType) placement.Resources {
+	return placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
+}
+
+// Query tells a job's state, 503 while it can't be told.
+func (l *Leader) Query(id string) Response {
+	if j := l.jobs[id]; j != nil && j.undecided() {
+		return Response{Status: http.StatusServiceUnavailable, Reason: "being accepted or cancelled"}
+	}
+	v, _ := l.response(id)
+	return v
+}
+
+// Cancel cancels a job. It answers at once or calls then when it is durable.
+func (l *Leader) Cancel(now time.Time, id string, then func(Response)) {
+	if _, ended := l.finals[id]; ended {
+		v, _ := l.response(id)
+		then(v)
+		return
+	}
+	j := l.jobs[id]
+	switch {
+	case j == nil:
+		then(Response{Status: http.StatusNotFound})
+	case j.state == jobDone, j.state == jobCancelled:
+		// Decided, and on its way to the state service.
+		j.waiters = append(j.waiters, func(ok bool) { then(l.accepted(ok, id, http.StatusOK)) })
+	default:
+		// A submission still waiting hears of its acceptance, as that is
+		// written first, or of the end.
+		j.waiters = append(j.waiters, func(ok bool) { then(l.accepted(ok, id, http.StatusOK)) })
+		l.end(now, j, jobCancelled, &l.interactiveWrites)
+	}
+}
--- a/internal/controller/requests_test.go
+++ b/internal/leader/requests_test.go
@@ -1,4 +1,4 @@
-package controller_test
+package leader_test
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 	"github.com/rs/zerolog"
 
 	"switchshore.example/switchshore/internal/config"
-	"switchshore.example/switchshore/internal/controller"
+	"switchshore.example/switchshore/internal/leader"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -19,7 +19,7 @@
 // only one until the state service has it, and users hear of it only then.
 func TestDoneIsDurableBeforeReap(t *testing.T) {
 	l, tr := running(t)
-	tr.State, tr.Why = wire.TaskExited, wire.WhyDone
+	tr.State, tr.ExitReason = wire.TaskExited, wire.ExitDone
 	if cs := l.report("m1", 1, tr); len(cs) != 0 {
 		t.Fatalf("before it is durable: %s", ops(cs))
 	}
@@ -50,10 +50,10 @@
 // no trace of it.
 func TestNothingIsToldBeforeItIsDurable(t *testing.T) {
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
-	l.Submit(l.now, l.now, spec("job-1"), func(controller.Verdict) {})
-	l.Cancel(l.now, "job-1", func(controller.Verdict) {})
-	var again controller.Verdict
-	l.Submit(l.now, l.now, spec("job-1"), func(v controller.Verdict) { again = v })
+	l.Submit(l.now, l.now, spec("job-1"), func(leader.Response) {})
+	l.Cancel(l.now, "job-1", func(leader.Response) {})
+	var again leader.Response
+	l.Submit(l.now, l.now, spec("job-1"), func(v leader.Response) { again = v })
 	if again.Status != 0 {
 		t.Fatalf("repeat answered %+v", again)
 	}
@@ -71,7 +71,7 @@
 func TestPollIsCheap(t *testing.T) {
 	l, _ := running(t)
 	for i := range 3000 {
-		l.Submit(l.now, l.now, spec(fmt.Sprint("job-", 1000+i)), func(controller.Verdict) {})
+		l.Submit(l.now, l.now, spec(fmt.Sprint("job-", 1000+i)), func(leader.Response) {})
 		l.commit()
 	}
 	for _, id := range []string{"job-1", "job-2000", "job-999999"} {
@@ -94,15 +94,15 @@
 	} {
 		j := spec("job-1")
 		change(j)
-		var got controller.Verdict
-		l.Submit(l.now, l.now, j, func(v controller.Verdict) { got = v })
+		var got leader.Response
+		l.Submit(l.now, l.now, j, func(v leader.Response) { got = v })
 		if got.Status != 422 {
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
-	fresh := controller.New(zerolog.Nop(), params, config.Operator{}, 1, start, 0)
-	var got controller.Verdict
-	fresh.Submit(start, start, spec("job-1"), func(v controller.Verdict) { got = v })
+	fresh := leader.New(zerolog.Nop(), params, config.Operator{}, 1, start, 0)
+	var got leader.Response
+	fresh.Submit(start, start, spec("job-1"), func(v leader.Response) { got = v })
 	if got.Status != 503 {
 		t.Errorf("without machine types: %+v", got)
 	}
@@ -113,17 +113,17 @@
 func TestGuestTeam(t *testing.T) {
 	with := params
 	with.Teams = append(slices.Clone(params.Teams), config.Team{Name: "guests"})
-	c := controller.New(zerolog.Nop(), with, config.Operator{}, 5, start, 0)
-	c.SetTypes([]wire.MachineType{bigType})
-	l := &leader{Controller: c, t: t, now: start, kept: map[string]json.RawMessage{}}
+	c := leader.New(zerolog.Nop(), with, config.Operator{}, 5, start, 0)
+	c.SetMachineTypes([]wire.MachineType{bigType})
+	l := &testLeader{Leader: c, t: t, now: start, kept: map[string]json.RawMessage{}}
 	j := spec("job-1")
 	j.Team, j.Tasks = "guests", 3
-	var got controller.Verdict
-	l.Submit(l.now, l.now, j, func(v controller.Verdict) { got = v })
+	var got leader.Response
+	l.Submit(l.now, l.now, j, func(v leader.Response) { got = v })
 	l.commit()
 	l.pass(10 * time.Second) // machines of a predecessor would be listed by then
-	l.Listed(l.now, l.now, nil)
-	if calls := l.Plan(l.now); got.Status != 201 || len(calls) == 0 || calls[0].Op != controller.CloudRent {
+	l.ApplyMachineList(l.now, l.now, nil)
+	if calls := l.PlanScaling(l.now); got.Status != 201 || len(calls) == 0 || calls[0].Op != leader.CloudProvision {
 		t.Fatalf("%+v, then %+v", got, calls)
 	}
 	l.report("m1", 1)
@@ -134,7 +134,7 @@
 	}
 	j = spec("job-2")
 	j.Team, j.GPUs = "guests", 1
-	if l.Submit(l.now, l.now, j, func(v controller.Verdict) { got = v }); got.Status != 422 {
+	if l.Submit(l.now, l.now, j, func(v leader.Response) { got = v }); got.Status != 422 {
 		t.Fatalf("no machine type has cards: %+v", got)
 	}
 }
--- a/internal/controller/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -1,4 +1,4 @@
-package controller_test
+package leader_test
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 	"time"
 
 	"switchshore.example/switchshore/internal/config"
-	"switchshore.example/switchshore/internal/controller"
+	"switchshore.example/switchshore/internal/leader"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -18,7 +18,7 @@
 // fleet plays several hundred machines without faults against one leader, in
 // steps of a tenth of a second, within the write budget of the settings.
 type fleet struct {
-	*leader
+	*testLeader
 	workers []*fleetWorker
 	byName  map[string]*fleetWorker
 	rng     *rand.Rand
@@ -35,7 +35,7 @@
 
 type fleetWorker struct {
 	name   string
-	tasks  []wire.TaskReport
+	tasks  []wire.TaskStatus
 	ends   []time.Time
 	seq    uint64
 	next   time.Time
@@ -50,7 +50,7 @@
 // newFleet returns a leader of term 5 with machines that are up, but unheard.
 func newFleet(t *testing.T, machines int) *fleet {
 	f := &fleet{
-		leader: newLeader(t, 5, start, map[string]json.RawMessage{}), rng: rand.New(rand.NewPCG(1, 1)),
+		testLeader: newLeader(t, 5, start, map[string]json.RawMessage{}), rng: rand.New(rand.NewPCG(1, 1)),
 		submitted: map[string]time.Time{}, begun: map[string]bool{}, byName: map[string]*fleetWorker{},
 	}
 	for i := range machines {
@@ -63,7 +63,7 @@
 // ask submits a job.
 func (f *fleet) ask(j *wire.Job) {
 	f.submitted[j.ID] = f.now
-	f.Submit(f.now, f.now, j, func(v controller.Verdict) {
+	f.Submit(f.now, f.now, j, func(v leader.Response) {
 		if v.Status == 201 {
 			f.accepted++
 		}
@@ -83,11 +83,11 @@
 	return on
 }
 
-func (f *fleet) report(w *fleetWorker) *wire.Report {
+func (f *fleet) report(w *fleetWorker) *wire.Heartbeat {
 	w.seq++
-	return &wire.Report{
-		Machine: w.name, Addr: w.name + ":9", Type: "std-8", Zone: "a", Session: 1, Seq: w.seq, Token: f.Term(),
-		Tasks: append([]wire.TaskReport{}, w.tasks...),
+	return &wire.Heartbeat{
+		Machine: w.name, Addr: w.name + ":9", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: w.seq, FencingToken: f.Term(),
+		Tasks: append([]wire.TaskStatus{}, w.tasks...),
 	}
 }
 
@@ -96,7 +96,7 @@
 		w.change = true
 		switch c.Op {
 		case wire.OpStart:
-			w.tasks = append(w.tasks, wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
+			w.tasks = append(w.tasks, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
 			f.starts++
 			w.startedBy = f.Term()
 			job, _, _ := wire.SplitTask(c.Task)
@@ -110,7 +110,7 @@
 		case wire.OpStop:
 			for i := range w.tasks {
 				if t := &w.tasks[i]; t.Task == c.Task && t.Attempt == c.Attempt && t.State == wire.TaskRunning {
-					t.State, t.Why = wire.TaskExited, wire.WhyStopped
+					t.State, t.ExitReason = wire.TaskExited, wire.ExitStopped
 				}
 			}
 		case wire.OpForget:
@@ -135,7 +135,7 @@
 		}
 		for i := range w.tasks {
 			if w.tasks[i].State == wire.TaskRunning && !f.now.Before(w.ends[i]) {
-				w.tasks[i].State, w.tasks[i].Why = wire.TaskExited, wire.WhyDone
+				w.tasks[i].State, w.tasks[i].ExitReason = wire.TaskExited, wire.ExitDone
 				w.change = true
 			}
 		}
@@ -143,36 +143,36 @@
 			continue
 		}
 		w.change, w.sent, w.next = false, f.now, f.now.Add(3*time.Second)
-		a, receipt := f.Report(f.now, f.report(w), true)
-		if receipt != controller.ReportApplied {
+		a, receipt := f.HandleHeartbeat(f.now, f.report(w), true)
+		if receipt != leader.HeartbeatApplied {
 			f.t.Fatalf("%s: receipt %d", w.name, receipt)
 		}
 		f.execute(w, a.Commands)
 	}
 	before := f.scores
 	f.Tick(f.now, true)
-	f.scores = f.Counts().Scores
+	f.scores = f.Counts().ScoredPairs
 	f.worst = max(f.worst, f.scores-before)
 	f.write()
-	for _, call := range f.Plan(f.now) {
+	for _, call := range f.PlanScaling(f.now) {
 		f.cloud++
-		if call.Op == controller.CloudRent {
-			f.Rented(f.now, call.Rent, nil)
+		if call.Op == leader.CloudProvision {
+			f.ProvisionDone(f.now, call.Provision, nil)
 			continue
 		}
 		for _, id := range call.Release {
 			f.byName[id].dead, f.byName[id].gone = true, true
 		}
-		f.Released(f.now, call.Release)
+		f.ReleaseDone(f.now, call.Release)
 	}
-	for _, call := range f.Direct(f.now) {
+	for _, call := range f.NextDirectCalls(f.now) {
 		w := f.byName[call.Machine]
 		if w.dead {
-			f.DirectDone(f.now, call, controller.DirectUnknown, nil)
+			f.DirectCallDone(f.now, call, leader.DirectUnknown, nil)
 			continue
 		}
 		f.execute(w, call.Request.Commands)
-		f.DirectDone(f.now, call, controller.DirectAnswered, f.report(w))
+		f.DirectCallDone(f.now, call, leader.DirectAnswered, f.report(w))
 	}
 }
 
@@ -204,7 +204,7 @@
 		if f.bytes += total; total > 64<<10 {
 			f.t.Fatalf("a transaction of %d bytes", total)
 		}
-		f.Committed(b, nil)
+		f.BatchCommitted(b, nil)
 	}
 }
 
@@ -215,7 +215,7 @@
 	old := params
 	defer func() { params = old }()
 	params.Teams = []config.Team{{Name: "blue", CPUs: 4000, CPUsMax: 4800}}
-	params.State = config.State{RPS: 150, WriteRPS: 60, ValueKB: 8, TxnOps: 24}
+	params.State = config.StateLimits{RPS: 150, WriteRPS: 60, ValueKB: 8, TxnOps: 24}
 	f := newFleet(t, 600)
 	for tick := range 900 {
 		if tick%10 == 0 {
@@ -231,7 +231,7 @@
 		t.Fatalf("accepted %d jobs, started %d tasks", f.accepted, f.starts)
 	}
 	// A pass that reaches its bound ends with the line of jobs at hand.
-	if f.worst > 2*tuning.PassScores {
+	if f.worst > 2*tuning.PassMaxScoredPairs {
 		t.Fatalf("one pass scored %d pairs", f.worst)
 	}
 	late := 0
@@ -259,10 +259,10 @@
 		t.Errorf("%d start records for a successor to read", records)
 	}
 	next := newLeader(t, 6, f.now, f.kept)
-	if held := next.Counts().Held; held < on {
+	if held := next.Counts().Allocated; held < on {
 		t.Errorf("a successor knows of %d tasks, %d run", held, on)
 	}
-	t.Logf("%d starts, %.2f changes and %d bytes each, %d records, %d scores", f.starts, float64(f.changes)/float64(f.starts), f.bytes/f.starts, records, f.Counts().Scores)
+	t.Logf("%d starts, %.2f changes and %d bytes each, %d records, %d scores", f.starts, float64(f.changes)/float64(f.starts), f.bytes/f.starts, records, f.Counts().ScoredPairs)
 }
 
 // list hands the leader the cloud's list, in which the dead still stand.
@@ -273,7 +273,7 @@
 			rows = append(rows, wire.ListedMachine{Name: w.name, Addr: w.name + ":9", Type: "std-8", Zone: "a", State: wire.MachineRunning, AgeS: f.now.Sub(start).Seconds()})
 		}
 	}
-	f.Listed(f.now, f.now, rows)
+	f.ApplyMachineList(f.now, f.now, rows)
 }
 
 // checkAllStartAgain checks that every machine that lives has been given work by the
@@ -312,7 +312,7 @@
 	f.t.Helper()
 	w := f.workers[1]
 	most := 40 + 8*len(w.tasks)
-	if got := testing.AllocsPerRun(50, func() { f.Report(f.now, f.report(w), true) }); got > float64(most) {
+	if got := testing.AllocsPerRun(50, func() { f.HandleHeartbeat(f.now, f.report(w), true) }); got > float64(most) {
 		f.t.Errorf("a report of %d tasks allocates %.0f times, at most %d wanted", len(w.tasks), got, most)
 	}
 	for id := range f.submitted {
@@ -336,9 +336,9 @@
 	for k := range 10 {
 		params.Teams = append(params.Teams, config.Team{Name: fmt.Sprint("team", k), CPUs: 11000, CPUsMax: 22000})
 	}
-	params.Workers = config.Workers{ReportS: 6, LeaseS: 31, CancelS: 56}
-	params.State = config.State{RPS: 400, WriteRPS: 180, ValueKB: 8, TxnOps: 24}
-	params.Cloud = config.Cloud{RPS: 2, ListLagS: 8}
+	params.Workers = config.Workers{HeartbeatIntervalS: 6, LeaseS: 31, CancelDeadlineS: 56}
+	params.State = config.StateLimits{RPS: 400, WriteRPS: 180, ValueKB: 8, TxnOps: 24}
+	params.Cloud = config.CloudLimits{RPS: 2, ListLagS: 8}
 	const machines = 4000
 	f := newFleet(t, machines)
 	for tick := range 1800 {
@@ -354,7 +354,7 @@
 			case tick%3 == 0 && k == 5 || tick == 0:
 				j = spec(fmt.Sprintf("job-9%05d", number))
 				j.Tasks, j.CPUs, j.MemoryGB, j.EstimateS, j.Priority = 50+f.rng.IntN(150), 8, 28, 70, wire.PriorityNormal
-				j.CheckpointS, j.SaveS = 20, 4
+				j.CheckpointIntervalS, j.CheckpointSaveS = 20, 4
 			default:
 				continue
 			}
@@ -372,9 +372,9 @@
 			}
 		case 1050:
 			on := f.running()
-			f.leader = newLeader(t, 6, f.now, f.kept)
-			if n := f.Counts(); n.Held < on {
-				t.Errorf("a successor knows of %d tasks, %d run", n.Held, on)
+			f.testLeader = newLeader(t, 6, f.now, f.kept)
+			if n := f.Counts(); n.Allocated < on {
+				t.Errorf("a successor knows of %d tasks, %d run", n.Allocated, on)
 			}
 			f.scores = 0
 			f.list()
@@ -385,7 +385,7 @@
 	f.checkWorkPerRequest()
 	waiting := 0
 	for id, at := range f.submitted {
-		if !f.begun[id] && f.now.Sub(at) > tuning.AgeAfter+30*time.Second {
+		if !f.begun[id] && f.now.Sub(at) > tuning.AgingThreshold+30*time.Second {
 			waiting++
 		}
 	}
@@ -395,7 +395,7 @@
 	n := f.Counts()
 	t.Logf("%d accepted, %d starts, %.2f changes and %d bytes each, %d pairs in one pass at most, %d calls to the cloud, %+v",
 		f.accepted, f.starts, float64(f.changes)/float64(f.starts), f.bytes/f.starts, f.worst, f.cloud, n)
-	if f.worst > 2*tuning.PassScores {
+	if f.worst > 2*tuning.PassMaxScoredPairs {
 		t.Errorf("one pass looked at %d pairs", f.worst)
 	}
 	if f.changes > f.starts {
@@ -418,33 +418,33 @@
 func TestPlanCountsTheTimeThatStartsTake(t *testing.T) {
 	for _, slow := range []bool{false, true} {
 		l := newLeader(t, 1, start, map[string]json.RawMessage{})
-		l.Listed(l.now, l.now, nil)
+		l.ApplyMachineList(l.now, l.now, nil)
 		l.report("m1", 1)
-		var tasks []wire.TaskReport
+		var tasks []wire.TaskStatus
 		for i := range 60 {
 			tasks = l.startOneSlowly(fmt.Sprintf("job-%d", i+10), slow)
-			tasks[0].State, tasks[0].Why = wire.TaskExited, wire.WhyDone
+			tasks[0].State, tasks[0].ExitReason = wire.TaskExited, wire.ExitDone
 			l.report("m1", 1, tasks...)
 			l.commit()
 		}
 		backlog := spec("job-1")
 		backlog.Tasks, backlog.CPUs, backlog.EstimateS = 16, 1, 28 // within the limit of the team
-		l.Submit(l.now, l.now, backlog, func(controller.Verdict) {})
+		l.Submit(l.now, l.now, backlog, func(leader.Response) {})
 		l.commit()
 		l.pass(2 * time.Second)
 		l.report("m1", 1)
-		if rented := rents(l.Plan(l.now)); rented != slow {
+		if rented := rents(l.PlanScaling(l.now)); rented != slow {
 			t.Errorf("starts slow: %v, rented: %v", slow, rented)
 		}
 	}
 }
 
 // startOneSlowly brings a short task to run on m1, some seconds after it was placed if slow.
-func (l *leader) startOneSlowly(id string, slow bool) []wire.TaskReport {
+func (l *testLeader) startOneSlowly(id string, slow bool) []wire.TaskStatus {
 	l.t.Helper()
 	j := spec(id)
 	j.EstimateS = 4
-	l.Submit(l.now, l.now, j, func(controller.Verdict) {})
+	l.Submit(l.now, l.now, j, func(leader.Response) {})
 	l.commit()
 	l.pass(time.Second)
 	l.commit()
@@ -456,7 +456,7 @@
 	if slow {
 		l.now = l.now.Add(5 * time.Second)
 	}
-	running := []wire.TaskReport{{Task: commands[started].Task, Attempt: commands[started].Attempt, State: wire.TaskRunning}}
+	running := []wire.TaskStatus{{Task: commands[started].Task, Attempt: commands[started].Attempt, State: wire.TaskRunning}}
 	l.report("m1", 1, running...)
 	l.now = l.now.Add(4 * time.Second)
 	return running
--- a/internal/controller/starts.go
+++ b/internal/leader/starts.go
@@ -1,11 +1,11 @@
-package controller
+package leader
 
 import (
 	"encoding/json"
 	"fmt"
 	"sort"
 
-	"switchshore.example/switchshore/internal/ranges"
+	"switchshore.example/switchshore/internal/intervals"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
@@ -43,12 +43,12 @@
 func keyStarts(term, number uint64) string { return fmt.Sprintf("s/%08x-%08x", term, number) }
 
 // recordStart puts an attempt into the record that is written next.
-func (c *Controller) recordStart(a *attempt) {
+func (l *Leader) recordStart(a *attempt) {
 	// What the attempt can add at most: a machine with its frame, a job, an index.
 	size := 8
 	var log *pendingRecord
-	if n := len(c.unsavedStarts); n > 0 {
-		log = c.unsavedStarts[n-1]
+	if n := len(l.unsavedStarts); n > 0 {
+		log = l.unsavedStarts[n-1]
 	}
 	cost := func() int {
 		sum := size
@@ -64,10 +64,10 @@
 		}
 		return sum
 	}
-	if log == nil || float64(log.size+cost()) > float64(c.valueLimit())*tuning.ValueShare {
-		c.startRecords++
-		log = &pendingRecord{key: keyStarts(c.term, c.startRecords), size: 32, machines: map[*machine]map[*job]bool{}}
-		c.unsavedStarts = append(c.unsavedStarts, log)
+	if log == nil || float64(log.size+cost()) > float64(l.valueLimit())*tuning.StartRecordValueShare {
+		l.startRecords++
+		log = &pendingRecord{key: keyStarts(l.term, l.startRecords), size: 32, machines: map[*machine]map[*job]bool{}}
+		l.unsavedStarts = append(l.unsavedStarts, log)
 	}
 	log.size += cost()
 	if log.machines[a.machine] == nil {
@@ -80,39 +80,39 @@
 }
 
 // unrecord takes an attempt that is gone out of its record's count.
-func (c *Controller) unrecord(a *attempt) {
+func (l *Leader) unrecord(a *attempt) {
 	log := a.record
 	if log == nil {
 		return
 	}
 	a.record = nil
 	if log.live--; log.live == 0 && log.saved {
-		c.backgroundWrites.del(log.key)
+		l.backgroundWrites.del(log.key)
 	}
 }
 
 // addStartRecords puts the records of starts into a batch.
-func (c *Controller) addStartRecords(b *Batch, maxOps int) {
-	for len(c.unsavedStarts) > 0 {
-		log := c.unsavedStarts[0]
+func (l *Leader) addStartRecords(b *Batch, maxOps int) {
+	for len(l.unsavedStarts) > 0 {
+		log := l.unsavedStarts[0]
 		if log.live > 0 {
 			if !b.fits(log.size+64, maxOps) {
 				return
 			}
-			b.add(&write{key: log.key, value: log.value(), onCommit: []func(){func() { c.startsDurable(log) }}, onRefused: func() { c.startsRefused(log) }})
+			b.add(&write{key: log.key, value: log.value(), onCommit: []func(){func() { l.startsDurable(log) }}, onRefused: func() { l.startsRefused(log) }})
 			log.saved = true
 		}
-		c.unsavedStarts = c.unsavedStarts[1:]
+		l.unsavedStarts = l.unsavedStarts[1:]
 	}
-	c.unsavedStarts = nil
+	l.unsavedStarts = nil
 }
 
 // startsDurable lets the starts of a stored record go out.
-func (c *Controller) startsDurable(log *pendingRecord) {
+func (l *Leader) startsDurable(log *pendingRecord) {
 	for _, a := range log.attempts {
-		if a.state == recordPending && a.record == log {
-			a.state = startSent
-			c.scheduleCall(a.machine)
+		if a.state == stateRecordPending && a.record == log {
+			a.state = stateStartSent
+			l.scheduleCall(a.machine)
 		}
 	}
 	log.attempts, log.machines = nil, nil
@@ -120,10 +120,10 @@
 
 // startsRefused lets the tasks of a record that can't be stored be placed anew:
 // none of its starts has gone out.
-func (c *Controller) startsRefused(log *pendingRecord) {
+func (l *Leader) startsRefused(log *pendingRecord) {
 	for _, a := range log.attempts {
-		if a.state == recordPending && a.record == log {
-			c.drop(a.orderedAt, a)
+		if a.state == stateRecordPending && a.record == log {
+			l.release(a.orderedAt, a)
 		}
 	}
 	log.attempts, log.machines = nil, nil
@@ -150,7 +150,7 @@
 		tasks := map[string]string{}
 		for id, list := range byMachine[m] {
 			sort.Ints(list)
-			tasks[id] = ranges.FormatList(list)
+			tasks[id] = intervals.FormatList(list)
 		}
 		rec.Machines = append(rec.Machines, machineStarts{ID: m.id, Type: m.machineType, Zone: m.zone, Spot: m.spot, Tasks: tasks})
 	}
--- a/internal/controller/upgrade_test.go
+++ b/internal/leader/upgrade_test.go
@@ -1,4 +1,4 @@
-package controller_test
+package leader_test
 
 import (
 	"bytes"
@@ -12,22 +12,22 @@
 	"testing"
 	"time"
 
-	"switchshore.example/switchshore/internal/controller"
-	"switchshore.example/switchshore/internal/ranges"
-	"switchshore.example/switchshore/internal/sched"
-	"switchshore.example/switchshore/internal/simtest"
+	"switchshore.example/switchshore/internal/intervals"
+	"switchshore.example/switchshore/internal/leader"
+	"switchshore.example/switchshore/internal/placement"
+	"switchshore.example/switchshore/internal/simulation"
 	"switchshore.example/switchshore/wire"
 )
 
 // previousVersionLeader reads what is kept as the previous version does.
-func previousVersionLeader(t *testing.T, term uint64, now time.Time, kept map[string]json.RawMessage) *leader {
+func previousVersionLeader(t *testing.T, term uint64, now time.Time, kept map[string]json.RawMessage) *testLeader {
 	t.Helper()
 	old := params
 	defer func() { params = old }()
 	params.State.ValueKB = 16
 	read := map[string]json.RawMessage{}
 	for key, value := range kept {
-		if item, ok := simtest.PreviousVersionReads(wire.Item{Key: key, Value: value}); ok {
+		if item, ok := simulation.PreviousVersionReads(wire.KeyValue{Key: key, Value: value}); ok {
 			read[key] = item.Value
 		}
 	}
@@ -37,10 +37,10 @@
 }
 
 // previousVersionCommit makes the changes that the previous version would make.
-func (l *leader) previousVersionCommit() {
+func (l *testLeader) previousVersionCommit() {
 	for b := l.NextBatch(10, 10); b != nil; b = l.NextBatch(10, 10) {
-		l.keep(simtest.PreviousVersionWrites(b.Writes))
-		l.Committed(b, nil)
+		l.keep(simulation.PreviousVersionWrites(b.Writes))
+		l.BatchCommitted(b, nil)
 	}
 }
 
@@ -71,11 +71,11 @@
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 0))
 		kept := previousVersionRecords(t)
-		want := ranges.New(3000)
+		want := intervals.New(3000)
 		for key, value := range kept {
 			var text string
 			if strings.HasPrefix(key, "d/job-1/") && json.Unmarshal(value, &text) == nil {
-				_ = ranges.Each(text, 3000, func(i int) { want.Add(i) })
+				_ = intervals.Each(text, 3000, func(i int) { want.Add(i) })
 			}
 		}
 		if seed == 0 && want.Len() != 1667 {
@@ -84,7 +84,7 @@
 		now := start.Add(time.Minute)
 		for term := uint64(8); !want.Full(); term++ {
 			previous := rng.IntN(2) == 0 && want.Len() < 2900
-			var l *leader
+			var l *testLeader
 			if previous {
 				l = previousVersionLeader(t, term, now, kept)
 			} else {
@@ -93,7 +93,7 @@
 			if v := l.Query("job-1"); v.Done != want.Len() {
 				t.Fatalf("seed %d, term %d, previous %v: %d done, want %d", seed, term, previous, v.Done, want.Len())
 			}
-			var list []wire.TaskReport
+			var list []wire.TaskStatus
 			for range 150 {
 				if i := rng.IntN(3000); want.Add(i) {
 					list = append(list, exited(wire.TaskName("job-1", i), 1))
@@ -138,7 +138,7 @@
 			t.Errorf("%s: %s, want %s", id, got, want)
 		}
 	}
-	if n := l.Counts(); n.Held == 0 || n.Machines != 2 && n.Machines != 1 {
+	if n := l.Counts(); n.Allocated == 0 || n.Machines != 2 && n.Machines != 1 {
 		t.Errorf("%+v", n)
 	}
 	record := kept["j/job-4"]
@@ -163,15 +163,15 @@
 	many.Types = append(many.Types, "std-8")
 	l.accept(dependentJob("job-2", "job-1"), many)
 	for key, value := range l.kept {
-		item, ok := simtest.PreviousVersionReads(wire.Item{Key: key, Value: value})
+		item, ok := simulation.PreviousVersionReads(wire.KeyValue{Key: key, Value: value})
 		var rec struct {
 			Job wire.Job `json:"job"`
 		}
 		if !ok || key == "j/job-1" || json.Unmarshal(item.Value, &rec) != nil || rec.Job.ID == "" {
 			continue
 		}
-		probe := sched.Ready{Types: rec.Job.Types, Zone: rec.Job.Zone, Spot: true, Need: sched.Resources{CPUs: rec.Job.CPUs}, Total: 1}
-		if probe.Allowed(&sched.Machine{Type: "std-8", Zone: "a", Total: sched.Resources{CPUs: 8, MemoryGB: 32}}) {
+		probe := placement.PendingJob{Types: rec.Job.Types, Zone: rec.Job.Zone, Spot: true, Request: placement.Resources{CPUs: rec.Job.CPUs}, Total: 1}
+		if probe.Allowed(&placement.Machine{Type: "std-8", Zone: "a", Total: placement.Resources{CPUs: 8, MemoryGB: 32}}) {
 			t.Errorf("%s could be started: %s", key, value)
 		}
 	}
@@ -182,13 +182,13 @@
 		previous.pass(time.Second)
 		previous.previousVersionCommit()
 	}
-	if got := previous.Counts().Held; got != 1 {
+	if got := previous.Counts().Allocated; got != 1 {
 		t.Errorf("%d tasks placed, want that of job-1", got)
 	}
 	if previous.state("job-2") != wire.JobQueued || previous.state("job-3") != wire.JobQueued {
 		t.Error("not known")
 	}
-	previous.Cancel(previous.now, "job-2", func(controller.Verdict) {})
+	previous.Cancel(previous.now, "job-2", func(leader.Response) {})
 	previous.previousVersionCommit()
 	next := newLeader(t, 7, previous.now, l.kept)
 	if next.state("job-2") != wire.JobCancelled || next.state("job-3") != wire.JobQueued {
--- a/internal/controller/writes.go
+++ b/internal/leader/writes.go
@@ -1,4 +1,4 @@
-package controller
+package leader
 
 import (
 	"encoding/json"
@@ -56,7 +56,7 @@
 
 // Batch is a group of changes to be committed together.
 type Batch struct {
-	Writes  []wire.Write
+	Writes  []wire.Mutation
 	changes []*write // the same, with what follows them
 	size    int
 	limit   int      // bytes of a value
@@ -65,7 +65,7 @@
 
 // fits reports whether a change of the given size still goes in.
 func (b *Batch) fits(size, maxOps int) bool {
-	return len(b.Writes) < maxOps && (len(b.Writes) == 0 || b.size+size <= tuning.TxnBytes)
+	return len(b.Writes) < maxOps && (len(b.Writes) == 0 || b.size+size <= tuning.MaxTxnBytes)
 }
 
 // add puts a change in, unless the state service would refuse it. All records
@@ -76,9 +76,9 @@
 		return
 	}
 	if w.value == nil {
-		b.Writes = append(b.Writes, wire.Write{Delete: w.key})
+		b.Writes = append(b.Writes, wire.Mutation{Delete: w.key})
 	} else {
-		b.Writes = append(b.Writes, wire.Write{Put: w.key, Value: w.value})
+		b.Writes = append(b.Writes, wire.Mutation{Put: w.key, Value: w.value})
 	}
 	b.size += changeSize(w.key, w.value)
 	b.changes = append(b.changes, w)
@@ -114,26 +114,26 @@
 // starts wait, and while new jobs are shed also while the rest does: acceptances would
 // otherwise fill every batch, and no accepted job would begin or end. Batches must be
 // committed one after the other, each followed by Committed.
-func (c *Controller) NextBatch(maxOps, spare int) *Batch {
-	b := &Batch{limit: c.valueLimit()}
-	c.dependentWrites.moveTo(b, maxOps, max(1, maxOps/tuning.DependentWritesPart))
+func (l *Leader) NextBatch(maxOps, spare int) *Batch {
+	b := &Batch{limit: l.valueLimit()}
+	l.dependentWrites.moveTo(b, maxOps, max(1, maxOps/tuning.DependentWritesPart))
 	first := max(1, maxOps/tuning.InteractiveWritesPart)
-	c.interactiveWrites.moveTo(b, maxOps, first)
-	c.addStartRecords(b, maxOps)
-	if c.regulator != nil && c.regulator.Shedding() {
+	l.interactiveWrites.moveTo(b, maxOps, first)
+	l.addStartRecords(b, maxOps)
+	if l.regulator != nil && l.regulator.Shedding() {
 		spare = max(spare, first/tuning.InteractiveWritesPart)
 	} else {
-		c.interactiveWrites.moveTo(b, maxOps, maxOps)
+		l.interactiveWrites.moveTo(b, maxOps, maxOps)
 	}
-	c.dependentWrites.moveTo(b, maxOps, spare)
-	if len(c.unsavedStarts) == 0 {
+	l.dependentWrites.moveTo(b, maxOps, spare)
+	if len(l.unsavedStarts) == 0 {
 		// A record may be deleted only once what it still stood for is stored
 		// elsewhere.
-		c.backgroundWrites.moveTo(b, maxOps, spare)
+		l.backgroundWrites.moveTo(b, maxOps, spare)
 	}
-	c.interactiveWrites.moveTo(b, maxOps, maxOps)
+	l.interactiveWrites.moveTo(b, maxOps, maxOps)
 	for _, w := range b.tooLong {
-		c.handleRefused(w)
+		l.handleRefused(w)
 	}
 	if len(b.Writes) == 0 {
 		return nil
@@ -143,18 +143,18 @@
 
 // handleRefused gives a change up that can't be stored. What waits for it goes on
 // waiting, but for starts, which can be decided anew.
-func (c *Controller) handleRefused(w *write) {
-	c.log.Error().Str("key", w.key).Int("bytes", len(w.value)).Msg("record refused by the state service, left out")
+func (l *Leader) handleRefused(w *write) {
+	l.log.Error().Str("key", w.key).Int("bytes", len(w.value)).Msg("record rejected by state store, skipped")
 	if w.onRefused != nil {
 		w.onRefused()
 	}
 }
 
-// Committed tells that a batch is durable, but for the keys refused.
-func (c *Controller) Committed(b *Batch, refused []string) {
+// BatchCommitted tells that a batch is durable, but for the keys refused.
+func (l *Leader) BatchCommitted(b *Batch, refused []string) {
 	for _, w := range b.changes {
 		if slices.Contains(refused, w.key) {
-			c.handleRefused(w)
+			l.handleRefused(w)
 			continue
 		}
 		for _, f := range w.onCommit {
@@ -168,5 +168,5 @@
 	return q.interactiveWrites.len() + q.dependentWrites.len() + q.backgroundWrites.len() + len(q.unsavedStarts)
 }
 
-// Pending reports whether changes wait for the state service.
-func (c *Controller) Pending() bool { return c.queued() > 0 }
+// HasPendingWrites reports whether changes wait for the state service.
+func (l *Leader) HasPendingWrites() bool { return l.queued() > 0 }
--- a/internal/loadtest/check.go
+++ b/internal/loadtest/check.go
@@ -83,7 +83,7 @@
 		switch j := jobs[id]; {
 		case !j.accepted && !j.gaveUp:
 			problems = append(problems, id+": no final answer")
-		case j.accepted && !wire.Final(j.state):
+		case j.accepted && !wire.IsTerminal(j.state):
 			problems = append(problems, id+": accepted, and not over in the end")
 		}
 	}
@@ -104,7 +104,7 @@
 		return ""
 	case a.Op == OpQuery && !j.accepted && !j.gaveUp:
 		return "known before it was accepted"
-	case wire.Final(j.state) && a.State != j.state:
+	case wire.IsTerminal(j.state) && a.State != j.state:
 		return fmt.Sprintf("called %s, and then %s", j.state, a.State)
 	default:
 		j.accepted = true
--- a/internal/loadtest/cluster.go
+++ b/internal/loadtest/cluster.go
@@ -19,7 +19,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"switchshore.example/switchshore/internal/simtest"
+	"switchshore.example/switchshore/internal/election"
+	"switchshore.example/switchshore/internal/simulation"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -132,7 +133,7 @@
 	folder   string
 	addrs    []string
 	peers    []string // addresses for operators' commands
-	services *simtest.Server
+	services *simulation.Server
 
 	mu        sync.Mutex
 	jobs      map[string]*wire.Job
@@ -150,8 +151,8 @@
 	c := &Cluster{
 		ctx: ctx, binary: binary, operator: operator, folder: folder, size: size, jobs: map[string]*wire.Job{},
 		processes: make([]*exec.Cmd, nodes), leader: -1, begun: time.Now(), progress: map[string]time.Duration{},
-		services: simtest.NewServer(wire.MachineType{
-			Name: "std-8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, CacheGB: 20, Price: 1, SpotPrice: 0.4, BootS: 1, Zones: size.Zones,
+		services: simulation.NewServer(wire.MachineType{
+			Name: "std-8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, CacheGB: 20, Price: 1, SpotPrice: 0.4, BootTimeS: 1, Zones: size.Zones,
 		}),
 	}
 	c.services.Cloud.Capacity = size.Machines
@@ -273,7 +274,7 @@
 		var entry struct {
 			Message string `json:"message"`
 		}
-		if json.Unmarshal(lines.Bytes(), &entry) == nil && entry.Message == "leading" {
+		if json.Unmarshal(lines.Bytes(), &entry) == nil && entry.Message == election.LeadershipAcquired {
 			c.mu.Lock()
 			c.leader = i
 			c.mu.Unlock()
@@ -313,7 +314,7 @@
 func (c *Cluster) work(row wire.ListedMachine) {
 	// Commands come with the answers to reports only: nothing listens there.
 	row.Addr = "127.0.0.1:1"
-	w := simtest.NewWorker(time.Now(), row, c.services.Cloud.Type, leaseTime)
+	w := simulation.NewWorker(time.Now(), row, c.services.Cloud.Type, leaseTime)
 	w.Jobs = c.job
 	w.RunTime = c.size.RunTime
 	if w.RunTime == nil {
@@ -329,8 +330,8 @@
 		watch.look()
 		sent := time.Now()
 		body, _ := json.Marshal(w.Report())
-		var answer wire.ReportAnswer
-		status, _, data := exchange(client, c.addrs[at], "POST", wire.PathReport, body, 4*time.Second)
+		var answer wire.HeartbeatResponse
+		status, _, data := exchange(client, c.addrs[at], "POST", wire.PathHeartbeat, body, 4*time.Second)
 		if status == 200 && json.Unmarshal(data, &answer) == nil {
 			w.Answer(time.Now(), sent, w.Session, answer)
 		} else {
--- a/internal/loadtest/drain.go
+++ b/internal/loadtest/drain.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"switchshore.example/switchshore/internal/drain"
+	"switchshore.example/switchshore/internal/kvstore"
 	"switchshore.example/switchshore/internal/peer"
-	"switchshore.example/switchshore/internal/store"
 )
 
 // DrainTimes is how long a drain took, and for what it waited.
@@ -36,15 +36,15 @@
 func (c *Cluster) ask(ctx context.Context, q *drain.Request) (drain.Status, error) {
 	for i := 0; ; i++ {
 		attempt, cancel := context.WithTimeout(ctx, 2*time.Second)
-		answer, err := peer.Ask(attempt, c.peers[i%nodes], peer.Call{Op: peer.OpDrain, Drain: q})
+		answer, err := peer.Request(attempt, c.peers[i%nodes], peer.Call{Op: peer.OpDrain, Drain: q})
 		cancel()
 		if err == nil && answer.Status/100 == 2 && len(answer.Drains) == 1 {
 			return answer.Drains[0], nil
 		}
 		if err == nil && answer.Status/100 == 4 {
-			return drain.Status{}, fmt.Errorf("refused: %s", answer.Why)
+			return drain.Status{}, fmt.Errorf("refused: %s", answer.Reason)
 		}
-		if err := store.Pause(ctx, statusEvery); err != nil {
+		if err := kvstore.Pause(ctx, statusEvery); err != nil {
 			return drain.Status{}, err
 		}
 	}
@@ -73,7 +73,7 @@
 		if status.State == drain.Done {
 			return times, nil
 		}
-		if err := store.Pause(ctx, statusEvery); err != nil {
+		if err := kvstore.Pause(ctx, statusEvery); err != nil {
 			return times, ErrNotDrained
 		}
 	}
--- a/internal/loadtest/load.go
+++ b/internal/loadtest/load.go
@@ -13,7 +13,7 @@
 	"github.com/valyala/fasthttp"
 	"golang.org/x/sync/semaphore"
 
-	"switchshore.example/switchshore/internal/store"
+	"switchshore.example/switchshore/internal/kvstore"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -104,7 +104,7 @@
 		}()
 	}
 	for _, at := range o.KillLeader {
-		if err := store.Pause(ctx, at-time.Since(l.begun)); err != nil {
+		if err := kvstore.Pause(ctx, at-time.Since(l.begun)); err != nil {
 			return nil, err
 		}
 		if err := c.KillLeader(); err != nil {
@@ -122,7 +122,7 @@
 		l.mu.Lock()
 		gap := time.Duration(l.rng.ExpFloat64() / perSecond * float64(time.Second))
 		l.mu.Unlock()
-		if store.Pause(ctx, gap) != nil {
+		if kvstore.Pause(ctx, gap) != nil {
 			return
 		}
 		l.user(ctx, l.newJob(s), -1)
@@ -131,7 +131,7 @@
 
 // submitBursts lets two teams submit at all controllers at the same moments, each job at two.
 func (l *load) submitBursts(ctx context.Context, d time.Duration) {
-	for store.Pause(ctx, burstEvery) == nil && time.Since(l.begun) < d {
+	for kvstore.Pause(ctx, burstEvery) == nil && time.Since(l.begun) < d {
 		for i := range burstJobs {
 			j := l.newJob(streams[1+2*(i%2)])
 			l.user(ctx, j, i%nodes)
@@ -153,7 +153,7 @@
 		j.Priority = wire.PriorityNormal
 	}
 	if s.class == "nightly" && l.options.CheckpointEvery > 0 {
-		j.CheckpointS, j.SaveS = l.options.CheckpointEvery.Seconds(), saveTime.Seconds()
+		j.CheckpointIntervalS, j.CheckpointSaveS = l.options.CheckpointEvery.Seconds(), saveTime.Seconds()
 	}
 	l.cluster.mu.Lock()
 	l.cluster.jobs[id] = j
@@ -184,7 +184,7 @@
 				l.note(Answer{SentMS: time.Since(l.begun).Milliseconds(), Op: OpGiveUp, Job: j.ID, Team: j.Team, Class: j.Class})
 				return
 			}
-			_ = store.Pause(ctx, wait)
+			_ = kvstore.Pause(ctx, wait)
 		}
 	}()
 }
@@ -203,11 +203,11 @@
 // follow asks about an accepted job until it is over.
 func (l *load) follow(ctx context.Context, j *wire.Job) {
 	for ctx.Err() == nil {
-		if store.Pause(ctx, 5*time.Second+l.jitter(time.Second)) != nil {
+		if kvstore.Pause(ctx, 5*time.Second+l.jitter(time.Second)) != nil {
 			return
 		}
 		a := l.send(Answer{Op: OpQuery, Job: j.ID, Team: j.Team, Class: j.Class, Node: l.anyNode()}, http.MethodGet, wire.PathJobs+"/"+j.ID, nil, 2*time.Second)
-		if a.Status == http.StatusOK && wire.Final(a.State) {
+		if a.Status == http.StatusOK && wire.IsTerminal(a.State) {
 			return
 		}
 	}
--- a/internal/loadtest/tasks.go
+++ b/internal/loadtest/tasks.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"switchshore.example/switchshore/internal/simtest"
+	"switchshore.example/switchshore/internal/simulation"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -35,14 +35,14 @@
 // taskWatch notes what becomes of the tasks of one worker.
 type taskWatch struct {
 	cluster *Cluster
-	worker  *simtest.Worker
-	running map[*simtest.Task]bool
+	worker  *simulation.Worker
+	running map[*simulation.Task]bool
 }
 
 // watchTasks notes from now on what becomes of a worker's tasks.
-func (c *Cluster) watchTasks(w *simtest.Worker) *taskWatch {
-	t := &taskWatch{c, w, map[*simtest.Task]bool{}}
-	w.Stopped = func(task *simtest.Task, saves bool) {
+func (c *Cluster) watchTasks(w *simulation.Worker) *taskWatch {
+	t := &taskWatch{c, w, map[*simulation.Task]bool{}}
+	w.Stopped = func(task *simulation.Task, saves bool) {
 		event := TaskStopped
 		if saves {
 			event = TaskSaved
@@ -55,10 +55,10 @@
 
 // look notes the tasks that have begun to run, ended, or gone since the last look.
 func (t *taskWatch) look() {
-	there := map[*simtest.Task]bool{}
+	there := map[*simulation.Task]bool{}
 	for _, task := range t.worker.Tasks {
 		there[task] = true
-		done := task.State == wire.TaskExited && task.Why == wire.WhyDone
+		done := task.State == wire.TaskExited && task.Why == wire.ExitDone
 		switch {
 		case task.State == wire.TaskRunning && !t.running[task]:
 			t.running[task] = true
@@ -86,7 +86,7 @@
 	}
 }
 
-func (t *taskWatch) note(task *simtest.Task, event string) {
+func (t *taskWatch) note(task *simulation.Task, event string) {
 	id, _, _ := wire.SplitTask(task.Name)
 	job := t.cluster.job(id)
 	now := time.Now()
@@ -94,7 +94,7 @@
 	lost := time.Duration(0)
 	if event == TaskStopped || event == TaskLost {
 		lost = ran
-		if interval := time.Duration(job.CheckpointS * float64(time.Second)); interval > 0 {
+		if interval := time.Duration(job.CheckpointIntervalS * float64(time.Second)); interval > 0 {
 			lost = ran % interval
 		}
 	}
@@ -105,7 +105,7 @@
 	t.cluster.mu.Lock()
 	defer t.cluster.mu.Unlock()
 	t.cluster.tasks = append(t.cluster.tasks, e)
-	if job.CheckpointS > 0 && event != TaskRuns {
+	if job.CheckpointIntervalS > 0 && event != TaskRuns {
 		t.cluster.progress[task.Name] += ran - lost
 	}
 }
--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -8,9 +8,9 @@
 
 	"switchshore.example/switchshore/internal/admission"
 	"switchshore.example/switchshore/internal/config"
-	"switchshore.example/switchshore/internal/controller"
+	"switchshore.example/switchshore/internal/kvstore"
+	"switchshore.example/switchshore/internal/leader"
 	"switchshore.example/switchshore/internal/peer"
-	"switchshore.example/switchshore/internal/store"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -33,7 +33,7 @@
 	now := time.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.inner.Learn(now, p)
+	g.inner.ApplyPolicy(now, p)
 }
 
 func (g *gate) offers(node string) *admission.NodeOffers {
@@ -45,10 +45,10 @@
 
 // arrive counts a submission. isNew is false if the job may have been accepted already.
 func (g *gate) arrive(now time.Time, job *wire.Job) (r *admission.Request, isNew bool) {
-	r = controller.AdmissionRequest(g.settings, job)
+	r = leader.AdmissionRequest(g.settings, job)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return r, g.inner.Arrive(now, r)
+	return r, g.inner.RecordArrival(now, r)
 }
 
 func (g *gate) decide(now time.Time, r *admission.Request) (admission.Decision, uint64) {
@@ -60,24 +60,24 @@
 func (g *gate) mayAsk(now time.Time, r *admission.Request) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.inner.MayAsk(now, r)
+	return g.inner.MayQueryLeader(now, r)
 }
 
 func (g *gate) passed(r *admission.Request) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.inner.Passed(r)
+	g.inner.RecordAdmitted(r)
 }
 
 func (g *gate) refused(now time.Time, r *admission.Request) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.inner.Refused(now, r)
+	g.inner.RecordRejected(now, r)
 }
 
 // admit takes a user's submission: the leader decides on its own, as it knows which jobs
 // are known already; any other node applies the leader's policy first.
-func (n *Node) admit(ctx context.Context, c peer.Call) peer.Answer {
+func (n *Node) admit(ctx context.Context, c peer.Call) peer.Response {
 	now := time.Now()
 	job := c.Submission()
 	r, isNew := n.gate.arrive(now, job)
@@ -85,7 +85,7 @@
 	if a, mine := n.local(ctx, c); mine {
 		return n.noteAnswer(r, a)
 	}
-	if why := controller.AboveLimit(n.gate.teams, job); why != "" {
+	if why := leader.AboveLimit(n.gate.teams, job); why != "" {
 		return n.rejectForGood(ctx, c, why)
 	}
 	if isNew {
@@ -102,16 +102,16 @@
 
 // rejectForGood answers a submission that the settings rule out: as the leader says, which
 // knows whether the job was accepted under other settings, or without one by the settings alone.
-func (n *Node) rejectForGood(ctx context.Context, c peer.Call, why string) peer.Answer {
+func (n *Node) rejectForGood(ctx context.Context, c peer.Call, why string) peer.Response {
 	if a := n.forward(ctx, c); a.Status != http.StatusServiceUnavailable {
 		return a
 	}
-	return peer.Refusal(http.StatusUnprocessableEntity, why)
+	return peer.Refused(http.StatusUnprocessableEntity, why)
 }
 
 // shed turns a job away. One that was turned away before may have been accepted through
 // another node: the leader is asked about it first, if there are not too many.
-func (n *Node) shed(ctx context.Context, r *admission.Request, d admission.Decision) peer.Answer {
+func (n *Node) shed(ctx context.Context, r *admission.Request, d admission.Decision) peer.Response {
 	if n.gate.mayAsk(time.Now(), r) {
 		ctx, cancel := context.WithTimeout(ctx, tuning.AdmissionCheckWait)
 		defer cancel()
@@ -119,13 +119,13 @@
 			return a
 		}
 	}
-	rejected := controller.Shed(d)
+	rejected := leader.RejectOverload(d)
 	return refusal(rejected.Status, rejected.Reason, rejected.RetryAfter)
 }
 
 // admissionLoop tells the controller, once an interval, what the nodes are offered, and by
 // how much this loop itself comes too late.
-func (n *Node) admissionLoop(ctx context.Context, p *controller.Controller) error {
+func (n *Node) admissionLoop(ctx context.Context, p *leader.Leader) error {
 	lag := time.Duration(0)
 	for {
 		offers := append(n.hub.Offers(), *n.gate.offers(n.config.Name))
@@ -133,7 +133,7 @@
 		n.mu.Lock()
 		p.UpdateAdmission(now, now, lag, offers)
 		n.mu.Unlock()
-		if err := store.Pause(ctx, tuning.AdmissionInterval); err != nil {
+		if err := kvstore.Pause(ctx, tuning.AdmissionInterval); err != nil {
 			return err
 		}
 		lag = time.Since(now) - tuning.AdmissionInterval
@@ -141,7 +141,7 @@
 }
 
 // noteAnswer remembers what a user is told.
-func (n *Node) noteAnswer(r *admission.Request, a peer.Answer) peer.Answer {
+func (n *Node) noteAnswer(r *admission.Request, a peer.Response) peer.Response {
 	switch {
 	case a.Status == http.StatusTooManyRequests:
 		n.gate.refused(time.Now(), r)
--- a/internal/node/leader.go
+++ b/internal/node/leader.go
@@ -10,29 +10,29 @@
 	"golang.org/x/sync/errgroup"
 
 	"switchshore.example/switchshore/internal/cloud"
-	"switchshore.example/switchshore/internal/controller"
 	"switchshore.example/switchshore/internal/election"
-	"switchshore.example/switchshore/internal/httpc"
-	"switchshore.example/switchshore/internal/store"
+	"switchshore.example/switchshore/internal/httpclient"
+	"switchshore.example/switchshore/internal/kvstore"
+	"switchshore.example/switchshore/internal/leader"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
 
 // lead is one term: load the stored records, then lead until the term ends.
 func (n *Node) lead(ctx context.Context, l *election.Leadership) error {
-	n.store.SetLeading(true)
-	defer n.store.SetLeading(false)
+	n.kv.SetLeading(true)
+	defer n.kv.SetLeading(false)
 	p, err := n.load(ctx, l)
 	if err != nil {
 		return err
 	}
 	n.mu.Lock()
-	n.controller, n.leadership = p, l
+	n.leader, n.leadership = p, l
 	n.mu.Unlock()
 	n.hub.SendHeartbeats()
 	defer func() {
 		n.mu.Lock()
-		n.controller, n.leadership = nil, nil
+		n.leader, n.leadership = nil, nil
 		p.Stop()
 		n.mu.Unlock()
 		n.hub.SendHeartbeats()
@@ -50,39 +50,39 @@
 
 // load reads everything stored. The reads come after the leader key was
 // taken, so no predecessor's write can come after them.
-func (n *Node) load(ctx context.Context, l *election.Leadership) (*controller.Controller, error) {
+func (n *Node) load(ctx context.Context, l *election.Leadership) (*leader.Leader, error) {
 	for {
-		p := controller.New(n.log, n.config.Params, *n.operator, l.Term, l.WonAt, n.grace)
+		p := leader.New(n.log, n.config.Params, *n.operator, l.Term, l.WonAt, n.grace)
 		var err error
-		for _, prefix := range controller.Prefixes {
-			err = n.store.List(ctx, prefix, func(item wire.Item) error {
-				return p.Load(time.Now(), time.Now(), item)
+		for _, prefix := range leader.Prefixes {
+			err = n.kv.List(ctx, prefix, func(item wire.KeyValue) error {
+				return p.LoadRecord(time.Now(), time.Now(), item)
 			})
 			if err != nil {
 				break
 			}
 		}
 		if err == nil {
-			p.Loaded(time.Now())
+			p.FinishLoading(time.Now())
 			return p, nil
 		}
-		level, pause := zerolog.DebugLevel, tuning.StoreRetry
-		if errors.Is(err, controller.ErrDamaged) {
-			level, pause = zerolog.ErrorLevel, tuning.DamagedRetry
+		level, pause := zerolog.DebugLevel, tuning.StoreRetryDelay
+		if errors.Is(err, leader.ErrDamaged) {
+			level, pause = zerolog.ErrorLevel, tuning.CorruptRecordRetryDelay
 		}
-		n.log.WithLevel(level).Err(err).Msg("load")
-		if err := store.Pause(ctx, pause); err != nil {
+		n.log.WithLevel(level).Err(err).Msg("loading records failed")
+		if err := kvstore.Pause(ctx, pause); err != nil {
 			return nil, err
 		}
 	}
 }
 
 // writeLoop commits the controller's changes, one batch after the other.
-func (n *Node) writeLoop(ctx context.Context, p *controller.Controller, l *election.Leadership) error {
-	w := store.NewWriter(l.Term, l.LeaderVersion, l.TermVersion)
+func (n *Node) writeLoop(ctx context.Context, p *leader.Leader, l *election.Leadership) error {
+	w := kvstore.NewFencedWriter(l.Term, l.LeaderVersion, l.TermVersion)
 	for {
 		n.mu.Lock()
-		b := p.NextBatch(n.store.MaxOps(), n.store.Spare())
+		b := p.NextBatch(n.kv.MaxOps(), n.kv.SpareWrites())
 		n.mu.Unlock()
 		if b == nil {
 			select {
@@ -90,17 +90,17 @@
 				return ctx.Err()
 			case <-n.write:
 			}
-			if err := store.Pause(ctx, tuning.BatchGap); err != nil {
+			if err := kvstore.Pause(ctx, tuning.WriteBatchInterval); err != nil {
 				return err
 			}
 			continue
 		}
-		refused, err := w.Commit(ctx, n.store, b.Writes)
+		refused, err := w.Commit(ctx, n.kv, b.Writes)
 		if err != nil {
 			return err
 		}
 		n.mu.Lock()
-		p.Committed(b, refused)
+		p.BatchCommitted(b, refused)
 		n.mu.Unlock()
 		n.wake(n.tick)
 	}
@@ -108,15 +108,15 @@
 
 // decisions are what one look at the cluster has made due.
 type decisions struct {
-	cloud  []controller.CloudCall
-	direct []*controller.DirectCall
+	cloud  []leader.CloudCall
+	direct []*leader.DirectCall
 	// writes: changes wait for the state service.
 	writes bool
 }
 
 // tickLoop runs placement passes and plans.
-func (n *Node) tickLoop(ctx context.Context, p *controller.Controller, l *election.Leadership) error {
-	timer := time.NewTicker(tuning.TickEvery)
+func (n *Node) tickLoop(ctx context.Context, p *leader.Leader, l *election.Leadership) error {
+	timer := time.NewTicker(tuning.TickInterval)
 	defer timer.Stop()
 	calls, ctx := errgroup.WithContext(ctx)
 	defer func() { _ = calls.Wait() }()
@@ -130,34 +130,34 @@
 		}
 		now := time.Now()
 		n.carryOut(ctx, calls, p, n.decide(now, p, l))
-		if now.Sub(summary) > tuning.SummaryEvery {
+		if now.Sub(summary) > tuning.SummaryInterval {
 			summary = now
 			n.logSummary(p)
 		}
-		if err := store.Pause(ctx, tuning.TickGap); err != nil {
+		if err := kvstore.Pause(ctx, tuning.TickIntervalMin); err != nil {
 			return err
 		}
 	}
 }
 
 // decide lets the controller look at what time and changes have made due.
-func (n *Node) decide(now time.Time, p *controller.Controller, l *election.Leadership) decisions {
-	authority := l.Authority(now)
+func (n *Node) decide(now time.Time, p *leader.Leader, l *election.Leadership) decisions {
+	authority := l.HoldsLease(now)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var d decisions
 	p.Tick(now, authority)
 	if authority {
 		p.AdvanceDrains(now, time.Now())
-		d.cloud = p.Plan(now)
-		d.direct = p.Direct(now)
+		d.cloud = p.PlanScaling(now)
+		d.direct = p.NextDirectCalls(now)
 	}
-	d.writes = p.Pending()
+	d.writes = p.HasPendingWrites()
 	return d
 }
 
 // carryOut starts the calls that were decided on.
-func (n *Node) carryOut(ctx context.Context, calls *errgroup.Group, p *controller.Controller, d decisions) {
+func (n *Node) carryOut(ctx context.Context, calls *errgroup.Group, p *leader.Leader, d decisions) {
 	for _, call := range d.direct {
 		calls.Go(func() error {
 			n.callWorker(ctx, p, call)
@@ -176,7 +176,7 @@
 }
 
 // logSummary writes the sums that operators look at first.
-func (n *Node) logSummary(p *controller.Controller) {
+func (n *Node) logSummary(p *leader.Leader) {
 	n.mu.Lock()
 	counts := p.Counts()
 	shares, on := p.AdmissionSummary()
@@ -186,22 +186,22 @@
 		for _, s := range shares.Shed {
 			event = event.Float64(s.Team+"/"+s.Class, s.Admit)
 		}
-		event.Msg("shedding")
+		event.Msg("shedding load")
 	}
-	n.log.Debug().Int("jobs", counts.Jobs).Int("ready", counts.Ready).Int("held", counts.Held).
+	n.log.Debug().Int("jobs", counts.Jobs).Int("ready", counts.Ready).Int("allocated", counts.Allocated).
 		Int("machines", counts.Machines).Int("up", counts.Up).Int("spot", counts.Spot).
 		Float64("cpus", counts.CPUs).Float64("used", counts.UsedCPUs).Float64("wanted", counts.WantedCPUs).
-		Int("writes", counts.Writes).Int("chain", counts.Chain).Int("scores", counts.Scores).Msg("summary")
+		Int("writes", counts.Writes).Int("dependency_steps", counts.DependencySteps).Int("scored_pairs", counts.ScoredPairs).Msg("summary")
 }
 
 // callCloud carries one rental or release through to an answer.
-func (n *Node) callCloud(ctx context.Context, p *controller.Controller, call controller.CloudCall) {
+func (n *Node) callCloud(ctx context.Context, p *leader.Leader, call leader.CloudCall) {
 	for ctx.Err() == nil {
 		var names []string
 		var err error
-		if call.Op == controller.CloudRent {
-			names, err = n.cloud.Rent(ctx, call.Rent)
-			if errors.Is(err, cloud.ErrRefused) || errors.Is(err, cloud.ErrMalformed) {
+		if call.Op == leader.CloudProvision {
+			names, err = n.cloud.Provision(ctx, call.Provision)
+			if errors.Is(err, cloud.ErrUnavailable) || errors.Is(err, cloud.ErrInvalidRequest) {
 				names, err = nil, nil
 			}
 		} else {
@@ -210,76 +210,76 @@
 		if err == nil {
 			now := time.Now()
 			n.mu.Lock()
-			if call.Op == controller.CloudRent {
-				p.Rented(now, call.Rent, names)
+			if call.Op == leader.CloudProvision {
+				p.ProvisionDone(now, call.Provision, names)
 			} else {
-				p.Released(now, call.Release)
+				p.ReleaseDone(now, call.Release)
 			}
 			n.mu.Unlock()
 			n.wake(n.tick)
 			return
 		}
-		n.log.Debug().Err(err).Msg("cloud")
-		_ = store.Pause(ctx, tuning.CloudRetry)
+		n.log.Debug().Err(err).Msg("cloud call failed")
+		_ = kvstore.Pause(ctx, tuning.CloudRetryDelay)
 	}
 }
 
 // callWorker carries one direct call to a worker.
-func (n *Node) callWorker(ctx context.Context, p *controller.Controller, call *controller.DirectCall) {
-	var r wire.Report
-	outcome := controller.DirectAnswered
+func (n *Node) callWorker(ctx context.Context, p *leader.Leader, call *leader.DirectCall) {
+	var r wire.Heartbeat
+	outcome := leader.DirectAnswered
 	status, err := n.workers.Do(ctx, call.Addr, tuning.DirectTimeout, http.MethodPost, wire.PathCommands, call.Request, &r)
 	switch {
-	case errors.Is(err, httpc.ErrNotSent):
-		outcome = controller.DirectNever
+	case errors.Is(err, httpclient.ErrNotSent):
+		outcome = leader.DirectNotDelivered
 	case err != nil || status != http.StatusOK && status != http.StatusConflict:
-		outcome = controller.DirectUnknown
+		outcome = leader.DirectUnknown
 	}
 	n.mu.Lock()
-	p.DirectDone(time.Now(), call, outcome, &r)
+	p.DirectCallDone(time.Now(), call, outcome, &r)
 	n.mu.Unlock()
 	n.wake(n.tick)
 }
 
-func (n *Node) typesLoop(ctx context.Context, p *controller.Controller) error {
+func (n *Node) typesLoop(ctx context.Context, p *leader.Leader) error {
 	for {
-		types, err := n.cloud.Types(ctx)
-		pause := tuning.TypesEvery
+		types, err := n.cloud.MachineTypes(ctx)
+		pause := tuning.CatalogueInterval
 		if err != nil {
-			pause = tuning.CloudRetry
+			pause = tuning.CloudRetryDelay
 		} else {
 			n.mu.Lock()
-			p.SetTypes(types)
+			p.SetMachineTypes(types)
 			n.mu.Unlock()
 			n.wake(n.tick)
 		}
-		if err := store.Pause(ctx, pause); err != nil {
+		if err := kvstore.Pause(ctx, pause); err != nil {
 			return err
 		}
 	}
 }
 
-func (n *Node) listLoop(ctx context.Context, p *controller.Controller) error {
+func (n *Node) listLoop(ctx context.Context, p *leader.Leader) error {
 	every := func(part float64) time.Duration {
-		return max(tuning.ListMinimum, time.Duration(n.config.Params.Cloud.ListLagS*part*float64(time.Second)))
+		return max(tuning.ListIntervalMin, time.Duration(n.config.Params.Cloud.ListLagS*part*float64(time.Second)))
 	}
 	for {
 		asked := time.Now()
-		list, err := n.cloud.List(ctx)
-		pause := every(tuning.ListEvery)
+		list, err := n.cloud.ListMachines(ctx)
+		pause := every(tuning.ListIntervalFactor)
 		if err != nil {
-			pause = tuning.CloudRetry
+			pause = tuning.CloudRetryDelay
 		} else {
 			now := time.Now()
 			n.mu.Lock()
-			p.Listed(asked, now, list)
-			if p.Silent(now) {
-				pause = every(tuning.ListUrgent)
+			p.ApplyMachineList(asked, now, list)
+			if p.HeartbeatsMissing(now) {
+				pause = every(tuning.UrgentListIntervalFactor)
 			}
 			n.mu.Unlock()
 			n.wake(n.tick)
 		}
-		if err := store.Pause(ctx, pause); err != nil {
+		if err := kvstore.Pause(ctx, pause); err != nil {
 			return err
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -16,12 +16,12 @@
 	"switchshore.example/switchshore/internal/api"
 	"switchshore.example/switchshore/internal/cloud"
 	"switchshore.example/switchshore/internal/config"
-	"switchshore.example/switchshore/internal/controller"
 	"switchshore.example/switchshore/internal/drain"
 	"switchshore.example/switchshore/internal/election"
-	"switchshore.example/switchshore/internal/httpc"
+	"switchshore.example/switchshore/internal/httpclient"
+	"switchshore.example/switchshore/internal/kvstore"
+	"switchshore.example/switchshore/internal/leader"
 	"switchshore.example/switchshore/internal/peer"
-	"switchshore.example/switchshore/internal/store"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -31,16 +31,16 @@
 	log      zerolog.Logger
 	config   *config.Config
 	operator *config.Operator
-	store    *store.Client
+	kv       *kvstore.Client
 	cloud    *cloud.Client
 	hub      *peer.Hub
-	workers  *httpc.Pool
+	workers  *httpclient.Pool
 	election *election.Election
 	grace    time.Duration
 
 	// mu guards the controller; nothing is sent or awaited under it.
 	mu         sync.Mutex
-	controller *controller.Controller
+	leader     *leader.Leader
 	leadership *election.Leadership
 
 	tick  chan struct{}
@@ -59,22 +59,22 @@
 		log:      log,
 		config:   c,
 		operator: o,
-		store:    store.NewClient(c.Services.State, c.Params.State, len(c.Peers)+1),
+		kv:       kvstore.NewClient(c.Services.State, c.Params.State, len(c.Peers)+1),
 		cloud:    cloud.NewClient(c.Services.Cloud, c.Params.Cloud),
 		hub:      peer.NewHub(log, c.Peers),
-		workers:  httpc.NewPool(tuning.DirectConnections, controller.DirectSockets(c.Params.Limits)),
-		grace:    controller.Grace(c.Params.Workers),
+		workers:  httpclient.NewPool(tuning.DirectConnections, leader.DirectSockets(c.Params.Limits)),
+		grace:    leader.GracePeriod(c.Params.Workers),
 		tick:     make(chan struct{}, 1),
 		write:    make(chan struct{}, 1),
 	}
-	n.election = &election.Election{Store: n.store, Node: c.Name, Log: log, Lead: n.lead}
+	n.election = &election.Election{Store: n.kv, Node: c.Name, Log: log, OnElected: n.lead}
 	if settings := o.AdmissionSettings(&c.Params); settings != nil {
 		n.gate = newGate(settings, c.Params.Teams, time.Now())
-		n.hub.Policy = n.gate.learn
+		n.hub.OnPolicy = n.gate.learn
 	}
-	n.hub.Self = n.heartbeat
-	n.hub.Superseded = n.superseded
-	n.hub.Serve = n.Do
+	n.hub.LocalHeartbeat = n.heartbeat
+	n.hub.OnHigherTerm = n.superseded
+	n.hub.Handle = n.Do
 	return n
 }
 
@@ -99,19 +99,19 @@
 
 // heartbeat tells peers what this node knows of the leader.
 func (n *Node) heartbeat() peer.Heartbeat {
-	b := peer.Heartbeat{Node: n.config.Name, Hears: n.hub.HearsLeader()}
+	b := peer.Heartbeat{Node: n.config.Name, ReachesLeader: n.hub.LinkedToLeader()}
 	if n.gate != nil {
 		b.Offers = n.gate.offers(n.config.Name)
 	}
 	now := time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.controller != nil {
+	if n.leader != nil {
 		b.Term = n.leadership.Term
-		b.Leads = n.leadership.Authority(now)
-		b.Grace = n.leadership.Grace(now, n.grace)
-		if b.Leads {
-			b.Policy = n.controller.AdmissionPolicy()
+		b.IsLeader = n.leadership.HoldsLease(now)
+		b.InGracePeriod = n.leadership.InGracePeriod(now, n.grace)
+		if b.IsLeader {
+			b.Policy = n.leader.AdmissionPolicy()
 		}
 	}
 	return b
@@ -124,7 +124,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.leadership != nil && n.leadership.Term < term {
-		n.leadership.End()
+		n.leadership.Revoke()
 	}
 }
 
@@ -134,22 +134,22 @@
 func (n *Node) Healthy() bool {
 	now := time.Now()
 	b := n.heartbeat()
-	ok := b.Leads || n.hub.ReachesLeader()
+	ok := b.IsLeader || n.hub.ReachesLeader()
 	n.reachMu.Lock()
 	defer n.reachMu.Unlock()
 	if ok {
 		n.reached, n.reachedAt = true, now
 	}
-	patience := tuning.HealthPatience
+	patience := tuning.HealthGracePeriod
 	if n.election.HeldElsewhere() {
-		patience = tuning.ReachPatience
+		patience = tuning.HealthGracePeriodLeaderKnown
 	}
 	return n.reached && now.Sub(n.reachedAt) < patience
 }
 
 // Do carries a call out if this node leads, or forwards it to the leader. A submission
 // that comes from a user goes through admission first, unless that is off.
-func (n *Node) Do(ctx context.Context, c peer.Call) peer.Answer {
+func (n *Node) Do(ctx context.Context, c peer.Call) peer.Response {
 	if n.gate != nil && c.Op == peer.OpSubmit && c.Hops == 0 {
 		return n.admit(ctx, c)
 	}
@@ -160,13 +160,13 @@
 }
 
 // forward sends a call to the leader and waits for the answer as long as the caller does.
-func (n *Node) forward(ctx context.Context, c peer.Call) peer.Answer {
-	wait := tuning.QueryWait
+func (n *Node) forward(ctx context.Context, c peer.Call) peer.Response {
+	wait := tuning.QueryTimeout
 	switch c.Op {
 	case peer.OpSubmit, peer.OpCancel, peer.OpDrain:
-		wait = tuning.SubmitWait
-	case peer.OpReport:
-		wait = tuning.ReportWait
+		wait = tuning.SubmitTimeout
+	case peer.OpHeartbeat:
+		wait = tuning.HeartbeatForwardTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
@@ -174,93 +174,93 @@
 	a, err := n.hub.Forward(ctx, c)
 	switch {
 	case err != nil:
-		return peer.Refusal(http.StatusServiceUnavailable, "no leader within reach")
-	case !a.Final() && time.Since(asked) > wait:
+		return peer.Refused(http.StatusServiceUnavailable, "no leader within reach")
+	case !a.IsTerminal() && time.Since(asked) > wait:
 		// This process may have stood still, and the answer be old.
-		return peer.Refusal(http.StatusServiceUnavailable, "the leader's answer came late")
+		return peer.Refused(http.StatusServiceUnavailable, "the leader's answer came late")
 	}
 	return a
 }
 
 // local carries a call out with this node's own controller, if it has one.
-func (n *Node) local(ctx context.Context, c peer.Call) (peer.Answer, bool) {
+func (n *Node) local(ctx context.Context, c peer.Call) (peer.Response, bool) {
 	now := time.Now()
 	n.mu.Lock()
-	p, l := n.controller, n.leadership
+	p, l := n.leader, n.leadership
 	if p == nil {
 		n.mu.Unlock()
-		return peer.Answer{}, false
+		return peer.Response{}, false
 	}
-	authority := l.Authority(now)
-	if c.Op == peer.OpReport {
+	authority := l.HoldsLease(now)
+	if c.Op == peer.OpHeartbeat {
 		defer n.wake(n.tick)
 		defer n.mu.Unlock()
-		return n.report(now, p, l, c.Report, authority)
+		return n.report(now, p, l, c.Heartbeat, authority)
 	}
 	if !authority {
 		n.mu.Unlock()
-		return peer.Answer{}, false
+		return peer.Response{}, false
 	}
-	result := make(chan peer.Answer, 1)
-	then := func(v controller.Verdict) { result <- verdictAnswer(c, v) }
+	result := make(chan peer.Response, 1)
+	then := func(v leader.Response) { result <- verdictAnswer(c, v) }
 	switch c.Op {
 	case peer.OpQuery:
 		then(p.Query(c.Job))
 	case peer.OpCancel:
 		p.Cancel(now, c.Job, then)
 	case peer.OpSubmit:
-		p.SubmitClaimed(now, time.Now(), c.Submission(), c.Admission, then)
+		p.SubmitWithClaim(now, time.Now(), c.Submission(), c.Admission, then)
 	case peer.OpDrain:
 		p.DrainRequest(now, time.Now(), c.Drain, func(r drain.Response) {
-			result <- peer.Answer{Status: r.Status, Why: r.Why, Drains: r.Drains}
+			result <- peer.Response{Status: r.Status, Reason: r.Reason, Drains: r.Drains}
 		})
 	}
 	n.mu.Unlock()
 	n.wake(n.write)
-	timer := time.NewTimer(tuning.SubmitWait)
+	timer := time.NewTimer(tuning.SubmitTimeout)
 	defer timer.Stop()
 	select {
 	case a := <-result:
-		if !a.Final() && !l.Authority(time.Now()) {
+		if !a.IsTerminal() && !l.HoldsLease(time.Now()) {
 			// The process may have stood still since, and a successor have told
 			// the user something newer.
-			return peer.Refusal(http.StatusServiceUnavailable, "no longer the leader"), true
+			return peer.Refused(http.StatusServiceUnavailable, "no longer the leader"), true
 		}
 		return a, true
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return peer.Refusal(http.StatusServiceUnavailable, "state service does not answer"), true
+	return peer.Refused(http.StatusServiceUnavailable, "state service does not answer"), true
 }
 
 // refusal is an answer other than success, with the time after which to come back.
-func refusal(status int, why string, retryAfter int) peer.Answer {
-	a := peer.Refusal(status, why)
+func refusal(status int, why string, retryAfter int) peer.Response {
+	a := peer.Refused(status, why)
 	a.RetryAfter = retryAfter
 	return a
 }
 
-func verdictAnswer(c peer.Call, v controller.Verdict) peer.Answer {
+func verdictAnswer(c peer.Call, v leader.Response) peer.Response {
 	if v.Status/100 != 2 {
-		return refusal(v.Status, v.Why, v.RetryAfter)
+		return refusal(v.Status, v.Reason, v.RetryAfter)
 	}
-	return peer.Answer{Status: v.Status, Job: &wire.JobStatus{ID: c.Job, State: v.State, Done: v.Done, Running: v.Run}}
+	return peer.Response{Status: v.Status, Job: &wire.JobStatus{ID: c.Job, State: v.State, Done: v.Done, Running: v.Running}}
 }
 
 // report answers a worker. Called under mu.
-func (n *Node) report(now time.Time, p *controller.Controller, l *election.Leadership, r *wire.Report, authority bool) (peer.Answer, bool) {
-	if !l.Grace(now, n.grace) {
-		return peer.Answer{}, false
+func (n *Node) report(now time.Time, p *leader.Leader, l *election.Leadership, r *wire.Heartbeat, authority bool) (peer.Response, bool) {
+	if !l.InGracePeriod(now, n.grace) {
+		return peer.Response{}, false
 	}
-	answer, receipt := p.Report(now, r, authority)
+	answer, receipt := p.HandleHeartbeat(now, r, authority)
 	switch receipt {
-	case controller.ReportSuperseded:
-		l.End()
-		return peer.Answer{}, false
-	case controller.ReportStale:
-		return peer.Refusal(http.StatusServiceUnavailable, "older than what is known"), true
+	case leader.HeartbeatSuperseded:
+		l.Revoke()
+		return peer.Response{}, false
+	case leader.HeartbeatStale:
+		return peer.Refused(http.StatusServiceUnavailable, "older than what is known"), true
 	}
-	return peer.Answer{Status: http.StatusOK, Report: &answer}, true
+	return peer.Response{Status: http.StatusOK, Heartbeat: &answer}, true
 }
 
 func (n *Node) wake(ch chan struct{}) {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -18,7 +18,7 @@
 
 	"switchshore.example/switchshore/internal/config"
 	"switchshore.example/switchshore/internal/node"
-	"switchshore.example/switchshore/internal/simtest"
+	"switchshore.example/switchshore/internal/simulation"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -34,7 +34,7 @@
 	stop  []context.CancelFunc
 	ended []chan struct{}
 	// services are the state service and the cloud.
-	services *simtest.Server
+	services *simulation.Server
 }
 
 func listen(t *testing.T) net.Listener {
@@ -58,8 +58,8 @@
 
 // startWith starts nodes with the operators' settings given, after a change of the others.
 func startWith(t *testing.T, size int, operator *config.Operator, change func(*config.Params)) *cluster {
-	services := simtest.NewServer(wire.MachineType{
-		Name: "std-8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 0.1, Zones: []string{"a"},
+	services := simulation.NewServer(wire.MachineType{
+		Name: "std-8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootTimeS: 0.1, Zones: []string{"a"},
 	})
 	ln := listen(t)
 	t.Cleanup(func() { _ = ln.Close() })
@@ -80,9 +80,9 @@
 			Services: config.Services{Cloud: ln.Addr().String(), State: ln.Addr().String()},
 			Params: config.Params{
 				Teams:   []config.Team{{Name: "blue", CPUs: 8, CPUsMax: 16}},
-				Workers: config.Workers{ReportS: 0.3, LeaseS: 5, CancelS: 20},
-				State:   config.State{RPS: 500, WriteRPS: 300, ValueKB: 16, TxnOps: 48},
-				Cloud:   config.Cloud{RPS: 50, ListLagS: 0.1},
+				Workers: config.Workers{HeartbeatIntervalS: 0.3, LeaseS: 5, CancelDeadlineS: 20},
+				State:   config.StateLimits{RPS: 500, WriteRPS: 300, ValueKB: 16, TxnOps: 48},
+				Cloud:   config.CloudLimits{RPS: 50, ListLagS: 0.1},
 			},
 		}
 		change(&cfg.Params)
@@ -106,21 +106,21 @@
 
 // work plays one worker that finishes every task at once.
 func work(ctx context.Context, row wire.ListedMachine, nodes []string) {
-	r := wire.Report{Machine: row.Name, Type: row.Type, Zone: row.Zone, Spot: row.Spot, Session: 1, Tasks: []wire.TaskReport{}}
+	r := wire.Heartbeat{Machine: row.Name, Type: row.Type, Zone: row.Zone, Spot: row.Spot, AgentEpoch: 1, Tasks: []wire.TaskStatus{}}
 	for at := 0; ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
-		r.Seq++
+		r.Sequence++
 		data, _ := json.Marshal(r)
-		status, body := send(nodes[at], fasthttp.MethodPost, wire.PathReport, string(data))
-		var a wire.ReportAnswer
+		status, body := send(nodes[at], fasthttp.MethodPost, wire.PathHeartbeat, string(data))
+		var a wire.HeartbeatResponse
 		if status != 200 || json.Unmarshal(body, &a) != nil {
 			at = (at + 1) % len(nodes)
 			continue
 		}
-		r.Token = a.Token
+		r.FencingToken = a.FencingToken
 		for _, c := range a.Commands {
 			switch c.Op {
 			case wire.OpStart:
-				r.Tasks = append(r.Tasks, wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskExited, Why: wire.WhyDone})
+				r.Tasks = append(r.Tasks, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskExited, ExitReason: wire.ExitDone})
 			case wire.OpForget:
 				for i, t := range r.Tasks {
 					if t.Task == c.Task && t.Attempt == c.Attempt {
@@ -194,7 +194,7 @@
 		c.until(addr, "POST", wire.PathJobs, fmt.Sprintf(submission, id), 201, "")
 		c.until(addr, "POST", wire.PathJobs, fmt.Sprintf(submission, id), 200, "")
 		c.until(c.addrs[0], "GET", wire.PathJobs+"/"+id, "", 200, wire.JobDone)
-		c.until(addr, "POST", wire.PathJobs+"/"+id+"/"+wire.EndCancel, "", 200, wire.JobDone)
+		c.until(addr, "POST", wire.PathJobs+"/"+id+"/"+wire.CancelSuffix, "", 200, wire.JobDone)
 	}
 	const third = `"tideS":null,"awaits":["job-000000","job-000002"]}`
 	chained := strings.Replace(fmt.Sprintf(submission, "job-000100"), `"tideS":null}`, third, 1)
@@ -216,8 +216,8 @@
 		{"POST", wire.PathJobs, fmt.Sprintf(submission, "else"), 400},
 		{"POST", wire.PathJobs, strings.NewReplacer("job-000100", "job-000101", "job-000002", "job-999999").Replace(chained), 422},
 		{"POST", wire.PathJobs, strings.NewReplacer("job-000100", "job-000101", `"job-000002"`, "2").Replace(chained), 400},
-		{"POST", wire.PathReport, "{}", 400},
-		{"POST", wire.PathJobs + "/job-999999/" + wire.EndCancel, "", 404},
+		{"POST", wire.PathHeartbeat, "{}", 400},
+		{"POST", wire.PathJobs + "/job-999999/" + wire.CancelSuffix, "", 404},
 	} {
 		if got, body := send(addr, r.method, r.path, r.body); got != r.status {
 			t.Errorf("%s %s %.20s: %d %s, want %d", r.method, r.path, r.body, got, body, r.status)
@@ -252,10 +252,10 @@
 	jobs := wire.PathJobs
 	undecided := []request{ // it takes a leader to know
 		{"GET", jobs + "/job-999999", "", 404},
-		{"POST", jobs + "/job-999999/" + wire.EndCancel, "", 404},
+		{"POST", jobs + "/job-999999/" + wire.CancelSuffix, "", 404},
 		{"GET", jobs + "/job-000001", "", 200},
 		{"POST", jobs, done, 200},
-		{"POST", jobs + "/job-000001/" + wire.EndCancel, "", 200},
+		{"POST", jobs + "/job-000001/" + wire.CancelSuffix, "", 200},
 	}
 	var malformed []request
 	odd := func(status int, old, new string) request {
--- a/internal/operatorcli/drains.go
+++ b/internal/operatorcli/drains.go
@@ -53,14 +53,14 @@
 }
 
 func (c *Client) do(ctx context.Context, q drain.Request) error {
-	ctx, cancel := context.WithTimeout(ctx, tuning.OperatorWait)
+	ctx, cancel := context.WithTimeout(ctx, tuning.OperatorTimeout)
 	defer cancel()
-	answer, err := peer.Ask(ctx, c.Node, peer.Call{Op: peer.OpDrain, Drain: &q})
+	answer, err := peer.Request(ctx, c.Node, peer.Call{Op: peer.OpDrain, Drain: &q})
 	if err != nil {
 		return err
 	}
 	if answer.Status/100 != http.StatusOK/100 {
-		return fmt.Errorf("%w: %s (%d)", ErrRefused, answer.Why, answer.Status)
+		return fmt.Errorf("%w: %s (%d)", ErrRefused, answer.Reason, answer.Status)
 	}
 	if c.JSON {
 		return c.printLines(answer.Drains)
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -9,13 +9,13 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Ask sends one call to a node from outside the cluster, such as an operator's command, and
+// Request sends one call to a node from outside the cluster, such as an operator's command, and
 // waits for the answer until the context ends.
-func Ask(ctx context.Context, addr string, c Call) (Answer, error) {
+func Request(ctx context.Context, addr string, c Call) (Response, error) {
 	dialer := net.Dialer{Timeout: tuning.PeerDialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp4", addr)
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	defer conn.Close()
 	ctx, cancel := context.WithCancel(ctx)
@@ -25,18 +25,18 @@
 	out := newLineWriter(conn)
 	go out.run(ctx)
 	c.ID = 1
-	if err := out.write(&line{Call: &c}); err != nil {
-		return Answer{}, err
+	if err := out.write(&message{Call: &c}); err != nil {
+		return Response{}, err
 	}
-	var answer *Answer
-	err = readLinesWithin(conn, tuning.OperatorWait, func(m *line) bool {
-		if m.Answer != nil && m.Answer.ID == c.ID {
-			answer = m.Answer
+	var answer *Response
+	err = readLinesWithin(conn, tuning.OperatorTimeout, func(m *message) bool {
+		if m.Response != nil && m.Response.ID == c.ID {
+			answer = m.Response
 		}
 		return answer == nil
 	})
 	if answer == nil {
-		return Answer{}, fmt.Errorf("no answer from %s: %w", addr, orClosed(err))
+		return Response{}, fmt.Errorf("no answer from %s: %w", addr, orClosed(err))
 	}
 	return *answer, nil
 }
--- a/internal/peer/hub.go
+++ b/internal/peer/hub.go
@@ -16,7 +16,7 @@
 
 	"switchshore.example/switchshore/internal/admission"
 	"switchshore.example/switchshore/internal/config"
-	"switchshore.example/switchshore/internal/store"
+	"switchshore.example/switchshore/internal/kvstore"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
@@ -26,14 +26,14 @@
 // Hub holds the links to all peers.
 type Hub struct {
 	Log zerolog.Logger
-	// Self tells this node's own heartbeat.
-	Self func() Heartbeat
-	// Superseded is told the term of a peer that leads with authority.
-	Superseded func(term uint64)
-	// Policy, if set, is told the admission policy of a peer that leads.
-	Policy func(admission.Policy)
-	// Serve answers a peer's call.
-	Serve func(context.Context, Call) Answer
+	// LocalHeartbeat tells this node's own heartbeat.
+	LocalHeartbeat func() Heartbeat
+	// OnHigherTerm is told the term of a peer that leads with authority.
+	OnHigherTerm func(term uint64)
+	// OnPolicy, if set, is told the admission policy of a peer that leads.
+	OnPolicy func(admission.Policy)
+	// Handle answers a peer's call.
+	Handle func(context.Context, Call) Response
 
 	mu    sync.Mutex
 	links []*link
@@ -72,8 +72,8 @@
 				if ctx.Err() != nil {
 					return nil
 				}
-				h.Log.Debug().Err(err).Msg("accept peer")
-				if store.Pause(ctx, tuning.PeerRedial) != nil {
+				h.Log.Debug().Err(err).Msg("accepting peer connection failed")
+				if kvstore.Pause(ctx, tuning.PeerRedialDelay) != nil {
 					return nil
 				}
 				continue
@@ -106,12 +106,12 @@
 	h.mu.Lock()
 	h.views[b.Node] = peerState{*b, time.Now()}
 	h.mu.Unlock()
-	if !b.Leads {
+	if !b.IsLeader {
 		return
 	}
-	h.Superseded(b.Term)
-	if h.Policy != nil && b.Policy != nil && b.Policy.Term == b.Term {
-		h.Policy(*b.Policy)
+	h.OnHigherTerm(b.Term)
+	if h.OnPolicy != nil && b.Policy != nil && b.Policy.Term == b.Term {
+		h.OnPolicy(*b.Policy)
 	}
 }
 
@@ -123,7 +123,7 @@
 	var all []admission.NodeOffers
 	for _, l := range h.links {
 		v := h.views[l.name]
-		if v.heartbeat.Offers != nil && now.Sub(v.at) <= tuning.PeerSilence {
+		if v.heartbeat.Offers != nil && now.Sub(v.at) <= tuning.PeerTimeout {
 			offers := *v.heartbeat.Offers
 			offers.Node = l.name
 			all = append(all, offers)
@@ -132,8 +132,8 @@
 	return all
 }
 
-// HearsLeader reports whether a peer with authority is directly in reach.
-func (h *Hub) HearsLeader() bool { l, _ := h.route(false, 1); return l != nil }
+// LinkedToLeader reports whether a peer with authority is directly in reach.
+func (h *Hub) LinkedToLeader() bool { l, _ := h.route(false, 1); return l != nil }
 
 // ReachesLeader reports whether a leader is in reach, directly or through a peer.
 func (h *Hub) ReachesLeader() bool { l, _ := h.route(false, 0); return l != nil }
@@ -148,13 +148,13 @@
 	var term uint64
 	for _, l := range h.links {
 		v := h.views[l.name]
-		if !l.up || now.Sub(v.at) > tuning.PeerSilence {
+		if !l.up || now.Sub(v.at) > tuning.PeerTimeout {
 			continue
 		}
-		if (v.heartbeat.Leads || report && v.heartbeat.Grace) && v.heartbeat.Term >= term {
+		if (v.heartbeat.IsLeader || report && v.heartbeat.InGracePeriod) && v.heartbeat.Term >= term {
 			direct, term = l, v.heartbeat.Term
 		}
-		if v.heartbeat.Hears {
+		if v.heartbeat.ReachesLeader {
 			relay = l
 		}
 	}
@@ -168,10 +168,10 @@
 }
 
 // Forward sends a call towards the leader and waits for the answer.
-func (h *Hub) Forward(ctx context.Context, c Call) (Answer, error) {
-	l, hops := h.route(c.Op == OpReport, c.Hops)
+func (h *Hub) Forward(ctx context.Context, c Call) (Response, error) {
+	l, hops := h.route(c.Op == OpHeartbeat, c.Hops)
 	if l == nil {
-		return Answer{}, ErrUnreachable
+		return Response{}, ErrUnreachable
 	}
 	c.Hops = hops
 	return l.call(ctx, c)
@@ -186,26 +186,26 @@
 	defer conn.Close()
 	out := newLineWriter(conn)
 	go out.run(ctx)
-	slots := make(chan struct{}, tuning.PeerCalls)
-	_ = readLines(conn, func(m *line) {
+	slots := make(chan struct{}, tuning.PeerMaxCalls)
+	_ = readLines(conn, func(m *message) {
 		switch {
 		case m.Heartbeat != nil:
 			h.recordHeartbeat(m.Heartbeat)
-			self := h.Self()
-			_ = out.write(&line{Heartbeat: &self})
+			self := h.LocalHeartbeat()
+			_ = out.write(&message{Heartbeat: &self})
 		case m.Call != nil && !m.Call.complete():
-			_ = out.write(&line{Answer: &Answer{ID: m.Call.ID, Status: http.StatusServiceUnavailable, Why: "incomplete call"}})
+			_ = out.write(&message{Response: &Response{ID: m.Call.ID, Status: http.StatusServiceUnavailable, Reason: "incomplete call"}})
 		case m.Call != nil:
 			select {
 			case slots <- struct{}{}:
 				go func(c Call) {
 					defer func() { <-slots }()
-					a := h.Serve(ctx, c)
+					a := h.Handle(ctx, c)
 					a.ID = c.ID
-					_ = out.write(&line{Answer: &a})
+					_ = out.write(&message{Response: &a})
 				}(*m.Call)
 			default:
-				_ = out.write(&line{Answer: &Answer{ID: m.Call.ID, Status: http.StatusServiceUnavailable}})
+				_ = out.write(&message{Response: &Response{ID: m.Call.ID, Status: http.StatusServiceUnavailable}})
 			}
 		}
 	})
--- a/internal/peer/lines.go
+++ b/internal/peer/lines.go
@@ -9,7 +9,7 @@
 
 	"github.com/goccy/go-json"
 
-	"switchshore.example/switchshore/internal/store"
+	"switchshore.example/switchshore/internal/kvstore"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
@@ -31,13 +31,13 @@
 	return &lineWriter{conn: conn, wake: make(chan struct{}, 1)}
 }
 
-func (w *lineWriter) write(m *line) error {
+func (w *lineWriter) write(m *message) error {
 	data, err := json.Marshal(m)
 	if err != nil {
 		return err
 	}
 	w.mu.Lock()
-	if w.failed == nil && len(w.pending) > tuning.PeerPending {
+	if w.failed == nil && len(w.pending) > tuning.PeerMaxPending {
 		w.failed = ErrUnreachable
 		_ = w.conn.Close()
 	}
@@ -67,7 +67,7 @@
 		if len(sending) == 0 {
 			continue
 		}
-		_ = w.conn.SetWriteDeadline(time.Now().Add(tuning.PeerSilence))
+		_ = w.conn.SetWriteDeadline(time.Now().Add(tuning.PeerTimeout))
 		if _, err := w.conn.Write(sending); err != nil {
 			w.mu.Lock()
 			w.failed = err
@@ -75,7 +75,7 @@
 			_ = w.conn.Close()
 			return
 		}
-		if store.Pause(ctx, tuning.PeerGather) != nil {
+		if kvstore.Pause(ctx, tuning.PeerFlushDelay) != nil {
 			return
 		}
 	}
@@ -93,8 +93,8 @@
 }
 
 // readLines calls f for every line until the connection ends or falls silent.
-func readLines(conn net.Conn, f func(*line)) error {
-	return readLinesWithin(conn, tuning.PeerSilence, func(m *line) bool {
+func readLines(conn net.Conn, f func(*message)) error {
+	return readLinesWithin(conn, tuning.PeerTimeout, func(m *message) bool {
 		f(m)
 		return true
 	})
@@ -102,11 +102,11 @@
 
 // readLinesWithin calls f for every line until it returns false, the connection ends, or nothing
 // comes for a time.
-func readLinesWithin(conn net.Conn, patience time.Duration, f func(*line) bool) error {
+func readLinesWithin(conn net.Conn, patience time.Duration, f func(*message) bool) error {
 	s := bufio.NewScanner(patientConn{conn, patience})
-	s.Buffer(make([]byte, 0, tuning.PeerBuffer), tuning.PeerLine)
+	s.Buffer(make([]byte, 0, tuning.PeerBuffer), tuning.PeerMaxLine)
 	for s.Scan() {
-		var m line
+		var m message
 		if err := json.Unmarshal(s.Bytes(), &m); err != nil {
 			return err
 		}
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"switchshore.example/switchshore/internal/store"
+	"switchshore.example/switchshore/internal/kvstore"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
@@ -20,7 +20,7 @@
 	mu      sync.Mutex
 	out     *lineWriter
 	nextID  uint64
-	waiting map[uint64]chan Answer
+	waiting map[uint64]chan Response
 }
 
 func (l *link) run(ctx context.Context) error {
@@ -29,7 +29,7 @@
 		if err == nil {
 			l.serve(ctx, conn)
 		}
-		if store.Pause(ctx, tuning.PeerRedial) != nil {
+		if kvstore.Pause(ctx, tuning.PeerRedialDelay) != nil {
 			break
 		}
 	}
@@ -37,7 +37,7 @@
 }
 
 // serve keeps one connection: heartbeats out, heartbeats and answers in. A connection
-// on which nothing comes back for PeerSilence is given up, as a cut gives no
+// on which nothing comes back for PeerTimeout is given up, as a cut gives no
 // error.
 func (l *link) serve(ctx context.Context, conn net.Conn) {
 	ctx, cancel := context.WithCancel(ctx)
@@ -62,7 +62,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.out = out
-	l.waiting = map[uint64]chan Answer{}
+	l.waiting = map[uint64]chan Response{}
 }
 
 // detach ends all calls that wait for an answer over a connection that has ended.
@@ -79,8 +79,8 @@
 // sendHeartbeats sends one at every interval, and at once when poked, until the context ends.
 func (l *link) sendHeartbeats(ctx context.Context, out *lineWriter) {
 	for ctx.Err() == nil {
-		self := l.hub.Self()
-		if out.write(&line{Heartbeat: &self}) != nil {
+		self := l.hub.LocalHeartbeat()
+		if out.write(&message{Heartbeat: &self}) != nil {
 			return
 		}
 		select {
@@ -92,18 +92,18 @@
 }
 
 // receive takes in a line of the peer.
-func (l *link) receive(m *line) {
+func (l *link) receive(m *message) {
 	switch {
 	case m.Heartbeat != nil:
 		l.hub.recordHeartbeat(m.Heartbeat)
 		l.setUp(true)
-	case m.Answer != nil:
+	case m.Response != nil:
 		l.mu.Lock()
-		ch := l.waiting[m.Answer.ID]
-		delete(l.waiting, m.Answer.ID)
+		ch := l.waiting[m.Response.ID]
+		delete(l.waiting, m.Response.ID)
 		l.mu.Unlock()
 		if ch != nil {
-			ch <- *m.Answer
+			ch <- *m.Response
 		}
 	}
 }
@@ -114,25 +114,25 @@
 	l.hub.mu.Unlock()
 }
 
-func (l *link) call(ctx context.Context, c Call) (Answer, error) {
-	ch := make(chan Answer, 1)
+func (l *link) call(ctx context.Context, c Call) (Response, error) {
+	ch := make(chan Response, 1)
 	l.mu.Lock()
 	out := l.out
-	if out == nil || len(l.waiting) >= tuning.PeerCalls {
+	if out == nil || len(l.waiting) >= tuning.PeerMaxCalls {
 		l.mu.Unlock()
-		return Answer{}, ErrUnreachable
+		return Response{}, ErrUnreachable
 	}
 	l.nextID++
 	c.ID = l.nextID
 	l.waiting[c.ID] = ch
 	l.mu.Unlock()
-	if err := out.write(&line{Call: &c}); err != nil {
-		return Answer{}, err
+	if err := out.write(&message{Call: &c}); err != nil {
+		return Response{}, err
 	}
 	select {
 	case a, ok := <-ch:
 		if !ok {
-			return Answer{}, ErrUnreachable
+			return Response{}, ErrUnreachable
 		}
 		return a, nil
 	case <-ctx.Done():
@@ -141,6 +141,6 @@
 			delete(l.waiting, c.ID)
 		}
 		l.mu.Unlock()
-		return Answer{}, ctx.Err()
+		return Response{}, ctx.Err()
 	}
 }
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -8,11 +8,11 @@
 
 // Operations that are forwarded.
 const (
-	OpSubmit = "submit"
-	OpQuery  = "query"
-	OpCancel = "cancel"
-	OpReport = "report"
-	OpDrain  = "drain"
+	OpSubmit    = "submit"
+	OpQuery     = "query"
+	OpCancel    = "cancel"
+	OpHeartbeat = "report"
+	OpDrain     = "drain"
 )
 
 // Call is a request on its way to the leader.
@@ -24,8 +24,8 @@
 	// WithDependencies is in the place of Spec for a job that needs others. Versions
 	// that don't know such jobs would lose what it needs and start it early;
 	// without Spec the call is incomplete to them, and refused at once.
-	WithDependencies *wire.Job    `json:"chained,omitempty"`
-	Report           *wire.Report `json:"report,omitempty"`
+	WithDependencies *wire.Job       `json:"chained,omitempty"`
+	Heartbeat        *wire.Heartbeat `json:"report,omitempty"`
 	// Hops counts forwards; a call is relayed once at most.
 	Hops int `json:"hops,omitempty"`
 	// Admission is what the node that the user has reached says of a submission.
@@ -37,7 +37,7 @@
 // Submit returns the call for a submission.
 func Submit(job *wire.Job) Call {
 	c := Call{Op: OpSubmit, Job: job.ID}
-	if len(job.Needs) > 0 {
+	if len(job.DependsOn) > 0 {
 		c.WithDependencies = job
 	} else {
 		c.Spec = job
@@ -59,52 +59,54 @@
 	switch c.Op {
 	case OpSubmit:
 		return c.Submission() != nil
-	case OpReport:
-		return c.Report != nil
+	case OpHeartbeat:
+		return c.Heartbeat != nil
 	case OpDrain:
 		return c.Drain != nil
 	}
 	return true
 }
 
-// Answer is a status with what the caller is told: of a job, of a report, or
+// Response is a status with what the caller is told: of a job, of a report, or
 // why it is refused.
-type Answer struct {
-	ID     uint64             `json:"id"`
-	Status int                `json:"status"`
-	Job    *wire.JobStatus    `json:"job,omitempty"`
-	Report *wire.ReportAnswer `json:"report,omitempty"`
-	Why    string             `json:"why,omitempty"`
-	// RetryAfter is when the user should come back, in seconds; 0 for the usual time.
+type Response struct {
+	ID        uint64                  `json:"id"`
+	Status    int                     `json:"status"`
+	Job       *wire.JobStatus         `json:"job,omitempty"`
+	Heartbeat *wire.HeartbeatResponse `json:"report,omitempty"`
+	Reason    string                  `json:"why,omitempty"`
+	// RetryAfterS is when the user should come back, in seconds; 0 for the usual time.
 	RetryAfter int `json:"retryAfter,omitempty"`
 	// Drains are those that an operator asked about.
 	Drains []drain.Status `json:"drains,omitempty"`
 }
 
-// Final reports whether the answer stays true for good, whoever leads.
-func (a *Answer) Final() bool { return a.Status/100 == 2 && a.Job != nil && wire.Final(a.Job.State) }
+// IsTerminal reports whether the answer stays true for good, whoever leads.
+func (a *Response) IsTerminal() bool {
+	return a.Status/100 == 2 && a.Job != nil && wire.IsTerminal(a.Job.State)
+}
 
-// Refusal is an answer other than success.
-func Refusal(status int, why string) Answer { return Answer{Status: status, Why: why} }
+// Refused is an answer other than success.
+func Refused(status int, why string) Response { return Response{Status: status, Reason: why} }
 
 // Heartbeat says what a node knows of the leader.
 type Heartbeat struct {
 	Node string `json:"node"`
 	// Term is the node's own term if it leads, or may still answer reports.
 	Term uint64 `json:"term,omitempty"`
-	// Leads: with authority. Grace: reports only.
-	Leads bool `json:"leads,omitempty"`
-	Grace bool `json:"grace,omitempty"`
-	// Hears: the node has a direct link to a leader with authority.
-	Hears bool `json:"hears,omitempty"`
+	// IsLeader: with authority. Grace: reports only.
+	IsLeader      bool `json:"leads,omitempty"`
+	InGracePeriod bool `json:"grace,omitempty"`
+	// ReachesLeader: the node has a direct link to a leader with authority.
+	ReachesLeader bool `json:"hears,omitempty"`
 	// Policy is the leader's for the admission of jobs, Offers what the node's users
 	// submit; nil where admission control is off.
 	Policy *admission.Policy     `json:"policy,omitempty"`
 	Offers *admission.NodeOffers `json:"offers,omitempty"`
 }
 
-type line struct {
+type message struct {
 	Heartbeat *Heartbeat `json:"beat,omitempty"`
 	Call      *Call      `json:"call,omitempty"`
-	Answer    *Answer    `json:"answer,omitempty"`
+	Response  *Response  `json:"answer,omitempty"`
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -14,7 +14,7 @@
 
 	"switchshore.example/switchshore/internal/admission"
 	"switchshore.example/switchshore/internal/config"
-	"switchshore.example/switchshore/internal/simtest"
+	"switchshore.example/switchshore/internal/simulation"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -23,11 +23,11 @@
 // out nor the end of the link.
 func TestIncompleteCallsAreRefused(t *testing.T) {
 	h := NewHub(zerolog.Nop(), nil)
-	h.Serve = func(_ context.Context, c Call) Answer {
+	h.Handle = func(_ context.Context, c Call) Response {
 		if !c.complete() {
 			t.Errorf("carried out: %+v", c)
 		}
-		return Answer{Status: http.StatusOK}
+		return Response{Status: http.StatusOK}
 	}
 	ours, theirs := net.Pipe()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -52,9 +52,9 @@
 // term; what a peer is offered counts under the name of its link, and only while it is heard.
 func TestPoliciesComeFromLeaders(t *testing.T) {
 	h := NewHub(zerolog.Nop(), []config.Peer{{Name: "n1"}, {Name: "n2"}})
-	h.Superseded = func(uint64) {}
+	h.OnHigherTerm = func(uint64) {}
 	var heard []uint64
-	h.Policy = func(p admission.Policy) { heard = append(heard, p.Term) }
+	h.OnPolicy = func(p admission.Policy) { heard = append(heard, p.Term) }
 	for _, text := range []string{
 		`{"node":"n1","term":4,"leads":true,"policy":{"term":4,"revision":9}}`,
 		`{"node":"n1","term":5,"grace":true,"policy":{"term":5,"revision":9}}`,
@@ -87,7 +87,7 @@
 	}
 	calls := 0
 	for text := range strings.Lines(string(data)) {
-		var m line
+		var m message
 		if err := json.Unmarshal([]byte(text), &m); err != nil {
 			t.Fatal(err)
 		}
@@ -105,13 +105,13 @@
 	}
 	job := &wire.Job{ID: "job-000001"}
 	plain, _ := json.Marshal(Submit(job))
-	job.Needs = []string{"job-000002"}
+	job.DependsOn = []string{"job-000002"}
 	chained, _ := json.Marshal(Submit(job))
-	if simtest.PreviousVersionRefuses(plain) || !simtest.PreviousVersionRefuses(chained) {
+	if simulation.PreviousVersionRefuses(plain) || !simulation.PreviousVersionRefuses(chained) {
 		t.Errorf("%s\n%s", plain, chained)
 	}
 	var c Call
-	if err := json.Unmarshal(chained, &c); err != nil || !c.complete() || len(c.Submission().Needs) != 1 {
+	if err := json.Unmarshal(chained, &c); err != nil || !c.complete() || len(c.Submission().DependsOn) != 1 {
 		t.Errorf("%v %+v", err, c)
 	}
 }
--- a/internal/sched/order.go
+++ b/internal/placement/order.go
@@ -1,4 +1,4 @@
-package sched
+package placement
 
 import (
 	"cmp"
@@ -8,21 +8,21 @@
 )
 
 // step is the line of a job by urgency.
-func (r *Ready) step() float64 { return math.Floor(r.Urgency / tuning.UrgencyStep) }
+func (r *PendingJob) step() float64 { return math.Floor(r.Urgency / tuning.UrgencyStep) }
 
-// compareLines orders the lines of jobs: aged ones, then by level, those within
+// compareQueues orders the lines of jobs: aged ones, then by level, those within
 // their team's guarantee before borrowers, then by urgency. Among the jobs of
 // one line the speedup decides.
-func compareLines(a, b *Ready) int {
+func compareQueues(a, b *PendingJob) int {
 	return cmp.Or(
 		cmp.Compare(b.AgedS, a.AgedS),
-		cmp.Compare(a.Level, b.Level),
-		yes(b.Guaranteed)-yes(a.Guaranteed),
+		cmp.Compare(a.PriorityRank, b.PriorityRank),
+		boolRank(b.Guaranteed)-boolRank(a.Guaranteed),
 		cmp.Compare(a.step(), b.step()),
 	)
 }
 
-func yes(b bool) int {
+func boolRank(b bool) int {
 	if b {
 		return 1
 	}
--- a/internal/sched/resources.go
+++ b/internal/placement/resources.go
@@ -1,4 +1,4 @@
-package sched
+package placement
 
 // Resources are amounts of a machine.
 type Resources struct {
--- a/internal/sched/score.go
+++ b/internal/placement/score.go
@@ -1,4 +1,4 @@
-package sched
+package placement
 
 import (
 	"container/heap"
@@ -47,9 +47,9 @@
 	}
 	free := m.Free
 	for _, l := range m.Loads {
-		free = free.Add(l.Need, 1)
+		free = free.Add(l.Request, 1)
 		if free.Fits(need) {
-			return max(l.EndS-now, tuning.OverdueS)
+			return max(l.EndS-now, tuning.MinRemainingS)
 		}
 	}
 	return math.Inf(1)
@@ -104,12 +104,12 @@
 // score is S(t, vm) = Rs(t) - Rvm(t, vm) in microseconds, and the wait for
 // room in it; false if the machine can't have the task. R(t) cancels out: what
 // is left is the fetch on an empty machine less the fetch and the wait here.
-func (p *pass) score(r *Ready, m *Machine) (choice, bool) {
-	p.work.Scores++
-	if m.queuedLevel >= 0 && m.queuedLevel < r.Level && r.AgedS == 0 || len(m.Loads) >= tuning.MachineTasks || m.Avoid[r.Job] || !r.Allowed(m) {
+func (p *pass) score(r *PendingJob, m *Machine) (choice, bool) {
+	p.work.ScoredPairs++
+	if m.queuedLevel >= 0 && m.queuedLevel < r.PriorityRank && r.AgedS == 0 || len(m.Loads) >= tuning.MaxTasksPerMachine || m.Avoid[r.Job] || !r.Allowed(m) {
 		return choice{}, false
 	}
-	wait := m.waitFor(p.now, r.Need)
+	wait := m.waitFor(p.now, r.Request)
 	if math.IsInf(wait, 1) || p.startOnly && wait > 0 {
 		return choice{}, false
 	}
@@ -124,12 +124,12 @@
 // Once the lines behind busy machines are full, or half of the pass is used up,
 // none is looked at: at 2,000 full machines each job that has aged would otherwise
 // score them all to no avail, and leave nothing for the work that finds room.
-func (p *pass) scoreAll(r *Ready) {
+func (p *pass) scoreAll(r *PendingJob) {
 	r.scored = true
 	r.choices = r.choices[:0]
 	cached := false
-	p.eachRoomy(func(m *Machine) bool {
-		if !m.Free.Fits(r.Need) {
+	p.eachCandidate(func(m *Machine) bool {
+		if !m.Free.Fits(r.Request) {
 			return true
 		}
 		if c, ok := p.score(r, m); ok {
@@ -139,13 +139,13 @@
 		}
 		return true
 	})
-	if none := len(r.choices) == 0; !p.startOnly && p.queued < tuning.PassQueues && p.work.Scores < tuning.PassScores/2 && (!cached && r.ImageGB > 0 || none) {
+	if none := len(r.choices) == 0; !p.startOnly && p.queued < tuning.PassMaxQueued && p.work.ScoredPairs < tuning.PassMaxScoredPairs/2 && (!cached && r.ImageGB > 0 || none) {
 		busy := p.machines
 		if !none {
 			busy = p.holdersOf(r.Image)
 		}
 		for _, m := range busy {
-			if m.Free.Fits(r.Need) {
+			if m.Free.Fits(r.Request) {
 				continue
 			}
 			if c, ok := p.score(r, m); ok {
@@ -156,22 +156,22 @@
 	heap.Init((*choices)(&r.choices))
 }
 
-// eachRoomy calls f for the machines with room for the smallest of the tasks
+// eachCandidate calls f for the machines with room for the smallest of the tasks
 // until it returns false.
-func (p *pass) eachRoomy(f func(*Machine) bool) {
+func (p *pass) eachCandidate(f func(*Machine) bool) {
 	kept := 0
-	for i, m := range p.roomy {
+	for i, m := range p.candidates {
 		if !m.Free.Fits(p.least) {
 			continue // room only shrinks within a pass
 		}
-		p.roomy[kept] = m
+		p.candidates[kept] = m
 		kept++
 		if !f(m) {
-			kept += copy(p.roomy[kept:], p.roomy[i+1:])
+			kept += copy(p.candidates[kept:], p.candidates[i+1:])
 			break
 		}
 	}
-	p.roomy = p.roomy[:kept]
+	p.candidates = p.candidates[:kept]
 }
 
 func (p *pass) holdersOf(image string) []*Machine {
@@ -189,14 +189,14 @@
 
 // best brings the best machine to the top of the job's heap: entries scored
 // before their machine changed are scored again. It is nil if there is none.
-func (p *pass) best(r *Ready) *choice {
+func (p *pass) best(r *PendingJob) *choice {
 	if !r.scored {
 		p.scoreAll(r)
 	}
 	h := (*choices)(&r.choices)
 	for len(r.choices) > 0 {
 		top := &r.choices[0]
-		if top.version == top.m.version && (!r.OneZone && !r.Spread || r.Allowed(top.m)) {
+		if top.version == top.m.version && (!r.SameZone && !r.Spread || r.Allowed(top.m)) {
 			return top
 		}
 		if c, ok := p.score(r, top.m); ok {
--- a/internal/simtest/admission_test.go
+++ b/internal/simulation/admission_test.go
@@ -1,4 +1,4 @@
-package simtest_test
+package simulation_test
 
 import (
 	"fmt"
@@ -7,17 +7,17 @@
 	"time"
 
 	"switchshore.example/switchshore/internal/config"
-	"switchshore.example/switchshore/internal/simtest"
+	"switchshore.example/switchshore/internal/simulation"
 	"switchshore.example/switchshore/wire"
 )
 
 // flood is a day on which far more is submitted than the state service takes.
 type flood struct {
-	*simtest.World
+	*simulation.World
 	t        *testing.T
 	rng      *rand.Rand
 	number   int
-	outcomes []simtest.Outcome
+	outcomes []simulation.Outcome
 }
 
 // overloadWindow is the time within which every class must make progress.
@@ -34,7 +34,7 @@
 	}
 	p.Objectives = []config.Objective{{Kind: "finished", Class: "urgent", WithinS: 60}, {Kind: "finished", Class: "nightly", WithinS: 250}}
 	p.State.WriteRPS = 30
-	w := simtest.NewWorld(seed, 3+2*int(seed%2), p, machineType)
+	w := simulation.NewWorld(seed, 3+2*int(seed%2), p, machineType)
 	w.Operator = config.Operator{Admission: &config.Admission{}}
 	w.LimitWrites = true
 	w.ExchangeHeartbeats()
@@ -55,7 +55,7 @@
 		if shape != nil {
 			shape(j)
 		}
-		f.SubmitWithPatience(at, j, func(o simtest.Outcome) { f.outcomes = append(f.outcomes, o) })
+		f.SubmitWithPatience(at, j, func(o simulation.Outcome) { f.outcomes = append(f.outcomes, o) })
 	}
 }
 
@@ -99,7 +99,7 @@
 }
 
 // play runs the day; every job must have got one final answer, accepted ones must end.
-func (f *flood) play(observed ...simtest.Observation) {
+func (f *flood) play(observed ...simulation.Observation) {
 	f.t.Helper()
 	err := f.Run(330*second, 90*second)
 	logDigest(f.t, f.World)
@@ -138,7 +138,7 @@
 				j.Class = fmt.Sprint("made-up-", f.number)
 			}
 		})
-		f.play(simtest.ShedByFollower, simtest.ShedByLeader)
+		f.play(simulation.ShedByFollower, simulation.ShedByLeader)
 		f.checkProgress(20*second, 80*second)
 		blue, _ := f.accepted("blue", "", 20*second, 80*second)
 		for _, team := range []string{"green", "guests"} {
@@ -157,27 +157,27 @@
 	scenarios := map[string]struct {
 		inject   func(f *flood)
 		terms    int // at least
-		observed []simtest.Observation
+		observed []simulation.Observation
 	}{
 		"the leader ends twice": {func(f *flood) {
 			f.At(35*second, func() { f.CrashLeader(second) })
 			f.At(55*second, func() { f.CrashLeader(second / 5) })
 		}, 2, nil},
 		"an isolated leader": {func(f *flood) {
-			f.At(35*second, func() { f.Inject(simtest.LeaderIsolated, 20*second) })
+			f.At(35*second, func() { f.Inject(simulation.LeaderIsolated, 20*second) })
 		}, 2, nil},
 		"all end": {func(f *flood) {
 			f.At(40*second, func() { f.CrashAll(2 * second) })
 		}, 2, nil},
 		"answers to writes are lost": {func(f *flood) {
-			f.At(30*second, func() { f.Inject(simtest.AnswersToWritesLost, 10*second) })
-		}, 1, []simtest.Observation{simtest.WriteAnswerLost}},
+			f.At(30*second, func() { f.Inject(simulation.AnswersToWritesLost, 10*second) })
+		}, 1, []simulation.Observation{simulation.WriteAnswerLost}},
 		"one node has it off": {func(f *flood) { f.AdmissionOff(1) }, 1, nil},
 		"the previous version is upgraded meanwhile": {func(f *flood) {
 			f.RollingUpgrade(25*second, 12*second)
 		}, 2, nil},
 		"partitioned nodes": {func(f *flood) {
-			f.At(20*second, func() { f.InjectFaults(simtest.NodesPartitioned) })
+			f.At(20*second, func() { f.InjectFaults(simulation.NodesPartitioned) })
 		}, 1, nil},
 	}
 	for name, s := range scenarios {
@@ -193,8 +193,8 @@
 					f.submit("green", "urgent", 60, at, at+second, nil)
 				}
 				s.inject(f)
-				f.play(append(s.observed, simtest.ShedByLeader)...)
-				if n := f.Observed[simtest.TermBegan]; n < s.terms {
+				f.play(append(s.observed, simulation.ShedByLeader)...)
+				if n := f.Observed[simulation.TermBegan]; n < s.terms {
 					t.Errorf("%d terms, %d wanted", n, s.terms)
 				}
 				f.checkProgress(30*second, 70*second)
@@ -210,7 +210,7 @@
 	f.normalLoad(80 * second)
 	f.At(40*second, func() { f.CrashLeader(second) })
 	f.play()
-	if n := f.Observed[simtest.ShedByFollower] + f.Observed[simtest.ShedByLeader]; n > 0 {
+	if n := f.Observed[simulation.ShedByFollower] + f.Observed[simulation.ShedByLeader]; n > 0 {
 		t.Errorf("%d submissions turned away", n)
 	}
 }
--- a/internal/simtest/dependencies_test.go
+++ b/internal/simulation/dependencies_test.go
@@ -1,4 +1,4 @@
-package simtest_test
+package simulation_test
 
 import (
 	"math/rand/v2"
@@ -6,7 +6,7 @@
 	"time"
 
 	"switchshore.example/switchshore/internal/config"
-	"switchshore.example/switchshore/internal/simtest"
+	"switchshore.example/switchshore/internal/simulation"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -14,13 +14,13 @@
 func tightening() config.Params {
 	p := params()
 	valueKB, ops := 2.0, 8
-	p.State.Next = config.StateNext{ValueKB: &valueKB, TxnOps: &ops}
+	p.State.Upcoming = config.UpcomingStateLimits{ValueKB: &valueKB, TxnOps: &ops}
 	return p
 }
 
 // submitChains submits jobs of which most need some of the earlier ones, and of
 // which a share is cancelled at any moment.
-func submitChains(w *simtest.World, seed uint64, from time.Duration, cancelled float64) {
+func submitChains(w *simulation.World, seed uint64, from time.Duration, cancelled float64) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	var jobs []*wire.Job
 	for i := range 30 {
@@ -29,8 +29,8 @@
 		for range rng.IntN(4) {
 			if len(jobs) > 0 {
 				need := jobs[max(0, len(jobs)-1-rng.IntN(6))].ID
-				if len(j.Needs) == 0 || j.Needs[0] != need {
-					j.Needs = append(j.Needs, need)
+				if len(j.DependsOn) == 0 || j.DependsOn[0] != need {
+					j.DependsOn = append(j.DependsOn, need)
 				}
 			}
 		}
@@ -52,7 +52,7 @@
 // cancelled, all others end.
 func TestDependentJobs(t *testing.T) {
 	eachSeed(t, 25, func(t *testing.T, seed uint64) {
-		w := simtest.NewWorld(seed, 3+2*int(seed%2), tightening(), machineType)
+		w := simulation.NewWorld(seed, 3+2*int(seed%2), tightening(), machineType)
 		w.FaultRate = float64(seed % 4)
 		w.LowerStateLimits(time.Duration(seed*10) * time.Second)
 		submitChains(w, seed, 0, 0.2)
@@ -68,7 +68,7 @@
 func TestRollingUpgrade(t *testing.T) {
 	eachSeed(t, 25, func(t *testing.T, seed uint64) {
 		rng := rand.New(rand.NewPCG(seed, 4))
-		w := simtest.NewWorld(seed, 3+2*int(seed%2), tightening(), machineType)
+		w := simulation.NewWorld(seed, 3+2*int(seed%2), tightening(), machineType)
 		w.FaultRate = float64(seed % 3)
 		for i := range 25 {
 			cancel := time.Duration(0)
@@ -90,10 +90,10 @@
 // they need; it must keep them all the same, and start none of them.
 func TestVersionsAlternate(t *testing.T) {
 	eachSeed(t, 25, func(t *testing.T, seed uint64) {
-		w := simtest.NewWorld(seed, 3, tightening(), machineType)
+		w := simulation.NewWorld(seed, 3, tightening(), machineType)
 		w.FaultRate, w.VersionFlipRate = 1+float64(seed%3), 0.5
 		submitChains(w, seed, 0, 0)
-		w.InjectFaults(simtest.NodeCrash, simtest.NodesFlap, simtest.MachineDies, simtest.StateSlow)
+		w.InjectFaults(simulation.NodeCrash, simulation.NodesFlap, simulation.MachineDies, simulation.StateSlow)
 		runToEnd(t, w)
 	})
 }
--- a/internal/simtest/drain_test.go
+++ b/internal/simulation/drain_test.go
@@ -1,4 +1,4 @@
-package simtest_test
+package simulation_test
 
 import (
 	"math/rand/v2"
@@ -9,7 +9,7 @@
 
 	"switchshore.example/switchshore/internal/config"
 	"switchshore.example/switchshore/internal/drain"
-	"switchshore.example/switchshore/internal/simtest"
+	"switchshore.example/switchshore/internal/simulation"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -46,7 +46,7 @@
 }
 
 // crashSometimes ends the leader with a chance, a few times at most.
-func crashSometimes(w *simtest.World, seed uint64, down time.Duration) func() {
+func crashSometimes(w *simulation.World, seed uint64, down time.Duration) func() {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	left := 4
 	return func() {
@@ -70,8 +70,8 @@
 	spec func() *drain.Spec
 	// jobsOver is the time over which jobs are submitted.
 	jobsOver time.Duration
-	inject   func(w *simtest.World, seed uint64)
-	observed []simtest.Observation
+	inject   func(w *simulation.World, seed uint64)
+	observed []simulation.Observation
 	// shape, if set, is that of the jobs in the place of movableWork.
 	shape func(*rand.Rand, *wire.Job)
 }
@@ -86,72 +86,72 @@
 const drainBegins = 50 * second
 
 var drainScenarios = []drainScenario{
-	{"tasks half done", maintenance, 120 * second, func(*simtest.World, uint64) {}, []simtest.Observation{simtest.DrainMove}, nil},
-	{"replaced", withReplacement, 200 * second, func(*simtest.World, uint64) {}, nil, nil},
-	{"the leader ends between charge and stop", maintenance, 120 * second, func(w *simtest.World, seed uint64) {
+	{"tasks half done", maintenance, 120 * second, func(*simulation.World, uint64) {}, []simulation.Observation{simulation.DrainMove}, nil},
+	{"replaced", withReplacement, 200 * second, func(*simulation.World, uint64) {}, nil, nil},
+	{"the leader ends between charge and stop", maintenance, 120 * second, func(w *simulation.World, seed uint64) {
 		w.OnCharge = crashSometimes(w, seed, second)
-	}, []simtest.Observation{simtest.SecondTerm}, nil},
-	{"the leader ends between stop and report", maintenance, 120 * second, func(w *simtest.World, seed uint64) {
+	}, []simulation.Observation{simulation.SecondTerm}, nil},
+	{"the leader ends between stop and report", maintenance, 120 * second, func(w *simulation.World, seed uint64) {
 		w.OnEviction = crashSometimes(w, seed, 300*time.Millisecond)
-	}, []simtest.Observation{simtest.SecondTerm}, nil},
-	{"the leader ends between release and answer", withReplacement, 200 * second, func(w *simtest.World, seed uint64) {
+	}, []simulation.Observation{simulation.SecondTerm}, nil},
+	{"the leader ends between release and answer", withReplacement, 200 * second, func(w *simulation.World, seed uint64) {
 		w.OnRelease = crashSometimes(w, seed, second)
-	}, []simtest.Observation{simtest.SecondTerm}, nil},
-	{"two successions within a batch, the old leader in its grace", maintenance, 120 * second, func(w *simtest.World, _ uint64) {
-		w.At(75*second, func() { w.Inject(simtest.LeaderIsolated, 25*second) })
+	}, []simulation.Observation{simulation.SecondTerm}, nil},
+	{"two successions within a batch, the old leader in its grace", maintenance, 120 * second, func(w *simulation.World, _ uint64) {
+		w.At(75*second, func() { w.Inject(simulation.LeaderIsolated, 25*second) })
 		w.At(82*second, func() { w.CrashLeader(second) })
-	}, []simtest.Observation{simtest.SecondTerm}, nil},
-	{"all controllers away for longer than a lease", maintenance, 120 * second, func(w *simtest.World, _ uint64) {
+	}, []simulation.Observation{simulation.SecondTerm}, nil},
+	{"all controllers away for longer than a lease", maintenance, 120 * second, func(w *simulation.World, _ uint64) {
 		w.At(80*second, func() { w.CrashAll(25 * second) })
-	}, []simtest.Observation{simtest.SecondTerm}, nil},
-	{"the state service is down in a batch, and refuses the leader alone", maintenance, 120 * second, func(w *simtest.World, _ uint64) {
-		w.At(70*second, func() { w.Inject(simtest.StateOutage, 30*second) })
-		w.At(130*second, func() { w.Inject(simtest.LeaderRefused, 20*second) })
+	}, []simulation.Observation{simulation.SecondTerm}, nil},
+	{"the state service is down in a batch, and refuses the leader alone", maintenance, 120 * second, func(w *simulation.World, _ uint64) {
+		w.At(70*second, func() { w.Inject(simulation.StateOutage, 30*second) })
+		w.At(130*second, func() { w.Inject(simulation.LeaderRefused, 20*second) })
 	}, nil, nil},
-	{"answers to writes lost, and writes late", maintenance, 120 * second, func(w *simtest.World, _ uint64) {
-		w.At(50*second, func() { w.Inject(simtest.AnswersToWritesLost, 60*second) })
-		w.At(110*second, func() { w.Inject(simtest.WritesLate, 60*second) })
-	}, []simtest.Observation{simtest.WriteAnswerLost, simtest.LateTransaction}, nil},
-	{"the drained zone is partitioned, machines deaf or hanging", maintenance, 120 * second, func(w *simtest.World, _ uint64) {
+	{"answers to writes lost, and writes late", maintenance, 120 * second, func(w *simulation.World, _ uint64) {
+		w.At(50*second, func() { w.Inject(simulation.AnswersToWritesLost, 60*second) })
+		w.At(110*second, func() { w.Inject(simulation.WritesLate, 60*second) })
+	}, []simulation.Observation{simulation.WriteAnswerLost, simulation.LateTransaction}, nil},
+	{"the drained zone is partitioned, machines deaf or hanging", maintenance, 120 * second, func(w *simulation.World, _ uint64) {
 		w.At(70*second, func() { w.DropAnswersToHolders(0.3, 40*second) })
-		w.At(90*second, func() { w.Inject(simtest.ZonePartitioned, 30*second) })
+		w.At(90*second, func() { w.Inject(simulation.ZonePartitioned, 30*second) })
 		w.At(130*second, func() {
-			w.InjectFaults(simtest.MachineHangs, simtest.MachinePartitioned, simtest.ReportsDuplicatedLate)
+			w.InjectFaults(simulation.MachineHangs, simulation.MachinePartitioned, simulation.ReportsDuplicatedLate)
 		})
-	}, []simtest.Observation{simtest.HolderAnswersLost}, nil},
-	{"replacements late, never up or recalled", withReplacement, 200 * second, func(w *simtest.World, _ uint64) {
+	}, []simulation.Observation{simulation.HolderAnswersLost}, nil},
+	{"replacements late, never up or recalled", withReplacement, 200 * second, func(w *simulation.World, _ uint64) {
 		w.At(50*second, func() { w.BootTrouble(100 * second) })
-		w.At(90*second, func() { w.Inject(simtest.SpotReclaimed, 0) })
-		w.At(120*second, func() { w.Inject(simtest.SpotReclaimed, 0) })
+		w.At(90*second, func() { w.Inject(simulation.SpotReclaimed, 0) })
+		w.At(120*second, func() { w.Inject(simulation.SpotReclaimed, 0) })
 	}, nil, nil},
-	{"jobs cancelled while their machines are drained", maintenance, 120 * second, func(w *simtest.World, _ uint64) {
+	{"jobs cancelled while their machines are drained", maintenance, 120 * second, func(w *simulation.World, _ uint64) {
 		for i := range 8 {
 			w.At(time.Duration(60+10*i)*second, func() { w.CancelRunning(2, 0) })
 		}
 		w.At(85*second, func() { w.CrashLeader(second) })
-	}, []simtest.Observation{simtest.CancelledWhileRunning, simtest.SecondTerm}, nil},
-	{"teams at their limits, a guarantee to be met, a new leader", maintenance, 60 * second, func(w *simtest.World, _ uint64) {
+	}, []simulation.Observation{simulation.CancelledWhileRunning, simulation.SecondTerm}, nil},
+	{"teams at their limits, a guarantee to be met, a new leader", maintenance, 60 * second, func(w *simulation.World, _ uint64) {
 		w.At(90*second, func() { w.CrashLeader(second) })
-	}, []simtest.Observation{simtest.SecondTerm}, manyTasks},
-	{"a node with drains off leads in between", maintenance, 120 * second, func(w *simtest.World, _ uint64) {
+	}, []simulation.Observation{simulation.SecondTerm}, manyTasks},
+	{"a node with drains off leads in between", maintenance, 120 * second, func(w *simulation.World, _ uint64) {
 		w.DrainsOff(1)
 		w.At(80*second, func() { w.CrashLeader(5 * second) })
 		w.At(120*second, func() { w.CrashLeader(5 * second) })
-	}, []simtest.Observation{simtest.SecondTerm}, nil},
-	{"the previous version leads in between", maintenance, 120 * second, func(w *simtest.World, _ uint64) {
+	}, []simulation.Observation{simulation.SecondTerm}, nil},
+	{"the previous version leads in between", maintenance, 120 * second, func(w *simulation.World, _ uint64) {
 		w.VersionFlipRate = 0.6
 		for i := range 5 {
 			w.At(time.Duration(65+25*i)*second, func() { w.CrashLeader(3 * second) })
 		}
-	}, []simtest.Observation{simtest.SecondTerm}, nil},
-	{"anything", maintenance, 120 * second, func(w *simtest.World, _ uint64) { w.InjectFaults() }, nil, nil},
-	{"anything, replaced", withReplacement, 200 * second, func(w *simtest.World, _ uint64) { w.InjectFaults() }, nil, nil},
+	}, []simulation.Observation{simulation.SecondTerm}, nil},
+	{"anything", maintenance, 120 * second, func(w *simulation.World, _ uint64) { w.InjectFaults() }, nil, nil},
+	{"anything, replaced", withReplacement, 200 * second, func(w *simulation.World, _ uint64) { w.InjectFaults() }, nil, nil},
 }
 
 // playDrain plays a day on which a zone is drained.
-func playDrain(t *testing.T, s drainScenario, seed uint64) *simtest.World {
+func playDrain(t *testing.T, s drainScenario, seed uint64) *simulation.World {
 	t.Helper()
-	w := simtest.NewWorld(3000+seed, 3, drainParams(), machineType)
+	w := simulation.NewWorld(3000+seed, 3, drainParams(), machineType)
 	w.Cloud.Capacity = 8
 	w.FaultRate = 1
 	w.WatchDrains(drainBudgets())
@@ -172,7 +172,7 @@
 		t.Run(s.name, func(t *testing.T) {
 			eachSeed(t, 3, func(t *testing.T, seed uint64) {
 				w := playDrain(t, s, seed)
-				checkObserved(t, w, append([]simtest.Observation{simtest.DrainCharge, simtest.DrainEviction}, s.observed...))
+				checkObserved(t, w, append([]simulation.Observation{simulation.DrainCharge, simulation.DrainEviction}, s.observed...))
 				r := w.DrainRecord("maintenance")
 				if r == nil || r.State != drain.Done || w.MachinesInZone("a") > 0 {
 					t.Errorf("not drained: %+v, %d machines left", r, w.MachinesInZone("a"))
@@ -186,7 +186,7 @@
 // in between, leaves nothing cordoned: its zone is used again.
 func TestDrainCancelled(t *testing.T) {
 	eachSeed(t, 3, func(t *testing.T, seed uint64) {
-		w := simtest.NewWorld(3100+seed, 3, drainParams(), machineType)
+		w := simulation.NewWorld(3100+seed, 3, drainParams(), machineType)
 		w.FaultRate = 1
 		w.WatchDrains(drainBudgets())
 		submitRandomJobs(w, seed, 40, 200*second, 0, movableWork)
@@ -203,7 +203,7 @@
 		later.Selector = drain.Selector{Zone: "b"}
 		w.RequestDrain(60*second, apply(later), note)
 		runToEnd(t, w)
-		checkObserved(t, w, []simtest.Observation{simtest.DrainPaused, simtest.SecondTerm})
+		checkObserved(t, w, []simulation.Observation{simulation.DrainPaused, simulation.SecondTerm})
 		r, second := w.DrainRecord("maintenance"), w.DrainRecord("later")
 		if r == nil || r.State != drain.Cancelled || second == nil || second.State != drain.Done {
 			t.Errorf("%+v, then %+v", r, second)
@@ -232,14 +232,14 @@
 		"budget: 2 evictions of blue":             {drain.Budget{MaxUnavailable: 9, Evictions: 1, LostS: 99}, 1, true},
 		"budget: 20 s of blue lost":               {drain.Budget{MaxUnavailable: 9, Evictions: 9, LostS: 19}, 10, true},
 	} {
-		watch := simtest.NewDrainWatch(&drain.Budgets{Window: time.Minute, Default: c.budget})
-		worker := simtest.NewWorker(at, wire.ListedMachine{Name: "m2"}, machineType, time.Hour)
+		watch := simulation.NewDrainWatch(&drain.Budgets{Window: time.Minute, Default: c.budget})
+		worker := simulation.NewWorker(at, wire.ListedMachine{Name: "m2"}, machineType, time.Hour)
 		evict := func(task string) error {
 			watch.Evicted(at, "blue", task, 1, c.lostS)
 			if c.back {
-				worker.Tasks[task] = &simtest.Task{Name: task, Attempt: 2, State: wire.TaskRunning}
+				worker.Tasks[task] = &simulation.Task{Name: task, Attempt: 2, State: wire.TaskRunning}
 			}
-			return watch.Check(at, []*simtest.Worker{worker}, running)
+			return watch.Check(at, []*simulation.Worker{worker}, running)
 		}
 		first := evict("job-1/0")
 		at = at.Add(59 * time.Second)
@@ -268,7 +268,7 @@
 			}
 		})
 		f.At(50*second, func() { f.CrashLeader(second) })
-		f.play(simtest.ShedByFollower, simtest.ShedByLeader)
+		f.play(simulation.ShedByFollower, simulation.ShedByLeader)
 		if r := f.DrainRecord("maintenance"); r == nil || r.State != drain.Done {
 			t.Errorf("not drained: %+v", r)
 		}
--- a/internal/simtest/events.go
+++ b/internal/simulation/events.go
@@ -1,4 +1,4 @@
-package simtest
+package simulation
 
 import (
 	"time"
--- a/internal/simtest/faults.go
+++ b/internal/simulation/faults.go
@@ -1,4 +1,4 @@
-package simtest
+package simulation
 
 import (
 	"time"
@@ -73,7 +73,7 @@
 // leaders does something to every node that leads, or still thinks so.
 func (w *World) leaders(do func(*node)) {
 	for _, n := range w.nodes {
-		if n.controller != nil {
+		if n.leader != nil {
 			do(n)
 		}
 	}
@@ -303,7 +303,7 @@
 	})
 	w.after(w.between(1900, 3000), func() { w.CancelRunning(10, 0) })
 	w.after(w.between(3000, 5000), func() {
-		w.outage(time.Duration((w.Params.Workers.CancelS + 12) * float64(time.Second)))
+		w.outage(time.Duration((w.Params.Workers.CancelDeadlineS + 12) * float64(time.Second)))
 	})
 }
 
@@ -332,7 +332,7 @@
 	n.up = false
 	n.incarnation++
 	n.frozenUntil = time.Time{}
-	n.leadership, n.controller, n.writer, n.batch = nil, nil, nil, nil
+	n.leadership, n.leader, n.writer, n.batch = nil, nil, nil, nil
 	w.after(down, func() {
 		if w.faultsAllowed() && w.chance(w.VersionFlipRate) {
 			n.previousVersion = !n.previousVersion
--- a/internal/simtest/http.go
+++ b/internal/simulation/http.go
@@ -1,4 +1,4 @@
-package simtest
+package simulation
 
 import (
 	"encoding/json"
@@ -13,7 +13,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"switchshore.example/switchshore/internal/store"
+	"switchshore.example/switchshore/internal/kvstore"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -65,11 +65,11 @@
 func answer(rc *fasthttp.RequestCtx, err error, body any) {
 	status := fasthttp.StatusOK
 	switch {
-	case errors.Is(err, store.ErrRefused):
+	case errors.Is(err, kvstore.ErrUnavailable):
 		status = fasthttp.StatusServiceUnavailable
-	case errors.Is(err, store.ErrNotFound):
+	case errors.Is(err, kvstore.ErrNotFound):
 		status = fasthttp.StatusNotFound
-	case errors.Is(err, store.ErrConflict):
+	case errors.Is(err, kvstore.ErrConflict):
 		status = fasthttp.StatusConflict
 	case err != nil:
 		status = fasthttp.StatusBadRequest
@@ -96,7 +96,7 @@
 		answer(rc, err, item)
 	case path == "/store":
 		items, err := s.State.List(string(args.Peek("starts")))
-		answer(rc, err, wire.Items{Items: items})
+		answer(rc, err, wire.KeyValuePage{Items: items})
 	case path == "/multi":
 		var txn wire.Txn
 		if err := json.Unmarshal(rc.PostBody(), &txn); err != nil {
@@ -109,7 +109,7 @@
 		var r wire.LeaseRequest
 		_ = json.Unmarshal(rc.PostBody(), &r)
 		id, err := s.State.Grant(now, time.Duration(r.TTLMS)*time.Millisecond)
-		answer(rc, err, wire.LeaseAnswer{Lease: id})
+		answer(rc, err, wire.LeaseResponse{Lease: id})
 	case strings.HasPrefix(path, "/leases/"):
 		id, err := strconv.ParseUint(strings.TrimSuffix(strings.TrimPrefix(path, "/leases/"), "/touch"), 10, 64)
 		if err == nil && method == fasthttp.MethodDelete {
@@ -121,11 +121,11 @@
 	case path == "/machine_types":
 		answer(rc, nil, wire.MachineTypes{Types: []wire.MachineType{s.Cloud.Type}})
 	case path == "/rentals" && method == fasthttp.MethodPost:
-		var r wire.RentRequest
+		var r wire.ProvisionRequest
 		_ = json.Unmarshal(rc.PostBody(), &r)
 		names := s.Cloud.Rent(now, s.rng, r)
 		if len(names) == 0 {
-			answer(rc, store.ErrRefused, wire.Error{Error: "no capacity"})
+			answer(rc, kvstore.ErrUnavailable, wire.Error{Error: "no capacity"})
 			return
 		}
 		for _, id := range names {
@@ -144,7 +144,7 @@
 	case path == "/rentals":
 		answer(rc, nil, wire.MachineList{Machines: s.Cloud.List(now, 0)})
 	default:
-		answer(rc, store.ErrNotFound, struct{}{})
+		answer(rc, kvstore.ErrNotFound, struct{}{})
 	}
 }
 
@@ -159,7 +159,7 @@
 		revision := s.State.revision
 		s.mu.Unlock()
 		if revision > since || !time.Now().Before(end) {
-			answer(rc, nil, wire.Changes{Revision: revision})
+			answer(rc, nil, wire.WatchResponse{Revision: revision})
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
--- a/internal/simtest/observations.go
+++ b/internal/simulation/observations.go
@@ -1,4 +1,4 @@
-package simtest
+package simulation
 
 // Observation is something that a test may ask to have happened: one of a fault that did
 // not come about would show nothing.
--- a/internal/simtest/operations_faults_test.go
+++ b/internal/simulation/operations_faults_test.go
@@ -1,4 +1,4 @@
-package simtest_test
+package simulation_test
 
 import (
 	"math/rand/v2"
@@ -6,7 +6,7 @@
 	"time"
 
 	"switchshore.example/switchshore/internal/config"
-	"switchshore.example/switchshore/internal/simtest"
+	"switchshore.example/switchshore/internal/simulation"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -15,30 +15,30 @@
 // users who ask many times as often; a guest team without guarantee and limit, with a
 // huge array, many tiny jobs and idle work; jobs that fail on every machine.
 var operationsFaults = []faultScenario{
-	{"controllers silent for a minute", func(w *simtest.World, seed uint64) {
+	{"controllers silent for a minute", func(w *simulation.World, seed uint64) {
 		submitRandomJobs(w, seed, 25, 120*second, 0.3, nil)
 		w.At(40*second, func() { w.FollowUps(150 * second) })
 		w.At(60*second, func() { w.CrashAll(70 * second) })
-	}, []simtest.Observation{simtest.SecondTerm, simtest.FollowUpQuery}},
-	{"a leader stands still", func(w *simtest.World, seed uint64) {
+	}, []simulation.Observation{simulation.SecondTerm, simulation.FollowUpQuery}},
+	{"a leader stands still", func(w *simulation.World, seed uint64) {
 		submitRandomJobs(w, seed, 30, 150*second, 0.3, nil)
 		w.At(30*second, func() { w.FollowUps(200 * second) })
 		for i, span := range []time.Duration{2, 35, 11, 4} {
-			w.At(time.Duration(40+40*i)*second, func() { w.Inject(simtest.LeaderFrozen, span*second) })
+			w.At(time.Duration(40+40*i)*second, func() { w.Inject(simulation.LeaderFrozen, span*second) })
 			w.At(time.Duration(40+40*i)*second, func() { w.CancelRunning(2, 0) })
 		}
-	}, []simtest.Observation{simtest.SecondTerm, simtest.FollowUpQuery, simtest.CancelledWhileRunning}},
-	{"machines late or never up", func(w *simtest.World, seed uint64) {
+	}, []simulation.Observation{simulation.SecondTerm, simulation.FollowUpQuery, simulation.CancelledWhileRunning}},
+	{"machines late or never up", func(w *simulation.World, seed uint64) {
 		submitRandomJobs(w, seed, 30, 120*second, 0.1, nil)
 		w.At(0, func() { w.BootTrouble(150 * second) })
 		w.At(50*second, func() { w.CrashLeader(second) })
-	}, []simtest.Observation{simtest.SecondTerm}},
-	{"a storm of questions", func(w *simtest.World, seed uint64) {
+	}, []simulation.Observation{simulation.SecondTerm}},
+	{"a storm of questions", func(w *simulation.World, seed uint64) {
 		submitRandomJobs(w, seed, 30, 120*second, 0.2, nil)
 		w.At(30*second, func() { w.PollStorm(120 * second) })
 		w.At(60*second, func() { w.CrashLeader(second) })
-	}, []simtest.Observation{simtest.SecondTerm, simtest.StormPoll}},
-	{"guests", func(w *simtest.World, seed uint64) {
+	}, []simulation.Observation{simulation.SecondTerm, simulation.StormPoll}},
+	{"guests", func(w *simulation.World, seed uint64) {
 		submitRandomJobs(w, seed, 20, 120*second, 0.1, nil)
 		rng := rand.New(rand.NewPCG(seed, 6))
 		for i := range 60 {
@@ -52,8 +52,8 @@
 		huge.Team, huge.Priority, huge.Tasks, huge.CPUs = "guests", wire.PriorityNormal, 400, 0.5
 		w.Submit(50*second, huge, 0)
 		w.At(70*second, func() { w.CrashLeader(second) })
-	}, []simtest.Observation{simtest.SecondTerm}},
-	{"jobs that fail on every machine", func(w *simtest.World, seed uint64) {
+	}, []simulation.Observation{simulation.SecondTerm}},
+	{"jobs that fail on every machine", func(w *simulation.World, seed uint64) {
 		submitRandomJobs(w, seed, 25, 120*second, 0, nil)
 		rng := rand.New(rand.NewPCG(seed, 7))
 		for i := range 6 {
@@ -62,26 +62,26 @@
 			w.Submit(time.Duration(rng.IntN(60_000))*time.Millisecond, j, 250*second)
 		}
 		w.At(60*second, func() { w.CrashLeader(second) })
-	}, []simtest.Observation{simtest.SecondTerm, simtest.CancellationConfirmed}},
-	{"controllers silent and frozen, machines late or unheard", func(w *simtest.World, seed uint64) {
+	}, []simulation.Observation{simulation.SecondTerm, simulation.CancellationConfirmed}},
+	{"controllers silent and frozen, machines late or unheard", func(w *simulation.World, seed uint64) {
 		submitRandomJobs(w, seed, 30, 150*second, 0.2, nil)
 		w.At(0, func() { w.BootTrouble(150 * second) })
-		w.At(50*second, func() { w.InjectFaults(simtest.MachineReportsLost) })
+		w.At(50*second, func() { w.InjectFaults(simulation.MachineReportsLost) })
 		w.At(60*second, func() { w.CrashAll(65 * second) })
-		w.At(160*second, func() { w.Inject(simtest.LeaderFrozen, 30*second) })
+		w.At(160*second, func() { w.Inject(simulation.LeaderFrozen, 30*second) })
 		w.At(163*second, func() { w.CancelRunning(4, 15*second) })
-	}, []simtest.Observation{simtest.SecondTerm, simtest.ReportLost, simtest.CancelledWhileRunning}},
-	{"a storm of questions in successions", func(w *simtest.World, seed uint64) {
+	}, []simulation.Observation{simulation.SecondTerm, simulation.ReportLost, simulation.CancelledWhileRunning}},
+	{"a storm of questions in successions", func(w *simulation.World, seed uint64) {
 		submitRandomJobs(w, seed, 30, 150*second, 0.2, nil)
 		w.At(30*second, func() { w.PollStorm(150 * second) })
 		w.At(30*second, func() { w.FollowUps(150 * second) })
 		w.At(30*second, func() { w.CancelAtCompletion(0.3, 150*second) })
-		w.At(30*second, func() { w.Inject(simtest.ReportsReplayedToNextLeader, 120*second) })
+		w.At(30*second, func() { w.Inject(simulation.ReportsReplayedToNextLeader, 120*second) })
 		for i := range 6 {
 			w.At(time.Duration(40+17*i)*second, func() { w.CrashLeader(second / 2) })
 		}
-	}, []simtest.Observation{simtest.FifthTerm, simtest.StormPoll, simtest.FollowUpQuery}},
-	{"guests at their limit while a zone is cut off", func(w *simtest.World, seed uint64) {
+	}, []simulation.Observation{simulation.FifthTerm, simulation.StormPoll, simulation.FollowUpQuery}},
+	{"guests at their limit while a zone is cut off", func(w *simulation.World, seed uint64) {
 		submitRandomJobs(w, seed, 15, 120*second, 0.1, nil)
 		rng := rand.New(rand.NewPCG(seed, 8))
 		for i := range 8 {
@@ -90,13 +90,13 @@
 			j.Team, j.Priority = "limited", wire.PriorityIdle
 			w.Submit(time.Duration(rng.IntN(40_000))*time.Millisecond, j, 0)
 		}
-		w.At(60*second, func() { w.Inject(simtest.ZonePartitioned, 40*second) })
+		w.At(60*second, func() { w.Inject(simulation.ZonePartitioned, 40*second) })
 		w.At(62*second, func() { w.CrashLeader(second) })
 		w.At(66*second, func() { w.CancelRunning(4, 15*second) })
-		w.At(120*second, func() { w.Inject(simtest.LeaderIsolated, 40*second) })
+		w.At(120*second, func() { w.Inject(simulation.LeaderIsolated, 40*second) })
 		w.At(124*second, func() { w.CancelRunning(3, 0) })
-	}, []simtest.Observation{simtest.SecondTerm, simtest.CancelledWhileRunning}},
-	{"jobs that fail on every machine while spot machines are reclaimed", func(w *simtest.World, seed uint64) {
+	}, []simulation.Observation{simulation.SecondTerm, simulation.CancelledWhileRunning}},
+	{"jobs that fail on every machine while spot machines are reclaimed", func(w *simulation.World, seed uint64) {
 		submitRandomJobs(w, seed, 25, 120*second, 0.1, nil)
 		rng := rand.New(rand.NewPCG(seed, 9))
 		for i := range 8 {
@@ -107,11 +107,11 @@
 		}
 		w.At(0, func() { w.InvalidRequests(150 * second) })
 		for i := range 6 {
-			w.At(time.Duration(30+20*i)*second, func() { w.Inject(simtest.SpotReclaimed, 0) })
+			w.At(time.Duration(30+20*i)*second, func() { w.Inject(simulation.SpotReclaimed, 0) })
 		}
-		w.At(80*second, func() { w.Inject(simtest.StateOutage, 50*second) })
+		w.At(80*second, func() { w.Inject(simulation.StateOutage, 50*second) })
 		w.At(140*second, func() { w.CrashLeader(second) })
-	}, []simtest.Observation{simtest.SecondTerm, simtest.CancellationConfirmed, simtest.InvalidRequest}},
+	}, []simulation.Observation{simulation.SecondTerm, simulation.CancellationConfirmed, simulation.InvalidRequest}},
 }
 
 // TestOperationsFaults: the rules hold, no job waits where it could start, and all that was
@@ -122,7 +122,7 @@
 			eachSeed(t, 3, func(t *testing.T, seed uint64) {
 				p := params()
 				p.Teams = append(p.Teams, config.Team{Name: "guests"}, config.Team{Name: "limited", CPUsMax: 8})
-				w := simtest.NewWorld(3000+seed, 3+2*int(seed%2), p, machineType)
+				w := simulation.NewWorld(3000+seed, 3+2*int(seed%2), p, machineType)
 				w.FaultRate = 1
 				n.inject(w, seed)
 				runToEnd(t, w)
--- a/internal/simtest/previous_version.go
+++ b/internal/simulation/previous_version.go
@@ -1,4 +1,4 @@
-package simtest
+package simulation
 
 import (
 	"encoding/json"
@@ -43,7 +43,7 @@
 )
 
 // PreviousVersionReads is a record as the previous version reads it, false if it doesn't.
-func PreviousVersionReads(item wire.Item) (wire.Item, bool) {
+func PreviousVersionReads(item wire.KeyValue) (wire.KeyValue, bool) {
 	if !slices.ContainsFunc(previousVersionPrefixes, func(p string) bool { return strings.HasPrefix(item.Key, p) }) {
 		return item, false
 	}
@@ -61,8 +61,8 @@
 
 // PreviousVersionWrites are those of a leader's changes that the previous version makes: it
 // does not touch keys that it has no names for.
-func PreviousVersionWrites(writes []wire.Write) []wire.Write {
-	return slices.DeleteFunc(slices.Clone(writes), func(w wire.Write) bool {
+func PreviousVersionWrites(writes []wire.Mutation) []wire.Mutation {
+	return slices.DeleteFunc(slices.Clone(writes), func(w wire.Mutation) bool {
 		key := w.Key()
 		return strings.HasPrefix(key, "n/") || strings.HasPrefix(key, "e/") || strings.HasPrefix(key, "b/") || strings.HasPrefix(key, "d/") && !previousVersionDoneKey.MatchString(key)
 	})
--- a/internal/simtest/rules.go
+++ b/internal/simulation/rules.go
@@ -1,4 +1,4 @@
-package simtest
+package simulation
 
 import (
 	"fmt"
@@ -41,7 +41,7 @@
 // through any number of steps, was asked for, and since when its user has been
 // told of one, zero if of none.
 func (r *Rules) cancelledBy(t *jobRecord) (asked bool, told time.Time) {
-	for _, id := range t.job.Needs {
+	for _, id := range t.job.DependsOn {
 		need := r.jobs[id]
 		if need == nil {
 			continue
@@ -189,7 +189,7 @@
 			continue
 		}
 		for _, t := range w.sorted() {
-			if t.State == wire.TaskExited && t.Why == wire.WhyDone {
+			if t.State == wire.TaskExited && t.Why == wire.ExitDone {
 				r.noteCompleted(t.Name)
 			}
 			if !t.On() {
@@ -224,8 +224,8 @@
 	case w.Offer.Spot && !j.Spot, j.Zone != "" && j.Zone != w.Offer.Zone,
 		len(j.Types) > 0 && !slices.Contains(j.Types, w.Offer.Type):
 		return fmt.Errorf("wrong_place: %s on %s", task, w.ID)
-	case !r.allFinished(j.Needs):
-		return fmt.Errorf("too_early: %s on %s before %v are done", task, w.ID, j.Needs)
+	case !r.allFinished(j.DependsOn):
+		return fmt.Errorf("too_early: %s on %s before %v are done", task, w.ID, j.DependsOn)
 	case j.OneZone && len(zones) > 1:
 		return fmt.Errorf("wrong_place: %s, a job for one zone, in %v", task, zones)
 	case j.Spread && zones[w.Offer.Zone] > (j.Tasks+1)/2:
--- a/internal/simtest/rules_test.go
+++ b/internal/simulation/rules_test.go
@@ -1,4 +1,4 @@
-package simtest_test
+package simulation_test
 
 import (
 	"strings"
@@ -6,42 +6,42 @@
 	"time"
 
 	"switchshore.example/switchshore/internal/config"
-	"switchshore.example/switchshore/internal/simtest"
+	"switchshore.example/switchshore/internal/simulation"
 	"switchshore.example/switchshore/wire"
 )
 
 // ruleCase is a checker with one job, and a way to put tasks on machines.
 type ruleCase struct {
-	*simtest.Rules
+	*simulation.Rules
 	now time.Time
 	job *wire.Job
-	at  map[string]*simtest.Worker
+	at  map[string]*simulation.Worker
 }
 
 func newRuleCase() *ruleCase {
 	j := &wire.Job{ID: "job-1", Team: "blue", Tasks: 3, CPUs: 4, MemoryGB: 1, Spot: true}
 	c := &ruleCase{
-		Rules: simtest.NewRules([]config.Team{{Name: "blue", CPUsMax: 8}}, 45*time.Second),
-		now:   time.Unix(1_700_000_000, 0), job: j, at: map[string]*simtest.Worker{},
+		Rules: simulation.NewRules([]config.Team{{Name: "blue", CPUsMax: 8}}, 45*time.Second),
+		now:   time.Unix(1_700_000_000, 0), job: j, at: map[string]*simulation.Worker{},
 	}
 	c.Submitted(j)
 	return c
 }
 
 // worker adds a machine in a zone.
-func (c *ruleCase) worker(id, zone string, spot bool) *simtest.Worker {
-	w := simtest.NewWorker(c.now, wire.ListedMachine{Name: id, Type: "std-8", Zone: zone, Spot: spot}, machineType, time.Hour)
+func (c *ruleCase) worker(id, zone string, spot bool) *simulation.Worker {
+	w := simulation.NewWorker(c.now, wire.ListedMachine{Name: id, Type: "std-8", Zone: zone, Spot: spot}, machineType, time.Hour)
 	c.at[id] = w
 	return w
 }
 
 // put lists a task on a machine.
-func (c *ruleCase) put(w *simtest.Worker, task, state, why string) {
-	w.Tasks[task] = &simtest.Task{Name: task, Attempt: 1, State: state, Why: why}
+func (c *ruleCase) put(w *simulation.Worker, task, state, why string) {
+	w.Tasks[task] = &simulation.Task{Name: task, Attempt: 1, State: state, Why: why}
 }
 
 func (c *ruleCase) check() error {
-	var ws []*simtest.Worker
+	var ws []*simulation.Worker
 	for _, id := range []string{"m1", "m2", "m3"} {
 		if w := c.at[id]; w != nil {
 			ws = append(ws, w)
@@ -54,7 +54,7 @@
 func (c *ruleCase) looks(errs *[]error) func(time.Duration) {
 	return func(d time.Duration) {
 		c.now = c.now.Add(d)
-		var ws []*simtest.Worker
+		var ws []*simulation.Worker
 		for _, w := range c.at {
 			ws = append(ws, w)
 		}
@@ -142,7 +142,7 @@
 		},
 		"not_done": func(c *ruleCase) []error {
 			for _, task := range []string{"job-1/0", "job-1/1"} {
-				c.put(c.worker("m1", "a", true), task, wire.TaskExited, wire.WhyDone)
+				c.put(c.worker("m1", "a", true), task, wire.TaskExited, wire.ExitDone)
 				_ = c.check()
 			}
 			return []error{c.told(200, wire.JobRunning), c.told(200, wire.JobDone)}
@@ -158,7 +158,7 @@
 		},
 		"went_back: job-1 is called running": func(c *ruleCase) []error {
 			for _, task := range []string{"job-1/0", "job-1/1", "job-1/2"} {
-				c.put(c.worker("m1", "a", true), task, wire.TaskExited, wire.WhyDone)
+				c.put(c.worker("m1", "a", true), task, wire.TaskExited, wire.ExitDone)
 				_ = c.check()
 			}
 			return []error{c.told(200, wire.JobRunning), c.told(200, wire.JobDone), c.told(200, wire.JobRunning)}
@@ -167,14 +167,14 @@
 			return []error{c.told(201, wire.JobQueued), c.told(200, wire.JobCancelled)}
 		},
 		"too_early": func(c *ruleCase) []error {
-			c.Submitted(&wire.Job{ID: "job-2", Team: "blue", Tasks: 1, CPUs: 1, Spot: true, Needs: []string{"job-1"}})
+			c.Submitted(&wire.Job{ID: "job-2", Team: "blue", Tasks: 1, CPUs: 1, Spot: true, DependsOn: []string{"job-1"}})
 			w := c.worker("m1", "a", true)
 			before := c.check()
 			c.put(w, "job-2/0", wire.TaskRunning, "")
 			return []error{before, c.check()}
 		},
 		"orphaned": func(c *ruleCase) []error {
-			c.Submitted(&wire.Job{ID: "job-2", Team: "blue", Tasks: 1, CPUs: 1, Spot: true, Needs: []string{"job-1"}})
+			c.Submitted(&wire.Job{ID: "job-2", Team: "blue", Tasks: 1, CPUs: 1, Spot: true, DependsOn: []string{"job-1"}})
 			c.AskedCancel("job-1")
 			errs := []error{c.told(200, wire.JobCancelled), c.Told(c.now, c.now, "job-2", 200, wire.JobQueued, false)}
 			c.now = c.now.Add(46 * time.Second)
