--- a/internal/simtest/rules_waiting.go
+++ b/internal/simulation/rules_waiting.go
@@ -1,4 +1,4 @@
-package simtest
+package simulation
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"time"
 
 	"switchshore.example/switchshore/internal/config"
-	"switchshore.example/switchshore/internal/sched"
+	"switchshore.example/switchshore/internal/placement"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -53,7 +53,7 @@
 // nor is listed by a machine. What completed on a machine that was lost may have to run
 // again, so as long as nothing is listed, what its user was told counts.
 func (r *Rules) waits(t *jobRecord, listed map[string]bool) bool {
-	if !t.accepted || t.askedCancel || t.done || !r.toldDone(t.job.Needs) {
+	if !t.accepted || t.askedCancel || t.done || !r.toldDone(t.job.DependsOn) {
 		return false
 	}
 	if len(listed) == 0 {
@@ -74,13 +74,13 @@
 	listed map[string]map[string]bool // tasks, by job
 	zones  map[string]map[string]int  // number of tasks, by job and zone
 	used   map[string]float64         // CPUs, by team
-	free   map[*Worker]sched.Resources
+	free   map[*Worker]placement.Resources
 }
 
 func (r *Rules) occupancy(workers []*Worker) occupancy {
-	o := occupancy{map[string]map[string]bool{}, map[string]map[string]int{}, map[string]float64{}, map[*Worker]sched.Resources{}}
+	o := occupancy{map[string]map[string]bool{}, map[string]map[string]int{}, map[string]float64{}, map[*Worker]placement.Resources{}}
 	for _, w := range workers {
-		room := sched.Resources{CPUs: w.Type.CPUs, GPUs: w.Type.GPUs, MemoryGB: w.Type.MemoryGB}
+		room := placement.Resources{CPUs: w.Type.CPUs, GPUs: w.Type.GPUs, MemoryGB: w.Type.MemoryGB}
 		for _, t := range w.Tasks {
 			if t.State == wire.TaskExited {
 				continue
@@ -100,8 +100,8 @@
 	return o
 }
 
-func taskNeed(j *wire.Job) sched.Resources {
-	return sched.Resources{CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB}
+func taskNeed(j *wire.Job) placement.Resources {
+	return placement.Resources{CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB}
 }
 
 // admits reports whether one more task of a job could start on a machine now.
--- a/internal/simtest/state.go
+++ b/internal/simulation/state.go
@@ -1,7 +1,7 @@
-// Package simtest is only for tests. It holds stand-ins for the state service, the cloud and the
+// Package simulation is only for tests. It holds stand-ins for the state service, the cloud and the
 // workers, written after the protocol, a checker of its rules, and a seeded
 // world that plays them against controllers in simulated time. Tests use it.
-package simtest
+package simulation
 
 import (
 	"slices"
@@ -10,12 +10,12 @@
 	"time"
 
 	"switchshore.example/switchshore/internal/config"
-	"switchshore.example/switchshore/internal/store"
+	"switchshore.example/switchshore/internal/kvstore"
 	"switchshore.example/switchshore/wire"
 )
 
 type entry struct {
-	item  wire.Item
+	item  wire.KeyValue
 	lease uint64
 }
 
@@ -28,7 +28,7 @@
 type State struct {
 	Down bool
 	// Limits hold for values and transactions, if set.
-	Limits config.State
+	Limits config.StateLimits
 	// Committed, if set, is told of every transaction that was carried out.
 	Committed func(wire.Txn)
 
@@ -66,23 +66,23 @@
 }
 
 // Get reads a key.
-func (s *State) Get(key string) (wire.Item, error) {
+func (s *State) Get(key string) (wire.KeyValue, error) {
 	if s.Down {
-		return wire.Item{}, store.ErrRefused
+		return wire.KeyValue{}, kvstore.ErrUnavailable
 	}
 	e := s.keys[key]
 	if e == nil {
-		return wire.Item{Revision: s.revision}, store.ErrNotFound
+		return wire.KeyValue{Revision: s.revision}, kvstore.ErrNotFound
 	}
 	return e.item, nil
 }
 
 // List reads the keys with a prefix.
-func (s *State) List(prefix string) ([]wire.Item, error) {
+func (s *State) List(prefix string) ([]wire.KeyValue, error) {
 	if s.Down {
-		return nil, store.ErrRefused
+		return nil, kvstore.ErrUnavailable
 	}
-	var items []wire.Item
+	var items []wire.KeyValue
 	for k, e := range s.keys {
 		if strings.HasPrefix(k, prefix) {
 			items = append(items, e.item)
@@ -95,11 +95,11 @@
 // Commit runs a transaction.
 func (s *State) Commit(txn wire.Txn) (wire.TxnResult, error) {
 	if s.Down {
-		return wire.TxnResult{}, store.ErrRefused
+		return wire.TxnResult{}, kvstore.ErrUnavailable
 	}
 	res := wire.TxnResult{}
 	if s.refuses(txn) {
-		return res, store.ErrMalformed
+		return res, kvstore.ErrInvalidRequest
 	}
 	for _, g := range txn.If {
 		var version uint64
@@ -107,17 +107,17 @@
 			version = e.item.Version
 		}
 		if version != g.Version {
-			res.Failed = append(res.Failed, g.Key)
+			res.FailedKeys = append(res.FailedKeys, g.Key)
 		}
 	}
 	for _, w := range txn.Then {
 		if w.Lease != 0 && s.leases[w.Lease] == nil {
-			return res, store.ErrMalformed
+			return res, kvstore.ErrInvalidRequest
 		}
 	}
-	if len(res.Failed) > 0 {
+	if len(res.FailedKeys) > 0 {
 		res.Revision = s.revision
-		return res, store.ErrConflict
+		return res, kvstore.ErrConflict
 	}
 	s.revision++
 	for _, w := range txn.Then {
@@ -125,7 +125,7 @@
 			delete(s.keys, w.Delete)
 			continue
 		}
-		s.keys[w.Put] = &entry{wire.Item{Key: w.Put, Value: w.Value, Version: s.revision}, w.Lease}
+		s.keys[w.Put] = &entry{wire.KeyValue{Key: w.Put, Value: w.Value, Version: s.revision}, w.Lease}
 	}
 	res.Revision = s.revision
 	if s.Committed != nil {
@@ -140,7 +140,7 @@
 	if l.TxnOps > 0 && (len(txn.Then) > l.TxnOps || len(txn.If) > 4*l.TxnOps) {
 		return true
 	}
-	return slices.ContainsFunc(txn.Then, func(w wire.Write) bool {
+	return slices.ContainsFunc(txn.Then, func(w wire.Mutation) bool {
 		return len(w.Key()) > wire.MaxKey || l.ValueKB > 0 && float64(len(w.Value)) > l.ValueKB*1024
 	})
 }
@@ -148,7 +148,7 @@
 // Grant gives a lease.
 func (s *State) Grant(now time.Time, ttl time.Duration) (uint64, error) {
 	if s.Down {
-		return 0, store.ErrRefused
+		return 0, kvstore.ErrUnavailable
 	}
 	s.nextID++
 	s.leases[s.nextID] = &lease{ttl, now.Add(ttl)}
@@ -158,11 +158,11 @@
 // Renew renews a lease.
 func (s *State) Renew(now time.Time, id uint64) error {
 	if s.Down {
-		return store.ErrRefused
+		return kvstore.ErrUnavailable
 	}
 	l := s.leases[id]
 	if l == nil {
-		return store.ErrNotFound
+		return kvstore.ErrNotFound
 	}
 	l.end = now.Add(l.ttl)
 	return nil
--- a/internal/simtest/trace_digest_test.go
+++ b/internal/simulation/trace_digest_test.go
@@ -1,4 +1,4 @@
-package simtest_test
+package simulation_test
 
 import (
 	"flag"
@@ -7,7 +7,7 @@
 	"sync"
 	"testing"
 
-	"switchshore.example/switchshore/internal/simtest"
+	"switchshore.example/switchshore/internal/simulation"
 )
 
 // digestFile is where the trace digest of each run is appended, one line a run: the test's name,
@@ -18,7 +18,7 @@
 var digestFileLock sync.Mutex
 
 // logDigest writes the digest of a run that is over to the file asked for, if any.
-func logDigest(t *testing.T, w *simtest.World) {
+func logDigest(t *testing.T, w *simulation.World) {
 	t.Helper()
 	if *digestFile == "" {
 		return
--- a/internal/simtest/users.go
+++ b/internal/simulation/users.go
@@ -1,11 +1,11 @@
-package simtest
+package simulation
 
 import (
 	"fmt"
 	"time"
 
 	"switchshore.example/switchshore/internal/admission"
-	"switchshore.example/switchshore/internal/controller"
+	"switchshore.example/switchshore/internal/leader"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -13,7 +13,7 @@
 // the request until it is answered, and poll.
 func (w *World) Submit(after time.Duration, j *wire.Job, cancelAfter time.Duration) {
 	w.after(after, func() {
-		if !w.Rules.Accepted(j.Needs) {
+		if !w.Rules.Accepted(j.DependsOn) {
 			w.Submit(time.Second, j, cancelAfter)
 			return
 		}
@@ -41,8 +41,8 @@
 type request struct {
 	job        *wire.Job
 	submission bool
-	send       func(n *node, claim *admission.Claim, then func(controller.Verdict))
-	done       func(controller.Verdict)
+	send       func(n *node, claim *admission.Claim, then func(leader.Response))
+	done       func(leader.Response)
 }
 
 // ask sends a request to a node and tells the rules what the user hears. As in
@@ -50,7 +50,7 @@
 // still has authority: it may have stood still since it found it.
 func (w *World) ask(target *node, r request) {
 	answered := false
-	finish := func(v controller.Verdict) {
+	finish := func(v leader.Response) {
 		if !answered {
 			answered = true
 			r.done(v)
@@ -62,7 +62,7 @@
 		}
 		n := w.leaderFor(target)
 		if n == nil {
-			w.after(w.between(1, 20), func() { finish(controller.Verdict{Status: 503}) })
+			w.after(w.between(1, 20), func() { finish(leader.Response{Status: 503}) })
 			return
 		}
 		pass := w.passGate(target, n, r)
@@ -71,18 +71,18 @@
 			return
 		}
 		term := n.leadership
-		r.send(n, pass.claim, func(v controller.Verdict) {
+		r.send(n, pass.claim, func(v leader.Response) {
 			pass.note(w.now, v)
 			w.onNode(n, w.between(0, 2), func() {
-				if !v.Final() && !term.Authority(w.clock(n)) {
-					v = controller.Verdict{Status: 503}
+				if !v.IsTerminal() && !term.HoldsLease(w.clock(n)) {
+					v = leader.Response{Status: 503}
 				}
 				given := w.now
 				w.after(w.between(1, 20), func() {
 					if answered {
 						return
 					}
-					w.trace(edgeUserAnswer, n, r.job.ID, r.submission, v.Status, v.State, v.Done, v.Run, v.Why, v.RetryAfter)
+					w.trace(edgeUserAnswer, n, r.job.ID, r.submission, v.Status, v.State, v.Done, v.Running, v.Reason, v.RetryAfter)
 					if err := w.Rules.Told(w.now, given, r.job.ID, v.Status, v.State, r.submission); err != nil && w.err == nil {
 						w.err = err
 					}
@@ -92,23 +92,23 @@
 			})
 		})
 	})
-	w.after(5*time.Second, func() { finish(controller.Verdict{Status: 504}) })
+	w.after(5*time.Second, func() { finish(leader.Response{Status: 504}) })
 }
 
 // submission is the request to take a job.
-func (w *World) submission(j *wire.Job, done func(controller.Verdict)) request {
-	return request{j, true, func(n *node, claim *admission.Claim, then func(controller.Verdict)) {
-		if n.previousVersion && len(j.Needs) > 0 {
+func (w *World) submission(j *wire.Job, done func(leader.Response)) request {
+	return request{j, true, func(n *node, claim *admission.Claim, then func(leader.Response)) {
+		if n.previousVersion && len(j.DependsOn) > 0 {
 			// As forwarded by a node of a later version.
-			then(controller.Verdict{Status: 503})
+			then(leader.Response{Status: 503})
 			return
 		}
-		n.controller.SubmitClaimed(w.clock(n), w.now, j, claim, then)
+		n.leader.SubmitWithClaim(w.clock(n), w.now, j, claim, then)
 	}, done}
 }
 
 func (w *World) submit(j *wire.Job) {
-	w.ask(w.anyNode(), w.submission(j, func(v controller.Verdict) {
+	w.ask(w.anyNode(), w.submission(j, func(v leader.Response) {
 		if v.Status/100 != 2 || w.chance(0.05) {
 			w.after(w.between(1000, 5000), func() { w.submit(j) })
 		}
@@ -116,14 +116,14 @@
 }
 
 // cancellation is the request to cancel a job.
-func (w *World) cancellation(j *wire.Job, done func(controller.Verdict)) request {
-	return request{j, false, func(n *node, _ *admission.Claim, then func(controller.Verdict)) {
-		n.controller.Cancel(w.clock(n), j.ID, then)
+func (w *World) cancellation(j *wire.Job, done func(leader.Response)) request {
+	return request{j, false, func(n *node, _ *admission.Claim, then func(leader.Response)) {
+		n.leader.Cancel(w.clock(n), j.ID, then)
 	}, done}
 }
 
 func (w *World) cancel(j *wire.Job) {
-	w.ask(w.anyNode(), w.cancellation(j, func(v controller.Verdict) {
+	w.ask(w.anyNode(), w.cancellation(j, func(v leader.Response) {
 		if v.Status/100 != 2 {
 			w.after(w.between(1000, 3000), func() { w.cancel(j) })
 		}
@@ -131,14 +131,14 @@
 }
 
 // question asks for a job's state.
-func (w *World) question(j *wire.Job, done func(controller.Verdict)) request {
-	return request{j, false, func(n *node, _ *admission.Claim, then func(controller.Verdict)) {
-		then(n.controller.Query(j.ID))
+func (w *World) question(j *wire.Job, done func(leader.Response)) request {
+	return request{j, false, func(n *node, _ *admission.Claim, then func(leader.Response)) {
+		then(n.leader.Query(j.ID))
 	}, done}
 }
 
 func (w *World) poll(j *wire.Job) {
-	w.ask(w.anyNode(), w.question(j, func(controller.Verdict) {
+	w.ask(w.anyNode(), w.question(j, func(leader.Response) {
 		pause := w.between(3000, 6000)
 		if w.now.Before(w.pollStormUntil) {
 			pause /= 8
@@ -155,7 +155,7 @@
 func (w *World) FailEverywhere(j *wire.Job) { w.failingJobs[j.ID] = true }
 
 // ignoreVerdict is who has no use for an answer; the rules are told of it all the same.
-func ignoreVerdict(controller.Verdict) {}
+func ignoreVerdict(leader.Response) {}
 
 // FollowUps lets users, for a time, ask at all nodes within milliseconds of
 // hearing that a job was accepted, done or cancelled, repeat the submission, and
@@ -163,7 +163,7 @@
 func (w *World) FollowUps(span time.Duration) { w.followUpsUntil = w.now.Add(span) }
 
 // followUp is told of every answer that a user gets.
-func (w *World) followUp(j *wire.Job, v controller.Verdict) {
+func (w *World) followUp(j *wire.Job, v leader.Response) {
 	if v.Status/100 != 2 || !w.now.Before(w.followUpsUntil) || w.jobs[j.ID] != j {
 		return
 	}
@@ -243,8 +243,8 @@
 			Priority: wire.PriorityNormal, Tasks: 2, CPUs: 1, MemoryGB: 1, Image: "img-0", Spot: true,
 		}
 		// only allows the answers given, or none.
-		only := func(statuses ...int) func(controller.Verdict) {
-			return func(v controller.Verdict) {
+		only := func(statuses ...int) func(leader.Response) {
+			return func(v leader.Response) {
 				for _, s := range append(statuses, 503, 504) {
 					if v.Status == s {
 						return
--- a/internal/simtest/worker.go
+++ b/internal/simulation/worker.go
@@ -1,4 +1,4 @@
-package simtest
+package simulation
 
 import (
 	"math/rand/v2"
@@ -98,17 +98,17 @@
 			w.Cache[job.Image] = true
 			switch {
 			case w.Results[t.Name]:
-				t.State, t.Why = wire.TaskExited, wire.WhyDone
+				t.State, t.Why = wire.TaskExited, wire.ExitDone
 			case w.Faulty, w.FailsJob != nil && w.FailsJob(job.ID):
-				t.State, t.Why = wire.TaskExited, wire.WhyError
+				t.State, t.Why = wire.TaskExited, wire.ExitError
 			default:
 				t.State, t.At, t.Began = wire.TaskRunning, now.Add(w.timeLeft(t.Name, job)), now
 			}
 		case wire.TaskRunning:
-			t.State, t.Why = wire.TaskExited, wire.WhyDone
+			t.State, t.Why = wire.TaskExited, wire.ExitDone
 			w.Results[t.Name] = true
 		case wire.TaskSaving:
-			t.State, t.Why, t.Saved = wire.TaskExited, wire.WhyStopped, true
+			t.State, t.Why, t.Saved = wire.TaskExited, wire.ExitStopped, true
 		}
 	}
 }
@@ -127,26 +127,26 @@
 	return w.Jobs(id)
 }
 
-// Report is the worker's next report.
-func (w *Worker) Report() *wire.Report {
+// Report is the worker's next heartbeat.
+func (w *Worker) Report() *wire.Heartbeat {
 	w.Seq++
-	r := &wire.Report{
+	r := &wire.Heartbeat{
 		Machine: w.ID, Addr: w.Offer.Addr, Type: w.Offer.Type, Zone: w.Offer.Zone, Spot: w.Offer.Spot,
-		Session: w.Session, Seq: w.Seq, Token: w.Token, NoticeS: w.Notice, Tasks: []wire.TaskReport{},
+		AgentEpoch: w.Session, Sequence: w.Seq, FencingToken: w.Token, ReclaimNoticeS: w.Notice, Tasks: []wire.TaskStatus{},
 	}
 	for _, t := range w.sorted() {
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: t.Name, Attempt: t.Attempt, State: t.State, Why: t.Why, Saved: t.Saved})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.Name, Attempt: t.Attempt, State: t.State, ExitReason: t.Why, CheckpointSaved: t.Saved})
 	}
 	return r
 }
 
 // Answer takes in the answer to a report of the given session sent at sent.
-func (w *Worker) Answer(now, sent time.Time, session uint64, a wire.ReportAnswer) {
-	if session != w.Session || a.Token < w.Token {
+func (w *Worker) Answer(now, sent time.Time, session uint64, a wire.HeartbeatResponse) {
+	if session != w.Session || a.FencingToken < w.Token {
 		return
 	}
-	if a.Token > w.Token {
-		w.Token = a.Token
+	if a.FencingToken > w.Token {
+		w.Token = a.FencingToken
 		w.Changed = true
 	}
 	if end := sent.Add(w.Lease); end.After(w.LeaseEnd) {
@@ -157,11 +157,11 @@
 
 // Commands takes in a direct request: executed if token and session match.
 func (w *Worker) Commands(now time.Time, r wire.CommandRequest) {
-	if r.Token < w.Token || r.Session != w.Session {
+	if r.FencingToken < w.Token || r.AgentEpoch != w.Session {
 		return
 	}
-	if r.Token > w.Token {
-		w.Token = r.Token
+	if r.FencingToken > w.Token {
+		w.Token = r.FencingToken
 	}
 	w.Execute(now, r.Commands)
 }
@@ -184,17 +184,17 @@
 			w.Changed = true
 			job := w.jobOf(c.Task)
 			grace := 0.0
-			if c.GraceS != nil {
-				grace = *c.GraceS
+			if c.GracePeriodS != nil {
+				grace = *c.GracePeriodS
 			}
-			saves := job.CheckpointS > 0 && grace >= job.SaveS
+			saves := job.CheckpointIntervalS > 0 && grace >= job.CheckpointSaveS
 			if w.Stopped != nil && t.State == wire.TaskRunning {
 				w.Stopped(t, saves)
 			}
 			if t.State == wire.TaskRunning && saves {
-				t.State, t.At = wire.TaskSaving, now.Add(time.Duration(job.SaveS*float64(time.Second)))
+				t.State, t.At = wire.TaskSaving, now.Add(time.Duration(job.CheckpointSaveS*float64(time.Second)))
 			} else if t.State != wire.TaskSaving || grace == 0 {
-				t.State, t.Why = wire.TaskExited, wire.WhyStopped
+				t.State, t.Why = wire.TaskExited, wire.ExitStopped
 			}
 		case wire.OpForget:
 			if t != nil && t.State == wire.TaskExited {
@@ -209,7 +209,7 @@
 	t := &Task{Name: c.Task, Attempt: c.Attempt, State: wire.TaskExited}
 	job := w.jobOf(c.Task)
 	if job == nil {
-		t.Why = wire.WhyUnknown
+		t.Why = wire.ExitUnknown
 		return t
 	}
 	cpus, memory := job.CPUs, job.MemoryGB
@@ -218,7 +218,7 @@
 			continue
 		}
 		if o.Name == c.Task {
-			t.Why = wire.WhyBusy
+			t.Why = wire.ExitTaskBusy
 			return t
 		}
 		other := w.jobOf(o.Name)
@@ -226,7 +226,7 @@
 		memory += other.MemoryGB
 	}
 	if cpus > w.Type.CPUs+1e-6 || memory > w.Type.MemoryGB+1e-6 {
-		t.Why = wire.WhyNoRoom
+		t.Why = wire.ExitNoCapacity
 		return t
 	}
 	t.State, t.At = wire.TaskFetching, now
@@ -264,8 +264,8 @@
 }
 
 // Rent carries a rental out; nil means no capacity.
-func (c *Cloud) Rent(now time.Time, rng *rand.Rand, r wire.RentRequest) []string {
-	if names, ok := c.answers[r.Request]; ok {
+func (c *Cloud) Rent(now time.Time, rng *rand.Rand, r wire.ProvisionRequest) []string {
+	if names, ok := c.answers[r.RequestID]; ok {
 		return names
 	}
 	used := 0
@@ -282,7 +282,7 @@
 	for range n {
 		id := "i-" + pad(c.next)
 		c.next++
-		boot := time.Duration(c.Type.BootS * (0.6 + 0.9*rng.Float64()) * float64(time.Second))
+		boot := time.Duration(c.Type.BootTimeS * (0.6 + 0.9*rng.Float64()) * float64(time.Second))
 		if rng.IntN(20) == 0 {
 			boot = 1000 * time.Hour
 		}
@@ -302,7 +302,7 @@
 		}, now, now.Add(boot)}
 		names = append(names, id)
 	}
-	c.answers[r.Request] = names
+	c.answers[r.RequestID] = names
 	return names
 }
 
--- a/internal/simtest/world.go
+++ b/internal/simulation/world.go
@@ -1,4 +1,4 @@
-package simtest
+package simulation
 
 import (
 	"container/heap"
@@ -72,7 +72,7 @@
 func NewWorld(seed uint64, nodes int, p config.Params, t wire.MachineType) *World {
 	start := time.Unix(1_700_000_000, 0)
 	w := &World{
-		Rules:            NewRules(p.Teams, time.Duration(p.Workers.CancelS*float64(time.Second))),
+		Rules:            NewRules(p.Teams, time.Duration(p.Workers.CancelDeadlineS*float64(time.Second))),
 		State:            NewState(),
 		Cloud:            NewCloud(t, 4),
 		Params:           p,
--- a/internal/simtest/world_admission.go
+++ b/internal/simulation/world_admission.go
@@ -1,4 +1,4 @@
-package simtest
+package simulation
 
 import (
 	"net/http"
@@ -6,7 +6,7 @@
 
 	"switchshore.example/switchshore/internal/admission"
 	"switchshore.example/switchshore/internal/config"
-	"switchshore.example/switchshore/internal/controller"
+	"switchshore.example/switchshore/internal/leader"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -50,23 +50,23 @@
 	gate    *admission.Gate
 	request *admission.Request
 	claim   *admission.Claim
-	refused *controller.Verdict
+	refused *leader.Response
 }
 
 // note lets the gate remember what a user is told.
-func (p *passage) note(now time.Time, v controller.Verdict) {
+func (p *passage) note(now time.Time, v leader.Response) {
 	switch {
 	case p.gate == nil:
 	case v.Status == http.StatusTooManyRequests:
 		p.world.Observed[ShedByLeader]++
-		p.gate.Refused(now, p.request)
+		p.gate.RecordRejected(now, p.request)
 	case v.Status/100 == 2:
-		p.gate.Passed(p.request)
+		p.gate.RecordAdmitted(p.request)
 	}
 }
 
 // passGate takes a submission through the gate of the node reached, as the real node does.
-func (w *World) passGate(target, leader *node, r request) *passage {
+func (w *World) passGate(target, leading *node, r request) *passage {
 	gate := w.gateOf(target)
 	if !r.submission || gate == nil {
 		return &passage{world: w}
@@ -74,28 +74,28 @@
 	operator := w.operatorOf(target)
 	settings := operator.AdmissionSettings(&w.Params)
 	p := &passage{world: w, gate: gate}
-	p.request = controller.AdmissionRequest(settings, r.job)
-	isNew := gate.Arrive(w.now, p.request)
+	p.request = leader.AdmissionRequest(settings, r.job)
+	isNew := gate.RecordArrival(w.now, p.request)
 	p.claim = &admission.Claim{WaitedMS: p.request.Waited.Milliseconds()}
-	if target == leader {
+	if target == leading {
 		return p
 	}
-	if isNew && controller.AboveLimit(w.Params.Teams, r.job) == "" {
+	if isNew && leader.AboveLimit(w.Params.Teams, r.job) == "" {
 		decision, revision := gate.Decide(w.now, p.request)
 		if !decision.Admitted {
 			w.Observed[ShedByFollower]++
-			gate.Refused(w.now, p.request)
-			p.refused = &controller.Verdict{Status: http.StatusTooManyRequests, RetryAfter: decision.RetryAfter}
+			gate.RecordRejected(w.now, p.request)
+			p.refused = &leader.Response{Status: http.StatusTooManyRequests, RetryAfter: decision.RetryAfter}
 			return p
 		}
 		p.claim.Revision = revision
 	}
-	gate.Passed(p.request)
+	gate.RecordAdmitted(p.request)
 	return p
 }
 
 // updateAdmission tells a leader what all nodes are offered, and the others its policy.
-func (w *World) updateAdmission(n *node, p *controller.Controller) {
+func (w *World) updateAdmission(n *node, p *leader.Leader) {
 	gate := w.gateOf(n)
 	if gate == nil {
 		return
@@ -130,8 +130,8 @@
 	}
 	offers := gate.Offers(from.name)
 	var policy *admission.Policy
-	if from.controller != nil && from.leadership.Authority(w.clock(from)) {
-		policy = from.controller.AdmissionPolicy()
+	if from.leader != nil && from.leadership.HoldsLease(w.clock(from)) {
+		policy = from.leader.AdmissionPolicy()
 	}
 	w.trace(edgeHeartbeat, from, to.name, offers, policy)
 	delay := w.between(1, 20)
@@ -141,7 +141,7 @@
 	w.onNode(to, delay, func() {
 		to.heard[from.name] = offers
 		if receiver := w.gateOf(to); receiver != nil && policy != nil {
-			receiver.Learn(w.clock(to), *policy)
+			receiver.ApplyPolicy(w.clock(to), *policy)
 		}
 	})
 }
@@ -168,9 +168,9 @@
 
 // pollSeldom lets a user ask about a job, and seldom once he has heard that it is over.
 func (w *World) pollSeldom(j *wire.Job) {
-	w.ask(w.anyNode(), w.question(j, func(v controller.Verdict) {
+	w.ask(w.anyNode(), w.question(j, func(v leader.Response) {
 		pause := w.between(3000, 6000)
-		if v.Final() {
+		if v.IsTerminal() {
 			pause *= 5
 		}
 		w.after(pause, func() { w.pollSeldom(j) })
@@ -179,7 +179,7 @@
 
 func (w *World) tryWithPatience(o *Outcome, done func(Outcome)) {
 	o.Tries++
-	w.ask(w.anyNode(), w.submission(o.Job, func(v controller.Verdict) {
+	w.ask(w.anyNode(), w.submission(o.Job, func(v leader.Response) {
 		o.At = w.now.Sub(w.start)
 		pause := max(time.Duration(v.RetryAfter)*time.Second, time.Second) + w.between(0, 300)
 		switch {
--- a/internal/simtest/world_drains.go
+++ b/internal/simulation/world_drains.go
@@ -1,4 +1,4 @@
-package simtest
+package simulation
 
 import (
 	"fmt"
@@ -238,9 +238,9 @@
 		return
 	}
 	w.onNode(n, w.between(1, 30), func() {
-		if n.controller != nil {
-			n.controller.DrainRequest(w.clock(n), w.now, q, func(r drain.Response) {
-				w.trace(edgeOperatorAnswer, n, q, r)
+		if n.leader != nil {
+			n.leader.DrainRequest(w.clock(n), w.now, q, func(r drain.Response) {
+				w.trace(edgeOperatorAnswer, n, q, r.Status, r.Reason, r.Drains)
 				finish(r)
 			})
 		}
--- a/internal/simtest/world_machines.go
+++ b/internal/simulation/world_machines.go
@@ -1,9 +1,9 @@
-package simtest
+package simulation
 
 import (
 	"time"
 
-	"switchshore.example/switchshore/internal/controller"
+	"switchshore.example/switchshore/internal/leader"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -31,12 +31,12 @@
 	return out
 }
 
-func (w *World) call(n *node, p *controller.Controller, call controller.CloudCall) {
-	w.trace(edgeCloudCall, n, call.Op, call.Rent, call.Release)
+func (w *World) call(n *node, p *leader.Leader, call leader.CloudCall) {
+	w.trace(edgeCloudCall, n, call.Op, call.Provision, call.Release)
 	var names []string
 	do := func() {
-		if call.Op == controller.CloudRent {
-			names = w.Cloud.Rent(w.now, w.rng, call.Rent)
+		if call.Op == leader.CloudProvision {
+			names = w.Cloud.Rent(w.now, w.rng, call.Provision)
 			w.boot(names)
 			return
 		}
@@ -48,13 +48,13 @@
 		}
 	}
 	answer := func() {
-		if n.controller != p {
+		if n.leader != p {
 			return
 		}
-		if call.Op == controller.CloudRent {
-			p.Rented(w.clock(n), call.Rent, names)
+		if call.Op == leader.CloudProvision {
+			p.ProvisionDone(w.clock(n), call.Provision, names)
 		} else {
-			p.Released(w.clock(n), call.Release)
+			p.ReleaseDone(w.clock(n), call.Release)
 		}
 	}
 	w.onNode(n, w.between(50, 200), func() {
@@ -64,7 +64,7 @@
 				w.after(w.between(0, 90_000), do)
 			}
 			w.onNode(n, tuning.CloudTimeout, func() {
-				if n.controller == p {
+				if n.leader == p {
 					w.call(n, p, call)
 				}
 			})
@@ -76,11 +76,11 @@
 }
 
 // direct carries a direct call to a worker; it may come minutes late.
-func (w *World) direct(n *node, p *controller.Controller, call *controller.DirectCall) {
-	done := func(d time.Duration, o controller.DirectOutcome, r *wire.Report) {
+func (w *World) direct(n *node, p *leader.Leader, call *leader.DirectCall) {
+	done := func(d time.Duration, o leader.DirectOutcome, r *wire.Heartbeat) {
 		w.onNode(n, d, func() {
-			if n.controller == p {
-				p.DirectDone(w.clock(n), call, o, r)
+			if n.leader == p {
+				p.DirectCallDone(w.clock(n), call, o, r)
 			}
 		})
 	}
@@ -89,7 +89,7 @@
 	}
 	w.trace(edgeDirectCall, n, call.Machine, call.Addr, call.Request)
 	m := w.workers[call.Machine]
-	deliver := func(late bool) *wire.Report {
+	deliver := func(late bool) *wire.Heartbeat {
 		to := w.workers[call.Machine]
 		if to == nil || late && to != m {
 			// A connection ends with its worker: a new one gets no late command.
@@ -100,28 +100,28 @@
 	}
 	switch {
 	case m == nil:
-		done(tuning.DirectTimeout, controller.DirectNever, nil)
+		done(tuning.DirectTimeout, leader.DirectNotDelivered, nil)
 	case w.zonePartitioned(n.zone, m.Offer.Zone) || w.now.Before(m.partitionedUntil) || w.now.Before(m.answersLostUntil) || w.now.Before(m.hungUntil) || w.faultsAllowed() && w.chance(0.05):
 		if w.chance(0.3) {
-			done(tuning.DirectTimeout, controller.DirectNever, nil)
+			done(tuning.DirectTimeout, leader.DirectNotDelivered, nil)
 			return
 		}
 		late := max(m.partitionedUntil.Sub(w.now), m.answersLostUntil.Sub(w.now), m.hungUntil.Sub(w.now), w.partitionedZoneUntil.Sub(w.now), 0) + w.between(0, 60_000)
 		w.after(late, func() { deliver(true) })
-		done(tuning.DirectTimeout, controller.DirectUnknown, nil)
+		done(tuning.DirectTimeout, leader.DirectUnknown, nil)
 	default:
 		w.onNode(n, w.between(1, 20), func() {
 			if r := deliver(false); r != nil {
-				done(w.between(1, 100), controller.DirectAnswered, r)
+				done(w.between(1, 100), leader.DirectAnswered, r)
 			} else {
-				done(tuning.DirectTimeout, controller.DirectUnknown, nil)
+				done(tuning.DirectTimeout, leader.DirectUnknown, nil)
 			}
 		})
 	}
 }
 
-func (w *World) list(n *node, p *controller.Controller) {
-	if n.controller != p {
+func (w *World) list(n *node, p *leader.Leader) {
+	if n.leader != p {
 		return
 	}
 	w.trace(edgeCloudCall, n, "list")
@@ -130,8 +130,8 @@
 	rows := w.Cloud.List(w.now, lag)
 	if !w.zonePartitioned(n.zone, "") {
 		w.onNode(n, w.between(20, 200), func() {
-			if n.controller == p {
-				p.Listed(asked, w.clock(n), rows)
+			if n.leader == p {
+				p.ApplyMachineList(asked, w.clock(n), rows)
 			}
 		})
 	}
--- a/internal/simtest/world_nodes.go
+++ b/internal/simulation/world_nodes.go
@@ -1,4 +1,4 @@
-package simtest
+package simulation
 
 import (
 	"encoding/json"
@@ -9,10 +9,10 @@
 
 	"switchshore.example/switchshore/internal/admission"
 	"switchshore.example/switchshore/internal/config"
-	"switchshore.example/switchshore/internal/controller"
 	"switchshore.example/switchshore/internal/election"
-	"switchshore.example/switchshore/internal/httpc"
-	"switchshore.example/switchshore/internal/store"
+	"switchshore.example/switchshore/internal/httpclient"
+	"switchshore.example/switchshore/internal/kvstore"
+	"switchshore.example/switchshore/internal/leader"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -27,11 +27,11 @@
 	incarnation           int // raised by every crash; what belongs to an earlier one is void
 	up                    bool
 	nonce                 uint64
-	controller            *controller.Controller
+	leader                *leader.Leader
 	leadership            *election.Leadership
 	lease                 uint64
-	writer                *store.Writer
-	batch                 *controller.Batch
+	writer                *kvstore.FencedWriter
+	batch                 *leader.Batch
 	stateUnreachableUntil time.Time // no way to the state service until then
 	refusedUntil          time.Time // the state service answers 503 to this node until then
 	frozenUntil           time.Time // stands still until then, while its clocks run on
@@ -58,24 +58,24 @@
 			switch {
 			case n.leadership == nil:
 			case err == nil:
-				n.leadership.Confirm(sent)
-			case errors.Is(err, store.ErrNotFound):
+				n.leadership.LeaseRenewed(sent)
+			case errors.Is(err, kvstore.ErrNotFound):
 				w.depose(n)
 			}
-			again(tuning.RenewEvery)
+			again(tuning.LeaseRenewInterval)
 		})
 		return
 	}
-	w.trace(edgeStateRead, n, store.KeyLeader, store.KeyTerm)
-	var leader, term wire.Item
+	w.trace(edgeStateRead, n, kvstore.KeyLeader, kvstore.KeyTerm)
+	var leader, term wire.KeyValue
 	var leaderErr, termErr error
 	w.toState(n, func() error {
-		leader, leaderErr = w.State.Get(store.KeyLeader)
-		term, termErr = w.State.Get(store.KeyTerm)
+		leader, leaderErr = w.State.Get(kvstore.KeyLeader)
+		term, termErr = w.State.Get(kvstore.KeyTerm)
 		return nil
 	}, func(err error) {
-		if err != nil || errors.Is(leaderErr, store.ErrRefused) || errors.Is(termErr, store.ErrRefused) {
-			again(tuning.CampaignRetry)
+		if err != nil || errors.Is(leaderErr, kvstore.ErrUnavailable) || errors.Is(termErr, kvstore.ErrUnavailable) {
+			again(tuning.CampaignRetryDelay)
 			return
 		}
 		if leaderErr == nil {
@@ -90,8 +90,8 @@
 	})
 }
 
-func (w *World) campaign(n *node, leaderVersion uint64, term wire.Item, again func(time.Duration)) {
-	var rec store.TermRecord
+func (w *World) campaign(n *node, leaderVersion uint64, term wire.KeyValue, again func(time.Duration)) {
+	var rec kvstore.TermRecord
 	_ = json.Unmarshal(term.Value, &rec)
 	sent := w.clock(n)
 	var lease uint64
@@ -100,27 +100,27 @@
 	record := election.LeaderRecord{Node: n.name, Nonce: n.nonce}
 	won := func(version uint64) {
 		w.load(n, election.NewLeadership(rec.Term+1, sent), lease, version)
-		again(tuning.RenewEvery)
+		again(tuning.LeaseRenewInterval)
 	}
 	w.trace(edgeStateLease, n, "grant")
 	w.toState(n, func() (err error) {
-		lease, err = w.State.Grant(w.now, tuning.LeaderTTL)
+		lease, err = w.State.Grant(w.now, tuning.LeaderLeaseTTL)
 		return err
 	}, func(err error) {
 		if err != nil {
-			again(tuning.CampaignRetry)
+			again(tuning.CampaignRetryDelay)
 			return
 		}
-		w.transact(n, election.CampaignTxn(record, rec.Term+1, lease, leaderVersion, term.Version), func(res wire.TxnResult, err error) {
+		w.transact(n, election.NewCampaignTxn(record, rec.Term+1, lease, leaderVersion, term.Version), func(res wire.TxnResult, err error) {
 			switch {
 			case err == nil:
 				won(res.Revision)
-			case errors.Is(err, httpc.ErrNoAnswer):
+			case errors.Is(err, httpclient.ErrNoResponse):
 				// Settled by reading.
-				w.trace(edgeStateRead, n, store.KeyLeader)
-				var got wire.Item
+				w.trace(edgeStateRead, n, kvstore.KeyLeader)
+				var got wire.KeyValue
 				w.toState(n, func() (err error) {
-					got, err = w.State.Get(store.KeyLeader)
+					got, err = w.State.Get(kvstore.KeyLeader)
 					return err
 				}, func(err error) {
 					var holder election.LeaderRecord
@@ -128,10 +128,10 @@
 						won(got.Version)
 						return
 					}
-					again(tuning.CampaignRetry)
+					again(tuning.CampaignRetryDelay)
 				})
 			default:
-				again(tuning.CampaignRetry)
+				again(tuning.CampaignRetryDelay)
 			}
 		})
 	})
@@ -147,8 +147,8 @@
 		}
 		params := w.Params
 		params.State = w.stateLimits(n)
-		p := controller.New(zerolog.Nop(), params, w.operatorOf(n), l.Term, won, controller.Grace(w.Params.Workers))
-		for _, prefix := range controller.Prefixes {
+		p := leader.New(zerolog.Nop(), params, w.operatorOf(n), l.Term, won, leader.GracePeriod(w.Params.Workers))
+		for _, prefix := range leader.Prefixes {
 			w.trace(edgeStateRead, n, prefix)
 			items, listErr := w.State.List(prefix)
 			if listErr != nil || err != nil {
@@ -162,16 +162,16 @@
 						continue
 					}
 				}
-				if err := p.Load(w.clock(n), w.now, item); err != nil {
+				if err := p.LoadRecord(w.clock(n), w.now, item); err != nil {
 					w.err = err
 				}
 			}
 		}
-		p.Loaded(w.clock(n))
-		p.SetTypes([]wire.MachineType{w.Cloud.Type})
-		n.controller = p
+		p.FinishLoading(w.clock(n))
+		p.SetMachineTypes([]wire.MachineType{w.Cloud.Type})
+		n.leader = p
 		w.Observed[TermBegan]++
-		n.writer = store.NewWriter(l.Term, version, version)
+		n.writer = kvstore.NewFencedWriter(l.Term, version, version)
 		n.batch = nil
 		w.writeLoop(n, p)
 		w.tick(n, p)
@@ -186,7 +186,7 @@
 }
 
 // stateLimits are those of the state service that the node's version keeps to.
-func (w *World) stateLimits(n *node) config.State {
+func (w *World) stateLimits(n *node) config.StateLimits {
 	if n.previousVersion {
 		return w.Params.State
 	}
@@ -195,22 +195,22 @@
 
 func (w *World) depose(n *node) {
 	if n.leadership != nil {
-		n.leadership.End()
+		n.leadership.Revoke()
 	}
-	if n.controller != nil {
-		n.controller.Stop()
+	if n.leader != nil {
+		n.leader.Stop()
 	}
-	n.leadership, n.controller, n.writer, n.batch = nil, nil, nil, nil
+	n.leadership, n.leader, n.writer, n.batch = nil, nil, nil, nil
 }
 
 // writeLoop commits the controller's changes one batch after the other.
-func (w *World) writeLoop(n *node, p *controller.Controller) {
-	if n.controller != p {
+func (w *World) writeLoop(n *node, p *leader.Leader) {
+	if n.leader != p {
 		return
 	}
 	if n.batch == nil {
 		if n.batch = w.nextBatch(n, p); n.batch == nil {
-			w.onNode(n, tuning.BatchGap, func() { w.writeLoop(n, p) })
+			w.onNode(n, tuning.WriteBatchInterval, func() { w.writeLoop(n, p) })
 			return
 		}
 		writes := n.batch.Writes
@@ -220,14 +220,14 @@
 		n.writer.Begin(writes)
 	}
 	w.transact(n, n.writer.Txn(), func(res wire.TxnResult, err error) {
-		if n.controller == p {
+		if n.leader == p {
 			w.outcome(n, p, n.writer.Answer(res, err))
 		}
 	})
 }
 
 // nextBatch takes the changes to be written now.
-func (w *World) nextBatch(n *node, p *controller.Controller) *controller.Batch {
+func (w *World) nextBatch(n *node, p *leader.Leader) *leader.Batch {
 	most, spare := min(8, w.stateLimits(n).TxnOps-1), w.rng.IntN(5)
 	if !w.LimitWrites {
 		return p.NextBatch(most, spare)
@@ -245,47 +245,47 @@
 	return b
 }
 
-func (w *World) outcome(n *node, p *controller.Controller, o store.Outcome) {
+func (w *World) outcome(n *node, p *leader.Leader, o kvstore.Outcome) {
 	switch o {
-	case store.Applied:
-		p.Committed(n.batch, n.writer.Refused())
+	case kvstore.Applied:
+		p.BatchCommitted(n.batch, n.writer.Refused())
 		n.batch = nil
 		w.writeLoop(n, p)
-	case store.Next:
+	case kvstore.ContinueSplit:
 		w.writeLoop(n, p)
-	case store.Again:
-		w.onNode(n, tuning.StoreRetry, func() { w.writeLoop(n, p) })
-	case store.Deposed:
+	case kvstore.Retry:
+		w.onNode(n, tuning.StoreRetryDelay, func() { w.writeLoop(n, p) })
+	case kvstore.Deposed:
 		w.depose(n)
-	case store.Settle:
-		w.trace(edgeStateRead, n, store.KeyTerm)
-		var item wire.Item
+	case kvstore.OutcomeUnknown:
+		w.trace(edgeStateRead, n, kvstore.KeyTerm)
+		var item wire.KeyValue
 		w.toState(n, func() (err error) {
-			item, err = w.State.Get(store.KeyTerm)
+			item, err = w.State.Get(kvstore.KeyTerm)
 			return err
 		}, func(err error) {
-			if n.controller == p {
-				w.outcome(n, p, n.writer.Settled(item, err))
+			if n.leader == p {
+				w.outcome(n, p, n.writer.ResolveUnknown(item, err))
 			}
 		})
 	}
 }
 
 // tick lets the controller decide and carries its cloud calls out.
-func (w *World) tick(n *node, p *controller.Controller) {
-	if n.controller != p {
+func (w *World) tick(n *node, p *leader.Leader) {
+	if n.leader != p {
 		return
 	}
 	now := w.clock(n)
-	authority := n.leadership.Authority(now)
+	authority := n.leadership.HoldsLease(now)
 	w.updateAdmission(n, p)
 	p.Tick(now, authority)
 	if authority {
 		p.AdvanceDrains(now, w.now)
-		for _, call := range p.Plan(now) {
+		for _, call := range p.PlanScaling(now) {
 			w.call(n, p, call)
 		}
-		for _, call := range p.Direct(now) {
+		for _, call := range p.NextDirectCalls(now) {
 			w.direct(n, p, call)
 		}
 	}
--- a/internal/simtest/world_reports.go
+++ b/internal/simulation/world_reports.go
@@ -1,9 +1,9 @@
-package simtest
+package simulation
 
 import (
 	"time"
 
-	"switchshore.example/switchshore/internal/controller"
+	"switchshore.example/switchshore/internal/leader"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -27,7 +27,7 @@
 	m.Changed = false
 	m.lastSent = w.now
 	m.inFlight = true
-	m.nextAt = w.now.Add(time.Duration(w.Params.Workers.ReportS * (0.75 + 0.5*w.rng.Float64()) * float64(time.Second)))
+	m.nextAt = w.now.Add(time.Duration(w.Params.Workers.HeartbeatIntervalS * (0.75 + 0.5*w.rng.Float64()) * float64(time.Second)))
 	s.send(w.nodes[m.target])
 }
 
@@ -41,7 +41,7 @@
 type sentReport struct {
 	*World
 	worker   *worker
-	report   *wire.Report
+	report   *wire.Heartbeat
 	at       time.Time // when it was sent
 	answered bool      // or given up
 }
@@ -84,8 +84,8 @@
 		}
 		return
 	}
-	authority := n.leadership.Authority(s.clock(n))
-	answer, outcome := n.controller.Report(s.clock(n), s.report, authority)
+	authority := n.leadership.HoldsLease(s.clock(n))
+	answer, outcome := n.leader.HandleHeartbeat(s.clock(n), s.report, authority)
 	s.trace(edgeWorkerAnswer, n, s.worker.ID, answer, outcome, copied)
 	s.observe(outcome, authority, copied)
 	if err := s.Rules.Ordered(s.now, answer.Commands); err != nil && s.err == nil {
@@ -93,7 +93,7 @@
 	}
 	switch {
 	case copied:
-	case outcome != controller.ReportApplied:
+	case outcome != leader.HeartbeatApplied:
 		s.after(s.between(1, 20), s.giveUp)
 	case s.faultsAllowed() && s.chance(0.02):
 		// The answer is lost.
@@ -103,19 +103,19 @@
 }
 
 // observe counts what a test asks for by name.
-func (s *sentReport) observe(outcome controller.ReportOutcome, authority, copied bool) {
+func (s *sentReport) observe(outcome leader.HeartbeatOutcome, authority, copied bool) {
 	switch {
-	case copied && outcome == controller.ReportStale:
+	case copied && outcome == leader.HeartbeatStale:
 		s.Observed[StaleCopy]++
 	case copied:
 		s.Observed[CopyApplied]++
-	case !authority && outcome == controller.ReportApplied:
+	case !authority && outcome == leader.HeartbeatApplied:
 		s.Observed[AnsweredInGrace]++
 	}
 }
 
 // answer brings the answer back to the worker, if it still waits and can be reached.
-func (s *sentReport) answer(target *node, a wire.ReportAnswer) {
+func (s *sentReport) answer(target *node, a wire.HeartbeatResponse) {
 	m := s.worker
 	unreachable := s.zonePartitioned(target.zone, m.Offer.Zone) || s.now.Before(m.partitionedUntil) || s.now.Before(m.answersLostUntil) || s.now.Before(m.hungUntil)
 	if s.answered || m.gone || unreachable {
@@ -123,7 +123,7 @@
 	}
 	s.answered = true
 	m.inFlight = false
-	m.Answer(s.now, s.at, s.report.Session, a)
+	m.Answer(s.now, s.at, s.report.AgentEpoch, a)
 }
 
 func (s *sentReport) giveUp() {
@@ -147,13 +147,13 @@
 	if !target.up {
 		return nil
 	}
-	if target.controller != nil && entitled(target) {
+	if target.leader != nil && entitled(target) {
 		return target
 	}
 	var best *node
 	for _, n := range w.nodes {
 		pair := [2]int{min(n.id, target.id), max(n.id, target.id)}
-		if n.up && !w.now.Before(n.frozenUntil) && n.controller != nil && entitled(n) && !w.partitionedPairs[pair] && !w.zonePartitioned(n.zone, target.zone) && (best == nil || n.leadership.Term > best.leadership.Term) {
+		if n.up && !w.now.Before(n.frozenUntil) && n.leader != nil && entitled(n) && !w.partitionedPairs[pair] && !w.zonePartitioned(n.zone, target.zone) && (best == nil || n.leadership.Term > best.leadership.Term) {
 			best = n
 		}
 	}
@@ -162,11 +162,11 @@
 
 // handler finds the node that answers a worker at target.
 func (w *World) handler(target *node) *node {
-	grace := controller.Grace(w.Params.Workers)
-	return w.route(target, func(n *node) bool { return n.leadership.Grace(w.clock(n), grace) })
+	grace := leader.GracePeriod(w.Params.Workers)
+	return w.route(target, func(n *node) bool { return n.leadership.InGracePeriod(w.clock(n), grace) })
 }
 
 // leaderFor finds the node that answers a user at target.
 func (w *World) leaderFor(target *node) *node {
-	return w.route(target, func(n *node) bool { return n.leadership.Authority(w.clock(n)) })
+	return w.route(target, func(n *node) bool { return n.leadership.HoldsLease(w.clock(n)) })
 }
--- a/internal/simtest/world_state.go
+++ b/internal/simulation/world_state.go
@@ -1,11 +1,11 @@
-package simtest
+package simulation
 
 import (
 	"errors"
 	"time"
 
-	"switchshore.example/switchshore/internal/httpc"
-	"switchshore.example/switchshore/internal/store"
+	"switchshore.example/switchshore/internal/httpclient"
+	"switchshore.example/switchshore/internal/kvstore"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -28,7 +28,7 @@
 		return
 	}
 	if w.now.Before(n.refusedUntil) {
-		answer(w.between(1, 20), store.ErrRefused)
+		answer(w.between(1, 20), kvstore.ErrUnavailable)
 		return
 	}
 	if w.now.Before(n.stateUnreachableUntil) {
@@ -36,7 +36,7 @@
 			// Held back and delivered when the cut ends, or a good while later.
 			w.after(n.stateUnreachableUntil.Sub(w.now)+w.between(0, 60_000), func() { _ = do() })
 		}
-		answer(tuning.StoreTimeout, httpc.ErrNoAnswer)
+		answer(tuning.StoreTimeout, httpclient.ErrNoResponse)
 		return
 	}
 	lost := w.faultsAllowed() && w.chance(0.02)
@@ -47,10 +47,10 @@
 	w.after(latency, func() {
 		err := do()
 		if lost {
-			answer(tuning.StoreTimeout, httpc.ErrNoAnswer)
+			answer(tuning.StoreTimeout, httpclient.ErrNoResponse)
 			return
 		}
-		if errors.Is(err, httpc.ErrNoAnswer) {
+		if errors.Is(err, httpclient.ErrNoResponse) {
 			answer(tuning.StoreTimeout, err)
 			return
 		}
@@ -68,11 +68,11 @@
 		case w.affects(w.writesLost):
 			w.Observed[WriteAnswerLost]++
 			_, _ = w.State.Commit(txn)
-			return httpc.ErrNoAnswer
+			return httpclient.ErrNoResponse
 		case w.affects(w.writesLate):
 			w.Observed[LateTransaction]++
 			w.after(w.between(2000, 12_000), func() { _, _ = w.State.Commit(txn) })
-			return httpc.ErrNoAnswer
+			return httpclient.ErrNoResponse
 		}
 		res, err = w.State.Commit(txn)
 		return err
--- a/internal/simtest/world_test.go
+++ b/internal/simulation/world_test.go
@@ -1,4 +1,4 @@
-package simtest_test
+package simulation_test
 
 import (
 	"fmt"
@@ -7,13 +7,13 @@
 	"time"
 
 	"switchshore.example/switchshore/internal/config"
-	"switchshore.example/switchshore/internal/simtest"
+	"switchshore.example/switchshore/internal/simulation"
 	"switchshore.example/switchshore/wire"
 )
 
 var machineType = wire.MachineType{
 	Name: "std-8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 0.5, CacheGB: 20,
-	Price: 1, SpotPrice: 0.4, BootS: 10, Zones: []string{"a", "b"},
+	Price: 1, SpotPrice: 0.4, BootTimeS: 10, Zones: []string{"a", "b"},
 }
 
 func params() config.Params {
@@ -22,9 +22,9 @@
 			{Name: "blue", CPUs: 16, CPUsMax: 24},
 			{Name: "green", CPUs: 8, CPUsMax: 12},
 		},
-		Workers: config.Workers{ReportS: 3, LeaseS: 15, CancelS: 45},
-		State:   config.State{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 48},
-		Cloud:   config.Cloud{RPS: 5, ListLagS: 4},
+		Workers: config.Workers{HeartbeatIntervalS: 3, LeaseS: 15, CancelDeadlineS: 45},
+		State:   config.StateLimits{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 48},
+		Cloud:   config.CloudLimits{RPS: 5, ListLagS: 4},
 	}
 }
 
@@ -44,7 +44,7 @@
 		j.Team = "green"
 	}
 	if rng.IntN(2) == 0 {
-		j.CheckpointS, j.SaveS = 5, 2
+		j.CheckpointIntervalS, j.CheckpointSaveS = 5, 2
 	}
 	if rng.IntN(5) == 0 {
 		j.Zone = "b"
@@ -56,9 +56,9 @@
 
 // playRandomFaults runs one seeded day with faults of the given kinds, or of all, and
 // returns the world.
-func playRandomFaults(t *testing.T, seed uint64, roughness float64, kinds ...simtest.Fault) *simtest.World {
+func playRandomFaults(t *testing.T, seed uint64, roughness float64, kinds ...simulation.Fault) *simulation.World {
 	t.Helper()
-	w := simtest.NewWorld(seed, 3+2*int(seed%2), params(), machineType)
+	w := simulation.NewWorld(seed, 3+2*int(seed%2), params(), machineType)
 	w.FaultRate = roughness
 	rng := rand.New(rand.NewPCG(seed, 2))
 	for i := range 25 {
@@ -74,7 +74,7 @@
 
 // runToEnd plays a day to its end. A rule that breaks, a job that doesn't end once it
 // is calm, and one about which questions go unanswered fail the test.
-func runToEnd(t *testing.T, w *simtest.World) *simtest.World {
+func runToEnd(t *testing.T, w *simulation.World) *simulation.World {
 	t.Helper()
 	err := w.Run(1800*time.Second, 300*time.Second)
 	logDigest(t, w)
@@ -113,13 +113,13 @@
 // TestSingleFaultKinds: the faults that the users named last, each often and
 // alone, so that a safeguard against it can't hide behind that against another.
 func TestSingleFaultKinds(t *testing.T) {
-	for name, kinds := range map[string][]simtest.Fault{
-		"isolated leader": {simtest.LeaderIsolated},
-		"frozen leader":   {simtest.LeaderFrozen, simtest.StateSlow},
-		"zones cut off":   {simtest.ZonePartitioned, simtest.NodeCrash},
-		"deaf machines":   {simtest.MachineAnswersLost},
-		"new workers":     {simtest.WorkerReplaced, simtest.MachinePartitioned},
-		"flapping nodes":  {simtest.NodesFlap, simtest.AllNodesCrash},
+	for name, kinds := range map[string][]simulation.Fault{
+		"isolated leader": {simulation.LeaderIsolated},
+		"frozen leader":   {simulation.LeaderFrozen, simulation.StateSlow},
+		"zones cut off":   {simulation.ZonePartitioned, simulation.NodeCrash},
+		"deaf machines":   {simulation.MachineAnswersLost},
+		"new workers":     {simulation.WorkerReplaced, simulation.MachinePartitioned},
+		"flapping nodes":  {simulation.NodesFlap, simulation.AllNodesCrash},
 	} {
 		t.Run(name, func(t *testing.T) {
 			eachSeed(t, 8, func(t *testing.T, seed uint64) { playRandomFaults(t, 500+seed, 2, kinds...) })
--- a/internal/tuning/admission.go
+++ b/internal/tuning/admission.go
@@ -7,9 +7,9 @@
 	// AdmissionInterval paces policies: long enough for a rate to be measured, short
 	// against the users' patience.
 	AdmissionInterval = 1 * time.Second
-	// AdmissionPolicyLife is how long a node applies a policy that is not renewed: a few
+	// AdmissionPolicyTTL is how long a node applies a policy that is not renewed: a few
 	// lost heartbeats; after that everything goes to the leader.
-	AdmissionPolicyLife = 3 * time.Second
+	AdmissionPolicyTTL = 3 * time.Second
 	// AdmissionTargetDelay is the wait of an acceptance for the state service that is
 	// aimed at: well below what users wait for, and enough to keep transactions full.
 	AdmissionTargetDelay = 400 * time.Millisecond
@@ -18,14 +18,14 @@
 	// AdmissionShedPressure is the multiple of those at which shedding begins: below, a
 	// short burst is carried more quickly than anyone comes back.
 	AdmissionShedPressure = 2.5
-	// AdmissionLargestCut bounds what one look takes off the budget.
-	AdmissionLargestCut = 2.0
+	// AdmissionMaxCut bounds what one look takes off the budget.
+	AdmissionMaxCut = 2.0
 	// AdmissionGrowth and AdmissionStep (jobs a second) let the budget grow, each
 	// interval without pressure.
 	AdmissionGrowth = 1.1
 	AdmissionStep   = 0.5
-	// AdmissionLeastBudget is admitted always, in jobs a second: no class waits for ever.
-	AdmissionLeastBudget = 1.0
+	// AdmissionMinBudget is admitted always, in jobs a second: no class waits for ever.
+	AdmissionMinBudget = 1.0
 	// AdmissionCalm is how long all that is submitted must fit before shedding ends.
 	AdmissionCalm = 5 * time.Second
 	// AdmissionCapacityWeight is the weight of a new reading of what the state service
@@ -33,9 +33,9 @@
 	AdmissionCapacityWeight = 0.3
 	// AdmissionOfferDecay smooths what is submitted; users come back within about that.
 	AdmissionOfferDecay = 3 * time.Second
-	// AdmissionLeastOffer is the rate, in submissions a second, below which a key is
+	// AdmissionMinOfferRate is the rate, in submissions a second, below which a key is
 	// left out of the division.
-	AdmissionLeastOffer = 0.02
+	AdmissionMinOfferRate = 0.02
 	// AdmissionBurst is the time whose part of the budget may come at once.
 	AdmissionBurst = 2 * time.Second
 	// AdmissionRevisions is how many revisions old the policy may be that a follower has
@@ -46,8 +46,8 @@
 	AdmissionReserved = 0.5
 	// AdmissionClassFloors is the part of a team's share divided evenly among its classes.
 	AdmissionClassFloors = 0.2
-	// AdmissionLowestLevel is the lowest priority; each one above counts twice as much.
-	AdmissionLowestLevel = 3
+	// AdmissionLowestRank is the lowest priority; each one above counts twice as much.
+	AdmissionLowestRank = 3
 	// AdmissionAgeUnit is the wait after which a job that was refused is twice as likely
 	// to be admitted, AdmissionPatience how long its user comes back (protocol: 60 s).
 	AdmissionAgeUnit  = 10 * time.Second
@@ -59,15 +59,15 @@
 	// refused are spread, in seconds: several returns within the users' patience.
 	AdmissionRetryMin = 2.0
 	AdmissionRetryMax = 9
-	// AdmissionRemembered bounds the ids that a node remembers in each of its two tables
+	// AdmissionMaxRemembered bounds the ids that a node remembers in each of its two tables
 	// (about 150 bytes each): what is refused within a minute at some 300 a second.
-	AdmissionRemembered = 20_000
-	// AdmissionChecks is how many jobs that come back a follower asks the leader about, a
+	AdmissionMaxRemembered = 20_000
+	// AdmissionChecksPerSecond is how many jobs that come back a follower asks the leader about, a
 	// second, before it turns them away again: their acceptance may have been lost on its
 	// way. A question is one look into the leader's memory; AdmissionCheckWait bounds it.
-	AdmissionChecks    = 20
-	AdmissionCheckWait = 250 * time.Millisecond
-	// AdmissionTaskReserve is the part of ActiveTasks kept for teams that use less than
+	AdmissionChecksPerSecond = 20
+	AdmissionCheckWait       = 250 * time.Millisecond
+	// AdmissionTaskReserve is the part of MaxActiveTasks kept for teams that use less than
 	// their share.
 	AdmissionTaskReserve = 0.2
 )
--- a/wire/validate.go
+++ b/wire/validate.go
@@ -178,27 +178,27 @@
 	}
 	var r fieldReader
 	j := &Job{
-		ID:          r.text("ref", f.ID),
-		Class:       r.text("muster", f.Class),
-		Team:        r.text("crew", f.Team),
-		Kind:        r.text("rig", f.Kind),
-		Priority:    r.text("rank", f.Priority),
-		CPUs:        r.positive("cores", f.CPUs),
-		GPUs:        r.number("cards", f.GPUs),
-		MemoryGB:    r.number("memoryGb", f.MemoryGB),
-		Image:       r.text("hull", f.Image),
-		ImageGB:     r.number("imageGb", f.ImageGB),
-		OneZone:     r.flag("together", f.OneZone),
-		Spread:      r.flag("apart", f.Spread),
-		Spot:        r.flag("driftwood", f.Spot),
-		EstimateS:   r.number("reckonS", f.EstimateS),
-		CheckpointS: r.number("loglineS", f.CheckpointS),
-		SaveS:       r.number("stowS", f.SaveS),
-		Tasks:       r.tasks("oars", f.Tasks),
-		Types:       r.types("builds", f.Types),
-		Zone:        r.optional("berth", f.Zone),
-		DeadlineS:   r.deadline("tideS", f.DeadlineS),
-		Needs:       r.distinct("awaits", f.Needs),
+		ID:                  r.text("ref", f.ID),
+		Class:               r.text("muster", f.Class),
+		Team:                r.text("crew", f.Team),
+		Kind:                r.text("rig", f.Kind),
+		Priority:            r.text("rank", f.Priority),
+		CPUs:                r.positive("cores", f.CPUs),
+		GPUs:                r.number("cards", f.GPUs),
+		MemoryGB:            r.number("memoryGb", f.MemoryGB),
+		Image:               r.text("hull", f.Image),
+		ImageGB:             r.number("imageGb", f.ImageGB),
+		OneZone:             r.flag("together", f.OneZone),
+		Spread:              r.flag("apart", f.Spread),
+		Spot:                r.flag("driftwood", f.Spot),
+		EstimateS:           r.number("reckonS", f.EstimateS),
+		CheckpointIntervalS: r.number("loglineS", f.CheckpointS),
+		CheckpointSaveS:     r.number("stowS", f.SaveS),
+		Tasks:               r.tasks("oars", f.Tasks),
+		Types:               r.types("builds", f.Types),
+		Zone:                r.optional("berth", f.Zone),
+		DeadlineS:           r.deadline("tideS", f.DeadlineS),
+		DependsOn:           r.distinct("awaits", f.Needs),
 	}
 	if !ValidID(j.ID) {
 		r.fail("ref", "not a job id")
@@ -206,7 +206,7 @@
 	if j.Kind != KindArray {
 		r.fail("rig", "unknown")
 	}
-	if Level(j.Priority) < 0 {
+	if PriorityRank(j.Priority) < 0 {
 		r.fail("rank", "unknown")
 	}
 	if r.err != nil {
@@ -216,11 +216,11 @@
 }
 
 // ParseReport decodes and checks a worker's report; any error means 400.
-func ParseReport(body []byte) (*Report, error) {
+func ParseReport(body []byte) (*Heartbeat, error) {
 	if !json.Valid(body) {
 		return nil, errors.New("malformed: not JSON")
 	}
-	var r Report
+	var r Heartbeat
 	// Some hundred reports a second arrive: the faster decoder, behind the
 	// strict check.
 	if err := fast.Unmarshal(body, &r); err != nil {
@@ -229,7 +229,7 @@
 	switch {
 	case r.Machine == "":
 		return nil, errors.New("field deck: missing")
-	case r.Session == 0:
+	case r.AgentEpoch == 0:
 		return nil, errors.New("field watch: missing")
 	}
 	return &r, nil
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -13,10 +13,10 @@
 
 // Paths served to users and workers.
 const (
-	PathJobs   = "/api/jobs"
-	PathHealth = "/up"
-	PathReport = "/checkin"
-	EndCancel  = "abort"
+	PathJobs      = "/api/jobs"
+	PathHealth    = "/up"
+	PathHeartbeat = "/checkin"
+	CancelSuffix  = "abort"
 )
 
 // Paths served by workers.
@@ -39,8 +39,8 @@
 	JobCancelled = "aborted"
 )
 
-// Final reports whether a job in this state remains in it.
-func Final(state string) bool { return state == JobDone || state == JobCancelled }
+// IsTerminal reports whether a job in this state remains in it.
+func IsTerminal(state string) bool { return state == JobDone || state == JobCancelled }
 
 // KindArray is the only kind of job that is accepted: independent tasks.
 const KindArray = "batch"
@@ -53,8 +53,8 @@
 	PriorityIdle     = "idle"
 )
 
-// Level maps a priority to its rank, 0 being the highest, or -1 if unknown.
-func Level(priority string) int {
+// PriorityRank maps a priority to its rank, 0 being the highest, or -1 if unknown.
+func PriorityRank(priority string) int {
 	switch priority {
 	case PriorityCritical:
 		return 0
@@ -70,29 +70,29 @@
 
 // Job is a submission.
 type Job struct {
-	ID          string   `json:"ref"`
-	Class       string   `json:"muster"`
-	Team        string   `json:"crew"`
-	Kind        string   `json:"rig"`
-	Priority    string   `json:"rank"`
-	Tasks       int      `json:"oars"`
-	CPUs        float64  `json:"cores"`
-	GPUs        float64  `json:"cards"`
-	MemoryGB    float64  `json:"memoryGb"`
-	Image       string   `json:"hull"`
-	ImageGB     float64  `json:"imageGb"`
-	Types       []string `json:"builds"`
-	Zone        string   `json:"berth,omitempty"`
-	OneZone     bool     `json:"together"`
-	Spread      bool     `json:"apart"`
-	Spot        bool     `json:"driftwood"`
-	EstimateS   float64  `json:"reckonS"`
-	CheckpointS float64  `json:"loglineS"`
-	SaveS       float64  `json:"stowS"`
-	DeadlineS   *float64 `json:"tideS,omitempty"`
-	// Needs names the jobs that have to be done before a task of this one
+	ID                  string   `json:"ref"`
+	Class               string   `json:"muster"`
+	Team                string   `json:"crew"`
+	Kind                string   `json:"rig"`
+	Priority            string   `json:"rank"`
+	Tasks               int      `json:"oars"`
+	CPUs                float64  `json:"cores"`
+	GPUs                float64  `json:"cards"`
+	MemoryGB            float64  `json:"memoryGb"`
+	Image               string   `json:"hull"`
+	ImageGB             float64  `json:"imageGb"`
+	Types               []string `json:"builds"`
+	Zone                string   `json:"berth,omitempty"`
+	OneZone             bool     `json:"together"`
+	Spread              bool     `json:"apart"`
+	Spot                bool     `json:"driftwood"`
+	EstimateS           float64  `json:"reckonS"`
+	CheckpointIntervalS float64  `json:"loglineS"`
+	CheckpointSaveS     float64  `json:"stowS"`
+	DeadlineS           *float64 `json:"tideS,omitempty"`
+	// DependsOn names the jobs that have to be done before a task of this one
 	// starts, each once.
-	Needs []string `json:"awaits,omitempty"`
+	DependsOn []string `json:"awaits,omitempty"`
 }
 
 // JobStatus answers submissions, queries and cancellations.
@@ -113,35 +113,35 @@
 
 // Reasons of an exit.
 const (
-	WhyDone    = "done"
-	WhyStopped = "halted"
-	WhyError   = "error"
-	WhyNoRoom  = "full"
-	WhyBusy    = "in_use"
-	WhyUnknown = "unknown"
+	ExitDone       = "done"
+	ExitStopped    = "halted"
+	ExitError      = "error"
+	ExitNoCapacity = "full"
+	ExitTaskBusy   = "in_use"
+	ExitUnknown    = "unknown"
 )
 
-// Report is what a worker sends.
-type Report struct {
-	Machine string       `json:"deck"`
-	Addr    string       `json:"endpoint"`
-	Type    string       `json:"build"`
-	Zone    string       `json:"berth"`
-	Spot    bool         `json:"driftwood"`
-	Session uint64       `json:"watch"`
-	Seq     uint64       `json:"knot"`
-	Token   uint64       `json:"helm"`
-	NoticeS *float64     `json:"recallS"`
-	Tasks   []TaskReport `json:"oars"`
+// Heartbeat is what a worker sends.
+type Heartbeat struct {
+	Machine        string       `json:"deck"`
+	Addr           string       `json:"endpoint"`
+	Type           string       `json:"build"`
+	Zone           string       `json:"berth"`
+	Spot           bool         `json:"driftwood"`
+	AgentEpoch     uint64       `json:"watch"`
+	Sequence       uint64       `json:"knot"`
+	FencingToken   uint64       `json:"helm"`
+	ReclaimNoticeS *float64     `json:"recallS"`
+	Tasks          []TaskStatus `json:"oars"`
 }
 
-// TaskReport is one task of a report.
-type TaskReport struct {
-	Task    string `json:"oar"`
-	Attempt uint64 `json:"launch"`
-	State   string `json:"bearing"`
-	Why     string `json:"wake,omitempty"`
-	Saved   bool   `json:"kept,omitempty"`
+// TaskStatus is one task of a report.
+type TaskStatus struct {
+	Task            string `json:"oar"`
+	Attempt         uint64 `json:"launch"`
+	State           string `json:"bearing"`
+	ExitReason      string `json:"wake,omitempty"`
+	CheckpointSaved bool   `json:"kept,omitempty"`
 }
 
 // Command operations.
@@ -153,28 +153,28 @@
 
 // Command is an order to a worker.
 type Command struct {
-	Op      string   `json:"call"`
-	Task    string   `json:"oar"`
-	Attempt uint64   `json:"launch"`
-	GraceS  *float64 `json:"slackS,omitempty"`
+	Op           string   `json:"call"`
+	Task         string   `json:"oar"`
+	Attempt      uint64   `json:"launch"`
+	GracePeriodS *float64 `json:"slackS,omitempty"`
 }
 
-// ReportAnswer answers a report.
-type ReportAnswer struct {
-	Token    uint64    `json:"helm"`
-	Commands []Command `json:"orders"`
+// HeartbeatResponse answers a report.
+type HeartbeatResponse struct {
+	FencingToken uint64    `json:"helm"`
+	Commands     []Command `json:"orders"`
 }
 
 // CommandRequest is the body of a direct command.
 type CommandRequest struct {
-	Token    uint64    `json:"helm"`
-	Session  uint64    `json:"watch"`
-	Commands []Command `json:"orders"`
+	FencingToken uint64    `json:"helm"`
+	AgentEpoch   uint64    `json:"watch"`
+	Commands     []Command `json:"orders"`
 }
 
 // Redirect names the node that a worker should report to.
 type Redirect struct {
-	ReportTo string `json:"harbormaster,omitempty"`
+	HeartbeatTo string `json:"harbormaster,omitempty"`
 }
 
 // Error is the body of refusals to users.
@@ -192,7 +192,7 @@
 	FetchGBPerS float64  `json:"pullGbPerS"`
 	Price       float64  `json:"price"`
 	SpotPrice   float64  `json:"marketPrice"`
-	BootS       float64  `json:"readyS"`
+	BootTimeS   float64  `json:"readyS"`
 	Zones       []string `json:"berths"`
 }
 
@@ -201,13 +201,13 @@
 	Types []MachineType `json:"builds"`
 }
 
-// RentRequest asks for machines.
-type RentRequest struct {
-	Request string `json:"charter"`
-	Type    string `json:"build"`
-	Zone    string `json:"berth"`
-	Spot    bool   `json:"driftwood"`
-	Count   int    `json:"howMany"`
+// ProvisionRequest asks for machines.
+type ProvisionRequest struct {
+	RequestID string `json:"charter"`
+	Type      string `json:"build"`
+	Zone      string `json:"berth"`
+	Spot      bool   `json:"driftwood"`
+	Count     int    `json:"howMany"`
 }
 
 // MachineNames lists machines by name: the answer to a rental, the body of a release.
@@ -239,14 +239,14 @@
 	More     bool            `json:"hasNext"`
 }
 
-// Guard is a condition of a transaction.
-type Guard struct {
+// Compare is a condition of a transaction.
+type Compare struct {
 	Key     string `json:"path"`
 	Version uint64 `json:"mark"`
 }
 
-// Write is a change of a transaction: a put or a delete.
-type Write struct {
+// Mutation is a change of a transaction: a put or a delete.
+type Mutation struct {
 	Put    string          `json:"put,omitempty"`
 	Value  json.RawMessage `json:"v,omitempty"`
 	Lease  uint64          `json:"mooring,omitempty"`
@@ -254,7 +254,7 @@
 }
 
 // Key returns the key that the write changes.
-func (w Write) Key() string {
+func (w Mutation) Key() string {
 	if w.Delete != "" {
 		return w.Delete
 	}
@@ -263,18 +263,18 @@
 
 // Txn is a transaction.
 type Txn struct {
-	If   []Guard `json:"guards"`
-	Then []Write `json:"writes"`
+	If   []Compare  `json:"guards"`
+	Then []Mutation `json:"writes"`
 }
 
 // TxnResult answers a transaction: Failed is set on 409.
 type TxnResult struct {
-	Revision uint64   `json:"logpage"`
-	Failed   []string `json:"failed"`
+	Revision   uint64   `json:"logpage"`
+	FailedKeys []string `json:"failed"`
 }
 
-// Item is a stored key.
-type Item struct {
+// KeyValue is a stored key.
+type KeyValue struct {
 	Key      string          `json:"path"`
 	Value    json.RawMessage `json:"v"`
 	Version  uint64          `json:"mark"`
@@ -282,11 +282,11 @@
 	Revision uint64          `json:"logpage,omitempty"`
 }
 
-// Items is a page of keys.
-type Items struct {
-	Items    []Item `json:"rows"`
-	More     bool   `json:"hasNext"`
-	Revision uint64 `json:"logpage"`
+// KeyValuePage is a page of keys.
+type KeyValuePage struct {
+	Items    []KeyValue `json:"rows"`
+	More     bool       `json:"hasNext"`
+	Revision uint64     `json:"logpage"`
 }
 
 // LeaseRequest asks for a lease.
@@ -294,8 +294,8 @@
 	TTLMS int64 `json:"lifeMs"`
 }
 
-// LeaseAnswer names a lease.
-type LeaseAnswer struct {
+// LeaseResponse names a lease.
+type LeaseResponse struct {
 	Lease uint64 `json:"mooring"`
 }
 
@@ -307,8 +307,8 @@
 	Delete  string          `json:"delete,omitempty"`
 }
 
-// Changes answers a watch.
-type Changes struct {
+// WatchResponse answers a watch.
+type WatchResponse struct {
 	Revision uint64  `json:"logpage"`
 	Events   []Event `json:"log"`
 }
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -39,7 +39,7 @@
 	plain, _ := json.Marshal(want)
 	for awaits, needs := range map[string][]string{`null`: nil, `[]`: nil, `["job-2","job-1","job-2"]`: {"job-2", "job-1"}} {
 		j, err := wire.ParseJob([]byte(strings.Replace(submission, `"later":1`, `"awaits":`+awaits, 1)))
-		if err != nil || !slices.Equal(j.Needs, needs) {
+		if err != nil || !slices.Equal(j.DependsOn, needs) {
 			t.Fatalf("awaits %s: %v %+v", awaits, err, j)
 		}
 		if data, _ := json.Marshal(j); (string(data) == string(plain)) != (needs == nil) {
