--- a/internal/simtest/world_drains.go
+++ b/internal/simtest/world_drains.go
@@ -240,7 +240,7 @@
 	w.onNode(n, w.between(1, 30), func() {
 		if n.controller != nil {
 			n.controller.DrainRequest(w.clock(n), w.now, q, func(r drain.Response) {
-				w.trace(edgeOperatorAnswer, n, q, r)
+				w.trace(edgeOperatorAnswer, n, q, r.Status, r.Why, r.Drains)
 				finish(r)
 			})
 		}
