--- a/internal/controller/load.go
+++ b/internal/controller/load.go
@@ -151,7 +151,8 @@
 			m = c.addMachine(now, rec.ID, rec.Type, rec.Zone, "", rec.Spot)
 		}
 		m.recorded, m.up = true, true
-		for id, text := range rec.Tasks {
+		for _, id := range slices.Sorted(maps.Keys(rec.Tasks)) {
+			text := rec.Tasks[id]
 			j := c.jobs[id]
 			if j == nil {
 				continue
