--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -151,7 +151,8 @@
 			m = l.addMachine(now, rec.ID, rec.Type, rec.Zone, "", rec.Spot)
 		}
 		m.fromRecord, m.joined = true, true
-		for id, text := range rec.Tasks {
+		for _, id := range slices.Sorted(maps.Keys(rec.Tasks)) {
+			text := rec.Tasks[id]
 			j := l.jobs[id]
 			if j == nil {
 				continue
