--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -13,6 +13,7 @@
 
 	"github.com/rs/zerolog"
 
+	"switchshore.example/switchshore/internal/ctxtime"
 	"switchshore.example/switchshore/internal/httpclient"
 	"switchshore.example/switchshore/internal/kvstore"
 	"switchshore.example/switchshore/internal/tuning"
@@ -116,7 +117,7 @@
 		l, err := e.campaign(ctx)
 		if err != nil {
 			e.Log.Debug().Err(err).Msg("campaign failed")
-			_ = kvstore.Pause(ctx, tuning.CampaignRetryDelay)
+			_ = ctxtime.Sleep(ctx, tuning.CampaignRetryDelay)
 			continue
 		}
 		if l != nil {
@@ -161,7 +162,7 @@
 	leader, err := e.Store.Get(ctx, kvstore.KeyLeader)
 	e.held.Store(false)
 	if errors.Is(err, kvstore.ErrNotFound) {
-		return 0, true, kvstore.Pause(ctx, rand.N(tuning.CampaignJitter))
+		return 0, true, ctxtime.Sleep(ctx, rand.N(tuning.CampaignJitter))
 	}
 	if err != nil {
 		return 0, false, err
@@ -241,13 +242,13 @@
 		switch {
 		case err == nil:
 			l.LeaseRenewed(sent)
-			_ = kvstore.Pause(ctx, tuning.LeaseRenewInterval)
+			_ = ctxtime.Sleep(ctx, tuning.LeaseRenewInterval)
 		case errors.Is(err, kvstore.ErrNotFound):
 			e.Log.Info().Uint64("term", l.Term).Msg("leader lease lost")
 			l.Revoke()
 			cancel()
 		default:
-			_ = kvstore.Pause(ctx, tuning.StoreRetryDelay)
+			_ = ctxtime.Sleep(ctx, tuning.StoreRetryDelay)
 		}
 		if l.lost.Load() {
 			// A successor is known: keeping the state up would cost the work
--- a/internal/kvstore/store.go
+++ b/internal/kvstore/store.go
@@ -16,6 +16,7 @@
 	"golang.org/x/time/rate"
 
 	"switchshore.example/switchshore/internal/config"
+	"switchshore.example/switchshore/internal/ctxtime"
 	"switchshore.example/switchshore/internal/httpclient"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
@@ -149,7 +150,7 @@
 		case ctx.Err() != nil:
 			return ctx.Err()
 		case errors.Is(err, ErrUnavailable), errors.Is(err, httpclient.ErrNoResponse):
-			if err := Pause(ctx, tuning.StoreRetryDelay); err != nil {
+			if err := ctxtime.Sleep(ctx, tuning.StoreRetryDelay); err != nil {
 				return err
 			}
 			continue
--- a/internal/kvstore/writer.go
+++ b/internal/kvstore/writer.go
@@ -5,8 +5,8 @@
 	"encoding/json"
 	"errors"
 	"slices"
-	"time"
 
+	"switchshore.example/switchshore/internal/ctxtime"
 	"switchshore.example/switchshore/internal/httpclient"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
@@ -170,20 +170,8 @@
 		case ContinueSplit:
 			continue
 		}
-		if err := Pause(ctx, tuning.StoreRetryDelay); err != nil {
+		if err := ctxtime.Sleep(ctx, tuning.StoreRetryDelay); err != nil {
 			return nil, err
 		}
 	}
 }
-
-// Pause sleeps unless the context ends first.
-func Pause(ctx context.Context, d time.Duration) error {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-ctx.Done():
-		return ctx.Err()
-	case <-t.C:
-		return nil
-	}
-}
--- a/internal/loadtest/drain.go
+++ b/internal/loadtest/drain.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
+	"switchshore.example/switchshore/internal/ctxtime"
 	"switchshore.example/switchshore/internal/drain"
-	"switchshore.example/switchshore/internal/kvstore"
 	"switchshore.example/switchshore/internal/peer"
 )
 
@@ -44,7 +44,7 @@
 		if err == nil && answer.Status/100 == 4 {
 			return drain.Status{}, fmt.Errorf("refused: %s", answer.Reason)
 		}
-		if err := kvstore.Pause(ctx, statusEvery); err != nil {
+		if err := ctxtime.Sleep(ctx, statusEvery); err != nil {
 			return drain.Status{}, err
 		}
 	}
@@ -73,7 +73,7 @@
 		if status.State == drain.Done {
 			return times, nil
 		}
-		if err := kvstore.Pause(ctx, statusEvery); err != nil {
+		if err := ctxtime.Sleep(ctx, statusEvery); err != nil {
 			return times, ErrNotDrained
 		}
 	}
--- a/internal/loadtest/load.go
+++ b/internal/loadtest/load.go
@@ -13,7 +13,7 @@
 	"github.com/valyala/fasthttp"
 	"golang.org/x/sync/semaphore"
 
-	"switchshore.example/switchshore/internal/kvstore"
+	"switchshore.example/switchshore/internal/ctxtime"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -104,7 +104,7 @@
 		}()
 	}
 	for _, at := range o.KillLeader {
-		if err := kvstore.Pause(ctx, at-time.Since(l.begun)); err != nil {
+		if err := ctxtime.Sleep(ctx, at-time.Since(l.begun)); err != nil {
 			return nil, err
 		}
 		if err := c.KillLeader(); err != nil {
@@ -122,7 +122,7 @@
 		l.mu.Lock()
 		gap := time.Duration(l.rng.ExpFloat64() / perSecond * float64(time.Second))
 		l.mu.Unlock()
-		if kvstore.Pause(ctx, gap) != nil {
+		if ctxtime.Sleep(ctx, gap) != nil {
 			return
 		}
 		l.user(ctx, l.newJob(s), -1)
@@ -131,7 +131,7 @@
 
 // submitBursts lets two teams submit at all controllers at the same moments, each job at two.
 func (l *load) submitBursts(ctx context.Context, d time.Duration) {
-	for kvstore.Pause(ctx, burstEvery) == nil && time.Since(l.begun) < d {
+	for ctxtime.Sleep(ctx, burstEvery) == nil && time.Since(l.begun) < d {
 		for i := range burstJobs {
 			j := l.newJob(streams[1+2*(i%2)])
 			l.user(ctx, j, i%nodes)
@@ -184,7 +184,7 @@
 				l.note(Answer{SentMS: time.Since(l.begun).Milliseconds(), Op: OpGiveUp, Job: j.ID, Team: j.Team, Class: j.Class})
 				return
 			}
-			_ = kvstore.Pause(ctx, wait)
+			_ = ctxtime.Sleep(ctx, wait)
 		}
 	}()
 }
@@ -203,7 +203,7 @@
 // follow asks about an accepted job until it is over.
 func (l *load) follow(ctx context.Context, j *wire.Job) {
 	for ctx.Err() == nil {
-		if kvstore.Pause(ctx, 5*time.Second+l.jitter(time.Second)) != nil {
+		if ctxtime.Sleep(ctx, 5*time.Second+l.jitter(time.Second)) != nil {
 			return
 		}
 		a := l.send(Answer{Op: OpQuery, Job: j.ID, Team: j.Team, Class: j.Class, Node: l.anyNode()}, http.MethodGet, wire.PathJobs+"/"+j.ID, nil, 2*time.Second)
--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -8,7 +8,7 @@
 
 	"switchshore.example/switchshore/internal/admission"
 	"switchshore.example/switchshore/internal/config"
-	"switchshore.example/switchshore/internal/kvstore"
+	"switchshore.example/switchshore/internal/ctxtime"
 	"switchshore.example/switchshore/internal/leader"
 	"switchshore.example/switchshore/internal/peer"
 	"switchshore.example/switchshore/internal/tuning"
@@ -133,7 +133,7 @@
 		n.mu.Lock()
 		p.UpdateAdmission(now, now, lag, offers)
 		n.mu.Unlock()
-		if err := kvstore.Pause(ctx, tuning.AdmissionInterval); err != nil {
+		if err := ctxtime.Sleep(ctx, tuning.AdmissionInterval); err != nil {
 			return err
 		}
 		lag = time.Since(now) - tuning.AdmissionInterval
--- a/internal/node/leader.go
+++ b/internal/node/leader.go
@@ -10,6 +10,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"switchshore.example/switchshore/internal/cloud"
+	"switchshore.example/switchshore/internal/ctxtime"
 	"switchshore.example/switchshore/internal/election"
 	"switchshore.example/switchshore/internal/httpclient"
 	"switchshore.example/switchshore/internal/kvstore"
@@ -71,7 +72,7 @@
 			level, pause = zerolog.ErrorLevel, tuning.CorruptRecordRetryDelay
 		}
 		n.log.WithLevel(level).Err(err).Msg("loading records failed")
-		if err := kvstore.Pause(ctx, pause); err != nil {
+		if err := ctxtime.Sleep(ctx, pause); err != nil {
 			return nil, err
 		}
 	}
@@ -90,7 +91,7 @@
 				return ctx.Err()
 			case <-n.write:
 			}
-			if err := kvstore.Pause(ctx, tuning.WriteBatchInterval); err != nil {
+			if err := ctxtime.Sleep(ctx, tuning.WriteBatchInterval); err != nil {
 				return err
 			}
 			continue
@@ -134,7 +135,7 @@
 			summary = now
 			n.logSummary(p)
 		}
-		if err := kvstore.Pause(ctx, tuning.TickIntervalMin); err != nil {
+		if err := ctxtime.Sleep(ctx, tuning.TickIntervalMin); err != nil {
 			return err
 		}
 	}
@@ -220,7 +221,7 @@
 			return
 		}
 		n.log.Debug().Err(err).Msg("cloud call failed")
-		_ = kvstore.Pause(ctx, tuning.CloudRetryDelay)
+		_ = ctxtime.Sleep(ctx, tuning.CloudRetryDelay)
 	}
 }
 
@@ -253,7 +254,7 @@
 			n.mu.Unlock()
 			n.wake(n.tick)
 		}
-		if err := kvstore.Pause(ctx, pause); err != nil {
+		if err := ctxtime.Sleep(ctx, pause); err != nil {
 			return err
 		}
 	}
@@ -279,7 +280,7 @@
 			n.mu.Unlock()
 			n.wake(n.tick)
 		}
-		if err := kvstore.Pause(ctx, pause); err != nil {
+		if err := ctxtime.Sleep(ctx, pause); err != nil {
 			return err
 		}
 	}
--- a/internal/peer/hub.go
+++ b/internal/peer/hub.go
@@ -16,7 +16,7 @@
 
 	"switchshore.example/switchshore/internal/admission"
 	"switchshore.example/switchshore/internal/config"
-	"switchshore.example/switchshore/internal/kvstore"
+	"switchshore.example/switchshore/internal/ctxtime"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
@@ -73,7 +73,7 @@
 					return nil
 				}
 				h.Log.Debug().Err(err).Msg("accepting peer connection failed")
-				if kvstore.Pause(ctx, tuning.PeerRedialDelay) != nil {
+				if ctxtime.Sleep(ctx, tuning.PeerRedialDelay) != nil {
 					return nil
 				}
 				continue
--- a/internal/peer/lines.go
+++ b/internal/peer/lines.go
@@ -9,7 +9,7 @@
 
 	"github.com/goccy/go-json"
 
-	"switchshore.example/switchshore/internal/kvstore"
+	"switchshore.example/switchshore/internal/ctxtime"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
@@ -75,7 +75,7 @@
 			_ = w.conn.Close()
 			return
 		}
-		if kvstore.Pause(ctx, tuning.PeerFlushDelay) != nil {
+		if ctxtime.Sleep(ctx, tuning.PeerFlushDelay) != nil {
 			return
 		}
 	}
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"switchshore.example/switchshore/internal/kvstore"
+	"switchshore.example/switchshore/internal/ctxtime"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
@@ -29,7 +29,7 @@
 		if err == nil {
 			l.serve(ctx, conn)
 		}
-		if kvstore.Pause(ctx, tuning.PeerRedialDelay) != nil {
+		if ctxtime.Sleep(ctx, tuning.PeerRedialDelay) != nil {
 			break
 		}
 	}
