--- a/internal/kvstore/writer_test.go
+++ b/internal/kvstore/writer_test.go
@@ -21,9 +21,9 @@
 }
 
 // won sets up a state service with a leader of term 1.
-func won(t *testing.T) (*simulation.State, *kvstore.FencedWriter) {
+func won(t *testing.T) (*simulation.KeyValueStore, *kvstore.FencedWriter) {
 	t.Helper()
-	s := simulation.NewState()
+	s := simulation.NewKeyValueStore()
 	res, err := s.Commit(wire.Txn{Then: []wire.Mutation{put(kvstore.KeyLeader, "n"), put(kvstore.KeyTerm, "t")}})
 	if err != nil {
 		t.Fatal(err)
@@ -91,7 +91,7 @@
 
 // TestLeaseEndsWithItsKeys: the stand-in itself, on which the days rest.
 func TestLeaseEndsWithItsKeys(t *testing.T) {
-	s := simulation.NewState()
+	s := simulation.NewKeyValueStore()
 	now := time.Unix(0, 0)
 	id, _ := s.Grant(now, time.Second)
 	w := put("k", "v")
--- a/internal/loadtest/cluster.go
+++ b/internal/loadtest/cluster.go
@@ -165,7 +165,7 @@
 	if err := c.writeSettings(services.Addr().String()); err != nil {
 		return nil, err
 	}
-	c.services.Booted = c.work
+	c.services.OnBoot = c.work
 	for i := range nodes {
 		if err := c.startNode(i); err != nil {
 			return nil, err
@@ -314,26 +314,26 @@
 func (c *Cluster) work(row wire.ListedMachine) {
 	// Commands come with the answers to reports only: nothing listens there.
 	row.Addr = "127.0.0.1:1"
-	w := simulation.NewWorker(time.Now(), row, c.services.Cloud.Type, leaseTime)
-	w.Jobs = c.job
+	w := simulation.NewAgent(time.Now(), row, c.services.Cloud.Type, leaseTime)
+	w.LookUpJob = c.job
 	w.RunTime = c.size.RunTime
 	if w.RunTime == nil {
 		w.RunTime = func(j *wire.Job) time.Duration { return time.Duration(j.EstimateS * float64(time.Second)) }
 	}
-	w.Progress = c.savedProgress
+	w.SavedProgress = c.savedProgress
 	watch := c.watchTasks(w)
 	defer watch.lost()
 	client := &fasthttp.Client{MaxConnsPerHost: 1}
 	at := int(w.LeaseEnd.UnixNano() % nodes)
-	for c.ctx.Err() == nil && c.services.Rented(row.Name) {
+	for c.ctx.Err() == nil && c.services.HasMachine(row.Name) {
 		w.Advance(time.Now())
 		watch.look()
 		sent := time.Now()
-		body, _ := json.Marshal(w.Report())
+		body, _ := json.Marshal(w.NextHeartbeat())
 		var answer wire.HeartbeatResponse
 		status, _, data := exchange(client, c.addrs[at], "POST", wire.PathHeartbeat, body, 4*time.Second)
 		if status == 200 && json.Unmarshal(data, &answer) == nil {
-			w.Answer(time.Now(), sent, w.Session, answer)
+			w.HandleHeartbeatResponse(time.Now(), sent, w.Epoch, answer)
 		} else {
 			at = (at + 1) % nodes
 		}
--- a/internal/loadtest/tasks.go
+++ b/internal/loadtest/tasks.go
@@ -35,14 +35,14 @@
 // taskWatch notes what becomes of the tasks of one worker.
 type taskWatch struct {
 	cluster *Cluster
-	worker  *simulation.Worker
+	worker  *simulation.Agent
 	running map[*simulation.Task]bool
 }
 
 // watchTasks notes from now on what becomes of a worker's tasks.
-func (c *Cluster) watchTasks(w *simulation.Worker) *taskWatch {
+func (c *Cluster) watchTasks(w *simulation.Agent) *taskWatch {
 	t := &taskWatch{c, w, map[*simulation.Task]bool{}}
-	w.Stopped = func(task *simulation.Task, saves bool) {
+	w.OnStop = func(task *simulation.Task, saves bool) {
 		event := TaskStopped
 		if saves {
 			event = TaskSaved
@@ -58,7 +58,7 @@
 	there := map[*simulation.Task]bool{}
 	for _, task := range t.worker.Tasks {
 		there[task] = true
-		done := task.State == wire.TaskExited && task.Why == wire.ExitDone
+		done := task.State == wire.TaskExited && task.ExitReason == wire.ExitDone
 		switch {
 		case task.State == wire.TaskRunning && !t.running[task]:
 			t.running[task] = true
@@ -90,7 +90,7 @@
 	id, _, _ := wire.SplitTask(task.Name)
 	job := t.cluster.job(id)
 	now := time.Now()
-	ran := now.Sub(task.Began)
+	ran := now.Sub(task.StartedAt)
 	lost := time.Duration(0)
 	if event == TaskStopped || event == TaskLost {
 		lost = ran
@@ -99,7 +99,7 @@
 		}
 	}
 	e := TaskEvent{
-		AtMS: now.Sub(t.cluster.begun).Milliseconds(), Machine: t.worker.ID, Zone: t.worker.Offer.Zone, Task: task.Name,
+		AtMS: now.Sub(t.cluster.begun).Milliseconds(), Machine: t.worker.ID, Zone: t.worker.Machine.Zone, Task: task.Name,
 		Team: job.Team, Event: event, RanMS: ran.Milliseconds(), LostMS: lost.Milliseconds(),
 	}
 	t.cluster.mu.Lock()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -73,7 +73,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	services.Booted = func(row wire.ListedMachine) { work(ctx, row, c.addrs) }
+	services.OnBoot = func(row wire.ListedMachine) { work(ctx, row, c.addrs) }
 	for i := range size {
 		cfg := &config.Config{
 			Name: peers[i].Name, Zone: "a", Listen: c.addrs[i], PeerListen: peers[i].Addr,
@@ -298,10 +298,10 @@
 		c.until(addr, "GET", jobs+"/job-000001", "", 200, wire.JobDone)
 	}
 	look("quiet", c.addrs...)
-	c.services.SetDown(true)
+	c.services.SetStoreDown(true)
 	c.until(c.addrs[0], "GET", jobs+"/job-000001", "", 503, "")
 	look("outage", c.addrs...)
-	c.services.SetDown(false)
+	c.services.SetStoreDown(false)
 	c.until(c.addrs[2], "GET", jobs+"/job-000001", "", 200, wire.JobDone)
 	for i := range 2 {
 		c.stop[i]()
@@ -376,7 +376,7 @@
 		t.Error(err)
 	}
 	// Without a leader a node still tells what the settings rule out.
-	c.services.SetDown(true)
+	c.services.SetStoreDown(true)
 	odd := strings.Replace(fmt.Sprintf(submission, "job-000030"), "blue", "nobody", 1)
 	c.until(c.addrs[0], "POST", wire.PathJobs, fmt.Sprintf(submission, "job-000031"), 503, "")
 	for _, addr := range c.addrs {
@@ -384,6 +384,6 @@
 			t.Errorf("an unknown team without a leader: %d %s", status, body)
 		}
 	}
-	c.services.SetDown(false)
+	c.services.SetStoreDown(false)
 	c.until(c.addrs[0], "GET", wire.PathJobs+"/job-000010", "", 200, wire.JobDone)
 }
--- a/internal/simulation/admission_test.go
+++ b/internal/simulation/admission_test.go
@@ -13,11 +13,11 @@
 
 // flood is a day on which far more is submitted than the state service takes.
 type flood struct {
-	*simulation.World
+	*simulation.Simulation
 	t        *testing.T
 	rng      *rand.Rand
 	number   int
-	outcomes []simulation.Outcome
+	outcomes []simulation.SubmissionOutcome
 }
 
 // overloadWindow is the time within which every class must make progress.
@@ -34,11 +34,11 @@
 	}
 	p.Objectives = []config.Objective{{Kind: "finished", Class: "urgent", WithinS: 60}, {Kind: "finished", Class: "nightly", WithinS: 250}}
 	p.State.WriteRPS = 30
-	w := simulation.NewWorld(seed, 3+2*int(seed%2), p, machineType)
+	w := simulation.New(seed, 3+2*int(seed%2), p, machineType)
 	w.Operator = config.Operator{Admission: &config.Admission{}}
-	w.LimitWrites = true
-	w.ExchangeHeartbeats()
-	return &flood{World: w, t: t, rng: rand.New(rand.NewPCG(seed, 3))}
+	w.LimitWriteRate = true
+	w.ExchangeNodeHeartbeats()
+	return &flood{Simulation: w, t: t, rng: rand.New(rand.NewPCG(seed, 3))}
 }
 
 // submit lets a team submit jobs of a class at a rate, in jobs a second.
@@ -55,7 +55,7 @@
 		if shape != nil {
 			shape(j)
 		}
-		f.SubmitWithPatience(at, j, func(o simulation.Outcome) { f.outcomes = append(f.outcomes, o) })
+		f.SubmitWithPatience(at, j, func(o simulation.SubmissionOutcome) { f.outcomes = append(f.outcomes, o) })
 	}
 }
 
@@ -74,10 +74,10 @@
 		if o.Job.Team != team || class != "" && o.Job.Class != class {
 			continue
 		}
-		if o.AskedAt >= from && o.AskedAt < until {
+		if o.SubmittedAt >= from && o.SubmittedAt < until {
 			asked++
 		}
-		if o.Accepted && o.At >= from && o.At < until {
+		if o.Accepted && o.SettledAt >= from && o.SettledAt < until {
 			accepted++
 		}
 	}
@@ -102,11 +102,11 @@
 func (f *flood) play(observed ...simulation.Observation) {
 	f.t.Helper()
 	err := f.Run(330*second, 90*second)
-	logDigest(f.t, f.World)
+	logDigest(f.t, f.Simulation)
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	if left := f.Rules.Unfinished(); len(left) > 0 {
+	if left := f.Invariants.Unfinished(); len(left) > 0 {
 		f.t.Errorf("not done: %v", left)
 	}
 	if len(f.outcomes) != f.number {
@@ -170,8 +170,8 @@
 			f.At(40*second, func() { f.CrashAll(2 * second) })
 		}, 2, nil},
 		"answers to writes are lost": {func(f *flood) {
-			f.At(30*second, func() { f.Inject(simulation.AnswersToWritesLost, 10*second) })
-		}, 1, []simulation.Observation{simulation.WriteAnswerLost}},
+			f.At(30*second, func() { f.Inject(simulation.WriteResponsesLost, 10*second) })
+		}, 1, []simulation.Observation{simulation.WriteResponseLost}},
 		"one node has it off": {func(f *flood) { f.AdmissionOff(1) }, 1, nil},
 		"the previous version is upgraded meanwhile": {func(f *flood) {
 			f.RollingUpgrade(25*second, 12*second)
@@ -194,7 +194,7 @@
 				}
 				s.inject(f)
 				f.play(append(s.observed, simulation.ShedByLeader)...)
-				if n := f.Observed[simulation.TermBegan]; n < s.terms {
+				if n := f.Observed[simulation.TermStarted]; n < s.terms {
 					t.Errorf("%d terms, %d wanted", n, s.terms)
 				}
 				f.checkProgress(30*second, 70*second)
--- a/internal/simulation/dependencies_test.go
+++ b/internal/simulation/dependencies_test.go
@@ -20,7 +20,7 @@
 
 // submitChains submits jobs of which most need some of the earlier ones, and of
 // which a share is cancelled at any moment.
-func submitChains(w *simulation.World, seed uint64, from time.Duration, cancelled float64) {
+func submitChains(w *simulation.Simulation, seed uint64, from time.Duration, cancelled float64) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	var jobs []*wire.Job
 	for i := range 30 {
@@ -52,9 +52,9 @@
 // cancelled, all others end.
 func TestDependentJobs(t *testing.T) {
 	eachSeed(t, 25, func(t *testing.T, seed uint64) {
-		w := simulation.NewWorld(seed, 3+2*int(seed%2), tightening(), machineType)
+		w := simulation.New(seed, 3+2*int(seed%2), tightening(), machineType)
 		w.FaultRate = float64(seed % 4)
-		w.LowerStateLimits(time.Duration(seed*10) * time.Second)
+		w.LowerStoreLimits(time.Duration(seed*10) * time.Second)
 		submitChains(w, seed, 0, 0.2)
 		w.InjectFaults()
 		runToEnd(t, w)
@@ -68,7 +68,7 @@
 func TestRollingUpgrade(t *testing.T) {
 	eachSeed(t, 25, func(t *testing.T, seed uint64) {
 		rng := rand.New(rand.NewPCG(seed, 4))
-		w := simulation.NewWorld(seed, 3+2*int(seed%2), tightening(), machineType)
+		w := simulation.New(seed, 3+2*int(seed%2), tightening(), machineType)
 		w.FaultRate = float64(seed % 3)
 		for i := range 25 {
 			cancel := time.Duration(0)
@@ -78,7 +78,7 @@
 			w.Submit(time.Duration(rng.IntN(200_000))*time.Millisecond, drawJob(rng, i), cancel)
 		}
 		upgraded := w.RollingUpgrade(time.Duration(10+rng.IntN(40))*time.Second, time.Duration(5+rng.IntN(15))*time.Second)
-		w.LowerStateLimits(upgraded + time.Duration(rng.IntN(60))*time.Second)
+		w.LowerStoreLimits(upgraded + time.Duration(rng.IntN(60))*time.Second)
 		submitChains(w, seed, upgraded, 0.2)
 		w.InjectFaults()
 		runToEnd(t, w)
@@ -90,10 +90,10 @@
 // they need; it must keep them all the same, and start none of them.
 func TestVersionsAlternate(t *testing.T) {
 	eachSeed(t, 25, func(t *testing.T, seed uint64) {
-		w := simulation.NewWorld(seed, 3, tightening(), machineType)
+		w := simulation.New(seed, 3, tightening(), machineType)
 		w.FaultRate, w.VersionFlipRate = 1+float64(seed%3), 0.5
 		submitChains(w, seed, 0, 0)
-		w.InjectFaults(simulation.NodeCrash, simulation.NodesFlap, simulation.MachineDies, simulation.StateSlow)
+		w.InjectFaults(simulation.NodeCrash, simulation.NodesFlap, simulation.MachineDies, simulation.StoreSlow)
 		runToEnd(t, w)
 	})
 }
--- a/internal/simulation/drain_test.go
+++ b/internal/simulation/drain_test.go
@@ -46,7 +46,7 @@
 }
 
 // crashSometimes ends the leader with a chance, a few times at most.
-func crashSometimes(w *simulation.World, seed uint64, down time.Duration) func() {
+func crashSometimes(w *simulation.Simulation, seed uint64, down time.Duration) func() {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	left := 4
 	return func() {
@@ -70,7 +70,7 @@
 	spec func() *drain.Spec
 	// jobsOver is the time over which jobs are submitted.
 	jobsOver time.Duration
-	inject   func(w *simulation.World, seed uint64)
+	inject   func(w *simulation.Simulation, seed uint64)
 	observed []simulation.Observation
 	// shape, if set, is that of the jobs in the place of movableWork.
 	shape func(*rand.Rand, *wire.Job)
@@ -86,75 +86,75 @@
 const drainBegins = 50 * second
 
 var drainScenarios = []drainScenario{
-	{"tasks half done", maintenance, 120 * second, func(*simulation.World, uint64) {}, []simulation.Observation{simulation.DrainMove}, nil},
-	{"replaced", withReplacement, 200 * second, func(*simulation.World, uint64) {}, nil, nil},
-	{"the leader ends between charge and stop", maintenance, 120 * second, func(w *simulation.World, seed uint64) {
+	{"tasks half done", maintenance, 120 * second, func(*simulation.Simulation, uint64) {}, []simulation.Observation{simulation.DrainCheckpoint}, nil},
+	{"replaced", withReplacement, 200 * second, func(*simulation.Simulation, uint64) {}, nil, nil},
+	{"the leader ends between charge and stop", maintenance, 120 * second, func(w *simulation.Simulation, seed uint64) {
 		w.OnCharge = crashSometimes(w, seed, second)
 	}, []simulation.Observation{simulation.SecondTerm}, nil},
-	{"the leader ends between stop and report", maintenance, 120 * second, func(w *simulation.World, seed uint64) {
+	{"the leader ends between stop and report", maintenance, 120 * second, func(w *simulation.Simulation, seed uint64) {
 		w.OnEviction = crashSometimes(w, seed, 300*time.Millisecond)
 	}, []simulation.Observation{simulation.SecondTerm}, nil},
-	{"the leader ends between release and answer", withReplacement, 200 * second, func(w *simulation.World, seed uint64) {
+	{"the leader ends between release and answer", withReplacement, 200 * second, func(w *simulation.Simulation, seed uint64) {
 		w.OnRelease = crashSometimes(w, seed, second)
 	}, []simulation.Observation{simulation.SecondTerm}, nil},
-	{"two successions within a batch, the old leader in its grace", maintenance, 120 * second, func(w *simulation.World, _ uint64) {
+	{"two successions within a batch, the old leader in its grace", maintenance, 120 * second, func(w *simulation.Simulation, _ uint64) {
 		w.At(75*second, func() { w.Inject(simulation.LeaderIsolated, 25*second) })
 		w.At(82*second, func() { w.CrashLeader(second) })
 	}, []simulation.Observation{simulation.SecondTerm}, nil},
-	{"all controllers away for longer than a lease", maintenance, 120 * second, func(w *simulation.World, _ uint64) {
+	{"all controllers away for longer than a lease", maintenance, 120 * second, func(w *simulation.Simulation, _ uint64) {
 		w.At(80*second, func() { w.CrashAll(25 * second) })
 	}, []simulation.Observation{simulation.SecondTerm}, nil},
-	{"the state service is down in a batch, and refuses the leader alone", maintenance, 120 * second, func(w *simulation.World, _ uint64) {
-		w.At(70*second, func() { w.Inject(simulation.StateOutage, 30*second) })
-		w.At(130*second, func() { w.Inject(simulation.LeaderRefused, 20*second) })
+	{"the state service is down in a batch, and refuses the leader alone", maintenance, 120 * second, func(w *simulation.Simulation, _ uint64) {
+		w.At(70*second, func() { w.Inject(simulation.StoreOutage, 30*second) })
+		w.At(130*second, func() { w.Inject(simulation.StoreRefusesLeader, 20*second) })
 	}, nil, nil},
-	{"answers to writes lost, and writes late", maintenance, 120 * second, func(w *simulation.World, _ uint64) {
-		w.At(50*second, func() { w.Inject(simulation.AnswersToWritesLost, 60*second) })
-		w.At(110*second, func() { w.Inject(simulation.WritesLate, 60*second) })
-	}, []simulation.Observation{simulation.WriteAnswerLost, simulation.LateTransaction}, nil},
-	{"the drained zone is partitioned, machines deaf or hanging", maintenance, 120 * second, func(w *simulation.World, _ uint64) {
-		w.At(70*second, func() { w.DropAnswersToHolders(0.3, 40*second) })
+	{"answers to writes lost, and writes late", maintenance, 120 * second, func(w *simulation.Simulation, _ uint64) {
+		w.At(50*second, func() { w.Inject(simulation.WriteResponsesLost, 60*second) })
+		w.At(110*second, func() { w.Inject(simulation.WritesDelayed, 60*second) })
+	}, []simulation.Observation{simulation.WriteResponseLost, simulation.DelayedTransaction}, nil},
+	{"the drained zone is partitioned, machines deaf or hanging", maintenance, 120 * second, func(w *simulation.Simulation, _ uint64) {
+		w.At(70*second, func() { w.LoseResponsesToBusyMachines(0.3, 40*second) })
 		w.At(90*second, func() { w.Inject(simulation.ZonePartitioned, 30*second) })
 		w.At(130*second, func() {
-			w.InjectFaults(simulation.MachineHangs, simulation.MachinePartitioned, simulation.ReportsDuplicatedLate)
+			w.InjectFaults(simulation.MachineHangs, simulation.MachinePartitioned, simulation.HeartbeatsDuplicated)
 		})
-	}, []simulation.Observation{simulation.HolderAnswersLost}, nil},
-	{"replacements late, never up or recalled", withReplacement, 200 * second, func(w *simulation.World, _ uint64) {
-		w.At(50*second, func() { w.BootTrouble(100 * second) })
+	}, []simulation.Observation{simulation.BusyMachineResponsesLost}, nil},
+	{"replacements late, never up or recalled", withReplacement, 200 * second, func(w *simulation.Simulation, _ uint64) {
+		w.At(50*second, func() { w.SlowBoots(100 * second) })
 		w.At(90*second, func() { w.Inject(simulation.SpotReclaimed, 0) })
 		w.At(120*second, func() { w.Inject(simulation.SpotReclaimed, 0) })
 	}, nil, nil},
-	{"jobs cancelled while their machines are drained", maintenance, 120 * second, func(w *simulation.World, _ uint64) {
+	{"jobs cancelled while their machines are drained", maintenance, 120 * second, func(w *simulation.Simulation, _ uint64) {
 		for i := range 8 {
 			w.At(time.Duration(60+10*i)*second, func() { w.CancelRunning(2, 0) })
 		}
 		w.At(85*second, func() { w.CrashLeader(second) })
 	}, []simulation.Observation{simulation.CancelledWhileRunning, simulation.SecondTerm}, nil},
-	{"teams at their limits, a guarantee to be met, a new leader", maintenance, 60 * second, func(w *simulation.World, _ uint64) {
+	{"teams at their limits, a guarantee to be met, a new leader", maintenance, 60 * second, func(w *simulation.Simulation, _ uint64) {
 		w.At(90*second, func() { w.CrashLeader(second) })
 	}, []simulation.Observation{simulation.SecondTerm}, manyTasks},
-	{"a node with drains off leads in between", maintenance, 120 * second, func(w *simulation.World, _ uint64) {
+	{"a node with drains off leads in between", maintenance, 120 * second, func(w *simulation.Simulation, _ uint64) {
 		w.DrainsOff(1)
 		w.At(80*second, func() { w.CrashLeader(5 * second) })
 		w.At(120*second, func() { w.CrashLeader(5 * second) })
 	}, []simulation.Observation{simulation.SecondTerm}, nil},
-	{"the previous version leads in between", maintenance, 120 * second, func(w *simulation.World, _ uint64) {
+	{"the previous version leads in between", maintenance, 120 * second, func(w *simulation.Simulation, _ uint64) {
 		w.VersionFlipRate = 0.6
 		for i := range 5 {
 			w.At(time.Duration(65+25*i)*second, func() { w.CrashLeader(3 * second) })
 		}
 	}, []simulation.Observation{simulation.SecondTerm}, nil},
-	{"anything", maintenance, 120 * second, func(w *simulation.World, _ uint64) { w.InjectFaults() }, nil, nil},
-	{"anything, replaced", withReplacement, 200 * second, func(w *simulation.World, _ uint64) { w.InjectFaults() }, nil, nil},
+	{"anything", maintenance, 120 * second, func(w *simulation.Simulation, _ uint64) { w.InjectFaults() }, nil, nil},
+	{"anything, replaced", withReplacement, 200 * second, func(w *simulation.Simulation, _ uint64) { w.InjectFaults() }, nil, nil},
 }
 
 // playDrain plays a day on which a zone is drained.
-func playDrain(t *testing.T, s drainScenario, seed uint64) *simulation.World {
+func playDrain(t *testing.T, s drainScenario, seed uint64) *simulation.Simulation {
 	t.Helper()
-	w := simulation.NewWorld(3000+seed, 3, drainParams(), machineType)
+	w := simulation.New(3000+seed, 3, drainParams(), machineType)
 	w.Cloud.Capacity = 8
 	w.FaultRate = 1
-	w.WatchDrains(drainBudgets())
+	w.EnableDrains(drainBudgets())
 	shape := movableWork
 	if s.shape != nil {
 		shape = s.shape
@@ -186,9 +186,9 @@
 // in between, leaves nothing cordoned: its zone is used again.
 func TestDrainCancelled(t *testing.T) {
 	eachSeed(t, 3, func(t *testing.T, seed uint64) {
-		w := simulation.NewWorld(3100+seed, 3, drainParams(), machineType)
+		w := simulation.New(3100+seed, 3, drainParams(), machineType)
 		w.FaultRate = 1
-		w.WatchDrains(drainBudgets())
+		w.EnableDrains(drainBudgets())
 		submitRandomJobs(w, seed, 40, 200*second, 0, movableWork)
 		var statuses []int
 		note := func(r drain.Response) { statuses = append(statuses, r.Status) }
@@ -232,14 +232,14 @@
 		"budget: 2 evictions of blue":             {drain.Budget{MaxUnavailable: 9, Evictions: 1, LostS: 99}, 1, true},
 		"budget: 20 s of blue lost":               {drain.Budget{MaxUnavailable: 9, Evictions: 9, LostS: 19}, 10, true},
 	} {
-		watch := simulation.NewDrainWatch(&drain.Budgets{Window: time.Minute, Default: c.budget})
-		worker := simulation.NewWorker(at, wire.ListedMachine{Name: "m2"}, machineType, time.Hour)
+		watch := simulation.NewDrainBudgetChecker(&drain.Budgets{Window: time.Minute, Default: c.budget})
+		worker := simulation.NewAgent(at, wire.ListedMachine{Name: "m2"}, machineType, time.Hour)
 		evict := func(task string) error {
 			watch.Evicted(at, "blue", task, 1, c.lostS)
 			if c.back {
 				worker.Tasks[task] = &simulation.Task{Name: task, Attempt: 2, State: wire.TaskRunning}
 			}
-			return watch.Check(at, []*simulation.Worker{worker}, running)
+			return watch.Check(at, []*simulation.Agent{worker}, running)
 		}
 		first := evict("job-1/0")
 		at = at.Add(59 * time.Second)
@@ -255,7 +255,7 @@
 func TestDrainUnderOverload(t *testing.T) {
 	eachSeed(t, 3, func(t *testing.T, seed uint64) {
 		f := newFlood(t, 800+seed)
-		f.WatchDrains(drainBudgets())
+		f.EnableDrains(drainBudgets())
 		for i := range f.Params.Teams {
 			f.Params.Teams[i].CPUs = 0 // a guarantee would hold the batch back, too
 		}
--- a/internal/simulation/http.go
+++ b/internal/simulation/http.go
@@ -21,40 +21,40 @@
 // tests of whole nodes.
 type Server struct {
 	mu    sync.Mutex
-	State *State
+	Store *KeyValueStore
 	Cloud *Cloud
 	rng   *rand.Rand
-	// Booted is told of every machine once it is up.
-	Booted func(wire.ListedMachine)
+	// OnBoot is told of every machine once it is up.
+	OnBoot func(wire.ListedMachine)
 }
 
 // NewServer returns a server around a state service and a cloud.
 func NewServer(t wire.MachineType) *Server {
-	return &Server{State: NewState(), Cloud: NewCloud(t, 4), rng: rand.New(rand.NewPCG(1, 1))}
+	return &Server{Store: NewKeyValueStore(), Cloud: NewCloud(t, 4), rng: rand.New(rand.NewPCG(1, 1))}
 }
 
-// SetDown begins or ends an outage of the state service.
-func (s *Server) SetDown(down bool) {
+// SetStoreDown begins or ends an outage of the state service.
+func (s *Server) SetStoreDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.State.Down = down
-	s.State.Advance(time.Now())
+	s.Store.Down = down
+	s.Store.Advance(time.Now())
 }
 
-// Rented reports whether a machine is still rented.
-func (s *Server) Rented(name string) bool {
+// HasMachine reports whether a machine is still rented.
+func (s *Server) HasMachine(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.Cloud.rows[name] != nil
+	return s.Cloud.machines[name] != nil
 }
 
 // ReleaseZone takes all machines of a zone away, and returns how many there were.
 func (s *Server) ReleaseZone(zone string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before := len(s.Cloud.rows)
-	maps.DeleteFunc(s.Cloud.rows, func(_ string, row *cloudRow) bool { return row.Zone == zone })
-	return before - len(s.Cloud.rows)
+	before := len(s.Cloud.machines)
+	maps.DeleteFunc(s.Cloud.machines, func(_ string, row *cloudMachine) bool { return row.Zone == zone })
+	return before - len(s.Cloud.machines)
 }
 
 // Serve answers both services on ln.
@@ -62,7 +62,7 @@
 	return (&fasthttp.Server{Handler: s.handle}).Serve(ln)
 }
 
-func answer(rc *fasthttp.RequestCtx, err error, body any) {
+func writeResponse(rc *fasthttp.RequestCtx, err error, body any) {
 	status := fasthttp.StatusOK
 	switch {
 	case errors.Is(err, kvstore.ErrUnavailable):
@@ -89,62 +89,62 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.State.Advance(now)
+	s.Store.Advance(now)
 	switch {
 	case strings.HasPrefix(path, "/store/"):
-		item, err := s.State.Get(strings.TrimPrefix(path, "/store/"))
-		answer(rc, err, item)
+		item, err := s.Store.Get(strings.TrimPrefix(path, "/store/"))
+		writeResponse(rc, err, item)
 	case path == "/store":
-		items, err := s.State.List(string(args.Peek("starts")))
-		answer(rc, err, wire.KeyValuePage{Items: items})
+		items, err := s.Store.List(string(args.Peek("starts")))
+		writeResponse(rc, err, wire.KeyValuePage{Items: items})
 	case path == "/multi":
 		var txn wire.Txn
 		if err := json.Unmarshal(rc.PostBody(), &txn); err != nil {
-			answer(rc, err, nil)
+			writeResponse(rc, err, nil)
 			return
 		}
-		res, err := s.State.Commit(txn)
-		answer(rc, err, res)
+		res, err := s.Store.Commit(txn)
+		writeResponse(rc, err, res)
 	case path == "/leases":
 		var r wire.LeaseRequest
 		_ = json.Unmarshal(rc.PostBody(), &r)
-		id, err := s.State.Grant(now, time.Duration(r.TTLMS)*time.Millisecond)
-		answer(rc, err, wire.LeaseResponse{Lease: id})
+		id, err := s.Store.Grant(now, time.Duration(r.TTLMS)*time.Millisecond)
+		writeResponse(rc, err, wire.LeaseResponse{Lease: id})
 	case strings.HasPrefix(path, "/leases/"):
 		id, err := strconv.ParseUint(strings.TrimSuffix(strings.TrimPrefix(path, "/leases/"), "/touch"), 10, 64)
 		if err == nil && method == fasthttp.MethodDelete {
-			s.State.revoke(id)
+			s.Store.revoke(id)
 		} else if err == nil {
-			err = s.State.Renew(now, id)
+			err = s.Store.Renew(now, id)
 		}
-		answer(rc, err, struct{}{})
+		writeResponse(rc, err, struct{}{})
 	case path == "/machine_types":
-		answer(rc, nil, wire.MachineTypes{Types: []wire.MachineType{s.Cloud.Type}})
+		writeResponse(rc, nil, wire.MachineTypes{Types: []wire.MachineType{s.Cloud.Type}})
 	case path == "/rentals" && method == fasthttp.MethodPost:
 		var r wire.ProvisionRequest
 		_ = json.Unmarshal(rc.PostBody(), &r)
-		names := s.Cloud.Rent(now, s.rng, r)
+		names := s.Cloud.Provision(now, s.rng, r)
 		if len(names) == 0 {
-			answer(rc, kvstore.ErrUnavailable, wire.Error{Error: "no capacity"})
+			writeResponse(rc, kvstore.ErrUnavailable, wire.Error{Error: "no capacity"})
 			return
 		}
 		for _, id := range names {
-			if s.Booted != nil {
-				go s.Booted(s.Cloud.rows[id].ListedMachine)
+			if s.OnBoot != nil {
+				go s.OnBoot(s.Cloud.machines[id].ListedMachine)
 			}
 		}
-		answer(rc, nil, wire.MachineNames{Machines: names})
+		writeResponse(rc, nil, wire.MachineNames{Machines: names})
 	case path == "/rentals/release":
 		var r wire.MachineNames
 		_ = json.Unmarshal(rc.PostBody(), &r)
 		for _, id := range r.Machines {
-			delete(s.Cloud.rows, id)
+			delete(s.Cloud.machines, id)
 		}
-		answer(rc, nil, struct{}{})
+		writeResponse(rc, nil, struct{}{})
 	case path == "/rentals":
-		answer(rc, nil, wire.MachineList{Machines: s.Cloud.List(now, 0)})
+		writeResponse(rc, nil, wire.MachineList{Machines: s.Cloud.List(now, 0)})
 	default:
-		answer(rc, kvstore.ErrNotFound, struct{}{})
+		writeResponse(rc, kvstore.ErrNotFound, struct{}{})
 	}
 }
 
@@ -155,11 +155,11 @@
 	end := time.Now().Add(time.Duration(block) * time.Millisecond)
 	for {
 		s.mu.Lock()
-		s.State.Advance(time.Now())
-		revision := s.State.revision
+		s.Store.Advance(time.Now())
+		revision := s.Store.revision
 		s.mu.Unlock()
 		if revision > since || !time.Now().Before(end) {
-			answer(rc, nil, wire.WatchResponse{Revision: revision})
+			writeResponse(rc, nil, wire.WatchResponse{Revision: revision})
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
--- a/internal/simulation/overlapping_faults_test.go
+++ b/internal/simulation/overlapping_faults_test.go
@@ -15,7 +15,7 @@
 const second = time.Second
 
 // submitRandomJobs submits jobs of any shape, a share of them cancelled within a minute.
-func submitRandomJobs(w *simulation.World, seed uint64, count int, over time.Duration, cancelled float64, shape func(*rand.Rand, *wire.Job)) {
+func submitRandomJobs(w *simulation.Simulation, seed uint64, count int, over time.Duration, cancelled float64, shape func(*rand.Rand, *wire.Job)) {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	for i := range count {
 		j := drawJob(rng, i)
@@ -50,40 +50,40 @@
 // overlap of faults is a day on which some faults meet.
 type faultScenario struct {
 	name     string
-	inject   func(w *simulation.World, seed uint64)
+	inject   func(w *simulation.Simulation, seed uint64)
 	observed []simulation.Observation // what must have happened for the day to count
 }
 
 // overlapping faults are those that the operators named, in the order of docs/overlapping faults.md.
 // Where the order of two moments decides, the seeds draw it.
 var overlappingFaults = []faultScenario{
-	{"01 everybody asks at every news", func(w *simulation.World, seed uint64) {
+	{"01 everybody asks at every news", func(w *simulation.Simulation, seed uint64) {
 		submitRandomJobs(w, seed, 40, 120*second, 0.3, nil)
-		w.At(0, func() { w.FollowUps(200 * second) })
+		w.At(0, func() { w.EnableFollowUps(200 * second) })
 		w.At(60*second, func() { w.CrashLeader(second / 2) })
 	}, []simulation.Observation{simulation.FollowUpQuery, simulation.CancellationConfirmed}},
-	{"02 an old report after newer ones", func(w *simulation.World, seed uint64) {
+	{"02 an old report after newer ones", func(w *simulation.Simulation, seed uint64) {
 		submitRandomJobs(w, seed, 25, 150*second, 0.2, nil)
-		w.At(0, func() { w.Inject(simulation.ReportsDuplicatedLate, 200*second) })
+		w.At(0, func() { w.Inject(simulation.HeartbeatsDuplicated, 200*second) })
 		w.At(20*second, func() {
-			w.InjectFaults(simulation.MachinePartitioned, simulation.MachineHangs, simulation.MachineAnswersLost)
+			w.InjectFaults(simulation.MachinePartitioned, simulation.MachineHangs, simulation.MachineResponsesLost)
 		})
-	}, []simulation.Observation{simulation.StaleCopy}},
-	{"03 a command is held up and the machine goes on", func(w *simulation.World, seed uint64) {
+	}, []simulation.Observation{simulation.StaleHeartbeatIgnored}},
+	{"03 a command is held up and the machine goes on", func(w *simulation.Simulation, seed uint64) {
 		submitRandomJobs(w, seed, 25, 150*second, 0.4, nil)
 		w.InjectFaults(simulation.MachineHangs, simulation.MachinePartitioned, simulation.RunningJobsCancelled)
 	}, []simulation.Observation{simulation.CancelledWhileRunning}},
-	{"04 all controllers away for longer than a lease", func(w *simulation.World, seed uint64) {
+	{"04 all controllers away for longer than a lease", func(w *simulation.Simulation, seed uint64) {
 		submitRandomJobs(w, seed, 25, 120*second, 0.3, longRunning)
 		w.At(50*second, func() { w.CancelRunning(3, 0) })
 		w.At(51*second, func() { w.CrashAll(25 * second) })
 	}, []simulation.Observation{simulation.CancelledWhileRunning, simulation.SecondTerm}},
-	{"05 an isolated leader, cancellations at the new one", func(w *simulation.World, seed uint64) {
+	{"05 an isolated leader, cancellations at the new one", func(w *simulation.Simulation, seed uint64) {
 		submitRandomJobs(w, seed, 25, 120*second, 0.2, longRunning)
 		w.At(50*second, func() { w.Inject(simulation.LeaderIsolated, 60*second) })
 		w.At(54*second, func() { w.CancelRunning(5, 0) })
-	}, []simulation.Observation{simulation.CancelledWhileRunning, simulation.AnsweredInGrace, simulation.SecondTerm}},
-	{"06 handing over and back, all end, one returns", func(w *simulation.World, seed uint64) {
+	}, []simulation.Observation{simulation.CancelledWhileRunning, simulation.HeartbeatInGracePeriod, simulation.SecondTerm}},
+	{"06 handing over and back, all end, one returns", func(w *simulation.Simulation, seed uint64) {
 		submitRandomJobs(w, seed, 30, 120*second, 0.3, nil)
 		for i := range 4 {
 			w.At(time.Duration(30+i*7)*second, func() { w.CrashLeader(time.Duration(100+seed%7*100) * time.Millisecond) })
@@ -91,18 +91,18 @@
 		w.At(65*second, func() { w.CrashAll(300 * time.Millisecond) })
 		w.At(65*second+400*time.Millisecond, func() { w.CrashAll(700 * time.Millisecond) })
 	}, []simulation.Observation{simulation.SecondTerm}},
-	{"07 one-task jobs, four a second", func(w *simulation.World, seed uint64) {
+	{"07 one-task jobs, four a second", func(w *simulation.Simulation, seed uint64) {
 		submitRandomJobs(w, seed, 480, 120*second, 0.25, shortSingleTask)
 		w.At(50*second, func() { w.CrashLeader(second) })
 		w.At(0, func() { w.CancelAtCompletion(0.1, 120*second) })
-	}, []simulation.Observation{simulation.CancelledAtEnd, simulation.SecondTerm}},
-	{"08 carried out at once, only the answer is lost", func(w *simulation.World, seed uint64) {
+	}, []simulation.Observation{simulation.CancelledAtLastTask, simulation.SecondTerm}},
+	{"08 carried out at once, only the answer is lost", func(w *simulation.Simulation, seed uint64) {
 		submitRandomJobs(w, seed, 30, 150*second, 0.4, nil)
-		w.At(0, func() { w.Inject(simulation.AnswersToWritesLost, 200*second) })
-		w.At(0, func() { w.FollowUps(200 * second) })
-		w.At(60*second, func() { w.Inject(simulation.LeaderStateUnreachable, 10*second) })
-	}, []simulation.Observation{simulation.WriteAnswerLost, simulation.FollowUpQuery, simulation.CancellationConfirmed}},
-	{"09 jobs of two or three tasks end far apart", func(w *simulation.World, seed uint64) {
+		w.At(0, func() { w.Inject(simulation.WriteResponsesLost, 200*second) })
+		w.At(0, func() { w.EnableFollowUps(200 * second) })
+		w.At(60*second, func() { w.Inject(simulation.LeaderStoreUnreachable, 10*second) })
+	}, []simulation.Observation{simulation.WriteResponseLost, simulation.FollowUpQuery, simulation.CancellationConfirmed}},
+	{"09 jobs of two or three tasks end far apart", func(w *simulation.Simulation, seed uint64) {
 		submitRandomJobs(w, seed, 30, 100*second, 0.2, func(rng *rand.Rand, j *wire.Job) {
 			j.Tasks, j.Spread, j.EstimateS = 2+rng.IntN(2), false, 5+60*rng.Float64()
 		})
@@ -110,69 +110,69 @@
 			w.At(at*second, func() { w.CrashLeader(second) })
 		}
 	}, []simulation.Observation{simulation.SecondTerm}},
-	{"10 a slow state service, then the gap", func(w *simulation.World, seed uint64) {
+	{"10 a slow state service, then the gap", func(w *simulation.Simulation, seed uint64) {
 		submitRandomJobs(w, seed, 25, 120*second, 0.3, longRunning)
-		w.At(30*second, func() { w.Inject(simulation.StateSlow, 25*second) })
-		w.At(40*second, func() { w.FollowUps(60 * second) })
+		w.At(30*second, func() { w.Inject(simulation.StoreSlow, 25*second) })
+		w.At(40*second, func() { w.EnableFollowUps(60 * second) })
 		w.At(60*second, func() { w.Inject(simulation.OutageAfterCancellation, 0) })
-	}, []simulation.Observation{simulation.CancelledWhileRunning, simulation.AnsweredInGrace}},
-	{"11 a report is held back until a new leader has acted", func(w *simulation.World, seed uint64) {
+	}, []simulation.Observation{simulation.CancelledWhileRunning, simulation.HeartbeatInGracePeriod}},
+	{"11 a report is held back until a new leader has acted", func(w *simulation.Simulation, seed uint64) {
 		submitRandomJobs(w, seed, 25, 120*second, 0.2, nil)
-		w.At(20*second, func() { w.Inject(simulation.ReportsReplayedToNextLeader, 100*second) })
-		w.At(50*second, func() { w.Inject(simulation.ReportsDuplicatedLate, 60*second) })
+		w.At(20*second, func() { w.Inject(simulation.HeartbeatsReplayedToNextLeader, 100*second) })
+		w.At(50*second, func() { w.Inject(simulation.HeartbeatsDuplicated, 60*second) })
 		w.At(60*second, func() { w.CrashLeader(second) })
 		w.At(90*second, func() { w.CrashLeader(second) })
-	}, []simulation.Observation{simulation.CopyApplied, simulation.SecondTerm}},
-	{"12 a transaction is carried out after newer ones", func(w *simulation.World, seed uint64) {
+	}, []simulation.Observation{simulation.DuplicateHeartbeatApplied, simulation.SecondTerm}},
+	{"12 a transaction is carried out after newer ones", func(w *simulation.Simulation, seed uint64) {
 		submitRandomJobs(w, seed, 30, 150*second, 0.3, nil)
-		w.At(0, func() { w.Inject(simulation.WritesLate, 200*second) })
+		w.At(0, func() { w.Inject(simulation.WritesDelayed, 200*second) })
 		w.At(70*second, func() { w.CrashLeader(second) })
-	}, []simulation.Observation{simulation.LateTransaction, simulation.CancellationConfirmed}},
-	{"13 an old report reaches every controller as a leader begins", func(w *simulation.World, seed uint64) {
+	}, []simulation.Observation{simulation.DelayedTransaction, simulation.CancellationConfirmed}},
+	{"13 an old report reaches every controller as a leader begins", func(w *simulation.Simulation, seed uint64) {
 		submitRandomJobs(w, seed, 30, 150*second, 0.2, nil)
-		w.At(10*second, func() { w.Inject(simulation.ReportsReplayedToNextLeader, 150*second) })
+		w.At(10*second, func() { w.Inject(simulation.HeartbeatsReplayedToNextLeader, 150*second) })
 		for _, at := range []time.Duration{40, 70, 73, 110} {
 			w.At(at*second, func() { w.CrashLeader(second / 2) })
 		}
 		w.At(80*second, func() { w.InjectFaults(simulation.MachineHangs, simulation.MachinePartitioned) })
-	}, []simulation.Observation{simulation.CopyApplied, simulation.SecondTerm}},
-	{"14 a cancellation meets the end of the last task", func(w *simulation.World, seed uint64) {
+	}, []simulation.Observation{simulation.DuplicateHeartbeatApplied, simulation.SecondTerm}},
+	{"14 a cancellation meets the end of the last task", func(w *simulation.Simulation, seed uint64) {
 		submitRandomJobs(w, seed, 40, 150*second, 0, nil)
 		w.At(0, func() { w.CancelAtCompletion(0.7, 300*second) })
-		w.At(0, func() { w.FollowUps(300 * second) })
+		w.At(0, func() { w.EnableFollowUps(300 * second) })
 		w.At(0, func() { w.InvalidRequests(200 * second) })
-	}, []simulation.Observation{simulation.CancelledAtEnd, simulation.FollowUpQuery, simulation.InvalidRequest}},
-	{"15 mute workers that direct commands reach", func(w *simulation.World, seed uint64) {
+	}, []simulation.Observation{simulation.CancelledAtLastTask, simulation.FollowUpQuery, simulation.InvalidRequest}},
+	{"15 mute workers that direct commands reach", func(w *simulation.Simulation, seed uint64) {
 		submitRandomJobs(w, seed, 25, 150*second, 0.3, nil)
-		w.InjectFaults(simulation.MachineReportsLost, simulation.MachineReportsLost, simulation.RunningJobsCancelled)
-	}, []simulation.Observation{simulation.ReportLost}},
-	{"16 cancelled as the state service refuses the leader alone", func(w *simulation.World, seed uint64) {
+		w.InjectFaults(simulation.MachineHeartbeatsLost, simulation.MachineHeartbeatsLost, simulation.RunningJobsCancelled)
+	}, []simulation.Observation{simulation.HeartbeatLost}},
+	{"16 cancelled as the state service refuses the leader alone", func(w *simulation.Simulation, seed uint64) {
 		submitRandomJobs(w, seed, 25, 100*second, 0, longRunning)
-		w.At(60*second, func() { w.Inject(simulation.LeaderRefused, 14*second) })
+		w.At(60*second, func() { w.Inject(simulation.StoreRefusesLeader, 14*second) })
 		// Before the refusal is felt, and once the next leader is there.
 		w.At(60*second-time.Duration(seed%4)*50*time.Millisecond, func() { w.CancelRunning(3, 0) })
 		w.At(62*second+time.Duration(seed%5)*100*time.Millisecond, func() { w.CancelRunning(3, 0) })
-		w.At(63*second, func() { w.Inject(simulation.StateOutage, 65*second) })
-	}, []simulation.Observation{simulation.CancelledWhileRunning, simulation.AnsweredInGrace}},
-	{"17 more work than room over slow links", func(w *simulation.World, seed uint64) {
+		w.At(63*second, func() { w.Inject(simulation.StoreOutage, 65*second) })
+	}, []simulation.Observation{simulation.CancelledWhileRunning, simulation.HeartbeatInGracePeriod}},
+	{"17 more work than room over slow links", func(w *simulation.Simulation, seed uint64) {
 		submitRandomJobs(w, seed, 45, 100*second, 0.2, nil)
 		w.At(20*second, func() { w.SlowLinks(120 * second) })
 		w.At(60*second, func() { w.CrashLeader(second) })
 	}, []simulation.Observation{simulation.SecondTerm}},
-	{"18 a zone with workers and a controller is cut off", func(w *simulation.World, seed uint64) {
+	{"18 a zone with workers and a controller is cut off", func(w *simulation.Simulation, seed uint64) {
 		submitRandomJobs(w, seed, 25, 120*second, 0.2, longRunning)
 		w.At(50*second, func() { w.Inject(simulation.ZonePartitioned, 40*second) })
 		w.At(55*second, func() { w.CancelRunning(4, 0) })
 	}, []simulation.Observation{simulation.CancelledWhileRunning}},
-	{"19 machines up at once, writes lag, the leader ends", func(w *simulation.World, seed uint64) {
+	{"19 machines up at once, writes lag, the leader ends", func(w *simulation.Simulation, seed uint64) {
 		submitRandomJobs(w, seed, 25, 60*second, 0.2, nil)
 		w.At(0, func() { w.Inject(simulation.FastBoots, 200*second) })
-		w.At(10*second, func() { w.Inject(simulation.StateSlow, 60*second) })
+		w.At(10*second, func() { w.Inject(simulation.StoreSlow, 60*second) })
 		for i := range 6 {
 			w.At(time.Duration(15+9*i)*second+time.Duration(seed%9)*second, func() { w.CrashLeader(second / 2) })
 		}
 	}, []simulation.Observation{simulation.SecondTerm}},
-	{"20 jobs of one zone lose machines", func(w *simulation.World, seed uint64) {
+	{"20 jobs of one zone lose machines", func(w *simulation.Simulation, seed uint64) {
 		submitRandomJobs(w, seed, 25, 120*second, 0.1, func(rng *rand.Rand, j *wire.Job) {
 			j.OneZone, j.Spread = rng.IntN(2) == 0, false
 			if !j.OneZone {
@@ -180,8 +180,8 @@
 			}
 		})
 		w.InjectFaults(simulation.MachineDies, simulation.SpotReclaimed, simulation.MachineDies, simulation.ZonePartitioned)
-	}, []simulation.Observation{simulation.TermBegan}},
-	{"21 cancelled while the work changes hands", func(w *simulation.World, seed uint64) {
+	}, []simulation.Observation{simulation.TermStarted}},
+	{"21 cancelled while the work changes hands", func(w *simulation.Simulation, seed uint64) {
 		submitRandomJobs(w, seed, 40, 120*second, 0.1, nil)
 		for i := range 5 {
 			at := time.Duration(30+15*i) * second
@@ -191,33 +191,33 @@
 			}
 		}
 	}, []simulation.Observation{simulation.CancelledWhileRunning, simulation.SecondTerm}},
-	{"22 the leader ends, machines with long tasks can't be reached", func(w *simulation.World, seed uint64) {
+	{"22 the leader ends, machines with long tasks can't be reached", func(w *simulation.Simulation, seed uint64) {
 		submitRandomJobs(w, seed, 25, 100*second, 0, longRunning)
-		w.At(60*second, func() { w.PartitionHolders(0.3, 40*second) })
-		w.At(60*second, func() { w.DropAnswersToHolders(0.3, 60*second) })
+		w.At(60*second, func() { w.PartitionBusyMachines(0.3, 40*second) })
+		w.At(60*second, func() { w.LoseResponsesToBusyMachines(0.3, 60*second) })
 		w.At(61*second, func() { w.CrashLeader(second) })
 		w.At(66*second, func() { w.CancelRunning(4, 0) })
-	}, []simulation.Observation{simulation.CancelledWhileRunning, simulation.HolderPartitioned, simulation.HolderAnswersLost, simulation.SecondTerm}},
-	{"23 a team at its limit, machines that can't be asked, a new leader", func(w *simulation.World, seed uint64) {
+	}, []simulation.Observation{simulation.CancelledWhileRunning, simulation.BusyMachinePartitioned, simulation.BusyMachineResponsesLost, simulation.SecondTerm}},
+	{"23 a team at its limit, machines that can't be asked, a new leader", func(w *simulation.Simulation, seed uint64) {
 		submitRandomJobs(w, seed, 25, 60*second, 0, atTeamLimit)
-		w.At(60*second, func() { w.PartitionHolders(0.4, 25*second) })
+		w.At(60*second, func() { w.PartitionBusyMachines(0.4, 25*second) })
 		w.At(62*second, func() { w.CrashLeader(second) })
 		w.At(65*second, func() { w.CancelRunning(3, 0) })
 		w.At(70*second, func() { w.CancelRunning(3, 0) })
-	}, []simulation.Observation{simulation.CancelledWhileRunning, simulation.HolderPartitioned, simulation.SecondTerm}},
-	{"24 ten leaders in two minutes, also within an outage", func(w *simulation.World, seed uint64) {
+	}, []simulation.Observation{simulation.CancelledWhileRunning, simulation.BusyMachinePartitioned, simulation.SecondTerm}},
+	{"24 ten leaders in two minutes, also within an outage", func(w *simulation.Simulation, seed uint64) {
 		submitRandomJobs(w, seed, 25, 150*second, 0.3, nil)
-		w.At(30*second, func() { w.Inject(simulation.Successions, 0) })
-		w.At(70*second, func() { w.Inject(simulation.StateOutage, 30*second) })
+		w.At(30*second, func() { w.Inject(simulation.RepeatedFailovers, 0) })
+		w.At(70*second, func() { w.Inject(simulation.StoreOutage, 30*second) })
 	}, []simulation.Observation{simulation.FifthTerm, simulation.CancellationConfirmed}},
-	{"25 all teams at their limits, cancelled on machines that hang", func(w *simulation.World, seed uint64) {
+	{"25 all teams at their limits, cancelled on machines that hang", func(w *simulation.Simulation, seed uint64) {
 		submitRandomJobs(w, seed, 30, 60*second, 0, atTeamLimit)
 		w.At(60*second, func() { w.CancelRunning(5, 20*second) })
-		w.At(61*second, func() { w.PartitionHolders(0.4, 30*second) })
+		w.At(61*second, func() { w.PartitionBusyMachines(0.4, 30*second) })
 		w.At(62*second, func() { w.CrashLeader(second) })
 		w.At(80*second, func() { w.CancelRunning(5, 12*second) })
 		w.At(81*second, func() { w.Inject(simulation.LeaderFrozen, 6*second) })
-	}, []simulation.Observation{simulation.CancelledWhileRunning, simulation.HolderPartitioned, simulation.SecondTerm}},
+	}, []simulation.Observation{simulation.CancelledWhileRunning, simulation.BusyMachinePartitioned, simulation.SecondTerm}},
 }
 
 // TestOverlappingFaults: the rules hold wherever two of the faults that the operators
@@ -230,7 +230,7 @@
 				if m.name[:2] == "07" {
 					p.Teams = []config.Team{{Name: "blue", CPUs: 16, CPUsMax: 48}, {Name: "green", CPUs: 8, CPUsMax: 48}}
 				}
-				w := simulation.NewWorld(1000+seed, 3+2*int(seed%2), p, machineType)
+				w := simulation.New(1000+seed, 3+2*int(seed%2), p, machineType)
 				w.FaultRate = 1
 				m.inject(w, seed)
 				runToEnd(t, w)
@@ -241,11 +241,11 @@
 }
 
 // checkObserved fails the test unless all of it has happened.
-func checkObserved(t *testing.T, w *simulation.World, met []simulation.Observation) {
+func checkObserved(t *testing.T, w *simulation.Simulation, met []simulation.Observation) {
 	t.Helper()
-	w.Observed[simulation.CancellationConfirmed] = w.Rules.Cancelled()
-	w.Observed[simulation.SecondTerm] = max(0, w.Observed[simulation.TermBegan]-1)
-	w.Observed[simulation.FifthTerm] = max(0, w.Observed[simulation.TermBegan]-4)
+	w.Observed[simulation.CancellationConfirmed] = w.Invariants.CancelledCount()
+	w.Observed[simulation.SecondTerm] = max(0, w.Observed[simulation.TermStarted]-1)
+	w.Observed[simulation.FifthTerm] = max(0, w.Observed[simulation.TermStarted]-4)
 	for _, what := range met {
 		if w.Observed[what] == 0 {
 			t.Errorf("no %s came about: %v", what, w.Observed)
@@ -262,28 +262,28 @@
 func TestOutageAfterCancellation(t *testing.T) {
 	variants := []struct {
 		name string
-		day  func(w *simulation.World)
+		day  func(w *simulation.Simulation)
 		met  []simulation.Observation
 	}{
-		{"refused", func(w *simulation.World) {
+		{"refused", func(w *simulation.Simulation) {
 			w.At(70*second, func() { w.Inject(simulation.OutageAfterCancellation, 0) })
-		}, []simulation.Observation{simulation.AnsweredInGrace, simulation.SecondTerm}},
-		{"isolated, machines deaf", func(w *simulation.World) {
-			w.At(66*second, func() { w.DropAnswersToHolders(0.3, 60*second) })
+		}, []simulation.Observation{simulation.HeartbeatInGracePeriod, simulation.SecondTerm}},
+		{"isolated, machines deaf", func(w *simulation.Simulation) {
+			w.At(66*second, func() { w.LoseResponsesToBusyMachines(0.3, 60*second) })
 			w.At(70*second, func() { w.Inject(simulation.LeaderIsolated, 60*second) })
 			w.At(70*second, func() { w.Inject(simulation.OutageAfterCancellation, 0) })
-		}, []simulation.Observation{simulation.HolderAnswersLost, simulation.SecondTerm}},
-		{"frozen, machines hang", func(w *simulation.World) {
+		}, []simulation.Observation{simulation.BusyMachineResponsesLost, simulation.SecondTerm}},
+		{"frozen, machines hang", func(w *simulation.Simulation) {
 			w.At(70*second, func() { w.Inject(simulation.LeaderFrozen, 14*second) })
 			w.At(74*second, func() { w.CancelRunning(4, 12*second) })
-			w.At(75*second, func() { w.Inject(simulation.StateOutage, 65*second) })
+			w.At(75*second, func() { w.Inject(simulation.StoreOutage, 65*second) })
 		}, []simulation.Observation{simulation.SecondTerm}},
-		{"restarted at once", func(w *simulation.World) {
-			w.At(70*second, func() { w.Inject(simulation.LeaderRefused, 4*second) })
+		{"restarted at once", func(w *simulation.Simulation) {
+			w.At(70*second, func() { w.Inject(simulation.StoreRefusesLeader, 4*second) })
 			w.At(73*second, func() { w.CancelRunning(3, 0) })
 			w.At(73*second+300*time.Millisecond, func() { w.CrashLeader(200 * time.Millisecond) })
 			w.At(75*second, func() { w.CancelRunning(3, 0) })
-			w.At(76*second, func() { w.Inject(simulation.StateOutage, 65*second) })
+			w.At(76*second, func() { w.Inject(simulation.StoreOutage, 65*second) })
 		}, []simulation.Observation{simulation.SecondTerm}},
 	}
 	for _, cancel := range []float64{45, 32, 21, 18} {
@@ -292,7 +292,7 @@
 				eachSeed(t, 3, func(t *testing.T, seed uint64) {
 					p := params()
 					p.Workers.CancelDeadlineS = cancel
-					w := simulation.NewWorld(2000+seed, 3, p, machineType)
+					w := simulation.New(2000+seed, 3, p, machineType)
 					shape := longRunning
 					if seed == 2 {
 						shape = func(rng *rand.Rand, j *wire.Job) { shortSingleTask(rng, j); longRunning(rng, j) }
@@ -301,7 +301,7 @@
 					v.day(w)
 					runToEnd(t, w)
 					met := append([]simulation.Observation{simulation.CancelledWhileRunning, simulation.CancellationConfirmed}, v.met...)
-					if leader.GracePeriod(p.Workers) < 5*second && v.met[0] == simulation.AnsweredInGrace {
+					if leader.GracePeriod(p.Workers) < 5*second && v.met[0] == simulation.HeartbeatInGracePeriod {
 						met = append(met[:2], v.met[1:]...) // hardly any room for a grace
 					}
 					checkObserved(t, w, met)
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -9,47 +9,47 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// Rules checks the protocol's rules after every step.
-type Rules struct {
-	Teams  []config.Team
-	Cancel time.Duration
+// InvariantChecker checks the protocol's rules after every step.
+type InvariantChecker struct {
+	Teams          []config.Team
+	CancelDeadline time.Duration
 
-	jobs    map[string]*jobRecord
-	on      map[string]string // task -> machine, while it is on it
-	started int
-	// Ended, if set, is told of every job whose last task has just completed.
-	Ended func(id string)
+	jobs        map[string]*observedJob
+	taskMachine map[string]string // task -> machine, while it is on it
+	startCount  int
+	// OnJobCompleted, if set, is told of every job whose last task has just completed.
+	OnJobCompleted func(id string)
 	// waiting is since when jobs wait although they could start, lookedAt when
 	// that was looked at last.
-	waiting  map[string]waitingSince
-	lookedAt time.Time
+	waiting       map[string]waitStart
+	lastWaitCheck time.Time
 }
 
-type jobRecord struct {
-	job         *wire.Job
-	accepted    bool
-	askedCancel bool
-	cancelledAt time.Time // when its user was told
-	done        bool      // its user was told
-	finished    map[string]bool
-	completed   bool // all tasks have completed
-	toldAt      time.Time
-	answeredAt  time.Time // when a question about it was last answered
+type observedJob struct {
+	job               *wire.Job
+	accepted          bool
+	cancelRequested   bool
+	cancelConfirmedAt time.Time // when its user was told
+	reportedDone      bool      // its user was told
+	finishedTasks     map[string]bool
+	completed         bool // all tasks have completed
+	lastResponseAt    time.Time
+	lastSuccessAt     time.Time // when a question about it was last answered
 }
 
-// cancelledBy reports whether the user's cancellation of a job before this one,
+// dependencyCancelled reports whether the user's cancellation of a job before this one,
 // through any number of steps, was asked for, and since when its user has been
 // told of one, zero if of none.
-func (r *Rules) cancelledBy(t *jobRecord) (asked bool, told time.Time) {
+func (c *InvariantChecker) dependencyCancelled(t *observedJob) (asked bool, told time.Time) {
 	for _, id := range t.job.DependsOn {
-		need := r.jobs[id]
+		need := c.jobs[id]
 		if need == nil {
 			continue
 		}
-		a, at := r.cancelledBy(need)
-		asked = asked || a || need.askedCancel && !need.done
-		if need.askedCancel && !need.cancelledAt.IsZero() && (at.IsZero() || need.cancelledAt.Before(at)) {
-			at = need.cancelledAt
+		a, at := c.dependencyCancelled(need)
+		asked = asked || a || need.cancelRequested && !need.reportedDone
+		if need.cancelRequested && !need.cancelConfirmedAt.IsZero() && (at.IsZero() || need.cancelConfirmedAt.Before(at)) {
+			at = need.cancelConfirmedAt
 		}
 		if !at.IsZero() && (told.IsZero() || at.Before(told)) {
 			told = at
@@ -58,49 +58,49 @@
 	return asked, told
 }
 
-// unanswered is for how long no question about a job may go unanswered once
+// maxUnanswered is for how long no question about a job may go unanswered once
 // all faults are over.
-const unanswered = 75 * time.Second
+const maxUnanswered = 75 * time.Second
 
-// Forgotten finds an accepted job about which no question has been answered
+// CheckJobsAnswered finds an accepted job about which no question has been answered
 // for long, however others fare; settled is when all faults were over.
-func (r *Rules) Forgotten(now, settled time.Time) error {
-	if now.Sub(settled) < unanswered {
+func (c *InvariantChecker) CheckJobsAnswered(now, settled time.Time) error {
+	if now.Sub(settled) < maxUnanswered {
 		return nil
 	}
-	for id, t := range r.jobs {
-		if t.accepted && !t.askedCancel && now.Sub(t.answeredAt) > unanswered {
-			return fmt.Errorf("forgotten: no question about %s answered for %v", id, now.Sub(t.answeredAt))
+	for id, t := range c.jobs {
+		if t.accepted && !t.cancelRequested && now.Sub(t.lastSuccessAt) > maxUnanswered {
+			return fmt.Errorf("forgotten: no question about %s answered for %v", id, now.Sub(t.lastSuccessAt))
 		}
 	}
 	return nil
 }
 
-// NewRules returns a checker.
-func NewRules(teams []config.Team, cancel time.Duration) *Rules {
-	return &Rules{Teams: teams, Cancel: cancel, jobs: map[string]*jobRecord{}, on: map[string]string{}, waiting: map[string]waitingSince{}}
+// NewInvariantChecker returns a checker.
+func NewInvariantChecker(teams []config.Team, cancel time.Duration) *InvariantChecker {
+	return &InvariantChecker{Teams: teams, CancelDeadline: cancel, jobs: map[string]*observedJob{}, taskMachine: map[string]string{}, waiting: map[string]waitStart{}}
 }
 
-// Submitted notes that a user submits a job.
-func (r *Rules) Submitted(j *wire.Job) {
-	if r.jobs[j.ID] == nil {
-		r.jobs[j.ID] = &jobRecord{job: j, finished: map[string]bool{}}
+// JobSubmitted notes that a user submits a job.
+func (c *InvariantChecker) JobSubmitted(j *wire.Job) {
+	if c.jobs[j.ID] == nil {
+		c.jobs[j.ID] = &observedJob{job: j, finishedTasks: map[string]bool{}}
 	}
 }
 
-// AskedCancel notes that a user asks for a job's cancellation.
-func (r *Rules) AskedCancel(id string) { r.jobs[id].askedCancel = true }
+// CancellationRequested notes that a user asks for a job's cancellation.
+func (c *InvariantChecker) CancellationRequested(id string) { c.jobs[id].cancelRequested = true }
 
-// Told checks what a user is told of a job by an answer that left its node at
+// ResponseReceived checks what a user is told of a job by an answer that left its node at
 // the given time, in the order in which the user has the answers of all nodes; one
 // that left before the user had the last one crossed it, and says nothing.
-func (r *Rules) Told(now, given time.Time, id string, status int, state string, submission bool) error {
-	t := r.jobs[id]
+func (c *InvariantChecker) ResponseReceived(now, given time.Time, id string, status int, state string, submission bool) error {
+	t := c.jobs[id]
 	if t != nil {
-		if given.Before(t.toldAt) {
+		if given.Before(t.lastResponseAt) {
 			return nil
 		}
-		defer func() { t.toldAt = now }()
+		defer func() { t.lastResponseAt = now }()
 	}
 	if t == nil {
 		if status/100 == 2 {
@@ -114,73 +114,73 @@
 	if status/100 != 2 {
 		return nil
 	}
-	t.answeredAt = now
+	t.lastSuccessAt = now
 	t.accepted = true
-	asked, told := r.cancelledBy(t)
+	asked, told := c.dependencyCancelled(t)
 	switch {
-	case t.done && state != wire.JobDone, !t.cancelledAt.IsZero() && state != wire.JobCancelled:
+	case t.reportedDone && state != wire.JobDone, !t.cancelConfirmedAt.IsZero() && state != wire.JobCancelled:
 		return fmt.Errorf("went_back: %s is called %s", id, state)
-	case state == wire.JobCancelled && !t.askedCancel && !asked:
+	case state == wire.JobCancelled && !t.cancelRequested && !asked:
 		return fmt.Errorf("went_back: %s is called cancelled, and its user did not cancel it", id)
-	case (state == wire.JobQueued || state == wire.JobRunning) && !told.IsZero() && now.Sub(told) > r.Cancel:
+	case (state == wire.JobQueued || state == wire.JobRunning) && !told.IsZero() && now.Sub(told) > c.CancelDeadline:
 		return fmt.Errorf("orphaned: %s is called %s %v after a job before it was cancelled", id, state, now.Sub(told))
-	case state == wire.JobCancelled && t.cancelledAt.IsZero():
-		t.cancelledAt = now
+	case state == wire.JobCancelled && t.cancelConfirmedAt.IsZero():
+		t.cancelConfirmedAt = now
 	case state == wire.JobDone:
-		if len(t.finished) != t.job.Tasks {
-			return fmt.Errorf("not_done: %s is called done with %d of %d tasks", id, len(t.finished), t.job.Tasks)
+		if len(t.finishedTasks) != t.job.Tasks {
+			return fmt.Errorf("not_done: %s is called done with %d of %d tasks", id, len(t.finishedTasks), t.job.Tasks)
 		}
-		t.done = true
+		t.reportedDone = true
 	}
 	return nil
 }
 
-// Check compares the tasks on all machines with the step before.
-func (r *Rules) Check(now time.Time, workers []*Worker) error {
-	on, err := r.tasksOn(now, workers)
+// CheckTasks compares the tasks on all machines with the step before.
+func (c *InvariantChecker) CheckTasks(now time.Time, workers []*Agent) error {
+	on, err := c.executingTasks(now, workers)
 	if err != nil {
 		return err
 	}
 	used := map[string]float64{}
 	zones := map[string]map[string]int{}
-	byID := map[string]*Worker{}
+	byID := map[string]*Agent{}
 	for _, w := range workers {
 		byID[w.ID] = w
 	}
 	for task, machine := range on {
 		id, _, _ := wire.SplitTask(task)
-		t := r.jobs[id]
+		t := c.jobs[id]
 		used[t.job.Team] += t.job.CPUs
 		if zones[id] == nil {
 			zones[id] = map[string]int{}
 		}
-		zones[id][byID[machine].Offer.Zone]++
-		if !t.cancelledAt.IsZero() && now.Sub(t.cancelledAt) > r.Cancel {
+		zones[id][byID[machine].Machine.Zone]++
+		if !t.cancelConfirmedAt.IsZero() && now.Sub(t.cancelConfirmedAt) > c.CancelDeadline {
 			return fmt.Errorf("ran_cancelled: %s on %s", task, machine)
 		}
 	}
-	for _, team := range r.Teams {
+	for _, team := range c.Teams {
 		if team.CPUsMax > 0 && used[team.Name] > team.CPUsMax+1e-6 {
 			return fmt.Errorf("quota: %s uses %v of %v", team.Name, used[team.Name], team.CPUsMax)
 		}
 	}
 	for task, machine := range on {
-		if r.on[task] == machine {
+		if c.taskMachine[task] == machine {
 			continue
 		}
-		r.started++
+		c.startCount++
 		id, _, _ := wire.SplitTask(task)
-		if err := r.checkStart(task, r.jobs[id].job, byID[machine], zones[id]); err != nil {
+		if err := c.checkStart(task, c.jobs[id].job, byID[machine], zones[id]); err != nil {
 			return err
 		}
 	}
-	r.on = on
+	c.taskMachine = on
 	return nil
 }
 
-// tasksOn are the tasks that are on machines, by name, with the machine of each. It notes
+// executingTasks are the tasks that are on machines, by name, with the machine of each. It notes
 // those that have completed.
-func (r *Rules) tasksOn(now time.Time, workers []*Worker) (map[string]string, error) {
+func (c *InvariantChecker) executingTasks(now time.Time, workers []*Agent) (map[string]string, error) {
 	on := map[string]string{}
 	for _, w := range workers {
 		if now.After(w.LeaseEnd) {
@@ -188,11 +188,11 @@
 			// before it does anything else.
 			continue
 		}
-		for _, t := range w.sorted() {
-			if t.State == wire.TaskExited && t.Why == wire.ExitDone {
-				r.noteCompleted(t.Name)
+		for _, t := range w.sortedTasks() {
+			if t.State == wire.TaskExited && t.ExitReason == wire.ExitDone {
+				c.taskCompleted(t.Name)
 			}
-			if !t.On() {
+			if !t.IsExecuting() {
 				continue
 			}
 			if other, twice := on[t.Name]; twice {
@@ -204,40 +204,40 @@
 	return on, nil
 }
 
-func (r *Rules) noteCompleted(task string) {
+func (c *InvariantChecker) taskCompleted(task string) {
 	id, _, _ := wire.SplitTask(task)
-	t := r.jobs[id]
-	t.finished[task] = true
-	if len(t.finished) < t.job.Tasks || t.completed {
+	t := c.jobs[id]
+	t.finishedTasks[task] = true
+	if len(t.finishedTasks) < t.job.Tasks || t.completed {
 		return
 	}
 	t.completed = true
-	if r.Ended != nil {
-		r.Ended(id)
+	if c.OnJobCompleted != nil {
+		c.OnJobCompleted(id)
 	}
 }
 
 // checkStart checks the place and the time of a start; zones counts the tasks of the job
 // that are on machines, this one included.
-func (r *Rules) checkStart(task string, j *wire.Job, w *Worker, zones map[string]int) error {
+func (c *InvariantChecker) checkStart(task string, j *wire.Job, w *Agent, zones map[string]int) error {
 	switch {
-	case w.Offer.Spot && !j.Spot, j.Zone != "" && j.Zone != w.Offer.Zone,
-		len(j.Types) > 0 && !slices.Contains(j.Types, w.Offer.Type):
+	case w.Machine.Spot && !j.Spot, j.Zone != "" && j.Zone != w.Machine.Zone,
+		len(j.Types) > 0 && !slices.Contains(j.Types, w.Machine.Type):
 		return fmt.Errorf("wrong_place: %s on %s", task, w.ID)
-	case !r.allFinished(j.DependsOn):
+	case !c.allFinished(j.DependsOn):
 		return fmt.Errorf("too_early: %s on %s before %v are done", task, w.ID, j.DependsOn)
 	case j.OneZone && len(zones) > 1:
 		return fmt.Errorf("wrong_place: %s, a job for one zone, in %v", task, zones)
-	case j.Spread && zones[w.Offer.Zone] > (j.Tasks+1)/2:
+	case j.Spread && zones[w.Machine.Zone] > (j.Tasks+1)/2:
 		return fmt.Errorf("wrong_place: %s, a job to be spread, in %v", task, zones)
 	}
 	return nil
 }
 
 // allFinished reports whether all tasks of the jobs have completed.
-func (r *Rules) allFinished(ids []string) bool {
+func (c *InvariantChecker) allFinished(ids []string) bool {
 	for _, id := range ids {
-		if t := r.jobs[id]; t == nil || len(t.finished) != t.job.Tasks {
+		if t := c.jobs[id]; t == nil || len(t.finishedTasks) != t.job.Tasks {
 			return false
 		}
 	}
@@ -246,9 +246,9 @@
 
 // Accepted reports whether the users of all the jobs were told of their
 // acceptance.
-func (r *Rules) Accepted(ids []string) bool {
+func (c *InvariantChecker) Accepted(ids []string) bool {
 	for _, id := range ids {
-		if t := r.jobs[id]; t == nil || !t.accepted {
+		if t := c.jobs[id]; t == nil || !t.accepted {
 			return false
 		}
 	}
@@ -256,10 +256,10 @@
 }
 
 // Unfinished lists accepted jobs that were neither cancelled nor completed.
-func (r *Rules) Unfinished() []string {
+func (c *InvariantChecker) Unfinished() []string {
 	var out []string
-	for id, t := range r.jobs {
-		if t.accepted && !t.askedCancel && !t.done && t.cancelledAt.IsZero() {
+	for id, t := range c.jobs {
+		if t.accepted && !t.cancelRequested && !t.reportedDone && t.cancelConfirmedAt.IsZero() {
 			out = append(out, id)
 		}
 	}
@@ -267,22 +267,22 @@
 	return out
 }
 
-// Ordered checks the commands that a controller gives now: no start of a job whose
+// CheckCommands checks the commands that a controller gives now: no start of a job whose
 // user was told that it is cancelled.
-func (r *Rules) Ordered(now time.Time, commands []wire.Command) error {
-	for _, c := range commands {
-		id, _, _ := wire.SplitTask(c.Task)
-		if t := r.jobs[id]; c.Op == wire.OpStart && t != nil && !t.cancelledAt.IsZero() {
-			return fmt.Errorf("started_cancelled: a start of %s is ordered %v after the confirmation", c.Task, now.Sub(t.cancelledAt))
+func (c *InvariantChecker) CheckCommands(now time.Time, commands []wire.Command) error {
+	for _, command := range commands {
+		id, _, _ := wire.SplitTask(command.Task)
+		if t := c.jobs[id]; command.Op == wire.OpStart && t != nil && !t.cancelConfirmedAt.IsZero() {
+			return fmt.Errorf("started_cancelled: a start of %s is ordered %v after the confirmation", command.Task, now.Sub(t.cancelConfirmedAt))
 		}
 	}
 	return nil
 }
 
-// Holders lists the machines that tasks of a job are on.
-func (r *Rules) Holders(id string) []string {
+// MachinesRunning lists the machines that tasks of a job are on.
+func (c *InvariantChecker) MachinesRunning(id string) []string {
 	var out []string
-	for task, machine := range r.on {
+	for task, machine := range c.taskMachine {
 		if job, _, _ := wire.SplitTask(task); job == id && !slices.Contains(out, machine) {
 			out = append(out, machine)
 		}
@@ -291,9 +291,9 @@
 	return out
 }
 
-// Holds reports whether a task is on a machine.
-func (r *Rules) Holds(machine string) bool {
-	for _, m := range r.on {
+// HasTasksOn reports whether a task is on a machine.
+func (c *InvariantChecker) HasTasksOn(machine string) bool {
+	for _, m := range c.taskMachine {
 		if m == machine {
 			return true
 		}
@@ -301,30 +301,30 @@
 	return false
 }
 
-// Cancelled is the number of jobs whose users were told that they are cancelled.
-func (r *Rules) Cancelled() int {
+// CancelledCount is the number of jobs whose users were told that they are cancelled.
+func (c *InvariantChecker) CancelledCount() int {
 	n := 0
-	for _, t := range r.jobs {
-		if !t.cancelledAt.IsZero() {
+	for _, t := range c.jobs {
+		if !t.cancelConfirmedAt.IsZero() {
 			n++
 		}
 	}
 	return n
 }
 
-// CancelRequested reports whether a job's user has asked for its cancellation.
-func (r *Rules) CancelRequested(id string) bool { return r.jobs[id].askedCancel }
+// HasCancellationRequest reports whether a job's user has asked for its cancellation.
+func (c *InvariantChecker) HasCancellationRequest(id string) bool { return c.jobs[id].cancelRequested }
 
-// TaskOver reports whether a task is not to run any more: it has completed, or its job was called
+// TaskSettled reports whether a task is not to run any more: it has completed, or its job was called
 // off or is done.
-func (r *Rules) TaskOver(task string) bool {
+func (c *InvariantChecker) TaskSettled(task string) bool {
 	id, _, _ := wire.SplitTask(task)
-	t := r.jobs[id]
-	return t == nil || t.askedCancel || t.done || t.finished[task]
+	t := c.jobs[id]
+	return t == nil || t.cancelRequested || t.reportedDone || t.finishedTasks[task]
 }
 
-// KnownDone reports whether a job's user was told that it is done.
-func (r *Rules) KnownDone(id string) bool { return r.jobs[id].done }
+// ReportedDone reports whether a job's user was told that it is done.
+func (c *InvariantChecker) ReportedDone(id string) bool { return c.jobs[id].reportedDone }
 
-// Started is the number of starts seen.
-func (r *Rules) Started() int { return r.started }
+// StartCount is the number of starts seen.
+func (c *InvariantChecker) StartCount() int { return c.startCount }
--- a/internal/simulation/rules_test.go
+++ b/internal/simulation/rules_test.go
@@ -12,53 +12,53 @@
 
 // ruleCase is a checker with one job, and a way to put tasks on machines.
 type ruleCase struct {
-	*simulation.Rules
+	*simulation.InvariantChecker
 	now time.Time
 	job *wire.Job
-	at  map[string]*simulation.Worker
+	at  map[string]*simulation.Agent
 }
 
 func newRuleCase() *ruleCase {
 	j := &wire.Job{ID: "job-1", Team: "blue", Tasks: 3, CPUs: 4, MemoryGB: 1, Spot: true}
 	c := &ruleCase{
-		Rules: simulation.NewRules([]config.Team{{Name: "blue", CPUsMax: 8}}, 45*time.Second),
-		now:   time.Unix(1_700_000_000, 0), job: j, at: map[string]*simulation.Worker{},
+		InvariantChecker: simulation.NewInvariantChecker([]config.Team{{Name: "blue", CPUsMax: 8}}, 45*time.Second),
+		now:              time.Unix(1_700_000_000, 0), job: j, at: map[string]*simulation.Agent{},
 	}
-	c.Submitted(j)
+	c.JobSubmitted(j)
 	return c
 }
 
 // worker adds a machine in a zone.
-func (c *ruleCase) worker(id, zone string, spot bool) *simulation.Worker {
-	w := simulation.NewWorker(c.now, wire.ListedMachine{Name: id, Type: "std-8", Zone: zone, Spot: spot}, machineType, time.Hour)
+func (c *ruleCase) worker(id, zone string, spot bool) *simulation.Agent {
+	w := simulation.NewAgent(c.now, wire.ListedMachine{Name: id, Type: "std-8", Zone: zone, Spot: spot}, machineType, time.Hour)
 	c.at[id] = w
 	return w
 }
 
 // put lists a task on a machine.
-func (c *ruleCase) put(w *simulation.Worker, task, state, why string) {
-	w.Tasks[task] = &simulation.Task{Name: task, Attempt: 1, State: state, Why: why}
+func (c *ruleCase) put(w *simulation.Agent, task, state, why string) {
+	w.Tasks[task] = &simulation.Task{Name: task, Attempt: 1, State: state, ExitReason: why}
 }
 
 func (c *ruleCase) check() error {
-	var ws []*simulation.Worker
+	var ws []*simulation.Agent
 	for _, id := range []string{"m1", "m2", "m3"} {
 		if w := c.at[id]; w != nil {
 			ws = append(ws, w)
 		}
 	}
-	return c.Check(c.now, ws)
+	return c.CheckTasks(c.now, ws)
 }
 
 // looks returns a look, a time later, for jobs that are left waiting.
 func (c *ruleCase) looks(errs *[]error) func(time.Duration) {
 	return func(d time.Duration) {
 		c.now = c.now.Add(d)
-		var ws []*simulation.Worker
+		var ws []*simulation.Agent
 		for _, w := range c.at {
 			ws = append(ws, w)
 		}
-		*errs = append(*errs, c.LeftWaiting(c.now, ws))
+		*errs = append(*errs, c.CheckNoStarvation(c.now, ws))
 	}
 }
 
@@ -66,7 +66,7 @@
 func (c *ruleCase) told(status int, state string) error {
 	given := c.now
 	c.now = c.now.Add(10 * time.Millisecond)
-	return c.Told(c.now, given, "job-1", status, state, true)
+	return c.ResponseReceived(c.now, given, "job-1", status, state, true)
 }
 
 // TestEachRuleCheckFires: each check of the rules fires where its rule is broken, and not on
@@ -111,7 +111,7 @@
 		"ran_cancelled": func(c *ruleCase) []error {
 			// The machine hangs, and goes on with the task later.
 			c.put(c.worker("m1", "a", true), "job-1/0", wire.TaskRunning, "")
-			c.AskedCancel("job-1")
+			c.CancellationRequested("job-1")
 			errs := []error{c.check(), c.told(200, wire.JobCancelled)}
 			c.now = c.now.Add(44 * time.Second)
 			errs = append(errs, c.check())
@@ -119,9 +119,9 @@
 			return append(errs, c.check())
 		},
 		"started_cancelled": func(c *ruleCase) []error {
-			c.AskedCancel("job-1")
+			c.CancellationRequested("job-1")
 			order := []wire.Command{{Op: wire.OpStop, Task: "job-1/0"}, {Op: wire.OpStart, Task: "job-1/0"}}
-			return []error{c.Ordered(c.now, order), c.told(200, wire.JobCancelled), c.Ordered(c.now, order[:1]), c.Ordered(c.now, order)}
+			return []error{c.CheckCommands(c.now, order), c.told(200, wire.JobCancelled), c.CheckCommands(c.now, order[:1]), c.CheckCommands(c.now, order)}
 		},
 		"forgotten: job-1 answered 404": func(c *ruleCase) []error {
 			return []error{c.told(503, ""), c.told(404, ""), c.told(201, wire.JobQueued), c.told(404, "")}
@@ -133,12 +133,12 @@
 			settled := c.now
 			errs := []error{c.told(201, wire.JobQueued)}
 			c.now = c.now.Add(74 * time.Second)
-			errs = append(errs, c.Forgotten(c.now, settled))
+			errs = append(errs, c.CheckJobsAnswered(c.now, settled))
 			c.now = c.now.Add(2 * time.Second)
-			return append(errs, c.Forgotten(c.now, settled))
+			return append(errs, c.CheckJobsAnswered(c.now, settled))
 		},
 		"invented": func(c *ruleCase) []error {
-			return []error{c.Told(c.now, c.now, "job-2", 404, "", false), c.Told(c.now, c.now, "job-2", 200, wire.JobQueued, false)}
+			return []error{c.ResponseReceived(c.now, c.now, "job-2", 404, "", false), c.ResponseReceived(c.now, c.now, "job-2", 200, wire.JobQueued, false)}
 		},
 		"not_done": func(c *ruleCase) []error {
 			for _, task := range []string{"job-1/0", "job-1/1"} {
@@ -150,9 +150,9 @@
 		"went_back: job-1 is called queued": func(c *ruleCase) []error {
 			// An older answer that crossed the newer one says nothing; one that left
 			// another node after the user had the newer one does.
-			c.AskedCancel("job-1")
+			c.CancellationRequested("job-1")
 			crossed := c.now
-			errs := []error{c.told(200, wire.JobCancelled), c.Told(c.now.Add(time.Millisecond), crossed, "job-1", 200, wire.JobRunning, false)}
+			errs := []error{c.told(200, wire.JobCancelled), c.ResponseReceived(c.now.Add(time.Millisecond), crossed, "job-1", 200, wire.JobRunning, false)}
 			c.now = c.now.Add(time.Second)
 			return append(errs, c.told(200, wire.JobQueued))
 		},
@@ -167,18 +167,18 @@
 			return []error{c.told(201, wire.JobQueued), c.told(200, wire.JobCancelled)}
 		},
 		"too_early": func(c *ruleCase) []error {
-			c.Submitted(&wire.Job{ID: "job-2", Team: "blue", Tasks: 1, CPUs: 1, Spot: true, DependsOn: []string{"job-1"}})
+			c.JobSubmitted(&wire.Job{ID: "job-2", Team: "blue", Tasks: 1, CPUs: 1, Spot: true, DependsOn: []string{"job-1"}})
 			w := c.worker("m1", "a", true)
 			before := c.check()
 			c.put(w, "job-2/0", wire.TaskRunning, "")
 			return []error{before, c.check()}
 		},
 		"orphaned": func(c *ruleCase) []error {
-			c.Submitted(&wire.Job{ID: "job-2", Team: "blue", Tasks: 1, CPUs: 1, Spot: true, DependsOn: []string{"job-1"}})
-			c.AskedCancel("job-1")
-			errs := []error{c.told(200, wire.JobCancelled), c.Told(c.now, c.now, "job-2", 200, wire.JobQueued, false)}
+			c.JobSubmitted(&wire.Job{ID: "job-2", Team: "blue", Tasks: 1, CPUs: 1, Spot: true, DependsOn: []string{"job-1"}})
+			c.CancellationRequested("job-1")
+			errs := []error{c.told(200, wire.JobCancelled), c.ResponseReceived(c.now, c.now, "job-2", 200, wire.JobQueued, false)}
 			c.now = c.now.Add(46 * time.Second)
-			return append(errs, c.Told(c.now, c.now, "job-2", 200, wire.JobQueued, false))
+			return append(errs, c.ResponseReceived(c.now, c.now, "job-2", 200, wire.JobQueued, false))
 		},
 		"left_waiting: job-1 for 1m31s": func(c *ruleCase) []error {
 			w := c.worker("m1", "a", true)
--- a/internal/simulation/state.go
+++ b/internal/simulation/state.go
@@ -24,13 +24,13 @@
 	end time.Time
 }
 
-// State is the state service.
-type State struct {
+// KeyValueStore is the state service.
+type KeyValueStore struct {
 	Down bool
 	// Limits hold for values and transactions, if set.
 	Limits config.StateLimits
-	// Committed, if set, is told of every transaction that was carried out.
-	Committed func(wire.Txn)
+	// OnCommit, if set, is told of every transaction that was carried out.
+	OnCommit func(wire.Txn)
 
 	keys     map[string]*entry
 	leases   map[uint64]*lease
@@ -38,14 +38,14 @@
 	nextID   uint64
 }
 
-// NewState returns an empty state service.
-func NewState() *State {
-	return &State{keys: map[string]*entry{}, leases: map[uint64]*lease{}, revision: 1}
+// NewKeyValueStore returns an empty state service.
+func NewKeyValueStore() *KeyValueStore {
+	return &KeyValueStore{keys: map[string]*entry{}, leases: map[uint64]*lease{}, revision: 1}
 }
 
 // Advance ends leases that have run out; during an outage none does, and
 // after it each has its full time again.
-func (s *State) Advance(now time.Time) {
+func (s *KeyValueStore) Advance(now time.Time) {
 	for id, l := range s.leases {
 		if s.Down {
 			l.end = now.Add(l.ttl)
@@ -55,7 +55,7 @@
 	}
 }
 
-func (s *State) revoke(id uint64) {
+func (s *KeyValueStore) revoke(id uint64) {
 	delete(s.leases, id)
 	for k, e := range s.keys {
 		if e.lease == id {
@@ -66,7 +66,7 @@
 }
 
 // Get reads a key.
-func (s *State) Get(key string) (wire.KeyValue, error) {
+func (s *KeyValueStore) Get(key string) (wire.KeyValue, error) {
 	if s.Down {
 		return wire.KeyValue{}, kvstore.ErrUnavailable
 	}
@@ -78,7 +78,7 @@
 }
 
 // List reads the keys with a prefix.
-func (s *State) List(prefix string) ([]wire.KeyValue, error) {
+func (s *KeyValueStore) List(prefix string) ([]wire.KeyValue, error) {
 	if s.Down {
 		return nil, kvstore.ErrUnavailable
 	}
@@ -93,12 +93,12 @@
 }
 
 // Commit runs a transaction.
-func (s *State) Commit(txn wire.Txn) (wire.TxnResult, error) {
+func (s *KeyValueStore) Commit(txn wire.Txn) (wire.TxnResult, error) {
 	if s.Down {
 		return wire.TxnResult{}, kvstore.ErrUnavailable
 	}
 	res := wire.TxnResult{}
-	if s.refuses(txn) {
+	if s.exceedsLimits(txn) {
 		return res, kvstore.ErrInvalidRequest
 	}
 	for _, g := range txn.If {
@@ -128,14 +128,14 @@
 		s.keys[w.Put] = &entry{wire.KeyValue{Key: w.Put, Value: w.Value, Version: s.revision}, w.Lease}
 	}
 	res.Revision = s.revision
-	if s.Committed != nil {
-		s.Committed(txn)
+	if s.OnCommit != nil {
+		s.OnCommit(txn)
 	}
 	return res, nil
 }
 
-// refuses reports whether a transaction is above the limits.
-func (s *State) refuses(txn wire.Txn) bool {
+// exceedsLimits reports whether a transaction is above the limits.
+func (s *KeyValueStore) exceedsLimits(txn wire.Txn) bool {
 	l := s.Limits
 	if l.TxnOps > 0 && (len(txn.Then) > l.TxnOps || len(txn.If) > 4*l.TxnOps) {
 		return true
@@ -146,7 +146,7 @@
 }
 
 // Grant gives a lease.
-func (s *State) Grant(now time.Time, ttl time.Duration) (uint64, error) {
+func (s *KeyValueStore) Grant(now time.Time, ttl time.Duration) (uint64, error) {
 	if s.Down {
 		return 0, kvstore.ErrUnavailable
 	}
@@ -156,7 +156,7 @@
 }
 
 // Renew renews a lease.
-func (s *State) Renew(now time.Time, id uint64) error {
+func (s *KeyValueStore) Renew(now time.Time, id uint64) error {
 	if s.Down {
 		return kvstore.ErrUnavailable
 	}
--- a/internal/simulation/trace_digest.go
+++ b/internal/simulation/trace_digest.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// edge names a place at which something leaves or enters the service.
-type edge string
+// boundary names a place at which something leaves or enters the service.
+type boundary string
 
 // Edges whose traffic the trace digest covers.
 const (
-	edgeTransaction    edge = "transaction"
-	edgeStateRead      edge = "state read"
-	edgeStateLease     edge = "state lease"
-	edgeCloudCall      edge = "cloud call"
-	edgeDirectCall     edge = "direct call"
-	edgeWorkerAnswer   edge = "worker answer"
-	edgeUserAnswer     edge = "user answer"
-	edgeOperatorAnswer edge = "operator answer"
-	edgeHeartbeat      edge = "controller heartbeat"
+	boundaryTransaction      boundary = "transaction"
+	boundaryStoreRead        boundary = "state read"
+	boundaryStoreLease       boundary = "state lease"
+	boundaryCloudCall        boundary = "cloud call"
+	boundaryAgentCall        boundary = "direct call"
+	boundaryAgentResponse    boundary = "worker answer"
+	boundaryUserResponse     boundary = "user answer"
+	boundaryOperatorResponse boundary = "operator answer"
+	boundaryNodeHeartbeat    boundary = "controller heartbeat"
 )
 
 // traceDigest is a running hash over all messages that cross the service's edge in one run. Two
@@ -36,7 +36,7 @@
 func newTraceDigest() traceDigest { return traceDigest{hash: sha256.New()} }
 
 // record adds a message, in its JSON form, to the digest.
-func (d *traceDigest) record(at time.Time, where edge, node string, message ...any) {
+func (d *traceDigest) record(at time.Time, where boundary, node string, message ...any) {
 	body, err := json.Marshal(message)
 	if err != nil {
 		panic(fmt.Sprintf("trace digest: %s: %v", where, err)) // only messages of the wire are recorded
@@ -46,12 +46,12 @@
 }
 
 // trace records a message that crosses the service's edge now, at a node.
-func (w *World) trace(where edge, n *node, message ...any) {
-	w.digest.record(w.now, where, n.name, message...)
+func (sim *Simulation) trace(where boundary, n *node, message ...any) {
+	sim.digest.record(sim.now, where, n.name, message...)
 }
 
 // TraceDigest is the hash over all messages that crossed the service's edge so far, and their
 // number.
-func (w *World) TraceDigest() (digest string, messages int) {
-	return hex.EncodeToString(w.digest.hash.Sum(nil)), w.digest.messages
+func (sim *Simulation) TraceDigest() (digest string, messages int) {
+	return hex.EncodeToString(sim.digest.hash.Sum(nil)), sim.digest.messages
 }
--- a/internal/simulation/trace_digest_test.go
+++ b/internal/simulation/trace_digest_test.go
@@ -18,7 +18,7 @@
 var digestFileLock sync.Mutex
 
 // logDigest writes the digest of a run that is over to the file asked for, if any.
-func logDigest(t *testing.T, w *simulation.World) {
+func logDigest(t *testing.T, w *simulation.Simulation) {
 	t.Helper()
 	if *digestFile == "" {
 		return
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -11,31 +11,31 @@
 
 // Submit lets a user submit a job once those that it needs are accepted, repeat
 // the request until it is answered, and poll.
-func (w *World) Submit(after time.Duration, j *wire.Job, cancelAfter time.Duration) {
-	w.after(after, func() {
-		if !w.Rules.Accepted(j.DependsOn) {
-			w.Submit(time.Second, j, cancelAfter)
+func (sim *Simulation) Submit(after time.Duration, j *wire.Job, cancelAfter time.Duration) {
+	sim.after(after, func() {
+		if !sim.Invariants.Accepted(j.DependsOn) {
+			sim.Submit(time.Second, j, cancelAfter)
 			return
 		}
-		w.jobs[j.ID] = j
-		w.submittedJobs = append(w.submittedJobs, j)
-		w.Rules.Submitted(j)
-		w.submit(j)
-		w.poll(j)
+		sim.uploadedJobs[j.ID] = j
+		sim.submittedJobs = append(sim.submittedJobs, j)
+		sim.Invariants.JobSubmitted(j)
+		sim.submit(j)
+		sim.pollLoop(j)
 		if cancelAfter > 0 {
-			w.after(cancelAfter, func() { w.requestCancellation(j) })
+			sim.after(cancelAfter, func() { sim.requestCancellation(j) })
 		}
 	})
 }
 
 // requestCancellation lets a user ask for a job's cancellation until it is answered.
-func (w *World) requestCancellation(j *wire.Job) {
-	w.Rules.AskedCancel(j.ID)
-	w.cancel(j)
+func (sim *Simulation) requestCancellation(j *wire.Job) {
+	sim.Invariants.CancellationRequested(j.ID)
+	sim.cancel(j)
 }
 
 // anyNode is where the load balancer sends a user.
-func (w *World) anyNode() *node { return w.nodes[w.rng.IntN(len(w.nodes))] }
+func (sim *Simulation) anyNode() *node { return sim.nodes[sim.rng.IntN(len(sim.nodes))] }
 
 // request is one question of a user at a node.
 type request struct {
@@ -45,10 +45,10 @@
 	done       func(leader.Response)
 }
 
-// ask sends a request to a node and tells the rules what the user hears. As in
+// sendRequest sends a request to a node and tells the rules what the user hears. As in
 // the real node, an answer that is not final leaves the leader only while it
 // still has authority: it may have stood still since it found it.
-func (w *World) ask(target *node, r request) {
+func (sim *Simulation) sendRequest(target *node, r request) {
 	answered := false
 	finish := func(v leader.Response) {
 		if !answered {
@@ -56,115 +56,115 @@
 			r.done(v)
 		}
 	}
-	w.onNode(target, w.between(1, 20), func() {
-		if w.zonePartitioned(target.zone, "") {
+	sim.onNode(target, sim.between(1, 20), func() {
+		if sim.zonePartitioned(target.zone, "") {
 			return
 		}
-		n := w.leaderFor(target)
+		n := sim.leaderFor(target)
 		if n == nil {
-			w.after(w.between(1, 20), func() { finish(leader.Response{Status: 503}) })
+			sim.after(sim.between(1, 20), func() { finish(leader.Response{Status: 503}) })
 			return
 		}
-		pass := w.passGate(target, n, r)
+		pass := sim.admit(target, n, r)
 		if pass.refused != nil {
-			w.after(w.between(1, 20), func() { finish(*pass.refused) })
+			sim.after(sim.between(1, 20), func() { finish(*pass.refused) })
 			return
 		}
 		term := n.leadership
 		r.send(n, pass.claim, func(v leader.Response) {
-			pass.note(w.now, v)
-			w.onNode(n, w.between(0, 2), func() {
-				if !v.IsTerminal() && !term.HoldsLease(w.clock(n)) {
+			pass.recordResponse(sim.now, v)
+			sim.onNode(n, sim.between(0, 2), func() {
+				if !v.IsTerminal() && !term.HoldsLease(sim.clock(n)) {
 					v = leader.Response{Status: 503}
 				}
-				given := w.now
-				w.after(w.between(1, 20), func() {
+				given := sim.now
+				sim.after(sim.between(1, 20), func() {
 					if answered {
 						return
 					}
-					w.trace(edgeUserAnswer, n, r.job.ID, r.submission, v.Status, v.State, v.Done, v.Running, v.Reason, v.RetryAfter)
-					if err := w.Rules.Told(w.now, given, r.job.ID, v.Status, v.State, r.submission); err != nil && w.err == nil {
-						w.err = err
+					sim.trace(boundaryUserResponse, n, r.job.ID, r.submission, v.Status, v.State, v.Done, v.Running, v.Reason, v.RetryAfter)
+					if err := sim.Invariants.ResponseReceived(sim.now, given, r.job.ID, v.Status, v.State, r.submission); err != nil && sim.failure == nil {
+						sim.failure = err
 					}
 					finish(v)
-					w.followUp(r.job, v)
+					sim.followUp(r.job, v)
 				})
 			})
 		})
 	})
-	w.after(5*time.Second, func() { finish(leader.Response{Status: 504}) })
+	sim.after(5*time.Second, func() { finish(leader.Response{Status: 504}) })
 }
 
 // submission is the request to take a job.
-func (w *World) submission(j *wire.Job, done func(leader.Response)) request {
+func (sim *Simulation) submission(j *wire.Job, done func(leader.Response)) request {
 	return request{j, true, func(n *node, claim *admission.Claim, then func(leader.Response)) {
 		if n.previousVersion && len(j.DependsOn) > 0 {
 			// As forwarded by a node of a later version.
 			then(leader.Response{Status: 503})
 			return
 		}
-		n.leader.SubmitWithClaim(w.clock(n), w.now, j, claim, then)
+		n.leader.SubmitWithClaim(sim.clock(n), sim.now, j, claim, then)
 	}, done}
 }
 
-func (w *World) submit(j *wire.Job) {
-	w.ask(w.anyNode(), w.submission(j, func(v leader.Response) {
-		if v.Status/100 != 2 || w.chance(0.05) {
-			w.after(w.between(1000, 5000), func() { w.submit(j) })
+func (sim *Simulation) submit(j *wire.Job) {
+	sim.sendRequest(sim.anyNode(), sim.submission(j, func(v leader.Response) {
+		if v.Status/100 != 2 || sim.chance(0.05) {
+			sim.after(sim.between(1000, 5000), func() { sim.submit(j) })
 		}
 	}))
 }
 
 // cancellation is the request to cancel a job.
-func (w *World) cancellation(j *wire.Job, done func(leader.Response)) request {
+func (sim *Simulation) cancellation(j *wire.Job, done func(leader.Response)) request {
 	return request{j, false, func(n *node, _ *admission.Claim, then func(leader.Response)) {
-		n.leader.Cancel(w.clock(n), j.ID, then)
+		n.leader.Cancel(sim.clock(n), j.ID, then)
 	}, done}
 }
 
-func (w *World) cancel(j *wire.Job) {
-	w.ask(w.anyNode(), w.cancellation(j, func(v leader.Response) {
+func (sim *Simulation) cancel(j *wire.Job) {
+	sim.sendRequest(sim.anyNode(), sim.cancellation(j, func(v leader.Response) {
 		if v.Status/100 != 2 {
-			w.after(w.between(1000, 3000), func() { w.cancel(j) })
+			sim.after(sim.between(1000, 3000), func() { sim.cancel(j) })
 		}
 	}))
 }
 
-// question asks for a job's state.
-func (w *World) question(j *wire.Job, done func(leader.Response)) request {
+// query asks for a job's state.
+func (sim *Simulation) query(j *wire.Job, done func(leader.Response)) request {
 	return request{j, false, func(n *node, _ *admission.Claim, then func(leader.Response)) {
 		then(n.leader.Query(j.ID))
 	}, done}
 }
 
-func (w *World) poll(j *wire.Job) {
-	w.ask(w.anyNode(), w.question(j, func(leader.Response) {
-		pause := w.between(3000, 6000)
-		if w.now.Before(w.pollStormUntil) {
+func (sim *Simulation) pollLoop(j *wire.Job) {
+	sim.sendRequest(sim.anyNode(), sim.query(j, func(leader.Response) {
+		pause := sim.between(3000, 6000)
+		if sim.now.Before(sim.pollStormUntil) {
 			pause /= 8
-			w.Observed[StormPoll]++
+			sim.Observed[PollStormQuery]++
 		}
-		w.after(pause, func() { w.poll(j) })
+		sim.after(pause, func() { sim.pollLoop(j) })
 	}))
 }
 
 // PollStorm lets users, for a time, ask eight times as often.
-func (w *World) PollStorm(span time.Duration) { w.pollStormUntil = w.now.Add(span) }
+func (sim *Simulation) PollStorm(span time.Duration) { sim.pollStormUntil = sim.now.Add(span) }
 
-// FailEverywhere makes a job one that fails on every machine.
-func (w *World) FailEverywhere(j *wire.Job) { w.failingJobs[j.ID] = true }
+// FailOnEveryMachine makes a job one that fails on every machine.
+func (sim *Simulation) FailOnEveryMachine(j *wire.Job) { sim.failingJobs[j.ID] = true }
 
-// ignoreVerdict is who has no use for an answer; the rules are told of it all the same.
-func ignoreVerdict(leader.Response) {}
+// ignoreResponse is who has no use for an answer; the rules are told of it all the same.
+func ignoreResponse(leader.Response) {}
 
-// FollowUps lets users, for a time, ask at all nodes within milliseconds of
+// EnableFollowUps lets users, for a time, ask at all nodes within milliseconds of
 // hearing that a job was accepted, done or cancelled, repeat the submission, and
 // call some jobs off right after the acceptance.
-func (w *World) FollowUps(span time.Duration) { w.followUpsUntil = w.now.Add(span) }
+func (sim *Simulation) EnableFollowUps(span time.Duration) { sim.followUpsUntil = sim.now.Add(span) }
 
 // followUp is told of every answer that a user gets.
-func (w *World) followUp(j *wire.Job, v leader.Response) {
-	if v.Status/100 != 2 || !w.now.Before(w.followUpsUntil) || w.jobs[j.ID] != j {
+func (sim *Simulation) followUp(j *wire.Job, v leader.Response) {
+	if v.Status/100 != 2 || !sim.now.Before(sim.followUpsUntil) || sim.uploadedJobs[j.ID] != j {
 		return
 	}
 	state := v.State
@@ -172,53 +172,53 @@
 		state = wire.JobQueued // accepted
 	}
 	seen := j.ID + " " + state
-	if w.followedUp[seen] {
+	if sim.followedUp[seen] {
 		return
 	}
-	w.followedUp[seen] = true
-	w.Observed[FollowUpQuery]++
+	sim.followedUp[seen] = true
+	sim.Observed[FollowUpQuery]++
 	for range 3 {
-		for _, n := range w.nodes {
-			w.after(w.between(0, 30), func() { w.ask(n, w.question(j, ignoreVerdict)) })
+		for _, n := range sim.nodes {
+			sim.after(sim.between(0, 30), func() { sim.sendRequest(n, sim.query(j, ignoreResponse)) })
 		}
 	}
-	w.after(w.between(0, 10), func() { w.ask(w.anyNode(), w.submission(j, ignoreVerdict)) })
-	if state == wire.JobQueued && w.chance(0.1) {
-		w.requestCancellation(j)
+	sim.after(sim.between(0, 10), func() { sim.sendRequest(sim.anyNode(), sim.submission(j, ignoreResponse)) })
+	if state == wire.JobQueued && sim.chance(0.1) {
+		sim.requestCancellation(j)
 	}
 }
 
 // CancelAtCompletion lets users, for a time, call a share of the jobs off at the moment
 // at which their last task ends.
-func (w *World) CancelAtCompletion(share float64, span time.Duration) {
-	until := w.now.Add(span)
-	w.Rules.Ended = func(id string) {
-		if w.now.Before(until) && w.chance(share) {
-			w.Observed[CancelledAtEnd]++
-			w.after(w.between(0, 200), func() { w.requestCancellation(w.jobs[id]) })
+func (sim *Simulation) CancelAtCompletion(share float64, span time.Duration) {
+	until := sim.now.Add(span)
+	sim.Invariants.OnJobCompleted = func(id string) {
+		if sim.now.Before(until) && sim.chance(share) {
+			sim.Observed[CancelledAtLastTask]++
+			sim.after(sim.between(0, 200), func() { sim.requestCancellation(sim.uploadedJobs[id]) })
 		}
 	}
 }
 
 // CancelRunning lets users call off, within a fifth of a second, so many jobs that
 // have tasks on machines; up to eight of these machines hang for a time.
-func (w *World) CancelRunning(count int, hang time.Duration) {
+func (sim *Simulation) CancelRunning(count int, hang time.Duration) {
 	hung := map[string]bool{}
-	for _, j := range w.submittedJobs {
+	for _, j := range sim.submittedJobs {
 		if count == 0 {
 			return
 		}
-		machines := w.Rules.Holders(j.ID)
-		if len(machines) == 0 || w.Rules.CancelRequested(j.ID) {
+		machines := sim.Invariants.MachinesRunning(j.ID)
+		if len(machines) == 0 || sim.Invariants.HasCancellationRequest(j.ID) {
 			continue
 		}
 		count--
-		w.Observed[CancelledWhileRunning]++
-		w.after(w.between(0, 200), func() { w.requestCancellation(j) })
+		sim.Observed[CancelledWhileRunning]++
+		sim.after(sim.between(0, 200), func() { sim.requestCancellation(j) })
 		for _, id := range machines {
-			if hang > 0 && len(hung) < 8 && w.workers[id] != nil {
+			if hang > 0 && len(hung) < 8 && sim.agents[id] != nil {
 				hung[id] = true
-				w.workers[id].hungUntil = w.now.Add(hang)
+				sim.agents[id].hungUntil = sim.now.Add(hang)
 			}
 		}
 	}
@@ -227,17 +227,17 @@
 // InvalidRequests lets users, for a time, repeat submissions, cancel jobs that are
 // done, ask for and cancel jobs that nobody submitted, and submit some that can
 // never run.
-func (w *World) InvalidRequests(span time.Duration) {
-	until := w.now.Add(span)
+func (sim *Simulation) InvalidRequests(span time.Duration) {
+	until := sim.now.Add(span)
 	number := 900_000
 	var next func()
 	next = func() {
-		if !w.now.Before(until) {
+		if !sim.now.Before(until) {
 			return
 		}
-		w.after(w.between(100, 700), next)
+		sim.after(sim.between(100, 700), next)
 		number++
-		w.Observed[InvalidRequest]++
+		sim.Observed[InvalidRequest]++
 		odd := &wire.Job{
 			ID: fmt.Sprintf("job-%06d", number), Class: "c", Team: "blue", Kind: wire.KindArray,
 			Priority: wire.PriorityNormal, Tasks: 2, CPUs: 1, MemoryGB: 1, Image: "img-0", Spot: true,
@@ -250,33 +250,33 @@
 						return
 					}
 				}
-				if w.err == nil {
-					w.err = fmt.Errorf("bad input: %s answered %d instead of %v", odd.ID, v.Status, statuses)
+				if sim.failure == nil {
+					sim.failure = fmt.Errorf("bad input: %s answered %d instead of %v", odd.ID, v.Status, statuses)
 				}
 			}
 		}
-		switch w.rng.IntN(7) {
+		switch sim.rng.IntN(7) {
 		case 0:
 			odd.Team = "nobody's"
-			w.ask(w.anyNode(), w.submission(odd, only(422)))
+			sim.sendRequest(sim.anyNode(), sim.submission(odd, only(422)))
 		case 1:
 			odd.CPUs = 1000
-			w.ask(w.anyNode(), w.submission(odd, only(422)))
+			sim.sendRequest(sim.anyNode(), sim.submission(odd, only(422)))
 		case 2:
 			odd.Zone = "nowhere"
-			w.ask(w.anyNode(), w.submission(odd, only(422)))
+			sim.sendRequest(sim.anyNode(), sim.submission(odd, only(422)))
 		case 3:
-			w.ask(w.anyNode(), w.question(odd, only(404)))
+			sim.sendRequest(sim.anyNode(), sim.query(odd, only(404)))
 		case 4:
-			w.ask(w.anyNode(), w.cancellation(odd, only(404)))
+			sim.sendRequest(sim.anyNode(), sim.cancellation(odd, only(404)))
 		default:
-			if len(w.submittedJobs) == 0 {
+			if len(sim.submittedJobs) == 0 {
 				return
 			}
-			j := w.submittedJobs[w.rng.IntN(len(w.submittedJobs))]
-			w.ask(w.anyNode(), w.submission(j, ignoreVerdict))
-			if w.Rules.KnownDone(j.ID) {
-				w.ask(w.anyNode(), w.cancellation(j, ignoreVerdict))
+			j := sim.submittedJobs[sim.rng.IntN(len(sim.submittedJobs))]
+			sim.sendRequest(sim.anyNode(), sim.submission(j, ignoreResponse))
+			if sim.Invariants.ReportedDone(j.ID) {
+				sim.sendRequest(sim.anyNode(), sim.cancellation(j, ignoreResponse))
 			}
 		}
 	}
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -12,62 +12,62 @@
 
 // Task is a task on a worker.
 type Task struct {
-	Name    string
-	Attempt uint64
-	State   string
-	Why     string
-	Saved   bool
-	At      time.Time // when the present state ends
-	Began   time.Time // when it began to run
+	Name            string
+	Attempt         uint64
+	State           string
+	ExitReason      string
+	CheckpointSaved bool
+	StateEndsAt     time.Time // when the present state ends
+	StartedAt       time.Time // when it began to run
 }
 
-// On reports whether the task is on its machine in the sense of the rules.
-func (t *Task) On() bool { return t.State == wire.TaskRunning || t.State == wire.TaskSaving }
+// IsExecuting reports whether the task is on its machine in the sense of the rules.
+func (t *Task) IsExecuting() bool { return t.State == wire.TaskRunning || t.State == wire.TaskSaving }
 
-// Worker is one machine with its worker.
-type Worker struct {
-	ID      string
-	Offer   wire.ListedMachine
-	Type    wire.MachineType
-	Jobs    func(id string) *wire.Job // what users uploaded
-	RunTime func(*wire.Job) time.Duration
-	// Progress, if set, tells the run time that a task has saved, on whatever machine; without it
+// Agent is one machine with its worker.
+type Agent struct {
+	ID        string
+	Machine   wire.ListedMachine
+	Type      wire.MachineType
+	LookUpJob func(id string) *wire.Job // what users uploaded
+	RunTime   func(*wire.Job) time.Duration
+	// SavedProgress, if set, tells the run time that a task has saved, on whatever machine; without it
 	// a task that is started again runs for its whole time.
-	Progress func(task string) time.Duration
-	Faulty   bool
+	SavedProgress func(task string) time.Duration
+	Faulty        bool
 	// FailsJob, if set, tells jobs that fail on every machine.
 	FailsJob func(id string) bool
-	// Stopped, if set, is told of a running task that is about to be stopped.
-	Stopped func(t *Task, saves bool)
-	Lease   time.Duration
+	// OnStop, if set, is told of a running task that is about to be stopped.
+	OnStop func(t *Task, saves bool)
+	Lease  time.Duration
 
-	Session  uint64
-	Seq      uint64
-	Token    uint64
-	LeaseEnd time.Time
-	Notice   *float64
-	Tasks    map[string]*Task
-	Results  map[string]bool // completed tasks whose result is kept
-	Cache    map[string]bool
-	Changed  bool
+	Epoch         uint64
+	Sequence      uint64
+	FencingToken  uint64
+	LeaseEnd      time.Time
+	ReclaimNotice *float64
+	Tasks         map[string]*Task
+	Completed     map[string]bool // completed tasks whose result is kept
+	CachedImages  map[string]bool
+	HeartbeatDue  bool
 }
 
-// NewWorker returns a worker that has just come up.
-func NewWorker(now time.Time, row wire.ListedMachine, t wire.MachineType, lease time.Duration) *Worker {
-	return &Worker{
-		ID: row.Name, Offer: row, Type: t, Lease: lease, Session: 1, LeaseEnd: now.Add(lease),
-		Tasks: map[string]*Task{}, Results: map[string]bool{}, Cache: map[string]bool{},
+// NewAgent returns a worker that has just come up.
+func NewAgent(now time.Time, row wire.ListedMachine, t wire.MachineType, lease time.Duration) *Agent {
+	return &Agent{
+		ID: row.Name, Machine: row, Type: t, Lease: lease, Epoch: 1, LeaseEnd: now.Add(lease),
+		Tasks: map[string]*Task{}, Completed: map[string]bool{}, CachedImages: map[string]bool{},
 	}
 }
 
-// key keeps several attempts of one task apart: exited ones stay listed.
-func key(name string, attempt uint64) string {
+// attemptKey keeps several attempts of one task apart: exited ones stay listed.
+func attemptKey(name string, attempt uint64) string {
 	return name + "#" + strconv.FormatUint(attempt, 10)
 }
 
-func (w *Worker) sorted() []*Task {
+func (a *Agent) sortedTasks() []*Task {
 	var ts []*Task
-	for _, t := range w.Tasks {
+	for _, t := range a.Tasks {
 		ts = append(ts, t)
 	}
 	sort.Slice(ts, func(i, j int) bool {
@@ -80,158 +80,159 @@
 }
 
 // Advance lets time pass: fetches, runs and saves end, the lease may run out.
-func (w *Worker) Advance(now time.Time) {
-	if now.After(w.LeaseEnd) {
-		w.Session++
-		w.Tasks = map[string]*Task{}
-		w.LeaseEnd = now.Add(w.Lease)
-		w.Changed = true
+func (a *Agent) Advance(now time.Time) {
+	if now.After(a.LeaseEnd) {
+		a.Epoch++
+		a.Tasks = map[string]*Task{}
+		a.LeaseEnd = now.Add(a.Lease)
+		a.HeartbeatDue = true
 	}
-	for _, t := range w.sorted() {
-		if t.State == wire.TaskExited || now.Before(t.At) {
+	for _, t := range a.sortedTasks() {
+		if t.State == wire.TaskExited || now.Before(t.StateEndsAt) {
 			continue
 		}
-		job := w.jobOf(t.Name)
-		w.Changed = true
+		job := a.jobOf(t.Name)
+		a.HeartbeatDue = true
 		switch t.State {
 		case wire.TaskFetching:
-			w.Cache[job.Image] = true
+			a.CachedImages[job.Image] = true
 			switch {
-			case w.Results[t.Name]:
-				t.State, t.Why = wire.TaskExited, wire.ExitDone
-			case w.Faulty, w.FailsJob != nil && w.FailsJob(job.ID):
-				t.State, t.Why = wire.TaskExited, wire.ExitError
+			case a.Completed[t.Name]:
+				t.State, t.ExitReason = wire.TaskExited, wire.ExitDone
+			case a.Faulty, a.FailsJob != nil && a.FailsJob(job.ID):
+				t.State, t.ExitReason = wire.TaskExited, wire.ExitError
 			default:
-				t.State, t.At, t.Began = wire.TaskRunning, now.Add(w.timeLeft(t.Name, job)), now
+				t.State, t.StateEndsAt, t.StartedAt = wire.TaskRunning, now.Add(a.remainingRunTime(t.Name, job)), now
 			}
 		case wire.TaskRunning:
-			t.State, t.Why = wire.TaskExited, wire.ExitDone
-			w.Results[t.Name] = true
+			t.State, t.ExitReason = wire.TaskExited, wire.ExitDone
+			a.Completed[t.Name] = true
 		case wire.TaskSaving:
-			t.State, t.Why, t.Saved = wire.TaskExited, wire.ExitStopped, true
+			t.State, t.ExitReason, t.CheckpointSaved = wire.TaskExited, wire.ExitStopped, true
 		}
 	}
 }
 
-// timeLeft is for how long a task that begins now runs.
-func (w *Worker) timeLeft(task string, job *wire.Job) time.Duration {
-	left := w.RunTime(job)
-	if w.Progress != nil {
-		left -= w.Progress(task)
+// remainingRunTime is for how long a task that begins now runs.
+func (a *Agent) remainingRunTime(task string, job *wire.Job) time.Duration {
+	left := a.RunTime(job)
+	if a.SavedProgress != nil {
+		left -= a.SavedProgress(task)
 	}
 	return max(0, left)
 }
 
-func (w *Worker) jobOf(task string) *wire.Job {
+func (a *Agent) jobOf(task string) *wire.Job {
 	id, _, _ := wire.SplitTask(task)
-	return w.Jobs(id)
+	return a.LookUpJob(id)
 }
 
-// Report is the worker's next heartbeat.
-func (w *Worker) Report() *wire.Heartbeat {
-	w.Seq++
+// NextHeartbeat is the worker's next heartbeat.
+func (a *Agent) NextHeartbeat() *wire.Heartbeat {
+	a.Sequence++
 	r := &wire.Heartbeat{
-		Machine: w.ID, Addr: w.Offer.Addr, Type: w.Offer.Type, Zone: w.Offer.Zone, Spot: w.Offer.Spot,
-		AgentEpoch: w.Session, Sequence: w.Seq, FencingToken: w.Token, ReclaimNoticeS: w.Notice, Tasks: []wire.TaskStatus{},
+		Machine: a.ID, Addr: a.Machine.Addr, Type: a.Machine.Type, Zone: a.Machine.Zone, Spot: a.Machine.Spot,
+		AgentEpoch: a.Epoch, Sequence: a.Sequence, FencingToken: a.FencingToken, ReclaimNoticeS: a.ReclaimNotice, Tasks: []wire.TaskStatus{},
 	}
-	for _, t := range w.sorted() {
-		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.Name, Attempt: t.Attempt, State: t.State, ExitReason: t.Why, CheckpointSaved: t.Saved})
+	for _, t := range a.sortedTasks() {
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.Name, Attempt: t.Attempt, State: t.State, ExitReason: t.ExitReason, CheckpointSaved: t.CheckpointSaved})
 	}
 	return r
 }
 
-// Answer takes in the answer to a report of the given session sent at sent.
-func (w *Worker) Answer(now, sent time.Time, session uint64, a wire.HeartbeatResponse) {
-	if session != w.Session || a.FencingToken < w.Token {
+// HandleHeartbeatResponse applies the response to the heartbeat that the agent sent in the given
+// epoch at the given time.
+func (a *Agent) HandleHeartbeatResponse(now, sent time.Time, epoch uint64, response wire.HeartbeatResponse) {
+	if epoch != a.Epoch || response.FencingToken < a.FencingToken {
 		return
 	}
-	if a.FencingToken > w.Token {
-		w.Token = a.FencingToken
-		w.Changed = true
+	if response.FencingToken > a.FencingToken {
+		a.FencingToken = response.FencingToken
+		a.HeartbeatDue = true
 	}
-	if end := sent.Add(w.Lease); end.After(w.LeaseEnd) {
-		w.LeaseEnd = end
+	if end := sent.Add(a.Lease); end.After(a.LeaseEnd) {
+		a.LeaseEnd = end
 	}
-	w.Execute(now, a.Commands)
+	a.Execute(now, response.Commands)
 }
 
-// Commands takes in a direct request: executed if token and session match.
-func (w *Worker) Commands(now time.Time, r wire.CommandRequest) {
-	if r.FencingToken < w.Token || r.AgentEpoch != w.Session {
+// HandleCommandRequest takes in a direct request: executed if token and session match.
+func (a *Agent) HandleCommandRequest(now time.Time, r wire.CommandRequest) {
+	if r.FencingToken < a.FencingToken || r.AgentEpoch != a.Epoch {
 		return
 	}
-	if r.FencingToken > w.Token {
-		w.Token = r.FencingToken
+	if r.FencingToken > a.FencingToken {
+		a.FencingToken = r.FencingToken
 	}
-	w.Execute(now, r.Commands)
+	a.Execute(now, r.Commands)
 }
 
 // Execute runs commands in order.
-func (w *Worker) Execute(now time.Time, commands []wire.Command) {
+func (a *Agent) Execute(now time.Time, commands []wire.Command) {
 	for _, c := range commands {
-		k := key(c.Task, c.Attempt)
-		t := w.Tasks[k]
+		k := attemptKey(c.Task, c.Attempt)
+		t := a.Tasks[k]
 		switch c.Op {
 		case wire.OpStart:
 			if t == nil {
-				w.Tasks[k] = w.start(now, c)
-				w.Changed = true
+				a.Tasks[k] = a.start(now, c)
+				a.HeartbeatDue = true
 			}
 		case wire.OpStop:
 			if t == nil || t.State == wire.TaskExited {
 				continue
 			}
-			w.Changed = true
-			job := w.jobOf(c.Task)
+			a.HeartbeatDue = true
+			job := a.jobOf(c.Task)
 			grace := 0.0
 			if c.GracePeriodS != nil {
 				grace = *c.GracePeriodS
 			}
 			saves := job.CheckpointIntervalS > 0 && grace >= job.CheckpointSaveS
-			if w.Stopped != nil && t.State == wire.TaskRunning {
-				w.Stopped(t, saves)
+			if a.OnStop != nil && t.State == wire.TaskRunning {
+				a.OnStop(t, saves)
 			}
 			if t.State == wire.TaskRunning && saves {
-				t.State, t.At = wire.TaskSaving, now.Add(time.Duration(job.CheckpointSaveS*float64(time.Second)))
+				t.State, t.StateEndsAt = wire.TaskSaving, now.Add(time.Duration(job.CheckpointSaveS*float64(time.Second)))
 			} else if t.State != wire.TaskSaving || grace == 0 {
-				t.State, t.Why = wire.TaskExited, wire.ExitStopped
+				t.State, t.ExitReason = wire.TaskExited, wire.ExitStopped
 			}
 		case wire.OpForget:
 			if t != nil && t.State == wire.TaskExited {
-				delete(w.Tasks, k)
-				w.Changed = true
+				delete(a.Tasks, k)
+				a.HeartbeatDue = true
 			}
 		}
 	}
 }
 
-func (w *Worker) start(now time.Time, c wire.Command) *Task {
+func (a *Agent) start(now time.Time, c wire.Command) *Task {
 	t := &Task{Name: c.Task, Attempt: c.Attempt, State: wire.TaskExited}
-	job := w.jobOf(c.Task)
+	job := a.jobOf(c.Task)
 	if job == nil {
-		t.Why = wire.ExitUnknown
+		t.ExitReason = wire.ExitUnknown
 		return t
 	}
 	cpus, memory := job.CPUs, job.MemoryGB
-	for _, o := range w.Tasks {
+	for _, o := range a.Tasks {
 		if o.State == wire.TaskExited {
 			continue
 		}
 		if o.Name == c.Task {
-			t.Why = wire.ExitTaskBusy
+			t.ExitReason = wire.ExitTaskBusy
 			return t
 		}
-		other := w.jobOf(o.Name)
+		other := a.jobOf(o.Name)
 		cpus += other.CPUs
 		memory += other.MemoryGB
 	}
-	if cpus > w.Type.CPUs+1e-6 || memory > w.Type.MemoryGB+1e-6 {
-		t.Why = wire.ExitNoCapacity
+	if cpus > a.Type.CPUs+1e-6 || memory > a.Type.MemoryGB+1e-6 {
+		t.ExitReason = wire.ExitNoCapacity
 		return t
 	}
-	t.State, t.At = wire.TaskFetching, now
-	if !w.Cache[job.Image] {
-		t.At = now.Add(time.Duration(job.ImageGB / w.Type.FetchGBPerS * float64(time.Second)))
+	t.State, t.StateEndsAt = wire.TaskFetching, now
+	if !a.CachedImages[job.Image] {
+		t.StateEndsAt = now.Add(time.Duration(job.ImageGB / a.Type.FetchGBPerS * float64(time.Second)))
 	}
 	return t
 }
@@ -241,35 +242,35 @@
 	Type     wire.MachineType
 	Capacity int // machines an offer can hold at once
 	Down     bool
-	// TroubledUntil: of the machines rented before then half come up several times
+	// SlowBootsUntil: of the machines rented before then half come up several times
 	// as late, and a quarter never do.
-	TroubledUntil time.Time
-	// FastUntil: machines rented before then are up within two seconds.
-	FastUntil time.Time
+	SlowBootsUntil time.Time
+	// FastBootsUntil: machines rented before then are up within two seconds.
+	FastBootsUntil time.Time
 
-	rows    map[string]*cloudRow
-	answers map[string][]string
-	next    int
+	machines    map[string]*cloudMachine
+	provisioned map[string][]string
+	nextID      int
 }
 
-type cloudRow struct {
+type cloudMachine struct {
 	wire.ListedMachine
-	born time.Time
-	up   time.Time
+	provisionedAt time.Time
+	bootedAt      time.Time
 }
 
 // NewCloud returns a cloud with one machine type.
 func NewCloud(t wire.MachineType, capacity int) *Cloud {
-	return &Cloud{Type: t, Capacity: capacity, rows: map[string]*cloudRow{}, answers: map[string][]string{}}
+	return &Cloud{Type: t, Capacity: capacity, machines: map[string]*cloudMachine{}, provisioned: map[string][]string{}}
 }
 
-// Rent carries a rental out; nil means no capacity.
-func (c *Cloud) Rent(now time.Time, rng *rand.Rand, r wire.ProvisionRequest) []string {
-	if names, ok := c.answers[r.RequestID]; ok {
+// Provision carries a rental out; nil means no capacity.
+func (c *Cloud) Provision(now time.Time, rng *rand.Rand, r wire.ProvisionRequest) []string {
+	if names, ok := c.provisioned[r.RequestID]; ok {
 		return names
 	}
 	used := 0
-	for _, row := range c.rows {
+	for _, row := range c.machines {
 		if row.Zone == r.Zone && row.Spot == r.Spot {
 			used++
 		}
@@ -280,13 +281,13 @@
 	}
 	var names []string
 	for range n {
-		id := "i-" + pad(c.next)
-		c.next++
+		id := "i-" + pad(c.nextID)
+		c.nextID++
 		boot := time.Duration(c.Type.BootTimeS * (0.6 + 0.9*rng.Float64()) * float64(time.Second))
 		if rng.IntN(20) == 0 {
 			boot = 1000 * time.Hour
 		}
-		if now.Before(c.TroubledUntil) {
+		if now.Before(c.SlowBootsUntil) {
 			switch rng.IntN(4) {
 			case 0:
 				boot = 1000 * time.Hour
@@ -294,15 +295,15 @@
 				boot *= 3
 			}
 		}
-		if now.Before(c.FastUntil) {
+		if now.Before(c.FastBootsUntil) {
 			boot = time.Duration(200+rng.IntN(1800)) * time.Millisecond
 		}
-		c.rows[id] = &cloudRow{wire.ListedMachine{
+		c.machines[id] = &cloudMachine{wire.ListedMachine{
 			Name: id, Addr: id, Type: r.Type, Zone: r.Zone, Spot: r.Spot, State: wire.MachineBooting,
 		}, now, now.Add(boot)}
 		names = append(names, id)
 	}
-	c.answers[r.RequestID] = names
+	c.provisioned[r.RequestID] = names
 	return names
 }
 
@@ -318,7 +319,7 @@
 // Names lists the machines in order.
 func (c *Cloud) Names() []string {
 	var names []string
-	for id := range c.rows {
+	for id := range c.machines {
 		names = append(names, id)
 	}
 	slices.Sort(names)
@@ -329,8 +330,8 @@
 func (c *Cloud) List(now time.Time, lag time.Duration) []wire.ListedMachine {
 	var out []wire.ListedMachine
 	for _, id := range c.Names() {
-		row := c.rows[id]
-		if age := now.Add(-lag).Sub(row.born); age >= 0 {
+		row := c.machines[id]
+		if age := now.Add(-lag).Sub(row.provisionedAt); age >= 0 {
 			r := row.ListedMachine
 			r.AgeS = age.Seconds()
 			out = append(out, r)
--- a/internal/simulation/world_admission.go
+++ b/internal/simulation/world_admission.go
@@ -11,10 +11,10 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// operatorOf are the operators' settings of a node: of the previous version, and of one
+// operatorSettings are the operators' settings of a node: of the previous version, and of one
 // where admission control or drains are off, without them.
-func (w *World) operatorOf(n *node) config.Operator {
-	o := w.Operator
+func (sim *Simulation) operatorSettings(n *node) config.Operator {
+	o := sim.Operator
 	if n.previousVersion || n.admissionOff {
 		o.Admission = nil
 	}
@@ -25,16 +25,16 @@
 }
 
 // AdmissionOff turns admission control off at the first nodes.
-func (w *World) AdmissionOff(nodes int) {
-	for _, n := range w.nodes[:nodes] {
+func (sim *Simulation) AdmissionOff(nodes int) {
+	for _, n := range sim.nodes[:nodes] {
 		n.admissionOff = true
 	}
 }
 
-// gateOf is the node's gate, nil if admission control is off there.
-func (w *World) gateOf(n *node) *admission.Gate {
-	operator := w.operatorOf(n)
-	settings := operator.AdmissionSettings(&w.Params)
+// admissionGate is the node's gate, nil if admission control is off there.
+func (sim *Simulation) admissionGate(n *node) *admission.Gate {
+	operator := sim.operatorSettings(n)
+	settings := operator.AdmissionSettings(&sim.Params)
 	if settings == nil {
 		return nil
 	}
@@ -44,47 +44,47 @@
 	return n.gate
 }
 
-// passage is the way of a submission through the gate of the node that it has reached.
-type passage struct {
-	world   *World
+// admissionCheck is the way of a submission through the gate of the node that it has reached.
+type admissionCheck struct {
+	sim     *Simulation
 	gate    *admission.Gate
 	request *admission.Request
 	claim   *admission.Claim
 	refused *leader.Response
 }
 
-// note lets the gate remember what a user is told.
-func (p *passage) note(now time.Time, v leader.Response) {
+// recordResponse lets the gate remember what a user is told.
+func (check *admissionCheck) recordResponse(now time.Time, v leader.Response) {
 	switch {
-	case p.gate == nil:
+	case check.gate == nil:
 	case v.Status == http.StatusTooManyRequests:
-		p.world.Observed[ShedByLeader]++
-		p.gate.RecordRejected(now, p.request)
+		check.sim.Observed[ShedByLeader]++
+		check.gate.RecordRejected(now, check.request)
 	case v.Status/100 == 2:
-		p.gate.RecordAdmitted(p.request)
+		check.gate.RecordAdmitted(check.request)
 	}
 }
 
-// passGate takes a submission through the gate of the node reached, as the real node does.
-func (w *World) passGate(target, leading *node, r request) *passage {
-	gate := w.gateOf(target)
+// admit takes a submission through the gate of the node reached, as the real node does.
+func (sim *Simulation) admit(target, leading *node, r request) *admissionCheck {
+	gate := sim.admissionGate(target)
 	if !r.submission || gate == nil {
-		return &passage{world: w}
+		return &admissionCheck{sim: sim}
 	}
-	operator := w.operatorOf(target)
-	settings := operator.AdmissionSettings(&w.Params)
-	p := &passage{world: w, gate: gate}
+	operator := sim.operatorSettings(target)
+	settings := operator.AdmissionSettings(&sim.Params)
+	p := &admissionCheck{sim: sim, gate: gate}
 	p.request = leader.AdmissionRequest(settings, r.job)
-	isNew := gate.RecordArrival(w.now, p.request)
+	isNew := gate.RecordArrival(sim.now, p.request)
 	p.claim = &admission.Claim{WaitedMS: p.request.Waited.Milliseconds()}
 	if target == leading {
 		return p
 	}
-	if isNew && leader.AboveLimit(w.Params.Teams, r.job) == "" {
-		decision, revision := gate.Decide(w.now, p.request)
+	if isNew && leader.AboveLimit(sim.Params.Teams, r.job) == "" {
+		decision, revision := gate.Decide(sim.now, p.request)
 		if !decision.Admitted {
-			w.Observed[ShedByFollower]++
-			gate.RecordRejected(w.now, p.request)
+			sim.Observed[ShedByFollower]++
+			gate.RecordRejected(sim.now, p.request)
 			p.refused = &leader.Response{Status: http.StatusTooManyRequests, RetryAfter: decision.RetryAfter}
 			return p
 		}
@@ -95,102 +95,102 @@
 }
 
 // updateAdmission tells a leader what all nodes are offered, and the others its policy.
-func (w *World) updateAdmission(n *node, p *leader.Leader) {
-	gate := w.gateOf(n)
+func (sim *Simulation) updateAdmission(n *node, p *leader.Leader) {
+	gate := sim.admissionGate(n)
 	if gate == nil {
 		return
 	}
 	offers := []admission.NodeOffers{gate.Offers(n.name)}
-	for _, other := range w.nodes {
-		if o, heard := n.heard[other.name]; heard {
+	for _, other := range sim.nodes {
+		if o, heard := n.peerOffers[other.name]; heard {
 			offers = append(offers, o)
 		}
 	}
-	p.UpdateAdmission(w.clock(n), w.now, 0, offers)
+	p.UpdateAdmission(sim.clock(n), sim.now, 0, offers)
 }
 
-// ExchangeHeartbeats lets all nodes tell each other, every heartbeat interval, the leader's
+// ExchangeNodeHeartbeats lets all nodes tell each other, every heartbeat interval, the leader's
 // policy and what they are offered. Heartbeats between nodes that can't reach each other
 // are held up, and come late and in any order.
-func (w *World) ExchangeHeartbeats() {
-	for _, n := range w.nodes {
-		for _, other := range w.nodes {
-			if n != other && n.up && w.now.After(n.frozenUntil) {
-				w.heartbeat(n, other)
+func (sim *Simulation) ExchangeNodeHeartbeats() {
+	for _, n := range sim.nodes {
+		for _, other := range sim.nodes {
+			if n != other && n.up && sim.now.After(n.frozenUntil) {
+				sim.sendNodeHeartbeat(n, other)
 			}
 		}
 	}
-	w.after(tuning.HeartbeatInterval, w.ExchangeHeartbeats)
+	sim.after(tuning.HeartbeatInterval, sim.ExchangeNodeHeartbeats)
 }
 
-func (w *World) heartbeat(from, to *node) {
-	gate := w.gateOf(from)
+func (sim *Simulation) sendNodeHeartbeat(from, to *node) {
+	gate := sim.admissionGate(from)
 	if gate == nil {
 		return
 	}
 	offers := gate.Offers(from.name)
 	var policy *admission.Policy
-	if from.leader != nil && from.leadership.HoldsLease(w.clock(from)) {
+	if from.leader != nil && from.leadership.HoldsLease(sim.clock(from)) {
 		policy = from.leader.AdmissionPolicy()
 	}
-	w.trace(edgeHeartbeat, from, to.name, offers, policy)
-	delay := w.between(1, 20)
-	if w.partitionedPairs[[2]int{min(from.id, to.id), max(from.id, to.id)}] {
-		delay += w.between(500, 20_000)
+	sim.trace(boundaryNodeHeartbeat, from, to.name, offers, policy)
+	delay := sim.between(1, 20)
+	if sim.partitionedPairs[[2]int{min(from.id, to.id), max(from.id, to.id)}] {
+		delay += sim.between(500, 20_000)
 	}
-	w.onNode(to, delay, func() {
-		to.heard[from.name] = offers
-		if receiver := w.gateOf(to); receiver != nil && policy != nil {
-			receiver.ApplyPolicy(w.clock(to), *policy)
+	sim.onNode(to, delay, func() {
+		to.peerOffers[from.name] = offers
+		if receiver := sim.admissionGate(to); receiver != nil && policy != nil {
+			receiver.ApplyPolicy(sim.clock(to), *policy)
 		}
 	})
 }
 
-// Outcome is what became of a submission whose user keeps to the protocol.
-type Outcome struct {
-	Job      *wire.Job
-	AskedAt  time.Duration // since the start
-	Accepted bool
-	// At is when it was accepted, or given up after the users' patience.
-	At    time.Duration
-	Tries int
+// SubmissionOutcome is what became of a submission whose user keeps to the protocol.
+type SubmissionOutcome struct {
+	Job         *wire.Job
+	SubmittedAt time.Duration // since the start
+	Accepted    bool
+	// SettledAt is when it was accepted, or given up after the users' patience.
+	SettledAt time.Duration
+	Tries     int
 }
 
 // SubmitWithPatience lets a user submit a job as the protocol says: he comes back when he is
 // told to, for a minute in total, and asks about the job once it is accepted.
-func (w *World) SubmitWithPatience(after time.Duration, j *wire.Job, done func(Outcome)) {
-	w.after(after, func() {
-		w.jobs[j.ID] = j
-		w.Rules.Submitted(j)
-		w.tryWithPatience(&Outcome{Job: j, AskedAt: w.now.Sub(w.start)}, done)
+func (sim *Simulation) SubmitWithPatience(after time.Duration, j *wire.Job, done func(SubmissionOutcome)) {
+	sim.after(after, func() {
+		sim.uploadedJobs[j.ID] = j
+		sim.Invariants.JobSubmitted(j)
+		sim.submitPatiently(&SubmissionOutcome{Job: j, SubmittedAt: sim.now.Sub(sim.start)}, done)
 	})
 }
 
-// pollSeldom lets a user ask about a job, and seldom once he has heard that it is over.
-func (w *World) pollSeldom(j *wire.Job) {
-	w.ask(w.anyNode(), w.question(j, func(v leader.Response) {
-		pause := w.between(3000, 6000)
+// patientPollLoop lets a user ask about a job, and seldom once he has heard that it is over.
+func (sim *Simulation) patientPollLoop(j *wire.Job) {
+	sim.sendRequest(sim.anyNode(), sim.query(j, func(v leader.Response) {
+		pause := sim.between(3000, 6000)
 		if v.IsTerminal() {
 			pause *= 5
 		}
-		w.after(pause, func() { w.pollSeldom(j) })
+		sim.after(pause, func() { sim.patientPollLoop(j) })
 	}))
 }
 
-func (w *World) tryWithPatience(o *Outcome, done func(Outcome)) {
+func (sim *Simulation) submitPatiently(o *SubmissionOutcome, done func(SubmissionOutcome)) {
 	o.Tries++
-	w.ask(w.anyNode(), w.submission(o.Job, func(v leader.Response) {
-		o.At = w.now.Sub(w.start)
-		pause := max(time.Duration(v.RetryAfter)*time.Second, time.Second) + w.between(0, 300)
+	sim.sendRequest(sim.anyNode(), sim.submission(o.Job, func(v leader.Response) {
+		o.SettledAt = sim.now.Sub(sim.start)
+		pause := max(time.Duration(v.RetryAfter)*time.Second, time.Second) + sim.between(0, 300)
 		switch {
 		case v.Status/100 == 2:
 			o.Accepted = true
 			done(*o)
-			w.pollSeldom(o.Job)
-		case o.At+pause-o.AskedAt > tuning.AdmissionPatience:
+			sim.patientPollLoop(o.Job)
+		case o.SettledAt+pause-o.SubmittedAt > tuning.AdmissionPatience:
 			done(*o)
 		default:
-			w.after(pause, func() { w.tryWithPatience(o, done) })
+			sim.after(pause, func() { sim.submitPatiently(o, done) })
 		}
 	}))
 }
--- a/internal/simulation/world_drains.go
+++ b/internal/simulation/world_drains.go
@@ -16,15 +16,15 @@
 	drainCharges = "b/"
 )
 
-// DrainWatch checks that drains keep to the budgets, by what the workers have seen. A stop of a
+// DrainBudgetChecker checks that drains keep to the budgets, by what the workers have seen. A stop of a
 // running task counts as an eviction if its machine is, or ever was, in a batch.
-type DrainWatch struct {
+type DrainBudgetChecker struct {
 	Budgets *drain.Budgets
 
-	cordoned  map[string]bool // machines that were in a batch
-	charged   map[uint64]bool // attempts in stored charges
-	evictions []eviction
-	out       map[string]evictedTask // by name, until they run again
+	cordoned    map[string]bool // machines that were in a batch
+	charged     map[uint64]bool // attempts in stored charges
+	evictions   []eviction
+	unavailable map[string]evictedTask // by name, until they run again
 }
 
 // eviction is a running task that was stopped.
@@ -40,36 +40,36 @@
 	attempt uint64
 }
 
-// NewDrainWatch returns a watch over the given budgets.
-func NewDrainWatch(budgets *drain.Budgets) *DrainWatch {
-	return &DrainWatch{Budgets: budgets, cordoned: map[string]bool{}, charged: map[uint64]bool{}, out: map[string]evictedTask{}}
+// NewDrainBudgetChecker returns a watch over the given budgets.
+func NewDrainBudgetChecker(budgets *drain.Budgets) *DrainBudgetChecker {
+	return &DrainBudgetChecker{Budgets: budgets, cordoned: map[string]bool{}, charged: map[uint64]bool{}, unavailable: map[string]evictedTask{}}
 }
 
 // Evicted notes that a running task was stopped.
-func (d *DrainWatch) Evicted(now time.Time, team, task string, attempt uint64, lostS float64) {
-	d.evictions = append(d.evictions, eviction{now, team, lostS})
-	d.out[task] = evictedTask{team, attempt}
+func (c *DrainBudgetChecker) Evicted(now time.Time, team, task string, attempt uint64, lostS float64) {
+	c.evictions = append(c.evictions, eviction{now, team, lostS})
+	c.unavailable[task] = evictedTask{team, attempt}
 }
 
 // Check compares with the budgets what is out and what was stopped within the window; over
 // reports whether a task is not to run any more.
-func (d *DrainWatch) Check(now time.Time, workers []*Worker, over func(task string) bool) error {
-	if len(d.out) > 0 {
-		d.dropReturned(workers, over)
+func (c *DrainBudgetChecker) Check(now time.Time, workers []*Agent, over func(task string) bool) error {
+	if len(c.unavailable) > 0 {
+		c.removeResumed(workers, over)
 	}
 	unavailable := map[string]int{}
-	for _, t := range d.out {
+	for _, t := range c.unavailable {
 		unavailable[t.team]++
 	}
 	used := map[string]drain.Use{}
-	for _, e := range d.evictions {
-		if now.Sub(e.at) < d.Budgets.Window {
+	for _, e := range c.evictions {
+		if now.Sub(e.at) < c.Budgets.Window {
 			use := used[e.team]
 			used[e.team] = drain.Use{Evictions: use.Evictions + 1, LostS: use.LostS + e.lostS}
 		}
 	}
 	for team, use := range used {
-		budget := d.Budgets.For(team)
+		budget := c.Budgets.For(team)
 		switch {
 		case unavailable[team] > budget.MaxUnavailable:
 			return fmt.Errorf("budget: %d tasks of %s are unavailable, allowed are %d", unavailable[team], team, budget.MaxUnavailable)
@@ -82,114 +82,114 @@
 	return nil
 }
 
-// dropReturned takes the tasks that run again, or are not to run any more, out of the count.
-func (d *DrainWatch) dropReturned(workers []*Worker, over func(task string) bool) {
-	for task := range d.out {
+// removeResumed takes the tasks that run again, or are not to run any more, out of the count.
+func (c *DrainBudgetChecker) removeResumed(workers []*Agent, over func(task string) bool) {
+	for task := range c.unavailable {
 		if over(task) {
-			delete(d.out, task)
+			delete(c.unavailable, task)
 		}
 	}
 	for _, w := range workers {
 		for _, t := range w.Tasks {
-			if out, is := d.out[t.Name]; is && t.State == wire.TaskRunning && t.Attempt != out.attempt {
-				delete(d.out, t.Name)
+			if out, is := c.unavailable[t.Name]; is && t.State == wire.TaskRunning && t.Attempt != out.attempt {
+				delete(c.unavailable, t.Name)
 			}
 		}
 	}
 }
 
-// WatchDrains turns drains on at all nodes and checks the budgets after every step.
-func (w *World) WatchDrains(budgets *drain.Budgets) {
-	w.Operator.Drains = budgets
-	w.drainWatch = NewDrainWatch(budgets)
+// EnableDrains turns drains on at all nodes and checks the budgets after every step.
+func (sim *Simulation) EnableDrains(budgets *drain.Budgets) {
+	sim.Operator.Drains = budgets
+	sim.drainChecker = NewDrainBudgetChecker(budgets)
 }
 
 // DrainsOff turns drains off at the first nodes.
-func (w *World) DrainsOff(nodes int) {
-	for _, n := range w.nodes[:nodes] {
+func (sim *Simulation) DrainsOff(nodes int) {
+	for _, n := range sim.nodes[:nodes] {
 		n.drainsOff = true
 	}
 }
 
 // checkDrains checks the budgets from what the workers have seen.
-func (w *World) checkDrains(workers []*Worker) error {
-	if w.drainWatch == nil {
+func (sim *Simulation) checkDrains(workers []*Agent) error {
+	if sim.drainChecker == nil {
 		return nil
 	}
-	return w.drainWatch.Check(w.now, workers, w.Rules.TaskOver)
+	return sim.drainChecker.Check(sim.now, workers, sim.Invariants.TaskSettled)
 }
 
-// noteStop tells the watch of a running task that a worker stops now.
-func (w *World) noteStop(m *worker, t *Task, saves bool) {
+// taskStopped tells the watch of a running task that a worker stops now.
+func (sim *Simulation) taskStopped(m *agentProcess, t *Task, saves bool) {
 	id, _, _ := wire.SplitTask(t.Name)
-	if w.drainWatch == nil || !w.drainWatch.cordoned[m.ID] || w.Rules.TaskOver(t.Name) {
+	if sim.drainChecker == nil || !sim.drainChecker.cordoned[m.ID] || sim.Invariants.TaskSettled(t.Name) {
 		return
 	}
-	if m.Notice != nil && !w.drainWatch.charged[t.Attempt] {
+	if m.ReclaimNotice != nil && !sim.drainChecker.charged[t.Attempt] {
 		// The cloud is about to take the machine: its tasks save whatever is drained.
 		return
 	}
-	lost := w.now.Sub(t.Began).Seconds()
+	lost := sim.now.Sub(t.StartedAt).Seconds()
 	if saves {
 		lost = 0
-		w.Observed[DrainMove]++
+		sim.Observed[DrainCheckpoint]++
 	}
-	w.Observed[DrainEviction]++
-	w.drainWatch.Evicted(w.now, w.jobs[id].Team, t.Name, t.Attempt, lost)
-	if w.OnEviction != nil {
-		w.OnEviction()
+	sim.Observed[DrainEviction]++
+	sim.drainChecker.Evicted(sim.now, sim.uploadedJobs[id].Team, t.Name, t.Attempt, lost)
+	if sim.OnEviction != nil {
+		sim.OnEviction()
 	}
 }
 
-// noteCommit learns from what is stored which machines are cordoned, and which attempts are to be
+// transactionCommitted learns from what is stored which machines are cordoned, and which attempts are to be
 // evicted.
-func (w *World) noteCommit(txn wire.Txn) {
+func (sim *Simulation) transactionCommitted(txn wire.Txn) {
 	for _, change := range txn.Then {
 		name, isDrain := strings.CutPrefix(change.Put, drainRecords)
-		if isDrain && w.drainWatch != nil {
-			w.noteDrainRecord(name, change.Value)
+		if isDrain && sim.drainChecker != nil {
+			sim.drainRecordStored(name, change.Value)
 		}
 		if strings.HasPrefix(change.Put, drainCharges) {
-			w.noteCharge(change.Value)
+			sim.chargeStored(change.Value)
 		}
 	}
 }
 
-func (w *World) noteCharge(value []byte) {
+func (sim *Simulation) chargeStored(value []byte) {
 	charge, err := drain.DecodeCharge(value)
 	if err != nil {
-		w.err = err
+		sim.failure = err
 		return
 	}
 	for _, a := range charge.Attempts {
-		w.drainWatch.charged[a.Number] = true
+		sim.drainChecker.charged[a.Number] = true
 	}
-	w.Observed[DrainCharge]++
-	if w.OnCharge != nil {
-		w.OnCharge()
+	sim.Observed[DrainCharge]++
+	if sim.OnCharge != nil {
+		sim.OnCharge()
 	}
 }
 
-func (w *World) noteDrainRecord(name string, value []byte) {
+func (sim *Simulation) drainRecordStored(name string, value []byte) {
 	r, err := drain.DecodeRecord(name, value)
 	if err != nil {
-		w.err = err
+		sim.failure = err
 		return
 	}
 	if r.State == drain.Paused {
-		w.Observed[DrainPaused]++
+		sim.Observed[DrainPaused]++
 	}
 	if r.Batch == nil || !r.Batch.Cordoned {
 		return
 	}
 	for _, machine := range r.Batch.Machines {
-		w.drainWatch.cordoned[machine] = true
+		sim.drainChecker.cordoned[machine] = true
 	}
 }
 
 // DrainRecord is the stored record of a drain, nil if there is none.
-func (w *World) DrainRecord(name string) *drain.Record {
-	item, err := w.State.Get(drainRecords + name)
+func (sim *Simulation) DrainRecord(name string) *drain.Record {
+	item, err := sim.Store.Get(drainRecords + name)
 	if err != nil {
 		return nil
 	}
@@ -201,9 +201,9 @@
 }
 
 // MachinesInZone is the number of machines that the cloud has in a zone.
-func (w *World) MachinesInZone(zone string) int {
+func (sim *Simulation) MachinesInZone(zone string) int {
 	n := 0
-	for _, row := range w.Cloud.rows {
+	for _, row := range sim.Cloud.machines {
 		if row.Zone == zone {
 			n++
 		}
@@ -212,35 +212,35 @@
 }
 
 // RequestDrain lets an operator send a request, again and again until it is answered.
-func (w *World) RequestDrain(after time.Duration, q *drain.Request, done func(drain.Response)) {
-	w.after(after, func() { w.tryDrainRequest(q, done) })
+func (sim *Simulation) RequestDrain(after time.Duration, q *drain.Request, done func(drain.Response)) {
+	sim.after(after, func() { sim.tryDrainRequest(q, done) })
 }
 
-func (w *World) tryDrainRequest(q *drain.Request, done func(drain.Response)) {
+func (sim *Simulation) tryDrainRequest(q *drain.Request, done func(drain.Response)) {
 	answered := false
 	finish := func(r drain.Response) {
 		if answered {
 			return
 		}
 		answered = true
-		if r.Status == http.StatusServiceUnavailable || r.Status == http.StatusForbidden || w.chance(0.2) {
+		if r.Status == http.StatusServiceUnavailable || r.Status == http.StatusForbidden || sim.chance(0.2) {
 			// No leader that knows of drains; or the answer is lost on its way to the operator.
-			w.RequestDrain(w.between(500, 3000), q, done)
+			sim.RequestDrain(sim.between(500, 3000), q, done)
 			return
 		}
 		if done != nil {
 			done(r)
 		}
 	}
-	w.after(5*time.Second, func() { finish(drain.Response{Status: http.StatusServiceUnavailable}) })
-	n := w.leaderFor(w.anyNode())
+	sim.after(5*time.Second, func() { finish(drain.Response{Status: http.StatusServiceUnavailable}) })
+	n := sim.leaderFor(sim.anyNode())
 	if n == nil || n.previousVersion {
 		return
 	}
-	w.onNode(n, w.between(1, 30), func() {
+	sim.onNode(n, sim.between(1, 30), func() {
 		if n.leader != nil {
-			n.leader.DrainRequest(w.clock(n), w.now, q, func(r drain.Response) {
-				w.trace(edgeOperatorAnswer, n, q, r.Status, r.Reason, r.Drains)
+			n.leader.DrainRequest(sim.clock(n), sim.now, q, func(r drain.Response) {
+				sim.trace(boundaryOperatorResponse, n, q, r.Status, r.Reason, r.Drains)
 				finish(r)
 			})
 		}
--- a/internal/simulation/world_nodes.go
+++ b/internal/simulation/world_nodes.go
@@ -32,46 +32,46 @@
 	lease                 uint64
 	writer                *kvstore.FencedWriter
 	batch                 *leader.Batch
-	stateUnreachableUntil time.Time // no way to the state service until then
-	refusedUntil          time.Time // the state service answers 503 to this node until then
+	storeUnreachableUntil time.Time // no way to the state service until then
+	storeRefusesUntil     time.Time // the state service answers 503 to this node until then
 	frozenUntil           time.Time // stands still until then, while its clocks run on
 	previousVersion       bool      // runs the version before the dependent jobs
 	drainsOff             bool      // its operators have not turned drains on
 	admissionOff          bool      // its operators have not turned admission control on
 	gate                  *admission.Gate
-	heard                 map[string]admission.NodeOffers // as last told by the other nodes
+	peerOffers            map[string]admission.NodeOffers // as last told by the other nodes
 	writeTokens           float64                         // changes that the write budget allows now
 	writeTokensAt         time.Time
 }
 
-// nodeStep campaigns or renews.
-func (w *World) nodeStep(n *node, life int) {
+// electionStep campaigns or renews.
+func (sim *Simulation) electionStep(n *node, life int) {
 	if !n.up || n.incarnation != life {
 		return
 	}
-	again := func(d time.Duration) { w.onNode(n, d, func() { w.nodeStep(n, life) }) }
+	again := func(d time.Duration) { sim.onNode(n, d, func() { sim.electionStep(n, life) }) }
 	if n.leadership != nil {
-		sent := w.clock(n)
+		sent := sim.clock(n)
 		lease := n.lease
-		w.trace(edgeStateLease, n, "renew", lease)
-		w.toState(n, func() error { return w.State.Renew(w.now, lease) }, func(err error) {
+		sim.trace(boundaryStoreLease, n, "renew", lease)
+		sim.callStore(n, func() error { return sim.Store.Renew(sim.now, lease) }, func(err error) {
 			switch {
 			case n.leadership == nil:
 			case err == nil:
 				n.leadership.LeaseRenewed(sent)
 			case errors.Is(err, kvstore.ErrNotFound):
-				w.depose(n)
+				sim.stepDown(n)
 			}
 			again(tuning.LeaseRenewInterval)
 		})
 		return
 	}
-	w.trace(edgeStateRead, n, kvstore.KeyLeader, kvstore.KeyTerm)
+	sim.trace(boundaryStoreRead, n, kvstore.KeyLeader, kvstore.KeyTerm)
 	var leader, term wire.KeyValue
 	var leaderErr, termErr error
-	w.toState(n, func() error {
-		leader, leaderErr = w.State.Get(kvstore.KeyLeader)
-		term, termErr = w.State.Get(kvstore.KeyTerm)
+	sim.callStore(n, func() error {
+		leader, leaderErr = sim.Store.Get(kvstore.KeyLeader)
+		term, termErr = sim.Store.Get(kvstore.KeyTerm)
 		return nil
 	}, func(err error) {
 		if err != nil || errors.Is(leaderErr, kvstore.ErrUnavailable) || errors.Is(termErr, kvstore.ErrUnavailable) {
@@ -82,45 +82,45 @@
 			var rec election.LeaderRecord
 			_ = json.Unmarshal(leader.Value, &rec)
 			if rec.Node != n.name || rec.Nonce == n.nonce {
-				again(w.between(100, 400))
+				again(sim.between(100, 400))
 				return
 			}
 		}
-		w.campaign(n, leader.Version, term, again)
+		sim.campaign(n, leader.Version, term, again)
 	})
 }
 
-func (w *World) campaign(n *node, leaderVersion uint64, term wire.KeyValue, again func(time.Duration)) {
+func (sim *Simulation) campaign(n *node, leaderVersion uint64, term wire.KeyValue, again func(time.Duration)) {
 	var rec kvstore.TermRecord
 	_ = json.Unmarshal(term.Value, &rec)
-	sent := w.clock(n)
+	sent := sim.clock(n)
 	var lease uint64
 	// A campaign may be carried out late, even after its process has ended.
-	n.nonce = w.rng.Uint64()
+	n.nonce = sim.rng.Uint64()
 	record := election.LeaderRecord{Node: n.name, Nonce: n.nonce}
 	won := func(version uint64) {
-		w.load(n, election.NewLeadership(rec.Term+1, sent), lease, version)
+		sim.loadRecords(n, election.NewLeadership(rec.Term+1, sent), lease, version)
 		again(tuning.LeaseRenewInterval)
 	}
-	w.trace(edgeStateLease, n, "grant")
-	w.toState(n, func() (err error) {
-		lease, err = w.State.Grant(w.now, tuning.LeaderLeaseTTL)
+	sim.trace(boundaryStoreLease, n, "grant")
+	sim.callStore(n, func() (err error) {
+		lease, err = sim.Store.Grant(sim.now, tuning.LeaderLeaseTTL)
 		return err
 	}, func(err error) {
 		if err != nil {
 			again(tuning.CampaignRetryDelay)
 			return
 		}
-		w.transact(n, election.NewCampaignTxn(record, rec.Term+1, lease, leaderVersion, term.Version), func(res wire.TxnResult, err error) {
+		sim.commitTxn(n, election.NewCampaignTxn(record, rec.Term+1, lease, leaderVersion, term.Version), func(res wire.TxnResult, err error) {
 			switch {
 			case err == nil:
 				won(res.Revision)
 			case errors.Is(err, httpclient.ErrNoResponse):
 				// Settled by reading.
-				w.trace(edgeStateRead, n, kvstore.KeyLeader)
+				sim.trace(boundaryStoreRead, n, kvstore.KeyLeader)
 				var got wire.KeyValue
-				w.toState(n, func() (err error) {
-					got, err = w.State.Get(kvstore.KeyLeader)
+				sim.callStore(n, func() (err error) {
+					got, err = sim.Store.Get(kvstore.KeyLeader)
 					return err
 				}, func(err error) {
 					var holder election.LeaderRecord
@@ -137,22 +137,22 @@
 	})
 }
 
-// load reads everything and starts the term.
-func (w *World) load(n *node, l *election.Leadership, lease, version uint64) {
-	won := w.clock(n)
+// loadRecords reads everything and starts the term.
+func (sim *Simulation) loadRecords(n *node, l *election.Leadership, lease, version uint64) {
+	won := sim.clock(n)
 	n.leadership, n.lease = l, lease
-	w.toState(n, func() error { return nil }, func(err error) {
+	sim.callStore(n, func() error { return nil }, func(err error) {
 		if n.leadership != l {
 			return
 		}
-		params := w.Params
-		params.State = w.stateLimits(n)
-		p := leader.New(zerolog.Nop(), params, w.operatorOf(n), l.Term, won, leader.GracePeriod(w.Params.Workers))
+		params := sim.Params
+		params.State = sim.storeLimits(n)
+		p := leader.New(zerolog.Nop(), params, sim.operatorSettings(n), l.Term, won, leader.GracePeriod(sim.Params.Workers))
 		for _, prefix := range leader.Prefixes {
-			w.trace(edgeStateRead, n, prefix)
-			items, listErr := w.State.List(prefix)
+			sim.trace(boundaryStoreRead, n, prefix)
+			items, listErr := sim.Store.List(prefix)
 			if listErr != nil || err != nil {
-				w.depose(n)
+				sim.stepDown(n)
 				return
 			}
 			for _, item := range items {
@@ -162,38 +162,38 @@
 						continue
 					}
 				}
-				if err := p.LoadRecord(w.clock(n), w.now, item); err != nil {
-					w.err = err
+				if err := p.LoadRecord(sim.clock(n), sim.now, item); err != nil {
+					sim.failure = err
 				}
 			}
 		}
-		p.FinishLoading(w.clock(n))
-		p.SetMachineTypes([]wire.MachineType{w.Cloud.Type})
+		p.FinishLoading(sim.clock(n))
+		p.SetMachineTypes([]wire.MachineType{sim.Cloud.Type})
 		n.leader = p
-		w.Observed[TermBegan]++
+		sim.Observed[TermStarted]++
 		n.writer = kvstore.NewFencedWriter(l.Term, version, version)
 		n.batch = nil
-		w.writeLoop(n, p)
-		w.tick(n, p)
-		w.list(n, p)
-		for _, deliver := range w.copiesForNextLeader {
-			for _, at := range w.nodes {
-				w.onNode(at, w.between(0, 50), func() { deliver(at) })
+		sim.commitLoop(n, p)
+		sim.leaderTick(n, p)
+		sim.listMachines(n, p)
+		for _, deliver := range sim.heartbeatsForNextLeader {
+			for _, at := range sim.nodes {
+				sim.onNode(at, sim.between(0, 50), func() { deliver(at) })
 			}
 		}
-		w.copiesForNextLeader = nil
+		sim.heartbeatsForNextLeader = nil
 	})
 }
 
-// stateLimits are those of the state service that the node's version keeps to.
-func (w *World) stateLimits(n *node) config.StateLimits {
+// storeLimits are those of the state service that the node's version keeps to.
+func (sim *Simulation) storeLimits(n *node) config.StateLimits {
 	if n.previousVersion {
-		return w.Params.State
+		return sim.Params.State
 	}
-	return w.Params.State.Tightest()
+	return sim.Params.State.Tightest()
 }
 
-func (w *World) depose(n *node) {
+func (sim *Simulation) stepDown(n *node) {
 	if n.leadership != nil {
 		n.leadership.Revoke()
 	}
@@ -203,14 +203,14 @@
 	n.leadership, n.leader, n.writer, n.batch = nil, nil, nil, nil
 }
 
-// writeLoop commits the controller's changes one batch after the other.
-func (w *World) writeLoop(n *node, p *leader.Leader) {
+// commitLoop commits the controller's changes one batch after the other.
+func (sim *Simulation) commitLoop(n *node, p *leader.Leader) {
 	if n.leader != p {
 		return
 	}
 	if n.batch == nil {
-		if n.batch = w.nextBatch(n, p); n.batch == nil {
-			w.onNode(n, tuning.WriteBatchInterval, func() { w.writeLoop(n, p) })
+		if n.batch = sim.nextBatch(n, p); n.batch == nil {
+			sim.onNode(n, tuning.WriteBatchInterval, func() { sim.commitLoop(n, p) })
 			return
 		}
 		writes := n.batch.Writes
@@ -219,22 +219,22 @@
 		}
 		n.writer.Begin(writes)
 	}
-	w.transact(n, n.writer.Txn(), func(res wire.TxnResult, err error) {
+	sim.commitTxn(n, n.writer.Txn(), func(res wire.TxnResult, err error) {
 		if n.leader == p {
-			w.outcome(n, p, n.writer.Answer(res, err))
+			sim.commitOutcome(n, p, n.writer.Answer(res, err))
 		}
 	})
 }
 
 // nextBatch takes the changes to be written now.
-func (w *World) nextBatch(n *node, p *leader.Leader) *leader.Batch {
-	most, spare := min(8, w.stateLimits(n).TxnOps-1), w.rng.IntN(5)
-	if !w.LimitWrites {
+func (sim *Simulation) nextBatch(n *node, p *leader.Leader) *leader.Batch {
+	most, spare := min(8, sim.storeLimits(n).TxnOps-1), sim.rng.IntN(5)
+	if !sim.LimitWriteRate {
 		return p.NextBatch(most, spare)
 	}
-	perSecond := w.stateLimits(n).WriteRPS * tuning.StoreWriteShare
-	n.writeTokens = min(n.writeTokens+perSecond*w.now.Sub(n.writeTokensAt).Seconds(), perSecond/2)
-	n.writeTokensAt = w.now
+	perSecond := sim.storeLimits(n).WriteRPS * tuning.StoreWriteShare
+	n.writeTokens = min(n.writeTokens+perSecond*sim.now.Sub(n.writeTokensAt).Seconds(), perSecond/2)
+	n.writeTokensAt = sim.now
 	if n.writeTokens < 1 {
 		return nil
 	}
@@ -245,60 +245,60 @@
 	return b
 }
 
-func (w *World) outcome(n *node, p *leader.Leader, o kvstore.Outcome) {
+func (sim *Simulation) commitOutcome(n *node, p *leader.Leader, o kvstore.Outcome) {
 	switch o {
 	case kvstore.Applied:
 		p.BatchCommitted(n.batch, n.writer.Refused())
 		n.batch = nil
-		w.writeLoop(n, p)
+		sim.commitLoop(n, p)
 	case kvstore.ContinueSplit:
-		w.writeLoop(n, p)
+		sim.commitLoop(n, p)
 	case kvstore.Retry:
-		w.onNode(n, tuning.StoreRetryDelay, func() { w.writeLoop(n, p) })
+		sim.onNode(n, tuning.StoreRetryDelay, func() { sim.commitLoop(n, p) })
 	case kvstore.Deposed:
-		w.depose(n)
+		sim.stepDown(n)
 	case kvstore.OutcomeUnknown:
-		w.trace(edgeStateRead, n, kvstore.KeyTerm)
+		sim.trace(boundaryStoreRead, n, kvstore.KeyTerm)
 		var item wire.KeyValue
-		w.toState(n, func() (err error) {
-			item, err = w.State.Get(kvstore.KeyTerm)
+		sim.callStore(n, func() (err error) {
+			item, err = sim.Store.Get(kvstore.KeyTerm)
 			return err
 		}, func(err error) {
 			if n.leader == p {
-				w.outcome(n, p, n.writer.ResolveUnknown(item, err))
+				sim.commitOutcome(n, p, n.writer.ResolveUnknown(item, err))
 			}
 		})
 	}
 }
 
-// tick lets the controller decide and carries its cloud calls out.
-func (w *World) tick(n *node, p *leader.Leader) {
+// leaderTick lets the controller decide and carries its cloud calls out.
+func (sim *Simulation) leaderTick(n *node, p *leader.Leader) {
 	if n.leader != p {
 		return
 	}
-	now := w.clock(n)
+	now := sim.clock(n)
 	authority := n.leadership.HoldsLease(now)
-	w.updateAdmission(n, p)
+	sim.updateAdmission(n, p)
 	p.Tick(now, authority)
 	if authority {
-		p.AdvanceDrains(now, w.now)
+		p.AdvanceDrains(now, sim.now)
 		for _, call := range p.PlanScaling(now) {
-			w.call(n, p, call)
+			sim.callCloud(n, p, call)
 		}
 		for _, call := range p.NextDirectCalls(now) {
-			w.direct(n, p, call)
+			sim.callAgent(n, p, call)
 		}
 	}
-	w.onNode(n, w.between(30, 120), func() { w.tick(n, p) })
+	sim.onNode(n, sim.between(30, 120), func() { sim.leaderTick(n, p) })
 }
 
 // finishUpgrade brings the nodes that still run the previous version back with the
 // present one.
-func (w *World) finishUpgrade() {
-	for _, n := range w.nodes {
+func (sim *Simulation) finishUpgrade() {
+	for _, n := range sim.nodes {
 		if n.previousVersion {
 			n.previousVersion = false
-			w.crash(n, time.Second)
+			sim.crash(n, time.Second)
 		}
 	}
 }
@@ -306,20 +306,20 @@
 // RollingUpgrade starts every node with the previous version and, from a time on, ends one
 // after the other, to come back with the present one. It returns when the last
 // has come back.
-func (w *World) RollingUpgrade(from, every time.Duration) time.Duration {
+func (sim *Simulation) RollingUpgrade(from, every time.Duration) time.Duration {
 	down := 4 * time.Second
-	for i, n := range w.nodes {
+	for i, n := range sim.nodes {
 		n.previousVersion = true
-		w.after(from+time.Duration(i)*every, func() {
+		sim.after(from+time.Duration(i)*every, func() {
 			n.previousVersion = false
-			w.crash(n, down)
+			sim.crash(n, down)
 		})
 	}
-	return from + time.Duration(len(w.nodes))*every + down
+	return from + time.Duration(len(sim.nodes))*every + down
 }
 
-// LowerStateLimits lets the state service's limits take effect, those to come after a time.
-func (w *World) LowerStateLimits(after time.Duration) {
-	w.State.Limits = w.Params.State
-	w.after(after, func() { w.State.Limits = w.Params.State.Tightest() })
+// LowerStoreLimits lets the state service's limits take effect, those to come after a time.
+func (sim *Simulation) LowerStoreLimits(after time.Duration) {
+	sim.Store.Limits = sim.Params.State
+	sim.after(after, func() { sim.Store.Limits = sim.Params.State.Tightest() })
 }
--- a/internal/simulation/world_state.go
+++ b/internal/simulation/world_state.go
@@ -10,41 +10,41 @@
 	"switchshore.example/switchshore/wire"
 )
 
-func (w *World) toState(n *node, do func() error, done func(err error)) {
+func (sim *Simulation) callStore(n *node, do func() error, done func(err error)) {
 	life := n.incarnation
 	answer := func(d time.Duration, err error) {
-		w.onNode(n, d, func() {
+		sim.onNode(n, d, func() {
 			if n.up && n.incarnation == life {
 				done(err)
 			}
 		})
 	}
-	if w.now.Before(n.frozenUntil) {
-		w.onNode(n, 0, func() {
+	if sim.now.Before(n.frozenUntil) {
+		sim.onNode(n, 0, func() {
 			if n.up && n.incarnation == life {
-				w.toState(n, do, done)
+				sim.callStore(n, do, done)
 			}
 		})
 		return
 	}
-	if w.now.Before(n.refusedUntil) {
-		answer(w.between(1, 20), kvstore.ErrUnavailable)
+	if sim.now.Before(n.storeRefusesUntil) {
+		answer(sim.between(1, 20), kvstore.ErrUnavailable)
 		return
 	}
-	if w.now.Before(n.stateUnreachableUntil) {
-		if w.chance(0.5) {
+	if sim.now.Before(n.storeUnreachableUntil) {
+		if sim.chance(0.5) {
 			// Held back and delivered when the cut ends, or a good while later.
-			w.after(n.stateUnreachableUntil.Sub(w.now)+w.between(0, 60_000), func() { _ = do() })
+			sim.after(n.storeUnreachableUntil.Sub(sim.now)+sim.between(0, 60_000), func() { _ = do() })
 		}
 		answer(tuning.StoreTimeout, httpclient.ErrNoResponse)
 		return
 	}
-	lost := w.faultsAllowed() && w.chance(0.02)
-	latency := w.between(1, 10)
-	if w.now.Before(w.stateSlowUntil) {
+	lost := sim.faultsAllowed() && sim.chance(0.02)
+	latency := sim.between(1, 10)
+	if sim.now.Before(sim.storeSlowUntil) {
 		latency *= 40
 	}
-	w.after(latency, func() {
+	sim.after(latency, func() {
 		err := do()
 		if lost {
 			answer(tuning.StoreTimeout, httpclient.ErrNoResponse)
@@ -54,27 +54,27 @@
 			answer(tuning.StoreTimeout, err)
 			return
 		}
-		answer(w.between(1, 20), err)
+		answer(sim.between(1, 20), err)
 	})
 }
 
-// transact sends a transaction. Its answer may be lost though it is carried out
+// commitTxn sends a transaction. Its answer may be lost though it is carried out
 // at once, or it may be carried out late, after newer ones of the same node.
-func (w *World) transact(n *node, txn wire.Txn, done func(wire.TxnResult, error)) {
-	w.trace(edgeTransaction, n, txn)
+func (sim *Simulation) commitTxn(n *node, txn wire.Txn, done func(wire.TxnResult, error)) {
+	sim.trace(boundaryTransaction, n, txn)
 	var res wire.TxnResult
-	w.toState(n, func() (err error) {
+	sim.callStore(n, func() (err error) {
 		switch {
-		case w.affects(w.writesLost):
-			w.Observed[WriteAnswerLost]++
-			_, _ = w.State.Commit(txn)
+		case sim.affects(sim.writeResponsesLost):
+			sim.Observed[WriteResponseLost]++
+			_, _ = sim.Store.Commit(txn)
 			return httpclient.ErrNoResponse
-		case w.affects(w.writesLate):
-			w.Observed[LateTransaction]++
-			w.after(w.between(2000, 12_000), func() { _, _ = w.State.Commit(txn) })
+		case sim.affects(sim.writesDelayed):
+			sim.Observed[DelayedTransaction]++
+			sim.after(sim.between(2000, 12_000), func() { _, _ = sim.Store.Commit(txn) })
 			return httpclient.ErrNoResponse
 		}
-		res, err = w.State.Commit(txn)
+		res, err = sim.Store.Commit(txn)
 		return err
 	}, func(err error) { done(res, err) })
 }
--- a/internal/simulation/world_test.go
+++ b/internal/simulation/world_test.go
@@ -56,9 +56,9 @@
 
 // playRandomFaults runs one seeded day with faults of the given kinds, or of all, and
 // returns the world.
-func playRandomFaults(t *testing.T, seed uint64, roughness float64, kinds ...simulation.Fault) *simulation.World {
+func playRandomFaults(t *testing.T, seed uint64, roughness float64, kinds ...simulation.Fault) *simulation.Simulation {
 	t.Helper()
-	w := simulation.NewWorld(seed, 3+2*int(seed%2), params(), machineType)
+	w := simulation.New(seed, 3+2*int(seed%2), params(), machineType)
 	w.FaultRate = roughness
 	rng := rand.New(rand.NewPCG(seed, 2))
 	for i := range 25 {
@@ -74,17 +74,17 @@
 
 // runToEnd plays a day to its end. A rule that breaks, a job that doesn't end once it
 // is calm, and one about which questions go unanswered fail the test.
-func runToEnd(t *testing.T, w *simulation.World) *simulation.World {
+func runToEnd(t *testing.T, w *simulation.Simulation) *simulation.Simulation {
 	t.Helper()
 	err := w.Run(1800*time.Second, 300*time.Second)
 	logDigest(t, w)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if left := w.Rules.Unfinished(); len(left) > 0 {
+	if left := w.Invariants.Unfinished(); len(left) > 0 {
 		t.Fatalf("not done: %v", left)
 	}
-	if w.Rules.Started() == 0 {
+	if w.Invariants.StartCount() == 0 {
 		t.Fatal("nothing ran")
 	}
 	return w
@@ -115,10 +115,10 @@
 func TestSingleFaultKinds(t *testing.T) {
 	for name, kinds := range map[string][]simulation.Fault{
 		"isolated leader": {simulation.LeaderIsolated},
-		"frozen leader":   {simulation.LeaderFrozen, simulation.StateSlow},
+		"frozen leader":   {simulation.LeaderFrozen, simulation.StoreSlow},
 		"zones cut off":   {simulation.ZonePartitioned, simulation.NodeCrash},
-		"deaf machines":   {simulation.MachineAnswersLost},
-		"new workers":     {simulation.WorkerReplaced, simulation.MachinePartitioned},
+		"deaf machines":   {simulation.MachineResponsesLost},
+		"new workers":     {simulation.AgentReplaced, simulation.MachinePartitioned},
 		"flapping nodes":  {simulation.NodesFlap, simulation.AllNodesCrash},
 	} {
 		t.Run(name, func(t *testing.T) {
