--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -45,7 +45,7 @@
 		Name:                         "switchshore",
 		Handler:                      srv.handle,
 		Concurrency:                  connections,
-		MaxRequestBodySize:           wire.MaxBody,
+		MaxRequestBodySize:           wire.MaxBodyBytes,
 		ReadTimeout:                  tuning.ReadTimeout,
 		WriteTimeout:                 tuning.WriteTimeout,
 		IdleTimeout:                  tuning.ConnectionIdleTimeout,
@@ -143,7 +143,7 @@
 // they would lose their leases when this one is the only node left, while the
 // others here kept their sockets.
 func (s *Server) report(rc *fasthttp.RequestCtx) {
-	r, err := wire.ParseReport(rc.PostBody())
+	r, err := wire.ParseHeartbeat(rc.PostBody())
 	if err != nil {
 		refuse(rc, fasthttp.StatusBadRequest, err.Error())
 		return
--- a/internal/leader/placement.go
+++ b/internal/leader/placement.go
@@ -162,7 +162,7 @@
 // constraints is where tasks of the job may be, to the placement rule.
 func (j *job) constraints() *placement.PendingJob {
 	return &placement.PendingJob{
-		Types: j.Types, Zone: j.Zone, SameZone: j.OneZone, Spread: j.Spread,
+		Types: j.MachineTypes, Zone: j.Zone, SameZone: j.OneZone, Spread: j.SpreadZones,
 		Spot: j.Spot, Request: j.request, Total: j.Tasks, InZone: j.inZone,
 	}
 }
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -76,7 +76,7 @@
 // never start it. Needed while such a version may run.
 func placeholder(j wire.Job) wire.Job {
 	j.Class, j.Image, j.Zone = "-", "-", ""
-	j.Types = []string{unknownType}
+	j.MachineTypes = []string{unknownType}
 	j.DependsOn = nil
 	return j
 }
--- a/internal/leader/records_test.go
+++ b/internal/leader/records_test.go
@@ -29,9 +29,9 @@
 		l.accept(spec(id))
 		long.DependsOn = append(long.DependsOn, id)
 	}
-	long.Types = []string{"std-8"}
+	long.MachineTypes = []string{"std-8"}
 	for i := range 100 {
-		long.Types = append(long.Types, fmt.Sprintf("machine-type-%d", i))
+		long.MachineTypes = append(long.MachineTypes, fmt.Sprintf("machine-type-%d", i))
 	}
 	v := l.ask(long)
 	for step := 0; v.Status == 0; step++ {
@@ -113,9 +113,9 @@
 	}
 	long := spec("job-5")
 	for i := range 200 {
-		long.Types = append(long.Types, fmt.Sprint("type-", i))
+		long.MachineTypes = append(long.MachineTypes, fmt.Sprint("type-", i))
 	}
-	long.Types[0] = "std-8"
+	long.MachineTypes[0] = "std-8"
 	l.accept(long)
 	for key, named := range map[string]string{"d/job-1/0": "", "c/types": "", "n/job-1/5-0": "", "n/job-5/5-1": "j/job-5", "j/job-1": "j/job-1", "f/job-1": "f/job-1", "s/1-1": "s/1-1"} {
 		kept := maps.Clone(l.kept)
--- a/internal/leader/rentals.go
+++ b/internal/leader/rentals.go
@@ -265,7 +265,7 @@
 		}
 		demand = append(demand, autoscale.Demand{
 			Tasks: n, StartWithinS: l.startWithin(now, j), Request: j.request, EstimateS: r.EstimateS + float64(l.startDelay),
-			Types: j.Types, Zone: j.Zone, Spot: j.Spot, Avoid: j.failedOn,
+			Types: j.MachineTypes, Zone: j.Zone, Spot: j.Spot, Avoid: j.failedOn,
 		})
 	}
 	return demand
--- a/internal/leader/requests.go
+++ b/internal/leader/requests.go
@@ -156,7 +156,7 @@
 		return why
 	}
 	need := placement.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}
-	probe := placement.PendingJob{Types: spec.Types, Zone: spec.Zone, Spot: true, Request: need, Total: spec.Tasks}
+	probe := placement.PendingJob{Types: spec.MachineTypes, Zone: spec.Zone, Spot: true, Request: need, Total: spec.Tasks}
 	for _, mt := range l.types {
 		for _, zone := range mt.Zones {
 			if probe.Allowed(&placement.Machine{Type: mt.Name, Zone: zone, Total: resources(mt)}) {
--- a/internal/leader/requests_test.go
+++ b/internal/leader/requests_test.go
@@ -88,7 +88,7 @@
 		"team":  func(j *wire.Job) { j.Team = "red" },
 		"size":  func(j *wire.Job) { j.CPUs = 9 },
 		"limit": func(j *wire.Job) { j.CPUs = 17 },
-		"type":  func(j *wire.Job) { j.Types = []string{"other"} },
+		"type":  func(j *wire.Job) { j.MachineTypes = []string{"other"} },
 		"zone":  func(j *wire.Job) { j.Zone = "z" },
 		"gpus":  func(j *wire.Job) { j.GPUs = 1 },
 	} {
--- a/internal/leader/upgrade_test.go
+++ b/internal/leader/upgrade_test.go
@@ -158,9 +158,9 @@
 	l.accept(spec("job-1"))
 	many := dependentJob("job-3", "job-1")
 	for i := range 300 {
-		many.Types = append(many.Types, fmt.Sprintf("type-%d", i))
+		many.MachineTypes = append(many.MachineTypes, fmt.Sprintf("type-%d", i))
 	}
-	many.Types = append(many.Types, "std-8")
+	many.MachineTypes = append(many.MachineTypes, "std-8")
 	l.accept(dependentJob("job-2", "job-1"), many)
 	for key, value := range l.kept {
 		item, ok := simulation.PreviousVersionReads(wire.KeyValue{Key: key, Value: value})
@@ -170,7 +170,7 @@
 		if !ok || key == "j/job-1" || json.Unmarshal(item.Value, &rec) != nil || rec.Job.ID == "" {
 			continue
 		}
-		probe := placement.PendingJob{Types: rec.Job.Types, Zone: rec.Job.Zone, Spot: true, Request: placement.Resources{CPUs: rec.Job.CPUs}, Total: 1}
+		probe := placement.PendingJob{Types: rec.Job.MachineTypes, Zone: rec.Job.Zone, Spot: true, Request: placement.Resources{CPUs: rec.Job.CPUs}, Total: 1}
 		if probe.Allowed(&placement.Machine{Type: "std-8", Zone: "a", Total: placement.Resources{CPUs: 8, MemoryGB: 32}}) {
 			t.Errorf("%s could be started: %s", key, value)
 		}
--- a/internal/leader/writes.go
+++ b/internal/leader/writes.go
@@ -71,7 +71,7 @@
 // add puts a change in, unless the state service would refuse it. All records
 // are made to fit; one that doesn't must not hold up the others.
 func (b *Batch) add(w *write) {
-	if len(w.key) > wire.MaxKey || len(w.value) > b.limit {
+	if len(w.key) > wire.MaxKeyBytes || len(w.value) > b.limit {
 		b.tooLong = append(b.tooLong, w)
 		return
 	}
--- a/internal/simulation/drain_test.go
+++ b/internal/simulation/drain_test.go
@@ -41,7 +41,7 @@
 
 // movableWork makes jobs of one priority that may run in any zone, half of which save nothing.
 func movableWork(rng *rand.Rand, j *wire.Job) {
-	j.Priority, j.Zone, j.OneZone, j.Spread = wire.PriorityNormal, "", false, false
+	j.Priority, j.Zone, j.OneZone, j.SpreadZones = wire.PriorityNormal, "", false, false
 	j.Tasks, j.CPUs, j.EstimateS = 2+rng.IntN(5), float64(1+rng.IntN(2)), 30+60*rng.Float64()
 }
 
--- a/internal/simulation/overlapping_faults_test.go
+++ b/internal/simulation/overlapping_faults_test.go
@@ -37,14 +37,14 @@
 func shortSingleTask(rng *rand.Rand, j *wire.Job) {
 	j.Tasks, j.CPUs, j.MemoryGB, j.ImageGB = 1, 1, 1, 0.2
 	j.EstimateS = 1 + 3*rng.Float64()
-	j.OneZone, j.Spread = false, false
+	j.OneZone, j.SpreadZones = false, false
 }
 
 // atTeamLimit makes the teams' limits what holds work back: far more of it than they allow.
 func atTeamLimit(rng *rand.Rand, j *wire.Job) {
 	j.Tasks, j.CPUs = 6+rng.IntN(6), 2
 	j.EstimateS = 20 + 40*rng.Float64()
-	j.OneZone, j.Spread, j.Zone = false, false, ""
+	j.OneZone, j.SpreadZones, j.Zone = false, false, ""
 }
 
 // overlap of faults is a day on which some faults meet.
@@ -104,7 +104,7 @@
 	}, []simulation.Observation{simulation.WriteResponseLost, simulation.FollowUpQuery, simulation.CancellationConfirmed}},
 	{"09 jobs of two or three tasks end far apart", func(w *simulation.Simulation, seed uint64) {
 		submitRandomJobs(w, seed, 30, 100*second, 0.2, func(rng *rand.Rand, j *wire.Job) {
-			j.Tasks, j.Spread, j.EstimateS = 2+rng.IntN(2), false, 5+60*rng.Float64()
+			j.Tasks, j.SpreadZones, j.EstimateS = 2+rng.IntN(2), false, 5+60*rng.Float64()
 		})
 		for _, at := range []time.Duration{30, 60, 90, 120} {
 			w.At(at*second, func() { w.CrashLeader(second) })
@@ -174,7 +174,7 @@
 	}, []simulation.Observation{simulation.SecondTerm}},
 	{"20 jobs of one zone lose machines", func(w *simulation.Simulation, seed uint64) {
 		submitRandomJobs(w, seed, 25, 120*second, 0.1, func(rng *rand.Rand, j *wire.Job) {
-			j.OneZone, j.Spread = rng.IntN(2) == 0, false
+			j.OneZone, j.SpreadZones = rng.IntN(2) == 0, false
 			if !j.OneZone {
 				j.Zone = []string{"a", "b"}[rng.IntN(2)]
 			}
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -222,13 +222,13 @@
 func (c *InvariantChecker) checkStart(task string, j *wire.Job, w *Agent, zones map[string]int) error {
 	switch {
 	case w.Machine.Spot && !j.Spot, j.Zone != "" && j.Zone != w.Machine.Zone,
-		len(j.Types) > 0 && !slices.Contains(j.Types, w.Machine.Type):
+		len(j.MachineTypes) > 0 && !slices.Contains(j.MachineTypes, w.Machine.Type):
 		return fmt.Errorf("wrong_place: %s on %s", task, w.ID)
 	case !c.allFinished(j.DependsOn):
 		return fmt.Errorf("too_early: %s on %s before %v are done", task, w.ID, j.DependsOn)
 	case j.OneZone && len(zones) > 1:
 		return fmt.Errorf("wrong_place: %s, a job for one zone, in %v", task, zones)
-	case j.Spread && zones[w.Machine.Zone] > (j.Tasks+1)/2:
+	case j.SpreadZones && zones[w.Machine.Zone] > (j.Tasks+1)/2:
 		return fmt.Errorf("wrong_place: %s, a job to be spread, in %v", task, zones)
 	}
 	return nil
--- a/internal/simulation/rules_test.go
+++ b/internal/simulation/rules_test.go
@@ -101,7 +101,7 @@
 			return []error{before, c.check()}
 		},
 		"wrong_place: job-1/2, a job to be spread": func(c *ruleCase) []error {
-			c.job.Spread, c.job.CPUs = true, 1
+			c.job.SpreadZones, c.job.CPUs = true, 1
 			c.put(c.worker("m1", "a", true), "job-1/0", wire.TaskRunning, "")
 			c.put(c.at["m1"], "job-1/1", wire.TaskRunning, "")
 			before := c.check()
@@ -229,7 +229,7 @@
 		},
 		"left_waiting: job-1 for 1m34s": func(c *ruleCase) []error {
 			// At most half of a job to be spread may be in one zone.
-			c.Teams[0].CPUsMax, c.job.Spread, c.job.CPUs = 0, true, 1
+			c.Teams[0].CPUsMax, c.job.SpreadZones, c.job.CPUs = 0, true, 1
 			w := c.worker("m1", "a", true)
 			c.put(w, "job-1/0", wire.TaskRunning, "")
 			c.put(w, "job-1/1", wire.TaskRunning, "")
--- a/internal/simulation/rules_waiting.go
+++ b/internal/simulation/rules_waiting.go
@@ -112,11 +112,11 @@
 		return false
 	case w.Machine.Spot && !j.Spot, j.Zone != "" && j.Zone != zone:
 		return false
-	case len(j.Types) > 0 && !slices.Contains(j.Types, w.Machine.Type):
+	case len(j.MachineTypes) > 0 && !slices.Contains(j.MachineTypes, w.Machine.Type):
 		return false
 	case j.OneZone && len(zones) > 0 && zones[zone] == 0:
 		return false
-	case j.Spread && zones[zone] >= (j.Tasks+1)/2:
+	case j.SpreadZones && zones[zone] >= (j.Tasks+1)/2:
 		return false
 	}
 	return o.free[w].Fits(taskResources(j))
--- a/internal/simulation/state.go
+++ b/internal/simulation/state.go
@@ -141,7 +141,7 @@
 		return true
 	}
 	return slices.ContainsFunc(txn.Then, func(w wire.Mutation) bool {
-		return len(w.Key()) > wire.MaxKey || l.ValueKB > 0 && float64(len(w.Value)) > l.ValueKB*1024
+		return len(w.Key()) > wire.MaxKeyBytes || l.ValueKB > 0 && float64(len(w.Value)) > l.ValueKB*1024
 	})
 }
 
--- a/internal/simulation/world_test.go
+++ b/internal/simulation/world_test.go
@@ -49,7 +49,7 @@
 	if rng.IntN(5) == 0 {
 		j.Zone = "b"
 	} else if !j.OneZone && rng.IntN(4) == 0 {
-		j.Spread = true
+		j.SpreadZones = true
 	}
 	return j
 }
--- a/wire/wire_test.go
+++ b/wire/validation_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"slices"
 	"strings"
 	"testing"
@@ -33,16 +34,16 @@
 	}
 }
 
-// TestDependencies: repeats count once, and a job that needs none is the same as ever.
-func TestDependencies(t *testing.T) {
+// TestParseJobDependencies: repeats count once, and a job without dependencies is encoded as before.
+func TestParseJobDependencies(t *testing.T) {
 	want, _ := wire.ParseJob([]byte(submission))
 	plain, _ := json.Marshal(want)
-	for awaits, needs := range map[string][]string{`null`: nil, `[]`: nil, `["job-2","job-1","job-2"]`: {"job-2", "job-1"}} {
+	for awaits, dependsOn := range map[string][]string{`null`: nil, `[]`: nil, `["job-2","job-1","job-2"]`: {"job-2", "job-1"}} {
 		j, err := wire.ParseJob([]byte(strings.Replace(submission, `"later":1`, `"awaits":`+awaits, 1)))
-		if err != nil || !slices.Equal(j.DependsOn, needs) {
+		if err != nil || !slices.Equal(j.DependsOn, dependsOn) {
 			t.Fatalf("awaits %s: %v %+v", awaits, err, j)
 		}
-		if data, _ := json.Marshal(j); (string(data) == string(plain)) != (needs == nil) {
+		if data, _ := json.Marshal(j); (string(data) == string(plain)) != (dependsOn == nil) {
 			t.Errorf("awaits %s: %s", awaits, data)
 		}
 	}
@@ -86,3 +87,51 @@
 		}
 	}
 }
+
+// TestErrorTexts: users read the texts, and programs the types.
+func TestErrorTexts(t *testing.T) {
+	change := func(from, to string) []byte { return []byte(strings.Replace(submission, from, to, 1)) }
+	parseJob := func(body []byte) error {
+		_, err := wire.ParseJob(body)
+		return err
+	}
+	parseHeartbeat := func(body []byte) error {
+		_, err := wire.ParseHeartbeat(body)
+		return err
+	}
+	for _, c := range []struct {
+		parse func([]byte) error
+		body  []byte
+		text  string
+		field string // empty if the body is malformed
+	}{
+		{parseJob, []byte("{"), "malformed: unexpected end of JSON input", ""},
+		{parseJob, []byte("null"), "malformed: not an object", ""},
+		{parseJob, change(`"oars":16`, `"oars":"16"`), "malformed: json: cannot unmarshal string into Go struct field jobFields.oars of type int", ""},
+		{parseJob, change(`"high"`, `"urgent"`), "field rank: unknown", "rank"},
+		{parseJob, change(`"job-000412"`, `"412"`), "field ref: not a job id", "ref"},
+		{parseJob, change(`"muster":"train",`, ``), "field muster: missing", "muster"},
+		{parseJob, change(`"oars":16`, `"oars":0`), "field oars: out of range", "oars"},
+		{parseJob, change(`"cores":8.0`, `"cores":0`), "field cores: must be above zero", "cores"},
+		{parseJob, change(`"cards":1.0`, `"cards":-1`), "field cards: must not be negative", "cards"},
+		{parseJob, change(`"builds":["g8"]`, `"builds":[]`), "field builds: empty", "builds"},
+		{parseJob, change(`"later":1`, `"awaits":[null]`), "field awaits: not a list of strings", "awaits"},
+		{parseHeartbeat, []byte("{"), "malformed: not JSON", ""},
+		{parseHeartbeat, []byte(`{"watch":1}`), "field deck: missing", "deck"},
+		{parseHeartbeat, []byte(`{"deck":"i-1"}`), "field watch: missing", "watch"},
+	} {
+		err := c.parse(c.body)
+		if err == nil || err.Error() != c.text {
+			t.Errorf("%s: %v, want %s", c.body, err, c.text)
+			continue
+		}
+		var invalid *wire.FieldError
+		var malformed *wire.MalformedError
+		switch {
+		case c.field == "" && !errors.As(err, &malformed):
+			t.Errorf("%v is a %T", err, err)
+		case c.field != "" && (!errors.As(err, &invalid) || invalid.Field != c.field):
+			t.Errorf("%v is a %T", err, err)
+		}
+	}
+}
