--- a/wire/validation.go
+++ b/wire/validation.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"strings"
 	"math"
 )
 
@@ -18,7 +19,17 @@
 	Cause error
 }
 
-func (e *MalformedError) Error() string { return "malformed: " + e.Cause.Error() }
+func (e *MalformedError) Error() string {
+	return "malformed: " + publishedTypeNames.Replace(e.Cause.Error())
+}
+
+// publishedTypeNames keeps the names that the decoder's texts have always given to messages. Those
+// texts are answered with status 400, so they must not follow the Go names of the types.
+var publishedTypeNames = strings.NewReplacer(
+	"wire.Heartbeat", "wire.Report",
+	"wire.TaskStatus", "wire.TaskReport",
+	" Heartbeat.", " Report.",
+)
 
 // Unwrap returns what is wrong with the body.
 func (e *MalformedError) Unwrap() error { return e.Cause }
--- a/wire/validation_test.go
+++ b/wire/validation_test.go
@@ -118,6 +118,11 @@
 		{parseJob, change(`"later":1`, `"awaits":[null]`), "field awaits: not a list of strings", "awaits"},
 		{parseHeartbeat, []byte("{"), "malformed: not JSON", ""},
 		{parseHeartbeat, []byte(`{"watch":1}`), "field deck: missing", "deck"},
+		{parseHeartbeat, []byte(`{"deck":"i-1","watch":"x"}`), "malformed: json: cannot unmarshal string into Go struct field Report.watch of type uint64", ""},
+		{parseHeartbeat, []byte(`{"oars":[{"oar":"j/1","launch":"x"}]}`), "malformed: json: cannot unmarshal string into Go struct field Report.oars.0.launch of type uint64", ""},
+		{parseHeartbeat, []byte(`{"oars":3}`), "malformed: json: cannot unmarshal number into Go struct field Report.oars of type []wire.TaskReport", ""},
+		{parseHeartbeat, []byte(`{"oars":[3]}`), "malformed: json: cannot unmarshal number into Report.oars.0 of type wire.TaskReport", ""},
+		{parseHeartbeat, []byte(`[1]`), "malformed: json: cannot unmarshal array into Go value of type wire.Report", ""},
 		{parseHeartbeat, []byte(`{"deck":"i-1"}`), "field watch: missing", "watch"},
 	} {
 		err := c.parse(c.body)
