--- a/wire/validation.go
+++ b/wire/validation.go
@@ -2,8 +2,8 @@
 
 import (
 	"errors"
-	"strings"
 	"math"
+	"strings"
 )
 
 // FieldError is a field of a submission, or of settings, that is missing or invalid.
