--- a/internal/leader/admission.go
+++ b/internal/leader/admission.go
@@ -48,8 +48,8 @@
 	}
 	was := l.regulator.Shedding()
 	l.regulator.Update(now, wall, admission.Load{
-		Waiting: l.interactiveWrites.len(),
-		Written: l.interactiveWrites.taken,
+		Waiting: l.writes.Interactive.Len(),
+		Written: l.writes.Interactive.Taken(),
 		Lag:     lag,
 	}, nodes)
 	if is := l.regulator.Shedding(); is != was {
--- a/internal/leader/admission_test.go
+++ b/internal/leader/admission_test.go
@@ -92,7 +92,7 @@
 		l.report("m1", 1)
 		l.pass(time.Second)
 		starts, acceptances := 0, 0
-		for _, w := range l.NextBatch(8, 0).Writes {
+		for _, w := range l.NextBatch(8, 0).Mutations {
 			if strings.HasPrefix(w.Put, "s/") {
 				starts++
 			}
--- a/internal/leader/completion.go
+++ b/internal/leader/completion.go
@@ -1,32 +1,32 @@
 package leader
 
 import (
-	"encoding/json"
 	"maps"
 	"slices"
 	"sort"
 	"time"
 
 	"switchshore.example/switchshore/internal/intervals"
+	"switchshore.example/switchshore/internal/records"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
 // end decides how a job ends and writes its final state; only then is it told
 // to anyone, and followed by what it means for the jobs that need this one.
-func (l *Leader) end(now time.Time, j *job, state jobState, queue *writeQueue) {
+func (l *Leader) end(now time.Time, j *job, state jobState, queue *records.Queue) {
 	j.state, j.endedAt = state, now
 	j.ready = nil
 	delete(l.unsavedCompletions, j)
 	delete(l.live, j)
 	l.countOver(j)
-	f := final{finalDone, int32(j.done.Len())}
+	f := records.FinalState{Outcome: records.OutcomeDone, TasksDone: int32(j.done.Len())}
 	if state == jobCancelled {
-		f.how = finalCancelled
+		f.Outcome = records.OutcomeCancelled
 		for _, need := range j.DependsOn {
 			l.scheduleCriticalPath(l.jobs[need])
 		}
 	}
-	queue.put(keyFinal(j.ID), f.value(), func() {
+	queue.Put(records.FinalStateKey(j.ID), f.Encode(), func() {
 		l.finals[j.ID] = f
 		l.countUnfinished(j.Team, -j.Tasks)
 		j.endDurable = true
@@ -44,9 +44,9 @@
 	}
 	delete(l.jobs, j.ID)
 	delete(l.unsavedCompletions, j)
-	l.backgroundWrites.del(keyJob(j.ID))
+	l.writes.Background.Delete(records.JobKey(j.ID))
 	for _, key := range slices.Sorted(maps.Keys(j.keys)) {
-		l.backgroundWrites.del(key)
+		l.writes.Background.Delete(key)
 	}
 }
 
@@ -62,10 +62,10 @@
 	}
 	if j.done.Full() {
 		l.logIfLate(now, j)
-		l.end(now, j, jobDone, &l.interactiveWrites)
+		l.end(now, j, jobDone, &l.writes.Interactive)
 		return
 	}
-	j.chunks[int(index)/l.doneChunk()] = true
+	j.chunks[int(index)/records.CompletionChunk(l.valueLimit())] = true
 	if _, ok := l.unsavedCompletions[j]; !ok {
 		l.unsavedCompletions[j] = now
 	}
@@ -101,10 +101,9 @@
 		}
 		sort.Ints(ks)
 		for _, k := range ks {
-			key, text := l.doneRecord(j, k)
-			value, _ := json.Marshal(text)
-			j.keys[key] = true
-			l.backgroundWrites.put(key, value, func() { l.markDurable(j, text) })
+			rec := records.NewCompletions(j.ID, j.done, k, l.valueLimit())
+			j.keys[rec.Key] = true
+			l.writes.Background.Put(rec.Key, rec.Encode(), func() { l.markDurable(j, rec.Tasks) })
 		}
 		clear(j.chunks)
 	}
--- a/internal/leader/controller.go
+++ b/internal/leader/controller.go
@@ -13,6 +13,7 @@
 	"switchshore.example/switchshore/internal/admission"
 	"switchshore.example/switchshore/internal/config"
 	"switchshore.example/switchshore/internal/placement"
+	"switchshore.example/switchshore/internal/records"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
@@ -30,8 +31,8 @@
 	started        time.Time
 
 	jobs   map[string]*job
-	finals map[string]final // ended jobs, for good
-	active int              // unfinished tasks, for the memory bound
+	finals map[string]records.FinalState // ended jobs, for good
+	active int                           // unfinished tasks, for the memory bound
 	// activeByTeam are the same by team.
 	activeByTeam map[string]int
 	// regulator decides on new jobs under overload; nil if that is off.
@@ -51,9 +52,11 @@
 	changed        bool            // since the last pass
 	scores         int             // pairs of job and machine looked at, for the logs
 
+	writes  *records.WriteQueues
+	starts  startLog
+	loading loading
+
 	dependencyGraph
-	writeQueues
-	loading
 	cloudState
 	directCalls
 	lastRuns
@@ -86,7 +89,7 @@
 		term:               term,
 		started:            now,
 		jobs:               map[string]*job{},
-		finals:             map[string]final{},
+		finals:             map[string]records.FinalState{},
 		live:               map[*job]struct{}{},
 		activeByTeam:       map[string]int{},
 		unsavedCompletions: map[*job]time.Time{},
@@ -95,10 +98,11 @@
 		machines:           map[string]*machine{},
 		released:           map[string]bool{},
 		dependencyGraph:    dependencyGraph{dependents: map[string][]*job{}},
-		loading:            loading{pieces: map[string][]byte{}},
+		loading:            loading{pieces: records.JobPieces{}},
 		cloudState:         newCloudState(),
 		drainState:         newDrainState(o.Drains, p.Workers),
 	}
+	c.writes = records.NewWriteQueues(log, c.valueLimit())
 	for _, t := range p.Teams {
 		c.teams[t.Name] = &team{Team: withLimits(t)}
 	}
--- /dev/null
+++ b/internal/leader/counts.go
@@ -0,0 +1,38 @@
+package leader
+
+// Counts sums the state up for logs.
+type Counts struct {
+	Jobs, Ready, Allocated, Machines, Up, Spot, Writes int
+	// DependencyStepsPerTick are the steps still to be taken after the ends of jobs that others
+	// need.
+	DependencySteps int
+	// ScoredPairs are the pairs of job and machine looked at so far.
+	ScoredPairs int
+	// DrainSteps are the machines and attempts that drains have looked at so far.
+	DrainSteps int
+	// UsedCPUs may be in use, of the CPUs of machines that are up; WantedCPUs
+	// are those of ready tasks.
+	CPUs, UsedCPUs, WantedCPUs float64
+}
+
+// Counts returns the sums.
+func (l *Leader) Counts() Counts {
+	n := Counts{Jobs: len(l.jobs), Machines: len(l.machines), Writes: l.writes.Len(), ScoredPairs: l.scores, DrainSteps: l.drainLooks}
+	n.DependencySteps = l.openSteps()
+	for _, j := range l.jobs {
+		n.Ready += len(j.ready)
+		n.WantedCPUs += float64(len(j.ready)) * j.CPUs
+		n.Allocated += j.allocatedTasks
+	}
+	for _, m := range l.machines {
+		if m.joined && !m.releasing {
+			n.Up++
+			n.CPUs += m.total.CPUs
+			n.UsedCPUs += m.total.CPUs - m.free.CPUs
+			if m.spot {
+				n.Spot++
+			}
+		}
+	}
+	return n
+}
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"switchshore.example/switchshore/internal/placement"
+	"switchshore.example/switchshore/internal/records"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -50,7 +51,7 @@
 		case !ended:
 			j.openDependencies++
 			l.dependents[id] = append(l.dependents[id], j)
-		case f.how == finalCancelled:
+		case f.Outcome == records.OutcomeCancelled:
 			j.dependencyCancelled = true
 		}
 	}
@@ -73,10 +74,10 @@
 
 // notifyDependents lets a final state take effect on the jobs that need the one that is
 // over: step by step, as there may be thousands.
-func (g *dependencyGraph) notifyDependents(id string, f final) {
+func (g *dependencyGraph) notifyDependents(id string, f records.FinalState) {
 	list := g.dependents[id]
 	delete(g.dependents, id)
-	if f.how == finalCancelled {
+	if f.Outcome == records.OutcomeCancelled {
 		g.toCancel = append(g.toCancel, list...)
 	} else {
 		g.unblocked = append(g.unblocked, list...)
@@ -118,12 +119,12 @@
 		return
 	}
 	j.dependencyCancelled = true
-	queue := &l.dependentWrites
+	queue := &l.writes.Dependent
 	if !j.acceptanceDurable {
-		queue = &l.interactiveWrites // behind the acceptance; its user hears of both at once
+		queue = &l.writes.Interactive // behind the acceptance; its user hears of both at once
 	}
 	l.end(now, j, jobCancelled, queue)
-	l.notifyDependents(j.ID, final{how: finalCancelled})
+	l.notifyDependents(j.ID, records.FinalState{Outcome: records.OutcomeCancelled})
 }
 
 // releaseIfUnblocked lets a job that is stored take its turn, unless it waits for others.
@@ -223,7 +224,7 @@
 			case j.endDurable:
 			case need == nil:
 				if _, ended := l.finals[id]; !ended {
-					l.log.Error().Str("key", keyJob(j.ID)).Str("dependency", id).Msg("corrupt record: dependency without a record")
+					l.log.Error().Str("key", records.JobKey(j.ID)).Str("dependency", id).Msg("corrupt record: dependency without a record")
 				}
 			case !need.endDurable:
 				if after[need]--; after[need] == 0 {
@@ -236,6 +237,6 @@
 	// can't be right. Those jobs wait, and can be cancelled.
 	for j := range after {
 		j.cyclic = true
-		l.log.Error().Str("key", keyJob(j.ID)).Msg("corrupt records: dependency cycle")
+		l.log.Error().Str("key", records.JobKey(j.ID)).Msg("corrupt records: dependency cycle")
 	}
 }
--- a/internal/leader/dependencies_test.go
+++ b/internal/leader/dependencies_test.go
@@ -50,9 +50,9 @@
 	if b == nil {
 		return 0
 	}
-	l.keep(b.Writes)
+	l.keep(b.Mutations)
 	l.BatchCommitted(b, nil)
-	return len(b.Writes)
+	return len(b.Mutations)
 }
 
 // state is what a user would be told.
--- a/internal/leader/drain_requests.go
+++ b/internal/leader/drain_requests.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"switchshore.example/switchshore/internal/drain"
+	"switchshore.example/switchshore/internal/records"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
@@ -99,7 +100,7 @@
 	for _, r := range l.records() {
 		if r.State == drain.Cancelled || r.State == drain.Done && !r.Spec.Selector.Closes(r.Spec.Selector.Type, r.Spec.Selector.Zone) {
 			delete(l.drains, r.Spec.Name)
-			l.interactiveWrites.del(keyDrains + r.Spec.Name)
+			l.writes.Interactive.Delete(records.DrainKey(r.Spec.Name))
 			return true
 		}
 	}
--- a/internal/leader/drain_state.go
+++ b/internal/leader/drain_state.go
@@ -2,21 +2,15 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"slices"
 	"time"
 
 	"switchshore.example/switchshore/internal/autoscale"
 	"switchshore.example/switchshore/internal/config"
 	"switchshore.example/switchshore/internal/drain"
+	"switchshore.example/switchshore/internal/records"
 	"switchshore.example/switchshore/internal/tuning"
-)
-
-// Prefixes of the records of drains and of the charges for their evictions. Earlier versions
-// know neither, and leave them alone.
-const (
-	keyDrains  = "e/"
-	keyCharges = "b/"
+	"switchshore.example/switchshore/wire"
 )
 
 // drainState is what the leader knows of drains and of the disruption of the teams' work. All
@@ -74,26 +68,25 @@
 	return nil
 }
 
-func (l *Leader) loadCharge(now, wall time.Time, id string, value json.RawMessage) error {
+func (l *Leader) loadCharge(now, wall time.Time, item wire.KeyValue) error {
 	if l.budgets == nil {
 		return nil
 	}
-	charge, err := drain.DecodeCharge(value)
+	charge, err := drain.DecodeCharge(item.Value)
 	if err != nil {
 		return err
 	}
 	at := now.Add(-max(0, wall.Sub(time.UnixMilli(charge.At))))
-	l.loadedCharges = append(l.loadedCharges, loadedCharge{keyCharges + id, charge, at})
+	l.loading.charges = append(l.loading.charges, loadedCharge{item.Key, charge, at})
 	return nil
 }
 
 // applyLoadedDrains cordons what the loaded drains have cordoned, and counts what they have
 // been charged for, before the first placement.
-func (l *Leader) applyLoadedDrains() {
-	for _, loaded := range l.loadedCharges {
+func (l *Leader) applyLoadedDrains(charges []loadedCharge) {
+	for _, loaded := range charges {
 		l.ledger.Charge(loaded.key, loaded.charge, loaded.at, l.teamOfAttempt)
 	}
-	l.loadedCharges = nil
 	for _, m := range l.machinesByName {
 		l.applyDrainCordon(m)
 	}
@@ -110,7 +103,7 @@
 
 // storeDrain queues the write of a drain's record and calls then when it is durable.
 func (l *Leader) storeDrain(d *storedDrain, then func()) {
-	l.interactiveWrites.put(keyDrains+d.Spec.Name, d.Encode(), func() {
+	l.writes.Interactive.Put(records.DrainKey(d.Spec.Name), d.Encode(), func() {
 		d.durable = true
 		if then != nil {
 			then()
@@ -121,9 +114,9 @@
 // storeCharge counts a charge and queues its write; then is called when it is durable.
 func (l *Leader) storeCharge(now time.Time, charge *drain.Charge, then func()) {
 	l.chargesNamed++
-	key := fmt.Sprintf("%s%08x-%08x", keyCharges, l.term, l.chargesNamed)
+	key := records.ChargeKey(l.term, l.chargesNamed)
 	l.ledger.Charge(key, charge, now, l.teamOfAttempt)
-	l.interactiveWrites.put(key, charge.Encode(), then)
+	l.writes.Interactive.Put(key, charge.Encode(), then)
 }
 
 // records are those of all drains, oldest first.
@@ -213,6 +206,6 @@
 	keys := l.ledger.Expire(wall)
 	slices.Sort(keys)
 	for _, key := range keys {
-		l.backgroundWrites.del(key)
+		l.writes.Background.Delete(key)
 	}
 }
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -12,6 +12,7 @@
 
 	"switchshore.example/switchshore/internal/config"
 	"switchshore.example/switchshore/internal/leader"
+	"switchshore.example/switchshore/internal/records"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -50,7 +51,7 @@
 func newLeaderWith(t *testing.T, operator config.Operator, term uint64, now time.Time, kept map[string]json.RawMessage) *testLeader {
 	t.Helper()
 	c := leader.New(zerolog.Nop(), params, operator, term, now, leader.GracePeriod(params.Workers))
-	for _, prefix := range leader.Prefixes {
+	for _, prefix := range records.LoadOrder {
 		for _, k := range slices.Sorted(maps.Keys(kept)) {
 			if strings.HasPrefix(k, prefix) {
 				if err := c.LoadRecord(now, now, wire.KeyValue{Key: k, Value: kept[k]}); err != nil {
@@ -78,7 +79,7 @@
 // commit makes all queued changes durable.
 func (l *testLeader) commit() {
 	for b := l.NextBatch(10, 10); b != nil; b = l.NextBatch(10, 10) {
-		l.keep(b.Writes)
+		l.keep(b.Mutations)
 		l.BatchCommitted(b, nil)
 	}
 }
--- a/internal/leader/job.go
+++ b/internal/leader/job.go
@@ -1,12 +1,9 @@
 package leader
 
 import (
-	"encoding/json"
-	"fmt"
 	"math"
 	"slices"
 	"sort"
-	"strconv"
 	"time"
 
 	"switchshore.example/switchshore/internal/intervals"
@@ -15,34 +12,6 @@
 	"switchshore.example/switchshore/wire"
 )
 
-const (
-	finalDone      = 'd'
-	finalCancelled = 'c'
-)
-
-// final is the end of a job, stored as "d14" or "c3": how, and how many of
-// its tasks were done.
-type final struct {
-	how  byte
-	done int32
-}
-
-func (f final) value() json.RawMessage {
-	return json.RawMessage(`"` + string(f.how) + strconv.Itoa(int(f.done)) + `"`)
-}
-
-func parseFinal(value json.RawMessage) (final, error) {
-	var text string
-	if err := json.Unmarshal(value, &text); err != nil {
-		return final{}, err
-	}
-	if text == "" || text[0] != finalDone && text[0] != finalCancelled {
-		return final{}, fmt.Errorf("final state %q", text)
-	}
-	n, err := strconv.ParseInt(text[1:], 10, 32)
-	return final{text[0], int32(n)}, err
-}
-
 type jobState int
 
 const (
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -2,88 +2,77 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"maps"
 	"slices"
-	"strings"
 	"time"
 
 	"switchshore.example/switchshore/internal/intervals"
+	"switchshore.example/switchshore/internal/records"
 	"switchshore.example/switchshore/wire"
 )
 
-// Prefixes of the stored records, in the order in which they must be loaded:
-// pieces of jobs, the jobs, their completions, the final states, then the starts,
-// oldest first. Below "m/" earlier versions kept one record a machine. The
-// catalogue comes first: a successor that waited for the cloud's would refuse
-// submissions.
-var Prefixes = []string{keyTypes, "n/", "j/", "d/", "f/", "m/", "s/", keyDrains, keyCharges}
-
 // loading is what is kept only while stored records are loaded.
 type loading struct {
-	loadedStarts  []*pendingRecord  // a predecessor's start records
-	pieces        map[string][]byte // parts of job records, by key
-	loadedCharges []loadedCharge
+	starts  []*pendingStarts  // a predecessor's start records
+	pieces  records.JobPieces // parts of job records, by key
+	charges []loadedCharge
 }
 
 // LoadRecord takes in one stored record; wall and now relate the time of day in
-// the records to the steady clock.
+// the records to the steady clock. Records must come in records.LoadOrder. The error is a
+// records.CorruptError, or nil if the service can do without the record.
 func (l *Leader) LoadRecord(now, wall time.Time, item wire.KeyValue) error {
-	kind, id, ok := strings.Cut(item.Key, "/")
+	kind, id, ok := records.ParseKey(item.Key)
 	if !ok {
 		return nil
 	}
-	err := l.load(now, wall, kind, id, item.Value)
-	if err == nil {
+	err := l.load(now, wall, kind, id, item)
+	switch {
+	case err == nil:
 		return nil
-	}
-	switch kind {
-	case "c", "d", "n", "e", "b":
-		// The cloud tells the catalogue again, tasks without a completion run
-		// again, a piece may belong to no job, and drains can wait: no reason to serve nobody.
+	case kind.Optional():
 		l.log.Error().Err(err).Str("key", item.Key).Msg("corrupt record skipped")
 		return nil
 	}
-	return fmt.Errorf("%w %s: %w", ErrDamaged, item.Key, err)
+	return &records.CorruptError{Key: item.Key, Err: err}
 }
 
-// load takes in a record by the part of its key before the first slash.
-func (l *Leader) load(now, wall time.Time, kind, id string, value json.RawMessage) error {
+// load takes in a record of a kind; id is the rest of its key.
+func (l *Leader) load(now, wall time.Time, kind records.Kind, id string, item wire.KeyValue) error {
 	switch kind {
-	case "c":
-		return l.loadTypes(value)
-	case "n":
-		return l.loadPiece(id, value)
-	case "j":
-		return l.loadJob(now, wall, id, value)
-	case "d":
-		return l.loadCompletions(id, value)
-	case "f":
-		return l.loadFinal(id, value)
-	case "m":
-		var rec machineStarts
-		if err := json.Unmarshal(value, &rec); err != nil {
+	case records.KindMachineTypes:
+		return l.loadTypes(item.Value)
+	case records.KindJobPiece:
+		return l.loading.pieces.Add(item.Key, item.Value)
+	case records.KindJob:
+		return l.loadJob(now, wall, id, item.Value)
+	case records.KindCompletions:
+		return l.loadCompletions(id, item)
+	case records.KindFinalState:
+		return l.loadFinal(id, item.Value)
+	case records.KindMachineStarts:
+		starts, err := records.DecodeMachineStarts(id, item.Value)
+		if err != nil {
 			return err
 		}
-		rec.ID = id
-		return l.loadStarts(now, "m/"+id, []machineStarts{rec})
-	case "s":
-		var rec startRecord
-		if err := json.Unmarshal(value, &rec); err != nil {
+		return l.loadStarts(now, item.Key, starts)
+	case records.KindStarts:
+		starts, err := records.DecodeStarts(item.Value)
+		if err != nil {
 			return err
 		}
-		return l.loadStarts(now, "s/"+id, rec.Machines)
-	case "e":
-		return l.loadDrain(id, value)
-	case "b":
-		return l.loadCharge(now, wall, id, value)
+		return l.loadStarts(now, item.Key, starts)
+	case records.KindDrain:
+		return l.loadDrain(id, item.Value)
+	case records.KindCharge:
+		return l.loadCharge(now, wall, item)
 	}
 	return nil
 }
 
 func (l *Leader) loadTypes(value json.RawMessage) error {
-	var types []wire.MachineType
-	if err := json.Unmarshal(value, &types); err != nil {
+	types, err := records.DecodeMachineTypes(value)
+	if err != nil {
 		return err
 	}
 	l.catalogue = value // as stored: nothing to be written
@@ -91,39 +80,44 @@
 	return nil
 }
 
-// loadPiece keeps a piece of a job record until the job is loaded.
-func (l *Leader) loadPiece(id string, value json.RawMessage) error {
-	var piece []byte
-	err := json.Unmarshal(value, &piece)
-	l.pieces["n/"+id] = piece
-	return err
+// loadJob takes in a job's record; its pieces have been loaded before.
+func (l *Leader) loadJob(now, wall time.Time, id string, value json.RawMessage) error {
+	stored, err := records.DecodeJob(id, value, l.loading.pieces)
+	if err != nil {
+		return err
+	}
+	age := max(0, wall.Sub(time.UnixMilli(stored.SubmittedAtMS)))
+	j := newJob(stored.Job, stored.SubmittedAtMS, now.Add(-age))
+	j.state, j.acceptanceDurable = jobActive, true
+	for _, key := range stored.PieceKeys {
+		j.keys[key] = true
+	}
+	l.jobs[id] = j
+	l.countUnfinished(j.Team, j.Tasks)
+	return nil
 }
 
-func (l *Leader) loadCompletions(id string, value json.RawMessage) error {
-	key := "d/" + id
-	jobID, _, _ := strings.Cut(id, "/")
-	j := l.jobs[jobID]
+// loadCompletions takes in completed tasks of a job.
+func (l *Leader) loadCompletions(id string, item wire.KeyValue) error {
+	j := l.jobs[records.CompletionsJob(id)]
 	if j == nil {
 		// Left by a leader of an earlier version, which doesn't know of it.
-		l.backgroundWrites.del(key)
+		l.writes.Background.Delete(item.Key)
 		return nil
 	}
-	j.keys[key] = true
-	var completed string
-	if err := json.Unmarshal(value, &completed); err != nil {
-		return err
-	}
+	j.keys[item.Key] = true
 	if j.durable == nil {
 		j.durable = intervals.New(j.Tasks)
 	}
-	return intervals.Each(completed, j.Tasks, func(i int) {
+	return records.DecodeCompletions(item.Value, j.Tasks, func(i int) {
 		j.done.Add(i)
 		j.durable.Add(i)
 	})
 }
 
+// loadFinal takes in how a job ended.
 func (l *Leader) loadFinal(id string, value json.RawMessage) error {
-	f, err := parseFinal(value)
+	f, err := records.DecodeFinalState(value)
 	if err != nil {
 		return err
 	}
@@ -134,48 +128,29 @@
 	}
 	j.endDurable = true
 	j.state = jobCancelled
-	if f.how == finalDone {
+	if f.Outcome == records.OutcomeDone {
 		j.state = jobDone
 	}
 	l.countUnfinished(j.Team, -j.Tasks)
 	return nil
 }
 
-// loadStarts takes in a start record: its machines may hold its tasks.
-func (l *Leader) loadStarts(now time.Time, key string, machines []machineStarts) error {
-	log := &pendingRecord{key: key, saved: true}
-	l.loadedStarts = append(l.loadedStarts, log)
-	for _, rec := range machines {
-		m := l.machines[rec.ID]
+// loadStarts takes in a start record: its machines may have its tasks.
+func (l *Leader) loadStarts(now time.Time, key string, starts *records.Starts) error {
+	rec := &pendingStarts{key: key, saved: true, closed: true, leader: l}
+	l.loading.starts = append(l.loading.starts, rec)
+	for _, machine := range starts.Machines {
+		m := l.machines[machine.ID]
 		if m == nil {
-			m = l.addMachine(now, rec.ID, rec.Type, rec.Zone, "", rec.Spot)
+			m = l.addMachine(now, machine.ID, machine.Type, machine.Zone, "", machine.Spot)
 		}
 		m.fromRecord, m.joined = true, true
-		for _, id := range slices.Sorted(maps.Keys(rec.Tasks)) {
-			text := rec.Tasks[id]
+		for _, id := range slices.Sorted(maps.Keys(machine.Tasks)) {
 			j := l.jobs[id]
 			if j == nil {
 				continue
 			}
-			err := intervals.Each(text, j.Tasks, func(i int) {
-				// A stored completion proves that the task has exited and is
-				// not started again.
-				if j.done.Has(i) {
-					return
-				}
-				earlier := j.recordedAttempts[int32(i)]
-				a := &attempt{state: statePossiblyStarted, orderedAt: now, record: log}
-				log.live++
-				l.allocate(m, j, int32(i), a)
-				if j.recordedAttempts == nil {
-					j.recordedAttempts = map[int32]*attempt{}
-				}
-				j.recordedAttempts[int32(i)] = a
-				if earlier != nil {
-					// It was started again since, so it had left that place.
-					l.release(now, earlier)
-				}
-			})
+			err := intervals.Each(machine.Tasks[id], j.Tasks, func(i int) { l.loadAttempt(now, rec, m, j, int32(i)) })
 			if err != nil {
 				return err
 			}
@@ -184,19 +159,38 @@
 	return nil
 }
 
+// loadAttempt takes in that a task may be on a machine.
+func (l *Leader) loadAttempt(now time.Time, rec *pendingStarts, m *machine, j *job, index int32) {
+	if j.done.Has(int(index)) {
+		// A stored completion proves that the task has exited and is
+		// not started again.
+		return
+	}
+	earlier := j.recordedAttempts[index]
+	a := &attempt{state: statePossiblyStarted, orderedAt: now, record: rec}
+	rec.live++
+	l.allocate(m, j, index, a)
+	if j.recordedAttempts == nil {
+		j.recordedAttempts = map[int32]*attempt{}
+	}
+	j.recordedAttempts[index] = a
+	if earlier != nil {
+		// It was started again since, so it had left that place.
+		l.release(now, earlier)
+	}
+}
+
 // FinishLoading ends the loading: tasks that no machine may hold can be placed.
 func (l *Leader) FinishLoading(now time.Time) {
-	for _, log := range l.loadedStarts {
-		if log.live == 0 {
-			l.backgroundWrites.del(log.key)
+	for _, rec := range l.loading.starts {
+		if rec.live == 0 {
+			l.writes.Background.Delete(rec.key)
 		}
 	}
-	l.loadedStarts = nil
-	for _, key := range slices.Sorted(maps.Keys(l.pieces)) {
+	for _, key := range slices.Sorted(maps.Keys(l.loading.pieces)) {
 		// Of a job that was not accepted, or is over.
-		l.backgroundWrites.del(key)
+		l.writes.Background.Delete(key)
 	}
-	l.pieces = nil
 	jobs := l.sortedJobs()
 	l.linkAllDependencies(jobs)
 	for _, j := range jobs {
@@ -206,7 +200,7 @@
 			j.waitingSince, j.startAt = now, now
 		}
 		if j.state == jobActive && j.done.Full() {
-			l.end(now, j, jobDone, &l.interactiveWrites)
+			l.end(now, j, jobDone, &l.writes.Interactive)
 		}
 		l.releaseIfUnblocked(now, j)
 		l.removeIfFinished(j)
@@ -215,44 +209,8 @@
 		// All of them, before anyone is told anything.
 		l.processDependencyChanges(now)
 	}
-	l.applyLoadedDrains()
+	l.applyLoadedDrains(l.loading.charges)
+	l.loading = loading{}
 	l.changed = true
 	l.log.Info().Int("jobs", len(l.jobs)).Int("ended", len(l.finals)).Int("machines", len(l.machines)).Msg("records loaded")
 }
-
-// Counts sums the state up for logs.
-type Counts struct {
-	Jobs, Ready, Allocated, Machines, Up, Spot, Writes int
-	// DependencyStepsPerTick are the steps still to be taken after the ends of jobs that others
-	// need.
-	DependencySteps int
-	// ScoredPairs are the pairs of job and machine looked at so far.
-	ScoredPairs int
-	// DrainSteps are the machines and attempts that drains have looked at so far.
-	DrainSteps int
-	// UsedCPUs may be in use, of the CPUs of machines that are up; WantedCPUs
-	// are those of ready tasks.
-	CPUs, UsedCPUs, WantedCPUs float64
-}
-
-// Counts returns the sums.
-func (l *Leader) Counts() Counts {
-	n := Counts{Jobs: len(l.jobs), Machines: len(l.machines), Writes: l.queued(), ScoredPairs: l.scores, DrainSteps: l.drainLooks}
-	n.DependencySteps = l.openSteps()
-	for _, j := range l.jobs {
-		n.Ready += len(j.ready)
-		n.WantedCPUs += float64(len(j.ready)) * j.CPUs
-		n.Allocated += j.allocatedTasks
-	}
-	for _, m := range l.machines {
-		if m.joined && !m.releasing {
-			n.Up++
-			n.CPUs += m.total.CPUs
-			n.UsedCPUs += m.total.CPUs - m.free.CPUs
-			if m.spot {
-				n.Spot++
-			}
-		}
-	}
-	return n
-}
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -2,12 +2,12 @@
 
 import (
 	"bytes"
-	"encoding/json"
 	"slices"
 	"sort"
 	"time"
 
 	"switchshore.example/switchshore/internal/placement"
+	"switchshore.example/switchshore/internal/records"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -135,7 +135,7 @@
 	machine    *machine
 	job        *job
 	index      int32
-	record     *pendingRecord // the record that names it
+	record     *pendingStarts // the record that names it
 	listNumber uint64         // the last task list that showed it
 
 	number        uint64
@@ -211,9 +211,9 @@
 	if len(types) == 0 {
 		return
 	}
-	if value, err := json.Marshal(types); err == nil && len(value) <= l.valueLimit() && !bytes.Equal(value, l.catalogue) {
+	if value := records.EncodeMachineTypes(types); len(value) <= l.valueLimit() && !bytes.Equal(value, l.catalogue) {
 		l.catalogue = value
-		l.backgroundWrites.put(keyTypes, value, nil)
+		l.writes.Background.Put(records.MachineTypesKey, value, nil)
 	}
 	l.offers = types
 	for _, t := range types {
--- a/internal/leader/records_test.go
+++ b/internal/leader/records_test.go
@@ -14,6 +14,7 @@
 
 	"switchshore.example/switchshore/internal/config"
 	"switchshore.example/switchshore/internal/leader"
+	"switchshore.example/switchshore/internal/records"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -98,7 +99,7 @@
 	load := func(kept map[string]json.RawMessage) (*leader.Leader, string, error) {
 		var logs bytes.Buffer
 		c := leader.New(zerolog.New(&logs), params, config.Operator{}, 6, l.now, 0)
-		for _, prefix := range leader.Prefixes {
+		for _, prefix := range records.LoadOrder {
 			for _, key := range slices.Sorted(maps.Keys(kept)) {
 				if !strings.HasPrefix(key, prefix) {
 					continue
@@ -163,10 +164,10 @@
 	l.report("m1", 1)
 	l.pass(time.Second)
 	b := l.NextBatch(10, 10)
-	if b == nil || !strings.HasPrefix(b.Writes[0].Put, "s/") {
+	if b == nil || !strings.HasPrefix(b.Mutations[0].Put, "s/") {
 		t.Fatal("no start record")
 	}
-	l.BatchCommitted(b, []string{b.Writes[0].Put})
+	l.BatchCommitted(b, []string{b.Mutations[0].Put})
 	if cs := l.report("m1", 1); len(cs) != 0 {
 		t.Fatalf("started without a record: %s", ops(cs))
 	}
@@ -199,7 +200,7 @@
 	next.pass(time.Second)
 	c.Cancel(next.now, "job-2", func(leader.Response) {})
 	b := c.NextBatch(10, 10)
-	if b == nil || len(b.Writes) != 1 || b.Writes[0].Put != "f/job-2" {
+	if b == nil || len(b.Mutations) != 1 || b.Mutations[0].Put != "f/job-2" {
 		t.Fatalf("%+v", b)
 	}
 	c.BatchCommitted(b, nil)
--- a/internal/leader/recovery_test.go
+++ b/internal/leader/recovery_test.go
@@ -12,6 +12,7 @@
 
 	"switchshore.example/switchshore/internal/config"
 	"switchshore.example/switchshore/internal/leader"
+	"switchshore.example/switchshore/internal/records"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -111,7 +112,7 @@
 	l.commit()
 	next := leader.New(zerolog.Nop(), params, config.Operator{}, 6, l.now, 0)
 	for key, value := range l.kept {
-		if strings.HasPrefix(key, leader.Prefixes[0]) {
+		if strings.HasPrefix(key, records.MachineTypesKey) {
 			if err := next.LoadRecord(l.now, l.now, wire.KeyValue{Key: key, Value: value}); err != nil {
 				t.Fatal(err)
 			}
@@ -158,7 +159,7 @@
 		}
 		taken := false
 		for b := next.NextBatch(500, 500); b != nil; b = next.NextBatch(500, 500) {
-			for _, w := range b.Writes {
+			for _, w := range b.Mutations {
 				if strings.HasPrefix(w.Put, "s/") {
 					taken = true
 				}
--- a/internal/leader/requests.go
+++ b/internal/leader/requests.go
@@ -7,6 +7,7 @@
 	"switchshore.example/switchshore/internal/admission"
 	"switchshore.example/switchshore/internal/config"
 	"switchshore.example/switchshore/internal/placement"
+	"switchshore.example/switchshore/internal/records"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -33,10 +34,10 @@
 func (l *Leader) response(id string) (Response, bool) {
 	if f, ok := l.finals[id]; ok {
 		state := wire.JobDone
-		if f.how == finalCancelled {
+		if f.Outcome == records.OutcomeCancelled {
 			state = wire.JobCancelled
 		}
-		return Response{Status: http.StatusOK, State: state, Done: int(f.done)}, true
+		return Response{Status: http.StatusOK, State: state, Done: int(f.TasksDone)}, true
 	}
 	j := l.jobs[id]
 	if j == nil {
@@ -103,7 +104,7 @@
 	if rejected := l.checkDependencies(spec); rejected != nil {
 		return rejected
 	}
-	if l.active+spec.Tasks > tuning.MaxActiveTasks || l.interactiveWrites.len() >= l.maxInteractiveWrites() {
+	if l.active+spec.Tasks > tuning.MaxActiveTasks || l.writes.Interactive.Len() >= l.maxInteractiveWrites() {
 		// More than the state service takes while users wait for an answer:
 		// waiting in line would only end in a timeout.
 		return &RejectedError{Status: http.StatusServiceUnavailable, Reason: "too much work queued"}
@@ -220,6 +221,6 @@
 		// A submission still waiting hears of its acceptance, as that is
 		// written first, or of the end.
 		j.waiters = append(j.waiters, func(ok bool) { then(l.accepted(ok, id, http.StatusOK)) })
-		l.end(now, j, jobCancelled, &l.interactiveWrites)
+		l.end(now, j, jobCancelled, &l.writes.Interactive)
 	}
 }
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -187,9 +187,9 @@
 		if b == nil {
 			return
 		}
-		f.tokens -= float64(len(b.Writes))
+		f.tokens -= float64(len(b.Mutations))
 		total := 0
-		for _, w := range b.Writes {
+		for _, w := range b.Mutations {
 			f.changes++
 			total += len(w.Key()) + len(w.Value) + 40
 			if float64(len(w.Value)) > s.ValueKB*1024 {
--- a/internal/leader/starts.go
+++ b/internal/leader/starts.go
@@ -1,140 +1,119 @@
 package leader
 
 import (
-	"encoding/json"
-	"fmt"
 	"sort"
 
-	"switchshore.example/switchshore/internal/intervals"
+	"switchshore.example/switchshore/internal/records"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// startRecord is the stored form of starts decided together: which tasks may
-// have gone to which machine. It is written before the first of them goes out,
-// so that a successor knows whom to ask for which task, and deleted when none
-// of its attempts is left. One change thus carries the starts of a whole pass,
-// however many machines they go to.
-//
-// Records are ordered by their keys. Where several name a task the last one
-// holds: a task is started again only when it provably is nowhere else.
-type startRecord struct {
-	Machines []machineStarts `json:"machines"`
+// startLog collects the starts of a scheduling pass in records.
+type startLog struct {
+	named  uint64         // records named so far
+	newest *pendingStarts // takes further starts until it is full or put into a batch
 }
 
-type machineStarts struct {
-	ID   string `json:"id"`
-	Type string `json:"type"`
-	Zone string `json:"zone"`
-	Spot bool   `json:"spot,omitempty"`
-	// Tasks are ranges of task indexes by job.
-	Tasks map[string]string `json:"tasks"`
-}
-
-// pendingRecord is a start record and the attempts that it still stands for.
-type pendingRecord struct {
+// pendingStarts is a start record and the attempts that it still stands for.
+type pendingStarts struct {
 	key      string
 	live     int
-	size     int // bytes, at most
-	saved    bool
+	saved    bool // durable or on its way
+	closed   bool // takes no further starts
+	size     *records.StartsSize
 	attempts []*attempt // until it is durable
-	machines map[*machine]map[*job]bool
+	leader   *Leader
 }
 
-func keyStarts(term, number uint64) string { return fmt.Sprintf("s/%08x-%08x", term, number) }
+// identity names the machine in a start record.
+func (m *machine) identity() records.MachineStarts {
+	return records.MachineStarts{ID: m.id, Type: m.machineType, Zone: m.zone, Spot: m.spot}
+}
 
 // recordStart puts an attempt into the record that is written next.
 func (l *Leader) recordStart(a *attempt) {
-	// What the attempt can add at most: a machine with its frame, a job, an index.
-	size := 8
-	var log *pendingRecord
-	if n := len(l.unsavedStarts); n > 0 {
-		log = l.unsavedStarts[n-1]
-	}
-	cost := func() int {
-		sum := size
-		var jobs map[*job]bool
-		if log != nil {
-			jobs = log.machines[a.machine]
-		}
-		if jobs == nil {
-			sum += len(a.machine.id) + len(a.machine.machineType) + len(a.machine.zone) + 72
-		}
-		if !jobs[a.job] {
-			sum += len(a.job.ID) + 8
-		}
-		return sum
-	}
-	if log == nil || float64(log.size+cost()) > float64(l.valueLimit())*tuning.StartRecordValueShare {
-		l.startRecords++
-		log = &pendingRecord{key: keyStarts(l.term, l.startRecords), size: 32, machines: map[*machine]map[*job]bool{}}
-		l.unsavedStarts = append(l.unsavedStarts, log)
+	machine, jobID := a.machine.identity(), a.job.ID
+	rec := l.starts.newest
+	if rec == nil || rec.closed || float64(rec.size.With(machine, jobID)) > float64(l.valueLimit())*tuning.StartRecordValueShare {
+		rec = l.newStartRecord()
 	}
-	log.size += cost()
-	if log.machines[a.machine] == nil {
-		log.machines[a.machine] = map[*job]bool{}
-	}
-	log.machines[a.machine][a.job] = true
-	log.live++
-	log.attempts = append(log.attempts, a)
-	a.record = log
+	rec.size.Add(machine, jobID)
+	rec.live++
+	rec.attempts = append(rec.attempts, a)
+	a.record = rec
+}
+
+// newStartRecord queues an empty record.
+func (l *Leader) newStartRecord() *pendingStarts {
+	l.starts.named++
+	rec := &pendingStarts{key: records.StartsKey(l.term, l.starts.named), size: records.NewStartsSize(), leader: l}
+	l.starts.newest = rec
+	l.writes.PutStarts(rec)
+	return rec
 }
 
 // unrecord takes an attempt that is gone out of its record's count.
 func (l *Leader) unrecord(a *attempt) {
-	log := a.record
-	if log == nil {
+	rec := a.record
+	if rec == nil {
 		return
 	}
 	a.record = nil
-	if log.live--; log.live == 0 && log.saved {
-		l.backgroundWrites.del(log.key)
+	if rec.live--; rec.live == 0 && rec.saved {
+		l.writes.Background.Delete(rec.key)
 	}
 }
 
-// addStartRecords puts the records of starts into a batch.
-func (l *Leader) addStartRecords(b *Batch, maxOps int) {
-	for len(l.unsavedStarts) > 0 {
-		log := l.unsavedStarts[0]
-		if log.live > 0 {
-			if !b.fits(log.size+64, maxOps) {
-				return
-			}
-			b.add(&write{key: log.key, value: log.value(), onCommit: []func(){func() { l.startsDurable(log) }}, onRefused: func() { l.startsRefused(log) }})
-			log.saved = true
-		}
-		l.unsavedStarts = l.unsavedStarts[1:]
+// Size implements records.PendingStarts.
+func (r *pendingStarts) Size() int {
+	if r.live == 0 {
+		return 0
+	}
+	return r.size.Bytes()
+}
+
+// Take implements records.PendingStarts.
+func (r *pendingStarts) Take() *records.Write {
+	r.closed = true
+	if r.live == 0 {
+		return nil
+	}
+	r.saved = true
+	return &records.Write{
+		Key:       r.key,
+		Value:     r.starts().Encode(),
+		OnCommit:  []func(){r.sendStarts},
+		OnRefused: r.abandonStarts,
 	}
-	l.unsavedStarts = nil
 }
 
-// startsDurable lets the starts of a stored record go out.
-func (l *Leader) startsDurable(log *pendingRecord) {
-	for _, a := range log.attempts {
-		if a.state == stateRecordPending && a.record == log {
+// sendStarts lets the starts of a durable record go out.
+func (r *pendingStarts) sendStarts() {
+	for _, a := range r.attempts {
+		if a.state == stateRecordPending && a.record == r {
 			a.state = stateStartSent
-			l.scheduleCall(a.machine)
+			r.leader.scheduleCall(a.machine)
 		}
 	}
-	log.attempts, log.machines = nil, nil
+	r.attempts, r.size = nil, nil
 }
 
-// startsRefused lets the tasks of a record that can't be stored be placed anew:
+// abandonStarts lets the tasks of a record that can't be stored be placed anew:
 // none of its starts has gone out.
-func (l *Leader) startsRefused(log *pendingRecord) {
-	for _, a := range log.attempts {
-		if a.state == stateRecordPending && a.record == log {
-			l.release(a.orderedAt, a)
+func (r *pendingStarts) abandonStarts() {
+	for _, a := range r.attempts {
+		if a.state == stateRecordPending && a.record == r {
+			r.leader.release(a.orderedAt, a)
 		}
 	}
-	log.attempts, log.machines = nil, nil
+	r.attempts, r.size = nil, nil
 }
 
-// value is the record's stored form; attempts gone meanwhile are left out.
-func (log *pendingRecord) value() json.RawMessage {
+// starts is the record's content; attempts that have ended meanwhile are left out.
+func (r *pendingStarts) starts() *records.Starts {
 	byMachine := map[*machine]map[string][]int{}
 	var order []*machine
-	for _, a := range log.attempts {
-		if a.record != log {
+	for _, a := range r.attempts {
+		if a.record != r {
 			continue
 		}
 		jobs := byMachine[a.machine]
@@ -145,15 +124,14 @@
 		}
 		jobs[a.job.ID] = append(jobs[a.job.ID], int(a.index))
 	}
-	rec := startRecord{}
+	starts := &records.Starts{}
 	for _, m := range order {
-		tasks := map[string]string{}
-		for id, list := range byMachine[m] {
-			sort.Ints(list)
-			tasks[id] = intervals.FormatList(list)
+		machine := m.identity()
+		for id, indexes := range byMachine[m] {
+			sort.Ints(indexes)
+			machine.SetTasks(id, indexes)
 		}
-		rec.Machines = append(rec.Machines, machineStarts{ID: m.id, Type: m.machineType, Zone: m.zone, Spot: m.spot, Tasks: tasks})
+		starts.Machines = append(starts.Machines, machine)
 	}
-	value, _ := json.Marshal(rec)
-	return value
+	return starts
 }
--- a/internal/leader/upgrade_test.go
+++ b/internal/leader/upgrade_test.go
@@ -39,7 +39,7 @@
 // previousVersionCommit makes the changes that the previous version would make.
 func (l *testLeader) previousVersionCommit() {
 	for b := l.NextBatch(10, 10); b != nil; b = l.NextBatch(10, 10) {
-		l.keep(simulation.PreviousVersionWrites(b.Writes))
+		l.keep(simulation.PreviousVersionWrites(b.Mutations))
 		l.BatchCommitted(b, nil)
 	}
 }
--- a/internal/node/leader.go
+++ b/internal/node/leader.go
@@ -15,6 +15,7 @@
 	"switchshore.example/switchshore/internal/httpclient"
 	"switchshore.example/switchshore/internal/kvstore"
 	"switchshore.example/switchshore/internal/leader"
+	"switchshore.example/switchshore/internal/records"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -55,7 +56,7 @@
 	for {
 		p := leader.New(n.log, n.config.Params, *n.operator, l.Term, l.WonAt, n.grace)
 		var err error
-		for _, prefix := range leader.Prefixes {
+		for _, prefix := range records.LoadOrder {
 			err = n.kv.List(ctx, prefix, func(item wire.KeyValue) error {
 				return p.LoadRecord(time.Now(), time.Now(), item)
 			})
@@ -68,7 +69,7 @@
 			return p, nil
 		}
 		level, pause := zerolog.DebugLevel, tuning.StoreRetryDelay
-		if errors.Is(err, leader.ErrDamaged) {
+		if errors.Is(err, records.ErrCorrupt) {
 			level, pause = zerolog.ErrorLevel, tuning.CorruptRecordRetryDelay
 		}
 		n.log.WithLevel(level).Err(err).Msg("loading records failed")
@@ -96,7 +97,7 @@
 			}
 			continue
 		}
-		refused, err := w.Commit(ctx, n.kv, b.Writes)
+		refused, err := w.Commit(ctx, n.kv, b.Mutations)
 		if err != nil {
 			return err
 		}
--- /dev/null
+++ b/internal/records/final.go
@@ -0,0 +1,46 @@
+package records
+
+import (
+	"encoding/json"
+	"fmt"
+	"strconv"
+)
+
+// Outcome is how a job has ended.
+type Outcome byte
+
+// Outcomes, as stored.
+const (
+	OutcomeDone      Outcome = 'd'
+	OutcomeCancelled Outcome = 'c'
+)
+
+// FinalState is the end of a job, stored as "d14" or "c3": how, and how many of
+// its tasks were done.
+type FinalState struct {
+	Outcome   Outcome
+	TasksDone int32
+}
+
+// Encode returns the stored form.
+func (f FinalState) Encode() json.RawMessage {
+	return json.RawMessage(`"` + string(rune(f.Outcome)) + strconv.Itoa(int(f.TasksDone)) + `"`)
+}
+
+// DecodeFinalState reads a final state. The errors are those of JSON and of numbers, and
+// ErrFinalState.
+func DecodeFinalState(value json.RawMessage) (FinalState, error) {
+	var text string
+	if err := json.Unmarshal(value, &text); err != nil {
+		return FinalState{}, err
+	}
+	if text == "" {
+		return FinalState{}, fmt.Errorf("%w: %q", ErrFinalState, text)
+	}
+	outcome := Outcome(text[0])
+	if outcome != OutcomeDone && outcome != OutcomeCancelled {
+		return FinalState{}, fmt.Errorf("%w: %q", ErrFinalState, text)
+	}
+	n, err := strconv.ParseInt(text[1:], 10, 32)
+	return FinalState{outcome, int32(n)}, err
+}
--- /dev/null
+++ b/internal/records/queue.go
@@ -0,0 +1,68 @@
+package records
+
+import (
+	"encoding/json"
+)
+
+// Write is a change of one key that waits to be committed.
+type Write struct {
+	Key      string
+	Value    json.RawMessage // nil: delete
+	OnCommit []func()
+	// OnRefused is called, if set, should the key-value store refuse the change for good.
+	OnRefused func()
+}
+
+// Queue holds changes in order. The latest value of a key replaces an earlier one that has
+// not been taken.
+type Queue struct {
+	queue []*Write
+	byKey map[string]*Write
+	head  int
+	taken int64
+}
+
+// Len is the number of changes that wait.
+func (q *Queue) Len() int { return len(q.queue) - q.head }
+
+// Taken is the number of changes taken out so far.
+func (q *Queue) Taken() int64 { return q.taken }
+
+// Put queues a new value of a key and calls onCommit, if set, when it or a later value is
+// durable.
+func (q *Queue) Put(key string, value json.RawMessage, onCommit func()) {
+	if q.byKey == nil {
+		q.byKey = map[string]*Write{}
+	}
+	w := q.byKey[key]
+	if w == nil {
+		w = &Write{Key: key}
+		q.byKey[key] = w
+		q.queue = append(q.queue, w)
+	}
+	w.Value = value
+	if onCommit != nil {
+		w.OnCommit = append(w.OnCommit, onCommit)
+	}
+}
+
+// Delete queues the deletion of a key.
+func (q *Queue) Delete(key string) { q.Put(key, nil, nil) }
+
+// moveTo moves changes from the queue into the batch, at most most.
+func (q *Queue) moveTo(b *Batch, most int) {
+	for ; most > 0 && q.head < len(q.queue); most-- {
+		w := q.queue[q.head]
+		if !b.fits(writeSize(w.Key, w.Value)) {
+			break
+		}
+		q.queue[q.head] = nil
+		q.head++
+		q.taken++
+		delete(q.byKey, w.Key)
+		b.add(w)
+	}
+	if q.head == len(q.queue) {
+		q.queue, q.head = q.queue[:0], 0
+	}
+}
--- /dev/null
+++ b/internal/records/starts.go
@@ -0,0 +1,103 @@
+package records
+
+import (
+	"encoding/json"
+
+	"switchshore.example/switchshore/internal/intervals"
+)
+
+// Starts is the stored form of starts decided together: which tasks may
+// have been sent to which machine. It is written before the first of them goes out,
+// so that a successor knows which machine to ask about which task, and deleted when none
+// of its attempts is left. One change thus carries the starts of a whole scheduling pass,
+// however many machines they go to.
+//
+// Records are ordered by their keys. Where several name a task the last one
+// counts: a task is started again only when it is provably nowhere else.
+type Starts struct {
+	Machines []MachineStarts `json:"machines"`
+}
+
+// MachineStarts are the tasks that may have been sent to one machine.
+type MachineStarts struct {
+	ID   string `json:"id"`
+	Type string `json:"type"`
+	Zone string `json:"zone"`
+	Spot bool   `json:"spot,omitempty"`
+	// Tasks are ranges of task indexes by job, see package intervals.
+	Tasks map[string]string `json:"tasks"`
+}
+
+// Encode returns the stored form.
+func (s *Starts) Encode() json.RawMessage { return encode(s) }
+
+// DecodeStarts reads a start record.
+func DecodeStarts(value json.RawMessage) (*Starts, error) {
+	starts := &Starts{}
+	if err := json.Unmarshal(value, starts); err != nil {
+		return nil, err
+	}
+	return starts, nil
+}
+
+// DecodeMachineStarts reads the record of a single machine, as earlier versions wrote them.
+func DecodeMachineStarts(id string, value json.RawMessage) (*Starts, error) {
+	var machine MachineStarts
+	if err := json.Unmarshal(value, &machine); err != nil {
+		return nil, err
+	}
+	machine.ID = id
+	return &Starts{Machines: []MachineStarts{machine}}, nil
+}
+
+// SetTasks names tasks of a job by their ascending indexes.
+func (m *MachineStarts) SetTasks(jobID string, sorted []int) {
+	if m.Tasks == nil {
+		m.Tasks = map[string]string{}
+	}
+	m.Tasks[jobID] = intervals.FormatList(sorted)
+}
+
+// Bytes that the parts of a start record take at most beside the names in them.
+const (
+	startsFrameBytes  = 32
+	machineFrameBytes = 72
+	jobFrameBytes     = 8
+	taskIndexBytes    = 8
+)
+
+// StartsSize bounds the encoded size of a start record while attempts are added to it.
+type StartsSize struct {
+	bytes    int
+	machines map[string]map[string]bool // jobs by machine
+}
+
+// NewStartsSize is the size of an empty record.
+func NewStartsSize() *StartsSize {
+	return &StartsSize{bytes: startsFrameBytes, machines: map[string]map[string]bool{}}
+}
+
+// Bytes is the most that the record takes.
+func (s *StartsSize) Bytes() int { return s.bytes }
+
+// With is the most that the record takes with one more attempt of a job on a machine.
+func (s *StartsSize) With(machine MachineStarts, jobID string) int {
+	sum := s.bytes + taskIndexBytes
+	jobs := s.machines[machine.ID]
+	if jobs == nil {
+		sum += len(machine.ID) + len(machine.Type) + len(machine.Zone) + machineFrameBytes
+	}
+	if !jobs[jobID] {
+		sum += len(jobID) + jobFrameBytes
+	}
+	return sum
+}
+
+// Add counts an attempt of a job on a machine in.
+func (s *StartsSize) Add(machine MachineStarts, jobID string) {
+	s.bytes = s.With(machine, jobID)
+	if s.machines[machine.ID] == nil {
+		s.machines[machine.ID] = map[string]bool{}
+	}
+	s.machines[machine.ID][jobID] = true
+}
--- a/internal/simulation/world_nodes.go
+++ b/internal/simulation/world_nodes.go
@@ -13,6 +13,7 @@
 	"switchshore.example/switchshore/internal/httpclient"
 	"switchshore.example/switchshore/internal/kvstore"
 	"switchshore.example/switchshore/internal/leader"
+	"switchshore.example/switchshore/internal/records"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -31,7 +32,7 @@
 	leadership            *election.Leadership
 	lease                 uint64
 	writer                *kvstore.FencedWriter
-	batch                 *leader.Batch
+	batch                 *records.Batch
 	storeUnreachableUntil time.Time // no way to the state service until then
 	storeRefusesUntil     time.Time // the state service answers 503 to this node until then
 	frozenUntil           time.Time // stands still until then, while its clocks run on
@@ -148,7 +149,7 @@
 		params := sim.Params
 		params.State = sim.storeLimits(n)
 		p := leader.New(zerolog.Nop(), params, sim.operatorSettings(n), l.Term, won, leader.GracePeriod(sim.Params.Workers))
-		for _, prefix := range leader.Prefixes {
+		for _, prefix := range records.LoadOrder {
 			sim.trace(boundaryStoreRead, n, prefix)
 			items, listErr := sim.Store.List(prefix)
 			if listErr != nil || err != nil {
@@ -213,7 +214,7 @@
 			sim.onNode(n, tuning.WriteBatchInterval, func() { sim.commitLoop(n, p) })
 			return
 		}
-		writes := n.batch.Writes
+		writes := n.batch.Mutations
 		if n.previousVersion {
 			writes = PreviousVersionWrites(writes)
 		}
@@ -227,7 +228,7 @@
 }
 
 // nextBatch takes the changes to be written now.
-func (sim *Simulation) nextBatch(n *node, p *leader.Leader) *leader.Batch {
+func (sim *Simulation) nextBatch(n *node, p *leader.Leader) *records.Batch {
 	most, spare := min(8, sim.storeLimits(n).TxnOps-1), sim.rng.IntN(5)
 	if !sim.LimitWriteRate {
 		return p.NextBatch(most, spare)
@@ -240,7 +241,7 @@
 	}
 	b := p.NextBatch(min(most, int(n.writeTokens)), max(0, int(n.writeTokens-perSecond/4)))
 	if b != nil {
-		n.writeTokens -= float64(len(b.Writes))
+		n.writeTokens -= float64(len(b.Mutations))
 	}
 	return b
 }
