--- a/internal/httpclient/httpc.go
+++ b/internal/httpclient/httpc.go
@@ -15,15 +15,6 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-var (
-	// ErrNoResponse means that a request may or may not have been carried out.
-	ErrNoResponse = errors.New("no answer")
-	// ErrNotSent means that there was no connection: a request was not and
-	// will not be carried out. It is an ErrNoResponse, too, for callers who
-	// need not know.
-	ErrNotSent = fmt.Errorf("%w: no connection", ErrNoResponse)
-)
-
 // Client talks to one host.
 type Client struct {
 	host *fasthttp.HostClient
--- a/internal/simulation/world_nodes.go
+++ b/internal/simulation/world_nodes.go
@@ -221,7 +221,7 @@
 	}
 	sim.commitTxn(n, n.writer.Txn(), func(res wire.TxnResult, err error) {
 		if n.leader == p {
-			sim.commitOutcome(n, p, n.writer.Answer(res, err))
+			sim.commitOutcome(n, p, n.writer.HandleResult(res, err))
 		}
 	})
 }
