--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -141,7 +141,7 @@
 		n.reached, n.reachedAt = true, now
 	}
 	patience := tuning.HealthGracePeriod
-	if n.election.HeldElsewhere() {
+	if n.election.OtherNodeLeads() {
 		patience = tuning.HealthGracePeriodLeaderKnown
 	}
 	return n.reached && now.Sub(n.reachedAt) < patience
