--- a/cmd/switchshore/drain.go
+++ b/cmd/switchshore/drain.go
@@ -1,8 +1,6 @@
 package main
 
 import (
-	"os"
-
 	"switchshore.example/switchshore/internal/drain"
 	"switchshore.example/switchshore/internal/operatorcli"
 )
@@ -25,45 +23,56 @@
 		File string `arg:"" help:"The drain (XML)."`
 	}
 	listCommand struct{}
-	named       struct {
+	// drainName is the argument of the commands about one drain.
+	drainName struct {
 		Name string `arg:"" help:"The drain's name."`
 	}
-	showCommand   struct{ named }
-	pauseCommand  struct{ named }
-	resumeCommand struct{ named }
-	cancelCommand struct{ named }
+	showCommand   struct{ drainName }
+	pauseCommand  struct{ drainName }
+	resumeCommand struct{ drainName }
+	cancelCommand struct{ drainName }
 )
 
-// client asks the controller that the flags name.
-func (d *drainCommand) client() *operatorcli.Client {
-	return &operatorcli.Client{Node: d.Node, JSON: d.JSON, Out: os.Stdout}
+// client returns a client of the controller that the flags name.
+func (d *drainCommand) client(out *streams) *operatorcli.Client {
+	return &operatorcli.Client{Node: d.Node, JSON: d.JSON, Out: out.stdout}
 }
 
-// do carries one request out, until it is interrupted.
-func (d *drainCommand) do(action drain.Action, name string) error {
+// send sends one request and waits for the answer, unless it is interrupted.
+func (d *drainCommand) send(out *streams, action drain.Action, name string) error {
 	ctx, stop := untilSignal()
 	defer stop()
-	return d.client().Do(ctx, action, name)
+	return d.client(out).Do(ctx, action, name)
 }
 
 // Run applies the drain of the file.
-func (c *applyCommand) Run(o *options) error {
+func (c *applyCommand) Run(o *options, out *streams) error {
 	ctx, stop := untilSignal()
 	defer stop()
-	return o.Drain.client().Apply(ctx, c.File)
+	return o.Drain.client(out).Apply(ctx, c.File)
 }
 
 // Run lists all drains.
-func (c *listCommand) Run(o *options) error { return o.Drain.do(drain.List, "") }
+func (c *listCommand) Run(o *options, out *streams) error {
+	return o.Drain.send(out, drain.List, "")
+}
 
 // Run shows the drain.
-func (c *showCommand) Run(o *options) error { return o.Drain.do(drain.Show, c.Name) }
+func (c *showCommand) Run(o *options, out *streams) error {
+	return o.Drain.send(out, drain.Show, c.Name)
+}
 
 // Run pauses the drain.
-func (c *pauseCommand) Run(o *options) error { return o.Drain.do(drain.Pause, c.Name) }
+func (c *pauseCommand) Run(o *options, out *streams) error {
+	return o.Drain.send(out, drain.Pause, c.Name)
+}
 
 // Run resumes the drain.
-func (c *resumeCommand) Run(o *options) error { return o.Drain.do(drain.Resume, c.Name) }
+func (c *resumeCommand) Run(o *options, out *streams) error {
+	return o.Drain.send(out, drain.Resume, c.Name)
+}
 
 // Run cancels the drain.
-func (c *cancelCommand) Run(o *options) error { return o.Drain.do(drain.Cancel, c.Name) }
+func (c *cancelCommand) Run(o *options, out *streams) error {
+	return o.Drain.send(out, drain.Cancel, c.Name)
+}
--- /dev/null
+++ b/internal/operatorcli/client.go
@@ -0,0 +1,148 @@
+// Package operatorcli carries out the operators' commands: it sends a request to a controller
+// over the JSON-lines protocol between nodes, and prints the response.
+package operatorcli
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"os"
+	"strings"
+	"text/tabwriter"
+	"time"
+
+	"switchshore.example/switchshore/internal/drain"
+	"switchshore.example/switchshore/internal/peer"
+	"switchshore.example/switchshore/internal/tuning"
+)
+
+// ErrRefused is matched by the error of a request that the controllers have refused.
+var ErrRefused = errors.New("refused")
+
+// Client sends requests to one controller, which forwards them to the leader.
+type Client struct {
+	// Node is the controller's peer address.
+	Node string
+	// JSON prints a line of JSON for each drain instead of a table.
+	JSON bool
+	// Out is where responses are printed.
+	Out io.Writer
+}
+
+// Apply sends the drain of a file.
+func (c *Client) Apply(ctx context.Context, path string) error {
+	data, err := os.ReadFile(path)
+	if err != nil {
+		return err
+	}
+	spec, err := drain.Parse(data, time.Now())
+	if err != nil {
+		return fmt.Errorf("%s: %w", path, err)
+	}
+	if err := c.send(ctx, drain.Request{Action: drain.Apply, Name: spec.Name, Spec: spec}); err != nil {
+		return fmt.Errorf("%s: %w", path, err)
+	}
+	return nil
+}
+
+// Do sends a request about one drain or, without a name, about all.
+func (c *Client) Do(ctx context.Context, action drain.Action, name string) error {
+	return c.send(ctx, drain.Request{Action: action, Name: name})
+}
+
+// send sends a request and prints the response.
+func (c *Client) send(ctx context.Context, request drain.Request) error {
+	ctx, cancel := context.WithTimeout(ctx, tuning.OperatorTimeout)
+	defer cancel()
+	response, err := peer.Request(ctx, c.Node, peer.Call{Op: peer.OpDrain, Drain: &request})
+	if err != nil {
+		return err
+	}
+	if response.Status/100 != http.StatusOK/100 {
+		return fmt.Errorf("%w: %s (%d)", ErrRefused, response.Reason, response.Status)
+	}
+	if c.JSON {
+		return c.printLines(response.Drains)
+	}
+	return c.printTables(response.Drains)
+}
+
+// printLines prints a line of JSON for each drain.
+func (c *Client) printLines(drains []drain.Status) error {
+	encoder := json.NewEncoder(c.Out)
+	for i := range drains {
+		if err := encoder.Encode(&drains[i]); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// printTables prints a table of the drains, and one of the budgets of each drain that has them.
+func (c *Client) printTables(drains []drain.Status) error {
+	table := c.newTable()
+	fmt.Fprintln(table, "NAME\tSTATE\tLEFT\tDRAINED\tBATCHES\tEVICTED\tMOVED\tREPLACED\tBATCH\tREASON")
+	for i := range drains {
+		d := &drains[i]
+		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\n",
+			d.Spec.Name, d.State, d.MachinesLeft, d.Counts.Machines, d.Counts.Batches, d.Counts.Evicted,
+			d.Counts.Moved, d.Counts.Replacements, batchText(d.Batch), orDash(d.Reason))
+	}
+	if err := table.Flush(); err != nil {
+		return err
+	}
+	for i := range drains {
+		if err := c.printBudgets(drains[i].Teams); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// printBudgets prints what is used of each team's budget.
+func (c *Client) printBudgets(teams []drain.TeamUse) error {
+	if len(teams) == 0 {
+		return nil
+	}
+	table := c.newTable()
+	fmt.Fprintln(table, "\nTEAM\tUNAVAILABLE\tEVICTIONS\tLOST SECONDS")
+	for _, team := range teams {
+		fmt.Fprintf(table, "%s\t%d of %d\t%d of %d\t%.0f of %g\n",
+			team.Team, team.Unavailable, team.Budget.MaxUnavailable,
+			team.Used.Evictions, team.Budget.Evictions, team.Used.LostS, team.Budget.LostS)
+	}
+	return table.Flush()
+}
+
+// columnGap is the number of spaces between two columns of a table.
+const columnGap = 2
+
+// newTable returns a writer that aligns columns separated by tabs once it is flushed.
+func (c *Client) newTable() *tabwriter.Writer {
+	return tabwriter.NewWriter(c.Out, 0, 0, columnGap, ' ', 0)
+}
+
+// none stands for an empty cell of a table.
+const none = "-"
+
+// batchText names the machines of a batch.
+func batchText(batch *drain.Batch) string {
+	if batch == nil {
+		return none
+	}
+	text := strings.Join(batch.Machines, ",")
+	if !batch.Cordoned {
+		text += " (not cordoned yet)"
+	}
+	return text
+}
+
+func orDash(text string) string {
+	if text == "" {
+		return none
+	}
+	return text
+}
--- /dev/null
+++ b/internal/operatorcli/client_test.go
@@ -0,0 +1,231 @@
+package operatorcli_test
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"switchshore.example/switchshore/internal/drain"
+	"switchshore.example/switchshore/internal/operatorcli"
+	"switchshore.example/switchshore/internal/peer"
+	"switchshore.example/switchshore/internal/peer/peertest"
+)
+
+// drains are two drains: one in the middle of a batch, one that waits for the other.
+func drains() []drain.Status {
+	return []drain.Status{
+		{
+			Spec:         drain.Spec{Name: "zone-a", BatchSize: 2, Selector: drain.Selector{Zone: "a"}},
+			State:        drain.Running,
+			Reason:       "waits for tasks to end",
+			Batch:        &drain.Batch{Machines: []string{"i-1", "i-2"}, Cordoned: true, Since: 7},
+			Counts:       drain.Counts{Batches: 3, Machines: 6, Evicted: 5, Moved: 4, Replacements: 1},
+			MachinesLeft: 12,
+			Teams: []drain.TeamUse{{
+				Team: "blue", Unavailable: 1, Used: drain.Use{Evictions: 2, LostS: 33.4},
+				Budget: drain.Budget{MaxUnavailable: 10, Evictions: 100, LostS: 1200},
+			}},
+		},
+		{
+			Spec:  drain.Spec{Name: "old-type", BatchSize: 1, Selector: drain.Selector{Type: "g8"}},
+			State: drain.Pending,
+			Batch: &drain.Batch{Machines: []string{"i-9"}},
+		},
+	}
+}
+
+// respond answers every call with a status and drains.
+func respond(status int, reason string, drains []drain.Status) func(peer.Call) *peer.Response {
+	return func(peer.Call) *peer.Response {
+		return &peer.Response{Status: status, Reason: reason, Drains: drains}
+	}
+}
+
+// TestOutput: the tables and lines that operators and their programs read.
+func TestOutput(t *testing.T) {
+	const table = `NAME      STATE    LEFT  DRAINED  BATCHES  EVICTED  MOVED  REPLACED  BATCH                   REASON
+zone-a    running  12    6        3        5        4      1         i-1,i-2                 waits for tasks to end
+old-type  pending  0     0        0        0        0      0         i-9 (not cordoned yet)  -
+
+TEAM  UNAVAILABLE  EVICTIONS  LOST SECONDS
+blue  1 of 10      2 of 100   33 of 1200
+`
+	const lines = `{"spec":{"name":"zone-a","selector":{"zone":"a"},"batchSize":2},"state":"running","reason":"waits for tasks to end",` +
+		`"batch":{"machines":["i-1","i-2"],"cordoned":true,"since":7},"counts":{"batches":3,"machines":6,"evicted":5,"moved":4,"replacements":1},"machinesLeft":12,` +
+		`"teams":[{"team":"blue","unavailable":1,"used":{"evictions":2,"lostS":33.4},"budget":{"maxUnavailable":10,"evictions":100,"lostS":1200}}]}` + "\n" +
+		`{"spec":{"name":"old-type","selector":{"type":"g8"},"batchSize":1},"state":"pending","batch":{"machines":["i-9"],"since":0},"counts":{},"machinesLeft":0}` + "\n"
+	const empty = "NAME  STATE  LEFT  DRAINED  BATCHES  EVICTED  MOVED  REPLACED  BATCH  REASON\n"
+	for _, c := range []struct {
+		name   string
+		json   bool
+		drains []drain.Status
+		want   string
+	}{
+		{"table", false, drains(), table},
+		{"JSON", true, drains(), lines},
+		{"empty table", false, nil, empty},
+		{"empty JSON", true, nil, ""},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			server := peertest.Start(t, respond(http.StatusOK, "", c.drains))
+			var out bytes.Buffer
+			client := operatorcli.Client{Node: server.Addr, JSON: c.json, Out: &out}
+			if err := client.Do(context.Background(), drain.List, ""); err != nil {
+				t.Fatal(err)
+			}
+			if out.String() != c.want {
+				t.Errorf("got\n%swant\n%s", out.String(), c.want)
+			}
+		})
+	}
+}
+
+// TestRequests: each command is one call with its action, and the drain that it is about.
+func TestRequests(t *testing.T) {
+	for _, c := range []struct {
+		action drain.Action
+		name   string
+	}{
+		{drain.List, ""}, {drain.Show, "zone-a"}, {drain.Pause, "zone-a"}, {drain.Resume, "zone-a"}, {drain.Cancel, "zone-a"},
+	} {
+		t.Run(string(c.action), func(t *testing.T) {
+			server := peertest.Start(t, respond(http.StatusOK, "", nil))
+			client := operatorcli.Client{Node: server.Addr, Out: &bytes.Buffer{}}
+			if err := client.Do(context.Background(), c.action, c.name); err != nil {
+				t.Fatal(err)
+			}
+			calls := server.Calls()
+			if len(calls) != 1 || calls[0].Op != peer.OpDrain || calls[0].Drain == nil {
+				t.Fatalf("%+v", calls)
+			}
+			if got := *calls[0].Drain; got != (drain.Request{Action: c.action, Name: c.name}) {
+				t.Errorf("%+v", got)
+			}
+		})
+	}
+}
+
+// writeFile writes a drain's file and returns its path.
+func writeFile(t *testing.T, text string) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "drain.xml")
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+const zoneDrain = `<drain name="zone-a"><selector><zone>a</zone></selector><replace>yes</replace><batchSize>2</batchSize></drain>`
+
+// TestApplySendsTheFile: the drain is sent as the file says.
+func TestApplySendsTheFile(t *testing.T) {
+	server := peertest.Start(t, respond(http.StatusCreated, "", drains()[:1]))
+	var out bytes.Buffer
+	client := operatorcli.Client{Node: server.Addr, Out: &out}
+	if err := client.Apply(context.Background(), writeFile(t, zoneDrain)); err != nil {
+		t.Fatal(err)
+	}
+	calls := server.Calls()
+	if len(calls) != 1 || calls[0].Drain == nil || calls[0].Drain.Spec == nil {
+		t.Fatalf("%+v", calls)
+	}
+	want := drain.Spec{Name: "zone-a", Selector: drain.Selector{Zone: "a"}, Replace: true, BatchSize: 2}
+	if got := calls[0].Drain; got.Action != drain.Apply || got.Name != "zone-a" || !got.Spec.Equal(&want) {
+		t.Errorf("%+v", got)
+	}
+	if !strings.Contains(out.String(), "zone-a") {
+		t.Errorf("printed %q", out.String())
+	}
+}
+
+// TestApplyRefusesBadFiles: what can be found out without the controllers isn't sent to them;
+// the error names the file, and the field if there is one.
+func TestApplyRefusesBadFiles(t *testing.T) {
+	server := peertest.Start(t, respond(http.StatusOK, "", nil))
+	client := operatorcli.Client{Node: server.Addr, Out: &bytes.Buffer{}}
+	for text, field := range map[string]string{
+		`<drain name="zone-a"><selector/><batchSize>2</batchSize></drain>`:                                    "selector",
+		`<drain name="zone-a"><selector><zone>a</zone></selector><batchSize>two</batchSize></drain>`:          "batchSize",
+		`<drain name="zone-a"><selektor/></drain>`:                                                            "drain/selektor",
+		`<drain name="Zone A"><selector><zone>a</zone></selector><batchSize>2</batchSize></drain>`:            "name",
+		`<drain name="a"><selector><zone>a</zone></selector><batchSize>2</batchSize><force>1</force></drain>`: "force",
+	} {
+		path := writeFile(t, text)
+		err := client.Apply(context.Background(), path)
+		var invalid *drain.FieldError
+		if !errors.As(err, &invalid) || invalid.Field != field || !strings.HasPrefix(err.Error(), path+": ") {
+			t.Errorf("%s: %v", field, err)
+		}
+	}
+	if err := client.Apply(context.Background(), writeFile(t, "no XML")); err == nil {
+		t.Error("a file without a drain was accepted")
+	}
+	missing := filepath.Join(t.TempDir(), "missing.xml")
+	if err := client.Apply(context.Background(), missing); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("missing file: %v", err)
+	}
+	if calls := server.Calls(); len(calls) != 0 {
+		t.Errorf("sent %+v", calls)
+	}
+}
+
+// TestRefusal: the controllers' reason and status are reported, and nothing is printed.
+func TestRefusal(t *testing.T) {
+	server := peertest.Start(t, respond(http.StatusNotFound, "no such drain", nil))
+	var out bytes.Buffer
+	client := operatorcli.Client{Node: server.Addr, Out: &out}
+	err := client.Do(context.Background(), drain.Show, "zone-a")
+	if !errors.Is(err, operatorcli.ErrRefused) || err.Error() != "refused: no such drain (404)" {
+		t.Errorf("%v", err)
+	}
+	path := writeFile(t, zoneDrain)
+	err = client.Apply(context.Background(), path)
+	if !errors.Is(err, operatorcli.ErrRefused) || err.Error() != path+": refused: no such drain (404)" {
+		t.Errorf("%v", err)
+	}
+	if out.Len() > 0 {
+		t.Errorf("printed %q", out.String())
+	}
+}
+
+// TestNoAnswer: a controller that can't be reached, or ends the connection, is no refusal.
+func TestNoAnswer(t *testing.T) {
+	closing := peertest.Start(t, func(peer.Call) *peer.Response { return nil })
+	client := operatorcli.Client{Node: closing.Addr, Out: &bytes.Buffer{}}
+	err := client.Do(context.Background(), drain.List, "")
+	if !errors.Is(err, net.ErrClosed) || errors.Is(err, operatorcli.ErrRefused) || !strings.Contains(err.Error(), closing.Addr) {
+		t.Errorf("closed: %v", err)
+	}
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	client.Node = listener.Addr().String()
+	if err := listener.Close(); err != nil {
+		t.Fatal(err)
+	}
+	var failure *net.OpError
+	if err := client.Do(context.Background(), drain.List, ""); !errors.As(err, &failure) || errors.Is(err, operatorcli.ErrRefused) {
+		t.Errorf("unreachable: %v", err)
+	}
+}
+
+// TestCancellation: a request that is interrupted is not sent.
+func TestCancellation(t *testing.T) {
+	server := peertest.Start(t, respond(http.StatusOK, "", nil))
+	client := operatorcli.Client{Node: server.Addr, Out: &bytes.Buffer{}}
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	if err := client.Do(ctx, drain.List, ""); err == nil || errors.Is(err, operatorcli.ErrRefused) {
+		t.Errorf("%v", err)
+	}
+	if calls := server.Calls(); len(calls) != 0 {
+		t.Errorf("sent %+v", calls)
+	}
+}
