--- /dev/null
+++ b/internal/simulation/agent_process.go
@@ -0,0 +1,175 @@
+package simulation
+
+import (
+	"time"
+
+	"switchshore.example/switchshore/internal/leader"
+	"switchshore.example/switchshore/internal/tuning"
+	"switchshore.example/switchshore/wire"
+)
+
+// fleet is the agents of all machines that have booted, and what befalls their heartbeats.
+type fleet struct {
+	agents               map[string]*agentProcess // by machine
+	heartbeatsDuplicated messageFault
+	heartbeatsReplayed   messageFault
+	// replays are copies of heartbeats for the next leader.
+	replays []func(*node)
+}
+
+// agentProcess is an agent with its connection to the controllers.
+type agentProcess struct {
+	*Agent
+	sim             *Simulation
+	targetNode      int // to which it sends its heartbeats
+	inFlight        bool
+	lastHeartbeatAt time.Time
+	nextHeartbeatAt time.Time
+	ended           bool
+
+	partitionedUntil    time.Time // nothing gets to it or from it
+	responsesLostUntil  time.Time // its heartbeats arrive, responses and commands do not
+	heartbeatsLostUntil time.Time // it reaches no controller, direct calls reach it
+	hungUntil           time.Time // it does nothing
+}
+
+// agentNames are the names of the machines with agents, in order.
+func (sim *Simulation) agentNames() []string {
+	var names []string
+	for _, id := range sim.Cloud.Names() {
+		if sim.fleet.agents[id] != nil {
+			names = append(names, id)
+		}
+	}
+	return names
+}
+
+// advanceAgents lets time pass for all agents that don't hang, and returns all.
+func (sim *Simulation) advanceAgents() []*Agent {
+	var agents []*Agent
+	for _, id := range sim.agentNames() {
+		a := sim.fleet.agents[id]
+		if sim.now.After(a.hungUntil) {
+			a.Advance(sim.now)
+		}
+		agents = append(agents, a.Agent)
+	}
+	return agents
+}
+
+// startAgent starts the agent of a machine that has booted.
+func (sim *Simulation) startAgent(machine *cloudMachine) {
+	lease := seconds(sim.Params.Workers.LeaseS)
+	a := &agentProcess{Agent: NewAgent(sim.now, machine.ListedMachine, sim.Cloud.Type, lease), sim: sim}
+	a.LookUpJob = func(id string) *wire.Job { return sim.clients.jobs[id] }
+	a.RunTime = func(job *wire.Job) time.Duration { return seconds(job.EstimateS * (0.5 + sim.rng.Float64())) }
+	a.OnStop = func(task *Task, saves bool) { sim.taskStopped(a, task, saves) }
+	a.FailsJob = func(id string) bool { return sim.clients.failing[id] }
+	a.Faulty = sim.faultsAllowed() && sim.chance(0.05)
+	a.targetNode = sim.rng.IntN(len(sim.nodes))
+	sim.fleet.agents[a.ID] = a
+	a.heartbeatLoop()
+}
+
+// hasNoAgent reports whether a machine still exists and no agent runs on it.
+func (sim *Simulation) hasNoAgent(machine *cloudMachine) bool {
+	return sim.Cloud.machines[machine.Name] == machine && sim.fleet.agents[machine.Name] == nil
+}
+
+// end ends the agent with all its tasks.
+func (a *agentProcess) end() {
+	a.ended = true
+	delete(a.sim.fleet.agents, a.ID)
+}
+
+// replace ends the agent and starts a new one, which knows nothing, on the same machine.
+func (a *agentProcess) replace() {
+	machine := a.sim.Cloud.machines[a.ID]
+	a.end()
+	a.sim.after(a.sim.between(50, 3000), func() {
+		if machine != nil && a.sim.hasNoAgent(machine) {
+			a.sim.startAgent(machine)
+		}
+	})
+}
+
+// reachableFrom reports whether a message from a place gets to the agent and is handled.
+func (a *agentProcess) reachableFrom(zone string) bool {
+	now := a.sim.now
+	affected := now.Before(a.partitionedUntil) || now.Before(a.responsesLostUntil) || now.Before(a.hungUntil)
+	return !affected && !a.sim.network.zonesPartitioned(zone, a.Machine.Zone)
+}
+
+// reachableAfter is the time until the last of the faults that keep messages from the agent is over.
+func (a *agentProcess) reachableAfter() time.Duration {
+	now := a.sim.now
+	return max(a.partitionedUntil.Sub(now), a.responsesLostUntil.Sub(now), a.hungUntil.Sub(now),
+		a.sim.network.partitionedZoneUntil.Sub(now), 0)
+}
+
+// agentCall is a leader's direct call to an agent.
+type agentCall struct {
+	node      *node
+	leader    *leader.Leader
+	call      *leader.DirectCall
+	connected *agentProcess // the agent at the time of the call
+}
+
+// callAgent sends a leader's direct call to an agent; it may arrive minutes late.
+func (n *node) callAgent(l *leader.Leader, call *leader.DirectCall) {
+	sim := n.sim
+	sim.fail(sim.Invariants.CheckCommands(sim.now, call.Request.Commands))
+	sim.trace(boundaryAgentCall, n, call.Machine, call.Addr, call.Request)
+	c := &agentCall{n, l, call, sim.fleet.agents[call.Machine]}
+	switch {
+	case c.connected == nil:
+		c.done(tuning.DirectTimeout, leader.DirectNotDelivered, nil)
+	case !c.connected.reachableFrom(n.zone) || sim.faultsAllowed() && sim.chance(0.05):
+		c.timeOut()
+	default:
+		n.after(sim.between(1, 20), c.execute)
+	}
+}
+
+// timeOut lets the call fail: it is not delivered, or delivered late without a response.
+func (c *agentCall) timeOut() {
+	sim := c.node.sim
+	if sim.chance(0.3) {
+		c.done(tuning.DirectTimeout, leader.DirectNotDelivered, nil)
+		return
+	}
+	sim.after(c.connected.reachableAfter()+sim.between(0, 60_000), func() {
+		// A connection ends with its agent: a new one gets no delayed command.
+		if sim.fleet.agents[c.call.Machine] == c.connected {
+			c.deliver(c.connected)
+		}
+	})
+	c.done(tuning.DirectTimeout, leader.DirectUnknown, nil)
+}
+
+// execute delivers the call to the machine's present agent and returns its heartbeat to the leader.
+func (c *agentCall) execute() {
+	sim := c.node.sim
+	a := sim.fleet.agents[c.call.Machine]
+	if a == nil {
+		c.done(tuning.DirectTimeout, leader.DirectUnknown, nil)
+		return
+	}
+	heartbeat := c.deliver(a)
+	c.done(sim.between(1, 100), leader.DirectAnswered, heartbeat)
+}
+
+// deliver lets an agent execute the commands, and returns its next heartbeat.
+func (c *agentCall) deliver(a *agentProcess) *wire.Heartbeat {
+	a.HandleCommandRequest(a.sim.now, c.call.Request)
+	return a.NextHeartbeat()
+}
+
+// done reports the outcome to the leader after a time, if it still leads.
+func (c *agentCall) done(delay time.Duration, outcome leader.DirectOutcome, heartbeat *wire.Heartbeat) {
+	c.node.after(delay, func() {
+		if c.node.leader == c.leader {
+			c.leader.DirectCallDone(c.node.clock(), c.call, outcome, heartbeat)
+		}
+	})
+}
--- /dev/null
+++ b/internal/simulation/cloud_calls.go
@@ -0,0 +1,132 @@
+package simulation
+
+import (
+	"time"
+
+	"switchshore.example/switchshore/internal/leader"
+	"switchshore.example/switchshore/internal/tuning"
+	"switchshore.example/switchshore/wire"
+)
+
+// cloudCall is one attempt of a leader's call to provision or release machines.
+type cloudCall struct {
+	node        *node
+	leader      *leader.Leader
+	call        leader.CloudCall
+	provisioned []string
+}
+
+// callCloud sends a leader's call to the cloud, and repeats it until it is answered.
+func (n *node) callCloud(l *leader.Leader, call leader.CloudCall) {
+	sim := n.sim
+	sim.trace(boundaryCloudCall, n, call.Op, call.Provision, call.Release)
+	c := &cloudCall{node: n, leader: l, call: call}
+	n.after(sim.between(50, 200), func() {
+		if sim.network.zonesPartitioned(n.zone, outside) || sim.faultsAllowed() && sim.chance(0.1) {
+			c.timeOut()
+			return
+		}
+		c.execute()
+		n.after(sim.between(10, 100), c.respond)
+	})
+}
+
+// timeOut lets the call get no response, though it may be executed much later.
+func (c *cloudCall) timeOut() {
+	sim := c.node.sim
+	if sim.chance(0.5) {
+		sim.after(sim.between(0, 90_000), c.execute)
+	}
+	c.node.after(tuning.CloudTimeout, func() {
+		if c.node.leader == c.leader {
+			c.node.callCloud(c.leader, c.call)
+		}
+	})
+}
+
+// execute carries the call out in the cloud.
+func (c *cloudCall) execute() {
+	sim := c.node.sim
+	if c.call.Op == leader.CloudProvision {
+		c.provisioned = sim.Cloud.Provision(sim.now, sim.rng, c.call.Provision)
+		sim.scheduleBoots(c.provisioned)
+		return
+	}
+	for _, id := range c.call.Release {
+		sim.removeMachine(id)
+	}
+	if sim.OnRelease != nil {
+		sim.OnRelease()
+	}
+}
+
+// respond brings the cloud's response to the leader, if it still leads.
+func (c *cloudCall) respond() {
+	if c.node.leader != c.leader {
+		return
+	}
+	if c.call.Op == leader.CloudProvision {
+		c.leader.ProvisionDone(c.node.clock(), c.call.Provision, c.provisioned)
+		return
+	}
+	c.leader.ReleaseDone(c.node.clock(), c.call.Release)
+}
+
+// listMachinesLoop reads the cloud's list of machines every few seconds.
+func (n *node) listMachinesLoop(l *leader.Leader) {
+	if n.leader != l {
+		return
+	}
+	sim := n.sim
+	sim.trace(boundaryCloudCall, n, "list")
+	sent := n.clock()
+	lag := seconds(sim.Params.Cloud.ListLagS * (0.5 + sim.rng.Float64()))
+	machines := sim.Cloud.List(sim.now, lag)
+	if !sim.network.zonesPartitioned(n.zone, outside) {
+		n.after(sim.between(20, 200), func() {
+			if n.leader == l {
+				l.ApplyMachineList(sent, n.clock(), machines)
+			}
+		})
+	}
+	n.after(sim.between(2000, 4000), func() { n.listMachinesLoop(l) })
+}
+
+// scheduleBoots starts the agents of new machines once they have booted.
+func (sim *Simulation) scheduleBoots(names []string) {
+	for _, id := range names {
+		machine := sim.Cloud.machines[id]
+		if machine == nil || sim.fleet.agents[id] != nil {
+			continue
+		}
+		sim.after(max(0, machine.bootedAt.Sub(sim.now)), func() {
+			if !sim.hasNoAgent(machine) {
+				return
+			}
+			machine.State = wire.MachineRunning
+			sim.startAgent(machine)
+		})
+	}
+}
+
+// removeMachine ends a machine and its agent.
+func (sim *Simulation) removeMachine(id string) {
+	delete(sim.Cloud.machines, id)
+	if a := sim.fleet.agents[id]; a != nil {
+		a.end()
+	}
+}
+
+// MachinesInZone is the number of machines that the cloud has in a zone.
+func (sim *Simulation) MachinesInZone(zone string) int {
+	count := 0
+	for _, machine := range sim.Cloud.machines {
+		if machine.Zone == zone {
+			count++
+		}
+	}
+	return count
+}
+
+// SlowBoots lets machines provisioned within a time boot late or never.
+func (sim *Simulation) SlowBoots(span time.Duration) { sim.Cloud.SlowBootsUntil = sim.now.Add(span) }
--- /dev/null
+++ b/internal/simulation/drain_monitor.go
@@ -0,0 +1,126 @@
+package simulation
+
+import (
+	"strings"
+
+	"switchshore.example/switchshore/internal/drain"
+	"switchshore.example/switchshore/wire"
+)
+
+// Prefixes of the stored records of drains and of their charges.
+const (
+	drainRecords = "e/"
+	drainCharges = "b/"
+)
+
+// drainMonitor follows drains by what is stored and by which tasks the agents stop.
+type drainMonitor struct {
+	sim     *Simulation
+	budgets *DrainBudgetChecker // nil if drains are off
+	// OnCharge, OnEviction and OnRelease, if set, are called as a charge is stored, an agent stops a
+	// task of a drained machine, and the cloud has released machines.
+	OnCharge, OnEviction, OnRelease func()
+}
+
+// EnableDrains turns drains on at all nodes and checks the budgets after every event.
+func (m *drainMonitor) EnableDrains(budgets *drain.Budgets) {
+	m.sim.Operator.Drains = budgets
+	m.budgets = NewDrainBudgetChecker(budgets)
+}
+
+// DrainsOff turns drains off at the first nodes.
+func (m *drainMonitor) DrainsOff(nodes int) {
+	for _, n := range m.sim.nodes[:nodes] {
+		n.drainsOff = true
+	}
+}
+
+// checkDrains checks the budgets.
+func (m *drainMonitor) checkDrains(agents []*Agent) error {
+	if m.budgets == nil {
+		return nil
+	}
+	return m.budgets.Check(m.sim.now, agents, m.sim.Invariants.TaskSettled)
+}
+
+// taskStopped is called when an agent is about to stop a running task.
+func (m *drainMonitor) taskStopped(a *agentProcess, task *Task, saves bool) {
+	sim := m.sim
+	if m.budgets == nil || !m.budgets.cordoned[a.ID] || sim.Invariants.TaskSettled(task.Name) {
+		return
+	}
+	if a.ReclaimNotice != nil && !m.budgets.charged[task.Attempt] {
+		// The cloud is about to reclaim the machine: its tasks save whatever is drained.
+		return
+	}
+	lostS := sim.now.Sub(task.StartedAt).Seconds()
+	if saves {
+		lostS = 0
+		sim.Observed[DrainCheckpoint]++
+	}
+	sim.Observed[DrainEviction]++
+	id, _, _ := wire.SplitTask(task.Name)
+	m.budgets.Evicted(sim.now, sim.clients.jobs[id].Team, task.Name, task.Attempt, lostS)
+	if m.OnEviction != nil {
+		m.OnEviction()
+	}
+}
+
+// transactionCommitted reads from a transaction which machines are cordoned, and which attempts are
+// to be evicted.
+func (m *drainMonitor) transactionCommitted(txn wire.Txn) {
+	for _, change := range txn.Then {
+		name, isDrain := strings.CutPrefix(change.Put, drainRecords)
+		if isDrain && m.budgets != nil {
+			m.drainStored(name, change.Value)
+		}
+		if strings.HasPrefix(change.Put, drainCharges) {
+			m.chargeStored(change.Value)
+		}
+	}
+}
+
+func (m *drainMonitor) chargeStored(value []byte) {
+	charge, err := drain.DecodeCharge(value)
+	if err != nil {
+		m.sim.fail(err)
+		return
+	}
+	for _, attempt := range charge.Attempts {
+		m.budgets.charged[attempt.Number] = true
+	}
+	m.sim.Observed[DrainCharge]++
+	if m.OnCharge != nil {
+		m.OnCharge()
+	}
+}
+
+func (m *drainMonitor) drainStored(name string, value []byte) {
+	record, err := drain.DecodeRecord(name, value)
+	if err != nil {
+		m.sim.fail(err)
+		return
+	}
+	if record.State == drain.Paused {
+		m.sim.Observed[DrainPaused]++
+	}
+	if record.Batch == nil || !record.Batch.Cordoned {
+		return
+	}
+	for _, machine := range record.Batch.Machines {
+		m.budgets.cordoned[machine] = true
+	}
+}
+
+// DrainRecord is the stored record of a drain, nil if there is none.
+func (m *drainMonitor) DrainRecord(name string) *drain.Record {
+	item, err := m.sim.Store.Get(drainRecords + name)
+	if err != nil {
+		return nil
+	}
+	record, err := drain.DecodeRecord(name, item.Value)
+	if err != nil {
+		return nil
+	}
+	return record
+}
--- /dev/null
+++ b/internal/simulation/fault_injection.go
@@ -0,0 +1,244 @@
+package simulation
+
+import "time"
+
+// maxFaultOverrun is how long the last faults may outlast the end of fault injection.
+const maxFaultOverrun = 90 * time.Second
+
+// faultInjector lets faults begin at places and for times that are drawn.
+type faultInjector struct {
+	sim *Simulation
+	// FaultRate is how often faults begin, 0 for never.
+	FaultRate float64
+	// VersionFlipRate is how often a process that crashes comes back with the other version.
+	VersionFlipRate float64
+	faultsEnd       time.Time // no fault begins after it
+}
+
+// faultsAllowed reports whether faults may begin now.
+func (f *faultInjector) faultsAllowed() bool { return f.FaultRate > 0 && f.sim.now.Before(f.faultsEnd) }
+
+// InjectFaults injects random faults of the given kinds, or of all, until faults end.
+func (f *faultInjector) InjectFaults(kinds ...Fault) {
+	sim := f.sim
+	var next func()
+	next = func() {
+		if !f.faultsAllowed() {
+			return
+		}
+		kind := Fault(sim.rng.IntN(numberOfFaults))
+		if len(kinds) > 0 {
+			kind = kinds[sim.rng.IntN(len(kinds))]
+		}
+		f.Inject(kind, sim.between(1000, 40_000))
+		sim.after(time.Duration(float64(sim.between(1000, 30_000))/f.FaultRate), next)
+	}
+	sim.after(sim.between(1000, 20_000), next)
+}
+
+// Inject lets a fault begin, at a node or machine that is drawn.
+func (f *faultInjector) Inject(kind Fault, span time.Duration) {
+	n, a := f.sim.anyNode(), f.drawAgent()
+	switch {
+	case kind <= lastNodeFault:
+		f.injectNodeFault(kind, n, span)
+	case kind <= lastMachineFault:
+		if a != nil {
+			f.injectMachineFault(kind, a, span)
+		}
+	case kind <= lastServiceFault:
+		f.injectServiceFault(kind, span)
+	default:
+		f.injectMessageFault(kind, span)
+	}
+}
+
+// drawAgent draws an agent, nil if there is none.
+func (f *faultInjector) drawAgent() *agentProcess {
+	names := f.sim.agentNames()
+	if len(names) == 0 {
+		return nil
+	}
+	return f.sim.fleet.agents[names[f.sim.rng.IntN(len(names))]]
+}
+
+// drawDownTime draws for how long a process that crashes is down.
+func (f *faultInjector) drawDownTime() time.Duration { return f.sim.between(50, 5000) }
+
+// injectNodeFault lets a fault of a controller or its connections begin.
+func (f *faultInjector) injectNodeFault(kind Fault, n *node, span time.Duration) {
+	sim := f.sim
+	until := sim.now.Add(span)
+	switch kind {
+	case NodeCrash:
+		n.crash(f.drawDownTime())
+	case AllNodesCrash:
+		f.crashAll(f.drawDownTime)
+	case NodesFlap:
+		for range 4 {
+			sim.after(sim.between(0, 4000), func() { n.crash(sim.between(1, 300)) })
+		}
+	case StoreOutage:
+		sim.storeOutage(span)
+	case StoreUnreachable:
+		n.storeUnreachableUntil = until
+	case LeaderStoreUnreachable:
+		sim.eachLeader(func(n *node) { n.storeUnreachableUntil = until })
+	case StoreSlow:
+		sim.storeLink.slowUntil = until
+	case LeaderFrozen:
+		sim.eachLeader(func(n *node) { n.frozenUntil = until })
+	case LeaderIsolated:
+		sim.eachLeader(func(n *node) {
+			n.isolate(span)
+			sim.redirectAgentsTo(n)
+		})
+	case NodesPartitioned:
+		sim.network.partitionNodes(n, sim.anyNode(), span)
+	case ZonePartitioned:
+		zones := sim.Cloud.Type.Zones
+		f.partitionZone(zones[sim.rng.IntN(len(zones))], until)
+	}
+}
+
+// partitionZone separates a zone from all other places, its nodes from the key-value store too.
+func (f *faultInjector) partitionZone(zone string, until time.Time) {
+	f.sim.network.partitionZone(zone, until)
+	for _, n := range f.sim.nodes {
+		if n.zone == zone {
+			n.storeUnreachableUntil = until
+		}
+	}
+}
+
+// injectMachineFault lets a fault of one machine, or of the spot machines, begin.
+func (f *faultInjector) injectMachineFault(kind Fault, a *agentProcess, span time.Duration) {
+	now := f.sim.now
+	switch kind {
+	case MachinePartitioned:
+		a.partitionedUntil = now.Add(span)
+	case MachineResponsesLost:
+		a.responsesLostUntil = now.Add(2 * span)
+	case MachineHangs:
+		a.hungUntil = now.Add(span)
+	case MachineDies:
+		f.sim.removeMachine(a.ID)
+	case SpotReclaimed:
+		f.reclaimSpotMachines()
+	case AgentReplaced:
+		a.replace()
+	case MachineHeartbeatsLost:
+		a.heartbeatsLostUntil = now.Add(2 * span)
+	}
+}
+
+// reclaimNoticeS is the notice before a spot machine is reclaimed, in seconds.
+const reclaimNoticeS = 5.0
+
+// reclaimSpotMachines reclaims half of the spot machines, with a notice.
+func (f *faultInjector) reclaimSpotMachines() {
+	sim := f.sim
+	for _, id := range sim.agentNames() {
+		if a := sim.fleet.agents[id]; a.Machine.Spot && sim.chance(0.5) {
+			notice := reclaimNoticeS
+			a.ReclaimNotice, a.HeartbeatDue = &notice, true
+			sim.after(sim.between(2500, 7500), func() { sim.removeMachine(id) })
+		}
+	}
+}
+
+// injectServiceFault lets a fault of the cloud, or of the leader with the key-value store, begin.
+func (f *faultInjector) injectServiceFault(kind Fault, span time.Duration) {
+	sim := f.sim
+	until := sim.now.Add(span)
+	switch kind {
+	case FastBoots:
+		sim.Cloud.FastBootsUntil = until
+	case StoreRefusesLeader:
+		sim.eachLeader(func(n *node) { n.storeRefusesUntil = until })
+	case OutageAfterCancellation:
+		f.outageAfterCancellation()
+	case RepeatedFailovers:
+		for i := range 10 {
+			sim.after(time.Duration(i)*sim.between(11_000, 13_000), func() { f.CrashLeader(f.drawDownTime()) })
+		}
+	}
+}
+
+// outageAfterCancellation is an overlap of faults that breaks a scheduler whose old leader goes on
+// too long: the key-value store refuses the leader alone, users cancel at the next leader, and then
+// the store refuses all for longer than a cancellation may take, while agents send their heartbeats
+// to the old leader.
+func (f *faultInjector) outageAfterCancellation() {
+	sim := f.sim
+	sim.eachLeader(func(n *node) {
+		n.storeRefusesUntil = sim.now.Add(14 * time.Second)
+		sim.redirectAgentsTo(n)
+	})
+	sim.after(sim.between(1900, 3000), func() { sim.CancelRunning(10, 0) })
+	sim.after(sim.between(3000, 5000), func() { sim.storeOutage(seconds(sim.Params.Workers.CancelDeadlineS + 12)) })
+}
+
+// injectMessageFault lets a fault of messages, or requests at the wrong moment, begin.
+func (f *faultInjector) injectMessageFault(kind Fault, span time.Duration) {
+	sim := f.sim
+	until := sim.now.Add(span)
+	switch kind {
+	case WriteResponsesLost:
+		sim.storeLink.responsesLost = messageFault{0.5, until}
+	case WritesDelayed:
+		sim.storeLink.writesDelayed = messageFault{0.3, until}
+	case HeartbeatsDuplicated:
+		sim.fleet.heartbeatsDuplicated = messageFault{0.5, until}
+	case HeartbeatsReplayedToNextLeader:
+		sim.fleet.heartbeatsReplayed = messageFault{0.5, until}
+	case FollowUpQueries:
+		sim.EnableFollowUps(span)
+	case RunningJobsCancelled:
+		sim.CancelRunning(3, span/2)
+	case CancelledAtCompletion:
+		sim.CancelAtCompletion(0.3, span)
+	case InvalidSubmissions:
+		sim.InvalidRequests(span)
+	}
+}
+
+// CrashLeader ends the leader's process, and starts it again after a time.
+func (f *faultInjector) CrashLeader(down time.Duration) {
+	f.sim.eachLeader(func(n *node) { n.crash(down) })
+}
+
+// CrashAll ends all controllers' processes, and starts them again after a time.
+func (f *faultInjector) CrashAll(down time.Duration) {
+	f.crashAll(func() time.Duration { return down })
+}
+
+func (f *faultInjector) crashAll(down func() time.Duration) {
+	for _, n := range f.sim.nodes {
+		n.crash(down())
+	}
+}
+
+// PartitionBusyMachines separates a share of the machines with tasks, at least one, from all else.
+func (f *faultInjector) PartitionBusyMachines(share float64, span time.Duration) {
+	until := f.sim.now.Add(span)
+	f.eachBusyMachine(share, BusyMachinePartitioned, func(a *agentProcess) { a.partitionedUntil = until })
+}
+
+// LoseResponsesToBusyMachines lets the heartbeats of such machines arrive, and no response or
+// command get back.
+func (f *faultInjector) LoseResponsesToBusyMachines(share float64, span time.Duration) {
+	until := f.sim.now.Add(span)
+	f.eachBusyMachine(share, BusyMachineResponsesLost, func(a *agentProcess) { a.responsesLostUntil = until })
+}
+
+func (f *faultInjector) eachBusyMachine(share float64, what Observation, do func(*agentProcess)) {
+	first := true
+	for _, id := range f.sim.agentNames() {
+		if f.sim.Invariants.HasTasksOn(id) && (first || f.sim.chance(share)) {
+			first = false
+			f.sim.Observed[what]++
+			do(f.sim.fleet.agents[id])
+		}
+	}
+}
--- /dev/null
+++ b/internal/simulation/node.go
@@ -0,0 +1,173 @@
+package simulation
+
+import (
+	"fmt"
+	"time"
+
+	"switchshore.example/switchshore/internal/admission"
+	"switchshore.example/switchshore/internal/config"
+	"switchshore.example/switchshore/internal/election"
+	"switchshore.example/switchshore/internal/kvstore"
+	"switchshore.example/switchshore/internal/leader"
+	"switchshore.example/switchshore/internal/records"
+)
+
+// node is a controller process. It takes the same steps as the real one, driven by events.
+type node struct {
+	sim         *Simulation
+	id          int
+	name        string
+	zone        string
+	drift       float64 // of its clock, as a share of the time that passes
+	up          bool
+	incarnation int // incremented by every crash; what belongs to an earlier one is void
+
+	nonce      uint64
+	leadership *election.Leadership
+	leader     *leader.Leader
+	lease      uint64
+	writer     *kvstore.FencedWriter
+	batch      *records.Batch // being written
+	budget     writeBudget
+
+	storeUnreachableUntil time.Time // requests to the key-value store get no response
+	storeRefusesUntil     time.Time // the key-value store answers 503 to this node
+	frozenUntil           time.Time // the process is suspended, while its clocks run on
+
+	previousVersion bool // runs the version without dependent jobs
+	drainsOff       bool // its operators have not turned drains on
+	admissionOff    bool // its operators have not turned admission control on
+	gate            *admission.Gate
+	peerOffers      map[string]admission.NodeOffers // from the latest heartbeats of the other nodes
+}
+
+// newNode returns a node whose process is up.
+func newNode(sim *Simulation, id int, zone string) *node {
+	return &node{
+		sim: sim, id: id, name: fmt.Sprintf("node-%d", id), zone: zone, up: true,
+		drift: (sim.rng.Float64() - 0.5) * 0.001, peerOffers: map[string]admission.NodeOffers{},
+	}
+}
+
+// after calls run on the node after a time: if the node is frozen then, once it resumes. So a
+// frozen leader sends what it decided before only then.
+func (n *node) after(d time.Duration, run func()) {
+	n.sim.after(d, func() {
+		if n.sim.now.Before(n.frozenUntil) {
+			n.after(n.frozenUntil.Sub(n.sim.now), run)
+			return
+		}
+		run()
+	})
+}
+
+// clock is the node's monotonic clock.
+func (n *node) clock() time.Time {
+	elapsed := n.sim.elapsed()
+	return n.sim.start.Add(elapsed + time.Duration(float64(elapsed)*n.drift))
+}
+
+// isRunning reports whether the process is up and has not crashed since the given incarnation.
+func (n *node) isRunning(incarnation int) bool { return n.up && n.incarnation == incarnation }
+
+// crash ends the process and starts it again after a time.
+func (n *node) crash(down time.Duration) {
+	if !n.up {
+		return
+	}
+	n.up = false
+	n.incarnation++
+	n.frozenUntil = time.Time{}
+	n.clearLeadership()
+	n.sim.after(down, func() {
+		if n.sim.faultsAllowed() && n.sim.chance(n.sim.VersionFlipRate) {
+			n.previousVersion = !n.previousVersion
+		}
+		n.up = true
+		n.gate, n.peerOffers = nil, map[string]admission.NodeOffers{}
+		n.electionStep(n.incarnation)
+	})
+}
+
+// isolate separates the node from the key-value store and all other nodes for a time.
+func (n *node) isolate(span time.Duration) {
+	n.storeUnreachableUntil = n.sim.now.Add(span)
+	for _, other := range n.sim.nodes {
+		if n != other {
+			n.sim.network.partitionNodes(n, other, span)
+		}
+	}
+}
+
+// settings are the operators' settings of the node: of the previous version, and of a node where
+// admission control or drains are off, without them.
+func (n *node) settings() config.Operator {
+	operator := n.sim.Operator
+	if n.previousVersion || n.admissionOff {
+		operator.Admission = nil
+	}
+	if n.previousVersion || n.drainsOff {
+		operator.Drains = nil
+	}
+	return operator
+}
+
+// storeLimits are the limits of the key-value store that the node's version keeps to.
+func (n *node) storeLimits() config.StateLimits {
+	if n.previousVersion {
+		return n.sim.Params.State
+	}
+	return n.sim.Params.State.Tightest()
+}
+
+// anyNode draws the node to which the load balancer sends a client.
+func (sim *Simulation) anyNode() *node { return sim.nodes[sim.rng.IntN(len(sim.nodes))] }
+
+// eachLeader calls do for every node that leads, or still believes so.
+func (sim *Simulation) eachLeader(do func(*node)) {
+	for _, n := range sim.nodes {
+		if n.leader != nil {
+			do(n)
+		}
+	}
+}
+
+// leaderFor is the leader that responds to a client's request at a node, nil if there is none.
+func (sim *Simulation) leaderFor(target *node) *node {
+	return target.findLeader(func(n *node) bool { return n.leadership.HoldsLease(n.clock()) })
+}
+
+// leaderForHeartbeat is the leader that responds to an agent's heartbeat at a node, nil if there
+// is none. It may be in its grace period.
+func (sim *Simulation) leaderForHeartbeat(target *node) *node {
+	grace := leader.GracePeriod(sim.Params.Workers)
+	return target.findLeader(func(n *node) bool { return n.leadership.InGracePeriod(n.clock(), grace) })
+}
+
+// findLeader is the leader of the highest term to which the node can forward a request, itself if
+// it leads; entitled tells which leaders may respond.
+func (n *node) findLeader(entitled func(*node) bool) *node {
+	if !n.up {
+		return nil
+	}
+	if n.leader != nil && entitled(n) {
+		return n
+	}
+	var best *node
+	for _, other := range n.sim.nodes {
+		if other.leader == nil || !entitled(other) || !n.canForwardTo(other) {
+			continue
+		}
+		if best == nil || other.leadership.Term > best.leadership.Term {
+			best = other
+		}
+	}
+	return best
+}
+
+// canForwardTo reports whether another node gets the requests that this one forwards.
+func (n *node) canForwardTo(other *node) bool {
+	net := n.sim.network
+	responsive := other.up && !n.sim.now.Before(other.frozenUntil)
+	return responsive && !net.nodesPartitioned(n, other) && !net.zonesPartitioned(other.zone, n.zone)
+}
--- /dev/null
+++ b/internal/simulation/node_election.go
@@ -0,0 +1,145 @@
+package simulation
+
+import (
+	"encoding/json"
+	"errors"
+	"time"
+
+	"switchshore.example/switchshore/internal/election"
+	"switchshore.example/switchshore/internal/httpclient"
+	"switchshore.example/switchshore/internal/kvstore"
+	"switchshore.example/switchshore/internal/tuning"
+	"switchshore.example/switchshore/wire"
+)
+
+// electionStep campaigns for the leadership or renews its lease, again and again.
+func (n *node) electionStep(incarnation int) {
+	if !n.isRunning(incarnation) {
+		return
+	}
+	again := func(d time.Duration) { n.after(d, func() { n.electionStep(incarnation) }) }
+	if n.leadership != nil {
+		n.renewLease(again)
+		return
+	}
+	n.readLeader(again)
+}
+
+// renewLease renews the leader's lease and steps down if it has expired.
+func (n *node) renewLease(again func(time.Duration)) {
+	sim, sent, lease := n.sim, n.clock(), n.lease
+	sim.trace(boundaryStoreLease, n, "renew", lease)
+	n.callStore(func() error { return sim.Store.Renew(sim.now, lease) }, func(err error) {
+		switch {
+		case n.leadership == nil:
+		case err == nil:
+			n.leadership.LeaseRenewed(sent)
+		case errors.Is(err, kvstore.ErrNotFound):
+			n.stepDown()
+		}
+		again(tuning.LeaseRenewInterval)
+	})
+}
+
+// readLeader reads the leader's and the term's record, and campaigns if no other node leads.
+func (n *node) readLeader(again func(time.Duration)) {
+	sim := n.sim
+	sim.trace(boundaryStoreRead, n, kvstore.KeyLeader, kvstore.KeyTerm)
+	var holder, term wire.KeyValue
+	var holderErr, termErr error
+	n.callStore(func() error {
+		holder, holderErr = sim.Store.Get(kvstore.KeyLeader)
+		term, termErr = sim.Store.Get(kvstore.KeyTerm)
+		return nil
+	}, func(err error) {
+		unavailable := errors.Is(holderErr, kvstore.ErrUnavailable) || errors.Is(termErr, kvstore.ErrUnavailable)
+		if err != nil || unavailable {
+			again(tuning.CampaignRetryDelay)
+			return
+		}
+		if holderErr == nil && !n.isOwnEarlier(holder) {
+			again(sim.between(100, 400))
+			return
+		}
+		n.campaign(holder.Version, term, again)
+	})
+}
+
+// isOwnEarlier reports whether a leader's record was left behind by an earlier incarnation of the
+// node.
+func (n *node) isOwnEarlier(holder wire.KeyValue) bool {
+	var record election.LeaderRecord
+	_ = json.Unmarshal(holder.Value, &record) // an unreadable record is another node's
+	return record.Node == n.name && record.Nonce != n.nonce
+}
+
+// campaign is one attempt of a node to become the leader.
+type campaign struct {
+	node   *node
+	record election.LeaderRecord
+	term   uint64
+	sent   time.Time
+	lease  uint64
+	again  func(time.Duration)
+}
+
+// campaign requests a lease and then the leadership.
+func (n *node) campaign(leaderVersion uint64, term wire.KeyValue, again func(time.Duration)) {
+	var last kvstore.TermRecord
+	_ = json.Unmarshal(term.Value, &last) // there is none before the first term
+	c := &campaign{node: n, term: last.Term + 1, sent: n.clock(), again: again}
+	// The transaction may be executed late, even after its process has ended. The nonce tells it
+	// from those of later incarnations.
+	n.nonce = n.sim.rng.Uint64()
+	c.record = election.LeaderRecord{Node: n.name, Nonce: n.nonce}
+	n.sim.trace(boundaryStoreLease, n, "grant")
+	n.callStore(func() (err error) {
+		c.lease, err = n.sim.Store.Grant(n.sim.now, tuning.LeaderLeaseTTL)
+		return err
+	}, func(err error) {
+		if err != nil {
+			again(tuning.CampaignRetryDelay)
+			return
+		}
+		c.commit(leaderVersion, term.Version)
+	})
+}
+
+// commit writes the leader's and the term's record.
+func (c *campaign) commit(leaderVersion, termVersion uint64) {
+	txn := election.NewCampaignTxn(c.record, c.term, c.lease, leaderVersion, termVersion)
+	c.node.commit(txn, func(result wire.TxnResult, err error) {
+		switch {
+		case err == nil:
+			c.won(result.Revision)
+		case errors.Is(err, httpclient.ErrNoResponse):
+			c.resolveUnknown()
+		default:
+			c.again(tuning.CampaignRetryDelay)
+		}
+	})
+}
+
+// resolveUnknown reads the leader's record after a transaction without a response.
+func (c *campaign) resolveUnknown() {
+	sim := c.node.sim
+	sim.trace(boundaryStoreRead, c.node, kvstore.KeyLeader)
+	var item wire.KeyValue
+	c.node.callStore(func() (err error) {
+		item, err = sim.Store.Get(kvstore.KeyLeader)
+		return err
+	}, func(err error) {
+		var holder election.LeaderRecord
+		if err == nil && json.Unmarshal(item.Value, &holder) == nil && holder == c.record {
+			c.won(item.Version)
+			return
+		}
+		c.again(tuning.CampaignRetryDelay)
+	})
+}
+
+// won starts the term.
+func (c *campaign) won(version uint64) {
+	c.node.startTerm(election.NewLeadership(c.term, c.sent), c.lease, version)
+	c.again(tuning.LeaseRenewInterval)
+}
--- /dev/null
+++ b/internal/simulation/simulation.go
@@ -0,0 +1,118 @@
+package simulation
+
+import (
+	"fmt"
+	"time"
+
+	"switchshore.example/switchshore/internal/config"
+	"switchshore.example/switchshore/wire"
+)
+
+// Simulation runs clients, agents, a cloud and a key-value store against a few controllers in
+// simulated time, with faults drawn from a seed.
+type Simulation struct {
+	Params config.Params
+	// Operator are the operators' settings of all nodes.
+	Operator config.Operator
+	// LimitWriteRate lets the leader keep to the write budget of the settings; without it the
+	// key-value store takes any rate.
+	LimitWriteRate bool
+
+	Invariants *InvariantChecker
+	Store      *KeyValueStore
+	Cloud      *Cloud
+	// Observed counts what has happened, by name: a test of a fault that did not occur would show
+	// nothing.
+	Observed map[Observation]int
+
+	*eventLoop
+	*clients
+	*faultInjector
+	*drainMonitor
+
+	network   *network
+	storeLink storeLink
+	nodes     []*node
+	fleet     fleet
+	digest    traceDigest
+	failure   error // the first violation of an invariant, which ends the run
+}
+
+// cloudCapacity is how many machines of each offer the cloud has, unless a test sets it.
+const cloudCapacity = 4
+
+// New returns a simulation with the given number of controllers and one machine type.
+func New(seed uint64, nodes int, params config.Params, machineType wire.MachineType) *Simulation {
+	loop := newEventLoop(seed)
+	sim := &Simulation{
+		Params:     params,
+		Invariants: NewInvariantChecker(params.Teams, seconds(params.Workers.CancelDeadlineS)),
+		Store:      NewKeyValueStore(),
+		Cloud:      NewCloud(machineType, cloudCapacity),
+		Observed:   map[Observation]int{},
+		eventLoop:  loop,
+		network:    newNetwork(loop),
+		fleet:      fleet{agents: map[string]*agentProcess{}},
+		digest:     newTraceDigest(),
+	}
+	sim.clients = newClients(sim)
+	sim.faultInjector = &faultInjector{sim: sim}
+	sim.drainMonitor = &drainMonitor{sim: sim}
+	sim.Store.OnCommit = sim.transactionCommitted
+	for id := range nodes {
+		n := newNode(sim, id, machineType.Zones[id%len(machineType.Zones)])
+		sim.nodes = append(sim.nodes, n)
+		sim.after(sim.between(0, 100), func() { n.electionStep(n.incarnation) })
+	}
+	return sim
+}
+
+// Run simulates a duration, the first part of it with faults, and returns the first violation of
+// an invariant.
+func (sim *Simulation) Run(duration, faultsFor time.Duration) error {
+	sim.faultsEnd = sim.start.Add(faultsFor)
+	sim.after(faultsFor, sim.finishUpgrade)
+	end := sim.start.Add(duration)
+	for sim.failure == nil {
+		e := sim.next(end)
+		if e == nil {
+			return nil
+		}
+		sim.Store.Advance(sim.now)
+		agents := sim.advanceAgents()
+		e.run()
+		sim.fail(sim.checkInvariants(agents))
+	}
+	return fmt.Errorf("after %v: %w", sim.elapsed(), sim.failure)
+}
+
+// checkInvariants checks what must hold after every event, with the agents that there were before.
+func (sim *Simulation) checkInvariants(agents []*Agent) error {
+	if sim.failure != nil {
+		return nil
+	}
+	if err := sim.Invariants.CheckTasks(sim.now, agents); err != nil {
+		return err
+	}
+	if err := sim.checkDrains(agents); err != nil {
+		return err
+	}
+	settled := sim.faultsEnd.Add(maxFaultOverrun)
+	if !sim.now.After(settled) {
+		return nil
+	}
+	if err := sim.Invariants.CheckJobsAnswered(sim.now, settled); err != nil {
+		return err
+	}
+	return sim.Invariants.CheckNoStarvation(sim.now, agents)
+}
+
+// fail notes the first error, which ends the run.
+func (sim *Simulation) fail(err error) {
+	if sim.failure == nil {
+		sim.failure = err
+	}
+}
+
+// seconds converts a setting into a duration.
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- /dev/null
+++ b/internal/simulation/upgrade.go
@@ -0,0 +1,29 @@
+package simulation
+
+import "time"
+
+// upgradeDownTime is how long a node is down for its upgrade.
+const upgradeDownTime = 4 * time.Second
+
+// RollingUpgrade starts every node with the previous version and, from a time on, restarts one
+// after the other with the present version. It returns when the last one is back.
+func (sim *Simulation) RollingUpgrade(from, interval time.Duration) time.Duration {
+	for i, n := range sim.nodes {
+		n.previousVersion = true
+		sim.after(from+time.Duration(i)*interval, func() {
+			n.previousVersion = false
+			n.crash(upgradeDownTime)
+		})
+	}
+	return from + time.Duration(len(sim.nodes))*interval + upgradeDownTime
+}
+
+// finishUpgrade restarts the nodes that still run the previous version with the present one.
+func (sim *Simulation) finishUpgrade() {
+	for _, n := range sim.nodes {
+		if n.previousVersion {
+			n.previousVersion = false
+			n.crash(time.Second)
+		}
+	}
+}
