--- a/internal/leader/controller.go
+++ b/internal/leader/controller.go
@@ -12,6 +12,8 @@
 
 	"switchshore.example/switchshore/internal/admission"
 	"switchshore.example/switchshore/internal/config"
+	"switchshore.example/switchshore/internal/jobs"
+	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/placement"
 	"switchshore.example/switchshore/internal/records"
 	"switchshore.example/switchshore/internal/tuning"
@@ -30,7 +32,7 @@
 	inheritedUntil time.Time
 	started        time.Time
 
-	jobs   map[string]*job
+	jobs   map[string]*jobs.Job
 	finals map[string]records.FinalState // ended jobs, for good
 	active int                           // unfinished tasks, for the memory bound
 	// activeByTeam are the same by team.
@@ -39,24 +41,22 @@
 	regulator         *admission.Regulator
 	admissionSettings *admission.Settings
 	// live are the unfinished jobs that need no other any more.
-	live               map[*job]struct{}
-	unsavedCompletions map[*job]time.Time // jobs with unwritten completions, since when
+	live               map[*jobs.Job]struct{}
+	unsavedCompletions map[*jobs.Job]time.Time // jobs with unwritten completions, since when
 	teams              map[string]*team
-	runTimes           runTimes
-	startDelay         startDelay
+	runTimes           jobs.RunTimes
+	startDelay         jobs.StartDelay
 
-	machines       map[string]*machine
-	machinesByName []*machine
-	released       map[string]bool // names never to be taken in again
-	listNumber     uint64          // number of task lists applied
-	changed        bool            // since the last pass
-	scores         int             // pairs of job and machine looked at, for the logs
+	machines   *machines.Registry
+	listNumber uint64 // number of task lists applied
+	changed    bool   // since the last pass
+	scores     int    // pairs of job and machine looked at, for the logs
 
 	writes  *records.WriteQueues
 	starts  startLog
 	loading loading
 
-	dependencyGraph
+	graph jobs.DependencyGraph
 	cloudState
 	directCalls
 	lastRuns
@@ -88,17 +88,16 @@
 		operator:           o,
 		term:               term,
 		started:            now,
-		jobs:               map[string]*job{},
+		jobs:               map[string]*jobs.Job{},
 		finals:             map[string]records.FinalState{},
-		live:               map[*job]struct{}{},
+		live:               map[*jobs.Job]struct{}{},
 		activeByTeam:       map[string]int{},
-		unsavedCompletions: map[*job]time.Time{},
+		unsavedCompletions: map[*jobs.Job]time.Time{},
 		teams:              map[string]*team{},
-		runTimes:           runTimes{},
-		machines:           map[string]*machine{},
-		released:           map[string]bool{},
-		dependencyGraph:    dependencyGraph{dependents: map[string][]*job{}},
-		loading:            loading{pieces: records.JobPieces{}},
+		runTimes:           jobs.RunTimes{},
+		machines:           machines.NewRegistry(),
+		graph:              jobs.NewDependencyGraph(),
+		loading:            loading{pieces: records.JobPieces{}, attempts: map[taskKey]*machines.Attempt{}},
 		cloudState:         newCloudState(),
 		drainState:         newDrainState(o.Drains, p.Workers),
 	}
@@ -160,6 +159,6 @@
 // Stop ends the term: everyone waiting is told that nothing is decided.
 func (l *Leader) Stop() {
 	for _, j := range l.jobs {
-		j.notifyWaiters(false)
+		j.NotifyWaiters(false)
 	}
 }
--- a/internal/leader/counts.go
+++ b/internal/leader/counts.go
@@ -17,19 +17,19 @@
 
 // Counts returns the sums.
 func (l *Leader) Counts() Counts {
-	n := Counts{Jobs: len(l.jobs), Machines: len(l.machines), Writes: l.writes.Len(), ScoredPairs: l.scores, DrainSteps: l.drainLooks}
-	n.DependencySteps = l.openSteps()
+	n := Counts{Jobs: len(l.jobs), Machines: l.machines.Len(), Writes: l.writes.Len(), ScoredPairs: l.scores, DrainSteps: l.drainLooks}
+	n.DependencySteps = l.graph.OpenSteps()
 	for _, j := range l.jobs {
-		n.Ready += len(j.ready)
-		n.WantedCPUs += float64(len(j.ready)) * j.CPUs
-		n.Allocated += j.allocatedTasks
+		n.Ready += len(j.Ready)
+		n.WantedCPUs += float64(len(j.Ready)) * j.CPUs
+		n.Allocated += j.AllocatedTasks
 	}
-	for _, m := range l.machines {
-		if m.joined && !m.releasing {
+	for _, m := range l.machines.All() {
+		if m.Joined && !m.Releasing {
 			n.Up++
-			n.CPUs += m.total.CPUs
-			n.UsedCPUs += m.total.CPUs - m.free.CPUs
-			if m.spot {
+			n.CPUs += m.Total.CPUs
+			n.UsedCPUs += m.Total.CPUs - m.Free.CPUs
+			if m.Spot {
 				n.Spot++
 			}
 		}
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -5,6 +5,7 @@
 	"net/http"
 	"time"
 
+	"switchshore.example/switchshore/internal/jobs"
 	"switchshore.example/switchshore/internal/placement"
 	"switchshore.example/switchshore/internal/records"
 	"switchshore.example/switchshore/internal/tuning"
@@ -17,15 +18,6 @@
 // leaves nothing half done. Only jobs that were accepted before can be named,
 // so no job can need itself, directly or through others.
 
-// criticalPath is what the jobs that need a job, through any number of steps, expect of
-// it: the deadline of the last one of the tightest path, less the estimated time
-// of what lies between.
-type criticalPath struct {
-	last *job // whose deadline it is; nil if there is none
-	due  time.Time
-	left time.Duration // what lies between
-}
-
 // checkDependencies returns an error if a job names one that was not accepted, or of
 // which that is not decided.
 func (l *Leader) checkDependencies(spec *wire.Job) *RejectedError {
@@ -36,7 +28,7 @@
 		switch j := l.jobs[id]; {
 		case j == nil:
 			return &RejectedError{Status: http.StatusUnprocessableEntity, Reason: fmt.Sprintf("awaits %.*s, which was never accepted", wire.MaxIDLength, id)}
-		case !j.acceptanceDurable:
+		case !j.AcceptanceDurable:
 			return &RejectedError{Status: http.StatusServiceUnavailable, Reason: "awaits " + id + ", which is being accepted"}
 		}
 	}
@@ -44,66 +36,39 @@
 }
 
 // linkDependencies counts what a job waits for, and notes it with the jobs it needs.
-func (l *Leader) linkDependencies(j *job) {
+func (l *Leader) linkDependencies(j *jobs.Job) {
 	for _, id := range j.DependsOn {
 		f, ended := l.finals[id]
 		switch {
 		case !ended:
-			j.openDependencies++
-			l.dependents[id] = append(l.dependents[id], j)
+			j.OpenDependencies++
+			l.graph.Dependents[id] = append(l.graph.Dependents[id], j)
 		case f.Outcome == records.OutcomeCancelled:
-			j.dependencyCancelled = true
+			j.DependencyCancelled = true
 		}
 	}
 }
 
-// dependencyGraph knows which jobs wait for which, and what follows from the jobs that
-// are over.
-type dependencyGraph struct {
-	// dependents are the jobs that need one that is not over, by its id.
-	dependents   map[string][]*job
-	unblocked    []*job // a job that they need is done
-	toCancel     []*job // a job that they need was cancelled
-	pathOutdated []*job // what others expect of them may have changed
-}
-
-// openSteps is the number of steps still to be taken after the ends of jobs.
-func (g *dependencyGraph) openSteps() int {
-	return len(g.unblocked) + len(g.toCancel) + len(g.pathOutdated)
-}
-
-// notifyDependents lets a final state take effect on the jobs that need the one that is
-// over: step by step, as there may be thousands.
-func (g *dependencyGraph) notifyDependents(id string, f records.FinalState) {
-	list := g.dependents[id]
-	delete(g.dependents, id)
-	if f.Outcome == records.OutcomeCancelled {
-		g.toCancel = append(g.toCancel, list...)
-	} else {
-		g.unblocked = append(g.unblocked, list...)
-	}
-}
-
 // processDependencyChanges takes some of the steps that final states ask for.
 func (l *Leader) processDependencyChanges(now time.Time) {
 	steps := tuning.DependencyStepsPerTick
-	for ; steps > 0 && len(l.toCancel) > 0; steps-- {
-		j := l.toCancel[0]
-		l.toCancel = l.toCancel[1:]
+	for ; steps > 0 && len(l.graph.ToCancel) > 0; steps-- {
+		j := l.graph.ToCancel[0]
+		l.graph.ToCancel = l.graph.ToCancel[1:]
 		l.cancelDependent(now, j)
 	}
-	for ; steps > 0 && len(l.unblocked) > 0; steps-- {
-		j := l.unblocked[0]
-		l.unblocked = l.unblocked[1:]
-		if j.openDependencies--; j.openDependencies == 0 {
-			j.waitingSince, j.startAt = now, now
+	for ; steps > 0 && len(l.graph.Unblocked) > 0; steps-- {
+		j := l.graph.Unblocked[0]
+		l.graph.Unblocked = l.graph.Unblocked[1:]
+		if j.OpenDependencies--; j.OpenDependencies == 0 {
+			j.WaitingSince, j.LastPlacedAt = now, now
 			l.releaseIfUnblocked(now, j)
 		}
 	}
-	for ; steps > 0 && len(l.pathOutdated) > 0; steps-- {
-		j := l.pathOutdated[0]
-		l.pathOutdated = l.pathOutdated[1:]
-		j.pathScheduled = false
+	for ; steps > 0 && len(l.graph.PathOutdated) > 0; steps-- {
+		j := l.graph.PathOutdated[0]
+		l.graph.PathOutdated = l.graph.PathOutdated[1:]
+		j.PathScheduled = false
 		if l.updateCriticalPath(j) {
 			for _, id := range j.DependsOn {
 				l.scheduleCriticalPath(l.jobs[id])
@@ -114,84 +79,75 @@
 
 // cancelDependent cancels a job that needs one that was cancelled; those that need it
 // follow at once, as the first cancellation is durable.
-func (l *Leader) cancelDependent(now time.Time, j *job) {
-	if j.state == jobCancelled || j.state == jobDone {
+func (l *Leader) cancelDependent(now time.Time, j *jobs.Job) {
+	if j.State == jobs.Cancelled || j.State == jobs.Done {
 		return
 	}
-	j.dependencyCancelled = true
+	j.DependencyCancelled = true
 	queue := &l.writes.Dependent
-	if !j.acceptanceDurable {
+	if !j.AcceptanceDurable {
 		queue = &l.writes.Interactive // behind the acceptance; its user hears of both at once
 	}
-	l.end(now, j, jobCancelled, queue)
-	l.notifyDependents(j.ID, records.FinalState{Outcome: records.OutcomeCancelled})
+	l.end(now, j, jobs.Cancelled, queue)
+	l.graph.NotifyDependents(j.ID, records.FinalState{Outcome: records.OutcomeCancelled})
 }
 
 // releaseIfUnblocked lets a job that is stored take its turn, unless it waits for others.
-func (l *Leader) releaseIfUnblocked(now time.Time, j *job) {
+func (l *Leader) releaseIfUnblocked(now time.Time, j *jobs.Job) {
 	switch {
-	case j.state != jobActive:
-	case j.dependencyCancelled:
-		l.toCancel = append(l.toCancel, j)
-	case j.openDependencies == 0:
+	case j.State != jobs.Active:
+	case j.DependencyCancelled:
+		l.graph.ToCancel = append(l.graph.ToCancel, j)
+	case j.OpenDependencies == 0:
 		l.live[j] = struct{}{}
-		j.fillReady()
-		l.countInflow(now, j.waitingSince, float64(j.Tasks)*j.CPUs*l.runTimes.estimate(j))
+		j.FillReady()
+		l.countInflow(now, j.WaitingSince, float64(j.Tasks)*j.CPUs*l.runTimes.Estimate(j))
 		l.changed = true
 	}
 }
 
-// standalonePath is a job's priority and path as if no other job needed it.
-func (j *job) standalonePath() (int, criticalPath) {
-	p := criticalPath{}
-	if j.DeadlineS != nil {
-		p = criticalPath{last: j, due: j.submitted.Add(seconds(*j.DeadlineS))}
-	}
-	return wire.PriorityRank(j.Priority), p
-}
-
 // updateCriticalPath derives what is expected of a job from the jobs that need it, and
 // reports whether that has changed.
-func (l *Leader) updateCriticalPath(j *job) bool {
-	if j.cyclic {
+func (l *Leader) updateCriticalPath(j *jobs.Job) bool {
+	if j.Cyclic {
 		return false
 	}
-	level, p := j.standalonePath()
-	for _, d := range l.dependents[j.ID] {
-		if d.state == jobCancelled {
+	level, p := j.StandalonePath()
+	for _, d := range l.graph.Dependents[j.ID] {
+		if d.State == jobs.Cancelled {
 			continue
 		}
-		level = min(level, d.priorityRank)
-		if d.path.last == nil {
+		level = min(level, d.PriorityRank)
+		if d.Path.Last == nil {
 			continue
 		}
 		takes := l.stageTime(d)
-		if due := d.path.due.Add(-takes); p.last == nil || due.Before(p.due) {
-			p = criticalPath{d.path.last, due, d.path.left + takes}
+		if due := d.Path.Due.Add(-takes); p.Last == nil || due.Before(p.Due) {
+			p = jobs.CriticalPath{Last: d.Path.Last, Due: due, Left: d.Path.Left + takes}
 		}
 	}
-	changed := level != j.priorityRank || p != j.path
-	j.priorityRank, j.path = level, p
+	changed := level != j.PriorityRank || p != j.Path
+	j.PriorityRank, j.Path = level, p
 	l.changed = l.changed || changed
 	return changed
 }
 
 // scheduleCriticalPath notes that what others expect of a job may have changed.
-func (l *Leader) scheduleCriticalPath(j *job) {
-	if j != nil && !j.pathScheduled && !j.endDurable {
-		j.pathScheduled = true
-		l.pathOutdated = append(l.pathOutdated, j)
+func (l *Leader) scheduleCriticalPath(j *jobs.Job) {
+	if j != nil && !j.PathScheduled && !j.EndDurable {
+		j.PathScheduled = true
+		l.graph.PathOutdated = append(l.graph.PathOutdated, j)
 	}
 }
 
 // stageTime is the time that a job takes once the jobs that it needs are done, by
 // its estimate.
-func (l *Leader) stageTime(j *job) time.Duration {
+func (l *Leader) stageTime(j *jobs.Job) time.Duration {
 	rate := 0.0
 	for _, t := range l.offers {
 		rate = max(rate, t.FetchGBPerS)
 	}
-	takes := l.runTimes.estimate(j)
+	takes := l.runTimes.Estimate(j)
 	if rate > 0 {
 		takes += placement.FetchTime(j.ImageGB, rate)
 	}
@@ -200,16 +156,16 @@
 
 // linkAllDependencies derives, from the records that were loaded, what every job waits for
 // and what is expected of it: last stages first, so that each is weighed once.
-func (l *Leader) linkAllDependencies(jobs []*job) {
-	for _, j := range jobs {
-		if !j.endDurable {
+func (l *Leader) linkAllDependencies(all []*jobs.Job) {
+	for _, j := range all {
+		if !j.EndDurable {
 			l.linkDependencies(j)
 		}
 	}
-	var last []*job
-	after := map[*job]int{}
-	for _, j := range jobs {
-		if after[j] = len(l.dependents[j.ID]); after[j] == 0 {
+	var last []*jobs.Job
+	after := map[*jobs.Job]int{}
+	for _, j := range all {
+		if after[j] = len(l.graph.Dependents[j.ID]); after[j] == 0 {
 			last = append(last, j)
 		}
 	}
@@ -221,12 +177,12 @@
 		for _, id := range j.DependsOn {
 			need := l.jobs[id]
 			switch {
-			case j.endDurable:
+			case j.EndDurable:
 			case need == nil:
 				if _, ended := l.finals[id]; !ended {
 					l.log.Error().Str("key", records.JobKey(j.ID)).Str("dependency", id).Msg("corrupt record: dependency without a record")
 				}
-			case !need.endDurable:
+			case !need.EndDurable:
 				if after[need]--; after[need] == 0 {
 					last = append(last, need)
 				}
@@ -236,7 +192,7 @@
 	// What is left needs itself, or is needed by one that does: records that
 	// can't be right. Those jobs wait, and can be cancelled.
 	for j := range after {
-		j.cyclic = true
+		j.Cyclic = true
 		l.log.Error().Str("key", records.JobKey(j.ID)).Msg("corrupt records: dependency cycle")
 	}
 }
--- a/internal/leader/direct.go
+++ b/internal/leader/direct.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"switchshore.example/switchshore/internal/config"
+	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -14,7 +15,7 @@
 	Addr    string
 	Request wire.CommandRequest
 
-	attempts []*attempt
+	attempts []*machines.Attempt
 	seq      uint64 // newest message of the session when the call was made
 }
 
@@ -33,7 +34,7 @@
 
 // directCalls are the machines with something to be told directly, and the calls under way.
 type directCalls struct {
-	callQueue     []*machine
+	callQueue     []*machines.Machine
 	callsInFlight int
 }
 
@@ -45,29 +46,29 @@
 	next := 0
 	for ; next < len(l.callQueue) && l.callsInFlight < l.maxCalls(); next++ {
 		m := l.callQueue[next]
-		m.callQueued = false
-		if m.calling || m.addr == "" || now.Before(m.callAfter) || !m.reconciled || m.cordonedFor(cordonUnresponsive) || l.heartbeatOverdue(now, m) || l.machines[m.id] != m {
+		m.CallQueued = false
+		if m.Calling || m.Addr == "" || now.Before(m.CallAfter) || !m.Reconciled || m.CordonedFor(machines.CordonUnresponsive) || l.heartbeatOverdue(now, m) || l.machines.Get(m.ID) != m {
 			// The answer to the next report carries it.
 			continue
 		}
-		call := &DirectCall{Machine: m.id, Addr: m.addr, Request: wire.CommandRequest{FencingToken: l.term, AgentEpoch: m.epoch}, seq: m.sequence}
+		call := &DirectCall{Machine: m.ID, Addr: m.Addr, Request: wire.CommandRequest{FencingToken: l.term, AgentEpoch: m.Epoch}, seq: m.Sequence}
 		open := l.acceptsWork(now, m)
-		for _, a := range m.attempts {
-			if a.stopping && a.state >= stateFetching && !a.stopSent {
+		for _, a := range m.Attempts {
+			if a.Stopping && a.State >= machines.Fetching && !a.StopSent {
 				// A late stop does no harm: attempts are never reused.
-				a.stopSent = true
-				call.Request.Commands = append(call.Request.Commands, a.stopCommand())
+				a.StopSent = true
+				call.Request.Commands = append(call.Request.Commands, a.StopCommand())
 				continue
 			}
-			if !open || a.state != stateStartSent || !a.wanted() || a.sentDirectly || a.sentSequence != 0 || len(call.attempts) >= tuning.MaxCommandsPerResponse {
+			if !open || a.State != machines.StartSent || !a.Wanted() || a.SentDirectly || a.SentSequence != 0 || len(call.attempts) >= tuning.MaxCommandsPerResponse {
 				continue
 			}
-			a.sentDirectly = true
+			a.SentDirectly = true
 			call.attempts = append(call.attempts, a)
-			call.Request.Commands = append(call.Request.Commands, a.startCommand())
+			call.Request.Commands = append(call.Request.Commands, a.StartCommand())
 		}
 		if len(call.Request.Commands) > 0 {
-			m.calling = true
+			m.Calling = true
 			l.callsInFlight++
 			calls = append(calls, call)
 		}
@@ -80,9 +81,9 @@
 }
 
 // scheduleCall puts a machine in the list of those with something to be told.
-func (d *directCalls) scheduleCall(m *machine) {
-	if !m.callQueued {
-		m.callQueued = true
+func (d *directCalls) scheduleCall(m *machines.Machine) {
+	if !m.CallQueued {
+		m.CallQueued = true
 		d.callQueue = append(d.callQueue, m)
 	}
 }
@@ -103,32 +104,32 @@
 func (l *Leader) DirectCallDone(now time.Time, call *DirectCall, outcome DirectOutcome, r *wire.Heartbeat) {
 	if outcome != DirectUnknown {
 		for _, a := range call.attempts {
-			a.sentDirectly = false
+			a.SentDirectly = false
 		}
 	}
 	l.callsInFlight--
-	m := l.machines[call.Machine]
+	m := l.machines.Get(call.Machine)
 	if m == nil {
 		return
 	}
-	m.calling = false
+	m.Calling = false
 	l.scheduleCall(m)
 	if outcome != DirectAnswered {
-		m.callAfter = now.Add(tuning.DirectBackoff)
+		m.CallAfter = now.Add(tuning.DirectBackoff)
 		return
 	}
-	if r == nil || r.Machine != m.id {
+	if r == nil || r.Machine != m.ID {
 		return
 	}
 	if r.AgentEpoch < call.Request.AgentEpoch || r.AgentEpoch == call.Request.AgentEpoch && r.Sequence <= call.seq {
 		// An answer to this very call can't be older than what was known before
 		// it: a new worker has taken the place of the one known, and may have
 		// carried the starts out.
-		l.log.Info().Str("machine", m.id).Msg("worker replaced, releasing machine")
-		m.cordon(cordonReplaced)
+		l.log.Info().Str("machine", m.ID).Msg("worker replaced, releasing machine")
+		m.Cordon(machines.CordonReplaced)
 		return
 	}
-	if r.FencingToken != l.term || m.isStale(r) {
+	if r.FencingToken != l.term || m.IsStale(r) {
 		return
 	}
 	l.advanceSequence(m, r)
--- a/internal/leader/drain_replace.go
+++ b/internal/leader/drain_replace.go
@@ -7,6 +7,7 @@
 
 	"switchshore.example/switchshore/internal/autoscale"
 	"switchshore.example/switchshore/internal/drain"
+	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
@@ -20,18 +21,18 @@
 func (l *Leader) countReplacements(now time.Time, b *drain.Batch) replacementCount {
 	n := replacementCount{map[string]int{}, map[string]int{}, map[string]int{}}
 	for _, name := range b.Machines {
-		if m := l.machines[name]; m != nil {
-			n.needed[m.machineType]++
+		if m := l.machines.Get(name); m != nil {
+			n.needed[m.Type]++
 		}
 	}
 	for _, name := range b.Replacements {
-		m := l.machines[name]
+		m := l.machines.Get(name)
 		switch {
-		case m == nil || m.releasing || m.cordonedFor(cordonsRetiring|cordonReplaced):
+		case m == nil || m.Releasing || m.CordonedFor(machines.RetiringReasons|machines.CordonReplaced):
 		case l.acceptsWork(now, m):
-			n.ready[m.machineType]++
+			n.ready[m.Type]++
 		default:
-			n.coming[m.machineType]++
+			n.coming[m.Type]++
 		}
 	}
 	return n
@@ -102,7 +103,7 @@
 	for _, machineType := range slices.Sorted(maps.Keys(n.needed)) {
 		missing := n.missing(machineType)
 		if most := l.operator.MaxMachines; most > 0 {
-			missing = min(missing, most-len(l.machines))
+			missing = min(missing, most-l.machines.Len())
 		}
 		if o, ok := l.replacementOffer(now, d.Batch, machineType); ok && missing > 0 {
 			calls = append(calls, l.provision(now, o, missing, d.Spec.Name))
@@ -115,11 +116,11 @@
 // or else in another zone, or else not as a spot machine.
 func (l *Leader) replacementOffer(now time.Time, b *drain.Batch, machineType string) (autoscale.Offer, bool) {
 	i := slices.IndexFunc(b.Machines, func(name string) bool {
-		return l.machines[name] != nil && l.machines[name].machineType == machineType
+		return l.machines.Get(name) != nil && l.machines.Get(name).Type == machineType
 	})
-	m := l.machines[b.Machines[i]]
-	zones := slices.Concat([]string{m.zone}, l.types[machineType].Zones)
-	for _, spot := range []bool{m.spot, false} {
+	m := l.machines.Get(b.Machines[i])
+	zones := slices.Concat([]string{m.Zone}, l.types[machineType].Zones)
+	for _, spot := range []bool{m.Spot, false} {
 		for _, zone := range zones {
 			o := autoscale.Offer{Type: machineType, Zone: zone, Spot: spot}
 			if slices.Contains(l.types[machineType].Zones, zone) && l.offered(now, o) {
@@ -131,14 +132,14 @@
 }
 
 // noteReplacements adds machines that were rented for a drain to its batch.
-func (l *Leader) noteReplacements(name string, machines []string) {
+func (l *Leader) noteReplacements(name string, replacements []string) {
 	d := l.drains[name]
-	if d == nil || d.Batch == nil || len(machines) == 0 {
+	if d == nil || d.Batch == nil || len(replacements) == 0 {
 		return
 	}
 	// Those that have gone meanwhile make room in the record.
 	d.Batch.Replacements = slices.DeleteFunc(d.Batch.Replacements, l.provablyGone)
-	d.Batch.Replacements = append(d.Batch.Replacements, machines...)
-	d.Counts.Replacements += len(machines)
+	d.Batch.Replacements = append(d.Batch.Replacements, replacements...)
+	d.Counts.Replacements += len(replacements)
 	l.storeDrain(d, nil)
 }
--- a/internal/leader/drain_requests.go
+++ b/internal/leader/drain_requests.go
@@ -60,7 +60,7 @@
 	if err == nil {
 		err = s.ValidateFor(drain.Deployment{
 			Zones: l.zones(), Types: slices.Sorted(maps.Keys(l.types)),
-			HasMachine: func(name string) bool { return l.machines[name] != nil },
+			HasMachine: func(name string) bool { return l.machines.Get(name) != nil },
 		})
 	}
 	if err == nil && l.drainSize(s) > l.valueLimit() {
@@ -149,15 +149,15 @@
 	}
 	d.Cancel()
 	for _, name := range machines {
-		m := l.machines[name]
+		m := l.machines.Get(name)
 		if m == nil {
 			continue
 		}
 		l.applyDrainCordon(m)
-		for _, a := range m.attempts {
-			if a.evicting && !a.stopping {
-				a.evicting = false
-				l.ledger.Available(a.job.ID, a.index)
+		for _, a := range m.Attempts {
+			if a.Evicting && !a.Stopping {
+				a.Evicting = false
+				l.ledger.Available(a.Job.ID, a.Index)
 			}
 		}
 	}
@@ -187,7 +187,7 @@
 		status.Batch = &batch
 	}
 	step := drainStep{Leader: l, record: d, now: now, wall: wall}
-	for _, m := range l.machinesByName {
+	for _, m := range l.machines.All() {
 		if !d.State.IsTerminal() && step.selects(m) {
 			status.MachinesLeft++
 		}
--- a/internal/leader/drain_state.go
+++ b/internal/leader/drain_state.go
@@ -8,6 +8,8 @@
 	"switchshore.example/switchshore/internal/autoscale"
 	"switchshore.example/switchshore/internal/config"
 	"switchshore.example/switchshore/internal/drain"
+	"switchshore.example/switchshore/internal/jobs"
+	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/records"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
@@ -87,7 +89,7 @@
 	for _, loaded := range charges {
 		l.ledger.Charge(loaded.key, loaded.charge, loaded.at, l.teamOfAttempt)
 	}
-	for _, m := range l.machinesByName {
+	for _, m := range l.machines.All() {
 		l.applyDrainCordon(m)
 	}
 }
@@ -95,7 +97,7 @@
 // teamOfAttempt is the team of a task that is still to run.
 func (l *Leader) teamOfAttempt(a drain.Attempt) (string, bool) {
 	j := l.jobs[a.Job]
-	if j == nil || a.Index < 0 || int(a.Index) >= j.Tasks || !j.needsTask(int(a.Index)) {
+	if j == nil || a.Index < 0 || int(a.Index) >= j.Tasks || !j.NeedsTask(int(a.Index)) {
 		return "", false
 	}
 	return j.Team, true
@@ -130,8 +132,8 @@
 }
 
 // applyDrainCordon cordons a machine as long as a drain keeps it from taking new work.
-func (l *Leader) applyDrainCordon(m *machine) {
-	m.setCordon(cordonDrained, l.anyDrain(func(r *drain.Record) bool { return r.Cordons(m.id) }))
+func (l *Leader) applyDrainCordon(m *machines.Machine) {
+	m.SetCordon(machines.CordonDrained, l.anyDrain(func(r *drain.Record) bool { return r.Cordons(m.ID) }))
 }
 
 // closedByDrain reports whether a drain keeps machines of an offer from being rented.
@@ -154,48 +156,48 @@
 }
 
 // countInterruption counts an attempt that is about to be dropped, if it may have run.
-func (l *Leader) countInterruption(now time.Time, a *attempt) {
-	j := a.job
-	if l.ledger == nil || !j.needsTask(int(a.index)) || j.allocations[a.index] > 1 || a.failed {
+func (l *Leader) countInterruption(now time.Time, a *machines.Attempt) {
+	j := a.Job
+	if l.ledger == nil || !j.NeedsTask(int(a.Index)) || j.Allocations[a.Index] > 1 || a.Failed {
 		return
 	}
 	switch {
-	case l.ledger.Charged(a.number), a.state == statePossiblyStarted:
-		l.ledger.Unknown(j.Team, j.ID, a.index)
-	case a.state.hasImage():
-		l.ledger.Interrupted(j.Team, j.ID, a.index, now, lostProgress(now, a))
+	case l.ledger.Charged(a.Number), a.State == machines.PossiblyStarted:
+		l.ledger.Unknown(j.Team, j.ID, a.Index)
+	case a.State.HasImage():
+		l.ledger.Interrupted(j.Team, j.ID, a.Index, now, lostProgress(now, a))
 	}
 }
 
 // lostProgress is the run time in seconds that goes with an attempt that is gone.
-func lostProgress(now time.Time, a *attempt) float64 {
+func lostProgress(now time.Time, a *machines.Attempt) float64 {
 	switch {
-	case a.checkpointSaved:
+	case a.CheckpointSaved:
 		return 0
-	case a.job.CheckpointIntervalS > 0:
+	case a.Job.CheckpointIntervalS > 0:
 		return unsavedProgress(now, a)
 	}
-	return now.Sub(a.runningAt).Seconds()
+	return now.Sub(a.RunningAt).Seconds()
 }
 
 // countRunning counts a task that was interrupted as running again, unless it is the very
 // attempt that a drain is about to stop.
-func (l *Leader) countRunning(a *attempt) {
-	if l.ledger == nil || a.evicting || l.ledger.Charged(a.number) && a.machine.cordonedFor(cordonDrained) {
+func (l *Leader) countRunning(a *machines.Attempt) {
+	if l.ledger == nil || a.Evicting || l.ledger.Charged(a.Number) && a.Machine.CordonedFor(machines.CordonDrained) {
 		return
 	}
-	l.ledger.Available(a.job.ID, a.index)
+	l.ledger.Available(a.Job.ID, a.Index)
 }
 
 // countDone counts a task that was interrupted as done.
-func (l *Leader) countDone(j *job, index int32) {
+func (l *Leader) countDone(j *jobs.Job, index int32) {
 	if l.ledger != nil {
 		l.ledger.Available(j.ID, index)
 	}
 }
 
 // countOver counts no task of a job any more.
-func (l *Leader) countOver(j *job) {
+func (l *Leader) countOver(j *jobs.Job) {
 	if l.ledger != nil {
 		l.ledger.JobEnded(j.ID)
 	}
--- a/internal/leader/drain_step.go
+++ b/internal/leader/drain_step.go
@@ -7,6 +7,8 @@
 
 	"switchshore.example/switchshore/internal/autoscale"
 	"switchshore.example/switchshore/internal/drain"
+	"switchshore.example/switchshore/internal/jobs"
+	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/placement"
 	"switchshore.example/switchshore/internal/tuning"
 )
@@ -16,7 +18,7 @@
 	*Leader
 	record    *storedDrain
 	now, wall time.Time
-	places    map[*job]bool // whether tasks of the job have another place
+	places    map[*jobs.Job]bool // whether tasks of the job have another place
 }
 
 // AdvanceDrains takes the next step of the drain that runs; wall is the time of day. It needs
@@ -31,7 +33,7 @@
 	if r == nil {
 		return
 	}
-	s := &drainStep{Leader: l, record: l.drains[r.Spec.Name], now: now, wall: wall, places: map[*job]bool{}}
+	s := &drainStep{Leader: l, record: l.drains[r.Spec.Name], now: now, wall: wall, places: map[*jobs.Job]bool{}}
 	if !s.record.durable {
 		return
 	}
@@ -102,7 +104,7 @@
 		s.finish(leaving)
 		return
 	}
-	slices.SortStableFunc(selected, func(a, b *machine) int { return cmp.Compare(len(a.attempts), len(b.attempts)) })
+	slices.SortStableFunc(selected, func(a, b *machines.Machine) int { return cmp.Compare(len(a.Attempts), len(b.Attempts)) })
 	batch := selected[:min(s.record.Spec.BatchSize, len(selected))]
 	if team := s.unmetGuarantee(batch); team != "" {
 		s.wait(drain.HeldGuarantee, team)
@@ -110,7 +112,7 @@
 	}
 	s.record.Batch = &drain.Batch{Since: s.wall.UnixMilli(), Cordoned: !s.record.Spec.Replace}
 	for _, m := range batch {
-		s.record.Batch.Machines = append(s.record.Batch.Machines, m.id)
+		s.record.Batch.Machines = append(s.record.Batch.Machines, m.ID)
 	}
 	s.applyBatchCordon()
 	s.record.Reason = drain.Reason{}
@@ -121,7 +123,7 @@
 // applyBatchCordon cordons the machines of the batch if the record says so.
 func (s *drainStep) applyBatchCordon() {
 	for _, name := range s.record.Batch.Machines {
-		if m := s.machines[name]; m != nil {
+		if m := s.machines.Get(name); m != nil {
 			s.applyDrainCordon(m)
 		}
 	}
@@ -150,12 +152,12 @@
 
 // selectedMachines are those to be drained that the cloud has listed, and how many of the
 // selected ones are being released or are not listed yet.
-func (s *drainStep) selectedMachines() (selected []*machine, leaving int) {
-	for _, m := range s.machinesByName {
+func (s *drainStep) selectedMachines() (selected []*machines.Machine, leaving int) {
+	for _, m := range s.machines.All() {
 		s.drainLooks++
 		switch {
 		case !s.selects(m):
-		case m.releasing || m.listedAt.IsZero():
+		case m.Releasing || m.ListedAt.IsZero():
 			leaving++
 		default:
 			selected = append(selected, m)
@@ -165,29 +167,29 @@
 }
 
 // selects reports whether a machine is to be drained.
-func (s *drainStep) selects(m *machine) bool {
-	rented := s.wall.Add(m.provisionedAt.Sub(s.now))
-	return s.record.Spec.Selector.Selects(drain.Machine{Name: m.id, Type: m.machineType, Zone: m.zone, RentedAt: rented})
+func (s *drainStep) selects(m *machines.Machine) bool {
+	rented := s.wall.Add(m.ProvisionedAt.Sub(s.now))
+	return s.record.Spec.Selector.Selects(drain.Machine{Name: m.ID, Type: m.Type, Zone: m.Zone, RentedAt: rented})
 }
 
 // unmetGuarantee is a team with waiting work whose guarantee would not fit, together with those
 // of the other such teams, into what takes work without the given machines, "" if there is none.
-func (s *drainStep) unmetGuarantee(batch []*machine) string {
+func (s *drainStep) unmetGuarantee(batch []*machines.Machine) string {
 	waiting := map[string]float64{}
 	for j := range s.live {
-		waiting[j.Team] += float64(len(j.ready)) * j.CPUs
+		waiting[j.Team] += float64(len(j.Ready)) * j.CPUs
 	}
 	room := 0.0
-	for _, m := range s.machinesByName {
+	for _, m := range s.machines.All() {
 		s.drainLooks++
 		if s.acceptsWork(s.now, m) {
-			room += m.total.CPUs
+			room += m.Total.CPUs
 		}
 	}
 	if !s.record.Spec.Replace {
 		for _, m := range batch {
 			if s.acceptsWork(s.now, m) {
-				room -= m.total.CPUs
+				room -= m.Total.CPUs
 			}
 		}
 	}
@@ -225,28 +227,28 @@
 // provablyGone reports whether a machine named by the record is provably gone: released with a 200, or
 // missing from a list that would have it.
 func (l *Leader) provablyGone(name string) bool {
-	return l.machines[name] == nil && (l.released[name] || l.listsComplete)
+	return l.machines.Get(name) == nil && (l.machines.WasReleased(name) || l.listsComplete)
 }
 
 // evict stops tasks of the batch within the budgets. The charge is durable before the first
 // stop goes out; stops that an earlier leader has been charged for go out at once.
 func (s *drainStep) evict() {
 	var candidates []drain.Candidate
-	attempts := map[uint64]*attempt{}
+	attempts := map[uint64]*machines.Attempt{}
 	for _, name := range s.record.Batch.Machines {
-		m := s.machines[name]
-		if m == nil || !m.reconciled || m.listedAt.IsZero() {
+		m := s.machines.Get(name)
+		if m == nil || !m.Reconciled || m.ListedAt.IsZero() {
 			continue
 		}
-		for _, a := range m.attempts {
+		for _, a := range m.Attempts {
 			s.drainLooks++
 			switch {
-			case a.state < stateFetching || a.stopping || a.evicting || !a.wanted():
-			case s.ledger.Charged(a.number):
+			case a.State < machines.Fetching || a.Stopping || a.Evicting || !a.Wanted():
+			case s.ledger.Charged(a.Number):
 				s.stopEvicted(a)
 			default:
 				candidates = append(candidates, s.candidate(a))
-				attempts[a.number] = a
+				attempts[a.Number] = a
 			}
 		}
 	}
@@ -261,24 +263,24 @@
 }
 
 // stopCharged stores a charge, and stops its attempts once it is durable.
-func (s *drainStep) stopCharged(charge *drain.Charge, attempts map[uint64]*attempt) {
+func (s *drainStep) stopCharged(charge *drain.Charge, attempts map[uint64]*machines.Attempt) {
 	if len(charge.Attempts) == 0 {
 		return
 	}
-	var evicted []*attempt
+	var evicted []*machines.Attempt
 	for _, e := range charge.Attempts {
 		a := attempts[e.Number]
-		a.evicting = true
+		a.Evicting = true
 		evicted = append(evicted, a)
 		s.record.Counts.Evicted++
-		if a.job.CheckpointIntervalS > 0 {
+		if a.Job.CheckpointIntervalS > 0 {
 			s.record.Counts.Moved++
 		}
 	}
 	c := s.Leader
 	c.storeCharge(s.now, charge, func() {
 		for _, a := range evicted {
-			if a.evicting && slices.Contains(a.machine.attempts, a) {
+			if a.Evicting && slices.Contains(a.Machine.Attempts, a) {
 				c.stopEvicted(a)
 			}
 		}
@@ -288,19 +290,19 @@
 }
 
 // stopEvicted stops an attempt that has been charged for; it saves what it can.
-func (l *Leader) stopEvicted(a *attempt) {
-	a.evicting, a.stopping, a.gracePeriodS = true, true, 0
-	if a.job.CheckpointIntervalS > 0 {
-		a.gracePeriodS = a.job.CheckpointSaveS
+func (l *Leader) stopEvicted(a *machines.Attempt) {
+	a.Evicting, a.Stopping, a.GracePeriodS = true, true, 0
+	if a.Job.CheckpointIntervalS > 0 {
+		a.GracePeriodS = a.Job.CheckpointSaveS
 	}
-	l.scheduleCall(a.machine)
+	l.scheduleCall(a.Machine)
 }
 
 // candidate describes a running task to the choice of evictions.
-func (s *drainStep) candidate(a *attempt) drain.Candidate {
-	j := a.job
+func (s *drainStep) candidate(a *machines.Attempt) drain.Candidate {
+	j := a.Job
 	e := drain.Candidate{
-		Team: j.Team, Attempt: drain.Attempt{Job: j.ID, Index: a.index, Number: a.number},
+		Team: j.Team, Attempt: drain.Attempt{Job: j.ID, Index: a.Index, Number: a.Number},
 		NoAlternative: !s.hasAlternative(j),
 	}
 	patience := tuning.DrainCheckpointWait
@@ -315,27 +317,27 @@
 
 // lossAtMost is the run time in seconds that a task without checkpoints can lose at most when it
 // is stopped: until the stop comes into effect or its session ends, it goes on.
-func (s *drainStep) lossAtMost(a *attempt) float64 {
-	began := a.orderedAt
-	if a.number>>32 != s.term {
+func (s *drainStep) lossAtMost(a *machines.Attempt) float64 {
+	began := a.OrderedAt
+	if a.Number>>32 != s.term {
 		// Started under an earlier leader: not before its job came and its machine was rented.
-		began = a.job.submitted
-		if a.machine.provisionedAt.After(began) {
-			began = a.machine.provisionedAt
+		began = a.Job.Submitted
+		if a.Machine.ProvisionedAt.After(began) {
+			began = a.Machine.ProvisionedAt
 		}
 	}
 	return (s.now.Sub(began) + s.leaseTime()).Seconds()
 }
 
 // hasAlternative reports whether a task of the job could run on machines that are not drained.
-func (s *drainStep) hasAlternative(j *job) bool {
+func (s *drainStep) hasAlternative(j *jobs.Job) bool {
 	if has, known := s.places[j]; known {
 		return has
 	}
-	probe := j.constraints()
+	probe := j.Constraints()
 	if zone := s.record.Spec.Selector.Zone; j.OneZone && s.record.Spec.Selector.Closes("", zone) {
 		// All of its tasks leave the zone together.
-		probe.InZone = without(j.inZone, zone)
+		probe.InZone = without(j.InZone, zone)
 	}
 	has := slices.ContainsFunc(s.remainingPlacements(), probe.Allowed)
 	s.places[j] = has
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -1,6 +1,8 @@
 package leader
 
 import (
+	"switchshore.example/switchshore/internal/jobs"
+	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
@@ -11,46 +13,42 @@
 // faulty.
 
 // recordTaskFailure notes that a task of the job has failed on the machine.
-func (l *Leader) recordTaskFailure(j *job, m *machine) {
-	if j.failedOn == nil {
-		j.failedOn = map[string]bool{}
+func (l *Leader) recordTaskFailure(j *jobs.Job, m *machines.Machine) {
+	if j.FailedOn == nil {
+		j.FailedOn = map[string]bool{}
 	}
-	j.failedOn[m.id] = true
-	m.avoidedJobs[j.ID] = true
-	if !j.failsEverywhere() {
-		m.countFailedJob(l, j)
+	j.FailedOn[m.ID] = true
+	m.AvoidedJobs[j.ID] = true
+	if !j.FailsEverywhere() {
+		l.countFailedJob(m, j)
 		return
 	}
-	for id := range j.failedOn {
-		if o := l.machines[id]; o != nil {
-			delete(o.failedJobs, j.ID)
-			o.setCordon(cordonFaulty, len(o.failedJobs) >= tuning.QuarantineJobs)
+	for id := range j.FailedOn {
+		if o := l.machines.Get(id); o != nil {
+			delete(o.FailedJobs, j.ID)
+			o.SetCordon(machines.CordonFaulty, len(o.FailedJobs) >= tuning.QuarantineJobs)
 		}
 	}
 }
 
 // recordTaskSuccess notes that a task of the job has ended on the machine.
-func (l *Leader) recordTaskSuccess(j *job, m *machine) {
-	if !m.cordonedFor(cordonFaulty) {
-		clear(m.failedJobs)
+func (l *Leader) recordTaskSuccess(j *jobs.Job, m *machines.Machine) {
+	if !m.CordonedFor(machines.CordonFaulty) {
+		clear(m.FailedJobs)
 	}
-	for id := range j.failedOn {
-		if o := l.machines[id]; o != nil && o != m {
-			o.countFailedJob(l, j)
+	for id := range j.FailedOn {
+		if o := l.machines.Get(id); o != nil && o != m {
+			l.countFailedJob(o, j)
 		}
 	}
-	clear(j.failedOn)
+	clear(j.FailedOn)
 }
 
-func (m *machine) countFailedJob(c *Leader, j *job) {
-	m.failedJobs[j.ID] = true
-	if len(m.failedJobs) >= tuning.QuarantineJobs && !m.cordonedFor(cordonFaulty) {
-		c.log.Info().Str("machine", m.id).Msg("machine quarantined")
-		m.cordon(cordonFaulty)
+// countFailedJob counts a job that has failed on the machine, and quarantines it if there are too many.
+func (l *Leader) countFailedJob(m *machines.Machine, j *jobs.Job) {
+	m.FailedJobs[j.ID] = true
+	if len(m.FailedJobs) >= tuning.QuarantineJobs && !m.CordonedFor(machines.CordonFaulty) {
+		l.log.Info().Str("machine", m.ID).Msg("machine quarantined")
+		m.Cordon(machines.CordonFaulty)
 	}
 }
-
-// failsEverywhere reports whether the job seems to fail everywhere.
-func (j *job) failsEverywhere() bool {
-	return len(j.failedOn) >= tuning.FailsEverywhereMachines && j.done.Len() == 0
-}
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -7,6 +7,8 @@
 	"time"
 
 	"switchshore.example/switchshore/internal/intervals"
+	"switchshore.example/switchshore/internal/jobs"
+	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/records"
 	"switchshore.example/switchshore/wire"
 )
@@ -16,6 +18,14 @@
 	starts  []*pendingStarts  // a predecessor's start records
 	pieces  records.JobPieces // parts of job records, by key
 	charges []loadedCharge
+	// attempts are those known from start records, the newest of each task.
+	attempts map[taskKey]*machines.Attempt
+}
+
+// taskKey names a task of a job.
+type taskKey struct {
+	job   *jobs.Job
+	index int32
 }
 
 // LoadRecord takes in one stored record; wall and now relate the time of day in
@@ -87,10 +97,10 @@
 		return err
 	}
 	age := max(0, wall.Sub(time.UnixMilli(stored.SubmittedAtMS)))
-	j := newJob(stored.Job, stored.SubmittedAtMS, now.Add(-age))
-	j.state, j.acceptanceDurable = jobActive, true
+	j := jobs.New(stored.Job, stored.SubmittedAtMS, now.Add(-age))
+	j.State, j.AcceptanceDurable = jobs.Active, true
 	for _, key := range stored.PieceKeys {
-		j.keys[key] = true
+		j.RecordKeys[key] = true
 	}
 	l.jobs[id] = j
 	l.countUnfinished(j.Team, j.Tasks)
@@ -105,13 +115,13 @@
 		l.writes.Background.Delete(item.Key)
 		return nil
 	}
-	j.keys[item.Key] = true
-	if j.durable == nil {
-		j.durable = intervals.New(j.Tasks)
+	j.RecordKeys[item.Key] = true
+	if j.StoredCompletions == nil {
+		j.StoredCompletions = intervals.New(j.Tasks)
 	}
 	return records.DecodeCompletions(item.Value, j.Tasks, func(i int) {
-		j.done.Add(i)
-		j.durable.Add(i)
+		j.Completed.Add(i)
+		j.StoredCompletions.Add(i)
 	})
 }
 
@@ -126,10 +136,10 @@
 	if j == nil {
 		return nil
 	}
-	j.endDurable = true
-	j.state = jobCancelled
+	j.EndDurable = true
+	j.State = jobs.Cancelled
 	if f.Outcome == records.OutcomeDone {
-		j.state = jobDone
+		j.State = jobs.Done
 	}
 	l.countUnfinished(j.Team, -j.Tasks)
 	return nil
@@ -140,11 +150,11 @@
 	rec := &pendingStarts{key: key, saved: true, closed: true, leader: l}
 	l.loading.starts = append(l.loading.starts, rec)
 	for _, machine := range starts.Machines {
-		m := l.machines[machine.ID]
+		m := l.machines.Get(machine.ID)
 		if m == nil {
 			m = l.addMachine(now, machine.ID, machine.Type, machine.Zone, "", machine.Spot)
 		}
-		m.fromRecord, m.joined = true, true
+		m.FromRecord, m.Joined = true, true
 		for _, id := range slices.Sorted(maps.Keys(machine.Tasks)) {
 			j := l.jobs[id]
 			if j == nil {
@@ -160,20 +170,18 @@
 }
 
 // loadAttempt takes in that a task may be on a machine.
-func (l *Leader) loadAttempt(now time.Time, rec *pendingStarts, m *machine, j *job, index int32) {
-	if j.done.Has(int(index)) {
+func (l *Leader) loadAttempt(now time.Time, rec *pendingStarts, m *machines.Machine, j *jobs.Job, index int32) {
+	if j.Completed.Has(int(index)) {
 		// A stored completion proves that the task has exited and is
 		// not started again.
 		return
 	}
-	earlier := j.recordedAttempts[index]
-	a := &attempt{state: statePossiblyStarted, orderedAt: now, record: rec}
+	task := taskKey{j, index}
+	earlier := l.loading.attempts[task]
+	a := &machines.Attempt{State: machines.PossiblyStarted, OrderedAt: now, Record: rec}
 	rec.live++
 	l.allocate(m, j, index, a)
-	if j.recordedAttempts == nil {
-		j.recordedAttempts = map[int32]*attempt{}
-	}
-	j.recordedAttempts[index] = a
+	l.loading.attempts[task] = a
 	if earlier != nil {
 		// It was started again since, so it had left that place.
 		l.release(now, earlier)
@@ -191,26 +199,25 @@
 		// Of a job that was not accepted, or is over.
 		l.writes.Background.Delete(key)
 	}
-	jobs := l.sortedJobs()
-	l.linkAllDependencies(jobs)
-	for _, j := range jobs {
-		j.recordedAttempts = nil
+	loaded := l.sortedJobs()
+	l.linkAllDependencies(loaded)
+	for _, j := range loaded {
 		if len(j.DependsOn) > 0 {
 			// When the last job that it needs was done is not stored.
-			j.waitingSince, j.startAt = now, now
+			j.WaitingSince, j.LastPlacedAt = now, now
 		}
-		if j.state == jobActive && j.done.Full() {
-			l.end(now, j, jobDone, &l.writes.Interactive)
+		if j.State == jobs.Active && j.Completed.Full() {
+			l.end(now, j, jobs.Done, &l.writes.Interactive)
 		}
 		l.releaseIfUnblocked(now, j)
 		l.removeIfFinished(j)
 	}
-	for len(l.toCancel) > 0 {
+	for len(l.graph.ToCancel) > 0 {
 		// All of them, before anyone is told anything.
 		l.processDependencyChanges(now)
 	}
 	l.applyLoadedDrains(l.loading.charges)
 	l.loading = loading{}
 	l.changed = true
-	l.log.Info().Int("jobs", len(l.jobs)).Int("ended", len(l.finals)).Int("machines", len(l.machines)).Msg("records loaded")
+	l.log.Info().Int("jobs", len(l.jobs)).Int("ended", len(l.finals)).Int("machines", l.machines.Len()).Msg("records loaded")
 }
--- a/internal/leader/placement.go
+++ b/internal/leader/placement.go
@@ -8,6 +8,8 @@
 	"sort"
 	"time"
 
+	"switchshore.example/switchshore/internal/jobs"
+	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/placement"
 	"switchshore.example/switchshore/internal/tuning"
 )
@@ -37,19 +39,19 @@
 	if len(ready) == 0 {
 		return
 	}
-	machines := l.openMachines(now, highestPriority(ready))
-	if len(machines) == 0 {
+	open := l.openMachines(now, highestPriority(ready))
+	if len(open) == 0 {
 		return
 	}
-	agedJobs := map[*job]bool{}
+	agedJobs := map[*jobs.Job]bool{}
 	for _, j := range byID {
-		agedJobs[j] = now.Sub(j.startAt) >= tuning.AgingThreshold
+		agedJobs[j] = now.Sub(j.LastPlacedAt) >= tuning.AgingThreshold
 	}
-	starts, work := placement.Run(l.clock(now), l.withAged(now, ready, byID), machines, l.teamUse(), tuning.PassMaxStarts)
+	starts, work := placement.Run(l.clock(now), l.withAged(now, ready, byID), open, l.teamUse(), tuning.PassMaxStarts)
 	l.scores += work.ScoredPairs
 	for _, s := range starts {
 		j := byID[s.Job]
-		l.start(now, j, l.machines[s.Machine], agedJobs[j])
+		l.start(now, j, l.machines.Get(s.Machine), agedJobs[j])
 	}
 	if work.Truncated {
 		l.changed = true
@@ -69,17 +71,17 @@
 // openMachines are the machines that take work, as the pass sees them. A reservation
 // lasts only as long as there is work that it may be for.
 func (l *Leader) openMachines(now time.Time, highest int) []*placement.Machine {
-	var machines []*placement.Machine
-	for _, m := range l.machinesByName {
+	var open []*placement.Machine
+	for _, m := range l.machines.All() {
 		if !l.acceptsWork(now, m) {
 			continue
 		}
 		view := l.snapshot(now, m)
-		view.HasReservation = now.Before(m.reservedUntil) && highest <= m.reservedRank
-		view.ReservedRank = m.reservedRank
-		machines = append(machines, view)
+		view.HasReservation = now.Before(m.ReservedUntil) && highest <= m.ReservedRank
+		view.ReservedRank = m.ReservedRank
+		open = append(open, view)
 	}
-	return machines
+	return open
 }
 
 // teamUse is what each team uses, and its limit.
@@ -93,15 +95,15 @@
 
 // start puts the next ready task of a job on a machine. The start may go out only once
 // the record of it is durable: a successor must know which machine to ask for the task.
-func (l *Leader) start(now time.Time, j *job, m *machine, afterLongWait bool) {
-	last := len(j.ready) - 1
-	index := j.ready[last]
-	j.ready = j.ready[:last]
-	j.startAt, j.lastStartAt = now, now
-	if j.firstStartAt.IsZero() {
-		j.firstStartAt = now
-	}
-	a := &attempt{number: l.nextAttempt(), state: stateRecordPending, orderedAt: now, afterLongWait: afterLongWait}
+func (l *Leader) start(now time.Time, j *jobs.Job, m *machines.Machine, afterLongWait bool) {
+	last := len(j.Ready) - 1
+	index := j.Ready[last]
+	j.Ready = j.Ready[:last]
+	j.LastPlacedAt, j.LastStartAt = now, now
+	if j.FirstStartAt.IsZero() {
+		j.FirstStartAt = now
+	}
+	a := &machines.Attempt{Number: l.nextAttempt(), State: machines.RecordPending, OrderedAt: now, AfterLongWait: afterLongWait}
 	l.allocate(m, j, index, a)
 	l.recordStart(a)
 }
@@ -113,15 +115,15 @@
 // before all others. Priority, urgency and size decide who goes first, but
 // nobody waits for ever: a lasting backlog of smaller or more urgent work
 // would otherwise keep a large job from ever beginning.
-func (l *Leader) withAged(now time.Time, ready []*placement.PendingJob, byID map[string]*job) []*placement.PendingJob {
+func (l *Leader) withAged(now time.Time, ready []*placement.PendingJob, byID map[string]*jobs.Job) []*placement.PendingJob {
 	all := ready
 	for _, r := range ready {
 		j := byID[r.Job]
-		if now.Sub(j.startAt) < tuning.AgingThreshold || j.failsEverywhere() {
+		if now.Sub(j.LastPlacedAt) < tuning.AgingThreshold || j.FailsEverywhere() {
 			continue
 		}
 		first := *r
-		first.AgedS = now.Sub(j.startAt).Seconds()
+		first.AgedS = now.Sub(j.LastPlacedAt).Seconds()
 		first.Tasks = min(r.Tasks, max(1, int(float64(j.Tasks)*tuning.AgedShare)))
 		// Both see the same places taken.
 		r.Tasks -= first.Tasks
@@ -131,56 +133,43 @@
 }
 
 // readyJobs lists jobs with tasks to place, oldest first.
-func (l *Leader) readyJobs(now time.Time) ([]*placement.PendingJob, map[string]*job) {
+func (l *Leader) readyJobs(now time.Time) ([]*placement.PendingJob, map[string]*jobs.Job) {
 	active := l.activeJobs()
 	guaranteed := l.guaranteed(active)
 	cpus := 0.0
-	for _, m := range l.machines {
-		cpus += m.total.CPUs
+	for _, m := range l.machines.All() {
+		cpus += m.Total.CPUs
 	}
-	byID := map[string]*job{}
+	byID := map[string]*jobs.Job{}
 	var ready []*placement.PendingJob
 	for _, j := range active {
-		if len(j.ready) == 0 || now.Before(j.backOffUntil) {
+		if len(j.Ready) == 0 || now.Before(j.BackOffUntil) {
 			continue
 		}
-		r := j.constraints()
-		r.Job, r.Team, r.PriorityRank, r.Guaranteed = j.ID, j.Team, j.priorityRank, guaranteed[j]
-		r.Urgency, r.Tasks = l.urgency(now, j, cpus), len(j.ready)
-		r.EstimateS, r.Image, r.ImageGB = l.runTimes.estimate(j), j.Image, j.ImageGB
-		if j.failures > 0 {
+		r := j.Constraints()
+		r.Job, r.Team, r.PriorityRank, r.Guaranteed = j.ID, j.Team, j.PriorityRank, guaranteed[j]
+		r.Urgency, r.Tasks = l.urgency(now, j, cpus), len(j.Ready)
+		r.EstimateS, r.Image, r.ImageGB = l.runTimes.Estimate(j), j.Image, j.ImageGB
+		if j.Failures > 0 {
 			// A job whose tasks fail tries one at a time.
 			r.Tasks = 1
 		}
-		r.InZone = maps.Clone(j.inZone) // a pass counts its own starts in
+		r.InZone = maps.Clone(j.InZone) // a pass counts its own starts in
 		byID[j.ID] = j
 		ready = append(ready, r)
 	}
 	return ready, byID
 }
 
-// constraints is where tasks of the job may be, to the placement rule.
-func (j *job) constraints() *placement.PendingJob {
-	return &placement.PendingJob{
-		Types: j.MachineTypes, Zone: j.Zone, SameZone: j.OneZone, Spread: j.SpreadZones,
-		Spot: j.Spot, Request: j.request, Total: j.Tasks, InZone: j.inZone,
-	}
-}
-
-// placement is the machine as far as the rule asks where a task may be at all.
-func (m *machine) placement() *placement.Machine {
-	return &placement.Machine{Type: m.machineType, Zone: m.zone, Spot: m.spot, Total: m.total}
-}
-
 // activeJobs lists the unfinished jobs that wait for no others, oldest first.
-func (l *Leader) activeJobs() []*job {
-	list := make([]*job, 0, len(l.live))
+func (l *Leader) activeJobs() []*jobs.Job {
+	list := make([]*jobs.Job, 0, len(l.live))
 	for j := range l.live {
 		list = append(list, j)
 	}
 	sort.Slice(list, func(i, k int) bool {
-		if !list[i].waitingSince.Equal(list[k].waitingSince) {
-			return list[i].waitingSince.Before(list[k].waitingSince)
+		if !list[i].WaitingSince.Equal(list[k].WaitingSince) {
+			return list[i].WaitingSince.Before(list[k].WaitingSince)
 		}
 		return list[i].ID < list[k].ID
 	})
@@ -189,15 +178,15 @@
 
 // guaranteed tells which unfinished jobs, listed oldest first, fit into their
 // team's guarantee together with the team's earlier ones.
-func (l *Leader) guaranteed(list []*job) map[*job]bool {
+func (l *Leader) guaranteed(list []*jobs.Job) map[*jobs.Job]bool {
 	used := map[string]placement.Resources{}
-	fits := map[*job]bool{}
+	fits := map[*jobs.Job]bool{}
 	for _, j := range list {
 		t := l.teams[j.Team]
 		if t == nil {
 			continue
 		}
-		left := float64(j.Tasks - j.done.Len())
+		left := float64(j.Tasks - j.Completed.Len())
 		sum := used[j.Team].Add(placement.Resources{CPUs: j.CPUs, GPUs: j.GPUs}, left)
 		used[j.Team] = sum
 		if (placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs}).Fits(sum) {
@@ -209,35 +198,35 @@
 
 // snapshot describes a machine to the placement rule. It is made anew only
 // when something has changed there, or a pass has used it up.
-func (l *Leader) snapshot(now time.Time, m *machine) *placement.Machine {
-	if !m.snapshotOutdated && !m.snapshot.Modified {
-		return m.snapshot
+func (l *Leader) snapshot(now time.Time, m *machines.Machine) *placement.Machine {
+	if !m.SnapshotOutdated && !m.Snapshot.Modified {
+		return m.Snapshot
 	}
-	m.snapshotOutdated = false
-	t := l.types[m.machineType]
+	m.SnapshotOutdated = false
+	t := l.types[m.Type]
 	at := l.clock(now)
-	s := m.snapshot
+	s := m.Snapshot
 	if s == nil {
-		s = &placement.Machine{ID: m.id, Type: m.machineType, Zone: m.zone, Spot: m.spot, Avoid: m.avoidedJobs, Images: map[string]float64{}}
-		m.snapshot = s
+		s = &placement.Machine{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Avoid: m.AvoidedJobs, Images: map[string]float64{}}
+		m.Snapshot = s
 	}
 	s.Modified = false
-	s.Total, s.Free, s.FetchGBPerS, s.Price = m.total, m.free, t.FetchGBPerS, l.price(m)
+	s.Total, s.Free, s.FetchGBPerS, s.Price = m.Total, m.Free, t.FetchGBPerS, l.price(m)
 	s.Loads = s.Loads[:0]
 	clear(s.Images)
-	for image := range m.images {
+	for image := range m.Images {
 		s.Images[image] = 0
 	}
-	for _, a := range m.attempts {
+	for _, a := range m.Attempts {
 		there := at
-		if _, cached := m.images[a.job.Image]; !cached && t.FetchGBPerS > 0 {
-			there = l.clock(a.orderedAt) + placement.FetchTime(a.job.ImageGB, t.FetchGBPerS)
-			if there > s.Images[a.job.Image] {
-				s.Images[a.job.Image] = there
+		if _, cached := m.Images[a.Job.Image]; !cached && t.FetchGBPerS > 0 {
+			there = l.clock(a.OrderedAt) + placement.FetchTime(a.Job.ImageGB, t.FetchGBPerS)
+			if there > s.Images[a.Job.Image] {
+				s.Images[a.Job.Image] = there
 			}
 		}
 		end := max(there, at) + l.remaining(now, a)
-		s.Loads = append(s.Loads, placement.Load{Request: a.job.request, EndS: end})
+		s.Loads = append(s.Loads, placement.Load{Request: a.Job.Request, EndS: end})
 	}
 	slices.SortStableFunc(s.Loads, func(a, b placement.Load) int { return cmp.Compare(a.EndS, b.EndS) })
 	return s
--- a/internal/leader/preempt.go
+++ b/internal/leader/preempt.go
@@ -5,32 +5,34 @@
 	"sort"
 	"time"
 
+	"switchshore.example/switchshore/internal/jobs"
+	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/placement"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
 // preemptionCandidate is a running task that could make room.
 type preemptionCandidate struct {
-	*attempt
+	*machines.Attempt
 	lostS float64 // progress lost, and what its job loses by the wait
 }
 
 // unsavedProgress is the progress in seconds that stopping an attempt which saves
 // checkpoints throws away: all since the last one.
-func unsavedProgress(now time.Time, a *attempt) float64 {
-	return math.Mod(now.Sub(a.runningAt).Seconds(), a.job.CheckpointIntervalS)
+func unsavedProgress(now time.Time, a *machines.Attempt) float64 {
+	return math.Mod(now.Sub(a.RunningAt).Seconds(), a.Job.CheckpointIntervalS)
 }
 
 // endsSoon reports whether an attempt is about to end by its estimate. One
 // that is over its estimate may go on for long: waiting for it is no plan.
-func (l *Leader) endsSoon(now time.Time, a *attempt) bool {
+func (l *Leader) endsSoon(now time.Time, a *machines.Attempt) bool {
 	left := l.remaining(now, a)
-	return a.state == stateRunning && left > 0 && left < tuning.PreemptEndsSoon.Seconds()
+	return a.State == machines.Running && left > 0 && left < tuning.PreemptEndsSoon.Seconds()
 }
 
 // preempt makes room for tasks that found none: it stops tasks of a lower
 // priority that lose little by it.
-func (l *Leader) preempt(now time.Time, ready []*placement.PendingJob, byID map[string]*job) {
+func (l *Leader) preempt(now time.Time, ready []*placement.PendingJob, byID map[string]*jobs.Job) {
 	waiting := waitingByLevel(ready, byID)
 	lowest := l.lowestStoppable()
 	if len(waiting) == 0 || waiting[0].PriorityRank >= lowest {
@@ -49,10 +51,10 @@
 }
 
 // waitingByLevel are the jobs with tasks that found no room, highest priority first.
-func waitingByLevel(ready []*placement.PendingJob, byID map[string]*job) []*placement.PendingJob {
+func waitingByLevel(ready []*placement.PendingJob, byID map[string]*jobs.Job) []*placement.PendingJob {
 	var waiting []*placement.PendingJob
 	for _, r := range ready {
-		if j := byID[r.Job]; len(j.ready) > 0 && j.failures == 0 {
+		if j := byID[r.Job]; len(j.Ready) > 0 && j.Failures == 0 {
 			waiting = append(waiting, r)
 		}
 	}
@@ -64,8 +66,8 @@
 func (l *Leader) lowestStoppable() int {
 	lowest := 0
 	for j := range l.live {
-		if j.running > 0 && j.CheckpointIntervalS > 0 {
-			lowest = max(lowest, j.priorityRank)
+		if j.Running > 0 && j.CheckpointIntervalS > 0 {
+			lowest = max(lowest, j.PriorityRank)
 		}
 	}
 	return lowest
@@ -76,11 +78,11 @@
 	*Leader
 	now time.Time
 	// expectedFree is the room of each machine once stopping and soon-ending tasks have left.
-	expectedFree map[*machine]placement.Resources
+	expectedFree map[*machines.Machine]placement.Resources
 	// expectedFreeCPUs are the CPUs of these tasks, by team.
 	expectedFreeCPUs map[string]float64
 	// candidates are the tasks that may be stopped, those that lose least first.
-	candidates map[*machine][]preemptionCandidate
+	candidates map[*machines.Machine][]preemptionCandidate
 	stops      int
 	looks      int
 }
@@ -88,9 +90,9 @@
 func (l *Leader) newPreemption(now time.Time) *preemption {
 	p := &preemption{
 		Leader: l, now: now,
-		expectedFree: map[*machine]placement.Resources{}, expectedFreeCPUs: map[string]float64{}, candidates: map[*machine][]preemptionCandidate{},
+		expectedFree: map[*machines.Machine]placement.Resources{}, expectedFreeCPUs: map[string]float64{}, candidates: map[*machines.Machine][]preemptionCandidate{},
 	}
-	for _, m := range l.machinesByName {
+	for _, m := range l.machines.All() {
 		if l.acceptsWork(now, m) {
 			p.addMachine(m)
 		}
@@ -98,15 +100,15 @@
 	return p
 }
 
-func (p *preemption) addMachine(m *machine) {
-	p.expectedFree[m] = m.free
-	for _, a := range m.attempts {
+func (p *preemption) addMachine(m *machines.Machine) {
+	p.expectedFree[m] = m.Free
+	for _, a := range m.Attempts {
 		switch {
-		case a.stopping, a.state == stateSaving, p.endsSoon(p.now, a):
+		case a.Stopping, a.State == machines.Saving, p.endsSoon(p.now, a):
 			p.leave(a, 1)
-		case a.afterLongWait && p.now.Sub(a.orderedAt) < tuning.AgedMinRunTime:
+		case a.AfterLongWait && p.now.Sub(a.OrderedAt) < tuning.AgedMinRunTime:
 			// Stopped at once, pass after pass, its job would never have begun.
-		case a.state == stateRunning && a.job.CheckpointIntervalS > 0:
+		case a.State == machines.Running && a.Job.CheckpointIntervalS > 0:
 			p.addCandidate(a)
 		}
 	}
@@ -114,46 +116,46 @@
 	sort.SliceStable(list, func(i, k int) bool { return list[i].lostS < list[k].lostS })
 }
 
-func (p *preemption) addCandidate(a *attempt) {
+func (p *preemption) addCandidate(a *machines.Attempt) {
 	loss := unsavedProgress(p.now, a)
 	if loss > tuning.PreemptMaxLoss.Seconds() {
 		return
 	}
-	if len(a.job.ready) == 0 {
+	if len(a.Job.Ready) == 0 {
 		// Others of its job don't wait: the job would end later.
 		loss += tuning.PreemptDelayCost.Seconds()
 	}
-	p.candidates[a.machine] = append(p.candidates[a.machine], preemptionCandidate{a, loss})
+	p.candidates[a.Machine] = append(p.candidates[a.Machine], preemptionCandidate{a, loss})
 }
 
 // leave counts an attempt as about to leave its machine, or, with -1, no more.
-func (p *preemption) leave(a *attempt, sign float64) {
-	p.expectedFree[a.machine] = p.expectedFree[a.machine].Add(a.job.request, sign)
-	p.expectedFreeCPUs[a.job.Team] += a.job.CPUs * sign
+func (p *preemption) leave(a *machines.Attempt, sign float64) {
+	p.expectedFree[a.Machine] = p.expectedFree[a.Machine].Add(a.Job.Request, sign)
+	p.expectedFreeCPUs[a.Job.Team] += a.Job.CPUs * sign
 }
 
 func (p *preemption) stop(v preemptionCandidate) {
-	v.stopping, v.gracePeriodS = true, 0
-	p.leave(v.attempt, 1)
+	v.Stopping, v.GracePeriodS = true, 0
+	p.leave(v.Attempt, 1)
 	p.stops++
-	p.scheduleCall(v.machine)
+	p.scheduleCall(v.Machine)
 }
 
 func (p *preemption) undoStops(victims []preemptionCandidate) {
 	for _, v := range victims {
-		v.stopping = false
-		p.leave(v.attempt, -1)
+		v.Stopping = false
+		p.leave(v.Attempt, -1)
 		p.stops--
 	}
 }
 
 // makeRoomForJob stops tasks for as many waiting tasks of the job as it finds room for.
-func (p *preemption) makeRoomForJob(r *placement.PendingJob, j *job) {
+func (p *preemption) makeRoomForJob(r *placement.PendingJob, j *jobs.Job) {
 	t := p.teams[j.Team]
 	if t == nil {
 		return
 	}
-	for range j.ready {
+	for range j.Ready {
 		p.looks++
 		if p.stops >= tuning.PreemptMaxStops || p.looks > tuning.PreemptMaxSearches || !p.makeRoomForOne(r, j, t) {
 			return
@@ -162,7 +164,7 @@
 }
 
 // makeRoomForOne is false if there is no room to be made for a task of the job.
-func (p *preemption) makeRoomForOne(r *placement.PendingJob, j *job, t *team) bool {
+func (p *preemption) makeRoomForOne(r *placement.PendingJob, j *jobs.Job, t *team) bool {
 	own, ok := p.makeRoomWithinLimit(r, j, t)
 	if !ok {
 		return false
@@ -178,9 +180,9 @@
 		p.stop(v)
 	}
 	if len(victims) > 0 {
-		best.reserve(p.now, r.PriorityRank)
+		best.Reserve(p.now, r.PriorityRank)
 	}
-	p.expectedFree[best] = p.expectedFree[best].Add(j.request, -1)
+	p.expectedFree[best] = p.expectedFree[best].Add(j.Request, -1)
 	p.expectedFreeCPUs[j.Team] -= j.CPUs
 	return true
 }
@@ -189,7 +191,7 @@
 // the team is at its limit, until another task of the job fits: all that it takes or none.
 // One that is too small, stopped pass after pass, would never end, and the larger one
 // would not begin either.
-func (p *preemption) makeRoomWithinLimit(r *placement.PendingJob, j *job, t *team) ([]preemptionCandidate, bool) {
+func (p *preemption) makeRoomWithinLimit(r *placement.PendingJob, j *jobs.Job, t *team) ([]preemptionCandidate, bool) {
 	var own []preemptionCandidate
 	for t.CPUsMax-t.used.CPUs+p.expectedFreeCPUs[j.Team] < j.CPUs {
 		v, ok := p.cheapestOfTeam(r)
@@ -203,24 +205,13 @@
 	return own, true
 }
 
-// reserve keeps the room that comes free on a machine, for a moment, from work of a lower
-// priority. The stopped tasks leave one by one: the first room would otherwise go to what
-// was stopped, which then had to be stopped again, and the task that it all was for would
-// not start either.
-func (m *machine) reserve(now time.Time, level int) {
-	if !now.Before(m.reservedUntil) || level < m.reservedRank {
-		m.reservedRank = level
-	}
-	m.reservedUntil = now.Add(tuning.PreemptReservation)
-}
-
 // cheapestOfTeam finds the task of the job's own team that loses least.
 func (p *preemption) cheapestOfTeam(r *placement.PendingJob) (preemptionCandidate, bool) {
 	var best preemptionCandidate
 	found := false
-	for _, m := range p.machinesByName {
+	for _, m := range p.machines.All() {
 		for _, v := range p.candidates[m] {
-			if v.job.Team == r.Team && v.job.priorityRank > r.PriorityRank && !v.stopping && (!found || v.lostS < best.lostS) {
+			if v.Job.Team == r.Team && v.Job.PriorityRank > r.PriorityRank && !v.Stopping && (!found || v.lostS < best.lostS) {
 				best, found = v, true
 			}
 		}
@@ -229,22 +220,22 @@
 }
 
 // fetchTime is T(f) of the job's image on the machine.
-func (l *Leader) fetchTime(m *machine, r *placement.PendingJob) float64 {
-	if _, cached := m.images[r.Image]; cached {
+func (l *Leader) fetchTime(m *machines.Machine, r *placement.PendingJob) float64 {
+	if _, cached := m.Images[r.Image]; cached {
 		return 0
 	}
-	return placement.FetchTime(r.ImageGB, l.types[m.machineType].FetchGBPerS)
+	return placement.FetchTime(r.ImageGB, l.types[m.Type].FetchGBPerS)
 }
 
 // cheapestMachine finds the machine that can make room for one task at the least
 // loss, and whom to stop there; no one, if room is coming anyway.
-func (p *preemption) cheapestMachine(r *placement.PendingJob) (*machine, []preemptionCandidate) {
-	var best *machine
+func (p *preemption) cheapestMachine(r *placement.PendingJob) (*machines.Machine, []preemptionCandidate) {
+	var best *machines.Machine
 	var victims []preemptionCandidate
 	least := math.Inf(1)
-	for _, m := range p.machinesByName {
+	for _, m := range p.machines.All() {
 		room, ok := p.expectedFree[m]
-		if !ok || m.avoidedJobs[r.Job] || !r.Allowed(m.placement()) {
+		if !ok || m.AvoidedJobs[r.Job] || !r.Allowed(m.PlacementView()) {
 			continue
 		}
 		if room.Fits(r.Request) {
@@ -254,12 +245,12 @@
 		var chosen []preemptionCandidate
 		sum := p.fetchTime(m, r) * r.Request.CPUs * tuning.PreemptFetchWeight
 		for _, v := range p.candidates[m] {
-			if v.stopping || v.job.priorityRank <= r.PriorityRank {
+			if v.Stopping || v.Job.PriorityRank <= r.PriorityRank {
 				continue
 			}
 			chosen = append(chosen, v)
-			sum += v.lostS * v.job.CPUs
-			if room = room.Add(v.job.request, 1); room.Fits(r.Request) {
+			sum += v.lostS * v.Job.CPUs
+			if room = room.Add(v.Job.Request, 1); room.Fits(r.Request) {
 				if sum < least {
 					best, victims, least = m, chosen, sum
 				}
--- a/internal/leader/reachability.go
+++ b/internal/leader/reachability.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
@@ -15,15 +16,15 @@
 func (l *Leader) updateReachability(now time.Time) (lost bool) {
 	zones := map[string]*heartbeatCount{}
 	all := &heartbeatCount{}
-	for _, m := range l.machinesByName {
-		if !m.joined {
+	for _, m := range l.machines.All() {
+		if !m.Joined {
 			continue
 		}
-		if zones[m.zone] == nil {
-			zones[m.zone] = &heartbeatCount{}
+		if zones[m.Zone] == nil {
+			zones[m.Zone] = &heartbeatCount{}
 		}
 		missed := l.unreachable(now, m)
-		zones[m.zone].count(missed)
+		zones[m.Zone].count(missed)
 		all.count(missed)
 	}
 	rest := *all
@@ -59,8 +60,8 @@
 
 // unreachable reports whether a machine known to be up has not been heard of for
 // long, or not since this term began.
-func (l *Leader) unreachable(now time.Time, m *machine) bool {
-	return m.joined && l.heartbeatOverdue(now, m) && now.Sub(l.started) > l.heartbeatTimeout()
+func (l *Leader) unreachable(now time.Time, m *machines.Machine) bool {
+	return m.Joined && l.heartbeatOverdue(now, m) && now.Sub(l.started) > l.heartbeatTimeout()
 }
 
 // holdsUrgentWork reports whether a machine that is missed may hold work that would be
@@ -68,47 +69,47 @@
 // release proves it gone. Silence mostly outlasts the lease, and then the work
 // on the machine is lost in any case. A successor would wait longest, as its
 // predecessor may be cut off together with the machine and go on answering it.
-func (l *Leader) holdsUrgentWork(now time.Time, m *machine) bool {
-	if m.releasing || !l.unreachable(now, m) {
+func (l *Leader) holdsUrgentWork(now time.Time, m *machines.Machine) bool {
+	if m.Releasing || !l.unreachable(now, m) {
 		return false
 	}
-	ends := m.leaseRenewedAt.Add(l.leaseTime())
-	if !m.reconciled {
+	ends := m.LeaseRenewedAt.Add(l.leaseTime())
+	if !m.Reconciled {
 		ends = l.inheritedUntil
 	}
-	return slices.ContainsFunc(m.attempts, func(a *attempt) bool {
-		slack, ok := l.deadlineSlack(now, a.job)
-		return ok && slack < ends.Sub(now).Seconds() && a.wanted()
+	return slices.ContainsFunc(m.Attempts, func(a *machines.Attempt) bool {
+		slack, ok := l.deadlineSlack(now, a.Job)
+		return ok && slack < ends.Sub(now).Seconds() && a.Wanted()
 	})
 }
 
 // shouldRelease reports whether a machine will do no more work: failed, never up,
 // silent for long, or emptied for a drain.
-func (l *Leader) shouldRelease(now time.Time, m *machine) bool {
-	boot := l.types[m.machineType].BootTimeS
+func (l *Leader) shouldRelease(now time.Time, m *machines.Machine) bool {
+	boot := l.types[m.Type].BootTimeS
 	switch {
-	case m.failed, m.cordonedFor(cordonReplaced), !m.releaseBy.IsZero() && now.After(m.releaseBy):
+	case m.Failed, m.CordonedFor(machines.CordonReplaced), !m.ReleaseBy.IsZero() && now.After(m.ReleaseBy):
 		return true
-	case !m.joined:
-		return boot > 0 && now.Sub(m.provisionedAt).Seconds() > boot*tuning.BootTimeoutFactor
-	case l.heartbeatOverdue(now, m) && m.missedLists >= 2:
+	case !m.Joined:
+		return boot > 0 && now.Sub(m.ProvisionedAt).Seconds() > boot*tuning.BootTimeoutFactor
+	case l.heartbeatOverdue(now, m) && m.MissedLists >= 2:
 		return true
-	case !m.responsesLostSince.IsZero() && now.Sub(m.responsesLostSince) > l.leaseTime()*3/2:
+	case !m.ResponsesLostSince.IsZero() && now.Sub(m.ResponsesLostSince) > l.leaseTime()*3/2:
 		// It can't be told anything; its tasks died with its lease.
 		return true
-	case !m.reconciled && !m.firstHeartbeatAt.IsZero() && now.After(l.inheritedUntil) && now.Sub(m.firstHeartbeatAt) > l.leaseTime()+tuning.UnreachableReleaseDelay:
+	case !m.Reconciled && !m.FirstHeartbeatAt.IsZero() && now.After(l.inheritedUntil) && now.Sub(m.FirstHeartbeatAt) > l.leaseTime()+tuning.UnreachableReleaseDelay:
 		// Heard, but never in this term: it doesn't get our answers. Whatever
 		// it may hold waits for the release, which proves it gone.
 		return true
-	case m.staleHeartbeats >= tuning.MaxStaleHeartbeats && l.leaseExpired(now, m) && now.Sub(m.staleSince) > l.heartbeatTimeout():
+	case m.StaleHeartbeats >= tuning.MaxStaleHeartbeats && l.leaseExpired(now, m) && now.Sub(m.StaleSince) > l.heartbeatTimeout():
 		// Only reports older than the newest: late copies, or a new worker that
 		// began anew. It must not be taken for the old one, and can't be told
 		// from copies, so the machine is replaced.
 		return true
-	case len(m.attempts) == 0 && m.cordonedFor(cordonsRetiring):
+	case len(m.Attempts) == 0 && m.CordonedFor(machines.RetiringReasons):
 		return true
 	}
-	heard := m.heartbeatAt
+	heard := m.HeartbeatAt
 	if heard.IsZero() {
 		heard = l.started
 	}
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -1,6 +1,7 @@
 package leader
 
 import (
+	"switchshore.example/switchshore/internal/jobs"
 	"switchshore.example/switchshore/internal/records"
 )
 
@@ -8,11 +9,11 @@
 func (l *Leader) valueLimit() int { return int(l.params.State.ValueKB * 1024) }
 
 // storeJob queues the writes of a job and calls then when all are durable.
-func (l *Leader) storeJob(j *job, then func()) {
-	items := records.EncodeJob(&j.Job, j.at, l.term, l.valueLimit())
+func (l *Leader) storeJob(j *jobs.Job, then func()) {
+	items := records.EncodeJob(&j.Job, j.SubmittedAtMS, l.term, l.valueLimit())
 	last := len(items) - 1
 	for _, piece := range items[:last] {
-		j.keys[piece.Key] = true
+		j.RecordKeys[piece.Key] = true
 		l.writes.Interactive.Put(piece.Key, piece.Value, nil)
 	}
 	l.writes.Interactive.Put(items[last].Key, items[last].Value, then)
--- a/internal/leader/rentals.go
+++ b/internal/leader/rentals.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"switchshore.example/switchshore/internal/autoscale"
+	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -48,11 +49,11 @@
 }
 
 // price is what the machine costs now.
-func (l *Leader) price(m *machine) float64 {
-	if m.spot {
-		return l.types[m.machineType].SpotPrice
+func (l *Leader) price(m *machines.Machine) float64 {
+	if m.Spot {
+		return l.types[m.Type].SpotPrice
 	}
-	return l.types[m.machineType].Price
+	return l.types[m.Type].Price
 }
 
 // CloudOp is the kind of a cloud call.
@@ -134,15 +135,15 @@
 // those that the plan has no use for, then those that will do no more work.
 func (l *Leader) machinesToRelease(now time.Time, unneeded []string, isolated bool) []string {
 	var names []string
-	for _, m := range l.machinesByName {
+	for _, m := range l.machines.All() {
 		if !isolated && l.holdsUrgentWork(now, m) {
-			names = append(names, m.id)
+			names = append(names, m.ID)
 		}
 	}
 	names = append(names, unneeded...)
-	for _, m := range l.machinesByName {
-		if !m.releasing && l.shouldRelease(now, m) {
-			names = append(names, m.id)
+	for _, m := range l.machines.All() {
+		if !m.Releasing && l.shouldRelease(now, m) {
+			names = append(names, m.ID)
 		}
 	}
 	return names
@@ -153,8 +154,8 @@
 	most := tuning.MaxReleaseCount * max(1, int(l.params.Cloud.RPS*tuning.CloudShare*tuning.ReleasesInFlight))
 	var releasing []string
 	for _, name := range names {
-		if m := l.machines[name]; m != nil && !m.releasing && len(releasing) < most {
-			m.releasing = true
+		if m := l.machines.Get(name); m != nil && !m.Releasing && len(releasing) < most {
+			m.Releasing = true
 			releasing = append(releasing, name)
 		}
 	}
@@ -192,12 +193,12 @@
 // busyCPUs are those of all tasks that may be on machines which are not being released.
 func (l *Leader) busyCPUs() float64 {
 	busy := 0.0
-	for _, m := range l.machinesByName {
-		if m.releasing {
+	for _, m := range l.machines.All() {
+		if m.Releasing {
 			continue
 		}
-		for _, a := range m.attempts {
-			busy += a.job.CPUs
+		for _, a := range m.Attempts {
+			busy += a.Job.CPUs
 		}
 	}
 	return busy
@@ -205,24 +206,24 @@
 
 // plannedMachines are the machines as the planner sees them.
 func (l *Leader) plannedMachines(now time.Time) []autoscale.Machine {
-	list := make([]autoscale.Machine, 0, len(l.machinesByName))
-	for _, m := range l.machinesByName {
-		if m.releasing {
+	list := make([]autoscale.Machine, 0, l.machines.Len())
+	for _, m := range l.machines.All() {
+		if m.Releasing {
 			continue
 		}
 		p := autoscale.Machine{
-			ID: m.id, Offer: autoscale.Offer{Type: m.machineType, Zone: m.zone, Spot: m.spot},
-			Total: m.total, Free: m.free, Price: l.price(m),
-			Schedulable: !m.cordoned() && !(m.joined && l.heartbeatOverdue(now, m)),
-			Idle:        len(m.attempts) == 0 && m.joined && m.reconciled && now.Sub(m.provisionedAt) >= tuning.MinimumBillingTime && !l.isReplacement(m.id),
-			IdleFor:     now.Sub(m.idleSince),
+			ID: m.ID, Offer: autoscale.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot},
+			Total: m.Total, Free: m.Free, Price: l.price(m),
+			Schedulable: !m.Cordoned() && !(m.Joined && l.heartbeatOverdue(now, m)),
+			Idle:        len(m.Attempts) == 0 && m.Joined && m.Reconciled && now.Sub(m.ProvisionedAt) >= tuning.MinimumBillingTime && !l.isReplacement(m.ID),
+			IdleFor:     now.Sub(m.IdleSince),
 		}
-		if !m.joined {
-			p.Schedulable = p.Schedulable && !now.Before(l.partitionedZones[m.zone])
-			p.BootRemainingS = max(0, l.types[m.machineType].BootTimeS-now.Sub(m.provisionedAt).Seconds())
+		if !m.Joined {
+			p.Schedulable = p.Schedulable && !now.Before(l.partitionedZones[m.Zone])
+			p.BootRemainingS = max(0, l.types[m.Type].BootTimeS-now.Sub(m.ProvisionedAt).Seconds())
 		}
-		for _, a := range m.attempts {
-			p.BusyS += l.remaining(now, a) * a.job.CPUs
+		for _, a := range m.Attempts {
+			p.BusyS += l.remaining(now, a) * a.Job.CPUs
 		}
 		list = append(list, p)
 	}
@@ -264,8 +265,8 @@
 			continue
 		}
 		demand = append(demand, autoscale.Demand{
-			Tasks: n, StartWithinS: l.startWithin(now, j), Request: j.request, EstimateS: r.EstimateS + float64(l.startDelay),
-			Types: j.MachineTypes, Zone: j.Zone, Spot: j.Spot, Avoid: j.failedOn,
+			Tasks: n, StartWithinS: l.startWithin(now, j), Request: j.Request, EstimateS: r.EstimateS + float64(l.startDelay),
+			Types: j.MachineTypes, Zone: j.Zone, Spot: j.Spot, Avoid: j.FailedOn,
 		})
 	}
 	return demand
@@ -279,11 +280,11 @@
 		return
 	}
 	for _, id := range names {
-		if l.released[id] || l.machines[id] != nil {
+		if l.machines.WasReleased(id) || l.machines.Get(id) != nil {
 			continue
 		}
 		m := l.addMachine(now, id, r.Type, r.Zone, "", r.Spot)
-		m.provisionedAt = rent.at
+		m.ProvisionedAt = rent.at
 	}
 	l.noteReplacements(rent.replacementFor, names)
 	if len(names) < r.Count {
@@ -301,13 +302,13 @@
 // remove forgets machines that are gone, with all on them.
 func (l *Leader) remove(now time.Time, names []string) {
 	for _, id := range names {
-		l.released[id] = true
-		m := l.machines[id]
+		l.machines.MarkReleased(id)
+		m := l.machines.Get(id)
 		if m == nil {
 			continue
 		}
 		l.releaseAll(now, m)
-		l.removeMachine(m)
+		l.machines.Remove(m)
 	}
 	l.log.Debug().Strs("machines", names).Msg("machines removed")
 	l.changed = true
@@ -320,7 +321,7 @@
 	listed := make(map[string]bool, len(list))
 	for _, row := range list {
 		listed[row.Name] = true
-		if !l.released[row.Name] {
+		if !l.machines.WasReleased(row.Name) {
 			l.applyListed(asked, now, row)
 		}
 	}
@@ -331,24 +332,24 @@
 
 // applyListed applies one row of a machine list.
 func (l *Leader) applyListed(asked, now time.Time, row wire.ListedMachine) {
-	m := l.machines[row.Name]
+	m := l.machines.Get(row.Name)
 	if m == nil {
 		m = l.addMachine(asked, row.Name, row.Type, row.Zone, row.Addr, row.Spot)
 	}
 	// What a predecessor rented is older than this term: a successor that
 	// took it for new kept idle machines through its minimum bill again.
-	if at := asked.Add(-seconds(row.AgeS)); at.Before(m.provisionedAt) {
-		m.provisionedAt = at
+	if at := asked.Add(-seconds(row.AgeS)); at.Before(m.ProvisionedAt) {
+		m.ProvisionedAt = at
 	}
-	if m.addr == "" {
-		m.addr = row.Addr
+	if m.Addr == "" {
+		m.Addr = row.Addr
 	}
-	if m.listedAt.IsZero() {
-		m.listedAt = now
+	if m.ListedAt.IsZero() {
+		m.ListedAt = now
 	}
-	m.missedLists = 0
+	m.MissedLists = 0
 	if row.State == wire.MachineFailed {
-		m.failed = true
+		m.Failed = true
 	}
 }
 
@@ -364,13 +365,13 @@
 func (l *Leader) missingLongEnough(asked time.Time, listed map[string]bool) []string {
 	var gone []string
 	lag := l.longestListLag()
-	for _, m := range l.machinesByName {
-		if listed[m.id] || m.listedAt.IsZero() && !m.fromRecord {
+	for _, m := range l.machines.All() {
+		if listed[m.ID] || m.ListedAt.IsZero() && !m.FromRecord {
 			continue
 		}
-		m.missedLists++
-		if !m.listedAt.IsZero() && asked.Sub(m.listedAt) > lag {
-			gone = append(gone, m.id)
+		m.MissedLists++
+		if !m.ListedAt.IsZero() && asked.Sub(m.ListedAt) > lag {
+			gone = append(gone, m.ID)
 		}
 	}
 	return gone
@@ -379,8 +380,8 @@
 // HeartbeatsMissing reports whether machines that were heard of have fallen silent: the
 // next list may tell that they are gone.
 func (l *Leader) HeartbeatsMissing(now time.Time) bool {
-	for _, m := range l.machinesByName {
-		if m.reconciled && len(m.attempts) > 0 && now.Sub(m.heartbeatAt) > seconds(l.params.Workers.HeartbeatIntervalS*tuning.LateHeartbeatIntervals) {
+	for _, m := range l.machines.All() {
+		if m.Reconciled && len(m.Attempts) > 0 && now.Sub(m.HeartbeatAt) > seconds(l.params.Workers.HeartbeatIntervalS*tuning.LateHeartbeatIntervals) {
 			return true
 		}
 	}
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -4,6 +4,8 @@
 	"slices"
 	"time"
 
+	"switchshore.example/switchshore/internal/jobs"
+	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -30,24 +32,24 @@
 	if r.FencingToken > l.term {
 		return answer, HeartbeatSuperseded
 	}
-	if l.released[r.Machine] {
+	if l.machines.WasReleased(r.Machine) {
 		return answer, HeartbeatStale
 	}
-	m := l.machines[r.Machine]
+	m := l.machines.Get(r.Machine)
 	if m == nil {
 		m = l.addMachine(now, r.Machine, r.Type, r.Zone, r.Addr, r.Spot)
 	}
-	if m.overtakenByDirectReply(r) {
+	if m.OvertakenByDirectReply(r) {
 		// It is on its way still, and its worker waits for an answer.
-		m.lastPeriodic = r.Sequence
-		m.heartbeatAt, m.leaseRenewedAt = now, now
+		m.LastPeriodic = r.Sequence
+		m.HeartbeatAt, m.LeaseRenewedAt = now, now
 		answer.Commands = l.stopCommands(r)
 		return answer, HeartbeatApplied
 	}
-	if m.isStale(r) {
+	if m.IsStale(r) {
 		// It proves nothing, renews nothing and gets no commands.
-		if m.staleHeartbeats++; m.staleHeartbeats == 1 {
-			m.staleSince = now
+		if m.StaleHeartbeats++; m.StaleHeartbeats == 1 {
+			m.StaleSince = now
 		}
 		return answer, HeartbeatStale
 	}
@@ -70,18 +72,18 @@
 }
 
 // recordHeartbeat notes what a report that is answered says of the machine itself.
-func (l *Leader) recordHeartbeat(now time.Time, m *machine, r *wire.Heartbeat) {
-	m.lastPeriodic = r.Sequence
-	m.heartbeatAt, m.leaseRenewedAt = now, now
-	m.addr = r.Addr
-	if !m.joined {
-		m.joined = true
+func (l *Leader) recordHeartbeat(now time.Time, m *machines.Machine, r *wire.Heartbeat) {
+	m.LastPeriodic = r.Sequence
+	m.HeartbeatAt, m.LeaseRenewedAt = now, now
+	m.Addr = r.Addr
+	if !m.Joined {
+		m.Joined = true
 		l.changed = true
 	}
-	if m.reclaimAt.IsZero() && r.ReclaimNoticeS != nil {
-		m.reclaimAt = now.Add(seconds(*r.ReclaimNoticeS))
-		m.cordon(cordonReclaimed)
-		l.log.Debug().Str("machine", m.id).Float64("notice_s", *r.ReclaimNoticeS).Msg("spot reclaim notice")
+	if m.ReclaimAt.IsZero() && r.ReclaimNoticeS != nil {
+		m.ReclaimAt = now.Add(seconds(*r.ReclaimNoticeS))
+		m.Cordon(machines.CordonReclaimed)
+		l.log.Debug().Str("machine", m.ID).Float64("notice_s", *r.ReclaimNoticeS).Msg("spot reclaim notice")
 	}
 }
 
@@ -95,7 +97,7 @@
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		id, index, ok := wire.SplitTask(t.Task)
-		if j := l.jobs[id]; t.State != wire.TaskExited && (!ok || j == nil || !j.needsTask(index)) && len(stops) < tuning.MaxCommandsPerResponse {
+		if j := l.jobs[id]; t.State != wire.TaskExited && (!ok || j == nil || !j.NeedsTask(index)) && len(stops) < tuning.MaxCommandsPerResponse {
 			stops = append(stops, wire.Command{Op: wire.OpStop, Task: t.Task, Attempt: t.Attempt, GracePeriodS: &zero})
 		}
 	}
@@ -104,80 +106,67 @@
 
 // mayStartLate reports whether a start of a job that ended a while ago may still come
 // late to the machine's present session: no answer may keep that up.
-func (l *Leader) mayStartLate(now time.Time, m *machine) bool {
+func (l *Leader) mayStartLate(now time.Time, m *machines.Machine) bool {
 	bound := lateStartBound(l.params.Workers)
-	return slices.ContainsFunc(m.attempts, func(a *attempt) bool {
-		return a.state == stateStartSent && a.sentDirectly && a.job.state != jobActive && now.Sub(a.job.endedAt) > bound
+	return slices.ContainsFunc(m.Attempts, func(a *machines.Attempt) bool {
+		return a.State == machines.StartSent && a.SentDirectly && a.Job.State != jobs.Active && now.Sub(a.Job.EndedAt) > bound
 	})
 }
 
-// isStale reports whether a report is of a session known to be over, or not newer
-// than the newest one taken in.
-func (m *machine) isStale(r *wire.Heartbeat) bool {
-	return r.AgentEpoch <= m.expiredEpoch || r.AgentEpoch < m.epoch || r.AgentEpoch == m.epoch && r.Sequence <= m.sequence
-}
-
-// overtakenByDirectReply reports whether a report is older than the newest message only
-// because the answer to a direct call came before it, by a shorter way. Refused,
-// its worker would leave its node for nothing.
-func (m *machine) overtakenByDirectReply(r *wire.Heartbeat) bool {
-	return r.AgentEpoch > m.expiredEpoch && r.AgentEpoch == m.epoch && r.Sequence > m.lastPeriodic && r.Sequence <= m.sequence
-}
-
 // advanceSequence notes the order of a report; a new session ends all that is late.
-func (l *Leader) advanceSequence(m *machine, r *wire.Heartbeat) {
-	if r.AgentEpoch > m.epoch {
-		clear(m.unforgettable)
-		m.lastPeriodic = 0
-		if !m.cordonedFor(cordonConsolidated | cordonLateStart) {
-			m.releaseBy = time.Time{}
+func (l *Leader) advanceSequence(m *machines.Machine, r *wire.Heartbeat) {
+	if r.AgentEpoch > m.Epoch {
+		clear(m.Unforgettable)
+		m.LastPeriodic = 0
+		if !m.CordonedFor(machines.CordonConsolidated | machines.CordonLateStart) {
+			m.ReleaseBy = time.Time{}
 		}
-		for _, a := range m.attempts {
-			a.sentDirectly = false
+		for _, a := range m.Attempts {
+			a.SentDirectly = false
 		}
 	}
-	m.epoch, m.sequence = r.AgentEpoch, r.Sequence
+	m.Epoch, m.Sequence = r.AgentEpoch, r.Sequence
 }
 
 // checkpointBeforeReclaim stops tasks that can save when the machine is about to be taken.
-func (l *Leader) checkpointBeforeReclaim(now time.Time, m *machine) {
-	if m.reclaimAt.IsZero() {
+func (l *Leader) checkpointBeforeReclaim(now time.Time, m *machines.Machine) {
+	if m.ReclaimAt.IsZero() {
 		return
 	}
-	left := m.reclaimAt.Sub(now).Seconds()
+	left := m.ReclaimAt.Sub(now).Seconds()
 	margin := tuning.ReclaimNoticeMargin.Seconds()
-	for _, a := range m.attempts {
-		if a.stopping || a.job.CheckpointIntervalS <= 0 || a.state != stateRunning {
+	for _, a := range m.Attempts {
+		if a.Stopping || a.Job.CheckpointIntervalS <= 0 || a.State != machines.Running {
 			continue
 		}
-		if left <= a.job.CheckpointSaveS+margin {
-			a.stopping, a.gracePeriodS = true, a.job.CheckpointSaveS
+		if left <= a.Job.CheckpointSaveS+margin {
+			a.Stopping, a.GracePeriodS = true, a.Job.CheckpointSaveS
 		}
 	}
 }
 
 // commands are those of the answer to a report: stops first, as the answer renews the
 // lease whether all fit or not, then forgets, then starts.
-func (l *Leader) commands(m *machine, r *wire.Heartbeat, authority bool) []wire.Command {
+func (l *Leader) commands(m *machines.Machine, r *wire.Heartbeat, authority bool) []wire.Command {
 	out := l.stopCommands(r)
-	for _, a := range m.attempts {
-		if !a.stopping || !a.job.needsTask(int(a.index)) || a.state < stateFetching || a.state == stateSaving && a.gracePeriodS > 0 || len(out) >= tuning.MaxCommandsPerResponse {
+	for _, a := range m.Attempts {
+		if !a.Stopping || !a.Job.NeedsTask(int(a.Index)) || a.State < machines.Fetching || a.State == machines.Saving && a.GracePeriodS > 0 || len(out) >= tuning.MaxCommandsPerResponse {
 			continue // the stops of what nobody wants are there already
 		}
-		out = append(out, a.stopCommand())
+		out = append(out, a.StopCommand())
 	}
-	for _, e := range m.exited {
-		if e.forget && len(out) < tuning.MaxCommandsPerResponse {
-			out = append(out, wire.Command{Op: wire.OpForget, Task: e.task, Attempt: e.attempt})
+	for _, e := range m.Exited {
+		if e.Forget && len(out) < tuning.MaxCommandsPerResponse {
+			out = append(out, wire.Command{Op: wire.OpForget, Task: e.Task, Attempt: e.Attempt})
 		}
 	}
-	if authority && !m.releasing {
-		for _, a := range m.attempts {
-			if a.state != stateStartSent || !a.wanted() || a.sentDirectly && m.calling || len(out) >= tuning.MaxCommandsPerResponse {
+	if authority && !m.Releasing {
+		for _, a := range m.Attempts {
+			if a.State != machines.StartSent || !a.Wanted() || a.SentDirectly && m.Calling || len(out) >= tuning.MaxCommandsPerResponse {
 				continue
 			}
-			a.sentSequence = r.Sequence
-			out = append(out, a.startCommand())
+			a.SentSequence = r.Sequence
+			out = append(out, a.StartCommand())
 		}
 	}
 	return out
--- a/internal/leader/requests.go
+++ b/internal/leader/requests.go
@@ -6,6 +6,7 @@
 
 	"switchshore.example/switchshore/internal/admission"
 	"switchshore.example/switchshore/internal/config"
+	"switchshore.example/switchshore/internal/jobs"
 	"switchshore.example/switchshore/internal/placement"
 	"switchshore.example/switchshore/internal/records"
 	"switchshore.example/switchshore/internal/tuning"
@@ -43,8 +44,8 @@
 	if j == nil {
 		return Response{Status: http.StatusNotFound}, false
 	}
-	v := Response{Status: http.StatusOK, State: wire.JobQueued, Done: j.done.Len(), Running: j.running}
-	if j.running > 0 {
+	v := Response{Status: http.StatusOK, State: wire.JobQueued, Done: j.Completed.Len(), Running: j.Running}
+	if j.Running > 0 {
 		v.State = wire.JobRunning
 	}
 	return v, true
@@ -74,8 +75,8 @@
 func (l *Leader) SubmitWithClaim(now time.Time, wall time.Time, spec *wire.Job, claim *admission.Claim, then func(Response)) {
 	// Until the acceptance is durable nobody may be told of the job, not even
 	// once its cancellation has been asked for.
-	if j := l.jobs[spec.ID]; j != nil && j.undecided() {
-		j.waiters = append(j.waiters, func(ok bool) { then(l.accepted(ok, spec.ID, http.StatusOK)) })
+	if j := l.jobs[spec.ID]; j != nil && j.Undecided() {
+		j.Waiters = append(j.Waiters, func(ok bool) { then(l.accepted(ok, spec.ID, http.StatusOK)) })
 		return
 	}
 	if v, known := l.response(spec.ID); known {
@@ -114,25 +115,25 @@
 
 // accept stores a new job; its user is told when it is durable.
 func (l *Leader) accept(now time.Time, wall time.Time, spec *wire.Job, then func(Response)) {
-	j := newJob(*spec, wall.UnixMilli(), now)
+	j := jobs.New(*spec, wall.UnixMilli(), now)
 	l.jobs[j.ID] = j
 	l.countUnfinished(j.Team, j.Tasks)
 	l.linkDependencies(j)
 	for _, need := range j.DependsOn {
 		l.scheduleCriticalPath(l.jobs[need])
 	}
-	j.waiters = append(j.waiters, func(ok bool) { then(l.accepted(ok, j.ID, http.StatusCreated)) })
+	j.Waiters = append(j.Waiters, func(ok bool) { then(l.accepted(ok, j.ID, http.StatusCreated)) })
 	l.storeJob(j, func() {
-		j.acceptanceDurable = true
-		if j.state == jobAccepting {
-			j.state = jobActive
+		j.AcceptanceDurable = true
+		if j.State == jobs.Accepting {
+			j.State = jobs.Active
 			l.releaseIfUnblocked(now, j)
 		}
-		if j.state == jobActive {
-			j.notifyWaiters(true)
+		if j.State == jobs.Active {
+			j.NotifyWaiters(true)
 		}
 	})
-	if j.dependencyCancelled {
+	if j.DependencyCancelled {
 		l.cancelDependent(now, j)
 	}
 }
@@ -196,7 +197,7 @@
 
 // Query tells a job's state, 503 while it can't be told.
 func (l *Leader) Query(id string) Response {
-	if j := l.jobs[id]; j != nil && j.undecided() {
+	if j := l.jobs[id]; j != nil && j.Undecided() {
 		return Response{Status: http.StatusServiceUnavailable, Reason: "being accepted or cancelled"}
 	}
 	v, _ := l.response(id)
@@ -214,13 +215,13 @@
 	switch {
 	case j == nil:
 		then(Response{Status: http.StatusNotFound})
-	case j.state == jobDone, j.state == jobCancelled:
+	case j.State == jobs.Done, j.State == jobs.Cancelled:
 		// Decided, and on its way to the state service.
-		j.waiters = append(j.waiters, func(ok bool) { then(l.accepted(ok, id, http.StatusOK)) })
+		j.Waiters = append(j.Waiters, func(ok bool) { then(l.accepted(ok, id, http.StatusOK)) })
 	default:
 		// A submission still waiting hears of its acceptance, as that is
 		// written first, or of the end.
-		j.waiters = append(j.waiters, func(ok bool) { then(l.accepted(ok, id, http.StatusOK)) })
-		l.end(now, j, jobCancelled, &l.writes.Interactive)
+		j.Waiters = append(j.Waiters, func(ok bool) { then(l.accepted(ok, id, http.StatusOK)) })
+		l.end(now, j, jobs.Cancelled, &l.writes.Interactive)
 	}
 }
--- a/internal/leader/starts.go
+++ b/internal/leader/starts.go
@@ -3,6 +3,7 @@
 import (
 	"sort"
 
+	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/records"
 	"switchshore.example/switchshore/internal/tuning"
 )
@@ -20,18 +21,13 @@
 	saved    bool // durable or on its way
 	closed   bool // takes no further starts
 	size     *records.StartsSize
-	attempts []*attempt // until it is durable
+	attempts []*machines.Attempt // until it is durable
 	leader   *Leader
 }
 
-// identity names the machine in a start record.
-func (m *machine) identity() records.MachineStarts {
-	return records.MachineStarts{ID: m.id, Type: m.machineType, Zone: m.zone, Spot: m.spot}
-}
-
 // recordStart puts an attempt into the record that is written next.
-func (l *Leader) recordStart(a *attempt) {
-	machine, jobID := a.machine.identity(), a.job.ID
+func (l *Leader) recordStart(a *machines.Attempt) {
+	machine, jobID := a.Machine.RecordIdentity(), a.Job.ID
 	rec := l.starts.newest
 	if rec == nil || rec.closed || float64(rec.size.With(machine, jobID)) > float64(l.valueLimit())*tuning.StartRecordValueShare {
 		rec = l.newStartRecord()
@@ -39,7 +35,7 @@
 	rec.size.Add(machine, jobID)
 	rec.live++
 	rec.attempts = append(rec.attempts, a)
-	a.record = rec
+	a.Record = rec
 }
 
 // newStartRecord queues an empty record.
@@ -52,12 +48,12 @@
 }
 
 // unrecord takes an attempt that is gone out of its record's count.
-func (l *Leader) unrecord(a *attempt) {
-	rec := a.record
-	if rec == nil {
+func (l *Leader) unrecord(a *machines.Attempt) {
+	rec, recorded := a.Record.(*pendingStarts)
+	if !recorded {
 		return
 	}
-	a.record = nil
+	a.Record = nil
 	if rec.live--; rec.live == 0 && rec.saved {
 		l.writes.Background.Delete(rec.key)
 	}
@@ -89,9 +85,9 @@
 // sendStarts lets the starts of a durable record go out.
 func (r *pendingStarts) sendStarts() {
 	for _, a := range r.attempts {
-		if a.state == stateRecordPending && a.record == r {
-			a.state = stateStartSent
-			r.leader.scheduleCall(a.machine)
+		if a.State == machines.RecordPending && a.Record == r {
+			a.State = machines.StartSent
+			r.leader.scheduleCall(a.Machine)
 		}
 	}
 	r.attempts, r.size = nil, nil
@@ -101,8 +97,8 @@
 // none of its starts has gone out.
 func (r *pendingStarts) abandonStarts() {
 	for _, a := range r.attempts {
-		if a.state == stateRecordPending && a.record == r {
-			r.leader.release(a.orderedAt, a)
+		if a.State == machines.RecordPending && a.Record == r {
+			r.leader.release(a.OrderedAt, a)
 		}
 	}
 	r.attempts, r.size = nil, nil
@@ -110,23 +106,23 @@
 
 // starts is the record's content; attempts that have ended meanwhile are left out.
 func (r *pendingStarts) starts() *records.Starts {
-	byMachine := map[*machine]map[string][]int{}
-	var order []*machine
+	byMachine := map[*machines.Machine]map[string][]int{}
+	var order []*machines.Machine
 	for _, a := range r.attempts {
-		if a.record != r {
+		if a.Record != r {
 			continue
 		}
-		jobs := byMachine[a.machine]
-		if jobs == nil {
-			jobs = map[string][]int{}
-			byMachine[a.machine] = jobs
-			order = append(order, a.machine)
+		tasks := byMachine[a.Machine]
+		if tasks == nil {
+			tasks = map[string][]int{}
+			byMachine[a.Machine] = tasks
+			order = append(order, a.Machine)
 		}
-		jobs[a.job.ID] = append(jobs[a.job.ID], int(a.index))
+		tasks[a.Job.ID] = append(tasks[a.Job.ID], int(a.Index))
 	}
 	starts := &records.Starts{}
 	for _, m := range order {
-		machine := m.identity()
+		machine := m.RecordIdentity()
 		for id, indexes := range byMachine[m] {
 			sort.Ints(indexes)
 			machine.SetTasks(id, indexes)
--- a/internal/leader/tasklist.go
+++ b/internal/leader/tasklist.go
@@ -4,6 +4,8 @@
 	"slices"
 	"time"
 
+	"switchshore.example/switchshore/internal/jobs"
+	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -11,9 +13,9 @@
 // reconcileTasks compares the machine's complete task list with what is known. Only a report
 // that the worker sent by itself (periodic) proves that the starts in earlier
 // answers did not run: an answer to a direct call may overtake them.
-func (l *Leader) reconcileTasks(now time.Time, m *machine, r *wire.Heartbeat, periodic bool) {
+func (l *Leader) reconcileTasks(now time.Time, m *machines.Machine, r *wire.Heartbeat, periodic bool) {
 	l.listNumber++
-	m.exited = m.exited[:0]
+	m.Exited = m.Exited[:0]
 	for i := range r.Tasks {
 		l.applyTask(now, m, &r.Tasks[i])
 	}
@@ -21,16 +23,16 @@
 		l.countIgnoredStarts(now, m)
 	}
 	l.releaseUnlisted(now, m, periodic)
-	if !m.reconciled {
-		m.reconciled = true
-		m.idleSince = now
+	if !m.Reconciled {
+		m.Reconciled = true
+		m.IdleSince = now
 		l.changed = true
-		l.log.Debug().Str("machine", m.id).Int("tasks", len(r.Tasks)).Msg("machine reconciled")
+		l.log.Debug().Str("machine", m.ID).Int("tasks", len(r.Tasks)).Msg("machine reconciled")
 	}
 }
 
 // applyTask applies one entry of a machine's task list.
-func (l *Leader) applyTask(now time.Time, m *machine, t *wire.TaskStatus) {
+func (l *Leader) applyTask(now time.Time, m *machines.Machine, t *wire.TaskStatus) {
 	id, index, ok := wire.SplitTask(t.Task)
 	j := l.jobs[id]
 	switch {
@@ -47,106 +49,106 @@
 }
 
 // recordExited keeps an exited entry, to be forgotten by the worker if nobody needs it.
-func (l *Leader) recordExited(m *machine, t *wire.TaskStatus, unneeded bool) {
-	key := exitKey{t.Task, t.Attempt}
-	m.exited = append(m.exited, exit{key, unneeded && !m.unforgettable[key]})
+func (l *Leader) recordExited(m *machines.Machine, t *wire.TaskStatus, unneeded bool) {
+	key := machines.ExitKey{Task: t.Task, Attempt: t.Attempt}
+	m.Exited = append(m.Exited, machines.Exit{ExitKey: key, Forget: unneeded && !m.Unforgettable[key]})
 }
 
-func (l *Leader) applyExitedTask(now time.Time, m *machine, j *job, index int32, t *wire.TaskStatus) {
-	a := m.find(j, index)
+func (l *Leader) applyExitedTask(now time.Time, m *machines.Machine, j *jobs.Job, index int32, t *wire.TaskStatus) {
+	a := m.Find(j, index)
 	switch {
-	case a != nil && (a.number == t.Attempt || a.state == statePossiblyStarted):
-		a.listNumber = l.listNumber
-		if a.state == stateStartSent {
-			m.recordStartObserved()
+	case a != nil && (a.Number == t.Attempt || a.State == machines.PossiblyStarted):
+		a.ListNumber = l.listNumber
+		if a.State == machines.StartSent {
+			m.RecordStartObserved()
 		}
-		if a.sentDirectly {
-			m.unforgettable[exitKey{t.Task, t.Attempt}] = true
+		if a.SentDirectly {
+			m.Unforgettable[machines.ExitKey{Task: t.Task, Attempt: t.Attempt}] = true
 		}
 		l.applyExit(now, a, t)
 	case t.ExitReason == wire.ExitDone:
 		l.taskDone(now, j, index)
 	}
-	l.recordExited(m, t, t.ExitReason != wire.ExitDone || j.isDurable(index))
+	l.recordExited(m, t, t.ExitReason != wire.ExitDone || j.IsCompletionStored(index))
 }
 
-func (l *Leader) applyLiveTask(now time.Time, m *machine, j *job, index int32, t *wire.TaskStatus) {
-	a := m.find(j, index)
+func (l *Leader) applyLiveTask(now time.Time, m *machines.Machine, j *jobs.Job, index int32, t *wire.TaskStatus) {
+	a := m.Find(j, index)
 	if a == nil {
-		a = &attempt{orderedAt: now}
+		a = &machines.Attempt{OrderedAt: now}
 		l.allocate(m, j, index, a)
 		// No record names it any more, or none ever did: a successor has to
 		// know of it all the same.
 		l.recordStart(a)
-		if j.state == jobActive {
-			j.removeReady(index)
+		if j.State == jobs.Active {
+			j.RemoveReady(index)
 		}
 	}
-	a.listNumber = l.listNumber
+	a.ListNumber = l.listNumber
 	// Another attempt of a task that is to run here makes the worker refuse
 	// the newer one, so it is the listed one that counts.
-	a.number = t.Attempt
-	if !j.needsTask(int(index)) {
-		a.stopping, a.gracePeriodS = true, 0
+	a.Number = t.Attempt
+	if !j.NeedsTask(int(index)) {
+		a.Stopping, a.GracePeriodS = true, 0
 	}
-	if a.state == stateStartSent {
-		m.recordStartObserved()
+	if a.State == machines.StartSent {
+		m.RecordStartObserved()
 	}
 	l.setReportedState(now, a, t.State)
 }
 
 // setReportedState moves an attempt to the state that its machine reports.
-func (l *Leader) setReportedState(now time.Time, a *attempt, reported string) {
-	m, j, before := a.machine, a.job, a.state
+func (l *Leader) setReportedState(now time.Time, a *machines.Attempt, reported string) {
+	m, j, before := a.Machine, a.Job, a.State
 	switch reported {
 	case wire.TaskRunning:
-		a.state = stateRunning
+		a.State = machines.Running
 	case wire.TaskSaving:
-		a.state = stateSaving
+		a.State = machines.Saving
 	default:
-		a.state = stateFetching
+		a.State = machines.Fetching
 	}
-	if a.state != before {
-		m.snapshotOutdated = true
+	if a.State != before {
+		m.SnapshotOutdated = true
 	}
-	if a.state.hasImage() && !before.hasImage() {
-		j.running++
-		a.runningAt = now
-		if _, cached := m.images[j.Image]; cached && a.number>>32 == l.term {
-			l.startDelay.observe(now.Sub(a.orderedAt).Seconds(), l.params.Workers.HeartbeatIntervalS)
+	if a.State.HasImage() && !before.HasImage() {
+		j.Running++
+		a.RunningAt = now
+		if _, cached := m.Images[j.Image]; cached && a.Number>>32 == l.term {
+			l.startDelay.Observe(now.Sub(a.OrderedAt).Seconds(), l.params.Workers.HeartbeatIntervalS)
 		}
-		m.images[j.Image] = now
+		m.Images[j.Image] = now
 		l.changed = true
 		l.countRunning(a)
 	}
 }
 
 // countIgnoredStarts notes that starts in an earlier answer had no effect.
-func (l *Leader) countIgnoredStarts(now time.Time, m *machine) {
-	if slices.ContainsFunc(m.attempts, func(a *attempt) bool {
-		return a.listNumber != l.listNumber && a.state == stateStartSent && a.sentSequence != 0
+func (l *Leader) countIgnoredStarts(now time.Time, m *machines.Machine) {
+	if slices.ContainsFunc(m.Attempts, func(a *machines.Attempt) bool {
+		return a.ListNumber != l.listNumber && a.State == machines.StartSent && a.SentSequence != 0
 	}) {
-		m.ignoredResponses++
-		m.ignoredAt = now
-		m.updateDeliveryCordon()
+		m.IgnoredResponses++
+		m.IgnoredAt = now
+		m.UpdateDeliveryCordon()
 	}
 }
 
 // releaseUnlisted gives up the attempts that the list just applied proves absent.
-func (l *Leader) releaseUnlisted(now time.Time, m *machine, periodic bool) {
-	for i := len(m.attempts) - 1; i >= 0; i-- {
-		a := m.attempts[i]
+func (l *Leader) releaseUnlisted(now time.Time, m *machines.Machine, periodic bool) {
+	for i := len(m.Attempts) - 1; i >= 0; i-- {
+		a := m.Attempts[i]
 		switch {
-		case a.listNumber == l.listNumber, a.state == stateRecordPending:
-		case a.state != stateStartSent:
+		case a.ListNumber == l.listNumber, a.State == machines.RecordPending:
+		case a.State != machines.StartSent:
 			l.release(now, a)
-		case a.sentDirectly:
+		case a.SentDirectly:
 			l.scheduleFencingRelease(now, a)
-		case periodic || a.sentSequence == 0:
+		case periodic || a.SentSequence == 0:
 			// Not there: the start did not run and, carried only by an
 			// answer now given up, never will.
-			a.sentSequence = 0
-			if !a.wanted() || !l.acceptsWork(now, m) {
+			a.SentSequence = 0
+			if !a.Wanted() || !l.acceptsWork(now, m) {
 				l.release(now, a)
 			}
 		}
@@ -155,41 +157,41 @@
 
 // scheduleFencingRelease has a machine released in time if a start that may still reach it is of
 // a task that nobody wants any more.
-func (l *Leader) scheduleFencingRelease(now time.Time, a *attempt) {
-	m := a.machine
-	if a.wanted() || !m.releaseBy.IsZero() {
+func (l *Leader) scheduleFencingRelease(now time.Time, a *machines.Attempt) {
+	m := a.Machine
+	if a.Wanted() || !m.ReleaseBy.IsZero() {
 		return
 	}
-	m.cordon(cordonLateStart)
-	from := a.job.endedAt
+	m.Cordon(machines.CordonLateStart)
+	from := a.Job.EndedAt
 	if from.IsZero() {
 		from = now // only the task is done
 	}
-	m.releaseBy = from.Add(lateStartBound(l.params.Workers))
+	m.ReleaseBy = from.Add(lateStartBound(l.params.Workers))
 }
 
 // applyExit handles the end of an attempt by its reason.
-func (l *Leader) applyExit(now time.Time, a *attempt, t *wire.TaskStatus) {
-	m, j := a.machine, a.job
-	a.checkpointSaved = t.CheckpointSaved
+func (l *Leader) applyExit(now time.Time, a *machines.Attempt, t *wire.TaskStatus) {
+	m, j := a.Machine, a.Job
+	a.CheckpointSaved = t.CheckpointSaved
 	switch t.ExitReason {
 	case wire.ExitDone:
-		if a.state == stateRunning && !a.runningAt.IsZero() {
-			l.runTimes.observe(j, now.Sub(a.runningAt).Seconds()+j.progress[a.index])
+		if a.State == machines.Running && !a.RunningAt.IsZero() {
+			l.runTimes.Observe(j, now.Sub(a.RunningAt).Seconds()+j.Progress[a.Index])
 		}
-		j.failures = 0
+		j.Failures = 0
 		l.recordTaskSuccess(j, m)
-		m.images[j.Image] = now
-		l.taskDone(now, j, a.index)
+		m.Images[j.Image] = now
+		l.taskDone(now, j, a.Index)
 	case wire.ExitError:
-		l.log.Debug().Str("machine", m.id).Str("task", t.Task).Msg("task failed")
-		a.failed = true
-		l.backOffAfterFailure(now, j)
+		l.log.Debug().Str("machine", m.ID).Str("task", t.Task).Msg("task failed")
+		a.Failed = true
+		j.RecordFailure(now)
 		l.recordTaskFailure(j, m)
 	case wire.ExitNoCapacity, wire.ExitTaskBusy:
-		m.fullUntil = now.Add(tuning.FullMachineBackoff)
+		m.FullUntil = now.Add(tuning.FullMachineBackoff)
 	case wire.ExitUnknown:
-		l.backOff(j, now.Add(tuning.UnknownJobBackoff))
+		j.DelayUntil(now.Add(tuning.UnknownJobBackoff))
 	}
 	l.release(now, a)
 }
--- /dev/null
+++ b/internal/machines/registry.go
@@ -0,0 +1,77 @@
+package machines
+
+import (
+	"slices"
+	"strings"
+	"time"
+
+	"switchshore.example/switchshore/internal/placement"
+)
+
+// Registry owns the machines that are known, and the names of those that were released.
+type Registry struct {
+	byID     map[string]*Machine
+	sorted   []*Machine // by their IDs
+	released map[string]bool
+}
+
+// NewRegistry returns a registry without machines.
+func NewRegistry() *Registry {
+	return &Registry{byID: map[string]*Machine{}, released: map[string]bool{}}
+}
+
+// Get returns a machine that is known, or nil.
+func (r *Registry) Get(id string) *Machine { return r.byID[id] }
+
+// All returns the machines in the order of their IDs. The slice is the registry's own:
+// it must not be modified, nor kept while machines are added or removed.
+func (r *Registry) All() []*Machine { return r.sorted }
+
+// Len returns the number of machines.
+func (r *Registry) Len() int { return len(r.sorted) }
+
+// Add takes in a machine, in the place of one with the same ID.
+func (r *Registry) Add(m *Machine) {
+	r.byID[m.ID] = m
+	i, _ := slices.BinarySearchFunc(r.sorted, m.ID, func(o *Machine, id string) int { return strings.Compare(o.ID, id) })
+	r.sorted = slices.Insert(r.sorted, i, m)
+}
+
+// Remove forgets a machine.
+func (r *Registry) Remove(m *Machine) {
+	delete(r.byID, m.ID)
+	if i := slices.Index(r.sorted, m); i >= 0 {
+		r.sorted = slices.Delete(r.sorted, i, i+1)
+	}
+}
+
+// MarkReleased notes that a name is never to be taken in again.
+func (r *Registry) MarkReleased(id string) { r.released[id] = true }
+
+// WasReleased reports whether a machine of that name has been released.
+func (r *Registry) WasReleased(id string) bool { return r.released[id] }
+
+// New returns a machine that was provisioned at the given time, as far as is known.
+func New(provisionedAt time.Time, id, machineType, zone, addr string, spot bool) *Machine {
+	return &Machine{
+		ID:            id,
+		Type:          machineType,
+		Zone:          zone,
+		Addr:          addr,
+		Spot:          spot,
+		lifecycle:     lifecycle{ProvisionedAt: provisionedAt, IdleSince: provisionedAt},
+		capacity:      capacity{SnapshotOutdated: true},
+		Images:        map[string]time.Time{},
+		AvoidedJobs:   map[string]bool{},
+		FailedJobs:    map[string]bool{},
+		Unforgettable: map[ExitKey]bool{},
+	}
+}
+
+// SetTotal fills in the capacity of the machine's type once it is known.
+func (m *Machine) SetTotal(total placement.Resources) {
+	if m.Total == (placement.Resources{}) {
+		m.Total = total
+		m.Free = m.Free.Add(total, 1)
+	}
+}
