--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -28,8 +28,8 @@
 // Team is a team as far as its share is concerned.
 type Team struct {
 	Name string
-	// Guarantee is the CPUs that the team is guaranteed.
-	Guarantee float64
+	// GuaranteedCPUs is the CPUs that the team is guaranteed.
+	GuaranteedCPUs float64
 	// Weight and Floor are the operators', 0 for the defaults: 1, and the team's part
 	// of all guarantees.
 	Weight, Floor float64
@@ -48,8 +48,8 @@
 	Teams []Team
 	// Classes are the names of all classes known.
 	Classes []string
-	// WriteRate is what the state service takes at most, in changes a second.
-	WriteRate float64
+	// WritesPerSecond is what the state service takes at most, in changes a second.
+	WritesPerSecond float64
 }
 
 // Key returns the key that a job of a team and class counts under, and whether the
@@ -76,23 +76,23 @@
 	Waited time.Duration
 }
 
-// boost is how many times as likely as one that has just come the job is admitted: it
+// agingFactor is how many times as likely as one that has just come the job is admitted: it
 // grows with the time since the first refusal. A job that needs accepted ones counts
 // as having waited for long already.
-func (r *Request) boost() float64 {
+func (r *Request) agingFactor() float64 {
 	waited := r.Waited
 	if r.Dependent {
-		waited = max(waited, tuning.AdmissionDependentCredit)
+		waited = max(waited, tuning.AdmissionDependentAge)
 	}
-	waited = min(max(waited, 0), tuning.AdmissionPatience)
-	return 1 + waited.Seconds()/tuning.AdmissionAgeUnit.Seconds()
+	waited = min(max(waited, 0), tuning.AdmissionRetryWindow)
+	return 1 + waited.Seconds()/tuning.AdmissionAgingUnit.Seconds()
 }
 
 // Decision is what becomes of a request.
 type Decision struct {
 	Admitted bool
 	// RetryAfterS is when a user who is refused should come back, in seconds.
-	RetryAfter int
+	RetryAfterS int
 }
 
 // Claim is what the node that a user has reached tells the leader of a submission.
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -15,12 +15,12 @@
 func settings() *Settings {
 	return &Settings{
 		Teams: []Team{
-			{Name: "blue", Guarantee: 60},
-			{Name: "green", Guarantee: 20, Classes: []Class{{Name: "urgent", Weight: 2, Floor: 0.3}}},
+			{Name: "blue", GuaranteedCPUs: 60},
+			{Name: "green", GuaranteedCPUs: 20, Classes: []Class{{Name: "urgent", Weight: 2, Floor: 0.3}}},
 			{Name: "guests"},
 		},
-		Classes:   []string{"urgent", "nightly"},
-		WriteRate: 50,
+		Classes:         []string{"urgent", "nightly"},
+		WritesPerSecond: 50,
 	}
 }
 
@@ -108,7 +108,7 @@
 		}
 		return n
 	}
-	fresh, old, oldest := admitted(0, false), admitted(20*time.Second, false), admitted(tuning.AdmissionPatience, false)
+	fresh, old, oldest := admitted(0, false), admitted(20*time.Second, false), admitted(tuning.AdmissionRetryWindow, false)
 	if old < 2*fresh || oldest <= old {
 		t.Errorf("admitted %d, %d after 20 s, %d after the users' patience", fresh, old, oldest)
 	}
@@ -125,13 +125,13 @@
 func TestRetryAfterSpreads(t *testing.T) {
 	seen := map[int]int{}
 	for job := range 1000 {
-		d := refusal(fmt.Sprintf("job-%d", job), 5, 0.01)
-		if d.Admitted || d.RetryAfter < 1 || d.RetryAfter > int(tuning.AdmissionRetryMax) {
+		d := rejection(fmt.Sprintf("job-%d", job), 5, 0.01)
+		if d.Admitted || d.RetryAfterS < 1 || d.RetryAfterS > int(tuning.AdmissionRetryMaxS) {
 			t.Fatalf("%+v", d)
 		}
-		seen[d.RetryAfter]++
+		seen[d.RetryAfterS]++
 	}
-	for after := 1; after <= int(tuning.AdmissionRetryMax); after++ {
+	for after := 1; after <= int(tuning.AdmissionRetryMaxS); after++ {
 		if seen[after] < 60 || seen[after] > 180 {
 			t.Errorf("%d of 1000 come back after %d s", seen[after], after)
 		}
@@ -185,8 +185,8 @@
 	}
 	g.RecordRejected(begin, request("nobody", "job-3"))
 	remembered := 0
-	for _, m := range g.teams {
-		remembered += m.refused.Len() + m.passed.Len()
+	for _, m := range g.historyByTeam {
+		remembered += m.rejected.Len() + m.admitted.Len()
 	}
 	if remembered > 2*tuning.AdmissionMaxRemembered {
 		t.Errorf("%d ids remembered", remembered)
@@ -205,7 +205,7 @@
 	if r := request("green", "job-1"); !g.RecordArrival(begin.Add(time.Hour), r) || r.Waited != 0 {
 		t.Errorf("a new try an hour later counts as having waited %v", r.Waited)
 	}
-	offers := g.Offers("n").Offers
+	offers := g.OfferedLoad("n").Loads
 	if len(offers) != 1 || offers[0].Count != 3 {
 		t.Errorf("%+v", offers)
 	}
@@ -222,9 +222,9 @@
 		t.Error("an unknown team is known")
 	}
 	r := NewRegulator(s, 1, begin)
-	odd := Offers{Key: Key{"blue", "made up"}, Count: 100, Boosted: 100, Weight: 100}
-	r.Update(begin, begin, Load{}, []NodeOffers{{Node: "a", Started: 1}})
-	r.Update(begin.Add(time.Second), begin, Load{}, []NodeOffers{{Node: "a", Started: 1, Offers: []Offers{odd}}})
+	odd := OfferedLoad{Key: Key{"blue", "made up"}, Count: 100, Boosted: 100, Weight: 100}
+	r.Update(begin, begin, LeaderLoad{}, []NodeOfferedLoad{{Node: "a", Started: 1}})
+	r.Update(begin.Add(time.Second), begin, LeaderLoad{}, []NodeOfferedLoad{{Node: "a", Started: 1, Loads: []OfferedLoad{odd}}})
 	if len(r.demands) != 0 {
 		t.Errorf("%+v", r.demands)
 	}
@@ -240,12 +240,12 @@
 		at = at.Add(tuning.AdmissionInterval)
 		before := 0.0
 		if d := r.demands[k]; d != nil {
-			before = d.count * math.Exp(-tuning.AdmissionInterval.Seconds()/tuning.AdmissionOfferDecay.Seconds())
+			before = d.count * math.Exp(-tuning.AdmissionInterval.Seconds()/tuning.AdmissionOfferedLoadDecay.Seconds())
 		}
-		o := Offers{Key: k, Count: count, Boosted: float64(count), Weight: float64(count)}
-		r.Update(at, at, Load{}, []NodeOffers{{Node: "a", Started: started, Offers: []Offers{o}}})
+		o := OfferedLoad{Key: k, Count: count, Boosted: float64(count), Weight: float64(count)}
+		r.Update(at, at, LeaderLoad{}, []NodeOfferedLoad{{Node: "a", Started: started, Loads: []OfferedLoad{o}}})
 		if d := r.demands[k]; d != nil {
-			return (d.count - before) * tuning.AdmissionOfferDecay.Seconds()
+			return (d.count - before) * tuning.AdmissionOfferedLoadDecay.Seconds()
 		}
 		return 0
 	}
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -12,27 +12,27 @@
 // Gate is a node's own part in admission: it counts what its users submit, remembers
 // whom it has refused since when, and applies the leader's policy. It outlives terms.
 type Gate struct {
-	settings *Settings
-	policy   Policy
-	expires  time.Time
-	started  uint64
-	offers   map[Key]*Offers
-	teams    map[string]*memory
-	checks   *rate.Limiter
+	settings      *Settings
+	policy        Policy
+	expires       time.Time
+	started       uint64
+	offered       map[Key]*OfferedLoad
+	historyByTeam map[string]*jobHistory
+	leaderQueries *rate.Limiter
 }
 
-// memory is what a node remembers of one team's jobs. Each team has a table of its own:
+// jobHistory is what a node remembers of one team's jobs. Each team has a table of its own:
 // a flood of ids pushes out those of its own team only.
-type memory struct {
-	// refused: since when, for jobs that were refused and may come back.
-	refused *simplelru.LRU[string, time.Time]
-	// passed are jobs that were let through and may have been accepted: they are never
+type jobHistory struct {
+	// rejected: since when, for jobs that were refused and may come back.
+	rejected *simplelru.LRU[string, time.Time]
+	// admitted are jobs that were let through and may have been accepted: they are never
 	// turned away as new work.
-	passed *simplelru.LRU[string, struct{}]
+	admitted *simplelru.LRU[string, struct{}]
 }
 
-// Offers are the submissions of a key since a node's start.
-type Offers struct {
+// OfferedLoad are the submissions of a key since a node's start.
+type OfferedLoad struct {
 	Key
 	Count int64 `json:"count"`
 	// Boosted is the same, each counted as often as it is likelier than a new one.
@@ -41,21 +41,21 @@
 	Weight float64 `json:"weight"`
 }
 
-// NodeOffers are all offers of a node. Counts only grow as long as Started stays.
-type NodeOffers struct {
-	Node    string   `json:"node"`
-	Started uint64   `json:"started"`
-	Offers  []Offers `json:"offers,omitempty"`
+// NodeOfferedLoad are all offers of a node. Counts only grow as long as Started stays.
+type NodeOfferedLoad struct {
+	Node    string        `json:"node"`
+	Started uint64        `json:"started"`
+	Loads   []OfferedLoad `json:"offers,omitempty"`
 }
 
 // olderThan reports whether the counts are from before others of the same process: a copy
 // that came late.
-func (n *NodeOffers) olderThan(other *NodeOffers) bool {
+func (n *NodeOfferedLoad) olderThan(other *NodeOfferedLoad) bool {
 	return n.Started == other.Started && n.total() < other.total()
 }
 
-func (n *NodeOffers) total() (count int64) {
-	for _, o := range n.Offers {
+func (n *NodeOfferedLoad) total() (count int64) {
+	for _, o := range n.Loads {
 		count += o.Count
 	}
 	return count
@@ -64,14 +64,14 @@
 // NewGate returns the gate of a node that has started now; started tells its counts from
 // those of an earlier process.
 func NewGate(s *Settings, started uint64) *Gate {
-	g := &Gate{settings: s, started: started, offers: map[Key]*Offers{}, teams: map[string]*memory{}}
-	g.checks = rate.NewLimiter(tuning.AdmissionChecksPerSecond, tuning.AdmissionChecksPerSecond)
+	g := &Gate{settings: s, started: started, offered: map[Key]*OfferedLoad{}, historyByTeam: map[string]*jobHistory{}}
+	g.leaderQueries = rate.NewLimiter(tuning.AdmissionChecksPerSecond, tuning.AdmissionChecksPerSecond)
 	size := max(tuning.AdmissionMaxRemembered/max(len(s.Teams), 1), 1)
 	for _, t := range s.Teams {
 		// The only error is a size below one.
 		refused, _ := simplelru.NewLRU[string, time.Time](size, nil)
 		passed, _ := simplelru.NewLRU[string, struct{}](size, nil)
-		g.teams[t.Name] = &memory{refused, passed}
+		g.historyByTeam[t.Name] = &jobHistory{refused, passed}
 	}
 	return g
 }
@@ -89,19 +89,19 @@
 // returns false if the job may have been accepted already, or its team is unknown: then
 // only the leader can tell.
 func (g *Gate) RecordArrival(now time.Time, r *Request) bool {
-	m := g.teams[r.Key.Team]
-	if m == nil || m.passed.Contains(r.ID) {
+	m := g.historyByTeam[r.Key.Team]
+	if m == nil || m.admitted.Contains(r.ID) {
 		return false
 	}
-	if since, ok := m.refused.Peek(r.ID); ok {
-		if now.Sub(since) < tuning.AdmissionPatience {
+	if since, ok := m.rejected.Peek(r.ID); ok {
+		if now.Sub(since) < tuning.AdmissionRetryWindow {
 			r.Waited = now.Sub(since)
 		} else {
 			// The user has given up since: it is a new try.
-			m.refused.Remove(r.ID)
+			m.rejected.Remove(r.ID)
 		}
 	}
-	count(g.offers, r)
+	countRequest(g.offered, r)
 	return true
 }
 
@@ -117,46 +117,46 @@
 // MayQueryLeader reports whether the leader may be asked about a job that was refused before: it may
 // have been accepted through another node.
 func (g *Gate) MayQueryLeader(now time.Time, r *Request) bool {
-	return r.Waited > 0 && g.checks.AllowN(now, 1)
+	return r.Waited > 0 && g.leaderQueries.AllowN(now, 1)
 }
 
 // RecordAdmitted notes that a job is let through.
 func (g *Gate) RecordAdmitted(r *Request) {
-	if m := g.teams[r.Key.Team]; m != nil {
-		m.passed.Add(r.ID, struct{}{})
+	if m := g.historyByTeam[r.Key.Team]; m != nil {
+		m.admitted.Add(r.ID, struct{}{})
 	}
 }
 
 // RecordRejected notes that a job was turned away, here or by the leader.
 func (g *Gate) RecordRejected(now time.Time, r *Request) {
-	m := g.teams[r.Key.Team]
+	m := g.historyByTeam[r.Key.Team]
 	if m == nil {
 		return
 	}
-	m.passed.Remove(r.ID)
-	if !m.refused.Contains(r.ID) {
-		m.refused.Add(r.ID, now)
+	m.admitted.Remove(r.ID)
+	if !m.rejected.Contains(r.ID) {
+		m.rejected.Add(r.ID, now)
 	}
 }
 
-// Offers are the submissions counted so far.
-func (g *Gate) Offers(node string) NodeOffers {
-	n := NodeOffers{Node: node, Started: g.started}
-	for _, o := range g.offers {
-		n.Offers = append(n.Offers, *o)
+// OfferedLoad are the submissions counted so far.
+func (g *Gate) OfferedLoad(node string) NodeOfferedLoad {
+	n := NodeOfferedLoad{Node: node, Started: g.started}
+	for _, o := range g.offered {
+		n.Loads = append(n.Loads, *o)
 	}
 	return n
 }
 
-// count counts a request into the offers of its key.
-func count(offers map[Key]*Offers, r *Request) {
+// countRequest counts a request into the offers of its key.
+func countRequest(offers map[Key]*OfferedLoad, r *Request) {
 	o := offers[r.Key]
 	if o == nil {
-		o = &Offers{Key: r.Key}
+		o = &OfferedLoad{Key: r.Key}
 		offers[r.Key] = o
 	}
 	o.Count++
-	o.Boosted += r.boost()
+	o.Boosted += r.agingFactor()
 	o.Weight += priorityWeight(r.PriorityRank)
 }
 
--- a/internal/admission/policy.go
+++ b/internal/admission/policy.go
@@ -52,21 +52,21 @@
 // the same of the job's wait comes to the same answer.
 func (p *Policy) Decide(r *Request) Decision {
 	share := p.share(r.Key)
-	if share >= 1 || ticket(r.ID, p.Revision) < share*r.boost() {
+	if share >= 1 || ticket(r.ID, p.Revision) < share*r.agingFactor() {
 		return Decision{Admitted: true}
 	}
-	return refusal(r.ID, p.Revision, share)
+	return rejection(r.ID, p.Revision, share)
 }
 
-// refusal asks a user to come back within a time that grows as the share shrinks, each
+// rejection asks a user to come back within a time that grows as the share shrinks, each
 // at a moment of his own, so that returns don't come all at once.
-func refusal(id string, revision uint64, share float64) Decision {
-	spread := float64(tuning.AdmissionRetryMax)
+func rejection(id string, revision uint64, share float64) Decision {
+	spread := float64(tuning.AdmissionRetryMaxS)
 	if share > 0 {
 		spread = min(spread, math.Ceil(1/share))
 	}
-	spread = max(spread, tuning.AdmissionRetryMin)
-	return Decision{RetryAfter: 1 + int(ticket(id, ^revision)*spread)}
+	spread = max(spread, tuning.AdmissionRetryMinS)
+	return Decision{RetryAfterS: 1 + int(ticket(id, ^revision)*spread)}
 }
 
 // goldenRatio is 2^64 divided by the golden ratio: multiples of it, modulo 2^64, are
--- a/internal/admission/regulator.go
+++ b/internal/admission/regulator.go
@@ -10,8 +10,8 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Load is what a leader has to carry at a moment.
-type Load struct {
+// LeaderLoad is what a leader has to carry at a moment.
+type LeaderLoad struct {
 	// Waiting is the number of changes that users wait for and that are not durable.
 	Waiting int
 	// Written counts such changes sent to the state service in this term.
@@ -29,24 +29,24 @@
 // Regulator is the leader's part in admission, for one term: it measures the load,
 // publishes the policy, and has the last word.
 type Regulator struct {
-	settings *Settings
-	floors   map[string]float64 // reserved parts of the budget, by team
-	weights  float64            // of all teams
+	settings   *Settings
+	teamFloors map[string]float64 // reserved parts of the budget, by team
+	weights    float64            // of all teams
 
-	demands   map[Key]*demand
-	seen      map[string]NodeOffers // as last heard of each node
-	unclaimed map[Key]*Offers       // of nodes that don't count their own
-	counted   NodeOffers            // the same, as of the last update
+	demands         map[Key]*demand
+	lastReported    map[string]NodeOfferedLoad // as last heard of each node
+	uncounted       map[Key]*OfferedLoad       // of nodes that don't count their own
+	uncountedBefore NodeOfferedLoad            // the same, as of the last update
 
-	policy   Policy
-	buckets  map[Key]*rate.Limiter
-	shedding bool
-	budget   float64 // jobs to be admitted, a second
-	capacity float64 // changes that the state service takes, a second
-	pressure float64 // as of the last look, and of the one before
-	earlier  float64
-	admitted int
-	written  int64
+	policy           Policy
+	limiters         map[Key]*rate.Limiter
+	shedding         bool
+	budget           float64 // jobs to be admitted, a second
+	capacity         float64 // changes that the state service takes, a second
+	pressure         float64 // as of the last look, and of the one before
+	previousPressure float64
+	admitted         int
+	written          int64
 
 	updatedAt time.Time
 	calmSince time.Time
@@ -60,13 +60,13 @@
 // NewRegulator returns the regulator of a term that begins now.
 func NewRegulator(s *Settings, term uint64, now time.Time) *Regulator {
 	r := &Regulator{
-		settings:  s,
-		floors:    teamFloors(s.Teams),
-		demands:   map[Key]*demand{},
-		seen:      map[string]NodeOffers{},
-		unclaimed: map[Key]*Offers{},
-		policy:    Policy{Term: term},
-		capacity:  s.WriteRate,
+		settings:     s,
+		teamFloors:   reserveFloors(s.Teams),
+		demands:      map[Key]*demand{},
+		lastReported: map[string]NodeOfferedLoad{},
+		uncounted:    map[Key]*OfferedLoad{},
+		policy:       Policy{Term: term},
+		capacity:     s.WritesPerSecond,
 	}
 	r.updatedAt = now
 	for _, t := range s.Teams {
@@ -75,15 +75,15 @@
 	return r
 }
 
-// teamFloors divides the reserved part of the budget: what the operators have set, and
+// reserveFloors divides the reserved part of the budget: what the operators have set, and
 // the rest in proportion to the guarantees.
-func teamFloors(teams []Team) map[string]float64 {
-	left, guarantees := tuning.AdmissionReserved, 0.0
+func reserveFloors(teams []Team) map[string]float64 {
+	left, guarantees := tuning.AdmissionReservedShare, 0.0
 	for _, t := range teams {
 		if t.Floor > 0 {
 			left -= t.Floor
 		} else {
-			guarantees += t.Guarantee
+			guarantees += t.GuaranteedCPUs
 		}
 	}
 	floors := map[string]float64{}
@@ -92,7 +92,7 @@
 		case t.Floor > 0:
 			floors[t.Name] = t.Floor
 		case guarantees > 0:
-			floors[t.Name] = max(0, left) * t.Guarantee / guarantees
+			floors[t.Name] = max(0, left) * t.GuaranteedCPUs / guarantees
 		}
 	}
 	return floors
@@ -113,7 +113,7 @@
 
 // Update looks at the load and the offers of all nodes, and makes the next policy when it
 // is time for one. wall is the time of day.
-func (r *Regulator) Update(now, wall time.Time, load Load, nodes []NodeOffers) {
+func (r *Regulator) Update(now, wall time.Time, load LeaderLoad, nodes []NodeOfferedLoad) {
 	passed := now.Sub(r.updatedAt)
 	if passed < tuning.AdmissionInterval && r.policy.Revision > 0 {
 		return
@@ -128,13 +128,13 @@
 	if r.shedding {
 		r.divideBudget(now)
 	} else {
-		r.buckets = nil
+		r.limiters = nil
 	}
 }
 
 // measureDemand takes in what was submitted since the last look.
-func (r *Regulator) measureDemand(passed time.Duration, nodes []NodeOffers) {
-	decay := math.Exp(-passed.Seconds() / tuning.AdmissionOfferDecay.Seconds())
+func (r *Regulator) measureDemand(passed time.Duration, nodes []NodeOfferedLoad) {
+	decay := math.Exp(-passed.Seconds() / tuning.AdmissionOfferedLoadDecay.Seconds())
 	for k, d := range r.demands {
 		d.count *= decay
 		d.boosted *= decay
@@ -144,34 +144,34 @@
 		}
 	}
 	for _, n := range nodes {
-		earlier, known := r.seen[n.Node]
+		earlier, known := r.lastReported[n.Node]
 		if known && n.olderThan(&earlier) {
 			continue
 		}
-		r.seen[n.Node] = n
+		r.lastReported[n.Node] = n
 		if known {
 			r.addDemand(earlier, n)
 		}
 	}
-	own := NodeOffers{}
-	for _, o := range r.unclaimed {
-		own.Offers = append(own.Offers, *o)
+	own := NodeOfferedLoad{}
+	for _, o := range r.uncounted {
+		own.Loads = append(own.Loads, *o)
 	}
-	r.addDemand(r.counted, own)
-	r.counted = own
+	r.addDemand(r.uncountedBefore, own)
+	r.uncountedBefore = own
 }
 
 // addDemand adds the difference between two counts of a node. A process that has started
 // since counts from zero.
-func (r *Regulator) addDemand(earlier, later NodeOffers) {
-	before := map[Key]Offers{}
+func (r *Regulator) addDemand(earlier, later NodeOfferedLoad) {
+	before := map[Key]OfferedLoad{}
 	if earlier.Started == later.Started {
-		for _, o := range earlier.Offers {
+		for _, o := range earlier.Loads {
 			before[o.Key] = o
 		}
 	}
-	perSecond := 1 / tuning.AdmissionOfferDecay.Seconds()
-	for _, o := range later.Offers {
+	perSecond := 1 / tuning.AdmissionOfferedLoadDecay.Seconds()
+	for _, o := range later.Loads {
 		was := before[o.Key]
 		if key, known := r.settings.Key(o.Team, o.Class); !known || key != o.Key || o.Count <= was.Count {
 			continue
@@ -188,15 +188,15 @@
 }
 
 // measurePressure relates the load to what is wanted: above 1 there is too much of it.
-func (r *Regulator) measurePressure(passed time.Duration, load Load) {
+func (r *Regulator) measurePressure(passed time.Duration, load LeaderLoad) {
 	if written := load.Written - r.written; load.Waiting > 0 && written > 0 && passed > 0 {
 		// Only a queue shows what the state service takes; during an outage it tells
 		// nothing.
 		drained := float64(written) / passed.Seconds()
-		r.capacity += (min(drained, r.settings.WriteRate) - r.capacity) * tuning.AdmissionCapacityWeight
+		r.capacity += (min(drained, r.settings.WritesPerSecond) - r.capacity) * tuning.AdmissionCapacityWeight
 	}
 	r.written = load.Written
-	r.earlier = r.pressure
+	r.previousPressure = r.pressure
 	delay := float64(load.Waiting) / max(r.capacity, 1)
 	r.pressure = max(delay/tuning.AdmissionTargetDelay.Seconds(), load.Lag.Seconds()/tuning.AdmissionTargetLag.Seconds())
 }
@@ -209,22 +209,22 @@
 	switch {
 	case !r.shedding:
 		// One look alone may come after a process that stood still, or in a short burst.
-		if min(r.pressure, r.earlier) < tuning.AdmissionShedPressure {
+		if min(r.pressure, r.previousPressure) < tuning.AdmissionShedPressure {
 			return
 		}
 		r.shedding = true
-		r.budget = admitted / min(r.pressure, tuning.AdmissionMaxCut)
+		r.budget = admitted / min(r.pressure, tuning.AdmissionMaxDecrease)
 		r.calmSince = now
 	case r.pressure > 1:
-		r.budget = min(r.budget, max(admitted, 1)) / min(r.pressure, tuning.AdmissionMaxCut)
+		r.budget = min(r.budget, max(admitted, 1)) / min(r.pressure, tuning.AdmissionMaxDecrease)
 	default:
 		r.budget = r.budget*tuning.AdmissionGrowth + tuning.AdmissionStep
 	}
-	r.budget = min(max(r.budget, tuning.AdmissionMinBudget), r.settings.WriteRate)
-	if r.pressure > 1 || r.offered() > r.budget {
+	r.budget = min(max(r.budget, tuning.AdmissionMinBudget), r.settings.WritesPerSecond)
+	if r.pressure > 1 || r.offeredRate() > r.budget {
 		r.calmSince = now
 	}
-	if now.Sub(r.calmSince) >= tuning.AdmissionCalm {
+	if now.Sub(r.calmSince) >= tuning.AdmissionCalmPeriod {
 		r.shedding = false
 	}
 }
@@ -233,15 +233,15 @@
 func (r *Regulator) divideBudget(now time.Time) {
 	claims := make([]claimant, len(r.settings.Teams))
 	for i, t := range r.settings.Teams {
-		claims[i] = claimant{reserved: r.floors[t.Name] * r.budget, weight: weightOf(t.Weight)}
+		claims[i] = claimant{reserved: r.teamFloors[t.Name] * r.budget, weight: weightOf(t.Weight)}
 		for k, d := range r.demands {
 			if k.Team == t.Name {
 				claims[i].demand += d.count
 			}
 		}
 	}
-	old := r.buckets
-	r.buckets = map[Key]*rate.Limiter{}
+	old := r.limiters
+	r.limiters = map[Key]*rate.Limiter{}
 	for i, granted := range divide(r.budget, claims) {
 		r.divideTeam(now, &r.settings.Teams[i], granted, old)
 	}
@@ -259,7 +259,7 @@
 	claims := make([]claimant, len(keys))
 	for i, k := range keys {
 		d := r.demands[k]
-		weight, floor := 1.0, tuning.AdmissionClassFloors/float64(len(keys))
+		weight, floor := 1.0, tuning.AdmissionClassFloorShare/float64(len(keys))
 		for _, c := range t.Classes {
 			if c.Name == k.Class {
 				weight = weightOf(c.Weight)
@@ -270,16 +270,16 @@
 	}
 	for i, part := range divide(granted, claims) {
 		k := keys[i]
-		r.buckets[k] = r.bucket(now, old[k], part)
+		r.limiters[k] = r.setLimiter(now, old[k], part)
 		if part < claims[i].demand {
 			r.policy.Shares = append(r.policy.Shares, Share{k, min(1, part/r.demands[k].boosted)})
 		}
 	}
 }
 
-// bucket sets how many jobs of a key may be admitted a second, whatever the followers let
+// setLimiter sets how many jobs of a key may be admitted a second, whatever the followers let
 // through.
-func (r *Regulator) bucket(now time.Time, b *rate.Limiter, perSecond float64) *rate.Limiter {
+func (r *Regulator) setLimiter(now time.Time, b *rate.Limiter, perSecond float64) *rate.Limiter {
 	burst := max(1, int(math.Ceil(perSecond*tuning.AdmissionBurst.Seconds())))
 	if b == nil {
 		return rate.NewLimiter(rate.Limit(perSecond), burst)
@@ -293,49 +293,49 @@
 // says, nil from nodes without admission.
 func (r *Regulator) Admit(now time.Time, q *Request, claim *Claim, tasks TaskLoad) Decision {
 	if claim == nil {
-		count(r.unclaimed, q)
+		countRequest(r.uncounted, q)
 	} else {
 		q.Waited = claim.Waited()
 	}
 	share := r.policy.share(q.Key)
-	if !r.roomForTasks(q, tasks) {
-		return refusal(q.ID, r.policy.Revision, 0)
+	if !r.hasTaskCapacity(q, tasks) {
+		return rejection(q.ID, r.policy.Revision, 0)
 	}
 	if r.shedding {
-		if !r.decidedBy(claim) {
+		if !r.wasFiltered(claim) {
 			if d := r.policy.Decide(q); !d.Admitted {
 				return d
 			}
 		}
-		if !r.bucketOf(now, q.Key).AllowN(now, 1) {
-			return refusal(q.ID, r.policy.Revision, share)
+		if !r.limiterOf(now, q.Key).AllowN(now, 1) {
+			return rejection(q.ID, r.policy.Revision, share)
 		}
 	}
 	r.admitted++
 	return Decision{Admitted: true}
 }
 
-// decidedBy reports whether the node that the user has reached has applied a recent
+// wasFiltered reports whether the node that the user has reached has applied a recent
 // policy: to apply another revision here would shed twice.
-func (r *Regulator) decidedBy(claim *Claim) bool {
+func (r *Regulator) wasFiltered(claim *Claim) bool {
 	return claim != nil && claim.Revision > 0 && claim.Revision+tuning.AdmissionRevisions >= r.policy.Revision
 }
 
-// bucketOf is the bucket of a key; one that nobody has asked under so far gets the part of
+// limiterOf is the bucket of a key; one that nobody has asked under so far gets the part of
 // one team among all.
-func (r *Regulator) bucketOf(now time.Time, k Key) *rate.Limiter {
-	b := r.buckets[k]
+func (r *Regulator) limiterOf(now time.Time, k Key) *rate.Limiter {
+	b := r.limiters[k]
 	if b == nil {
-		b = r.bucket(now, nil, r.budget/max(r.weights, 1))
-		r.buckets[k] = b
+		b = r.setLimiter(now, nil, r.budget/max(r.weights, 1))
+		r.limiters[k] = b
 	}
 	return b
 }
 
-// roomForTasks keeps a part of the room for unfinished tasks to those teams that use less
+// hasTaskCapacity keeps a part of the room for unfinished tasks to those teams that use less
 // than their share of it: a few huge jobs of one team must not shut the others out.
-func (r *Regulator) roomForTasks(q *Request, tasks TaskLoad) bool {
-	if float64(tasks.All+q.Tasks) <= tuning.MaxActiveTasks*(1-tuning.AdmissionTaskReserve) {
+func (r *Regulator) hasTaskCapacity(q *Request, tasks TaskLoad) bool {
+	if float64(tasks.All+q.Tasks) <= tuning.MaxActiveTasks*(1-tuning.AdmissionTaskReserveShare) {
 		return true
 	}
 	weight := 0.0
@@ -359,11 +359,11 @@
 
 // Summary returns them as of the last update.
 func (r *Regulator) Summary() Summary {
-	return Summary{Shedding: r.shedding, Pressure: r.pressure, Budget: r.budget, Offered: r.offered(), Shed: r.policy.Shares}
+	return Summary{Shedding: r.shedding, Pressure: r.pressure, Budget: r.budget, Offered: r.offeredRate(), Shed: r.policy.Shares}
 }
 
-// offered is what is submitted under all keys, a second.
-func (r *Regulator) offered() float64 {
+// offeredRate is what is submitted under all keys, a second.
+func (r *Regulator) offeredRate() float64 {
 	total := 0.0
 	for _, d := range r.demands {
 		total += d.count
--- a/internal/admission/regulator_test.go
+++ b/internal/admission/regulator_test.go
@@ -13,12 +13,12 @@
 type overload struct {
 	*Regulator
 	at     time.Time
-	counts map[Key]*Offers
+	counts map[Key]*OfferedLoad
 	number int
 }
 
 func newOverload(term uint64, at time.Time) *overload {
-	return &overload{Regulator: NewRegulator(settings(), term, at), at: at, counts: map[Key]*Offers{}}
+	return &overload{Regulator: NewRegulator(settings(), term, at), at: at, counts: map[Key]*OfferedLoad{}}
 }
 
 // second lets a second pass, with submissions counted by two nodes that both send the same
@@ -29,18 +29,18 @@
 		for range n {
 			o.number++
 			q := Request{ID: fmt.Sprintf("job-%06d", o.number), Key: Key{team, "urgent"}, PriorityRank: 1, Tasks: 1}
-			count(o.counts, &q)
+			countRequest(o.counts, &q)
 			if o.Admit(o.at.Add(time.Duration(o.number%100)*time.Millisecond*9), &q, &Claim{}, TaskLoad{}).Admitted {
 				admitted[team]++
 			}
 		}
 	}
 	o.at = o.at.Add(tuning.AdmissionInterval)
-	n := NodeOffers{Node: "a", Started: 1}
+	n := NodeOfferedLoad{Node: "a", Started: 1}
 	for _, c := range o.counts {
-		n.Offers = append(n.Offers, *c)
+		n.Loads = append(n.Loads, *c)
 	}
-	o.Update(o.at, o.at, Load{Waiting: waiting, Written: o.written + 40}, []NodeOffers{n})
+	o.Update(o.at, o.at, LeaderLoad{Waiting: waiting, Written: o.written + 40}, []NodeOfferedLoad{n})
 	return admitted
 }
 
@@ -74,7 +74,7 @@
 	}
 	for range 60 {
 		o.at = o.at.Add(tuning.AdmissionInterval)
-		o.Update(o.at, o.at, Load{}, nil)
+		o.Update(o.at, o.at, LeaderLoad{}, nil)
 	}
 	if o.Shedding() || len(o.Policy().Shares) > 0 {
 		t.Error("goes on shedding with nothing to shed")
@@ -110,7 +110,7 @@
 	for range 5 {
 		o.second(80)
 	}
-	before := len(o.unclaimed)
+	before := len(o.uncounted)
 	refused := 0
 	for i := range 200 {
 		for _, claim := range []*Claim{nil, {Revision: 1}} {
@@ -121,8 +121,8 @@
 			}
 		}
 	}
-	if before != 0 || o.unclaimed[Key{"guests", "nightly"}].Count != 200 || refused != 400 {
-		t.Errorf("%d before, %+v, %d refused", before, o.unclaimed, refused)
+	if before != 0 || o.uncounted[Key{"guests", "nightly"}].Count != 200 || refused != 400 {
+		t.Errorf("%d before, %+v, %d refused", before, o.uncounted, refused)
 	}
 }
 
@@ -140,7 +140,7 @@
 	}
 	was := next.Policy().Revision
 	next.at = next.at.Add(tuning.AdmissionInterval)
-	next.Update(next.at, begin.Add(-time.Hour), Load{}, nil)
+	next.Update(next.at, begin.Add(-time.Hour), LeaderLoad{}, nil)
 	if next.Policy().Revision <= was {
 		t.Error("a revision was taken back")
 	}
@@ -153,7 +153,7 @@
 		q := Request{ID: "job-1", Key: Key{team, "urgent"}, Tasks: 100_000}
 		return r.Admit(begin, &q, &Claim{}, TaskLoad{All: all, Team: own}).Admitted
 	}
-	if most := int(tuning.MaxActiveTasks * (1 - tuning.AdmissionTaskReserve)); !asks("blue", most-100_000, most-100_000) || asks("blue", most, most) {
+	if most := int(tuning.MaxActiveTasks * (1 - tuning.AdmissionTaskReserveShare)); !asks("blue", most-100_000, most-100_000) || asks("blue", most, most) {
 		t.Error("blue takes the room kept for others, or may not borrow")
 	} else if !asks("green", most, 0) {
 		t.Error("green is shut out by blue's tasks")
@@ -169,7 +169,7 @@
 		want bool
 	}{{0, false}, {30 * time.Second, false}, {0, false}, {4 * tuning.AdmissionTargetLag, false}, {4 * tuning.AdmissionTargetLag, true}} {
 		at := begin.Add(time.Duration(i) * time.Minute)
-		r.Update(at, at, Load{Lag: c.lag}, nil)
+		r.Update(at, at, LeaderLoad{Lag: c.lag}, nil)
 		if r.Shedding() != c.want {
 			t.Errorf("%d: shedding %v", i, !c.want)
 		}
--- a/internal/autoscale/provision.go
+++ b/internal/autoscale/provision.go
@@ -22,25 +22,25 @@
 
 // Demand is the work of one job that waits for room.
 type Demand struct {
-	Tasks     int
-	Request   placement.Resources
-	EstimateS float64
-	Types     []string
-	Zone      string
-	Spot      bool
+	Tasks        int
+	Request      placement.Resources
+	EstimateS    float64
+	MachineTypes []string
+	Zone         string
+	Spot         bool
 	// StartWithinS is the time within which the tasks should begin.
 	StartWithinS float64
-	// Avoid names machines where the job has failed: their room is none to it.
+	// AvoidMachines names machines where the job has failed: their room is none to it.
 	// Counted as room, a faulty machine that is alone would keep it waiting for ever.
-	Avoid map[string]bool
+	AvoidMachines map[string]bool
 }
 
 // Machine is a machine as the planner sees it.
 type Machine struct {
-	ID    string
-	Offer Offer
-	Total placement.Resources
-	Free  placement.Resources
+	ID       string
+	Offer    Offer
+	Capacity placement.Resources
+	Free     placement.Resources
 	// BusyS is the work in CPU seconds still to be done there.
 	BusyS float64
 	// BootRemainingS is the time until a booting machine is expected to be up.
@@ -59,38 +59,38 @@
 
 // Input is a snapshot.
 type Input struct {
-	Demand   []Demand
-	Machines []Machine
-	Types    []wire.MachineType
+	Demand       []Demand
+	Machines     []Machine
+	MachineTypes []wire.MachineType
 	// Unavailable tells which offers had no capacity just now.
 	Unavailable func(Offer) bool
 	// Reserve is the number of CPUs wanted on top, by smoothed demand.
 	ReserveCPUs float64
 	// InflowCPUs are needed for the work that keeps coming, by its recent rate.
-	InflowCPUs float64
-	KeepIdle   time.Duration
+	InflowCPUs      float64
+	ScaleInIdleTime time.Duration
 	// MaxMachines caps the machines, 0 for no cap.
 	MaxMachines int
 }
 
 // bin is a machine, existing or to be rented, being filled with demand.
 type bin struct {
-	id     string // empty: not there yet
-	offer  Offer
-	total  placement.Resources
-	free   placement.Resources // room that nothing takes yet
-	busyS  float64             // CPU seconds of work given to it
-	readyS float64
-	open   bool
-	used   bool // demand was given to it
+	id          string // empty: not there yet
+	offer       Offer
+	capacity    placement.Resources
+	free        placement.Resources // room that nothing takes yet
+	busyS       float64             // CPU seconds of work given to it
+	readyS      float64
+	schedulable bool
+	used        bool // demand was given to it
 }
 
 // take gives the bin as many of the tasks as it can start at once or begin
 // within the horizon, and returns how many.
 func (b *bin) take(d Demand, tasks int, horizonS float64) int {
-	each := max(d.EstimateS, tuning.MinimumEstimate) * d.Request.CPUs
-	left := b.total.CPUs*usable(b.total, d.Request)*(horizonS-min(b.readyS, horizonS/2)) - b.busyS
-	n := max(slots(b.free, d.Request), int(left/each))
+	each := max(d.EstimateS, tuning.MinimumEstimateS) * d.Request.CPUs
+	left := b.capacity.CPUs*usableShare(b.capacity, d.Request)*(horizonS-min(b.readyS, horizonS/2)) - b.busyS
+	n := max(parallelTasks(b.free, d.Request), int(left/each))
 	n = max(0, min(n, tasks))
 	b.used = b.used || n > 0
 	b.busyS += float64(n) * each
@@ -100,12 +100,12 @@
 
 // planner is a plan in the making.
 type planner struct {
-	in     Input
-	plan   Plan
-	types  map[string]wire.MachineType
-	offers []priced
-	bins   []bin
-	count  int // machines, those to be rented included
+	in           Input
+	plan         Plan
+	types        map[string]wire.MachineType
+	offers       []pricedOffer
+	bins         []bin
+	machineCount int // machines, those to be rented included
 }
 
 // NewPlan plans. It fills the demand, the most urgent first, into the machines
@@ -116,25 +116,25 @@
 	openCPUs, freeCPUs := p.openCPUs()
 	sort.SliceStable(in.Demand, func(i, k int) bool { return in.Demand[i].StartWithinS < in.Demand[k].StartWithinS })
 	for _, d := range in.Demand {
-		p.meet(d)
+		p.place(d)
 	}
-	p.in.steady(&p.plan, openCPUs, freeCPUs, p.count, p.offers, p.types)
+	p.in.scaleOutForInflow(&p.plan, openCPUs, freeCPUs, p.machineCount, p.offers, p.types)
 	// At several hundred machines something is rented nearly always, somewhere:
 	// machines that the demand has no use for go back all the same.
-	p.plan.ScaleIn = surplus(in, p.bins, openCPUs)
+	p.plan.ScaleIn = scaleIn(in, p.bins, openCPUs)
 	return p.plan
 }
 
 func newPlanner(in Input) *planner {
 	p := &planner{
 		in: in, plan: Plan{ScaleOut: map[Offer]int{}}, types: map[string]wire.MachineType{},
-		offers: offersByPrice(in.Types), bins: make([]bin, 0, len(in.Machines)), count: len(in.Machines),
+		offers: offersByPrice(in.MachineTypes), bins: make([]bin, 0, len(in.Machines)), machineCount: len(in.Machines),
 	}
-	for _, t := range in.Types {
+	for _, t := range in.MachineTypes {
 		p.types[t.Name] = t
 	}
 	for _, m := range in.Machines {
-		p.bins = append(p.bins, bin{id: m.ID, offer: m.Offer, total: m.Total, free: m.Free, busyS: m.BusyS, readyS: m.BootRemainingS, open: m.Schedulable})
+		p.bins = append(p.bins, bin{id: m.ID, offer: m.Offer, capacity: m.Capacity, free: m.Free, busyS: m.BusyS, readyS: m.BootRemainingS, schedulable: m.Schedulable})
 	}
 	return p
 }
@@ -145,7 +145,7 @@
 		if !m.Schedulable {
 			continue
 		}
-		open += m.Total.CPUs
+		open += m.Capacity.CPUs
 		if m.BootRemainingS == 0 {
 			free += m.Free.CPUs
 		}
@@ -153,11 +153,11 @@
 	return open, free
 }
 
-// meet gives the demand what the machines can begin in time, and rents for the rest.
-func (p *planner) meet(d Demand) {
+// place gives the demand what the machines can begin in time, and rents for the rest.
+func (p *planner) place(d Demand) {
 	tasks := p.fill(d, d.Tasks, d.StartWithinS)
 	waited := false
-	for tasks > 0 && (p.in.MaxMachines == 0 || p.count < p.in.MaxMachines) {
+	for tasks > 0 && (p.in.MaxMachines == 0 || p.machineCount < p.in.MaxMachines) {
 		o, price, ok := cheapest(p.offers, d, p.types, p.in.Unavailable, p.plan.ScaleOut)
 		if !ok {
 			return
@@ -178,7 +178,7 @@
 func (p *planner) fill(d Demand, tasks int, horizonS float64) int {
 	for i := range p.bins {
 		b := &p.bins[i]
-		if tasks > 0 && b.open && !d.Avoid[b.id] && allowed(d, b.offer) && b.total.Fits(d.Request) {
+		if tasks > 0 && b.schedulable && !d.AvoidMachines[b.id] && allowed(d, b.offer) && b.capacity.Fits(d.Request) {
 			tasks -= b.take(d, tasks, horizonS)
 		}
 	}
@@ -187,21 +187,21 @@
 
 // scaleOut adds one machine, and returns for how many of the tasks it is.
 func (p *planner) scaleOut(o Offer, d Demand, tasks int) int {
-	size := total(p.types[o.Type])
-	b := bin{offer: o, total: size, free: size, open: true}
+	size := capacity(p.types[o.Type])
+	b := bin{offer: o, capacity: size, free: size, schedulable: true}
 	taken := max(1, b.take(d, tasks, d.StartWithinS))
 	p.bins = append(p.bins, b)
 	p.plan.ScaleOut[o]++
-	p.count++
+	p.machineCount++
 	return taken
 }
 
-// steady rents for the work that keeps coming: while work waits that finds no
+// scaleOutForInflow rents for the work that keeps coming: while work waits that finds no
 // room, fewer CPUs than it needs on average would only let the backlog grow
 // until it presses, and then all of it would press at once: by a boot too late,
 // and with more and dearer machines than it takes. Only the cheapest offers are
 // rented so: dear ones are for what presses.
-func (in *Input) steady(plan *Plan, openCPUs, freeCPUs float64, count int, offers []priced, types map[string]wire.MachineType) {
+func (in *Input) scaleOutForInflow(plan *Plan, openCPUs, freeCPUs float64, count int, offers []pricedOffer, types map[string]wire.MachineType) {
 	for o, n := range plan.ScaleOut {
 		openCPUs += float64(n) * types[o.Type].CPUs
 	}
@@ -222,8 +222,8 @@
 	}
 }
 
-// slots is how many tasks of this shape fit side by side.
-func slots(room, need placement.Resources) int {
+// parallelTasks is how many tasks of this shape fit side by side.
+func parallelTasks(room, need placement.Resources) int {
 	n := math.Inf(1)
 	for _, x := range [][2]float64{{room.CPUs, need.CPUs}, {room.MemoryGB, need.MemoryGB}, {room.GPUs, need.GPUs}} {
 		if x[1] > 0 {
@@ -233,36 +233,36 @@
 	return int(max(0, min(n, wire.MaxTasks)))
 }
 
-// usable is the share of a machine's CPUs that tasks of this shape can use.
-func usable(total, need placement.Resources) float64 {
+// usableShare is the share of a machine's CPUs that tasks of this shape can use.
+func usableShare(total, need placement.Resources) float64 {
 	if total.CPUs <= 0 {
 		return 0
 	}
-	return min(1, float64(slots(total, need))*need.CPUs/total.CPUs)
+	return min(1, float64(parallelTasks(total, need))*need.CPUs/total.CPUs)
 }
 
-func total(t wire.MachineType) placement.Resources {
+func capacity(t wire.MachineType) placement.Resources {
 	return placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
 }
 
 func allowed(d Demand, o Offer) bool {
-	return (!o.Spot || d.Spot) && (d.Zone == "" || d.Zone == o.Zone) && (len(d.Types) == 0 || slices.Contains(d.Types, o.Type))
+	return (!o.Spot || d.Spot) && (d.Zone == "" || d.Zone == o.Zone) && (len(d.MachineTypes) == 0 || slices.Contains(d.MachineTypes, o.Type))
 }
 
-type priced struct {
+type pricedOffer struct {
 	Offer
 	price float64 // per CPU
 }
 
-func offersByPrice(types []wire.MachineType) []priced {
-	var all []priced
+func offersByPrice(types []wire.MachineType) []pricedOffer {
+	var all []pricedOffer
 	for _, t := range types {
 		for _, z := range t.Zones {
 			cpus := max(t.CPUs, 1)
 			if t.SpotPrice > 0 {
-				all = append(all, priced{Offer{t.Name, z, true}, t.SpotPrice / cpus})
+				all = append(all, pricedOffer{Offer{t.Name, z, true}, t.SpotPrice / cpus})
 			}
-			all = append(all, priced{Offer{t.Name, z, false}, t.Price / cpus})
+			all = append(all, pricedOffer{Offer{t.Name, z, false}, t.Price / cpus})
 		}
 	}
 	sort.SliceStable(all, func(i, j int) bool { return all[i].price < all[j].price })
@@ -271,11 +271,11 @@
 
 // cheapest picks the cheapest offer that the demand allows and that was not
 // refused just now; among equals the one rented least, to spread over zones.
-func cheapest(offers []priced, d Demand, types map[string]wire.MachineType, refused func(Offer) bool, rent map[Offer]int) (Offer, float64, bool) {
-	var best *priced
+func cheapest(offers []pricedOffer, d Demand, types map[string]wire.MachineType, refused func(Offer) bool, rent map[Offer]int) (Offer, float64, bool) {
+	var best *pricedOffer
 	for i := range offers {
 		o := &offers[i]
-		if !allowed(d, o.Offer) || refused(o.Offer) || !total(types[o.Type]).Fits(d.Request) {
+		if !allowed(d, o.Offer) || refused(o.Offer) || !capacity(types[o.Type]).Fits(d.Request) {
 			continue
 		}
 		if best == nil || o.price == best.price && rent[o.Offer] < rent[best.Offer] {
@@ -291,12 +291,12 @@
 	return best.Offer, best.price, true
 }
 
-// surplus picks idle machines to return that no demand was given to, dearest
+// scaleIn picks idle machines to return that no demand was given to, dearest
 // first, as long as the rest covers the smoothed demand.
-func surplus(in Input, bins []bin, openCPUs float64) []string {
+func scaleIn(in Input, bins []bin, openCPUs float64) []string {
 	idle := make([]Machine, 0)
 	for i, m := range in.Machines {
-		if m.Idle && !bins[i].used && (m.IdleFor >= in.KeepIdle || !m.Schedulable) {
+		if m.Idle && !bins[i].used && (m.IdleFor >= in.ScaleInIdleTime || !m.Schedulable) {
 			idle = append(idle, m)
 		}
 	}
@@ -305,10 +305,10 @@
 	for _, m := range idle {
 		if m.Schedulable {
 			// A smoothed demand never quite reaches zero: less than a CPU is none.
-			if openCPUs-m.Total.CPUs < in.ReserveCPUs-1 {
+			if openCPUs-m.Capacity.CPUs < in.ReserveCPUs-1 {
 				continue
 			}
-			openCPUs -= m.Total.CPUs
+			openCPUs -= m.Capacity.CPUs
 		}
 		out = append(out, m.ID)
 	}
--- a/internal/autoscale/provision_test.go
+++ b/internal/autoscale/provision_test.go
@@ -15,14 +15,14 @@
 func TestIdleGoesBackWhileOthersAreRented(t *testing.T) {
 	size := placement.Resources{CPUs: 8, MemoryGB: 32}
 	idle := func(id, zone string) Machine {
-		return Machine{ID: id, Offer: Offer{Type: "t", Zone: zone}, Total: size, Free: size, Schedulable: true, Idle: true, IdleFor: time.Minute, Price: 1}
+		return Machine{ID: id, Offer: Offer{Type: "t", Zone: zone}, Capacity: size, Free: size, Schedulable: true, Idle: true, IdleFor: time.Minute, Price: 1}
 	}
 	plan := NewPlan(Input{
-		Types:       []wire.MachineType{{Name: "t", CPUs: 8, MemoryGB: 32, Price: 1, Zones: []string{"a", "b"}}},
-		Demand:      []Demand{{Tasks: 2, Request: size, EstimateS: 100, Zone: "a", StartWithinS: 20}},
-		Machines:    []Machine{idle("a1", "a"), idle("b1", "b"), idle("b2", "b")},
-		Unavailable: func(Offer) bool { return false },
-		KeepIdle:    time.Second,
+		MachineTypes:    []wire.MachineType{{Name: "t", CPUs: 8, MemoryGB: 32, Price: 1, Zones: []string{"a", "b"}}},
+		Demand:          []Demand{{Tasks: 2, Request: size, EstimateS: 100, Zone: "a", StartWithinS: 20}},
+		Machines:        []Machine{idle("a1", "a"), idle("b1", "b"), idle("b2", "b")},
+		Unavailable:     func(Offer) bool { return false },
+		ScaleInIdleTime: time.Second,
 	})
 	if n := plan.ScaleOut[Offer{Type: "t", Zone: "a"}]; n != 1 {
 		t.Errorf("rent %d", n)
@@ -42,10 +42,10 @@
 		rent  int
 	}{{nil, 0}, {map[string]bool{"a1": true}, 1}} {
 		plan := NewPlan(Input{
-			Types:       []wire.MachineType{{Name: "t", CPUs: 8, MemoryGB: 32, Price: 1, Zones: []string{"a"}}},
-			Demand:      []Demand{{Tasks: 1, Request: placement.Resources{CPUs: 1}, EstimateS: 10, StartWithinS: 20, Avoid: c.avoid}},
-			Machines:    []Machine{{ID: "a1", Offer: Offer{Type: "t", Zone: "a"}, Total: size, Free: size, Schedulable: true, Price: 1}},
-			Unavailable: func(Offer) bool { return false },
+			MachineTypes: []wire.MachineType{{Name: "t", CPUs: 8, MemoryGB: 32, Price: 1, Zones: []string{"a"}}},
+			Demand:       []Demand{{Tasks: 1, Request: placement.Resources{CPUs: 1}, EstimateS: 10, StartWithinS: 20, AvoidMachines: c.avoid}},
+			Machines:     []Machine{{ID: "a1", Offer: Offer{Type: "t", Zone: "a"}, Capacity: size, Free: size, Schedulable: true, Price: 1}},
+			Unavailable:  func(Offer) bool { return false },
 		})
 		if n := plan.ScaleOut[Offer{Type: "t", Zone: "a"}]; n != c.rent {
 			t.Errorf("avoiding %v: rent %d", c.avoid, n)
@@ -60,12 +60,12 @@
 	size := placement.Resources{CPUs: 8, MemoryGB: 32}
 	rent := func(inflow float64, tasks int, refused bool) map[Offer]int {
 		in := Input{
-			Types:       []wire.MachineType{{Name: "t", CPUs: 8, MemoryGB: 32, Price: 3, SpotPrice: 1, Zones: []string{"a"}}},
-			Demand:      []Demand{{Tasks: tasks, Request: placement.Resources{CPUs: 1, MemoryGB: 1}, EstimateS: 1, Spot: true, StartWithinS: 100}},
-			Unavailable: func(o Offer) bool { return o.Spot && refused },
+			MachineTypes: []wire.MachineType{{Name: "t", CPUs: 8, MemoryGB: 32, Price: 3, SpotPrice: 1, Zones: []string{"a"}}},
+			Demand:       []Demand{{Tasks: tasks, Request: placement.Resources{CPUs: 1, MemoryGB: 1}, EstimateS: 1, Spot: true, StartWithinS: 100}},
+			Unavailable:  func(o Offer) bool { return o.Spot && refused },
 		}
 		for range 10 {
-			in.Machines = append(in.Machines, Machine{Offer: Offer{Type: "t", Zone: "a"}, Total: size, Free: placement.Resources{CPUs: 1, MemoryGB: 9}, Schedulable: true, Price: 3})
+			in.Machines = append(in.Machines, Machine{Offer: Offer{Type: "t", Zone: "a"}, Capacity: size, Free: placement.Resources{CPUs: 1, MemoryGB: 9}, Schedulable: true, Price: 3})
 		}
 		in.InflowCPUs = inflow
 		return NewPlan(in).ScaleOut
--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -52,7 +52,7 @@
 	if len(e.Other) > 0 {
 		return nil, &FieldError{Field: "admission/" + e.Other[0].XMLName.Local, Reason: "unknown element"}
 	}
-	shares, err := parseShares("admission/team", e.Teams, p.teamNames(), tuning.AdmissionReserved)
+	shares, err := parseShares("admission/team", e.Teams, p.teamNames(), tuning.AdmissionReservedShare)
 	if err != nil {
 		return nil, err
 	}
@@ -131,9 +131,9 @@
 	if o.Admission == nil {
 		return nil
 	}
-	s := &admission.Settings{Classes: p.Classes(), WriteRate: p.State.WriteRPS * tuning.StoreWriteShare}
+	s := &admission.Settings{Classes: p.Classes(), WritesPerSecond: p.KVStore.WriteRPS * tuning.StoreWriteShare}
 	for _, t := range p.Teams {
-		team := admission.Team{Name: t.Name, Guarantee: t.CPUs}
+		team := admission.Team{Name: t.Name, GuaranteedCPUs: t.CPUs}
 		for _, share := range o.Admission.Teams {
 			if share.Name != t.Name {
 				continue
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -16,7 +16,7 @@
 	err error
 }
 
-func (c *checker) need(ok bool, field, reason string) {
+func (c *checker) require(ok bool, field, reason string) {
 	if !ok && c.err == nil {
 		c.err = &FieldError{Field: field, Reason: reason}
 	}
@@ -24,31 +24,31 @@
 
 func (c *checker) addr(value, field string) {
 	if value == "" {
-		c.need(false, field, "missing")
+		c.require(false, field, "missing")
 		return
 	}
 	host, _, err := net.SplitHostPort(value)
-	c.need(err == nil && net.ParseIP(host) != nil, field, "must be an IP address with a port")
+	c.require(err == nil && net.ParseIP(host) != nil, field, "must be an IP address with a port")
 }
 
 func (c *checker) positive(value float64, field string) {
-	c.need(value > 0, field, "must be above zero")
-	c.need(!math.IsInf(value, 0), field, "must be finite")
+	c.require(value > 0, field, "must be above zero")
+	c.require(!math.IsInf(value, 0), field, "must be finite")
 }
 
 // check returns the first setting that is missing or wrong.
 func (c *Config) check() error {
 	var k checker
-	k.need(c.Name != "", "label", "missing")
-	k.need(c.Zone != "", "domain", "missing")
+	k.require(c.Name != "", "label", "missing")
+	k.require(c.Zone != "", "domain", "missing")
 	k.addr(c.Listen, "client_listen")
 	k.addr(c.PeerListen, "peer_bind")
 	for i, p := range c.Peers {
-		k.need(p.Name != "" && p.Name != c.Name, fmt.Sprintf("peers[%d].label", i), "missing or this node's own")
+		k.require(p.Name != "" && p.Name != c.Name, fmt.Sprintf("peers[%d].label", i), "missing or this node's own")
 		k.addr(p.Addr, fmt.Sprintf("peers[%d].addr", i))
 	}
 	k.addr(c.Services.Cloud, "services.cloud")
-	k.addr(c.Services.State, "services.state")
+	k.addr(c.Services.KVStore, "services.state")
 	c.Params.check(&k)
 	return k.err
 }
@@ -58,29 +58,29 @@
 	k.positive(p.Workers.HeartbeatIntervalS, "facts.workers.report_s")
 	k.positive(p.Workers.LeaseS, "facts.workers.lease_s")
 	k.positive(p.Workers.CancelDeadlineS, "facts.workers.cancel_s")
-	k.need(p.Workers.CancelDeadlineS > p.Workers.LeaseS, "facts.workers.cancel_s", "must be above lease_s")
-	p.State.check(k, "facts.state")
-	p.State.Tightest().check(k, "facts.state.next")
+	k.require(p.Workers.CancelDeadlineS > p.Workers.LeaseS, "facts.workers.cancel_s", "must be above lease_s")
+	p.KVStore.check(k, "facts.state")
+	p.KVStore.Tightest().check(k, "facts.state.next")
 	k.positive(p.Cloud.RPS, "facts.cloud.rps")
-	k.need(p.Cloud.ListLagS >= 0 && !math.IsInf(p.Cloud.ListLagS, 0), "facts.cloud.list_lag_s", "must not be negative")
-	k.need(p.Limits.MemoryMB >= 0, "facts.resources.memory_mb", "must not be negative")
-	k.need(p.Limits.MaxConnections >= 0, "facts.resources.fd_limit", "must not be negative")
+	k.require(p.Cloud.ListLagS >= 0 && !math.IsInf(p.Cloud.ListLagS, 0), "facts.cloud.list_lag_s", "must not be negative")
+	k.require(p.Limits.MemoryMB >= 0, "facts.resources.memory_mb", "must not be negative")
+	k.require(p.Limits.MaxConnections >= 0, "facts.resources.fd_limit", "must not be negative")
 }
 
 func checkTeams(k *checker, teams []Team) {
-	k.need(len(teams) > 0, "facts.teams", "missing")
+	k.require(len(teams) > 0, "facts.teams", "missing")
 	seen := map[string]bool{}
 	for i, t := range teams {
-		k.need(t.Name != "" && !seen[t.Name], fmt.Sprintf("facts.teams[%d].name", i), "missing or twice")
-		k.need(t.CPUs >= 0 && t.GPUs >= 0, fmt.Sprintf("facts.teams[%d].cpus", i), "must not be negative")
-		k.need(t.CPUsMax >= 0 && t.GPUsMax >= 0, fmt.Sprintf("facts.teams[%d].cpus_max", i), "must not be negative")
+		k.require(t.Name != "" && !seen[t.Name], fmt.Sprintf("facts.teams[%d].name", i), "missing or twice")
+		k.require(t.CPUs >= 0 && t.GPUs >= 0, fmt.Sprintf("facts.teams[%d].cpus", i), "must not be negative")
+		k.require(t.CPUsMax >= 0 && t.GPUsMax >= 0, fmt.Sprintf("facts.teams[%d].cpus_max", i), "must not be negative")
 		seen[t.Name] = true
 	}
 }
 
-func (s StateLimits) check(k *checker, table string) {
+func (s KVStoreLimits) check(k *checker, table string) {
 	k.positive(s.RPS, table+".rps")
 	k.positive(s.WriteRPS, table+".write_rps")
-	k.need(s.ValueKB >= 1, table+".value_kb", "must be at least 1")
-	k.need(s.TxnOps >= 4, table+".txn_ops", "must be at least 4")
+	k.require(s.ValueKB >= 1, table+".value_kb", "must be at least 1")
+	k.require(s.TxnOps >= 4, table+".txn_ops", "must be at least 4")
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -31,21 +31,21 @@
 
 // Services are the addresses of cloud and state service.
 type Services struct {
-	Cloud string `toml:"cloud"`
-	State string `toml:"state"`
+	Cloud   string `toml:"cloud"`
+	KVStore string `toml:"state"`
 }
 
 // Params are the facts of the deployment.
 type Params struct {
-	Nodes      int           `toml:"initial_size"`
-	Zones      []string      `toml:"zones"`
-	ClockOffMS float64       `toml:"clock_error_ms"`
-	Teams      []Team        `toml:"teams"`
-	Objectives []Objective   `toml:"objectives"`
-	Workers    Workers       `toml:"workers"`
-	State      StateLimits   `toml:"state"`
-	Cloud      CloudLimits   `toml:"cloud"`
-	Limits     ProcessLimits `toml:"resources"`
+	Nodes        int           `toml:"initial_size"`
+	Zones        []string      `toml:"zones"`
+	ClockErrorMS float64       `toml:"clock_error_ms"`
+	Teams        []Team        `toml:"teams"`
+	Objectives   []Objective   `toml:"objectives"`
+	Workers      Workers       `toml:"workers"`
+	KVStore      KVStoreLimits `toml:"state"`
+	Cloud        CloudLimits   `toml:"cloud"`
+	Limits       ProcessLimits `toml:"resources"`
 }
 
 // Team is a team's guarantee and limit.
@@ -73,19 +73,19 @@
 	CancelDeadlineS    float64 `toml:"cancel_s"`
 }
 
-// StateLimits are the limits of the state service.
-type StateLimits struct {
+// KVStoreLimits are the limits of the state service.
+type KVStoreLimits struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
 	TxnOps   int     `toml:"txn_ops"`
 	// Upcoming holds the limits that the state service will have from some moment
 	// on, without notice; what is left out stays.
-	Upcoming UpcomingStateLimits `toml:"next"`
+	Upcoming UpcomingKVStoreLimits `toml:"next"`
 }
 
-// UpcomingStateLimits are limits of the state service to come.
-type UpcomingStateLimits struct {
+// UpcomingKVStoreLimits are limits of the state service to come.
+type UpcomingKVStoreLimits struct {
 	RPS      *float64 `toml:"rps"`
 	WriteRPS *float64 `toml:"write_rps"`
 	ValueKB  *float64 `toml:"value_kb"`
@@ -94,9 +94,9 @@
 
 // Tightest are the limits that hold before and after those to come: nobody is
 // told when they change, and a request above them is refused.
-func (s StateLimits) Tightest() StateLimits {
+func (s KVStoreLimits) Tightest() KVStoreLimits {
 	next := s.Upcoming
-	return StateLimits{
+	return KVStoreLimits{
 		RPS:      tighter(s.RPS, next.RPS),
 		WriteRPS: tighter(s.WriteRPS, next.WriteRPS),
 		ValueKB:  tighter(s.ValueKB, next.ValueKB),
@@ -151,6 +151,6 @@
 	if err := c.check(); err != nil {
 		return nil, err
 	}
-	c.Params.State = c.Params.State.Tightest()
+	c.Params.KVStore = c.Params.KVStore.Tightest()
 	return c, nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -132,10 +132,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := before.Params.State
+	want := before.Params.KVStore
 	want.WriteRPS, want.ValueKB = 56, 2
-	if c.Params.State != want {
-		t.Errorf("%+v, want %+v", c.Params.State, want)
+	if c.Params.KVStore != want {
+		t.Errorf("%+v, want %+v", c.Params.KVStore, want)
 	}
 	for _, wrong := range []string{"write_rps = 0.0", "value_kb = -1.0", "txn_ops = 2", "rps = 0.0"} {
 		field, _, _ := strings.Cut(wrong, " ")
@@ -151,7 +151,7 @@
 	p := &config.Params{
 		Teams:      []config.Team{{Name: "blue", CPUs: 8}, {Name: "green"}},
 		Objectives: []config.Objective{{Class: "urgent"}, {Class: "urgent"}, {Class: "nightly"}, {}},
-		State:      config.StateLimits{WriteRPS: 80},
+		KVStore:    config.KVStoreLimits{WriteRPS: 80},
 	}
 	parse := func(inner string) (*config.Operator, error) {
 		return config.ParseOperator([]byte("<switchshore>"+inner+"</switchshore>"), p)
--- a/internal/config/drains.go
+++ b/internal/config/drains.go
@@ -45,7 +45,7 @@
 		return nil, &FieldError{Field: "drains/" + e.Attrs[0].Name.Local, Reason: "unknown attribute"}
 	}
 	b := &drain.Budgets{Window: tuning.DrainWindow, Teams: map[string]drain.Budget{}, Default: drain.Budget{
-		MaxUnavailable: tuning.DrainUnavailable, Evictions: tuning.DrainEvictions, LostS: tuning.DrainLostTime.Seconds(),
+		MaxUnavailable: tuning.DrainMaxUnavailable, Evictions: tuning.DrainMaxEvictions, LostS: tuning.DrainMaxLostTime.Seconds(),
 	}}
 	window, err := amount("drains/windowSeconds", e.Window)
 	if err != nil {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -19,10 +19,10 @@
 type Operator struct {
 	// MaxMachines caps the machines rented at once, 0 for no cap.
 	MaxMachines int
-	// KeepIdleS overrides how long an idle machine is kept, in seconds.
-	KeepIdleS float64
+	// ScaleInIdleS overrides how long an idle machine is kept, in seconds.
+	ScaleInIdleS float64
 	// StartWithinS overrides the planning horizon, in seconds.
-	HorizonS float64
+	StartWithinS float64
 	// Admission turns fair admission under overload on; nil is off.
 	Admission *Admission
 	// Drains turns drains of machines on, with the budgets of the teams; nil is off.
@@ -31,10 +31,10 @@
 
 // operatorFile is the file as it is written; a field left out is empty.
 type operatorFile struct {
-	XMLName     xml.Name `xml:"switchshore"`
-	MaxMachines string   `xml:"machines>max"`
-	KeepIdleS   string   `xml:"machines>keepIdleSeconds"`
-	HorizonS    string   `xml:"machines>planHorizonSeconds"`
+	XMLName      xml.Name `xml:"switchshore"`
+	MaxMachines  string   `xml:"machines>max"`
+	ScaleInIdleS string   `xml:"machines>keepIdleSeconds"`
+	StartWithinS string   `xml:"machines>planHorizonSeconds"`
 
 	Admission *admissionElement `xml:"admission"`
 	Drains    *drainsElement    `xml:"drains"`
@@ -71,10 +71,10 @@
 		return nil, &FieldError{Field: "machines/max", Reason: "must be a whole number"}
 	}
 	o.MaxMachines = int(most)
-	if o.KeepIdleS, err = amount("machines/keepIdleSeconds", file.KeepIdleS); err != nil {
+	if o.ScaleInIdleS, err = amount("machines/keepIdleSeconds", file.ScaleInIdleS); err != nil {
 		return nil, err
 	}
-	if o.HorizonS, err = amount("machines/planHorizonSeconds", file.HorizonS); err != nil {
+	if o.StartWithinS, err = amount("machines/planHorizonSeconds", file.StartWithinS); err != nil {
 		return nil, err
 	}
 	if o.Admission, err = file.Admission.parse(p); err != nil {
--- a/internal/drain/budget.go
+++ b/internal/drain/budget.go
@@ -51,14 +51,14 @@
 	NoAlternative bool
 }
 
-// Evictions chooses which tasks to stop now, those that lose least first, within what the
+// ChooseEvictions chooses which tasks to stop now, those that lose least first, within what the
 // budgets leave: the charge for them, and why others are left. With force, tasks that have no other place
 // are stopped, too. The charge takes at most limit bytes.
-func Evictions(charge *Charge, candidates []Candidate, ledger *Ledger, budgets *Budgets, force bool, now time.Time, limit int) Reason {
+func ChooseEvictions(charge *Charge, candidates []Candidate, ledger *Ledger, budgets *Budgets, force bool, now time.Time, limit int) Reason {
 	slices.SortStableFunc(candidates, func(a, b Candidate) int { return cmp.Compare(a.LossS, b.LossS) })
 	var waits Reason
 	for _, e := range candidates {
-		cause := blocked(charge, e, ledger, budgets, force, now)
+		cause := blockedBy(charge, e, ledger, budgets, force, now)
 		if cause == "" && !charge.Add(e, limit) {
 			return waits // the rest comes with the next charge
 		}
@@ -69,8 +69,8 @@
 	return waits
 }
 
-// blocked is why a task is not to be stopped now, "" if it is.
-func blocked(charge *Charge, e Candidate, ledger *Ledger, budgets *Budgets, force bool, now time.Time) Cause {
+// blockedBy is why a task is not to be stopped now, "" if it is.
+func blockedBy(charge *Charge, e Candidate, ledger *Ledger, budgets *Budgets, force bool, now time.Time) Cause {
 	budget, used := budgets.For(e.Team), ledger.Used(e.Team, now)
 	here := charge.Teams[e.Team]
 	switch {
--- a/internal/drain/charge.go
+++ b/internal/drain/charge.go
@@ -8,13 +8,13 @@
 
 // Attempt is a task's attempt that is evicted; numbers of attempts are never used again.
 type Attempt struct {
-	Job    string `json:"job"`
-	Index  int32  `json:"index"`
-	Number uint64 `json:"attempt"`
+	Job           string `json:"job"`
+	Index         int32  `json:"index"`
+	AttemptNumber uint64 `json:"attempt"`
 }
 
-// Use is what of a budget is used.
-type Use struct {
+// Usage is what of a budget is used.
+type Usage struct {
 	Evictions int     `json:"evictions"`
 	LostS     float64 `json:"lostS"`
 }
@@ -23,10 +23,10 @@
 // the stops goes out, so that a successor knows what is used of the budgets, and which
 // stops have been paid for already.
 type Charge struct {
-	Drain    string         `json:"drain"`
-	At       int64          `json:"at"` // milliseconds of the time of day
-	Teams    map[string]Use `json:"teams"`
-	Attempts []Attempt      `json:"attempts"`
+	Drain    string           `json:"drain"`
+	At       int64            `json:"at"` // milliseconds of the time of day
+	Teams    map[string]Usage `json:"teams"`
+	Attempts []Attempt        `json:"attempts"`
 }
 
 // attemptBytes is the largest size of an attempt in a charge, the job's id aside;
@@ -39,7 +39,7 @@
 
 // NewCharge is an empty charge of a drain.
 func NewCharge(name string, now time.Time) *Charge {
-	return &Charge{Drain: name, At: now.UnixMilli(), Teams: map[string]Use{}}
+	return &Charge{Drain: name, At: now.UnixMilli(), Teams: map[string]Usage{}}
 }
 
 // Add puts an eviction into the charge; false if the value would be larger than limit bytes.
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -91,13 +91,13 @@
 			}
 		}
 		if c, err := DecodeCharge(data); err == nil {
-			NewLedger(time.Minute).Charge("b/1", c, now, func(Attempt) (string, bool) { return "blue", true })
+			NewLedger(time.Minute).RecordCharge("b/1", c, now, func(Attempt) (string, bool) { return "blue", true })
 		}
 	})
 }
 
 func candidate(team string, number uint64, lossS float64) Candidate {
-	return Candidate{Team: team, Attempt: Attempt{Job: "job-1", Index: int32(number), Number: number}, LossS: lossS}
+	return Candidate{Team: team, Attempt: Attempt{Job: "job-1", Index: int32(number), AttemptNumber: number}, LossS: lossS}
 }
 
 // active says that every task is still to run, of team blue.
@@ -125,13 +125,13 @@
 	} {
 		b, list, charge := *budgets, append([]Candidate(nil), three...), NewCharge("zone-a", now)
 		c.change(&b, list)
-		reason := Evictions(charge, list, NewLedger(b.Window), &b, c.force, now, 10_000)
+		reason := ChooseEvictions(charge, list, NewLedger(b.Window), &b, c.force, now, 10_000)
 		if len(charge.Attempts) != c.stops || reason.Cause != c.cause {
 			t.Errorf("%s: %d stops, %v", name, len(charge.Attempts), reason)
 		}
 	}
 	charge := NewCharge("zone-a", now)
-	Evictions(charge, three, NewLedger(time.Minute), &Budgets{Default: Budget{9, 9, 1e6}}, false, now, 400)
+	ChooseEvictions(charge, three, NewLedger(time.Minute), &Budgets{Default: Budget{9, 9, 1e6}}, false, now, 400)
 	if n := len(charge.Encode()); len(charge.Attempts) == 0 || len(charge.Attempts) == 3 || n > 400 {
 		t.Errorf("a charge for a small value: %d attempts in %d bytes", len(charge.Attempts), n)
 	}
@@ -160,20 +160,20 @@
 					events = append(events, event{at, 5})
 				}
 				out[index] = true
-				ledger.Interrupted("blue", "job-1", index, at, 5)
+				ledger.RecordInterruption("blue", "job-1", index, at, 5)
 			case 1:
 				c := NewCharge("zone-a", at)
 				c.Add(Candidate{Team: "blue", Attempt: Attempt{"job-1", index, uint64(step + 1)}, LossS: 7}, 10_000)
 				events = append(events, event{at, 7})
 				out[index] = true
-				ledger.Charge(fmt.Sprint("b/", step), c, at, active)
+				ledger.RecordCharge(fmt.Sprint("b/", step), c, at, active)
 			case 2:
 				delete(out, index)
-				ledger.Available("job-1", index)
+				ledger.RecordAvailable("job-1", index)
 			default:
 				ledger.Expire(at)
 			}
-			var sum Use
+			var sum Usage
 			for _, e := range events {
 				if at.Sub(e.at) < time.Minute {
 					sum.Evictions++
@@ -185,7 +185,7 @@
 				t.Fatalf("seed %d step %d: used %+v of %+v, %d unavailable of %d", seed, step, used, sum, ledger.Unavailable("blue"), len(out))
 			}
 		}
-		ledger.JobEnded("job-1")
+		ledger.RecordJobEnd("job-1")
 		if keys := ledger.Expire(at.Add(time.Hour)); len(ledger.charges) != 0 || len(ledger.charged) != 0 || ledger.Unavailable("blue") != 0 {
 			t.Fatalf("left after all is over: %v", keys)
 		}
@@ -208,7 +208,7 @@
 	}
 	first, _ := Next(all)
 	steps := []string{run()}
-	first.Pause(Reason{Cause: ByOperator})
+	first.Pause(Reason{Cause: PausedByOperator})
 	steps = append(steps, run())
 	first.Resume(now)
 	steps = append(steps, run())
--- a/internal/drain/record.go
+++ b/internal/drain/record.go
@@ -40,19 +40,19 @@
 
 // Causes.
 const (
-	WaitTasks         Cause = "waits for tasks to end"
-	WaitUnavailable   Cause = "budget of unavailable tasks is used up"
-	WaitEvictions     Cause = "budget of evictions is used up"
-	WaitLostTime      Cause = "budget of lost run time is used up"
-	WaitNoAlternative Cause = "tasks have no place outside the drained machines"
-	WaitReplacement   Cause = "waits for replacement machines"
-	WaitMachines      Cause = "waits for machines to be gone"
-	HeldGuarantee     Cause = "the guarantee of a team with waiting work would not fit"
-	HeldOverload      Cause = "new jobs are being shed"
-	HeldPartition     Cause = "machines are cut off"
-	HeldNewLeader     Cause = "the leader is new"
-	NoReplacement     Cause = "no replacement machine came up in time"
-	ByOperator        Cause = "paused by an operator"
+	WaitTasks           Cause = "waits for tasks to end"
+	WaitUnavailable     Cause = "budget of unavailable tasks is used up"
+	WaitEvictions       Cause = "budget of evictions is used up"
+	WaitLostTime        Cause = "budget of lost run time is used up"
+	WaitNoAlternative   Cause = "tasks have no place outside the drained machines"
+	WaitReplacement     Cause = "waits for replacement machines"
+	WaitMachines        Cause = "waits for machines to be gone"
+	BlockedByGuarantee  Cause = "the guarantee of a team with waiting work would not fit"
+	BlockedByOverload   Cause = "new jobs are being shed"
+	BlockedByPartition  Cause = "machines are cut off"
+	BlockedByNewLeader  Cause = "the leader is new"
+	ReplacementTimedOut Cause = "no replacement machine came up in time"
+	PausedByOperator    Cause = "paused by an operator"
 )
 
 // Reason is why a drain waits or is paused, with the team that it is about, if any.
@@ -168,10 +168,10 @@
 	return r.Batch != nil && slices.Contains(r.Batch.Replacements, machine)
 }
 
-// Closes reports whether nothing of a type is to be rented in a zone. A drain that is done
+// BlocksProvisioning reports whether nothing of a type is to be rented in a zone. A drain that is done
 // keeps what it has emptied closed until it is cancelled.
-func (r *Record) Closes(machineType, zone string) bool {
-	return (r.State == Running || r.State == Paused || r.State == Done) && r.Spec.Selector.Closes(machineType, zone)
+func (r *Record) BlocksProvisioning(machineType, zone string) bool {
+	return (r.State == Running || r.State == Paused || r.State == Done) && r.Spec.Selector.SelectsAllOf(machineType, zone)
 }
 
 // pastDeadline reports whether the deadline, if there is one, has passed.
--- a/internal/drain/request.go
+++ b/internal/drain/request.go
@@ -21,11 +21,11 @@
 	Spec   *Spec  `json:"spec,omitempty"`
 }
 
-// TeamUse is what of a team's budget is used.
-type TeamUse struct {
+// TeamUsage is what of a team's budget is used.
+type TeamUsage struct {
 	Team        string `json:"team"`
 	Unavailable int    `json:"unavailable"`
-	Used        Use    `json:"used"`
+	Usage       Usage  `json:"used"`
 	Budget      Budget `json:"budget"`
 }
 
@@ -39,7 +39,7 @@
 	// MachinesLeft are the selected machines that are there still.
 	MachinesLeft int `json:"machinesLeft"`
 	// Teams are the budgets of the teams with any use, in a request about one drain.
-	Teams []TeamUse `json:"teams,omitempty"`
+	Teams []TeamUsage `json:"teams,omitempty"`
 }
 
 // Response is the leader's answer.
--- a/internal/drain/spec.go
+++ b/internal/drain/spec.go
@@ -156,9 +156,9 @@
 	return s.RentedBefore == nil || m.RentedAt.Before(*s.RentedBefore)
 }
 
-// Closes reports whether nothing of a type is to be rented in a zone while the drain is in
+// SelectsAllOf reports whether nothing of a type is to be rented in a zone while the drain is in
 // force: it would be selected at once.
-func (s *Selector) Closes(machineType, zone string) bool {
+func (s *Selector) SelectsAllOf(machineType, zone string) bool {
 	if len(s.Machines) > 0 || s.RentedBefore != nil {
 		return false
 	}
--- a/internal/jobs/estimates.go
+++ b/internal/jobs/estimates.go
@@ -11,7 +11,7 @@
 
 // Observe learns from a task that has run for so many seconds.
 func (r RunTimes) Observe(j *Job, ran float64) {
-	ratio := ran / max(j.EstimateS, tuning.MinimumEstimate)
+	ratio := ran / max(j.EstimateS, tuning.MinimumEstimateS)
 	old, ok := r[j.Class]
 	if !ok {
 		old = 1
@@ -21,7 +21,7 @@
 
 // Estimate is a task's run time in seconds.
 func (r RunTimes) Estimate(j *Job) float64 {
-	estimate := max(j.EstimateS, tuning.MinimumEstimate)
+	estimate := max(j.EstimateS, tuning.MinimumEstimateS)
 	if ratio, ok := r[j.Class]; ok {
 		estimate *= ratio
 	}
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -135,8 +135,8 @@
 // Constraints is where tasks of the job may be, to the placement rule.
 func (j *Job) Constraints() *placement.PendingJob {
 	return &placement.PendingJob{
-		Types: j.MachineTypes, Zone: j.Zone, SameZone: j.OneZone, Spread: j.SpreadZones,
-		Spot: j.Spot, Request: j.Request, Total: j.Tasks, InZone: j.InZone,
+		MachineTypes: j.MachineTypes, Zone: j.Zone, OneZone: j.OneZone, SpreadZones: j.SpreadZones,
+		Spot: j.Spot, Request: j.Request, TotalTasks: j.Tasks, TasksInZone: j.InZone,
 	}
 }
 
--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -16,14 +16,14 @@
 // budget is this node's share of the store's budgets. The shares of one leader and of
 // all followers together stay within them.
 type budget struct {
-	limits    config.StateLimits
+	limits    config.KVStoreLimits
 	followers int
 	requests  *rate.Limiter
 	writes    *rate.Limiter
 }
 
 // newBudget returns a follower's share of the limits for a number of nodes.
-func newBudget(limits config.StateLimits, nodes int) *budget {
+func newBudget(limits config.KVStoreLimits, nodes int) *budget {
 	b := &budget{
 		limits:    limits,
 		followers: max(nodes-1, 1),
--- a/internal/kvstore/budget_test.go
+++ b/internal/kvstore/budget_test.go
@@ -12,7 +12,7 @@
 // TestSharesStayWithinTheBudgets: those of one leader and all followers together, and a
 // transaction always fits into the burst.
 func TestSharesStayWithinTheBudgets(t *testing.T) {
-	limits := config.StateLimits{RPS: 100, WriteRPS: 40, TxnOps: 48}
+	limits := config.KVStoreLimits{RPS: 100, WriteRPS: 40, TxnOps: 48}
 	for _, nodes := range []int{1, 2, 3, 5} {
 		b := newBudget(limits, nodes)
 		followers := rate.Limit(nodes - 1)
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -25,7 +25,7 @@
 var _ Store = (*Client)(nil)
 
 // NewClient returns a client with a follower's share of the budgets.
-func NewClient(addr string, limits config.StateLimits, nodes int) *Client {
+func NewClient(addr string, limits config.KVStoreLimits, nodes int) *Client {
 	return &Client{
 		http:   httpclient.New(addr, maxConnections, tuning.ConnectionIdleTimeout),
 		budget: newBudget(limits, nodes),
--- a/internal/kvstore/fenced_writer_test.go
+++ b/internal/kvstore/fenced_writer_test.go
@@ -123,7 +123,7 @@
 		var want []string
 		for round := range 6 {
 			if round == 2 {
-				s.Limits = config.StateLimits{ValueKB: 1, TxnOps: 3}
+				s.Limits = config.KVStoreLimits{ValueKB: 1, TxnOps: 3}
 			}
 			var writes []wire.Mutation
 			for i := range 1 + rng.IntN(7) {
--- a/internal/kvstore/list_test.go
+++ b/internal/kvstore/list_test.go
@@ -41,7 +41,7 @@
 	}
 	go func() { _ = srv.Serve(ln) }() // it ends with the listener
 	defer ln.Close()
-	client := kvstore.NewClient(ln.Addr().String(), config.StateLimits{RPS: 1000, WriteRPS: 100, TxnOps: 10}, 1)
+	client := kvstore.NewClient(ln.Addr().String(), config.KVStoreLimits{RPS: 1000, WriteRPS: 100, TxnOps: 10}, 1)
 	var got []string
 	if err := client.List(context.Background(), "k/", func(i wire.KeyValue) error {
 		got = append(got, i.Key)
--- a/internal/kvstore/timeout_test.go
+++ b/internal/kvstore/timeout_test.go
@@ -14,7 +14,7 @@
 // a campaign waits for its full time.
 func TestLeaderDoesNotWaitForASlowAnswer(t *testing.T) {
 	const usual = 80 * time.Millisecond
-	c := NewClient("127.0.0.1:1", config.StateLimits{RPS: 1000, WriteRPS: 100, TxnOps: 10}, 1)
+	c := NewClient("127.0.0.1:1", config.KVStoreLimits{RPS: 1000, WriteRPS: 100, TxnOps: 10}, 1)
 	if got := c.txnTimeout.current(); got != tuning.StoreTimeout {
 		t.Errorf("a campaign: %v", got)
 	}
--- a/internal/leader/admission.go
+++ b/internal/leader/admission.go
@@ -37,17 +37,17 @@
 
 // RejectOverload is the refusal of a job that is not admitted now.
 func RejectOverload(d admission.Decision) *RejectedError {
-	return &RejectedError{Status: http.StatusTooManyRequests, Reason: "more is submitted than can be taken now", RetryAfter: d.RetryAfter}
+	return &RejectedError{Status: http.StatusTooManyRequests, Reason: "more is submitted than can be taken now", RetryAfter: d.RetryAfterS}
 }
 
 // UpdateAdmission looks at the load and at what all nodes are offered. lag is by how much
 // the leader's periodic work came too late.
-func (l *Leader) UpdateAdmission(now, wall time.Time, lag time.Duration, nodes []admission.NodeOffers) {
+func (l *Leader) UpdateAdmission(now, wall time.Time, lag time.Duration, nodes []admission.NodeOfferedLoad) {
 	if l.regulator == nil {
 		return
 	}
 	was := l.regulator.Shedding()
-	l.regulator.Update(now, wall, admission.Load{
+	l.regulator.Update(now, wall, admission.LeaderLoad{
 		Waiting: l.writes.Interactive.Len(),
 		Written: l.writes.Interactive.Taken(),
 		Lag:     lag,
--- a/internal/leader/consolidate.go
+++ b/internal/leader/consolidate.go
@@ -36,7 +36,7 @@
 	l.keepRoomForReady(targets, room)
 	moves := 0
 	for i, m := range movable {
-		if moves >= max(1, l.machines.Len()/tuning.ConsolidateParts) {
+		if moves >= max(1, l.machines.Len()/tuning.ConsolidateDivisor) {
 			break
 		}
 		if room[m] != m.Free {
@@ -127,7 +127,7 @@
 		// as far as anyone can tell; a quarter is taken.
 		lasts = max(lasts, l.remaining(now, a), now.Sub(a.RunningAt).Seconds()/4)
 	}
-	return lasts >= tuning.ConsolidateMinStay.Seconds()
+	return lasts >= tuning.ConsolidateMinLifetime.Seconds()
 }
 
 // roomFor finds the first machine that may take a task of the job and has
--- a/internal/leader/controller.go
+++ b/internal/leader/controller.go
@@ -135,7 +135,7 @@
 // within the time for cancellations, with the same reserve, and with its session
 // the start is void, even if nobody can release the machine.
 func lateStartBound(w config.Workers) time.Duration {
-	return max(0, min(seconds(w.CancelDeadlineS)/tuning.FencingParts, seconds(w.CancelDeadlineS-w.LeaseS)-tuning.GracePeriodReserve))
+	return max(0, min(seconds(w.CancelDeadlineS)/tuning.FencingDivisor, seconds(w.CancelDeadlineS-w.LeaseS)-tuning.GracePeriodReserve))
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/leader/dependencies_test.go
+++ b/internal/leader/dependencies_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	old := params
 	t.Cleanup(func() { params = old })
-	params.State.ValueKB, params.State.TxnOps, params.State.WriteRPS = 2, 8, 42
+	params.KVStore.ValueKB, params.KVStore.TxnOps, params.KVStore.WriteRPS = 2, 8, 42
 }
 
 func dependentJob(id string, needs ...string) *wire.Job {
--- a/internal/leader/drain_replace.go
+++ b/internal/leader/drain_replace.go
@@ -61,7 +61,7 @@
 	case n.complete():
 		s.cordonBatch()
 	case s.wall.Sub(time.UnixMilli(s.record.Batch.Since)) > tuning.ReplacementTimeout:
-		if s.record.Pause(drain.Reason{Cause: drain.NoReplacement}) {
+		if s.record.Pause(drain.Reason{Cause: drain.ReplacementTimedOut}) {
 			s.notePaused()
 		}
 	default:
--- a/internal/leader/drain_requests.go
+++ b/internal/leader/drain_requests.go
@@ -89,7 +89,7 @@
 // drainSize is the size in bytes of a drain's record with a full batch and its replacements.
 func (l *Leader) drainSize(s *drain.Spec) int {
 	const frame = 512 // counts, reason and states
-	return len(drain.NewRecord(*s, time.Time{}).Encode()) + frame + 2*s.BatchSize*tuning.DrainNameBytes
+	return len(drain.NewRecord(*s, time.Time{}).Encode()) + frame + 2*s.BatchSize*tuning.DrainMachineNameBytes
 }
 
 // roomForDrain reports whether another drain may be kept; the oldest one that is over makes way.
@@ -98,7 +98,7 @@
 		return true
 	}
 	for _, r := range l.records() {
-		if r.State == drain.Cancelled || r.State == drain.Done && !r.Spec.Selector.Closes(r.Spec.Selector.Type, r.Spec.Selector.Zone) {
+		if r.State == drain.Cancelled || r.State == drain.Done && !r.Spec.Selector.SelectsAllOf(r.Spec.Selector.Type, r.Spec.Selector.Zone) {
 			delete(l.drains, r.Spec.Name)
 			l.writes.Interactive.Delete(records.DrainKey(r.Spec.Name))
 			return true
@@ -123,7 +123,7 @@
 		answer()
 		return
 	case drain.Pause:
-		d.Pause(drain.Reason{Cause: drain.ByOperator})
+		d.Pause(drain.Reason{Cause: drain.PausedByOperator})
 	case drain.Resume:
 		d.Resume(wall)
 	case drain.Cancel:
@@ -157,7 +157,7 @@
 		for _, a := range m.Attempts {
 			if a.Evicting && !a.Stopping {
 				a.Evicting = false
-				l.ledger.Available(a.Job.ID, a.Index)
+				l.ledger.RecordAvailable(a.Job.ID, a.Index)
 			}
 		}
 	}
@@ -193,8 +193,8 @@
 		}
 	}
 	for _, t := range l.params.Teams {
-		status.Teams = append(status.Teams, drain.TeamUse{
-			Team: t.Name, Unavailable: l.ledger.Unavailable(t.Name), Used: l.ledger.Used(t.Name, now), Budget: l.budgets.For(t.Name),
+		status.Teams = append(status.Teams, drain.TeamUsage{
+			Team: t.Name, Unavailable: l.ledger.Unavailable(t.Name), Usage: l.ledger.Used(t.Name, now), Budget: l.budgets.For(t.Name),
 		})
 	}
 	return status
--- a/internal/leader/drain_state.go
+++ b/internal/leader/drain_state.go
@@ -87,7 +87,7 @@
 // been charged for, before the first placement.
 func (l *Leader) applyLoadedDrains(charges []loadedCharge) {
 	for _, loaded := range charges {
-		l.ledger.Charge(loaded.key, loaded.charge, loaded.at, l.teamOfAttempt)
+		l.ledger.RecordCharge(loaded.key, loaded.charge, loaded.at, l.teamOfAttempt)
 	}
 	for _, m := range l.machines.All() {
 		l.applyDrainCordon(m)
@@ -117,7 +117,7 @@
 func (l *Leader) storeCharge(now time.Time, charge *drain.Charge, then func()) {
 	l.chargesNamed++
 	key := records.ChargeKey(l.term, l.chargesNamed)
-	l.ledger.Charge(key, charge, now, l.teamOfAttempt)
+	l.ledger.RecordCharge(key, charge, now, l.teamOfAttempt)
 	l.writes.Interactive.Put(key, charge.Encode(), then)
 }
 
@@ -138,7 +138,7 @@
 
 // closedByDrain reports whether a drain keeps machines of an offer from being rented.
 func (l *Leader) closedByDrain(o autoscale.Offer) bool {
-	return l.anyDrain(func(r *drain.Record) bool { return r.Closes(o.Type, o.Zone) })
+	return l.anyDrain(func(r *drain.Record) bool { return r.BlocksProvisioning(o.Type, o.Zone) })
 }
 
 // isReplacement reports whether a machine was rented in the place of those that are drained now.
@@ -162,10 +162,10 @@
 		return
 	}
 	switch {
-	case l.ledger.Charged(a.Number), a.State == machines.PossiblyStarted:
-		l.ledger.Unknown(j.Team, j.ID, a.Index)
+	case l.ledger.IsCharged(a.Number), a.State == machines.PossiblyStarted:
+		l.ledger.RecordUnknown(j.Team, j.ID, a.Index)
 	case a.State.HasImage():
-		l.ledger.Interrupted(j.Team, j.ID, a.Index, now, lostProgress(now, a))
+		l.ledger.RecordInterruption(j.Team, j.ID, a.Index, now, lostProgress(now, a))
 	}
 }
 
@@ -183,23 +183,23 @@
 // countRunning counts a task that was interrupted as running again, unless it is the very
 // attempt that a drain is about to stop.
 func (l *Leader) countRunning(a *machines.Attempt) {
-	if l.ledger == nil || a.Evicting || l.ledger.Charged(a.Number) && a.Machine.CordonedFor(machines.CordonDrained) {
+	if l.ledger == nil || a.Evicting || l.ledger.IsCharged(a.Number) && a.Machine.CordonedFor(machines.CordonDrained) {
 		return
 	}
-	l.ledger.Available(a.Job.ID, a.Index)
+	l.ledger.RecordAvailable(a.Job.ID, a.Index)
 }
 
 // countDone counts a task that was interrupted as done.
 func (l *Leader) countDone(j *jobs.Job, index int32) {
 	if l.ledger != nil {
-		l.ledger.Available(j.ID, index)
+		l.ledger.RecordAvailable(j.ID, index)
 	}
 }
 
 // countOver counts no task of a job any more.
 func (l *Leader) countOver(j *jobs.Job) {
 	if l.ledger != nil {
-		l.ledger.JobEnded(j.ID)
+		l.ledger.RecordJobEnd(j.ID)
 	}
 }
 
--- a/internal/leader/drain_step.go
+++ b/internal/leader/drain_step.go
@@ -75,15 +75,15 @@
 func (s *drainStep) heldBack() drain.Cause {
 	switch {
 	case !s.listsComplete || s.now.Before(s.inheritedUntil):
-		return drain.HeldNewLeader
+		return drain.BlockedByNewLeader
 	case s.regulator != nil && s.regulator.Shedding():
-		return drain.HeldOverload
+		return drain.BlockedByOverload
 	case s.isolated:
-		return drain.HeldPartition
+		return drain.BlockedByPartition
 	}
 	for _, until := range s.partitionedZones {
 		if s.now.Before(until) {
-			return drain.HeldPartition
+			return drain.BlockedByPartition
 		}
 	}
 	return ""
@@ -107,7 +107,7 @@
 	slices.SortStableFunc(selected, func(a, b *machines.Machine) int { return cmp.Compare(len(a.Attempts), len(b.Attempts)) })
 	batch := selected[:min(s.record.Spec.BatchSize, len(selected))]
 	if team := s.unmetGuarantee(batch); team != "" {
-		s.wait(drain.HeldGuarantee, team)
+		s.wait(drain.BlockedByGuarantee, team)
 		return
 	}
 	s.record.Batch = &drain.Batch{Since: s.wall.UnixMilli(), Cordoned: !s.record.Spec.Replace}
@@ -143,7 +143,7 @@
 // provisioningSelected reports whether a rental under way may bring machines that are selected.
 func (s *drainStep) provisioningSelected() bool {
 	for _, r := range s.pendingProvisions {
-		if s.record.Spec.Selector.Closes(r.offer.Type, r.offer.Zone) {
+		if s.record.Spec.Selector.SelectsAllOf(r.offer.Type, r.offer.Zone) {
 			return true
 		}
 	}
@@ -244,7 +244,7 @@
 			s.drainLooks++
 			switch {
 			case a.State < machines.Fetching || a.Stopping || a.Evicting || !a.Wanted():
-			case s.ledger.Charged(a.Number):
+			case s.ledger.IsCharged(a.Number):
 				s.stopEvicted(a)
 			default:
 				candidates = append(candidates, s.candidate(a))
@@ -254,7 +254,7 @@
 	}
 	charge := drain.NewCharge(s.record.Spec.Name, s.wall)
 	limit := int(float64(s.valueLimit()) * tuning.StartRecordValueShare)
-	reason := drain.Evictions(charge, candidates, s.ledger, s.budgets, s.record.Forced(s.wall), s.now, limit)
+	reason := drain.ChooseEvictions(charge, candidates, s.ledger, s.budgets, s.record.Forced(s.wall), s.now, limit)
 	s.stopCharged(charge, attempts)
 	if reason.Cause == "" {
 		reason.Cause = drain.WaitMachines
@@ -269,7 +269,7 @@
 	}
 	var evicted []*machines.Attempt
 	for _, e := range charge.Attempts {
-		a := attempts[e.Number]
+		a := attempts[e.AttemptNumber]
 		a.Evicting = true
 		evicted = append(evicted, a)
 		s.record.Counts.Evicted++
@@ -302,7 +302,7 @@
 func (s *drainStep) candidate(a *machines.Attempt) drain.Candidate {
 	j := a.Job
 	e := drain.Candidate{
-		Team: j.Team, Attempt: drain.Attempt{Job: j.ID, Index: a.Index, Number: a.Number},
+		Team: j.Team, Attempt: drain.Attempt{Job: j.ID, Index: a.Index, AttemptNumber: a.Number},
 		NoAlternative: !s.hasAlternative(j),
 	}
 	patience := tuning.DrainCheckpointWait
@@ -335,9 +335,9 @@
 		return has
 	}
 	probe := j.Constraints()
-	if zone := s.record.Spec.Selector.Zone; j.OneZone && s.record.Spec.Selector.Closes("", zone) {
+	if zone := s.record.Spec.Selector.Zone; j.OneZone && s.record.Spec.Selector.SelectsAllOf("", zone) {
 		// All of its tasks leave the zone together.
-		probe.InZone = without(j.InZone, zone)
+		probe.TasksInZone = without(j.InZone, zone)
 	}
 	has := slices.ContainsFunc(s.remainingPlacements(), probe.Allowed)
 	s.places[j] = has
@@ -350,7 +350,7 @@
 	for _, t := range s.offers {
 		for _, zone := range t.Zones {
 			if !s.closedByDrain(autoscale.Offer{Type: t.Name, Zone: zone}) {
-				places = append(places, &placement.Machine{Type: t.Name, Zone: zone, Total: resources(t)})
+				places = append(places, &placement.Machine{Type: t.Name, Zone: zone, Capacity: resources(t)})
 			}
 		}
 	}
--- a/internal/leader/drain_test.go
+++ b/internal/leader/drain_test.go
@@ -293,7 +293,7 @@
 		t.Fatalf("%+v after %d rentals", s, rentals)
 	}
 	l.advance(20*time.Second, step)
-	if s := l.drainRequest(show).Drains[0]; s.State != drain.Paused || s.Reason != string(drain.NoReplacement) {
+	if s := l.drainRequest(show).Drains[0]; s.State != drain.Paused || s.Reason != string(drain.ReplacementTimedOut) {
 		t.Fatalf("%+v", s)
 	}
 	paused := rentals
--- a/internal/leader/estimates.go
+++ b/internal/leader/estimates.go
@@ -17,7 +17,7 @@
 	if slack, ok := l.deadlineSlack(now, j); ok {
 		return slack + tuning.SizeWeight*work
 	}
-	return tuning.NoDeadlineSlack - now.Sub(j.WaitingSince).Seconds()
+	return tuning.NoDeadlineSlackS - now.Sub(j.WaitingSince).Seconds()
 }
 
 // remaining is the run time left of an attempt by its estimate, at least zero.
@@ -33,8 +33,8 @@
 // slack, so that pressing work makes the planner rent and patient work waits
 // for the machines there are.
 func (l *Leader) startWithin(now time.Time, j *jobs.Job) float64 {
-	if l.operator.HorizonS > 0 {
-		return l.operator.HorizonS
+	if l.operator.StartWithinS > 0 {
+		return l.operator.StartWithinS
 	}
 	slack, ok := l.deadlineSlack(now, j)
 	if !ok {
@@ -54,7 +54,7 @@
 	for _, index := range j.Ready {
 		least = min(least, j.Progress[index])
 	}
-	return max(tuning.MinimumEstimate, whole-least)
+	return max(tuning.MinimumEstimateS, whole-least)
 }
 
 // deadlineSlack is the time that may pass before a job can no longer be in time, by
--- a/internal/leader/placement.go
+++ b/internal/leader/placement.go
@@ -88,7 +88,7 @@
 func (l *Leader) teamUse() map[string]*placement.Team {
 	teams := map[string]*placement.Team{}
 	for name, t := range l.teams {
-		teams[name] = &placement.Team{Used: t.used, Max: placement.Resources{CPUs: t.CPUsMax, GPUs: t.GPUsMax, MemoryGB: math.Inf(1)}}
+		teams[name] = &placement.Team{Used: t.used, Limit: placement.Resources{CPUs: t.CPUsMax, GPUs: t.GPUsMax, MemoryGB: math.Inf(1)}}
 	}
 	return teams
 }
@@ -124,9 +124,9 @@
 		}
 		first := *r
 		first.AgedS = now.Sub(j.LastPlacedAt).Seconds()
-		first.Tasks = min(r.Tasks, max(1, int(float64(j.Tasks)*tuning.AgedShare)))
+		first.ReadyTasks = min(r.ReadyTasks, max(1, int(float64(j.Tasks)*tuning.AgedTaskShare)))
 		// Both see the same places taken.
-		r.Tasks -= first.Tasks
+		r.ReadyTasks -= first.ReadyTasks
 		all = append(all, &first)
 	}
 	return all
@@ -147,14 +147,14 @@
 			continue
 		}
 		r := j.Constraints()
-		r.Job, r.Team, r.PriorityRank, r.Guaranteed = j.ID, j.Team, j.PriorityRank, guaranteed[j]
-		r.Urgency, r.Tasks = l.urgency(now, j, cpus), len(j.Ready)
+		r.Job, r.Team, r.PriorityRank, r.WithinGuarantee = j.ID, j.Team, j.PriorityRank, guaranteed[j]
+		r.Urgency, r.ReadyTasks = l.urgency(now, j, cpus), len(j.Ready)
 		r.EstimateS, r.Image, r.ImageGB = l.runTimes.Estimate(j), j.Image, j.ImageGB
 		if j.Failures > 0 {
 			// A job whose tasks fail tries one at a time.
-			r.Tasks = 1
+			r.ReadyTasks = 1
 		}
-		r.InZone = maps.Clone(j.InZone) // a pass counts its own starts in
+		r.TasksInZone = maps.Clone(j.InZone) // a pass counts its own starts in
 		byID[j.ID] = j
 		ready = append(ready, r)
 	}
@@ -207,12 +207,12 @@
 	at := l.clock(now)
 	s := m.Snapshot
 	if s == nil {
-		s = &placement.Machine{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Avoid: m.AvoidedJobs, Images: map[string]float64{}}
+		s = &placement.Machine{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, AvoidJobs: m.AvoidedJobs, Images: map[string]float64{}}
 		m.Snapshot = s
 	}
 	s.Modified = false
-	s.Total, s.Free, s.FetchGBPerS, s.Price = m.Total, m.Free, t.FetchGBPerS, l.price(m)
-	s.Loads = s.Loads[:0]
+	s.Capacity, s.Free, s.FetchGBPerS, s.Price = m.Total, m.Free, t.FetchGBPerS, l.price(m)
+	s.PlacedTasks = s.PlacedTasks[:0]
 	clear(s.Images)
 	for image := range m.Images {
 		s.Images[image] = 0
@@ -226,8 +226,8 @@
 			}
 		}
 		end := max(there, at) + l.remaining(now, a)
-		s.Loads = append(s.Loads, placement.Load{Request: a.Job.Request, EndS: end})
+		s.PlacedTasks = append(s.PlacedTasks, placement.PlacedTask{Request: a.Job.Request, EndS: end})
 	}
-	slices.SortStableFunc(s.Loads, func(a, b placement.Load) int { return cmp.Compare(a.EndS, b.EndS) })
+	slices.SortStableFunc(s.PlacedTasks, func(a, b placement.PlacedTask) int { return cmp.Compare(a.EndS, b.EndS) })
 	return s
 }
--- a/internal/leader/preempt.go
+++ b/internal/leader/preempt.go
@@ -27,7 +27,7 @@
 // that is over its estimate may go on for long: waiting for it is no plan.
 func (l *Leader) endsSoon(now time.Time, a *machines.Attempt) bool {
 	left := l.remaining(now, a)
-	return a.State == machines.Running && left > 0 && left < tuning.PreemptEndsSoon.Seconds()
+	return a.State == machines.Running && left > 0 && left < tuning.PreemptExitWait.Seconds()
 }
 
 // preempt makes room for tasks that found none: it stops tasks of a lower
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -6,7 +6,7 @@
 )
 
 // valueLimit is the largest value of the key-value store, in bytes.
-func (l *Leader) valueLimit() int { return int(l.params.State.ValueKB * 1024) }
+func (l *Leader) valueLimit() int { return int(l.params.KVStore.ValueKB * 1024) }
 
 // storeJob queues the writes of a job and calls then when all are durable.
 func (l *Leader) storeJob(j *jobs.Job, then func()) {
--- a/internal/leader/records_test.go
+++ b/internal/leader/records_test.go
@@ -185,7 +185,7 @@
 	defer func() { params = old }()
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
 	l.accept(spec("job-1"), spec("job-2"))
-	params.State.ValueKB = 0.05 // less than any start record takes
+	params.KVStore.ValueKB = 0.05 // less than any start record takes
 	var logs bytes.Buffer
 	c := leader.New(zerolog.New(&logs), params, config.Operator{}, 6, l.now, 0)
 	for _, id := range []string{"job-1", "job-2"} {
--- a/internal/leader/recovery_test.go
+++ b/internal/leader/recovery_test.go
@@ -180,7 +180,7 @@
 func TestStartRecordsFitTheValueLimit(t *testing.T) {
 	old := params
 	defer func() { params = old }()
-	params.State.ValueKB = 1
+	params.KVStore.ValueKB = 1
 	params.Teams = []config.Team{{Name: "blue", CPUs: 8, CPUsMax: 1600}}
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
 	wide := spec("job-1")
--- a/internal/leader/rentals.go
+++ b/internal/leader/rentals.go
@@ -170,13 +170,13 @@
 // planInput is the snapshot that the planner decides on.
 func (l *Leader) planInput(now time.Time) autoscale.Input {
 	in := autoscale.Input{
-		Types:       l.offers,
-		KeepIdle:    tuning.ScaleInIdleTime,
-		MaxMachines: l.operator.MaxMachines,
-		Unavailable: func(o autoscale.Offer) bool { return !l.offered(now, o) },
+		MachineTypes:    l.offers,
+		ScaleInIdleTime: tuning.ScaleInIdleTime,
+		MaxMachines:     l.operator.MaxMachines,
+		Unavailable:     func(o autoscale.Offer) bool { return !l.offered(now, o) },
 	}
-	if l.operator.KeepIdleS > 0 {
-		in.KeepIdle = seconds(l.operator.KeepIdleS)
+	if l.operator.ScaleInIdleS > 0 {
+		in.ScaleInIdleTime = seconds(l.operator.ScaleInIdleS)
 	}
 	in.Machines = slices.Concat(l.plannedMachines(now), l.machinesBeingProvisioned())
 	in.Demand = l.demand(now)
@@ -213,7 +213,7 @@
 		}
 		p := autoscale.Machine{
 			ID: m.ID, Offer: autoscale.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot},
-			Total: m.Total, Free: m.Free, Price: l.price(m),
+			Capacity: m.Total, Free: m.Free, Price: l.price(m),
 			Schedulable: !m.Cordoned() && !(m.Joined && l.heartbeatOverdue(now, m)),
 			Idle:        len(m.Attempts) == 0 && m.Joined && m.Reconciled && now.Sub(m.ProvisionedAt) >= tuning.MinimumBillingTime && !l.isReplacement(m.ID),
 			IdleFor:     now.Sub(m.IdleSince),
@@ -238,7 +238,7 @@
 		t := l.types[r.offer.Type]
 		for range r.count {
 			list = append(list, autoscale.Machine{
-				Offer: r.offer, Total: resources(t), Free: resources(t), Schedulable: true, BootRemainingS: t.BootTimeS,
+				Offer: r.offer, Capacity: resources(t), Free: resources(t), Schedulable: true, BootRemainingS: t.BootTimeS,
 			})
 		}
 	}
@@ -256,17 +256,17 @@
 	var demand []autoscale.Demand
 	for _, r := range ready {
 		j := byID[r.Job]
-		limit := int(min(max(0, room[j.Team])/max(j.CPUs, 1e-9), float64(r.Tasks)))
+		limit := int(min(max(0, room[j.Team])/max(j.CPUs, 1e-9), float64(r.ReadyTasks)))
 		// A failing job tries one task at a time, but it has to find a machine
 		// for that one: without demand of its own it could wait for ever.
-		n := min(r.Tasks, limit)
+		n := min(r.ReadyTasks, limit)
 		room[j.Team] -= float64(n) * j.CPUs
 		if n == 0 {
 			continue
 		}
 		demand = append(demand, autoscale.Demand{
 			Tasks: n, StartWithinS: l.startWithin(now, j), Request: j.Request, EstimateS: r.EstimateS + float64(l.startDelay),
-			Types: j.MachineTypes, Zone: j.Zone, Spot: j.Spot, Avoid: j.FailedOn,
+			MachineTypes: j.MachineTypes, Zone: j.Zone, Spot: j.Spot, AvoidMachines: j.FailedOn,
 		})
 	}
 	return demand
--- a/internal/leader/requests.go
+++ b/internal/leader/requests.go
@@ -140,7 +140,7 @@
 
 // maxInteractiveWrites is how many changes the write budget takes while a user waits.
 func (l *Leader) maxInteractiveWrites() int {
-	return max(1, int(l.params.State.WriteRPS*tuning.StoreWriteShare*tuning.SubmitTimeout.Seconds()))
+	return max(1, int(l.params.KVStore.WriteRPS*tuning.StoreWriteShare*tuning.SubmitTimeout.Seconds()))
 }
 
 func (l *Leader) accepted(ok bool, id string, status int) Response {
@@ -158,10 +158,10 @@
 		return why
 	}
 	need := placement.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}
-	probe := placement.PendingJob{Types: spec.MachineTypes, Zone: spec.Zone, Spot: true, Request: need, Total: spec.Tasks}
+	probe := placement.PendingJob{MachineTypes: spec.MachineTypes, Zone: spec.Zone, Spot: true, Request: need, TotalTasks: spec.Tasks}
 	for _, mt := range l.types {
 		for _, zone := range mt.Zones {
-			if probe.Allowed(&placement.Machine{Type: mt.Name, Zone: zone, Total: resources(mt)}) {
+			if probe.Allowed(&placement.Machine{Type: mt.Name, Zone: zone, Capacity: resources(mt)}) {
 				return ""
 			}
 		}
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -179,7 +179,7 @@
 // write commits what the budget allows.
 func (f *fleet) write() {
 	f.t.Helper()
-	s := params.State
+	s := params.KVStore
 	perSecond := s.WriteRPS * tuning.StoreWriteShare
 	f.tokens = min(f.tokens+perSecond/10, perSecond/2)
 	for f.tokens >= 1 {
@@ -215,7 +215,7 @@
 	old := params
 	defer func() { params = old }()
 	params.Teams = []config.Team{{Name: "blue", CPUs: 4000, CPUsMax: 4800}}
-	params.State = config.StateLimits{RPS: 150, WriteRPS: 60, ValueKB: 8, TxnOps: 24}
+	params.KVStore = config.KVStoreLimits{RPS: 150, WriteRPS: 60, ValueKB: 8, TxnOps: 24}
 	f := newFleet(t, 600)
 	for tick := range 900 {
 		if tick%10 == 0 {
@@ -337,7 +337,7 @@
 		params.Teams = append(params.Teams, config.Team{Name: fmt.Sprint("team", k), CPUs: 11000, CPUsMax: 22000})
 	}
 	params.Workers = config.Workers{HeartbeatIntervalS: 6, LeaseS: 31, CancelDeadlineS: 56}
-	params.State = config.StateLimits{RPS: 400, WriteRPS: 180, ValueKB: 8, TxnOps: 24}
+	params.KVStore = config.KVStoreLimits{RPS: 400, WriteRPS: 180, ValueKB: 8, TxnOps: 24}
 	params.Cloud = config.CloudLimits{RPS: 2, ListLagS: 8}
 	const machines = 4000
 	f := newFleet(t, machines)
--- a/internal/leader/upgrade_test.go
+++ b/internal/leader/upgrade_test.go
@@ -24,7 +24,7 @@
 	t.Helper()
 	old := params
 	defer func() { params = old }()
-	params.State.ValueKB = 16
+	params.KVStore.ValueKB = 16
 	read := map[string]json.RawMessage{}
 	for key, value := range kept {
 		if item, ok := simulation.PreviousVersionReads(wire.KeyValue{Key: key, Value: value}); ok {
@@ -170,8 +170,8 @@
 		if !ok || key == "j/job-1" || json.Unmarshal(item.Value, &rec) != nil || rec.Job.ID == "" {
 			continue
 		}
-		probe := placement.PendingJob{Types: rec.Job.MachineTypes, Zone: rec.Job.Zone, Spot: true, Request: placement.Resources{CPUs: rec.Job.CPUs}, Total: 1}
-		if probe.Allowed(&placement.Machine{Type: "std-8", Zone: "a", Total: placement.Resources{CPUs: 8, MemoryGB: 32}}) {
+		probe := placement.PendingJob{MachineTypes: rec.Job.MachineTypes, Zone: rec.Job.Zone, Spot: true, Request: placement.Resources{CPUs: rec.Job.CPUs}, TotalTasks: 1}
+		if probe.Allowed(&placement.Machine{Type: "std-8", Zone: "a", Capacity: placement.Resources{CPUs: 8, MemoryGB: 32}}) {
 			t.Errorf("%s could be started: %s", key, value)
 		}
 	}
--- a/internal/loadtest/load.go
+++ b/internal/loadtest/load.go
@@ -180,7 +180,7 @@
 				return
 			}
 			wait := max(time.Duration(a.RetryAfter)*time.Second, time.Second) + l.jitter(time.Second/4)
-			if time.Since(first)+wait > tuning.AdmissionPatience {
+			if time.Since(first)+wait > tuning.AdmissionRetryWindow {
 				l.note(Answer{SentMS: time.Since(l.begun).Milliseconds(), Op: OpGiveUp, Job: j.ID, Team: j.Team, Class: j.Class})
 				return
 			}
--- a/internal/machines/machine.go
+++ b/internal/machines/machine.go
@@ -13,7 +13,7 @@
 
 // PlacementView is the machine as far as the rule asks where a task may be at all.
 func (m *Machine) PlacementView() *placement.Machine {
-	return &placement.Machine{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Total: m.Total}
+	return &placement.Machine{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Capacity: m.Total}
 }
 
 // Machine is a rented machine with all that may be on it.
--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -36,10 +36,10 @@
 	g.inner.ApplyPolicy(now, p)
 }
 
-func (g *gate) offers(node string) *admission.NodeOffers {
+func (g *gate) offers(node string) *admission.NodeOfferedLoad {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	o := g.inner.Offers(node)
+	o := g.inner.OfferedLoad(node)
 	return &o
 }
 
@@ -113,7 +113,7 @@
 // another node: the leader is asked about it first, if there are not too many.
 func (n *Node) shed(ctx context.Context, r *admission.Request, d admission.Decision) peer.Response {
 	if n.gate.mayAsk(time.Now(), r) {
-		ctx, cancel := context.WithTimeout(ctx, tuning.AdmissionCheckWait)
+		ctx, cancel := context.WithTimeout(ctx, tuning.AdmissionCheckTimeout)
 		defer cancel()
 		if a := n.forward(ctx, peer.Call{Op: peer.OpQuery, Job: r.ID}); a.Status == http.StatusOK {
 			return a
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -59,7 +59,7 @@
 		log:      log,
 		config:   c,
 		operator: o,
-		kv:       kvstore.NewClient(c.Services.State, c.Params.State, len(c.Peers)+1),
+		kv:       kvstore.NewClient(c.Services.KVStore, c.Params.KVStore, len(c.Peers)+1),
 		cloud:    cloud.NewClient(c.Services.Cloud, c.Params.Cloud),
 		hub:      peer.NewHub(log, c.Peers),
 		workers:  httpclient.NewPool(tuning.DirectConnections, leader.DirectSockets(c.Params.Limits)),
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -77,11 +77,11 @@
 	for i := range size {
 		cfg := &config.Config{
 			Name: peers[i].Name, Zone: "a", Listen: c.addrs[i], PeerListen: peers[i].Addr,
-			Services: config.Services{Cloud: ln.Addr().String(), State: ln.Addr().String()},
+			Services: config.Services{Cloud: ln.Addr().String(), KVStore: ln.Addr().String()},
 			Params: config.Params{
 				Teams:   []config.Team{{Name: "blue", CPUs: 8, CPUsMax: 16}},
 				Workers: config.Workers{HeartbeatIntervalS: 0.3, LeaseS: 5, CancelDeadlineS: 20},
-				State:   config.StateLimits{RPS: 500, WriteRPS: 300, ValueKB: 16, TxnOps: 48},
+				KVStore: config.KVStoreLimits{RPS: 500, WriteRPS: 300, ValueKB: 16, TxnOps: 48},
 				Cloud:   config.CloudLimits{RPS: 50, ListLagS: 0.1},
 			},
 		}
@@ -318,7 +318,7 @@
 // an accepted job is known, and another team's jobs are accepted when they come back.
 func TestOverloadOverLoopback(t *testing.T) {
 	c := startWith(t, 3, &config.Operator{Admission: &config.Admission{}}, func(p *config.Params) {
-		p.State.WriteRPS = 20
+		p.KVStore.WriteRPS = 20
 		p.Teams = append(p.Teams, config.Team{Name: "green", CPUs: 8, CPUsMax: 16})
 	})
 	first := fmt.Sprintf(submission, "job-000001")
--- a/internal/operatorcli/client.go
+++ b/internal/operatorcli/client.go
@@ -103,7 +103,7 @@
 }
 
 // printBudgets prints what is used of each team's budget.
-func (c *Client) printBudgets(teams []drain.TeamUse) error {
+func (c *Client) printBudgets(teams []drain.TeamUsage) error {
 	if len(teams) == 0 {
 		return nil
 	}
@@ -112,7 +112,7 @@
 	for _, team := range teams {
 		fmt.Fprintf(table, "%s\t%d of %d\t%d of %d\t%.0f of %g\n",
 			team.Team, team.Unavailable, team.Budget.MaxUnavailable,
-			team.Used.Evictions, team.Budget.Evictions, team.Used.LostS, team.Budget.LostS)
+			team.Usage.Evictions, team.Budget.Evictions, team.Usage.LostS, team.Budget.LostS)
 	}
 	return table.Flush()
 }
--- a/internal/operatorcli/client_test.go
+++ b/internal/operatorcli/client_test.go
@@ -27,8 +27,8 @@
 			Batch:        &drain.Batch{Machines: []string{"i-1", "i-2"}, Cordoned: true, Since: 7},
 			Counts:       drain.Counts{Batches: 3, Machines: 6, Evicted: 5, Moved: 4, Replacements: 1},
 			MachinesLeft: 12,
-			Teams: []drain.TeamUse{{
-				Team: "blue", Unavailable: 1, Used: drain.Use{Evictions: 2, LostS: 33.4},
+			Teams: []drain.TeamUsage{{
+				Team: "blue", Unavailable: 1, Usage: drain.Usage{Evictions: 2, LostS: 33.4},
 				Budget: drain.Budget{MaxUnavailable: 10, Evictions: 100, LostS: 1200},
 			}},
 		},
--- a/internal/peer/hub.go
+++ b/internal/peer/hub.go
@@ -116,11 +116,11 @@
 }
 
 // Offers are what the users of the peers within reach submit.
-func (h *Hub) Offers() []admission.NodeOffers {
+func (h *Hub) Offers() []admission.NodeOfferedLoad {
 	now := time.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var all []admission.NodeOffers
+	var all []admission.NodeOfferedLoad
 	for _, l := range h.links {
 		v := h.views[l.name]
 		if v.heartbeat.Offers != nil && now.Sub(v.at) <= tuning.PeerTimeout {
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -101,8 +101,8 @@
 	ReachesLeader bool `json:"hears,omitempty"`
 	// Policy is the leader's for the admission of jobs, Offers what the node's users
 	// submit; nil where admission control is off.
-	Policy *admission.Policy     `json:"policy,omitempty"`
-	Offers *admission.NodeOffers `json:"offers,omitempty"`
+	Policy *admission.Policy          `json:"policy,omitempty"`
+	Offers *admission.NodeOfferedLoad `json:"offers,omitempty"`
 }
 
 type message struct {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -72,7 +72,7 @@
 	if len(heard) != 1 || heard[0] != 4 {
 		t.Errorf("policies of terms %v", heard)
 	}
-	if offers := h.Offers(); len(offers) != 1 || offers[0].Node != "n1" || offers[0].Offers[0].Count != 7 {
+	if offers := h.Offers(); len(offers) != 1 || offers[0].Node != "n1" || offers[0].Loads[0].Count != 7 {
 		t.Errorf("%+v", offers)
 	}
 }
--- a/internal/placement/order.go
+++ b/internal/placement/order.go
@@ -7,8 +7,8 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// step is the line of a job by urgency.
-func (r *PendingJob) step() float64 { return math.Floor(r.Urgency / tuning.UrgencyStep) }
+// urgencyStep is the line of a job by urgency.
+func (j *PendingJob) urgencyStep() float64 { return math.Floor(j.Urgency / tuning.UrgencyStepS) }
 
 // compareQueues orders the lines of jobs: aged ones, then by level, those within
 // their team's guarantee before borrowers, then by urgency. Among the jobs of
@@ -17,8 +17,8 @@
 	return cmp.Or(
 		cmp.Compare(b.AgedS, a.AgedS),
 		cmp.Compare(a.PriorityRank, b.PriorityRank),
-		boolRank(b.Guaranteed)-boolRank(a.Guaranteed),
-		cmp.Compare(a.step(), b.step()),
+		boolRank(b.WithinGuarantee)-boolRank(a.WithinGuarantee),
+		cmp.Compare(a.urgencyStep(), b.urgencyStep()),
 	)
 }
 
--- a/internal/placement/resources.go
+++ b/internal/placement/resources.go
@@ -18,7 +18,7 @@
 	return Resources{r.CPUs + o.CPUs*n, r.GPUs + o.GPUs*n, r.MemoryGB + o.MemoryGB*n}
 }
 
-// least returns the smaller of each amount.
-func (r Resources) least(o Resources) Resources {
+// minimum returns the smaller of each amount.
+func (r Resources) minimum(o Resources) Resources {
 	return Resources{min(r.CPUs, o.CPUs), min(r.GPUs, o.GPUs), min(r.MemoryGB, o.MemoryGB)}
 }
--- a/internal/placement/sched_test.go
+++ b/internal/placement/sched_test.go
@@ -13,18 +13,18 @@
 
 func vm(id string, cpus float64) *placement.Machine {
 	r := placement.Resources{CPUs: cpus, MemoryGB: 100}
-	return &placement.Machine{ID: id, Type: "t", Zone: "a", Total: r, Free: r, FetchGBPerS: 1, Images: map[string]float64{}}
+	return &placement.Machine{ID: id, Type: "t", Zone: "a", Capacity: r, Free: r, FetchGBPerS: 1, Images: map[string]float64{}}
 }
 
 func job(id string, level, tasks int) *placement.PendingJob {
 	return &placement.PendingJob{
-		Job: id, Team: "blue", PriorityRank: level, Tasks: tasks, Total: tasks, Spot: true,
+		Job: id, Team: "blue", PriorityRank: level, ReadyTasks: tasks, TotalTasks: tasks, Spot: true,
 		Request: placement.Resources{CPUs: 1, MemoryGB: 1}, EstimateS: 10, Image: "img", ImageGB: 5,
 	}
 }
 
 func unlimited() map[string]*placement.Team {
-	return map[string]*placement.Team{"blue": {Max: placement.Resources{CPUs: 1e9, GPUs: 1e9, MemoryGB: 1e9}}}
+	return map[string]*placement.Team{"blue": {Limit: placement.Resources{CPUs: 1e9, GPUs: 1e9, MemoryGB: 1e9}}}
 }
 
 // TestQueuesBehindCache is the paper's example: with the image cached on a
@@ -37,7 +37,7 @@
 		busy, idle := vm("busy", 1), vm("idle", 1)
 		busy.Free = placement.Resources{MemoryGB: 99}
 		busy.Images["img"] = 0
-		busy.Loads = []placement.Load{{Request: placement.Resources{CPUs: 1, MemoryGB: 1}, EndS: 100 + c.remaining}}
+		busy.PlacedTasks = []placement.PlacedTask{{Request: placement.Resources{CPUs: 1, MemoryGB: 1}, EndS: 100 + c.remaining}}
 		got, _ := placement.Run(100, []*placement.PendingJob{job("j", 0, 1)}, []*placement.Machine{busy, idle}, unlimited(), 10)
 		if fmt.Sprint(got) != c.want {
 			t.Errorf("remaining %v: %v, want %v", c.remaining, got, c.want)
@@ -47,7 +47,7 @@
 
 func TestPriorityAndLimits(t *testing.T) {
 	teams := unlimited()
-	teams["red"] = &placement.Team{Max: placement.Resources{CPUs: 1, MemoryGB: 100}}
+	teams["red"] = &placement.Team{Limit: placement.Resources{CPUs: 1, MemoryGB: 100}}
 	high := job("high", 0, 3)
 	high.Team = "red"
 	got, _ := placement.Run(0, []*placement.PendingJob{job("low", 2, 9), high}, []*placement.Machine{vm("m", 4)}, teams, 10)
@@ -63,7 +63,7 @@
 	for i := range 2000 {
 		m := vm(fmt.Sprintf("m%04d", i), 8)
 		m.Free = placement.Resources{}
-		m.Loads = []placement.Load{{Request: placement.Resources{CPUs: 8, MemoryGB: 100}, EndS: float64(i)}}
+		m.PlacedTasks = []placement.PlacedTask{{Request: placement.Resources{CPUs: 8, MemoryGB: 100}, EndS: float64(i)}}
 		machines = append(machines, m)
 	}
 	free := vm("free", 8)
@@ -76,7 +76,7 @@
 			r.Request.CPUs, r.AgedS = 8, 100+float64(i)
 			ready = append(ready, r)
 		}
-		free.Free.CPUs, free.Loads = 2, nil
+		free.Free.CPUs, free.PlacedTasks = 2, nil
 		got, work := placement.Run(0, ready, machines, unlimited(), 200)
 		if fmt.Sprint(got) != "[{small free} {small free}]" {
 			t.Errorf("aged jobs of %d tasks: started %v", tasks, got)
@@ -121,8 +121,8 @@
 				need := placement.Resources{CPUs: float64(1 + rng.IntN(3)), MemoryGB: 1}
 				if m.Free.Fits(need) {
 					m.Free = m.Free.Add(need, -1)
-					m.Loads = append(m.Loads, placement.Load{Request: need, EndS: float64(rng.IntN(3))})
-					slices.SortFunc(m.Loads, func(a, b placement.Load) int { return cmp.Compare(a.EndS, b.EndS) })
+					m.PlacedTasks = append(m.PlacedTasks, placement.PlacedTask{Request: need, EndS: float64(rng.IntN(3))})
+					slices.SortFunc(m.PlacedTasks, func(a, b placement.PlacedTask) int { return cmp.Compare(a.EndS, b.EndS) })
 				}
 			}
 			free[m.ID], zone[m.ID] = m.Free, m.Zone
@@ -135,13 +135,13 @@
 			j.Request.CPUs = float64(1 + rng.IntN(4))
 			j.Image = fmt.Sprint("img", rng.IntN(3))
 			j.Spot = rng.IntN(3) > 0
-			j.SameZone = rng.IntN(3) == 0
-			j.Spread = !j.SameZone && rng.IntN(3) == 0
+			j.OneZone = rng.IntN(3) == 0
+			j.SpreadZones = !j.OneZone && rng.IntN(3) == 0
 			jobs[j.Job] = j
 			ready = append(ready, j)
 		}
 		limit := float64(1 + rng.IntN(30))
-		teams := map[string]*placement.Team{"blue": {Max: placement.Resources{CPUs: limit, GPUs: 1, MemoryGB: 1e9}}}
+		teams := map[string]*placement.Team{"blue": {Limit: placement.Resources{CPUs: limit, GPUs: 1, MemoryGB: 1e9}}}
 		used := 0.0
 		zones := map[string]map[string]int{}
 		starts, _ := placement.Run(0, ready, machines, teams, 100)
@@ -157,7 +157,7 @@
 			}
 			zones[s.Job][zone[s.Machine]]++
 			for z, n := range zones[s.Job] {
-				if j.SameZone && len(zones[s.Job]) > 1 || j.Spread && n > (j.Total+1)/2 {
+				if j.OneZone && len(zones[s.Job]) > 1 || j.SpreadZones && n > (j.TotalTasks+1)/2 {
 					t.Fatalf("seed %d: %v in zone %s: %v", seed, s, z, zones[s.Job])
 				}
 			}
@@ -177,7 +177,7 @@
 // aged job, its smaller tasks don't take what is left; other teams' do.
 func TestAgedJobKeepsItsRoom(t *testing.T) {
 	teams := unlimited()
-	teams["red"] = &placement.Team{Used: placement.Resources{CPUs: 6}, Max: placement.Resources{CPUs: 8, MemoryGB: 1000}}
+	teams["red"] = &placement.Team{Used: placement.Resources{CPUs: 6}, Limit: placement.Resources{CPUs: 8, MemoryGB: 1000}}
 	aged, small := job("aged", 3, 1), job("small", 0, 2)
 	aged.Team, small.Team = "red", "red"
 	aged.Request.CPUs, aged.AgedS = 4, 100
@@ -217,10 +217,10 @@
 	for name, max := range map[string]float64{"the limit": 12, "the machine": 100} {
 		m := vm("m", 12)
 		m.Free = placement.Resources{CPUs: 2, MemoryGB: 50}
-		m.Loads = []placement.Load{{Request: placement.Resources{CPUs: 10, MemoryGB: 50}, EndS: 500}}
+		m.PlacedTasks = []placement.PlacedTask{{Request: placement.Resources{CPUs: 10, MemoryGB: 50}, EndS: 500}}
 		big, small, fresh := job("big", 1, 2), job("small", 3, 1), job("fresh", 0, 5)
 		big.Request.CPUs, big.AgedS, small.AgedS = 3, 200, 100
-		teams := map[string]*placement.Team{"blue": {Used: placement.Resources{CPUs: 10}, Max: placement.Resources{CPUs: max, MemoryGB: 1e9}}}
+		teams := map[string]*placement.Team{"blue": {Used: placement.Resources{CPUs: 10}, Limit: placement.Resources{CPUs: max, MemoryGB: 1e9}}}
 		got, _ := placement.Run(100, []*placement.PendingJob{fresh, big, small}, []*placement.Machine{m}, teams, 10)
 		if fmt.Sprint(got) != "[{small m}]" {
 			t.Errorf("kept by %s: %v", name, got)
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -46,7 +46,7 @@
 		return 0
 	}
 	free := m.Free
-	for _, l := range m.Loads {
+	for _, l := range m.PlacedTasks {
 		free = free.Add(l.Request, 1)
 		if free.Fits(need) {
 			return max(l.EndS-now, tuning.MinRemainingS)
@@ -55,13 +55,13 @@
 	return math.Inf(1)
 }
 
-func (m *Machine) addLoad(l Load) {
-	i := sort.Search(len(m.Loads), func(i int) bool { return m.Loads[i].EndS > l.EndS })
-	m.Loads = slices.Insert(m.Loads, i, l)
+func (m *Machine) addPlacedTask(l PlacedTask) {
+	i := sort.Search(len(m.PlacedTasks), func(i int) bool { return m.PlacedTasks[i].EndS > l.EndS })
+	m.PlacedTasks = slices.Insert(m.PlacedTasks, i, l)
 }
 
-// choice is a machine scored for a job.
-type choice struct {
+// candidate is a machine scored for a job.
+type candidate struct {
 	m       *Machine
 	version int // of the machine when it was scored
 	score   int64
@@ -70,7 +70,7 @@
 
 // better orders choices: the larger speedup, then the cheaper machine, then
 // the fuller one.
-func (a *choice) better(b *choice) bool {
+func (a *candidate) better(b *candidate) bool {
 	if a.score != b.score {
 		return a.score > b.score
 	}
@@ -83,20 +83,20 @@
 	return a.m.ID < b.m.ID
 }
 
-// choices is a heap; the jobs' own slices are used, so that a pass allocates
+// candidateHeap is a heap; the jobs' own slices are used, so that a pass allocates
 // little.
-type choices []choice
+type candidateHeap []candidate
 
-func (h choices) Len() int { return len(h) }
+func (h candidateHeap) Len() int { return len(h) }
 
-func (h choices) Less(i, j int) bool { return h[i].better(&h[j]) }
+func (h candidateHeap) Less(i, j int) bool { return h[i].better(&h[j]) }
 
-func (h choices) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h candidateHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-func (h *choices) Push(x any) { *h = append(*h, x.(choice)) }
+func (h *candidateHeap) Push(x any) { *h = append(*h, x.(candidate)) }
 
 // Pop drops the last entry; only its place is wanted.
-func (h *choices) Pop() any {
+func (h *candidateHeap) Pop() any {
 	*h = (*h)[:len(*h)-1]
 	return nil
 }
@@ -104,17 +104,17 @@
 // score is S(t, vm) = Rs(t) - Rvm(t, vm) in microseconds, and the wait for
 // room in it; false if the machine can't have the task. R(t) cancels out: what
 // is left is the fetch on an empty machine less the fetch and the wait here.
-func (p *pass) score(r *PendingJob, m *Machine) (choice, bool) {
-	p.work.ScoredPairs++
-	if m.queuedLevel >= 0 && m.queuedLevel < r.PriorityRank && r.AgedS == 0 || len(m.Loads) >= tuning.MaxTasksPerMachine || m.Avoid[r.Job] || !r.Allowed(m) {
-		return choice{}, false
+func (p *pass) score(r *PendingJob, m *Machine) (candidate, bool) {
+	p.stats.ScoredPairs++
+	if m.queuedRank >= 0 && m.queuedRank < r.PriorityRank && r.AgedS == 0 || len(m.PlacedTasks) >= tuning.MaxTasksPerMachine || m.AvoidJobs[r.Job] || !r.Allowed(m) {
+		return candidate{}, false
 	}
 	wait := m.waitFor(p.now, r.Request)
 	if math.IsInf(wait, 1) || p.startOnly && wait > 0 {
-		return choice{}, false
+		return candidate{}, false
 	}
 	s := FetchTime(r.ImageGB, m.FetchGBPerS) - wait - m.fetch(p.now, r.Image, r.ImageGB)
-	return choice{m: m, version: m.version, score: int64(math.Round(s * 1e6)), wait: wait}, true
+	return candidate{m: m, version: m.version, score: int64(math.Round(s * 1e6)), wait: wait}, true
 }
 
 // scoreAll makes the job's heap. Machines with room are scored first. A busy
@@ -126,81 +126,81 @@
 // score them all to no avail, and leave nothing for the work that finds room.
 func (p *pass) scoreAll(r *PendingJob) {
 	r.scored = true
-	r.choices = r.choices[:0]
+	r.candidates = r.candidates[:0]
 	cached := false
-	p.eachCandidate(func(m *Machine) bool {
+	p.eachOpenMachine(func(m *Machine) bool {
 		if !m.Free.Fits(r.Request) {
 			return true
 		}
 		if c, ok := p.score(r, m); ok {
-			r.choices = append(r.choices, c)
+			r.candidates = append(r.candidates, c)
 			at, here := m.Images[r.Image]
 			cached = cached || here && at <= p.now
 		}
 		return true
 	})
-	if none := len(r.choices) == 0; !p.startOnly && p.queued < tuning.PassMaxQueued && p.work.ScoredPairs < tuning.PassMaxScoredPairs/2 && (!cached && r.ImageGB > 0 || none) {
+	if none := len(r.candidates) == 0; !p.startOnly && p.queued < tuning.PassMaxQueuedTasks && p.stats.ScoredPairs < tuning.PassMaxScoredPairs/2 && (!cached && r.ImageGB > 0 || none) {
 		busy := p.machines
 		if !none {
-			busy = p.holdersOf(r.Image)
+			busy = p.machinesWithImage(r.Image)
 		}
 		for _, m := range busy {
 			if m.Free.Fits(r.Request) {
 				continue
 			}
 			if c, ok := p.score(r, m); ok {
-				r.choices = append(r.choices, c)
+				r.candidates = append(r.candidates, c)
 			}
 		}
 	}
-	heap.Init((*choices)(&r.choices))
+	heap.Init((*candidateHeap)(&r.candidates))
 }
 
-// eachCandidate calls f for the machines with room for the smallest of the tasks
+// eachOpenMachine calls f for the machines with room for the smallest of the tasks
 // until it returns false.
-func (p *pass) eachCandidate(f func(*Machine) bool) {
+func (p *pass) eachOpenMachine(f func(*Machine) bool) {
 	kept := 0
-	for i, m := range p.candidates {
-		if !m.Free.Fits(p.least) {
+	for i, m := range p.openMachines {
+		if !m.Free.Fits(p.smallestRequest) {
 			continue // room only shrinks within a pass
 		}
-		p.candidates[kept] = m
+		p.openMachines[kept] = m
 		kept++
 		if !f(m) {
-			kept += copy(p.candidates[kept:], p.candidates[i+1:])
+			kept += copy(p.openMachines[kept:], p.openMachines[i+1:])
 			break
 		}
 	}
-	p.candidates = p.candidates[:kept]
+	p.openMachines = p.openMachines[:kept]
 }
 
-func (p *pass) holdersOf(image string) []*Machine {
-	list, ok := p.holders[image]
+func (p *pass) machinesWithImage(image string) []*Machine {
+	list, ok := p.machinesByImage[image]
 	if !ok {
 		for _, m := range p.machines {
 			if _, here := m.Images[image]; here {
 				list = append(list, m)
 			}
 		}
-		p.holders[image] = list
+		p.machinesByImage[image] = list
 	}
 	return list
 }
 
 // best brings the best machine to the top of the job's heap: entries scored
 // before their machine changed are scored again. It is nil if there is none.
-func (p *pass) best(r *PendingJob) *choice {
+func (p *pass) best(r *PendingJob) *candidate {
 	if !r.scored {
 		p.scoreAll(r)
 	}
-	h := (*choices)(&r.choices)
-	for len(r.choices) > 0 {
-		top := &r.choices[0]
-		if top.version == top.m.version && (!r.SameZone && !r.Spread || r.Allowed(top.m)) {
+	h := (*candidateHeap)(&r.candidates)
+	for len(r.candidates) > 0 {
+		top := &r.candidates[0]
+		if top.version == top.m.version && (!r.OneZone && !r.SpreadZones || r.Allowed(top.m)) {
 			return top
 		}
 		if c, ok := p.score(r, top.m); ok {
-			r.choices[0] = c
+			r.candidates[0] = c
 			heap.Fix(h, 0)
 		} else {
 			heap.Pop(h)
--- a/internal/records/batch.go
+++ b/internal/records/batch.go
@@ -22,7 +22,7 @@
 
 // fits reports whether a change of the given size still goes in.
 func (b *Batch) fits(size int) bool {
-	return len(b.Mutations) < b.maxOps && (len(b.Mutations) == 0 || b.size+size <= tuning.MaxTxnBytes)
+	return len(b.Mutations) < b.maxOps && (len(b.Mutations) == 0 || b.size+size <= tuning.MaxTransactionBytes)
 }
 
 // add puts a change in, unless the key-value store would refuse it. All records
--- a/internal/records/queues.go
+++ b/internal/records/queues.go
@@ -53,12 +53,12 @@
 // committed one after the other, each followed by Committed.
 func (q *WriteQueues) NextBatch(maxOps, spare int, shedding bool) *Batch {
 	b := &Batch{maxOps: maxOps, valueLimit: q.valueLimit}
-	q.Dependent.moveTo(b, max(1, maxOps/tuning.DependentWritesPart))
-	first := max(1, maxOps/tuning.InteractiveWritesPart)
+	q.Dependent.moveTo(b, max(1, maxOps/tuning.DependentWritesDivisor))
+	first := max(1, maxOps/tuning.InteractiveWritesDivisor)
 	q.Interactive.moveTo(b, first)
 	q.moveStartsTo(b)
 	if shedding {
-		spare = max(spare, first/tuning.InteractiveWritesPart)
+		spare = max(spare, first/tuning.InteractiveWritesDivisor)
 	} else {
 		q.Interactive.moveTo(b, maxOps)
 	}
--- a/internal/simulation/admission_test.go
+++ b/internal/simulation/admission_test.go
@@ -33,7 +33,7 @@
 		{Name: "guests"},
 	}
 	p.Objectives = []config.Objective{{Kind: "finished", Class: "urgent", WithinS: 60}, {Kind: "finished", Class: "nightly", WithinS: 250}}
-	p.State.WriteRPS = 30
+	p.KVStore.WriteRPS = 30
 	w := simulation.New(seed, 3+2*int(seed%2), p, machineType)
 	w.Operator = config.Operator{Admission: &config.Admission{}}
 	w.LimitWriteRate = true
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -138,7 +138,7 @@
 			outcome.Accepted = true
 			done(*outcome)
 			c.patientPollLoop(outcome.Job)
-		case outcome.SettledAt+pause-outcome.SubmittedAt > tuning.AdmissionPatience:
+		case outcome.SettledAt+pause-outcome.SubmittedAt > tuning.AdmissionRetryWindow:
 			done(*outcome)
 		default:
 			c.sim.after(pause, func() { c.submitPatiently(outcome, done) })
--- a/internal/simulation/dependencies_test.go
+++ b/internal/simulation/dependencies_test.go
@@ -14,7 +14,7 @@
 func tightening() config.Params {
 	p := params()
 	valueKB, ops := 2.0, 8
-	p.State.Upcoming = config.UpcomingStateLimits{ValueKB: &valueKB, TxnOps: &ops}
+	p.KVStore.Upcoming = config.UpcomingKVStoreLimits{ValueKB: &valueKB, TxnOps: &ops}
 	return p
 }
 
--- a/internal/simulation/drain_budgets.go
+++ b/internal/simulation/drain_budgets.go
@@ -53,11 +53,11 @@
 	for _, t := range c.unavailable {
 		unavailable[t.team]++
 	}
-	used := map[string]drain.Use{}
+	used := map[string]drain.Usage{}
 	for _, e := range c.evictions {
 		if now.Sub(e.at) < c.Budgets.Window {
 			use := used[e.team]
-			used[e.team] = drain.Use{Evictions: use.Evictions + 1, LostS: use.LostS + e.lostS}
+			used[e.team] = drain.Usage{Evictions: use.Evictions + 1, LostS: use.LostS + e.lostS}
 		}
 	}
 	for team, use := range used {
--- a/internal/simulation/key_value_store.go
+++ b/internal/simulation/key_value_store.go
@@ -28,7 +28,7 @@
 type KeyValueStore struct {
 	Down bool
 	// Limits hold for values and transactions, if set.
-	Limits config.StateLimits
+	Limits config.KVStoreLimits
 	// OnCommit, if set, is told of every transaction that was carried out.
 	OnCommit func(wire.Txn)
 
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -38,14 +38,14 @@
 	drainsOff       bool // its operators have not turned drains on
 	admissionOff    bool // its operators have not turned admission control on
 	gate            *admission.Gate
-	peerOffers      map[string]admission.NodeOffers // from the latest heartbeats of the other nodes
+	peerOffers      map[string]admission.NodeOfferedLoad // from the latest heartbeats of the other nodes
 }
 
 // newNode returns a node whose process is up.
 func newNode(sim *Simulation, id int, zone string) *node {
 	return &node{
 		sim: sim, id: id, name: fmt.Sprintf("node-%d", id), zone: zone, up: true,
-		drift: (sim.rng.Float64() - 0.5) * 0.001, peerOffers: map[string]admission.NodeOffers{},
+		drift: (sim.rng.Float64() - 0.5) * 0.001, peerOffers: map[string]admission.NodeOfferedLoad{},
 	}
 }
 
@@ -84,7 +84,7 @@
 			n.previousVersion = !n.previousVersion
 		}
 		n.up = true
-		n.gate, n.peerOffers = nil, map[string]admission.NodeOffers{}
+		n.gate, n.peerOffers = nil, map[string]admission.NodeOfferedLoad{}
 		n.electionStep(n.incarnation)
 	})
 }
@@ -113,11 +113,11 @@
 }
 
 // storeLimits are the limits of the key-value store that the node's version keeps to.
-func (n *node) storeLimits() config.StateLimits {
+func (n *node) storeLimits() config.KVStoreLimits {
 	if n.previousVersion {
-		return n.sim.Params.State
+		return n.sim.Params.KVStore
 	}
-	return n.sim.Params.State.Tightest()
+	return n.sim.Params.KVStore.Tightest()
 }
 
 // anyNode draws the node to which the load balancer sends a client.
--- a/internal/simulation/node_admission.go
+++ b/internal/simulation/node_admission.go
@@ -73,7 +73,7 @@
 func (check *admissionCheck) refuse(decision admission.Decision) {
 	check.sim.Observed[ShedByFollower]++
 	check.gate.RecordRejected(check.sim.now, check.request)
-	check.refused = &leader.Response{Status: http.StatusTooManyRequests, RetryAfter: decision.RetryAfter}
+	check.refused = &leader.Response{Status: http.StatusTooManyRequests, RetryAfter: decision.RetryAfterS}
 }
 
 // recordResponse lets the gate record the leader's response.
@@ -94,7 +94,7 @@
 	if gate == nil {
 		return
 	}
-	offers := []admission.NodeOffers{gate.Offers(n.name)}
+	offers := []admission.NodeOfferedLoad{gate.OfferedLoad(n.name)}
 	for _, other := range n.sim.nodes {
 		if offer, known := n.peerOffers[other.name]; known {
 			offers = append(offers, offer)
@@ -123,7 +123,7 @@
 	if gate == nil {
 		return
 	}
-	offers := gate.Offers(n.name)
+	offers := gate.OfferedLoad(n.name)
 	var policy *admission.Policy
 	if n.leader != nil && n.leadership.HoldsLease(n.clock()) {
 		policy = n.leader.AdmissionPolicy()
--- a/internal/simulation/node_leader.go
+++ b/internal/simulation/node_leader.go
@@ -19,7 +19,7 @@
 			return
 		}
 		params := n.sim.Params
-		params.State = n.storeLimits()
+		params.KVStore = n.storeLimits()
 		grace := leader.GracePeriod(params.Workers)
 		l := leader.New(zerolog.Nop(), params, n.settings(), leadership.Term, won, grace)
 		if !n.loadRecords(l, err) {
--- a/internal/simulation/random_faults_test.go
+++ b/internal/simulation/random_faults_test.go
@@ -23,7 +23,7 @@
 			{Name: "green", CPUs: 8, CPUsMax: 12},
 		},
 		Workers: config.Workers{HeartbeatIntervalS: 3, LeaseS: 15, CancelDeadlineS: 45},
-		State:   config.StateLimits{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 48},
+		KVStore: config.KVStoreLimits{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 48},
 		Cloud:   config.CloudLimits{RPS: 5, ListLagS: 4},
 	}
 }
--- a/internal/simulation/store_link.go
+++ b/internal/simulation/store_link.go
@@ -49,8 +49,8 @@
 // LowerStoreLimits lets the key-value store keep to its present limits, and to the announced ones
 // after a time.
 func (sim *Simulation) LowerStoreLimits(after time.Duration) {
-	sim.Store.Limits = sim.Params.State
-	sim.after(after, func() { sim.Store.Limits = sim.Params.State.Tightest() })
+	sim.Store.Limits = sim.Params.KVStore
+	sim.after(after, func() { sim.Store.Limits = sim.Params.KVStore.Tightest() })
 }
 
 // callStore sends a request of the node to the key-value store. done is called with the response,
--- a/internal/tuning/admission.go
+++ b/internal/tuning/admission.go
@@ -18,21 +18,21 @@
 	// AdmissionShedPressure is the multiple of those at which shedding begins: below, a
 	// short burst is carried more quickly than anyone comes back.
 	AdmissionShedPressure = 2.5
-	// AdmissionMaxCut bounds what one look takes off the budget.
-	AdmissionMaxCut = 2.0
+	// AdmissionMaxDecrease bounds what one look takes off the budget.
+	AdmissionMaxDecrease = 2.0
 	// AdmissionGrowth and AdmissionStep (jobs a second) let the budget grow, each
 	// interval without pressure.
 	AdmissionGrowth = 1.1
 	AdmissionStep   = 0.5
 	// AdmissionMinBudget is admitted always, in jobs a second: no class waits for ever.
 	AdmissionMinBudget = 1.0
-	// AdmissionCalm is how long all that is submitted must fit before shedding ends.
-	AdmissionCalm = 5 * time.Second
+	// AdmissionCalmPeriod is how long all that is submitted must fit before shedding ends.
+	AdmissionCalmPeriod = 5 * time.Second
 	// AdmissionCapacityWeight is the weight of a new reading of what the state service
 	// takes.
 	AdmissionCapacityWeight = 0.3
-	// AdmissionOfferDecay smooths what is submitted; users come back within about that.
-	AdmissionOfferDecay = 3 * time.Second
+	// AdmissionOfferedLoadDecay smooths what is submitted; users come back within about that.
+	AdmissionOfferedLoadDecay = 3 * time.Second
 	// AdmissionMinOfferRate is the rate, in submissions a second, below which a key is
 	// left out of the division.
 	AdmissionMinOfferRate = 0.02
@@ -41,33 +41,33 @@
 	// AdmissionRevisions is how many revisions old the policy may be that a follower has
 	// applied: a heartbeat and a call on their way.
 	AdmissionRevisions = 3
-	// AdmissionReserved is the part of the budget given by guarantees and floors; the
+	// AdmissionReservedShare is the part of the budget given by guarantees and floors; the
 	// rest is left to weights, so that teams without a guarantee get a fair part of it.
-	AdmissionReserved = 0.5
-	// AdmissionClassFloors is the part of a team's share divided evenly among its classes.
-	AdmissionClassFloors = 0.2
+	AdmissionReservedShare = 0.5
+	// AdmissionClassFloorShare is the part of a team's share divided evenly among its classes.
+	AdmissionClassFloorShare = 0.2
 	// AdmissionLowestRank is the lowest priority; each one above counts twice as much.
 	AdmissionLowestRank = 3
-	// AdmissionAgeUnit is the wait after which a job that was refused is twice as likely
-	// to be admitted, AdmissionPatience how long its user comes back (protocol: 60 s).
-	AdmissionAgeUnit  = 10 * time.Second
-	AdmissionPatience = 60 * time.Second
-	// AdmissionDependentCredit is the wait that a job counts with whose needs are
+	// AdmissionAgingUnit is the wait after which a job that was refused is twice as likely
+	// to be admitted, AdmissionRetryWindow how long its user comes back (protocol: 60 s).
+	AdmissionAgingUnit   = 10 * time.Second
+	AdmissionRetryWindow = 60 * time.Second
+	// AdmissionDependentAge is the wait that a job counts with whose needs are
 	// accepted: fresh ones must not starve the rest of a chain.
-	AdmissionDependentCredit = 30 * time.Second
-	// AdmissionRetryMin and AdmissionRetryMax bound the time over which those who are
+	AdmissionDependentAge = 30 * time.Second
+	// AdmissionRetryMinS and AdmissionRetryMaxS bound the time over which those who are
 	// refused are spread, in seconds: several returns within the users' patience.
-	AdmissionRetryMin = 2.0
-	AdmissionRetryMax = 9
+	AdmissionRetryMinS = 2.0
+	AdmissionRetryMaxS = 9
 	// AdmissionMaxRemembered bounds the ids that a node remembers in each of its two tables
 	// (about 150 bytes each): what is refused within a minute at some 300 a second.
 	AdmissionMaxRemembered = 20_000
 	// AdmissionChecksPerSecond is how many jobs that come back a follower asks the leader about, a
 	// second, before it turns them away again: their acceptance may have been lost on its
-	// way. A question is one look into the leader's memory; AdmissionCheckWait bounds it.
+	// way. A question is one look into the leader's memory; AdmissionCheckTimeout bounds it.
 	AdmissionChecksPerSecond = 20
-	AdmissionCheckWait       = 250 * time.Millisecond
-	// AdmissionTaskReserve is the part of MaxActiveTasks kept for teams that use less than
+	AdmissionCheckTimeout    = 250 * time.Millisecond
+	// AdmissionTaskReserveShare is the part of MaxActiveTasks kept for teams that use less than
 	// their share.
-	AdmissionTaskReserve = 0.2
+	AdmissionTaskReserveShare = 0.2
 )
--- a/internal/tuning/drains.go
+++ b/internal/tuning/drains.go
@@ -22,8 +22,8 @@
 	// MaxDrainRecords bounds the drains that are kept, those that are over included: beyond,
 	// the oldest of those goes when another one comes.
 	MaxDrainRecords = 100
-	// DrainNameBytes is the length of a machine's name that batches are planned with.
-	DrainNameBytes = 32
+	// DrainMachineNameBytes is the length of a machine's name that batches are planned with.
+	DrainMachineNameBytes = 32
 	// DrainDeliveryLeases is, in leases, how long after its charge a stop may come into effect:
 	// a lease until it is told or the session over, and one for a succession in between.
 	DrainDeliveryLeases = 2
@@ -32,9 +32,9 @@
 	DrainWindow    = 10 * time.Minute
 	DrainWindowMin = 10 * time.Second
 	DrainWindowMax = 24 * time.Hour
-	// DrainUnavailable, DrainEvictions and DrainLostTime are a team's budget unless the
+	// DrainMaxUnavailable, DrainMaxEvictions and DrainMaxLostTime are a team's budget unless the
 	// operators say otherwise: a handful of tasks, as a start for careful drains.
-	DrainUnavailable = 10
-	DrainEvictions   = 100
-	DrainLostTime    = 20 * time.Minute
+	DrainMaxUnavailable = 10
+	DrainMaxEvictions   = 100
+	DrainMaxLostTime    = 20 * time.Minute
 )
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -72,8 +72,8 @@
 	StoreWriteShare = 0.85
 	// WriteBatchInterval lets changes gather between two transactions.
 	WriteBatchInterval = 15 * time.Millisecond
-	// MaxTxnBytes bounds a transaction's values (protocol: 64 KiB altogether).
-	MaxTxnBytes = 48 << 10
+	// MaxTransactionBytes bounds a transaction's values (protocol: 64 KiB altogether).
+	MaxTransactionBytes = 48 << 10
 	// PageSize is the number of keys asked for at once (protocol: 1,000).
 	PageSize = 1000
 	// StartRecordValueShare is the part of the value limit that a start record fills; its
@@ -84,14 +84,14 @@
 	// bytes for every three ("10000-10001,").
 	CompletionChunkTasks   = 1024
 	CompletionBytesPerTask = 4
-	// DependentWritesPart is the part of a transaction (one over it) that final states
+	// DependentWritesDivisor is the part of a transaction (one over it) that final states
 	// which follow from those of other jobs may always take: thousands of them
 	// must neither wait for ever nor hold up what users wait for.
-	DependentWritesPart = 4
-	// InteractiveWritesPart is the part of a transaction (one over it) that changes which
+	DependentWritesDivisor = 4
+	// InteractiveWritesDivisor is the part of a transaction (one over it) that changes which
 	// users wait for fill before records of starts; while new jobs are shed, the same part
 	// of that goes to completions and deletions before the rest is filled.
-	InteractiveWritesPart = 2
+	InteractiveWritesDivisor = 2
 	// DependencyStepsPerTick bounds the jobs that one look lets go on, cancels or weighs
 	// after others have ended: about a millisecond of work.
 	DependencyStepsPerTick = 500
@@ -160,9 +160,9 @@
 	// pass. A score takes about a microsecond of a whole core on the operators'
 	// machines and four of a controller's share: passes take half of it at most.
 	PassDelayPerScoredPair = 4 * time.Microsecond
-	// PassMaxQueued bounds the tasks that one pass puts in line behind busy
+	// PassMaxQueuedTasks bounds the tasks that one pass puts in line behind busy
 	// machines; more would only repeat the same look at the next pass.
-	PassMaxQueued = 128
+	PassMaxQueuedTasks = 128
 	// MaxTasksPerMachine bounds the tasks running and queued on one machine, so
 	// that its part of a start record stays far below the value limit.
 	MaxTasksPerMachine = 128
@@ -171,8 +171,8 @@
 	// team or large job starves behind a lasting backlog. The operators want no job
 	// left waiting for 90 s where it could start.
 	AgingThreshold = 80 * time.Second
-	// AgedShare is the part of a job's tasks that go first then.
-	AgedShare = 0.05
+	// AgedTaskShare is the part of a job's tasks that go first then.
+	AgedTaskShare = 0.05
 	// FailureBackoffMin and FailureBackoffMax bound the exponential pause of a job whose tasks
 	// fail, so that it doesn't starve others.
 	FailureBackoffMin = 2 * time.Second
@@ -182,16 +182,16 @@
 	// MinRemainingS is the least wait behind a running task, in seconds, however
 	// long it is over its estimate.
 	MinRemainingS = 1.0
-	// UrgencyStep is the difference in slack, in seconds, below which jobs of
+	// UrgencyStepS is the difference in slack, in seconds, below which jobs of
 	// one priority count as equally urgent and the speedup decides.
-	UrgencyStep = 20.0
+	UrgencyStepS = 20.0
 	// SizeWeight is what a second of work for all machines counts against a
 	// job, in seconds of slack.
 	SizeWeight = 6.0
-	// NoDeadlineSlack is the slack, less their age, that jobs without a time to meet
+	// NoDeadlineSlackS is the slack, less their age, that jobs without a time to meet
 	// and those too late for any count with, in seconds: behind most that can
 	// be in time, but not for ever.
-	NoDeadlineSlack = 400.0
+	NoDeadlineSlackS = 400.0
 	// StageDelay is what each stage of a chain takes beyond its tasks' run time
 	// and image: the last report, its record, the placement, the next report.
 	StageDelay = 3 * time.Second
@@ -210,15 +210,15 @@
 	// EstimateWeight is the weight of a new observation in the per-class
 	// ratio of run time to estimate.
 	EstimateWeight = 0.05
-	// MinimumEstimate keeps zero estimates from looking free, in seconds.
-	MinimumEstimate = 1.0
+	// MinimumEstimateS keeps zero estimates from looking free, in seconds.
+	MinimumEstimateS = 1.0
 )
 
 // Preemption.
 const (
-	// PreemptEndsSoon is how long a waiting task rather waits for a running
+	// PreemptExitWait is how long a waiting task rather waits for a running
 	// one to end by itself.
-	PreemptEndsSoon = 3 * time.Second
+	PreemptExitWait = 3 * time.Second
 	// PreemptMaxLoss is the most progress, since its last checkpoint, that a
 	// task may lose by being stopped for a higher priority.
 	PreemptMaxLoss = 8 * time.Second
@@ -250,15 +250,15 @@
 	// ConsolidateInterval paces the looks for machines to be emptied, about the time in
 	// which tasks stopped at one look have saved.
 	ConsolidateInterval = 3 * time.Second
-	// ConsolidateParts bounds the machines emptied at one look, as one part in so many
+	// ConsolidateDivisor bounds the machines emptied at one look, as one part in so many
 	// of all: their tasks' images and saves load the others.
-	ConsolidateParts = 10
+	ConsolidateDivisor = 10
 	// ConsolidateMinRunTime is how long a task must have run before it is moved: a start
 	// that is stopped earlier counts as none to its user.
 	ConsolidateMinRunTime = 32 * time.Second
-	// ConsolidateMinStay is how long a machine must be expected to stay otherwise; a move
+	// ConsolidateMinLifetime is how long a machine must be expected to stay otherwise; a move
 	// costs a save, a start and perhaps a fetch, on a part of the machine.
-	ConsolidateMinStay = 20 * time.Second
+	ConsolidateMinLifetime = 20 * time.Second
 )
 
 // Direct commands.
@@ -278,10 +278,10 @@
 	// FencingDelay is how long a machine whose lease is over may be heard of in a
 	// new session before it is released for a start that may still run there.
 	FencingDelay = 5 * time.Second
-	// FencingParts is the part of cancel_s (one over it) after which a machine is
+	// FencingDivisor is the part of cancel_s (one over it) after which a machine is
 	// released, and no longer answered, that may still get a late start of an ended
 	// job; sooner, if lease and reserve would not fit into the rest of cancel_s.
-	FencingParts = 3
+	FencingDivisor = 3
 )
 
 // Machines.
