--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -1,117 +1,130 @@
 package simulation
 
 import (
-	"sort"
+	"cmp"
+	"maps"
+	"slices"
 	"strconv"
 	"time"
 
 	"switchshore.example/switchshore/wire"
 )
 
-// Task is a task on a worker.
+// Task is one attempt of a task on an agent.
 type Task struct {
 	Name            string
 	Attempt         uint64
 	State           string
 	ExitReason      string
 	CheckpointSaved bool
-	StateEndsAt     time.Time // when the present state ends
+	StateEndsAt     time.Time
 	StartedAt       time.Time // when it began to run
 }
 
-// IsExecuting reports whether the task is on its machine in the sense of the rules.
+// IsExecuting reports whether the task runs or saves its progress, which is what the protocol's
+// invariants count.
 func (t *Task) IsExecuting() bool { return t.State == wire.TaskRunning || t.State == wire.TaskSaving }
 
-// Agent is one machine with its worker.
+// exit ends the task.
+func (t *Task) exit(reason string) { t.State, t.ExitReason = wire.TaskExited, reason }
+
+// Agent is one machine with its agent. It reads no clock: the time is passed in.
 type Agent struct {
-	ID        string
-	Machine   wire.ListedMachine
-	Type      wire.MachineType
-	LookUpJob func(id string) *wire.Job // what users uploaded
-	RunTime   func(*wire.Job) time.Duration
-	// SavedProgress, if set, tells the run time that a task has saved, on whatever machine; without it
-	// a task that is started again runs for its whole time.
+	ID      string
+	Machine wire.ListedMachine
+	Type    wire.MachineType
+	Lease   time.Duration
+	// LookUpJob returns what a user has uploaded for a job, nil if nothing.
+	LookUpJob func(id string) *wire.Job
+	// RunTime tells for how long a task of a job runs.
+	RunTime func(*wire.Job) time.Duration
+	// SavedProgress, if set, tells the run time that a task has saved, on whatever machine; without
+	// it a task that is started again runs for its whole time.
 	SavedProgress func(task string) time.Duration
-	Faulty        bool
+	// Faulty agents fail all tasks.
+	Faulty bool
 	// FailsJob, if set, tells jobs that fail on every machine.
 	FailsJob func(id string) bool
-	// OnStop, if set, is told of a running task that is about to be stopped.
+	// OnStop, if set, is called when a running task is about to be stopped.
 	OnStop func(t *Task, saves bool)
-	Lease  time.Duration
 
 	Epoch         uint64
 	Sequence      uint64
 	FencingToken  uint64
 	LeaseEnd      time.Time
 	ReclaimNotice *float64
-	Tasks         map[string]*Task
-	Completed     map[string]bool // completed tasks whose result is kept
+	Tasks         map[string]*Task // by name and attempt
+	Completed     map[string]bool  // tasks whose results are kept
 	CachedImages  map[string]bool
-	HeartbeatDue  bool
+	// StateChanged is set by every change that the next heartbeat reports.
+	StateChanged bool
 }
 
-// NewAgent returns a worker that has just come up.
-func NewAgent(now time.Time, row wire.ListedMachine, t wire.MachineType, lease time.Duration) *Agent {
+// NewAgent returns an agent that has just started.
+func NewAgent(now time.Time, machine wire.ListedMachine, t wire.MachineType, lease time.Duration) *Agent {
 	return &Agent{
-		ID: row.Name, Machine: row, Type: t, Lease: lease, Epoch: 1, LeaseEnd: now.Add(lease),
+		ID: machine.Name, Machine: machine, Type: t, Lease: lease, Epoch: 1, LeaseEnd: now.Add(lease),
 		Tasks: map[string]*Task{}, Completed: map[string]bool{}, CachedImages: map[string]bool{},
 	}
 }
 
-// attemptKey keeps several attempts of one task apart: exited ones stay listed.
+// attemptKey identifies an attempt: exited ones stay listed beside later ones of the same task.
 func attemptKey(name string, attempt uint64) string {
 	return name + "#" + strconv.FormatUint(attempt, 10)
 }
 
+// sortedTasks are all attempts, by task and number.
 func (a *Agent) sortedTasks() []*Task {
-	var ts []*Task
-	for _, t := range a.Tasks {
-		ts = append(ts, t)
-	}
-	sort.Slice(ts, func(i, j int) bool {
-		if ts[i].Name != ts[j].Name {
-			return ts[i].Name < ts[j].Name
-		}
-		return ts[i].Attempt < ts[j].Attempt
+	return slices.SortedFunc(maps.Values(a.Tasks), func(t, other *Task) int {
+		return cmp.Or(cmp.Compare(t.Name, other.Name), cmp.Compare(t.Attempt, other.Attempt))
 	})
-	return ts
 }
 
-// Advance lets time pass: fetches, runs and saves end, the lease may run out.
+// Advance lets time pass: images are fetched, tasks complete and save, the lease may expire.
 func (a *Agent) Advance(now time.Time) {
 	if now.After(a.LeaseEnd) {
 		a.Epoch++
 		a.Tasks = map[string]*Task{}
 		a.LeaseEnd = now.Add(a.Lease)
-		a.HeartbeatDue = true
+		a.StateChanged = true
 	}
 	for _, t := range a.sortedTasks() {
-		if t.State == wire.TaskExited || now.Before(t.StateEndsAt) {
-			continue
-		}
-		job := a.jobOf(t.Name)
-		a.HeartbeatDue = true
-		switch t.State {
-		case wire.TaskFetching:
-			a.CachedImages[job.Image] = true
-			switch {
-			case a.Completed[t.Name]:
-				t.State, t.ExitReason = wire.TaskExited, wire.ExitDone
-			case a.Faulty, a.FailsJob != nil && a.FailsJob(job.ID):
-				t.State, t.ExitReason = wire.TaskExited, wire.ExitError
-			default:
-				t.State, t.StateEndsAt, t.StartedAt = wire.TaskRunning, now.Add(a.remainingRunTime(t.Name, job)), now
-			}
-		case wire.TaskRunning:
-			t.State, t.ExitReason = wire.TaskExited, wire.ExitDone
-			a.Completed[t.Name] = true
-		case wire.TaskSaving:
-			t.State, t.ExitReason, t.CheckpointSaved = wire.TaskExited, wire.ExitStopped, true
+		if t.State != wire.TaskExited && !now.Before(t.StateEndsAt) {
+			a.advanceTask(now, t)
 		}
 	}
 }
 
-// remainingRunTime is for how long a task that begins now runs.
+// advanceTask moves a task to its next state.
+func (a *Agent) advanceTask(now time.Time, t *Task) {
+	a.StateChanged = true
+	switch t.State {
+	case wire.TaskFetching:
+		a.imageFetched(now, t)
+	case wire.TaskRunning:
+		t.exit(wire.ExitDone)
+		a.Completed[t.Name] = true
+	case wire.TaskSaving:
+		t.exit(wire.ExitStopped)
+		t.CheckpointSaved = true
+	}
+}
+
+// imageFetched lets a task run once its image is there.
+func (a *Agent) imageFetched(now time.Time, t *Task) {
+	job := a.jobOf(t.Name)
+	a.CachedImages[job.Image] = true
+	switch {
+	case a.Completed[t.Name]:
+		t.exit(wire.ExitDone)
+	case a.Faulty, a.FailsJob != nil && a.FailsJob(job.ID):
+		t.exit(wire.ExitError)
+	default:
+		t.State, t.StartedAt, t.StateEndsAt = wire.TaskRunning, now, now.Add(a.remainingRunTime(t.Name, job))
+	}
+}
+
+// remainingRunTime is for how long a task that starts now runs.
 func (a *Agent) remainingRunTime(task string, job *wire.Job) time.Duration {
 	left := a.RunTime(job)
 	if a.SavedProgress != nil {
@@ -120,22 +133,26 @@
 	return max(0, left)
 }
 
+// jobOf is the job of a task, nil if nothing was uploaded for it.
 func (a *Agent) jobOf(task string) *wire.Job {
 	id, _, _ := wire.SplitTask(task)
 	return a.LookUpJob(id)
 }
 
-// NextHeartbeat is the worker's next heartbeat.
+// NextHeartbeat is the agent's next heartbeat.
 func (a *Agent) NextHeartbeat() *wire.Heartbeat {
 	a.Sequence++
-	r := &wire.Heartbeat{
+	heartbeat := &wire.Heartbeat{
 		Machine: a.ID, Addr: a.Machine.Addr, Type: a.Machine.Type, Zone: a.Machine.Zone, Spot: a.Machine.Spot,
-		AgentEpoch: a.Epoch, Sequence: a.Sequence, FencingToken: a.FencingToken, ReclaimNoticeS: a.ReclaimNotice, Tasks: []wire.TaskStatus{},
+		AgentEpoch: a.Epoch, Sequence: a.Sequence, FencingToken: a.FencingToken,
+		ReclaimNoticeS: a.ReclaimNotice, Tasks: []wire.TaskStatus{},
 	}
 	for _, t := range a.sortedTasks() {
-		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.Name, Attempt: t.Attempt, State: t.State, ExitReason: t.ExitReason, CheckpointSaved: t.CheckpointSaved})
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{
+			Task: t.Name, Attempt: t.Attempt, State: t.State, ExitReason: t.ExitReason, CheckpointSaved: t.CheckpointSaved,
+		})
 	}
-	return r
+	return heartbeat
 }
 
 // HandleHeartbeatResponse applies the response to the heartbeat that the agent sent in the given
@@ -146,91 +163,103 @@
 	}
 	if response.FencingToken > a.FencingToken {
 		a.FencingToken = response.FencingToken
-		a.HeartbeatDue = true
+		a.StateChanged = true
 	}
 	if end := sent.Add(a.Lease); end.After(a.LeaseEnd) {
 		a.LeaseEnd = end
 	}
-	a.Execute(now, response.Commands)
+	a.execute(now, response.Commands)
 }
 
-// HandleCommandRequest takes in a direct request: executed if token and session match.
+// HandleCommandRequest applies a direct call: commands are executed if the fencing token is not
+// outdated and the epoch is the agent's.
 func (a *Agent) HandleCommandRequest(now time.Time, r wire.CommandRequest) {
 	if r.FencingToken < a.FencingToken || r.AgentEpoch != a.Epoch {
 		return
 	}
-	if r.FencingToken > a.FencingToken {
-		a.FencingToken = r.FencingToken
-	}
-	a.Execute(now, r.Commands)
-}
-
-// Execute runs commands in order.
-func (a *Agent) Execute(now time.Time, commands []wire.Command) {
-	for _, c := range commands {
-		k := attemptKey(c.Task, c.Attempt)
-		t := a.Tasks[k]
-		switch c.Op {
-		case wire.OpStart:
-			if t == nil {
-				a.Tasks[k] = a.start(now, c)
-				a.HeartbeatDue = true
-			}
-		case wire.OpStop:
-			if t == nil || t.State == wire.TaskExited {
-				continue
-			}
-			a.HeartbeatDue = true
-			job := a.jobOf(c.Task)
-			grace := 0.0
-			if c.GracePeriodS != nil {
-				grace = *c.GracePeriodS
-			}
-			saves := job.CheckpointIntervalS > 0 && grace >= job.CheckpointSaveS
-			if a.OnStop != nil && t.State == wire.TaskRunning {
-				a.OnStop(t, saves)
-			}
-			if t.State == wire.TaskRunning && saves {
-				t.State, t.StateEndsAt = wire.TaskSaving, now.Add(time.Duration(job.CheckpointSaveS*float64(time.Second)))
-			} else if t.State != wire.TaskSaving || grace == 0 {
-				t.State, t.ExitReason = wire.TaskExited, wire.ExitStopped
-			}
-		case wire.OpForget:
-			if t != nil && t.State == wire.TaskExited {
-				delete(a.Tasks, k)
-				a.HeartbeatDue = true
-			}
+	a.FencingToken = r.FencingToken
+	a.execute(now, r.Commands)
+}
+
+// execute executes commands in order.
+func (a *Agent) execute(now time.Time, commands []wire.Command) {
+	for _, command := range commands {
+		key := attemptKey(command.Task, command.Attempt)
+		t := a.Tasks[key]
+		exited := t != nil && t.State == wire.TaskExited
+		switch {
+		case command.Op == wire.OpStart && t == nil:
+			a.Tasks[key] = a.startTask(now, command)
+			a.StateChanged = true
+		case command.Op == wire.OpStop && t != nil && !exited:
+			a.stopTask(now, t, command.GracePeriodS)
+			a.StateChanged = true
+		case command.Op == wire.OpForget && exited:
+			delete(a.Tasks, key)
+			a.StateChanged = true
 		}
 	}
 }
 
-func (a *Agent) start(now time.Time, c wire.Command) *Task {
-	t := &Task{Name: c.Task, Attempt: c.Attempt, State: wire.TaskExited}
-	job := a.jobOf(c.Task)
+// stopTask stops a task, which saves its progress first if the grace period allows it. One that
+// saves already goes on, unless there is no grace period.
+func (a *Agent) stopTask(now time.Time, t *Task, gracePeriodS *float64) {
+	job := a.jobOf(t.Name)
+	grace := 0.0
+	if gracePeriodS != nil {
+		grace = *gracePeriodS
+	}
+	saves := job.CheckpointIntervalS > 0 && grace >= job.CheckpointSaveS
+	running := t.State == wire.TaskRunning
+	if a.OnStop != nil && running {
+		a.OnStop(t, saves)
+	}
+	switch {
+	case running && saves:
+		t.State, t.StateEndsAt = wire.TaskSaving, now.Add(seconds(job.CheckpointSaveS))
+	case t.State != wire.TaskSaving || grace == 0:
+		t.exit(wire.ExitStopped)
+	}
+}
+
+// startTask returns a new attempt, which has exited already if it can't be started.
+func (a *Agent) startTask(now time.Time, command wire.Command) *Task {
+	t := &Task{Name: command.Task, Attempt: command.Attempt}
+	job := a.jobOf(command.Task)
 	if job == nil {
-		t.ExitReason = wire.ExitUnknown
+		t.exit(wire.ExitUnknown)
 		return t
 	}
-	cpus, memory := job.CPUs, job.MemoryGB
-	for _, o := range a.Tasks {
-		if o.State == wire.TaskExited {
-			continue
-		}
-		if o.Name == c.Task {
-			t.ExitReason = wire.ExitTaskBusy
-			return t
-		}
-		other := a.jobOf(o.Name)
-		cpus += other.CPUs
-		memory += other.MemoryGB
-	}
-	if cpus > a.Type.CPUs+1e-6 || memory > a.Type.MemoryGB+1e-6 {
-		t.ExitReason = wire.ExitNoCapacity
+	if reason := a.startFailure(t.Name, job); reason != "" {
+		t.exit(reason)
 		return t
 	}
 	t.State, t.StateEndsAt = wire.TaskFetching, now
 	if !a.CachedImages[job.Image] {
-		t.StateEndsAt = now.Add(time.Duration(job.ImageGB / a.Type.FetchGBPerS * float64(time.Second)))
+		t.StateEndsAt = now.Add(seconds(job.ImageGB / a.Type.FetchGBPerS))
 	}
 	return t
 }
+
+// startFailure is why a task can't be started, "" if it can.
+func (a *Agent) startFailure(task string, job *wire.Job) string {
+	cpus, memoryGB := job.CPUs, job.MemoryGB
+	for _, other := range a.Tasks {
+		if other.State == wire.TaskExited {
+			continue
+		}
+		if other.Name == task {
+			return wire.ExitTaskBusy
+		}
+		otherJob := a.jobOf(other.Name)
+		cpus += otherJob.CPUs
+		memoryGB += otherJob.MemoryGB
+	}
+	if cpus > a.Type.CPUs+rounding || memoryGB > a.Type.MemoryGB+rounding {
+		return wire.ExitNoCapacity
+	}
+	return ""
+}
+
+// rounding is by how much sums of resources may exceed their bound.
+const rounding = 1e-6
--- a/internal/simulation/agent_heartbeats.go
+++ b/internal/simulation/agent_heartbeats.go
@@ -32,7 +32,7 @@
 		return
 	}
 	h := &agentHeartbeat{sim: sim, agent: a, message: a.NextHeartbeat(), sentAt: sim.now}
-	a.HeartbeatDue = false
+	a.StateChanged = false
 	a.lastHeartbeatAt = sim.now
 	a.inFlight = true
 	a.nextHeartbeatAt = sim.now.Add(seconds(sim.Params.Workers.HeartbeatIntervalS * (0.75 + 0.5*sim.rng.Float64())))
@@ -41,7 +41,7 @@
 
 func (a *agentProcess) isHeartbeatDue() bool {
 	now := a.sim.now
-	return !now.Before(a.nextHeartbeatAt) || a.HeartbeatDue && now.Sub(a.lastHeartbeatAt) >= minHeartbeatInterval
+	return !now.Before(a.nextHeartbeatAt) || a.StateChanged && now.Sub(a.lastHeartbeatAt) >= minHeartbeatInterval
 }
 
 // tryNextNode lets an agent without a response turn to the next node a little later.
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -1,6 +1,8 @@
 package simulation
 
 import (
+	"fmt"
+	"maps"
 	"math/rand/v2"
 	"slices"
 	"time"
@@ -8,105 +10,104 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// Cloud is the cloud.
+// neverBoots is a boot time longer than any run.
+const neverBoots = 1000 * time.Hour
+
+// Cloud is an in-memory cloud with one machine type. An offer is a zone with spot or ordinary
+// machines.
 type Cloud struct {
 	Type     wire.MachineType
-	Capacity int // machines an offer can hold at once
+	Capacity int // machines of each offer
 	Down     bool
-	// SlowBootsUntil: of the machines rented before then half come up several times
-	// as late, and a quarter never do.
+	// SlowBootsUntil: of the machines provisioned before then half take three times as long to
+	// boot, and a quarter never do.
 	SlowBootsUntil time.Time
-	// FastBootsUntil: machines rented before then are up within two seconds.
+	// FastBootsUntil: machines provisioned before then have booted within two seconds.
 	FastBootsUntil time.Time
 
 	machines    map[string]*cloudMachine
-	provisioned map[string][]string
+	provisioned map[string][]string // machines by request, which may be repeated
 	nextID      int
 }
 
+// cloudMachine is a machine that is provisioned.
 type cloudMachine struct {
 	wire.ListedMachine
 	provisionedAt time.Time
 	bootedAt      time.Time
 }
 
-// NewCloud returns a cloud with one machine type.
+// NewCloud returns a cloud without machines.
 func NewCloud(t wire.MachineType, capacity int) *Cloud {
 	return &Cloud{Type: t, Capacity: capacity, machines: map[string]*cloudMachine{}, provisioned: map[string][]string{}}
 }
 
-// Provision carries a rental out; nil means no capacity.
+// Provision adds machines and returns their names, none if there is no capacity.
 func (c *Cloud) Provision(now time.Time, rng *rand.Rand, r wire.ProvisionRequest) []string {
-	if names, ok := c.provisioned[r.RequestID]; ok {
+	if names, repeated := c.provisioned[r.RequestID]; repeated {
 		return names
 	}
-	used := 0
-	for _, row := range c.machines {
-		if row.Zone == r.Zone && row.Spot == r.Spot {
-			used++
-		}
-	}
-	n := min(r.Count, c.Capacity-used)
-	if n <= 0 || c.Down {
+	count := min(r.Count, c.Capacity-c.used(r.Zone, r.Spot))
+	if count <= 0 || c.Down {
 		return nil
 	}
 	var names []string
-	for range n {
-		id := "i-" + pad(c.nextID)
+	for range count {
+		id := fmt.Sprintf("i-%06d", c.nextID)
 		c.nextID++
-		boot := time.Duration(c.Type.BootTimeS * (0.6 + 0.9*rng.Float64()) * float64(time.Second))
-		if rng.IntN(20) == 0 {
-			boot = 1000 * time.Hour
-		}
-		if now.Before(c.SlowBootsUntil) {
-			switch rng.IntN(4) {
-			case 0:
-				boot = 1000 * time.Hour
-			case 1, 2:
-				boot *= 3
-			}
-		}
-		if now.Before(c.FastBootsUntil) {
-			boot = time.Duration(200+rng.IntN(1800)) * time.Millisecond
-		}
 		c.machines[id] = &cloudMachine{wire.ListedMachine{
 			Name: id, Addr: id, Type: r.Type, Zone: r.Zone, Spot: r.Spot, State: wire.MachineBooting,
-		}, now, now.Add(boot)}
+		}, now, now.Add(c.drawBootTime(now, rng))}
 		names = append(names, id)
 	}
 	c.provisioned[r.RequestID] = names
 	return names
 }
 
-func pad(n int) string {
-	s := []byte("000000")
-	for i := len(s) - 1; n > 0; i-- {
-		s[i] = byte('0' + n%10)
-		n /= 10
+// used is the number of machines of an offer.
+func (c *Cloud) used(zone string, spot bool) int {
+	count := 0
+	for _, machine := range c.machines {
+		if machine.Zone == zone && machine.Spot == spot {
+			count++
+		}
 	}
-	return string(s)
+	return count
 }
 
-// Names lists the machines in order.
-func (c *Cloud) Names() []string {
-	var names []string
-	for id := range c.machines {
-		names = append(names, id)
+// drawBootTime draws how long a machine provisioned now takes to boot; one in twenty never does.
+func (c *Cloud) drawBootTime(now time.Time, rng *rand.Rand) time.Duration {
+	boot := seconds(c.Type.BootTimeS * (0.6 + 0.9*rng.Float64()))
+	if rng.IntN(20) == 0 {
+		boot = neverBoots
 	}
-	slices.Sort(names)
-	return names
+	if now.Before(c.SlowBootsUntil) {
+		switch rng.IntN(4) {
+		case 0:
+			boot = neverBoots
+		case 1, 2:
+			boot *= 3
+		}
+	}
+	if now.Before(c.FastBootsUntil) {
+		boot = time.Duration(200+rng.IntN(1800)) * time.Millisecond
+	}
+	return boot
 }
 
-// List is the machine list as it stood some time ago.
+// Names are the names of all machines, in order.
+func (c *Cloud) Names() []string { return slices.Sorted(maps.Keys(c.machines)) }
+
+// List is the list of machines as it was some time ago.
 func (c *Cloud) List(now time.Time, lag time.Duration) []wire.ListedMachine {
-	var out []wire.ListedMachine
+	var list []wire.ListedMachine
 	for _, id := range c.Names() {
-		row := c.machines[id]
-		if age := now.Add(-lag).Sub(row.provisionedAt); age >= 0 {
-			r := row.ListedMachine
-			r.AgeS = age.Seconds()
-			out = append(out, r)
+		machine := c.machines[id]
+		if age := now.Add(-lag).Sub(machine.provisionedAt); age >= 0 {
+			listed := machine.ListedMachine
+			listed.AgeS = age.Seconds()
+			list = append(list, listed)
 		}
 	}
-	return out
+	return list
 }
--- a/internal/simulation/fault_injection.go
+++ b/internal/simulation/fault_injection.go
@@ -141,7 +141,7 @@
 	for _, id := range sim.agentNames() {
 		if a := sim.fleet.agents[id]; a.Machine.Spot && sim.chance(0.5) {
 			notice := reclaimNoticeS
-			a.ReclaimNotice, a.HeartbeatDue = &notice, true
+			a.ReclaimNotice, a.StateChanged = &notice, true
 			sim.after(sim.between(2500, 7500), func() { sim.removeMachine(id) })
 		}
 	}
--- a/internal/simulation/key_value_store.go
+++ b/internal/simulation/key_value_store.go
@@ -1,11 +1,8 @@
-// Package simulation is only for tests. It holds stand-ins for the state service, the cloud and the
-// workers, written after the protocol, a checker of its rules, and a seeded
-// world that plays them against controllers in simulated time. Tests use it.
 package simulation
 
 import (
+	"cmp"
 	"slices"
-	"sort"
 	"strings"
 	"time"
 
@@ -14,53 +11,56 @@
 	"switchshore.example/switchshore/wire"
 )
 
-type entry struct {
+// storedItem is the value of a key; it is deleted when its lease, if any, expires.
+type storedItem struct {
 	item  wire.KeyValue
 	lease uint64
 }
 
-type lease struct {
-	ttl time.Duration
-	end time.Time
+// storeLease is a lease that has been granted.
+type storeLease struct {
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
-// KeyValueStore is the state service.
+// KeyValueStore is an in-memory key-value store with transactions on conditions and leases. It
+// reads no clock: the time is passed in.
 type KeyValueStore struct {
 	Down bool
 	// Limits hold for values and transactions, if set.
 	Limits config.StateLimits
-	// OnCommit, if set, is told of every transaction that was carried out.
+	// OnCommit, if set, is called with every transaction that was executed.
 	OnCommit func(wire.Txn)
 
-	keys     map[string]*entry
-	leases   map[uint64]*lease
-	revision uint64
-	nextID   uint64
+	items       map[string]*storedItem
+	leases      map[uint64]*storeLease
+	revision    uint64
+	lastLeaseID uint64
 }
 
-// NewKeyValueStore returns an empty state service.
+// NewKeyValueStore returns an empty store.
 func NewKeyValueStore() *KeyValueStore {
-	return &KeyValueStore{keys: map[string]*entry{}, leases: map[uint64]*lease{}, revision: 1}
+	return &KeyValueStore{items: map[string]*storedItem{}, leases: map[uint64]*storeLease{}, revision: 1}
 }
 
-// Advance ends leases that have run out; during an outage none does, and
-// after it each has its full time again.
+// Advance expires leases. During an outage none expires, and after it each has its full time again.
 func (s *KeyValueStore) Advance(now time.Time) {
-	for id, l := range s.leases {
+	for id, lease := range s.leases {
 		if s.Down {
-			l.end = now.Add(l.ttl)
-		} else if !now.Before(l.end) {
+			lease.expiresAt = now.Add(lease.ttl)
+		} else if !now.Before(lease.expiresAt) {
 			s.revoke(id)
 		}
 	}
 }
 
+// revoke ends a lease and deletes its keys.
 func (s *KeyValueStore) revoke(id uint64) {
 	delete(s.leases, id)
-	for k, e := range s.keys {
-		if e.lease == id {
+	for key, stored := range s.items {
+		if stored.lease == id {
 			s.revision++
-			delete(s.keys, k)
+			delete(s.items, key)
 		}
 	}
 }
@@ -70,89 +70,105 @@
 	if s.Down {
 		return wire.KeyValue{}, kvstore.ErrUnavailable
 	}
-	e := s.keys[key]
-	if e == nil {
+	stored := s.items[key]
+	if stored == nil {
 		return wire.KeyValue{Revision: s.revision}, kvstore.ErrNotFound
 	}
-	return e.item, nil
+	return stored.item, nil
 }
 
-// List reads the keys with a prefix.
+// List reads the keys with a prefix, in order.
 func (s *KeyValueStore) List(prefix string) ([]wire.KeyValue, error) {
 	if s.Down {
 		return nil, kvstore.ErrUnavailable
 	}
 	var items []wire.KeyValue
-	for k, e := range s.keys {
-		if strings.HasPrefix(k, prefix) {
-			items = append(items, e.item)
+	for key, stored := range s.items {
+		if strings.HasPrefix(key, prefix) {
+			items = append(items, stored.item)
 		}
 	}
-	sort.Slice(items, func(i, j int) bool { return items[i].Key < items[j].Key })
+	slices.SortFunc(items, func(a, b wire.KeyValue) int { return cmp.Compare(a.Key, b.Key) })
 	return items, nil
 }
 
-// Commit runs a transaction.
+// Commit executes a transaction if its conditions hold.
 func (s *KeyValueStore) Commit(txn wire.Txn) (wire.TxnResult, error) {
 	if s.Down {
 		return wire.TxnResult{}, kvstore.ErrUnavailable
 	}
-	res := wire.TxnResult{}
 	if s.exceedsLimits(txn) {
-		return res, kvstore.ErrInvalidRequest
+		return wire.TxnResult{}, kvstore.ErrInvalidRequest
 	}
-	for _, g := range txn.If {
+	failed := s.failedConditions(txn)
+	if s.namesUnknownLease(txn) {
+		return wire.TxnResult{FailedKeys: failed}, kvstore.ErrInvalidRequest
+	}
+	if len(failed) > 0 {
+		return wire.TxnResult{FailedKeys: failed, Revision: s.revision}, kvstore.ErrConflict
+	}
+	s.execute(txn)
+	if s.OnCommit != nil {
+		s.OnCommit(txn)
+	}
+	return wire.TxnResult{Revision: s.revision}, nil
+}
+
+// failedConditions are the keys that have another version than the transaction requires.
+func (s *KeyValueStore) failedConditions(txn wire.Txn) []string {
+	var failed []string
+	for _, condition := range txn.If {
 		var version uint64
-		if e := s.keys[g.Key]; e != nil {
-			version = e.item.Version
+		if stored := s.items[condition.Key]; stored != nil {
+			version = stored.item.Version
 		}
-		if version != g.Version {
-			res.FailedKeys = append(res.FailedKeys, g.Key)
-		}
-	}
-	for _, w := range txn.Then {
-		if w.Lease != 0 && s.leases[w.Lease] == nil {
-			return res, kvstore.ErrInvalidRequest
+		if version != condition.Version {
+			failed = append(failed, condition.Key)
 		}
 	}
-	if len(res.FailedKeys) > 0 {
-		res.Revision = s.revision
-		return res, kvstore.ErrConflict
-	}
+	return failed
+}
+
+// namesUnknownLease reports whether a transaction binds a key to a lease that does not exist.
+func (s *KeyValueStore) namesUnknownLease(txn wire.Txn) bool {
+	return slices.ContainsFunc(txn.Then, func(change wire.Mutation) bool {
+		return change.Lease != 0 && s.leases[change.Lease] == nil
+	})
+}
+
+// execute applies the changes of a transaction.
+func (s *KeyValueStore) execute(txn wire.Txn) {
 	s.revision++
-	for _, w := range txn.Then {
-		if w.Delete != "" {
-			delete(s.keys, w.Delete)
+	for _, change := range txn.Then {
+		if change.Delete != "" {
+			delete(s.items, change.Delete)
 			continue
 		}
-		s.keys[w.Put] = &entry{wire.KeyValue{Key: w.Put, Value: w.Value, Version: s.revision}, w.Lease}
-	}
-	res.Revision = s.revision
-	if s.OnCommit != nil {
-		s.OnCommit(txn)
+		item := wire.KeyValue{Key: change.Put, Value: change.Value, Version: s.revision}
+		s.items[change.Put] = &storedItem{item, change.Lease}
 	}
-	return res, nil
 }
 
 // exceedsLimits reports whether a transaction is above the limits.
 func (s *KeyValueStore) exceedsLimits(txn wire.Txn) bool {
-	l := s.Limits
-	if l.TxnOps > 0 && (len(txn.Then) > l.TxnOps || len(txn.If) > 4*l.TxnOps) {
+	limits := s.Limits
+	if limits.TxnOps > 0 && (len(txn.Then) > limits.TxnOps || len(txn.If) > 4*limits.TxnOps) {
 		return true
 	}
-	return slices.ContainsFunc(txn.Then, func(w wire.Mutation) bool {
-		return len(w.Key()) > wire.MaxKeyBytes || l.ValueKB > 0 && float64(len(w.Value)) > l.ValueKB*1024
+	return slices.ContainsFunc(txn.Then, func(change wire.Mutation) bool {
+		tooLarge := limits.ValueKB > 0 && float64(len(change.Value)) > limits.ValueKB*1024
+		return tooLarge || len(change.Key()) > wire.MaxKeyBytes
 	})
 }
 
-// Grant gives a lease.
+// Grant creates a lease.
 func (s *KeyValueStore) Grant(now time.Time, ttl time.Duration) (uint64, error) {
 	if s.Down {
 		return 0, kvstore.ErrUnavailable
 	}
-	s.nextID++
-	s.leases[s.nextID] = &lease{ttl, now.Add(ttl)}
-	return s.nextID, nil
+	s.lastLeaseID++
+	s.leases[s.lastLeaseID] = &storeLease{ttl, now.Add(ttl)}
+	return s.lastLeaseID, nil
 }
 
 // Renew renews a lease.
@@ -160,10 +176,10 @@
 	if s.Down {
 		return kvstore.ErrUnavailable
 	}
-	l := s.leases[id]
-	if l == nil {
+	lease := s.leases[id]
+	if lease == nil {
 		return kvstore.ErrNotFound
 	}
-	l.end = now.Add(l.ttl)
+	lease.expiresAt = now.Add(lease.ttl)
 	return nil
 }
