--- a/internal/leader/controller.go
+++ b/internal/leader/controller.go
@@ -12,9 +12,11 @@
 
 	"switchshore.example/switchshore/internal/admission"
 	"switchshore.example/switchshore/internal/config"
+	"switchshore.example/switchshore/internal/consolidation"
 	"switchshore.example/switchshore/internal/jobs"
 	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/placement"
+	"switchshore.example/switchshore/internal/preemption"
 	"switchshore.example/switchshore/internal/records"
 	"switchshore.example/switchshore/internal/tuning"
 )
@@ -48,6 +50,7 @@
 	startDelay         jobs.StartDelay
 
 	machines   *machines.Registry
+	catalogue  *machines.Catalogue
 	listNumber uint64 // number of task lists applied
 	changed    bool   // since the last pass
 	scores     int    // pairs of job and machine looked at, for the logs
@@ -60,18 +63,18 @@
 	cloudState
 	directCalls
 	lastRuns
+	preemptor    *preemption.Preemptor
+	consolidator *consolidation.Consolidator
 	demandHistory
 	drainState
 }
 
 // lastRuns are the times at which periodic work was done last, or may be done next.
 type lastRuns struct {
-	lastPass          time.Time
-	nextPass          time.Time // no sooner
-	lastExpiry        time.Time // of leases
-	lastPreemption    time.Time
-	lastConsolidation time.Time
-	nextPlan          time.Time
+	lastPass   time.Time
+	nextPass   time.Time // no sooner
+	lastExpiry time.Time // of leases
+	nextPlan   time.Time
 }
 
 type team struct {
@@ -96,6 +99,7 @@
 		teams:              map[string]*team{},
 		runTimes:           jobs.RunTimes{},
 		machines:           machines.NewRegistry(),
+		catalogue:          machines.NewCatalogue(),
 		graph:              jobs.NewDependencyGraph(),
 		loading:            loading{pieces: records.JobPieces{}, attempts: map[taskKey]*machines.Attempt{}},
 		cloudState:         newCloudState(),
@@ -105,6 +109,7 @@
 	for _, t := range p.Teams {
 		c.teams[t.Name] = &team{Team: withLimits(t)}
 	}
+	c.preemptor, c.consolidator = c.newPreemptor(), c.newConsolidator()
 	c.setUpAdmission(&o, now)
 	// A predecessor's last answer comes at the latest a grace after its
 	// authority, which ended before now; the worker's lease runs from the
@@ -149,7 +154,7 @@
 func (l *Leader) Term() uint64 { return l.term }
 
 // CatalogueKnown reports whether submissions can be decided: the machine types are known.
-func (l *Leader) CatalogueKnown() bool { return len(l.types) > 0 }
+func (l *Leader) CatalogueKnown() bool { return l.catalogue.Known() }
 
 func (l *Leader) nextAttempt() uint64 {
 	l.attempts++
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -144,7 +144,7 @@
 // its estimate.
 func (l *Leader) stageTime(j *jobs.Job) time.Duration {
 	rate := 0.0
-	for _, t := range l.offers {
+	for _, t := range l.catalogue.Offers() {
 		rate = max(rate, t.FetchGBPerS)
 	}
 	takes := l.runTimes.Estimate(j)
--- a/internal/leader/drain_replace.go
+++ b/internal/leader/drain_replace.go
@@ -119,11 +119,11 @@
 		return l.machines.Get(name) != nil && l.machines.Get(name).Type == machineType
 	})
 	m := l.machines.Get(b.Machines[i])
-	zones := slices.Concat([]string{m.Zone}, l.types[machineType].Zones)
+	zones := slices.Concat([]string{m.Zone}, l.catalogue.Type(machineType).Zones)
 	for _, spot := range []bool{m.Spot, false} {
 		for _, zone := range zones {
 			o := autoscale.Offer{Type: machineType, Zone: zone, Spot: spot}
-			if slices.Contains(l.types[machineType].Zones, zone) && l.offered(now, o) {
+			if slices.Contains(l.catalogue.Type(machineType).Zones, zone) && l.offered(now, o) {
 				return o, true
 			}
 		}
--- a/internal/leader/drain_requests.go
+++ b/internal/leader/drain_requests.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"maps"
 	"net/http"
 	"slices"
 	"time"
@@ -59,7 +58,7 @@
 	err := s.Validate(wall)
 	if err == nil {
 		err = s.ValidateFor(drain.Deployment{
-			Zones: l.zones(), Types: slices.Sorted(maps.Keys(l.types)),
+			Zones: slices.Concat(l.params.Zones, l.catalogue.Zones()), Types: l.catalogue.Names(),
 			HasMachine: func(name string) bool { return l.machines.Get(name) != nil },
 		})
 	}
@@ -77,15 +76,6 @@
 	return nil
 }
 
-// zones are those of the settings and of the catalogue.
-func (l *Leader) zones() []string {
-	zones := slices.Clone(l.params.Zones)
-	for _, t := range l.offers {
-		zones = append(zones, t.Zones...)
-	}
-	return zones
-}
-
 // drainSize is the size in bytes of a drain's record with a full batch and its replacements.
 func (l *Leader) drainSize(s *drain.Spec) int {
 	const frame = 512 // counts, reason and states
--- a/internal/leader/drain_state.go
+++ b/internal/leader/drain_state.go
@@ -165,21 +165,10 @@
 	case l.ledger.IsCharged(a.Number), a.State == machines.PossiblyStarted:
 		l.ledger.RecordUnknown(j.Team, j.ID, a.Index)
 	case a.State.HasImage():
-		l.ledger.RecordInterruption(j.Team, j.ID, a.Index, now, lostProgress(now, a))
+		l.ledger.RecordInterruption(j.Team, j.ID, a.Index, now, a.LostProgressS(now))
 	}
 }
 
-// lostProgress is the run time in seconds that goes with an attempt that is gone.
-func lostProgress(now time.Time, a *machines.Attempt) float64 {
-	switch {
-	case a.CheckpointSaved:
-		return 0
-	case a.Job.CheckpointIntervalS > 0:
-		return unsavedProgress(now, a)
-	}
-	return now.Sub(a.RunningAt).Seconds()
-}
-
 // countRunning counts a task that was interrupted as running again, unless it is the very
 // attempt that a drain is about to stop.
 func (l *Leader) countRunning(a *machines.Attempt) {
--- a/internal/leader/drain_step.go
+++ b/internal/leader/drain_step.go
@@ -347,10 +347,10 @@
 // remainingPlacements are the kinds of machine that can be rented while the drain lasts.
 func (s *drainStep) remainingPlacements() []*placement.Machine {
 	var places []*placement.Machine
-	for _, t := range s.offers {
+	for _, t := range s.catalogue.Offers() {
 		for _, zone := range t.Zones {
 			if !s.closedByDrain(autoscale.Offer{Type: t.Name, Zone: zone}) {
-				places = append(places, &placement.Machine{Type: t.Name, Zone: zone, Capacity: resources(t)})
+				places = append(places, &placement.Machine{Type: t.Name, Zone: zone, Capacity: machines.Resources(t)})
 			}
 		}
 	}
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	l.catalogue = value // as stored: nothing to be written
+	l.catalogue.SetStored(value) // nothing to be written
 	l.SetMachineTypes(types)
 	return nil
 }
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -1,7 +1,6 @@
 package leader
 
 import (
-	"bytes"
 	"slices"
 	"time"
 
@@ -21,8 +20,8 @@
 
 // setCapacity fills in the amounts of the machine's type once it is known.
 func (l *Leader) setCapacity(m *machines.Machine) {
-	if t, ok := l.types[m.Type]; ok {
-		m.SetTotal(resources(t))
+	if l.catalogue.Has(m.Type) {
+		m.SetTotal(machines.Resources(l.catalogue.Type(m.Type)))
 	}
 	m.SnapshotOutdated = true
 }
@@ -32,14 +31,10 @@
 	if len(types) == 0 {
 		return
 	}
-	if value := records.EncodeMachineTypes(types); len(value) <= l.valueLimit() && !bytes.Equal(value, l.catalogue) {
-		l.catalogue = value
+	if value := records.EncodeMachineTypes(types); len(value) <= l.valueLimit() && l.catalogue.SetStored(value) {
 		l.writes.Background.Put(records.MachineTypesKey, value, nil)
 	}
-	l.offers = types
-	for _, t := range types {
-		l.types[t.Name] = t
-	}
+	l.catalogue.Set(types)
 	for _, m := range l.machines.All() {
 		l.setCapacity(m)
 	}
--- a/internal/leader/placement.go
+++ b/internal/leader/placement.go
@@ -57,10 +57,7 @@
 		l.changed = true
 		return
 	}
-	if now.Sub(l.lastPreemption) >= tuning.PreemptInterval {
-		l.lastPreemption = now
-		l.preempt(now, ready, byID)
-	}
+	l.preempt(now, ready, byID)
 }
 
 // highestPriority is the highest priority of the jobs.
@@ -203,7 +200,7 @@
 		return m.Snapshot
 	}
 	m.SnapshotOutdated = false
-	t := l.types[m.Type]
+	t := l.catalogue.Type(m.Type)
 	at := l.clock(now)
 	s := m.Snapshot
 	if s == nil {
@@ -211,7 +208,7 @@
 		m.Snapshot = s
 	}
 	s.Modified = false
-	s.Capacity, s.Free, s.FetchGBPerS, s.Price = m.Total, m.Free, t.FetchGBPerS, l.price(m)
+	s.Capacity, s.Free, s.FetchGBPerS, s.Price = m.Total, m.Free, t.FetchGBPerS, l.catalogue.Price(m)
 	s.PlacedTasks = s.PlacedTasks[:0]
 	clear(s.Images)
 	for image := range m.Images {
--- a/internal/leader/reachability.go
+++ b/internal/leader/reachability.go
@@ -86,7 +86,7 @@
 // shouldRelease reports whether a machine will do no more work: failed, never up,
 // silent for long, or emptied for a drain.
 func (l *Leader) shouldRelease(now time.Time, m *machines.Machine) bool {
-	boot := l.types[m.Type].BootTimeS
+	boot := l.catalogue.Type(m.Type).BootTimeS
 	switch {
 	case m.Failed, m.CordonedFor(machines.CordonReplaced), !m.ReleaseBy.IsZero() && now.After(m.ReleaseBy):
 		return true
--- a/internal/leader/rentals.go
+++ b/internal/leader/rentals.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"encoding/json"
 	"fmt"
 	"maps"
 	"slices"
@@ -17,10 +16,6 @@
 
 // cloudState is what is known of the cloud: its offers, and the calls to it under way.
 type cloudState struct {
-	types  map[string]wire.MachineType
-	offers []wire.MachineType
-	// catalogue is the stored form of the types.
-	catalogue         json.RawMessage
 	unavailableOffers map[autoscale.Offer]time.Time // without capacity, until then
 	partitionedZones  map[string]time.Time          // zones that seem to be cut off, until then
 	provisionsNamed   uint64                        // requests named so far
@@ -32,7 +27,6 @@
 
 func newCloudState() cloudState {
 	return cloudState{
-		types:             map[string]wire.MachineType{},
 		unavailableOffers: map[autoscale.Offer]time.Time{},
 		partitionedZones:  map[string]time.Time{},
 		pendingProvisions: map[string]*provisionRequest{},
@@ -48,14 +42,6 @@
 	replacementFor string
 }
 
-// price is what the machine costs now.
-func (l *Leader) price(m *machines.Machine) float64 {
-	if m.Spot {
-		return l.types[m.Type].SpotPrice
-	}
-	return l.types[m.Type].Price
-}
-
 // CloudOp is the kind of a cloud call.
 type CloudOp int
 
@@ -74,7 +60,7 @@
 
 // PlanScaling decides about renting and returning, at most once per planning period.
 func (l *Leader) PlanScaling(now time.Time) []CloudCall {
-	if now.Before(l.nextPlan) || len(l.types) == 0 || l.listsApplied == 0 {
+	if now.Before(l.nextPlan) || !l.catalogue.Known() || l.listsApplied == 0 {
 		return nil
 	}
 	l.nextPlan = now.Add(tuning.ScalingInterval)
@@ -170,7 +156,7 @@
 // planInput is the snapshot that the planner decides on.
 func (l *Leader) planInput(now time.Time) autoscale.Input {
 	in := autoscale.Input{
-		MachineTypes:    l.offers,
+		MachineTypes:    l.catalogue.Offers(),
 		ScaleInIdleTime: tuning.ScaleInIdleTime,
 		MaxMachines:     l.operator.MaxMachines,
 		Unavailable:     func(o autoscale.Offer) bool { return !l.offered(now, o) },
@@ -213,14 +199,14 @@
 		}
 		p := autoscale.Machine{
 			ID: m.ID, Offer: autoscale.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot},
-			Capacity: m.Total, Free: m.Free, Price: l.price(m),
+			Capacity: m.Total, Free: m.Free, Price: l.catalogue.Price(m),
 			Schedulable: !m.Cordoned() && !(m.Joined && l.heartbeatOverdue(now, m)),
 			Idle:        len(m.Attempts) == 0 && m.Joined && m.Reconciled && now.Sub(m.ProvisionedAt) >= tuning.MinimumBillingTime && !l.isReplacement(m.ID),
 			IdleFor:     now.Sub(m.IdleSince),
 		}
 		if !m.Joined {
 			p.Schedulable = p.Schedulable && !now.Before(l.partitionedZones[m.Zone])
-			p.BootRemainingS = max(0, l.types[m.Type].BootTimeS-now.Sub(m.ProvisionedAt).Seconds())
+			p.BootRemainingS = max(0, l.catalogue.Type(m.Type).BootTimeS-now.Sub(m.ProvisionedAt).Seconds())
 		}
 		for _, a := range m.Attempts {
 			p.BusyS += l.remaining(now, a) * a.Job.CPUs
@@ -235,10 +221,10 @@
 	var list []autoscale.Machine
 	for _, name := range slices.Sorted(maps.Keys(l.pendingProvisions)) {
 		r := l.pendingProvisions[name]
-		t := l.types[r.offer.Type]
+		t := l.catalogue.Type(r.offer.Type)
 		for range r.count {
 			list = append(list, autoscale.Machine{
-				Offer: r.offer, Capacity: resources(t), Free: resources(t), Schedulable: true, BootRemainingS: t.BootTimeS,
+				Offer: r.offer, Capacity: machines.Resources(t), Free: machines.Resources(t), Schedulable: true, BootRemainingS: t.BootTimeS,
 			})
 		}
 	}
--- a/internal/leader/requests.go
+++ b/internal/leader/requests.go
@@ -7,6 +7,7 @@
 	"switchshore.example/switchshore/internal/admission"
 	"switchshore.example/switchshore/internal/config"
 	"switchshore.example/switchshore/internal/jobs"
+	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/placement"
 	"switchshore.example/switchshore/internal/records"
 	"switchshore.example/switchshore/internal/tuning"
@@ -159,9 +160,9 @@
 	}
 	need := placement.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}
 	probe := placement.PendingJob{MachineTypes: spec.MachineTypes, Zone: spec.Zone, Spot: true, Request: need, TotalTasks: spec.Tasks}
-	for _, mt := range l.types {
+	for mt := range l.catalogue.All() {
 		for _, zone := range mt.Zones {
-			if probe.Allowed(&placement.Machine{Type: mt.Name, Zone: zone, Capacity: resources(mt)}) {
+			if probe.Allowed(&placement.Machine{Type: mt.Name, Zone: zone, Capacity: machines.Resources(mt)}) {
 				return ""
 			}
 		}
@@ -191,10 +192,6 @@
 	return aboveLimit(nil, spec)
 }
 
-func resources(t wire.MachineType) placement.Resources {
-	return placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
-}
-
 // Query tells a job's state, 503 while it can't be told.
 func (l *Leader) Query(id string) Response {
 	if j := l.jobs[id]; j != nil && j.Undecided() {
