--- /dev/null
+++ b/internal/node/admission_loop.go
@@ -0,0 +1,26 @@
+package node
+
+import (
+	"context"
+	"time"
+
+	"switchshore.example/switchshore/internal/ctxtime"
+	"switchshore.example/switchshore/internal/tuning"
+)
+
+// admissionLoop tells the leader's state, once an interval, what the nodes are offered, and by
+// how much this loop itself comes too late.
+func (t *term) admissionLoop(ctx context.Context) error {
+	lag := time.Duration(0)
+	for {
+		offers := append(t.node.hub.Offers(), *t.node.gate.offers(t.node.config.Name))
+		now := time.Now()
+		t.node.mu.Lock()
+		t.state.UpdateAdmission(now, now, lag, offers)
+		t.node.mu.Unlock()
+		if err := ctxtime.Sleep(ctx, tuning.AdmissionInterval); err != nil {
+			return err
+		}
+		lag = time.Since(now) - tuning.AdmissionInterval
+	}
+}
--- /dev/null
+++ b/internal/node/commit.go
@@ -0,0 +1,49 @@
+package node
+
+import (
+	"context"
+
+	"switchshore.example/switchshore/internal/ctxtime"
+	"switchshore.example/switchshore/internal/kvstore"
+	"switchshore.example/switchshore/internal/records"
+	"switchshore.example/switchshore/internal/tuning"
+)
+
+// commitLoop commits the leader's changes, one batch after the other.
+func (t *term) commitLoop(ctx context.Context) error {
+	writer := kvstore.NewFencedWriter(t.leadership.Term, t.leadership.LeaderVersion, t.leadership.TermVersion)
+	for {
+		batch := t.nextBatch()
+		if batch == nil {
+			if err := t.awaitChanges(ctx); err != nil {
+				return err
+			}
+			continue
+		}
+		refused, err := writer.Commit(ctx, t.node.store, batch.Mutations)
+		if err != nil {
+			return err
+		}
+		t.node.mu.Lock()
+		t.state.BatchCommitted(batch, refused)
+		t.node.mu.Unlock()
+		signal(t.node.tickSignal)
+	}
+}
+
+// nextBatch takes the changes to be committed now, nil for none.
+func (t *term) nextBatch() *records.Batch {
+	t.node.mu.Lock()
+	defer t.node.mu.Unlock()
+	return t.state.NextBatch(t.node.store.MaxOps(), t.node.store.SpareWrites())
+}
+
+// awaitChanges waits for changes, and a moment longer, for more to go with them.
+func (t *term) awaitChanges(ctx context.Context) error {
+	select {
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-t.node.writeSignal:
+	}
+	return ctxtime.Sleep(ctx, tuning.WriteBatchInterval)
+}
--- /dev/null
+++ b/internal/node/local_test.go
@@ -0,0 +1,134 @@
+package node
+
+import (
+	"context"
+	"net/http"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"switchshore.example/switchshore/internal/config"
+	"switchshore.example/switchshore/internal/election"
+	"switchshore.example/switchshore/internal/leader"
+	"switchshore.example/switchshore/internal/peer"
+	"switchshore.example/switchshore/internal/tuning"
+	"switchshore.example/switchshore/wire"
+)
+
+const testTerm = 5
+
+// testNode is a node without any peer, store or cloud.
+func testNode() *Node {
+	return &Node{
+		hub:         peer.NewHub(zerolog.Nop(), nil),
+		grace:       10 * time.Second,
+		tickSignal:  make(chan struct{}, 1),
+		writeSignal: make(chan struct{}, 1),
+	}
+}
+
+// lead makes the node the leader of testTerm by a lease renewed at the given time.
+func (n *Node) lead(renewed time.Time) {
+	params := config.Params{Workers: config.Workers{HeartbeatIntervalS: 3, LeaseS: 15, CancelDeadlineS: 45}}
+	n.leadership = election.NewLeadership(testTerm, renewed)
+	n.leader = leader.New(zerolog.Nop(), params, config.Operator{}, testTerm, renewed, n.grace)
+	n.leader.FinishLoading(renewed)
+}
+
+// TestWhoHandlesCalls: a user's request only the holder of the lease, a worker's heartbeat
+// also a leader in its grace period; anyone else forwards them.
+func TestWhoHandlesCalls(t *testing.T) {
+	heartbeat := func(token uint64) peer.Call {
+		return peer.Call{Op: peer.OpHeartbeat, Heartbeat: &wire.Heartbeat{
+			Machine: "m1", Addr: "m1:9", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: 1, FencingToken: token,
+		}}
+	}
+	query := peer.Call{Op: peer.OpQuery, Job: "job-000001"}
+	now := time.Now()
+	inGrace, expired := now.Add(-tuning.LeaderLeaseTTL), now.Add(-time.Minute)
+	for _, c := range []struct {
+		name    string
+		renewed time.Time // zero: not the leader
+		call    peer.Call
+		handled bool
+		status  int
+		revoked bool
+		ticks   bool
+	}{
+		{name: "heartbeat, not the leader", call: heartbeat(testTerm)},
+		{name: "heartbeat, leader", renewed: now, call: heartbeat(testTerm), handled: true, status: http.StatusOK, ticks: true},
+		{name: "heartbeat, grace period", renewed: inGrace, call: heartbeat(testTerm), handled: true, status: http.StatusOK, ticks: true},
+		{name: "heartbeat, after the grace period", renewed: expired, call: heartbeat(testTerm), ticks: true},
+		{name: "heartbeat that knows a later term", renewed: now, call: heartbeat(testTerm + 1), revoked: true, ticks: true},
+		{name: "query, not the leader", call: query},
+		{name: "query, leader", renewed: now, call: query, handled: true, status: http.StatusNotFound},
+		{name: "query, grace period", renewed: inGrace, call: query},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			n := testNode()
+			if !c.renewed.IsZero() {
+				n.lead(c.renewed)
+			}
+			response, handled := n.handleLocally(context.Background(), c.call)
+			if handled != c.handled || response.Status != c.status {
+				t.Errorf("handled: %v, %+v", handled, response)
+			}
+			if revoked := n.leadership != nil && !n.leadership.InGracePeriod(c.renewed, n.grace); revoked != c.revoked {
+				t.Errorf("revoked: %v", revoked)
+			}
+			if ticks := len(n.tickSignal) > 0; ticks != c.ticks {
+				t.Errorf("tick signalled: %v", ticks)
+			}
+		})
+	}
+}
+
+// TestLaterTermEndsLeadership: of a peer that leads; an earlier or the same one doesn't.
+func TestLaterTermEndsLeadership(t *testing.T) {
+	for term, leads := range map[uint64]bool{testTerm - 1: true, testTerm: true, testTerm + 1: false} {
+		n := testNode()
+		now := time.Now()
+		n.lead(now)
+		n.endTermBefore(term)
+		if got := n.leadership.HoldsLease(now); got != leads {
+			t.Errorf("a leader of term %d: still leads: %v", term, got)
+		}
+	}
+}
+
+// TestResultsThatComeLate: once the lease has expired only a result that stays true for good
+// is passed on, and none is awaited for longer than the caller does.
+func TestResultsThatComeLate(t *testing.T) {
+	now := time.Now()
+	valid, expired := election.NewLeadership(testTerm, now), election.NewLeadership(testTerm, now.Add(-time.Minute))
+	ended, cancel := context.WithCancel(context.Background())
+	cancel()
+	job := func(state string) *peer.Response {
+		return &peer.Response{Status: http.StatusOK, Job: &wire.JobStatus{State: state}}
+	}
+	for _, c := range []struct {
+		name       string
+		leadership *election.Leadership
+		result     *peer.Response
+		status     int
+	}{
+		{"in time", valid, job(wire.JobRunning), http.StatusOK},
+		{"lease expired", expired, job(wire.JobRunning), http.StatusServiceUnavailable},
+		{"lease expired, job done", expired, job(wire.JobDone), http.StatusOK},
+		{"none", valid, nil, http.StatusServiceUnavailable},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			ctx := context.Background()
+			result := make(chan peer.Response, 1)
+			if c.result != nil {
+				result <- *c.result
+			} else {
+				ctx = ended
+			}
+			if got := awaitResult(ctx, c.leadership, result); got.Status != c.status {
+				t.Errorf("%+v, want %d", got, c.status)
+			}
+		})
+	}
+}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -2,189 +2,20 @@
 
 import (
 	"context"
-	"encoding/json"
-	"errors"
 	"fmt"
-	"net"
 	"strconv"
 	"strings"
 	"sync/atomic"
 	"testing"
 	"time"
 
-	"github.com/rs/zerolog"
-	"github.com/valyala/fasthttp"
 	"golang.org/x/sync/errgroup"
 
 	"switchshore.example/switchshore/internal/config"
-	"switchshore.example/switchshore/internal/node"
-	"switchshore.example/switchshore/internal/simulation"
 	"switchshore.example/switchshore/wire"
 )
 
-const submission = `{"ref":"%s","muster":"c","crew":"blue","rig":"batch","rank":"high","oars":3,
- "cores":2,"cards":0,"memoryGb":1,"hull":"img","imageGb":0.1,"builds":null,"berth":null,
- "together":false,"apart":false,"driftwood":true,"reckonS":0.1,"loglineS":0,"stowS":0,"tideS":null}`
-
-// cluster is a few whole nodes on loopback with stand-ins around them.
-type cluster struct {
-	t     *testing.T
-	addrs []string
-	peers []string
-	stop  []context.CancelFunc
-	ended []chan struct{}
-	// services are the state service and the cloud.
-	services *simulation.Server
-}
-
-func listen(t *testing.T) net.Listener {
-	t.Helper()
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	return ln
-}
-
-func freeAddr(t *testing.T) string {
-	ln := listen(t)
-	defer ln.Close()
-	return ln.Addr().String()
-}
-
-func start(t *testing.T, size int) *cluster {
-	return startWith(t, size, &config.Operator{}, func(*config.Params) {})
-}
-
-// startWith starts nodes with the operators' settings given, after a change of the others.
-func startWith(t *testing.T, size int, operator *config.Operator, change func(*config.Params)) *cluster {
-	services := simulation.NewServer(wire.MachineType{
-		Name: "std-8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootTimeS: 0.1, Zones: []string{"a"},
-	})
-	ln := listen(t)
-	t.Cleanup(func() { _ = ln.Close() })
-	go func() { _ = services.Serve(ln) }()
-	c := &cluster{t: t, services: services}
-	var peers []config.Peer
-	for i := range size {
-		c.addrs = append(c.addrs, freeAddr(t))
-		peers = append(peers, config.Peer{Name: fmt.Sprint("n", i), Addr: freeAddr(t)})
-		c.peers = append(c.peers, peers[i].Addr)
-	}
-	ctx, cancel := context.WithCancel(context.Background())
-	t.Cleanup(cancel)
-	services.OnBoot = func(row wire.ListedMachine) { work(ctx, row, c.addrs) }
-	for i := range size {
-		cfg := &config.Config{
-			Name: peers[i].Name, Zone: "a", Listen: c.addrs[i], PeerListen: peers[i].Addr,
-			Services: config.Services{Cloud: ln.Addr().String(), KVStore: ln.Addr().String()},
-			Params: config.Params{
-				Teams:   []config.Team{{Name: "blue", CPUs: 8, CPUsMax: 16}},
-				Workers: config.Workers{HeartbeatIntervalS: 0.3, LeaseS: 5, CancelDeadlineS: 20},
-				KVStore: config.KVStoreLimits{RPS: 500, WriteRPS: 300, ValueKB: 16, TxnOps: 48},
-				Cloud:   config.CloudLimits{RPS: 50, ListLagS: 0.1},
-			},
-		}
-		change(&cfg.Params)
-		for k, p := range peers {
-			if k != i {
-				cfg.Peers = append(cfg.Peers, p)
-			}
-		}
-		ctx, stop := context.WithCancel(ctx)
-		ended := make(chan struct{})
-		c.stop, c.ended = append(c.stop, stop), append(c.ended, ended)
-		go func() {
-			defer close(ended)
-			if err := node.New(zerolog.Nop(), cfg, operator).Run(ctx); err != nil && !errors.Is(err, context.Canceled) {
-				t.Log(err)
-			}
-		}()
-	}
-	return c
-}
-
-// work plays one worker that finishes every task at once.
-func work(ctx context.Context, row wire.ListedMachine, nodes []string) {
-	r := wire.Heartbeat{Machine: row.Name, Type: row.Type, Zone: row.Zone, Spot: row.Spot, AgentEpoch: 1, Tasks: []wire.TaskStatus{}}
-	for at := 0; ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
-		r.Sequence++
-		data, _ := json.Marshal(r)
-		status, body := send(nodes[at], fasthttp.MethodPost, wire.PathHeartbeat, string(data))
-		var a wire.HeartbeatResponse
-		if status != 200 || json.Unmarshal(body, &a) != nil {
-			at = (at + 1) % len(nodes)
-			continue
-		}
-		r.FencingToken = a.FencingToken
-		for _, c := range a.Commands {
-			switch c.Op {
-			case wire.OpStart:
-				r.Tasks = append(r.Tasks, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskExited, ExitReason: wire.ExitDone})
-			case wire.OpForget:
-				for i, t := range r.Tasks {
-					if t.Task == c.Task && t.Attempt == c.Attempt {
-						r.Tasks = append(r.Tasks[:i], r.Tasks[i+1:]...)
-						break
-					}
-				}
-			}
-		}
-	}
-}
-
-func send(addr, method, path, body string) (int, []byte) {
-	status, _, data := exchange(addr, method, path, body)
-	return status, data
-}
-
-// exchange sends a request; it returns status, Retry-After and body.
-func exchange(addr, method, path, body string) (int, string, []byte) {
-	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(req)
-	defer fasthttp.ReleaseResponse(res)
-	req.Header.SetMethod(method)
-	req.SetRequestURI("http://" + addr + path)
-	req.SetBodyString(body)
-	if err := fasthttp.DoTimeout(req, res, 5*time.Second); err != nil {
-		return 0, "", nil
-	}
-	return res.StatusCode(), string(res.Header.Peek(fasthttp.HeaderRetryAfter)), append([]byte(nil), res.Body()...)
-}
-
-// until repeats a request until it gets the status and, if given, the state.
-func (c *cluster) until(addr, method, path, body string, status int, state string) {
-	c.t.Helper()
-	var got int
-	var js wire.JobStatus
-	for range 600 {
-		var data []byte
-		got, data = send(addr, method, path, body)
-		js = wire.JobStatus{}
-		_ = json.Unmarshal(data, &js)
-		if got == status && (state == "" || js.State == state) {
-			return
-		}
-		time.Sleep(50 * time.Millisecond)
-	}
-	c.t.Fatalf("%s %s: %d %+v, want %d %s", method, path, got, js, status, state)
-}
-
-// untilAccepted repeats a submission until it is accepted: the first answer that says so may
-// be the one to a repeat.
-func (c *cluster) untilAccepted(addr, body string) {
-	c.t.Helper()
-	var status int
-	for range 600 {
-		if status, _ = send(addr, "POST", wire.PathJobs, body); status/100 == 2 {
-			return
-		}
-		time.Sleep(50 * time.Millisecond)
-	}
-	c.t.Fatalf("not accepted: %d", status)
-}
-
-// TestNodesOverLoopback goes the way of a user through real sockets: submission at
+// TestNodesOverLoopback follows a user through real sockets: submission at
 // each node, the same again, done, cancellation, refusals, and the end of
 // every node in turn but the last.
 func TestNodesOverLoopback(t *testing.T) {
@@ -234,8 +65,8 @@
 	}
 }
 
-// TestBadInput: at every node, also repeated, during a succession and an outage of
-// the state service, a malformed submission gets 400, one that can't run 422, an
+// TestBadInput: at every node, also repeated, during a failover and an outage of
+// the key-value store, a malformed submission gets 400, one that can't run 422, an
 // unknown job 404, an accepted one 200 with its state and never something older.
 // Where a node can't decide it answers 503 with Retry-After. Nothing that is wrong is
 // ever called accepted.
@@ -278,8 +109,8 @@
 		name, _, _ := strings.Cut(value, ":")
 		malformed = append(malformed, odd(400, value+",", ""), odd(400, value, name+":null"), odd(400, value, name+":{}"))
 	}
-	// look sends everything to the nodes; 503 may come for what is undecided.
-	look := func(what string, addrs ...string) {
+	// check sends everything to the nodes; 503 may come for what is undecided.
+	check := func(what string, addrs ...string) {
 		t.Helper()
 		for _, addr := range addrs {
 			for _, r := range append(malformed, undecided...) {
@@ -297,17 +128,17 @@
 	for _, addr := range c.addrs {
 		c.until(addr, "GET", jobs+"/job-000001", "", 200, wire.JobDone)
 	}
-	look("quiet", c.addrs...)
+	check("no fault", c.addrs...)
 	c.services.SetStoreDown(true)
 	c.until(c.addrs[0], "GET", jobs+"/job-000001", "", 503, "")
-	look("outage", c.addrs...)
+	check("outage", c.addrs...)
 	c.services.SetStoreDown(false)
 	c.until(c.addrs[2], "GET", jobs+"/job-000001", "", 200, wire.JobDone)
 	for i := range 2 {
 		c.stop[i]()
-		look("succession", c.addrs[2])
+		check("failover", c.addrs[2])
 		<-c.ended[i]
-		look("succession", c.addrs[2])
+		check("failover", c.addrs[2])
 	}
 	c.until(c.addrs[2], "GET", jobs+"/job-000001", "", 200, wire.JobDone)
 	c.until(c.addrs[2], undecided[0].method, undecided[0].path, "", 404, "")
--- /dev/null
+++ b/internal/node/routing.go
@@ -0,0 +1,50 @@
+package node
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"switchshore.example/switchshore/internal/peer"
+	"switchshore.example/switchshore/internal/tuning"
+)
+
+// Do carries a call out if this node leads, or forwards it to the leader. A submission
+// that comes from a user goes through admission first, unless that is off.
+func (n *Node) Do(ctx context.Context, c peer.Call) peer.Response {
+	if n.gate != nil && c.Op == peer.OpSubmit && c.Hops == 0 {
+		return n.admit(ctx, c)
+	}
+	if response, handled := n.handleLocally(ctx, c); handled {
+		return response
+	}
+	return n.forward(ctx, c)
+}
+
+// forward sends a call to the leader and waits for the response as long as the caller does.
+func (n *Node) forward(ctx context.Context, c peer.Call) peer.Response {
+	timeout := forwardTimeout(c.Op)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	sent := time.Now()
+	response, err := n.hub.Forward(ctx, c)
+	switch {
+	case err != nil:
+		return peer.Refused(http.StatusServiceUnavailable, "no leader within reach")
+	case !response.IsTerminal() && time.Since(sent) > timeout:
+		// This process may have been suspended, and the response be out of date.
+		return peer.Refused(http.StatusServiceUnavailable, "the leader's answer came late")
+	}
+	return response
+}
+
+// forwardTimeout is how long a caller waits for an operation.
+func forwardTimeout(op string) time.Duration {
+	switch op {
+	case peer.OpSubmit, peer.OpCancel, peer.OpDrain:
+		return tuning.SubmitTimeout
+	case peer.OpHeartbeat:
+		return tuning.HeartbeatForwardTimeout
+	}
+	return tuning.QueryTimeout
+}
--- /dev/null
+++ b/internal/node/summary.go
@@ -0,0 +1,20 @@
+package node
+
+// logSummary writes the sums that operators read first.
+func (t *term) logSummary() {
+	t.node.mu.Lock()
+	counts := t.state.Counts()
+	shares, on := t.state.AdmissionSummary()
+	t.node.mu.Unlock()
+	if on && shares.Shedding {
+		event := t.node.log.Info().Float64("pressure", shares.Pressure).Float64("budget", shares.Budget).Float64("offered", shares.Offered)
+		for _, s := range shares.Shed {
+			event = event.Float64(s.Team+"/"+s.Class, s.Admit)
+		}
+		event.Msg("shedding load")
+	}
+	t.node.log.Debug().Int("jobs", counts.Jobs).Int("ready", counts.Ready).Int("allocated", counts.Allocated).
+		Int("machines", counts.Machines).Int("up", counts.Up).Int("spot", counts.Spot).
+		Float64("cpus", counts.CPUs).Float64("used", counts.UsedCPUs).Float64("wanted", counts.WantedCPUs).
+		Int("writes", counts.Writes).Int("dependency_steps", counts.DependencySteps).Int("scored_pairs", counts.ScoredPairs).Msg("summary")
+}
--- /dev/null
+++ b/internal/node/tick.go
@@ -0,0 +1,82 @@
+package node
+
+import (
+	"context"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"switchshore.example/switchshore/internal/ctxtime"
+	"switchshore.example/switchshore/internal/leader"
+	"switchshore.example/switchshore/internal/tuning"
+)
+
+// actions are what one tick has made due.
+type actions struct {
+	cloudCalls  []leader.CloudCall
+	directCalls []*leader.DirectCall
+	// hasWrites: changes wait to be committed.
+	hasWrites bool
+}
+
+// tickLoop lets the leader's state decide on what is due, at intervals and when signalled.
+// It owns the calls that follow from it.
+func (t *term) tickLoop(ctx context.Context) error {
+	ticker := time.NewTicker(tuning.TickInterval)
+	defer ticker.Stop()
+	calls, ctx := errgroup.WithContext(ctx)
+	defer func() { _ = calls.Wait() }() // no call returns an error
+	lastSummary := time.Now()
+	for {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-ticker.C:
+		case <-t.node.tickSignal:
+		}
+		now := time.Now()
+		t.start(ctx, calls, t.decide(now))
+		if now.Sub(lastSummary) > tuning.SummaryInterval {
+			lastSummary = now
+			t.logSummary()
+		}
+		if err := ctxtime.Sleep(ctx, tuning.TickIntervalMin); err != nil {
+			return err
+		}
+	}
+}
+
+// decide asks the leader's state what time and changes have made due.
+func (t *term) decide(now time.Time) actions {
+	holdsLease := t.leadership.HoldsLease(now)
+	t.node.mu.Lock()
+	defer t.node.mu.Unlock()
+	var due actions
+	t.state.Tick(now, holdsLease)
+	if holdsLease {
+		t.state.AdvanceDrains(now, time.Now())
+		due.cloudCalls = t.state.PlanScaling(now)
+		due.directCalls = t.state.NextDirectCalls(now)
+	}
+	due.hasWrites = t.state.HasPendingWrites()
+	return due
+}
+
+// start starts the calls that were decided on.
+func (t *term) start(ctx context.Context, calls *errgroup.Group, due actions) {
+	for _, call := range due.directCalls {
+		calls.Go(func() error {
+			t.callWorker(ctx, call)
+			return nil
+		})
+	}
+	if due.hasWrites {
+		signal(t.node.writeSignal)
+	}
+	for _, call := range due.cloudCalls {
+		calls.Go(func() error {
+			t.callCloud(ctx, call)
+			return nil
+		})
+	}
+}
