--- a/internal/node/routing.go
+++ b/internal/node/routing.go
@@ -39,7 +39,7 @@
 }
 
 // forwardTimeout is how long a caller waits for an operation.
-func forwardTimeout(op string) time.Duration {
+func forwardTimeout(op peer.Operation) time.Duration {
 	switch op {
 	case peer.OpSubmit, peer.OpCancel, peer.OpDrain:
 		return tuning.SubmitTimeout
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -4,11 +4,15 @@
 	"context"
 	"fmt"
 	"net"
+	"sync"
 	"time"
 
 	"switchshore.example/switchshore/internal/tuning"
 )
 
+// requestID is that of the only call on a connection.
+const requestID = 1
+
 // Request sends one call to a node from outside the cluster, such as an operator's command, and
 // waits for the answer until the context ends.
 func Request(ctx context.Context, addr string, c Call) (Response, error) {
@@ -17,34 +21,43 @@
 	if err != nil {
 		return Response{}, err
 	}
-	defer conn.Close()
 	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
+	// A deadline in the past ends the reading, and the writing.
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
-	defer stop()
 	out := newLineWriter(conn)
-	go out.run(ctx)
-	c.ID = 1
+	var sending sync.WaitGroup
+	sending.Go(func() { out.run(ctx) })
+	defer func() {
+		stop()
+		cancel()
+		_ = conn.Close() // the answer was read, or will not be
+		sending.Wait()
+	}()
+	c.ID = requestID
 	if err := out.write(&message{Call: &c}); err != nil {
 		return Response{}, err
 	}
-	var answer *Response
-	err = readLinesWithin(conn, tuning.OperatorTimeout, func(m *message) bool {
-		if m.Response != nil && m.Response.ID == c.ID {
-			answer = m.Response
-		}
-		return answer == nil
-	})
-	if answer == nil {
-		return Response{}, fmt.Errorf("no answer from %s: %w", addr, orClosed(err))
+	answer, err := readAnswer(conn)
+	if err != nil {
+		return Response{}, fmt.Errorf("%w from %s: %w", ErrNoAnswer, addr, err)
 	}
 	return *answer, nil
 }
 
-// orClosed is the error, or one that says that the connection has ended.
-func orClosed(err error) error {
-	if err == nil {
-		return net.ErrClosed
+// readAnswer reads lines until the answer to the request comes.
+func readAnswer(conn net.Conn) (*Response, error) {
+	var answer *Response
+	err := readLinesUntil(conn, tuning.OperatorTimeout, func(m *message) bool {
+		if m.Response != nil && m.Response.ID == requestID {
+			answer = m.Response
+		}
+		return answer != nil
+	})
+	switch {
+	case answer != nil:
+		return answer, nil
+	case err != nil:
+		return nil, err
 	}
-	return err
+	return nil, net.ErrClosed
 }
--- /dev/null
+++ b/internal/peer/line_reader.go
@@ -0,0 +1,49 @@
+package peer
+
+import (
+	"bufio"
+	"net"
+	"time"
+
+	"github.com/goccy/go-json"
+
+	"switchshore.example/switchshore/internal/tuning"
+)
+
+// idleTimeoutConn is a connection whose reads fail when nothing comes for a while.
+type idleTimeoutConn struct {
+	net.Conn
+	timeout time.Duration
+}
+
+// Read reads what comes within the timeout.
+func (c idleTimeoutConn) Read(b []byte) (int, error) {
+	_ = c.SetReadDeadline(time.Now().Add(c.timeout)) // fails only if the read does
+	return c.Conn.Read(b)
+}
+
+// readLines calls handle for every line until the connection ends or nothing comes for
+// PeerTimeout.
+func readLines(conn net.Conn, handle func(*message)) error {
+	return readLinesUntil(conn, tuning.PeerTimeout, func(m *message) bool {
+		handle(m)
+		return false
+	})
+}
+
+// readLinesUntil calls handle for every line until it returns true, the connection ends, or
+// nothing comes for the timeout.
+func readLinesUntil(conn net.Conn, timeout time.Duration, handle func(*message) (done bool)) error {
+	scanner := bufio.NewScanner(idleTimeoutConn{Conn: conn, timeout: timeout})
+	scanner.Buffer(make([]byte, 0, tuning.PeerBuffer), tuning.PeerMaxLine)
+	for scanner.Scan() {
+		var m message
+		if err := json.Unmarshal(scanner.Bytes(), &m); err != nil {
+			return err
+		}
+		if handle(&m) {
+			return nil
+		}
+	}
+	return scanner.Err()
+}
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -6,86 +6,71 @@
 	"sync"
 	"time"
 
+	"switchshore.example/switchshore/internal/config"
 	"switchshore.example/switchshore/internal/ctxtime"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
 // link is this node's connection to one peer.
 type link struct {
-	hub        *Hub
-	name, addr string
-	poke       chan struct{}
+	hub          *Hub
+	name, addr   string
+	heartbeatDue chan struct{} // a heartbeat is to be sent at once
+	connected    bool          // guarded by hub.mu
+	calls        pendingCalls
+}
 
-	up      bool // guarded by hub.mu
-	mu      sync.Mutex
-	out     *lineWriter
-	nextID  uint64
-	waiting map[uint64]chan Response
+func newLink(h *Hub, p config.Peer) *link {
+	return &link{hub: h, name: p.Name, addr: p.Addr, heartbeatDue: make(chan struct{}, 1)}
 }
 
-func (l *link) run(ctx context.Context) error {
+// run dials the peer again and again until the context ends.
+func (l *link) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		conn, err := net.DialTimeout("tcp4", l.addr, tuning.PeerDialTimeout)
 		if err == nil {
-			l.serve(ctx, conn)
+			l.serveConnection(ctx, conn)
 		}
 		if ctxtime.Sleep(ctx, tuning.PeerRedialDelay) != nil {
-			break
+			return
 		}
 	}
-	return nil
 }
 
-// serve keeps one connection: heartbeats out, heartbeats and answers in. A connection
-// on which nothing comes back for PeerTimeout is given up, as a cut gives no
-// error.
-func (l *link) serve(ctx context.Context, conn net.Conn) {
+// serveConnection keeps one connection: heartbeats and calls out, heartbeats and answers
+// in. A connection on which nothing comes back for PeerTimeout is closed, as a network
+// partition gives no error.
+func (l *link) serveConnection(ctx context.Context, conn net.Conn) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // ends the reading
 	defer stop()
 	out := newLineWriter(conn)
-	go out.run(ctx)
-	l.attach(out)
-	go func() {
+	var sending sync.WaitGroup
+	sending.Go(func() { out.run(ctx) })
+	l.calls.open(out)
+	sending.Go(func() {
 		defer cancel()
 		l.sendHeartbeats(ctx, out)
-	}()
-	_ = readLines(conn, l.receive)
-	l.setUp(false)
+	})
+	_ = readLines(conn, l.receive) // however it ends, the peer is dialled again
+	l.setConnected(false)
 	_ = conn.Close()
-	l.detach()
+	l.calls.close()
+	cancel()
+	sending.Wait()
 }
 
-// attach lets calls go out over a connection.
-func (l *link) attach(out *lineWriter) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.out = out
-	l.waiting = map[uint64]chan Response{}
-}
-
-// detach ends all calls that wait for an answer over a connection that has ended.
-func (l *link) detach() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.out = nil
-	for id, ch := range l.waiting {
-		delete(l.waiting, id)
-		close(ch)
-	}
-}
-
-// sendHeartbeats sends one at every interval, and at once when poked, until the context ends.
+// sendHeartbeats sends one at every interval, and at once when due, until the context ends.
 func (l *link) sendHeartbeats(ctx context.Context, out *lineWriter) {
 	for ctx.Err() == nil {
-		self := l.hub.LocalHeartbeat()
-		if out.write(&message{Heartbeat: &self}) != nil {
+		own := l.hub.LocalHeartbeat()
+		if out.write(&message{Heartbeat: &own}) != nil {
 			return
 		}
 		select {
 		case <-ctx.Done():
-		case <-l.poke:
+		case <-l.heartbeatDue:
 		case <-time.After(tuning.HeartbeatInterval):
 		}
 	}
@@ -96,51 +81,35 @@
 	switch {
 	case m.Heartbeat != nil:
 		l.hub.recordHeartbeat(m.Heartbeat)
-		l.setUp(true)
+		l.setConnected(true)
 	case m.Response != nil:
-		l.mu.Lock()
-		ch := l.waiting[m.Response.ID]
-		delete(l.waiting, m.Response.ID)
-		l.mu.Unlock()
-		if ch != nil {
-			ch <- *m.Response
-		}
+		l.calls.resolve(m.Response)
 	}
 }
 
-func (l *link) setUp(up bool) {
+func (l *link) setConnected(connected bool) {
 	l.hub.mu.Lock()
-	l.up = up
-	l.hub.mu.Unlock()
+	defer l.hub.mu.Unlock()
+	l.connected = connected
 }
 
+// call sends a call to the peer and waits for the answer.
 func (l *link) call(ctx context.Context, c Call) (Response, error) {
-	ch := make(chan Response, 1)
-	l.mu.Lock()
-	out := l.out
-	if out == nil || len(l.waiting) >= tuning.PeerMaxCalls {
-		l.mu.Unlock()
+	answer, out := l.calls.add(&c)
+	if out == nil {
 		return Response{}, ErrUnreachable
 	}
-	l.nextID++
-	c.ID = l.nextID
-	l.waiting[c.ID] = ch
-	l.mu.Unlock()
 	if err := out.write(&message{Call: &c}); err != nil {
 		return Response{}, err
 	}
 	select {
-	case a, ok := <-ch:
+	case response, ok := <-answer:
 		if !ok {
 			return Response{}, ErrUnreachable
 		}
-		return a, nil
+		return response, nil
 	case <-ctx.Done():
-		l.mu.Lock()
-		if l.waiting[c.ID] == ch {
-			delete(l.waiting, c.ID)
-		}
-		l.mu.Unlock()
+		l.calls.remove(c.ID, answer)
 		return Response{}, ctx.Err()
 	}
 }
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -6,23 +6,27 @@
 	"switchshore.example/switchshore/wire"
 )
 
+// Operation is what a call asks for.
+type Operation string
+
 // Operations that are forwarded.
 const (
-	OpSubmit    = "submit"
-	OpQuery     = "query"
-	OpCancel    = "cancel"
-	OpHeartbeat = "report"
-	OpDrain     = "drain"
+	OpSubmit    Operation = "submit"
+	OpQuery     Operation = "query"
+	OpCancel    Operation = "cancel"
+	OpHeartbeat Operation = "report"
+	OpDrain     Operation = "drain"
 )
 
 // Call is a request on its way to the leader.
 type Call struct {
-	ID   uint64    `json:"id"`
-	Op   string    `json:"op"`
+	ID uint64    `json:"id"`
+	Op Operation `json:"op"`
+	// Job is the ID of the job that the request is about.
 	Job  string    `json:"job,omitempty"`
 	Spec *wire.Job `json:"spec,omitempty"`
-	// WithDependencies is in the place of Spec for a job that needs others. Versions
-	// that don't know such jobs would lose what it needs and start it early;
+	// WithDependencies is in the place of Spec for a job that depends on others. Versions
+	// that don't know such jobs would lose the dependencies and start it early;
 	// without Spec the call is incomplete to them, and refused at once.
 	WithDependencies *wire.Job       `json:"chained,omitempty"`
 	Heartbeat        *wire.Heartbeat `json:"report,omitempty"`
@@ -53,9 +57,9 @@
 	return c.Spec
 }
 
-// complete reports whether the call carries what its operation needs. A peer
+// isComplete reports whether the call carries what its operation needs. A peer
 // of another version, in the middle of an upgrade, may send less.
-func (c *Call) complete() bool {
+func (c *Call) isComplete() bool {
 	switch c.Op {
 	case OpSubmit:
 		return c.Submission() != nil
@@ -67,37 +71,38 @@
 	return true
 }
 
-// Response is a status with what the caller is told: of a job, of a report, or
-// why it is refused.
+// Response is a status with what the caller is told: of a job, of a worker's heartbeat, or
+// why the call is refused.
 type Response struct {
 	ID        uint64                  `json:"id"`
 	Status    int                     `json:"status"`
 	Job       *wire.JobStatus         `json:"job,omitempty"`
 	Heartbeat *wire.HeartbeatResponse `json:"report,omitempty"`
 	Reason    string                  `json:"why,omitempty"`
-	// RetryAfterS is when the user should come back, in seconds; 0 for the usual time.
+	// RetryAfter is when the user should come back, in seconds; 0 for the usual time.
 	RetryAfter int `json:"retryAfter,omitempty"`
 	// Drains are those that an operator asked about.
 	Drains []drain.Status `json:"drains,omitempty"`
 }
 
 // IsTerminal reports whether the answer stays true for good, whoever leads.
-func (a *Response) IsTerminal() bool {
-	return a.Status/100 == 2 && a.Job != nil && wire.IsTerminal(a.Job.State)
+func (r *Response) IsTerminal() bool {
+	return r.Status/100 == 2 && r.Job != nil && wire.IsTerminal(r.Job.State)
 }
 
-// Refused is an answer other than success.
-func Refused(status int, why string) Response { return Response{Status: status, Reason: why} }
+// Refused is a response other than success.
+func Refused(status int, reason string) Response { return Response{Status: status, Reason: reason} }
 
 // Heartbeat says what a node knows of the leader.
 type Heartbeat struct {
 	Node string `json:"node"`
-	// Term is the node's own term if it leads, or may still answer reports.
+	// Term is the node's own term if it leads, or may still answer workers' heartbeats.
 	Term uint64 `json:"term,omitempty"`
-	// IsLeader: with authority. Grace: reports only.
-	IsLeader      bool `json:"leads,omitempty"`
+	// IsLeader: the node holds the leader's lease.
+	IsLeader bool `json:"leads,omitempty"`
+	// InGracePeriod: the node may answer workers' heartbeats, and nothing else unless it IsLeader.
 	InGracePeriod bool `json:"grace,omitempty"`
-	// ReachesLeader: the node has a direct link to a leader with authority.
+	// ReachesLeader: the node has a direct link to a leader that holds the lease.
 	ReachesLeader bool `json:"hears,omitempty"`
 	// Policy is the leader's for the admission of jobs, Offers what the node's users
 	// submit; nil where admission control is off.
@@ -105,6 +110,7 @@
 	Offers *admission.NodeOfferedLoad `json:"offers,omitempty"`
 }
 
+// message is one line: exactly one field is set.
 type message struct {
 	Heartbeat *Heartbeat `json:"beat,omitempty"`
 	Call      *Call      `json:"call,omitempty"`
