--- /dev/null
+++ b/internal/drainer/interruptions.go
@@ -0,0 +1,45 @@
+package drainer
+
+import (
+	"time"
+
+	"switchshore.example/switchshore/internal/jobs"
+	"switchshore.example/switchshore/internal/machines"
+)
+
+// CountInterruption counts an attempt that is about to be removed, if it may have run.
+func (d *Drainer) CountInterruption(now time.Time, a *machines.Attempt) {
+	j := a.Job
+	if d.ledger == nil || !j.NeedsTask(int(a.Index)) || j.Allocations[a.Index] > 1 || a.Failed {
+		return
+	}
+	switch {
+	case d.ledger.IsCharged(a.Number), a.State == machines.PossiblyStarted:
+		d.ledger.RecordUnknown(j.Team, j.ID, a.Index)
+	case a.State.HasImage():
+		d.ledger.RecordInterruption(j.Team, j.ID, a.Index, now, a.LostProgressS(now))
+	}
+}
+
+// CountRunning counts a task that was interrupted as running again, unless it is the very
+// attempt that a drain is about to stop.
+func (d *Drainer) CountRunning(a *machines.Attempt) {
+	if d.ledger == nil || a.Evicting || d.ledger.IsCharged(a.Number) && a.Machine.CordonedFor(machines.CordonDrained) {
+		return
+	}
+	d.ledger.RecordAvailable(a.Job.ID, a.Index)
+}
+
+// CountDone counts a task that was interrupted as done.
+func (d *Drainer) CountDone(j *jobs.Job, index int32) {
+	if d.ledger != nil {
+		d.ledger.RecordAvailable(j.ID, index)
+	}
+}
+
+// CountEnded counts no task of a job any more.
+func (d *Drainer) CountEnded(j *jobs.Job) {
+	if d.ledger != nil {
+		d.ledger.RecordJobEnd(j.ID)
+	}
+}
--- a/internal/leader/drain_replace.go
+++ b/internal/drainer/replacements.go
@@ -1,4 +1,4 @@
-package leader
+package drainer
 
 import (
 	"maps"
@@ -8,6 +8,7 @@
 	"switchshore.example/switchshore/internal/autoscale"
 	"switchshore.example/switchshore/internal/drain"
 	"switchshore.example/switchshore/internal/machines"
+	"switchshore.example/switchshore/internal/scaling"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
@@ -18,18 +19,18 @@
 
 // countReplacements counts the replacements of a batch. Those that will take no work are left
 // out; one is ready only once it has reported and takes work.
-func (l *Leader) countReplacements(now time.Time, b *drain.Batch) replacementCount {
+func (d *Drainer) countReplacements(now time.Time, b *drain.Batch) replacementCount {
 	n := replacementCount{map[string]int{}, map[string]int{}, map[string]int{}}
 	for _, name := range b.Machines {
-		if m := l.machines.Get(name); m != nil {
+		if m := d.cluster.Machines.Get(name); m != nil {
 			n.needed[m.Type]++
 		}
 	}
 	for _, name := range b.Replacements {
-		m := l.machines.Get(name)
+		m := d.cluster.Machines.Get(name)
 		switch {
 		case m == nil || m.Releasing || m.CordonedFor(machines.RetiringReasons|machines.CordonReplaced):
-		case l.acceptsWork(now, m):
+		case d.cluster.AcceptsWork(now, m):
 			n.ready[m.Type]++
 		default:
 			n.coming[m.Type]++
@@ -55,14 +56,14 @@
 
 // awaitReplacements cordons the batch once its replacements are ready. If they don't come in
 // time the drain is paused.
-func (s *drainStep) awaitReplacements() {
-	n := s.countReplacements(s.now, s.record.Batch)
+func (s *step) awaitReplacements() {
+	n := s.d.countReplacements(s.now, s.record.Batch)
 	switch {
 	case n.complete():
 		s.cordonBatch()
 	case s.wall.Sub(time.UnixMilli(s.record.Batch.Since)) > tuning.ReplacementTimeout:
 		if s.record.Pause(drain.Reason{Cause: drain.ReplacementTimedOut}) {
-			s.notePaused()
+			s.reportPaused()
 		}
 	default:
 		s.wait(drain.WaitReplacement, "")
@@ -70,60 +71,60 @@
 }
 
 // cordonBatch lets the machines of the batch take no new work any more.
-func (s *drainStep) cordonBatch() {
+func (s *step) cordonBatch() {
 	s.record.Batch.Cordoned, s.record.Batch.Since = true, s.wall.UnixMilli()
 	s.applyBatchCordon()
-	s.storeDrain(s.record, nil)
+	s.d.storeDrain(s.record, nil)
 }
 
 // awaitingReplacements is the drain whose batch waits for replacements, nil if none does.
-func (l *Leader) awaitingReplacements() *storedDrain {
-	for _, d := range l.drains {
-		if d.durable && d.State == drain.Running && d.Batch != nil && !d.Batch.Cordoned {
-			return d
+func (d *Drainer) awaitingReplacements() *storedDrain {
+	for _, r := range d.drains {
+		if r.durable && r.State == drain.Running && r.Batch != nil && !r.Batch.Cordoned {
+			return r
 		}
 	}
 	return nil
 }
 
-// replacementCalls are the rentals that the running drain's batch waits for.
-func (l *Leader) replacementCalls(now time.Time) []CloudCall {
-	d := l.awaitingReplacements()
-	if d == nil || !l.listsComplete {
-		// A new leader must not rent anew what an earlier one has rented and no list has told yet.
+// ReplacementCalls returns the calls for the machines that the running drain's batch waits for.
+func (d *Drainer) ReplacementCalls(now time.Time) []scaling.CloudCall {
+	r := d.awaitingReplacements()
+	if r == nil || !d.cluster.ListsComplete() {
+		// A new leader must not provision again what an earlier one has and no list has
+		// shown yet.
 		return nil
 	}
-	for _, r := range l.pendingProvisions {
-		if r.replacementFor != "" {
-			return nil
-		}
+	if d.cluster.Scaler.AnyPending(func(p *scaling.Provision) bool { return p.ReplacementFor != "" }) {
+		return nil
 	}
-	n := l.countReplacements(now, d.Batch)
-	var calls []CloudCall
+	n := d.countReplacements(now, r.Batch)
+	var calls []scaling.CloudCall
 	for _, machineType := range slices.Sorted(maps.Keys(n.needed)) {
 		missing := n.missing(machineType)
-		if most := l.operator.MaxMachines; most > 0 {
-			missing = min(missing, most-l.machines.Len())
+		if most := d.config.MaxMachines; most > 0 {
+			missing = min(missing, most-d.cluster.Machines.Len())
 		}
-		if o, ok := l.replacementOffer(now, d.Batch, machineType); ok && missing > 0 {
-			calls = append(calls, l.provision(now, o, missing, d.Spec.Name))
+		if o, ok := d.replacementOffer(now, r.Batch, machineType); ok && missing > 0 {
+			calls = append(calls, d.cluster.Scaler.Provision(now, o, missing, r.Spec.Name))
 		}
 	}
 	return calls
 }
 
-// replacementOffer is where to rent a replacement of a type: as the machine of the batch is,
-// or else in another zone, or else not as a spot machine.
-func (l *Leader) replacementOffer(now time.Time, b *drain.Batch, machineType string) (autoscale.Offer, bool) {
+// replacementOffer is where to provision a replacement of a type: as the machine of the batch
+// is, or else in another zone, or else not as a spot machine.
+func (d *Drainer) replacementOffer(now time.Time, b *drain.Batch, machineType string) (autoscale.Offer, bool) {
 	i := slices.IndexFunc(b.Machines, func(name string) bool {
-		return l.machines.Get(name) != nil && l.machines.Get(name).Type == machineType
+		m := d.cluster.Machines.Get(name)
+		return m != nil && m.Type == machineType
 	})
-	m := l.machines.Get(b.Machines[i])
-	zones := slices.Concat([]string{m.Zone}, l.catalogue.Type(machineType).Zones)
+	m := d.cluster.Machines.Get(b.Machines[i])
+	offered := d.cluster.Catalogue.Type(machineType).Zones
 	for _, spot := range []bool{m.Spot, false} {
-		for _, zone := range zones {
+		for _, zone := range slices.Concat([]string{m.Zone}, offered) {
 			o := autoscale.Offer{Type: machineType, Zone: zone, Spot: spot}
-			if slices.Contains(l.catalogue.Type(machineType).Zones, zone) && l.offered(now, o) {
+			if slices.Contains(offered, zone) && d.cluster.Scaler.CanProvision(now, o) {
 				return o, true
 			}
 		}
@@ -131,15 +132,15 @@
 	return autoscale.Offer{}, false
 }
 
-// noteReplacements adds machines that were rented for a drain to its batch.
-func (l *Leader) noteReplacements(name string, replacements []string) {
-	d := l.drains[name]
-	if d == nil || d.Batch == nil || len(replacements) == 0 {
+// Provisioned adds machines that were provisioned for a drain to its batch.
+func (d *Drainer) Provisioned(drainName string, replacements []string) {
+	r := d.drains[drainName]
+	if r == nil || r.Batch == nil || len(replacements) == 0 {
 		return
 	}
-	// Those that have gone meanwhile make room in the record.
-	d.Batch.Replacements = slices.DeleteFunc(d.Batch.Replacements, l.provablyGone)
-	d.Batch.Replacements = append(d.Batch.Replacements, replacements...)
-	d.Counts.Replacements += len(replacements)
-	l.storeDrain(d, nil)
+	// Those that no longer exist make space in the record.
+	r.Batch.Replacements = slices.DeleteFunc(r.Batch.Replacements, d.provablyGone)
+	r.Batch.Replacements = append(r.Batch.Replacements, replacements...)
+	r.Counts.Replacements += len(replacements)
+	d.storeDrain(r, nil)
 }
--- a/internal/leader/admission.go
+++ b/internal/leader/admission.go
@@ -40,6 +40,9 @@
 	return &RejectedError{Status: http.StatusTooManyRequests, Reason: "more is submitted than can be taken now", RetryAfter: d.RetryAfterS}
 }
 
+// shedding reports whether new jobs are rejected for overload.
+func (l *Leader) shedding() bool { return l.regulator != nil && l.regulator.Shedding() }
+
 // UpdateAdmission looks at the load and at what all nodes are offered. lag is by how much
 // the leader's periodic work came too late.
 func (l *Leader) UpdateAdmission(now, wall time.Time, lag time.Duration, nodes []admission.NodeOfferedLoad) {
--- a/internal/leader/cancellation_test.go
+++ b/internal/leader/cancellation_test.go
@@ -7,6 +7,7 @@
 
 	"switchshore.example/switchshore/internal/config"
 	"switchshore.example/switchshore/internal/leader"
+	"switchshore.example/switchshore/internal/scaling"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -76,7 +77,7 @@
 			t.Fatal("taken for gone while the start may come late")
 		}
 		for _, c := range l.PlanScaling(l.now) {
-			if c.Op == leader.CloudRelease {
+			if c.Op == scaling.CloudRelease {
 				if len(c.Release) != 1 || c.Release[0] != "m1" {
 					t.Fatal(c.Release)
 				}
--- a/internal/leader/completion.go
+++ b/internal/leader/completion.go
@@ -19,7 +19,7 @@
 	j.Ready = nil
 	delete(l.unsavedCompletions, j)
 	delete(l.live, j)
-	l.countOver(j)
+	l.drainer.CountEnded(j)
 	f := records.FinalState{Outcome: records.OutcomeDone, TasksDone: int32(j.Completed.Len())}
 	if state == jobs.Cancelled {
 		f.Outcome = records.OutcomeCancelled
@@ -57,7 +57,7 @@
 		return
 	}
 	l.changed = true
-	l.countDone(j, index)
+	l.drainer.CountDone(j, index)
 	if j.State != jobs.Active {
 		return
 	}
--- a/internal/leader/controller.go
+++ b/internal/leader/controller.go
@@ -13,11 +13,13 @@
 	"switchshore.example/switchshore/internal/admission"
 	"switchshore.example/switchshore/internal/config"
 	"switchshore.example/switchshore/internal/consolidation"
+	"switchshore.example/switchshore/internal/drainer"
 	"switchshore.example/switchshore/internal/jobs"
 	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/placement"
 	"switchshore.example/switchshore/internal/preemption"
 	"switchshore.example/switchshore/internal/records"
+	"switchshore.example/switchshore/internal/scaling"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
@@ -52,21 +54,26 @@
 	machines   *machines.Registry
 	catalogue  *machines.Catalogue
 	listNumber uint64 // number of task lists applied
-	changed    bool   // since the last pass
-	scores     int    // pairs of job and machine looked at, for the logs
+	lists      machineLists
+	changed    bool // since the last pass
+	scores     int  // pairs of job and machine looked at, for the logs
+
+	// partitionedZones are those that seem to be cut off, until then.
+	partitionedZones map[string]time.Time
+	// isolated: this node seems to have lost most machines.
+	isolated bool
 
 	writes  *records.WriteQueues
 	starts  startLog
 	loading loading
 
 	graph jobs.DependencyGraph
-	cloudState
 	directCalls
 	lastRuns
+	scaler       *scaling.Scaler
+	drainer      *drainer.Drainer
 	preemptor    *preemption.Preemptor
 	consolidator *consolidation.Consolidator
-	demandHistory
-	drainState
 }
 
 // lastRuns are the times at which periodic work was done last, or may be done next.
@@ -74,7 +81,6 @@
 	lastPass   time.Time
 	nextPass   time.Time // no sooner
 	lastExpiry time.Time // of leases
-	nextPlan   time.Time
 }
 
 type team struct {
@@ -102,13 +108,14 @@
 		catalogue:          machines.NewCatalogue(),
 		graph:              jobs.NewDependencyGraph(),
 		loading:            loading{pieces: records.JobPieces{}, attempts: map[taskKey]*machines.Attempt{}},
-		cloudState:         newCloudState(),
-		drainState:         newDrainState(o.Drains, p.Workers),
+		partitionedZones:   map[string]time.Time{},
 	}
 	c.writes = records.NewWriteQueues(log, c.valueLimit())
 	for _, t := range p.Teams {
 		c.teams[t.Name] = &team{Team: withLimits(t)}
 	}
+	c.scaler = c.newScaler()
+	c.drainer = c.newDrainer()
 	c.preemptor, c.consolidator = c.newPreemptor(), c.newConsolidator()
 	c.setUpAdmission(&o, now)
 	// A predecessor's last answer comes at the latest a grace after its
--- a/internal/leader/counts.go
+++ b/internal/leader/counts.go
@@ -17,7 +17,7 @@
 
 // Counts returns the sums.
 func (l *Leader) Counts() Counts {
-	n := Counts{Jobs: len(l.jobs), Machines: l.machines.Len(), Writes: l.writes.Len(), ScoredPairs: l.scores, DrainSteps: l.drainLooks}
+	n := Counts{Jobs: len(l.jobs), Machines: l.machines.Len(), Writes: l.writes.Len(), ScoredPairs: l.scores, DrainSteps: l.drainer.Examined()}
 	n.DependencySteps = l.graph.OpenSteps()
 	for _, j := range l.jobs {
 		n.Ready += len(j.Ready)
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -101,7 +101,7 @@
 	case j.OpenDependencies == 0:
 		l.live[j] = struct{}{}
 		j.FillReady()
-		l.countInflow(now, j.WaitingSince, float64(j.Tasks)*j.CPUs*l.runTimes.Estimate(j))
+		l.scaler.History.CountInflow(now, j.WaitingSince, float64(j.Tasks)*j.CPUs*l.runTimes.Estimate(j))
 		l.changed = true
 	}
 }
--- a/internal/leader/drain_test.go
+++ b/internal/leader/drain_test.go
@@ -11,7 +11,7 @@
 
 	"switchshore.example/switchshore/internal/config"
 	"switchshore.example/switchshore/internal/drain"
-	"switchshore.example/switchshore/internal/leader"
+	"switchshore.example/switchshore/internal/scaling"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -277,7 +277,7 @@
 		l.report("m1", 1, task)
 		l.list("m1")
 		for _, call := range l.PlanScaling(l.now) {
-			if call.Op == leader.CloudProvision {
+			if call.Op == scaling.CloudProvision {
 				rentals++
 				l.ProvisionDone(l.now, call.Provision, nil)
 			}
@@ -329,7 +329,7 @@
 	l.advance(10*time.Second, func() {
 		listed(l, "m1")
 		for _, call := range l.PlanScaling(l.now) {
-			if call.Op == leader.CloudProvision {
+			if call.Op == scaling.CloudProvision {
 				rentals = append(rentals, call.Provision)
 				l.ProvisionDone(l.now, call.Provision, []string{"m2"})
 			}
--- /dev/null
+++ b/internal/leader/drains.go
@@ -0,0 +1,69 @@
+package leader
+
+import (
+	"iter"
+	"maps"
+	"time"
+
+	"switchshore.example/switchshore/internal/drain"
+	"switchshore.example/switchshore/internal/drainer"
+	"switchshore.example/switchshore/internal/jobs"
+)
+
+// newDrainer returns the term's drainer.
+func (l *Leader) newDrainer() *drainer.Drainer {
+	c := drainer.Config{
+		Term:        l.term,
+		Budgets:     l.operator.Drains,
+		Teams:       l.params.Teams,
+		Zones:       l.params.Zones,
+		MaxMachines: l.operator.MaxMachines,
+		ValueLimit:  l.valueLimit(),
+		LeaseTime:   l.leaseTime(),
+		LeaseS:      l.params.Workers.LeaseS,
+	}
+	return drainer.New(l.log, c, drainer.Cluster{
+		Machines:      l.machines,
+		Catalogue:     l.catalogue,
+		Writes:        l.writes,
+		Scaler:        l.scaler,
+		Job:           func(id string) *jobs.Job { return l.jobs[id] },
+		RunnableJobs:  func() iter.Seq[*jobs.Job] { return maps.Keys(l.live) },
+		TeamUsedCPUs:  func(team string) float64 { return l.teams[team].used.CPUs },
+		AcceptsWork:   l.acceptsWork,
+		RemainingS:    l.remaining,
+		MachinesKnown: func() bool { return l.CatalogueKnown() && l.lists.applied > 0 },
+		ListsComplete: func() bool { return l.lists.complete },
+		Blocked:       l.drainsBlocked,
+		ScheduleCall:  l.scheduleCall,
+		RequestPass:   func() { l.changed = true },
+	})
+}
+
+// DrainRequest carries out an operator's request; then is called with the answer once what it
+// says is durable. wall is the time of day.
+func (l *Leader) DrainRequest(now, wall time.Time, q *drain.Request, then func(drain.Response)) {
+	l.drainer.Handle(now, wall, q, then)
+}
+
+// AdvanceDrains takes the next step of the drain that runs; wall is the time of day. Only a
+// leader that may act calls it.
+func (l *Leader) AdvanceDrains(now, wall time.Time) { l.drainer.Advance(now, wall) }
+
+// drainsBlocked is why no batch may begin now whatever machines there are, "" if one may.
+func (l *Leader) drainsBlocked(now time.Time) drain.Cause {
+	switch {
+	case !l.lists.complete || now.Before(l.inheritedUntil):
+		return drain.BlockedByNewLeader
+	case l.shedding():
+		return drain.BlockedByOverload
+	case l.isolated:
+		return drain.BlockedByPartition
+	}
+	for zone := range l.partitionedZones {
+		if l.partitioned(now, zone) {
+			return drain.BlockedByPartition
+		}
+	}
+	return ""
+}
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -13,6 +13,7 @@
 	"switchshore.example/switchshore/internal/config"
 	"switchshore.example/switchshore/internal/leader"
 	"switchshore.example/switchshore/internal/records"
+	"switchshore.example/switchshore/internal/scaling"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -105,7 +106,7 @@
 // the given one is among them.
 func (l *testLeader) planned(machine string) []string {
 	for _, c := range l.PlanScaling(l.now) {
-		if c.Op == leader.CloudRelease && slices.Contains(c.Release, machine) {
+		if c.Op == scaling.CloudRelease && slices.Contains(c.Release, machine) {
 			return c.Release
 		}
 	}
@@ -182,8 +183,8 @@
 }
 
 // rents reports whether a plan rents.
-func rents(calls []leader.CloudCall) bool {
-	return slices.ContainsFunc(calls, func(c leader.CloudCall) bool { return c.Op == leader.CloudProvision })
+func rents(calls []scaling.CloudCall) bool {
+	return slices.ContainsFunc(calls, func(c scaling.CloudCall) bool { return c.Op == scaling.CloudProvision })
 }
 
 // leaderWithUnansweredCall brings a start for m1 into a direct call.
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -15,9 +15,8 @@
 
 // loading is what is kept only while stored records are loaded.
 type loading struct {
-	starts  []*pendingStarts  // a predecessor's start records
-	pieces  records.JobPieces // parts of job records, by key
-	charges []loadedCharge
+	starts []*pendingStarts  // a predecessor's start records
+	pieces records.JobPieces // parts of job records, by key
 	// attempts are those known from start records, the newest of each task.
 	attempts map[taskKey]*machines.Attempt
 }
@@ -73,9 +72,9 @@
 		}
 		return l.loadStarts(now, item.Key, starts)
 	case records.KindDrain:
-		return l.loadDrain(id, item.Value)
+		return l.drainer.LoadDrain(id, item.Value)
 	case records.KindCharge:
-		return l.loadCharge(now, wall, item)
+		return l.drainer.LoadCharge(now, wall, item.Key, item.Value)
 	}
 	return nil
 }
@@ -216,7 +215,7 @@
 		// All of them, before anyone is told anything.
 		l.processDependencyChanges(now)
 	}
-	l.applyLoadedDrains(l.loading.charges)
+	l.drainer.FinishLoading()
 	l.loading = loading{}
 	l.changed = true
 	l.log.Info().Int("jobs", len(l.jobs)).Int("ended", len(l.finals)).Int("machines", l.machines.Len()).Msg("records loaded")
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -13,7 +13,7 @@
 func (l *Leader) addMachine(now time.Time, id, typ, zone, addr string, spot bool) *machines.Machine {
 	m := machines.New(now, id, typ, zone, addr, spot)
 	l.machines.Add(m)
-	l.applyDrainCordon(m)
+	l.drainer.ApplyCordon(m)
 	l.setCapacity(m)
 	return m
 }
@@ -66,7 +66,7 @@
 	if !a.RunningAt.IsZero() {
 		j.RecordProgress(a.Index, now.Sub(a.RunningAt).Seconds(), a.CheckpointSaved)
 	}
-	l.countInterruption(now, a)
+	l.drainer.CountInterruption(now, a)
 	m.Attempts = slices.Delete(m.Attempts, i, i+1)
 	m.SnapshotOutdated = true
 	m.Free = m.Free.Add(j.Request, 1)
--- /dev/null
+++ b/internal/leader/machine_list.go
@@ -0,0 +1,105 @@
+package leader
+
+import (
+	"time"
+
+	"switchshore.example/switchshore/internal/tuning"
+	"switchshore.example/switchshore/wire"
+)
+
+// machineLists counts the cloud's lists of machines.
+type machineLists struct {
+	applied uint64
+	// complete: a list describes a time after this term began, so that a machine
+	// named by a record and not known no longer exists.
+	complete bool
+}
+
+// ApplyMachineList takes in a complete machine list, asked for at the given time.
+func (l *Leader) ApplyMachineList(asked, now time.Time, list []wire.ListedMachine) {
+	l.lists.applied++
+	l.lists.complete = l.lists.complete || asked.Sub(l.started) > l.longestListLag()
+	listed := make(map[string]bool, len(list))
+	for _, row := range list {
+		listed[row.Name] = true
+		if !l.machines.WasReleased(row.Name) {
+			l.applyListed(asked, now, row)
+		}
+	}
+	if gone := l.missingLongEnough(asked, listed); len(gone) > 0 {
+		l.remove(now, gone)
+	}
+}
+
+// applyListed applies one row of a machine list.
+func (l *Leader) applyListed(asked, now time.Time, row wire.ListedMachine) {
+	m := l.machines.Get(row.Name)
+	if m == nil {
+		m = l.addMachine(asked, row.Name, row.Type, row.Zone, row.Addr, row.Spot)
+	}
+	// What a predecessor provisioned is older than this term: a successor that
+	// took it for new kept idle machines through their minimum billing time again.
+	if at := asked.Add(-seconds(row.AgeS)); at.Before(m.ProvisionedAt) {
+		m.ProvisionedAt = at
+	}
+	if m.Addr == "" {
+		m.Addr = row.Addr
+	}
+	if m.ListedAt.IsZero() {
+		m.ListedAt = now
+	}
+	m.MissedLists = 0
+	if row.State == wire.MachineFailed {
+		m.Failed = true
+	}
+}
+
+// longestListLag is by how much a machine list may be older than the request for it.
+func (l *Leader) longestListLag() time.Duration {
+	return seconds(l.params.Cloud.ListLagS * (1 + tuning.ClockDrift) * 2)
+}
+
+// missingLongEnough counts the machines that a list lacks, and names those that provably no
+// longer exist. A machine stays listed as long as it exists, and a list is at most twice
+// its lag old: one asked for later than that after a machine was first listed
+// describes a time at which it had been listed.
+func (l *Leader) missingLongEnough(asked time.Time, listed map[string]bool) []string {
+	var gone []string
+	lag := l.longestListLag()
+	for _, m := range l.machines.All() {
+		if listed[m.ID] || m.ListedAt.IsZero() && !m.FromRecord {
+			continue
+		}
+		m.MissedLists++
+		if !m.ListedAt.IsZero() && asked.Sub(m.ListedAt) > lag {
+			gone = append(gone, m.ID)
+		}
+	}
+	return gone
+}
+
+// remove forgets machines that no longer exist, with all on them.
+func (l *Leader) remove(now time.Time, names []string) {
+	for _, id := range names {
+		l.machines.MarkReleased(id)
+		m := l.machines.Get(id)
+		if m == nil {
+			continue
+		}
+		l.releaseAll(now, m)
+		l.machines.Remove(m)
+	}
+	l.log.Debug().Strs("machines", names).Msg("machines removed")
+	l.changed = true
+}
+
+// HeartbeatsMissing reports whether the heartbeats of machines with attempts are late: the
+// next list may show that they no longer exist.
+func (l *Leader) HeartbeatsMissing(now time.Time) bool {
+	for _, m := range l.machines.All() {
+		if m.Reconciled && len(m.Attempts) > 0 && now.Sub(m.HeartbeatAt) > seconds(l.params.Workers.HeartbeatIntervalS*tuning.LateHeartbeatIntervals) {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/leader/placement_test.go
+++ b/internal/leader/placement_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"switchshore.example/switchshore/internal/leader"
+	"switchshore.example/switchshore/internal/scaling"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -312,7 +313,7 @@
 				}
 			}
 			for _, c := range l.PlanScaling(l.now) {
-				if c.Op == leader.CloudRelease {
+				if c.Op == scaling.CloudRelease {
 					released = c.Release[0]
 					l.ReleaseDone(l.now, c.Release)
 				}
--- a/internal/leader/reachability_test.go
+++ b/internal/leader/reachability_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"switchshore.example/switchshore/internal/leader"
+	"switchshore.example/switchshore/internal/scaling"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -80,7 +81,7 @@
 		z.hear(on, heard...)
 		z.commit()
 		for _, c := range z.PlanScaling(z.now) {
-			if c.Op == leader.CloudProvision {
+			if c.Op == scaling.CloudProvision {
 				rented = append(rented, c.Provision.Zone)
 				z.ProvisionDone(z.now, c.Provision, nil)
 				continue
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -23,7 +23,7 @@
 // spare is how many of them may be such that nobody waits for. Batches must be committed one
 // after the other, each followed by BatchCommitted.
 func (l *Leader) NextBatch(maxOps, spare int) *records.Batch {
-	return l.writes.NextBatch(maxOps, spare, l.regulator != nil && l.regulator.Shedding())
+	return l.writes.NextBatch(maxOps, spare, l.shedding())
 }
 
 // BatchCommitted records that a batch is durable, except for the refused keys.
--- a/internal/leader/requests_test.go
+++ b/internal/leader/requests_test.go
@@ -12,6 +12,7 @@
 
 	"switchshore.example/switchshore/internal/config"
 	"switchshore.example/switchshore/internal/leader"
+	"switchshore.example/switchshore/internal/scaling"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -123,7 +124,7 @@
 	l.commit()
 	l.pass(10 * time.Second) // machines of a predecessor would be listed by then
 	l.ApplyMachineList(l.now, l.now, nil)
-	if calls := l.PlanScaling(l.now); got.Status != 201 || len(calls) == 0 || calls[0].Op != leader.CloudProvision {
+	if calls := l.PlanScaling(l.now); got.Status != 201 || len(calls) == 0 || calls[0].Op != scaling.CloudProvision {
 		t.Fatalf("%+v, then %+v", got, calls)
 	}
 	l.report("m1", 1)
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -11,6 +11,7 @@
 
 	"switchshore.example/switchshore/internal/config"
 	"switchshore.example/switchshore/internal/leader"
+	"switchshore.example/switchshore/internal/scaling"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -156,7 +157,7 @@
 	f.write()
 	for _, call := range f.PlanScaling(f.now) {
 		f.cloud++
-		if call.Op == leader.CloudProvision {
+		if call.Op == scaling.CloudProvision {
 			f.ProvisionDone(f.now, call.Provision, nil)
 			continue
 		}
--- /dev/null
+++ b/internal/leader/scaling.go
@@ -0,0 +1,128 @@
+package leader
+
+import (
+	"sort"
+	"time"
+
+	"switchshore.example/switchshore/internal/autoscale"
+	"switchshore.example/switchshore/internal/scaling"
+	"switchshore.example/switchshore/internal/tuning"
+	"switchshore.example/switchshore/wire"
+)
+
+// newScaler returns the term's scaler.
+func (l *Leader) newScaler() *scaling.Scaler {
+	c := scaling.Config{
+		Term:            l.term,
+		CloudRPS:        l.params.Cloud.RPS,
+		MaxMachines:     l.operator.MaxMachines,
+		ScaleInIdleTime: tuning.ScaleInIdleTime,
+	}
+	if l.operator.ScaleInIdleS > 0 {
+		c.ScaleInIdleTime = seconds(l.operator.ScaleInIdleS)
+	}
+	return scaling.New(c, scaling.Cluster{
+		Machines:         l.machines,
+		Catalogue:        l.catalogue,
+		Demand:           l.demand,
+		HeartbeatOverdue: l.heartbeatOverdue,
+		RemainingS:       l.remaining,
+		IsReplacement:    func(id string) bool { return l.drainer.IsReplacement(id) },
+		Drained:          func(o autoscale.Offer) bool { return l.drainer.BlocksProvisioning(o) },
+		Partitioned:      l.partitioned,
+	})
+}
+
+// PlanScaling decides about scaling out and in, at most once per planning period, and returns
+// the calls to the cloud to be made.
+func (l *Leader) PlanScaling(now time.Time) []scaling.CloudCall {
+	if !l.catalogue.Known() || l.lists.applied == 0 || !l.scaler.Due(now) {
+		return nil
+	}
+	isolated := l.updateReachability(now)
+	l.isolated = isolated
+	plan := l.scaler.Plan(now)
+	calls := append(l.scaler.ScaleOut(now, plan.ScaleOut), l.drainer.ReplacementCalls(now)...)
+	if l.scaler.Releasing() {
+		return calls
+	}
+	return append(calls, l.scaler.ScaleIn(l.machinesToRelease(now, plan.ScaleIn, isolated))...)
+}
+
+// partitioned reports whether a zone seems to be cut off.
+func (l *Leader) partitioned(now time.Time, zone string) bool {
+	return now.Before(l.partitionedZones[zone])
+}
+
+// machinesToRelease lists the machines to be released, the most urgent first: those that keep
+// urgent work from starting elsewhere, unless it is this node that is isolated, then
+// those that the plan has no use for, then those that will do no more work.
+func (l *Leader) machinesToRelease(now time.Time, unneeded []string, isolated bool) []string {
+	var names []string
+	for _, m := range l.machines.All() {
+		if !isolated && l.holdsUrgentWork(now, m) {
+			names = append(names, m.ID)
+		}
+	}
+	names = append(names, unneeded...)
+	for _, m := range l.machines.All() {
+		if !m.Releasing && l.shouldRelease(now, m) {
+			names = append(names, m.ID)
+		}
+	}
+	return names
+}
+
+// demand is the work that waits for capacity, within the teams' limits.
+func (l *Leader) demand(now time.Time) []autoscale.Demand {
+	if l.term > 1 && now.Sub(l.started) < seconds(l.params.Cloud.ListLagS) {
+		// Machines that a predecessor provisioned last are not listed yet.
+		return nil
+	}
+	free := map[string]float64{} // CPUs by team
+	for name, t := range l.teams {
+		free[name] = t.CPUsMax - t.used.CPUs
+	}
+	ready, byID := l.readyJobs(now)
+	sort.SliceStable(ready, func(i, k int) bool { return ready[i].PriorityRank < ready[k].PriorityRank })
+	var demand []autoscale.Demand
+	for _, r := range ready {
+		j := byID[r.Job]
+		limit := int(min(max(0, free[j.Team])/max(j.CPUs, 1e-9), float64(r.ReadyTasks)))
+		// A failing job tries one task at a time, but it has to find a machine
+		// for that one: without demand of its own it could wait for ever.
+		n := min(r.ReadyTasks, limit)
+		free[j.Team] -= float64(n) * j.CPUs
+		if n == 0 {
+			continue
+		}
+		demand = append(demand, autoscale.Demand{
+			Tasks: n, StartWithinS: l.startWithin(now, j), Request: j.Request, EstimateS: r.EstimateS + float64(l.startDelay),
+			MachineTypes: j.MachineTypes, Zone: j.Zone, Spot: j.Spot, AvoidMachines: j.FailedOn,
+		})
+	}
+	return demand
+}
+
+// ProvisionDone takes in the answer of a provisioning call: names, or none if it was rejected.
+func (l *Leader) ProvisionDone(now time.Time, r wire.ProvisionRequest, names []string) {
+	call := l.scaler.ProvisionAnswered(now, r, len(names))
+	if call == nil {
+		return
+	}
+	for _, id := range names {
+		if l.machines.WasReleased(id) || l.machines.Get(id) != nil {
+			continue
+		}
+		m := l.addMachine(now, id, r.Type, r.Zone, "", r.Spot)
+		m.ProvisionedAt = call.At
+	}
+	l.drainer.Provisioned(call.ReplacementFor, names)
+	l.log.Debug().Str("request", r.RequestID).Str("zone", r.Zone).Bool("spot", r.Spot).Int("requested", r.Count).Int("received", len(names)).Msg("machines provisioned")
+}
+
+// ReleaseDone takes in that machines, and all on them, no longer exist.
+func (l *Leader) ReleaseDone(now time.Time, names []string) {
+	l.scaler.ReleaseAnswered()
+	l.remove(now, names)
+}
--- a/internal/leader/tasklist.go
+++ b/internal/leader/tasklist.go
@@ -119,7 +119,7 @@
 		}
 		m.Images[j.Image] = now
 		l.changed = true
-		l.countRunning(a)
+		l.drainer.CountRunning(a)
 	}
 }
 
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -10,12 +10,13 @@
 	"switchshore.example/switchshore/internal/ctxtime"
 	"switchshore.example/switchshore/internal/httpclient"
 	"switchshore.example/switchshore/internal/leader"
+	"switchshore.example/switchshore/internal/scaling"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
 
 // callCloud carries one call that provisions or releases machines through to an answer.
-func (t *term) callCloud(ctx context.Context, call leader.CloudCall) {
+func (t *term) callCloud(ctx context.Context, call scaling.CloudCall) {
 	for ctx.Err() == nil {
 		machines, err := t.sendToCloud(ctx, call)
 		if err == nil {
@@ -31,8 +32,8 @@
 
 // sendToCloud sends a call once. Machines that the cloud certainly does not provision
 // are an answer, too: none.
-func (t *term) sendToCloud(ctx context.Context, call leader.CloudCall) (machines []string, err error) {
-	if call.Op != leader.CloudProvision {
+func (t *term) sendToCloud(ctx context.Context, call scaling.CloudCall) (machines []string, err error) {
+	if call.Op != scaling.CloudProvision {
 		return nil, t.node.cloud.Release(ctx, call.Release)
 	}
 	machines, err = t.node.cloud.Provision(ctx, call.Provision)
@@ -43,10 +44,10 @@
 }
 
 // cloudCallDone tells the leader's state that a call was carried out.
-func (t *term) cloudCallDone(call leader.CloudCall, machines []string) {
+func (t *term) cloudCallDone(call scaling.CloudCall, machines []string) {
 	now := time.Now()
 	t.node.mu.Lock()
-	if call.Op == leader.CloudProvision {
+	if call.Op == scaling.CloudProvision {
 		t.state.ProvisionDone(now, call.Provision, machines)
 	} else {
 		t.state.ReleaseDone(now, call.Release)
--- a/internal/node/tick.go
+++ b/internal/node/tick.go
@@ -8,12 +8,13 @@
 
 	"switchshore.example/switchshore/internal/ctxtime"
 	"switchshore.example/switchshore/internal/leader"
+	"switchshore.example/switchshore/internal/scaling"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
 // actions are what one tick has made due.
 type actions struct {
-	cloudCalls  []leader.CloudCall
+	cloudCalls  []scaling.CloudCall
 	directCalls []*leader.DirectCall
 	// hasWrites: changes wait to be committed.
 	hasWrites bool
--- /dev/null
+++ b/internal/scaling/scale_in.go
@@ -0,0 +1,34 @@
+package scaling
+
+import (
+	"slices"
+
+	"switchshore.example/switchshore/internal/tuning"
+)
+
+// Releasing reports whether calls to release machines have not been answered. The next
+// releases then take all that has gathered meanwhile: the budget of calls is better spent on
+// provisioning.
+func (s *Scaler) Releasing() bool { return s.releasesUnanswered > 0 }
+
+// ScaleIn marks the named machines, the most urgent first, as being released, and returns the
+// calls for that, as many as may be under way.
+func (s *Scaler) ScaleIn(names []string) []CloudCall {
+	most := tuning.MaxReleaseCount * max(1, int(s.config.CloudRPS*tuning.CloudShare*tuning.ReleasesInFlight))
+	var releasing []string
+	for _, name := range names {
+		if m := s.cluster.Machines.Get(name); m != nil && !m.Releasing && len(releasing) < most {
+			m.Releasing = true
+			releasing = append(releasing, name)
+		}
+	}
+	var calls []CloudCall
+	for some := range slices.Chunk(releasing, tuning.MaxReleaseCount) {
+		s.releasesUnanswered++
+		calls = append(calls, CloudCall{Op: CloudRelease, Release: some})
+	}
+	return calls
+}
+
+// ReleaseAnswered ends a call to release machines.
+func (s *Scaler) ReleaseAnswered() { s.releasesUnanswered = max(0, s.releasesUnanswered-1) }
--- /dev/null
+++ b/internal/scaling/scaling_test.go
@@ -0,0 +1,155 @@
+package scaling_test
+
+import (
+	"fmt"
+	"math"
+	"testing"
+	"time"
+
+	"switchshore.example/switchshore/internal/autoscale"
+	"switchshore.example/switchshore/internal/machines"
+	"switchshore.example/switchshore/internal/placement"
+	"switchshore.example/switchshore/internal/scaling"
+	"switchshore.example/switchshore/internal/tuning"
+	"switchshore.example/switchshore/wire"
+)
+
+var (
+	start    = time.Unix(1_700_000_000, 0)
+	spot     = autoscale.Offer{Type: "std-8", Zone: "a", Spot: true}
+	onDemand = autoscale.Offer{Type: "std-8", Zone: "a"}
+)
+
+// newScaler returns a scaler for an empty cluster with one machine type in one zone, where a
+// single call of each kind is allowed at a time.
+func newScaler() (*scaling.Scaler, *scaling.Cluster) {
+	cluster := scaling.Cluster{
+		Machines:         machines.NewRegistry(),
+		Catalogue:        machines.NewCatalogue(),
+		Demand:           func(time.Time) []autoscale.Demand { return nil },
+		HeartbeatOverdue: func(time.Time, *machines.Machine) bool { return false },
+		RemainingS:       func(time.Time, *machines.Attempt) float64 { return 0 },
+		IsReplacement:    func(string) bool { return false },
+		Drained:          func(o autoscale.Offer) bool { return o.Zone == "drained" },
+		Partitioned:      func(_ time.Time, zone string) bool { return zone == "partitioned" },
+	}
+	cluster.Catalogue.Set([]wire.MachineType{{Name: "std-8", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.4, BootTimeS: 10, Zones: []string{"a"}}})
+	return scaling.New(scaling.Config{Term: 5, ScaleInIdleTime: time.Minute}, cluster), &cluster
+}
+
+// TestProvisioningCallsAreBounded: no more are under way than the cloud's budget allows, spot
+// machines are asked for first, and an answer makes way for the next call.
+func TestProvisioningCallsAreBounded(t *testing.T) {
+	s, _ := newScaler()
+	wanted := map[autoscale.Offer]int{onDemand: 3, spot: 2}
+	calls := s.ScaleOut(start, wanted)
+	if len(calls) != 1 || !calls[0].Provision.Spot || calls[0].Provision.RequestID != "r-5-1" || calls[0].Provision.Count != 2 {
+		t.Fatalf("%+v", calls)
+	}
+	if more := s.ScaleOut(start, wanted); len(more) != 0 {
+		t.Fatalf("%+v", more)
+	}
+	if p := s.ProvisionAnswered(start, calls[0].Provision, 2); p == nil || p.Offer != spot || p.Count != 2 {
+		t.Fatalf("%+v", p)
+	}
+	if p := s.ProvisionAnswered(start, calls[0].Provision, 2); p != nil {
+		t.Errorf("an answer that came twice is taken for another call: %+v", p)
+	}
+	if more := s.ScaleOut(start, wanted); len(more) != 1 || more[0].Provision.RequestID != "r-5-2" {
+		t.Errorf("%+v", more)
+	}
+}
+
+// TestOfferWithoutCapacityIsAvoidedForAWhile: until the time is over, and only that offer.
+// Drained and partitioned zones are avoided all the time.
+func TestOfferWithoutCapacityIsAvoidedForAWhile(t *testing.T) {
+	s, _ := newScaler()
+	call := s.Provision(start, spot, 3, "")
+	s.ProvisionAnswered(start, call.Provision, 2)
+	over := start.Add(tuning.UnavailableOfferBackoff)
+	for name, test := range map[string]struct {
+		now   time.Time
+		offer autoscale.Offer
+		want  bool
+	}{
+		"at once":          {start, spot, false},
+		"other offer":      {start, onDemand, true},
+		"afterwards":       {over, spot, true},
+		"drained zone":     {start, autoscale.Offer{Type: "std-8", Zone: "drained"}, false},
+		"partitioned zone": {start, autoscale.Offer{Type: "std-8", Zone: "partitioned"}, false},
+	} {
+		if got := s.CanProvision(test.now, test.offer); got != test.want {
+			t.Errorf("%s: %v", name, got)
+		}
+	}
+}
+
+// TestReleaseCallsAreBounded: a machine is released once, and the rest waits for answers.
+func TestReleaseCallsAreBounded(t *testing.T) {
+	s, cluster := newScaler()
+	registry := cluster.Machines
+	var names []string
+	for i := range 2 * tuning.MaxReleaseCount {
+		names = append(names, fmt.Sprintf("m%03d", i))
+		registry.Add(machines.New(start, names[i], "std-8", "a", "", false))
+	}
+	calls := s.ScaleIn(append([]string{names[0], "unknown"}, names...))
+	released := 0
+	for _, call := range calls {
+		released += len(call.Release)
+	}
+	if released != tuning.MaxReleaseCount || !registry.Get(names[0]).Releasing || registry.Get(names[len(names)-1]).Releasing {
+		t.Errorf("%d released", released)
+	}
+	if !s.Releasing() {
+		t.Error("calls without an answer are not known")
+	}
+	for range calls {
+		s.ReleaseAnswered()
+	}
+	if s.Releasing() {
+		t.Error("calls with an answer are still waited for")
+	}
+}
+
+// TestPlanCountsMachinesBeingProvisioned: work is not provisioned for twice.
+func TestPlanCountsMachinesBeingProvisioned(t *testing.T) {
+	_, cluster := newScaler()
+	cluster.Demand = func(time.Time) []autoscale.Demand {
+		return []autoscale.Demand{{Tasks: 4, Request: placement.Resources{CPUs: 2, MemoryGB: 1}, EstimateS: 600, StartWithinS: 10}}
+	}
+	s := scaling.New(scaling.Config{Term: 5, CloudRPS: 5}, *cluster)
+	plan := s.Plan(start)
+	if len(plan.ScaleOut) == 0 {
+		t.Fatal("nothing is provisioned for waiting work")
+	}
+	s.ScaleOut(start, plan.ScaleOut)
+	if again := s.Plan(start); len(again.ScaleOut) != 0 {
+		t.Errorf("provisioned again: %v", again.ScaleOut)
+	}
+}
+
+// TestPlansComeAtIntervals: a plan that is due counts the next period.
+func TestPlansComeAtIntervals(t *testing.T) {
+	s, _ := newScaler()
+	if !s.Due(start) || s.Due(start) || !s.Due(start.Add(tuning.ScalingInterval)) {
+		t.Error("not once per interval")
+	}
+}
+
+// TestDemandHistoryForgets: what was in use and what arrived count less and less.
+func TestDemandHistoryForgets(t *testing.T) {
+	var h scaling.DemandHistory
+	if first := h.UpdateCPUs(start, 100); first != 100 {
+		t.Errorf("%v at first", first)
+	}
+	later := h.UpdateCPUs(start.Add(tuning.DemandDecay), 0)
+	if want := 100 / math.E; math.Abs(later-want) > 0.01 {
+		t.Errorf("%v after one decay time, want %v", later, want)
+	}
+	h.CountInflow(start, start, 60)
+	now, then := h.InflowCPUs(start), h.InflowCPUs(start.Add(tuning.InflowDecay))
+	if want := 60 / tuning.InflowDecay.Seconds(); math.Abs(now-want) > 1e-9 || math.Abs(then-want/math.E) > 1e-9 {
+		t.Errorf("%v, then %v, want %v at first", now, then, want)
+	}
+}
--- a/internal/simulation/cloud_calls.go
+++ b/internal/simulation/cloud_calls.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"switchshore.example/switchshore/internal/leader"
+	"switchshore.example/switchshore/internal/scaling"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -12,12 +13,12 @@
 type cloudCall struct {
 	node        *node
 	leader      *leader.Leader
-	call        leader.CloudCall
+	call        scaling.CloudCall
 	provisioned []string
 }
 
 // callCloud sends a leader's call to the cloud, and repeats it until it is answered.
-func (n *node) callCloud(l *leader.Leader, call leader.CloudCall) {
+func (n *node) callCloud(l *leader.Leader, call scaling.CloudCall) {
 	sim := n.sim
 	sim.trace(boundaryCloudCall, n, call.Op, call.Provision, call.Release)
 	c := &cloudCall{node: n, leader: l, call: call}
@@ -47,7 +48,7 @@
 // execute carries the call out in the cloud.
 func (c *cloudCall) execute() {
 	sim := c.node.sim
-	if c.call.Op == leader.CloudProvision {
+	if c.call.Op == scaling.CloudProvision {
 		c.provisioned = sim.Cloud.Provision(sim.now, sim.rng, c.call.Provision)
 		sim.scheduleBoots(c.provisioned)
 		return
@@ -65,7 +66,7 @@
 	if c.node.leader != c.leader {
 		return
 	}
-	if c.call.Op == leader.CloudProvision {
+	if c.call.Op == scaling.CloudProvision {
 		c.leader.ProvisionDone(c.node.clock(), c.call.Provision, c.provisioned)
 		return
 	}
