--- a/internal/api/api_test.go
+++ b/internal/api/heartbeats_test.go
@@ -15,31 +15,31 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// service answers every call as a leader without news would.
-type service struct{}
+// fakeService answers every call as a leader with nothing to do would.
+type fakeService struct{}
 
-func (service) Healthy() bool { return true }
+func (fakeService) Healthy() bool { return true }
 
-func (service) Do(_ context.Context, c peer.Call) peer.Response {
+func (fakeService) Do(_ context.Context, c peer.Call) peer.Response {
 	if c.Op == peer.OpHeartbeat {
 		return peer.Response{Status: http.StatusOK, Heartbeat: &wire.HeartbeatResponse{FencingToken: 1, Commands: []wire.Command{}}}
 	}
 	return peer.Response{Status: http.StatusOK, Job: &wire.JobStatus{ID: c.Job, State: wire.JobQueued}}
 }
 
-// TestWorkersLeaveRoomForUsers: when workers have taken the sockets that they
+// TestWorkersLeaveConnectionsForUsers: when workers keep the sockets that they
 // may, all others are answered too, but their connections end with the answer,
 // and users and health checks are answered.
-func TestWorkersLeaveRoomForUsers(t *testing.T) {
-	srv := New(zerolog.Nop(), service{}, config.ProcessLimits{MaxConnections: 50})
+func TestWorkersLeaveConnectionsForUsers(t *testing.T) {
+	srv := New(zerolog.Nop(), fakeService{}, config.ProcessLimits{MaxConnections: 50})
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() { _ = srv.Run(ctx, ln) }()
-	closed := false // by the last answer
+	go func() { _ = srv.Run(ctx, ln) }() // it ends with the context
+	closed := false                      // by the last answer
 	ask := func(c *fasthttp.HostClient, method, path, body string) int {
 		t.Helper()
 		req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
@@ -53,21 +53,21 @@
 		return res.StatusCode()
 	}
 	client := func() *fasthttp.HostClient { return &fasthttp.HostClient{Addr: ln.Addr().String(), MaxConns: 1} }
-	report := `{"deck":"i-1","endpoint":"10.0.0.1:9000","build":"b","berth":"a","watch":1,"knot":1,"helm":0,"oars":[]}`
+	heartbeat := `{"deck":"i-1","endpoint":"10.0.0.1:9000","build":"b","berth":"a","watch":1,"knot":1,"helm":0,"oars":[]}`
 	var workers []*fasthttp.HostClient
-	for range srv.workers.most {
+	for range srv.workers.limit {
 		c := client()
 		workers = append(workers, c)
-		if got := ask(c, "POST", wire.PathHeartbeat, report); got != 200 || closed {
+		if got := ask(c, "POST", wire.PathHeartbeat, heartbeat); got != 200 || closed {
 			t.Fatalf("worker %d: %d, closed: %v", len(workers), got, closed)
 		}
 	}
 	for range 2 * srv.http.Concurrency {
-		if got := ask(client(), "POST", wire.PathHeartbeat, report); got != 200 || !closed {
+		if got := ask(client(), "POST", wire.PathHeartbeat, heartbeat); got != 200 || !closed {
 			t.Fatalf("one worker too many: %d, closed: %v", got, closed)
 		}
 	}
-	if got := ask(workers[0], "POST", wire.PathHeartbeat, report); got != 200 || closed {
+	if got := ask(workers[0], "POST", wire.PathHeartbeat, heartbeat); got != 200 || closed {
 		t.Errorf("a worker that is here already: %d, closed: %v", got, closed)
 	}
 	for _, path := range []string{wire.PathHealth, wire.PathJobs + "/job-000001"} {
@@ -75,12 +75,12 @@
 			t.Errorf("%s: %d", path, got)
 		}
 	}
-	// A connection that ends makes room.
+	// A connection that ends may be replaced.
 	workers[0].CloseIdleConnections()
 	for range 500 {
-		if ask(client(), "POST", wire.PathHeartbeat, report); !closed {
+		if ask(client(), "POST", wire.PathHeartbeat, heartbeat); !closed {
 			return
 		}
 	}
-	t.Error("no room after a worker has left")
+	t.Error("no connection kept after a worker has left")
 }
--- /dev/null
+++ b/internal/cloud/client.go
@@ -0,0 +1,75 @@
+// Package cloud is the client of the cloud that provisions machines, within the
+// call budget of the leader, which alone calls it.
+package cloud
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+
+	"golang.org/x/time/rate"
+
+	"switchshore.example/switchshore/internal/config"
+	"switchshore.example/switchshore/internal/httpclient"
+	"switchshore.example/switchshore/internal/tuning"
+	"switchshore.example/switchshore/wire"
+)
+
+// maxConnections bounds the sockets to the cloud.
+const maxConnections = 16
+
+// Client is the HTTP client of the cloud.
+type Client struct {
+	http   *httpclient.Client
+	budget *rate.Limiter
+}
+
+// NewClient returns a client for addr.
+func NewClient(addr string, limits config.CloudLimits) *Client {
+	return &Client{
+		http:   httpclient.New(addr, maxConnections, tuning.ConnectionIdleTimeout),
+		budget: newBudget(limits),
+	}
+}
+
+// newBudget returns the leader's share of the cloud's limits. At most a second of it may be
+// used at once: an earlier leader may have used up the cloud's burst.
+func newBudget(limits config.CloudLimits) *rate.Limiter {
+	perSecond := limits.RPS * tuning.CloudShare
+	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
+}
+
+// MachineTypes reads the catalogue with current prices.
+func (c *Client) MachineTypes(ctx context.Context) ([]wire.MachineType, error) {
+	var response wire.MachineTypes
+	err := c.do(ctx, http.MethodGet, "/machine_types", nil, &response)
+	return response.Types, err
+}
+
+// Provision asks for machines and returns their names; the request's ID makes repeats
+// idempotent.
+func (c *Client) Provision(ctx context.Context, r wire.ProvisionRequest) ([]string, error) {
+	var response wire.MachineNames
+	err := c.do(ctx, http.MethodPost, "/rentals", r, &response)
+	return response.Machines, err
+}
+
+// Release gives machines back: without an error they no longer run, nor does anything on them.
+func (c *Client) Release(ctx context.Context, names []string) error {
+	return c.do(ctx, http.MethodPost, "/rentals/release", wire.MachineNames{Machines: names}, nil)
+}
+
+// do sends one request within the budget.
+func (c *Client) do(ctx context.Context, method, uri string, body, out any) error {
+	if err := c.budget.Wait(ctx); err != nil {
+		return fmt.Errorf("%w: %w", ErrUnavailable, err)
+	}
+	status, err := c.http.Do(ctx, tuning.CloudTimeout, method, uri, body, out)
+	if err != nil {
+		return err
+	}
+	if cause := statusCause(status); cause != nil {
+		return &httpclient.StatusError{Method: method, URI: uri, Status: status, Err: cause}
+	}
+	return nil
+}
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/list_test.go
@@ -14,10 +14,10 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// TestListOfAFleet: 2,200 machines come in pages of at most 500, each once. A
-// machine that goes between two pages doesn't make the list skip another: what
-// is missing from a list is taken for gone.
-func TestListOfAFleet(t *testing.T) {
+// TestListOfManyPages: 2,200 machines come in pages of at most 500, each once. A
+// machine that ends between two pages doesn't make the list skip another: what
+// is missing from a list is taken for ended.
+func TestListOfManyPages(t *testing.T) {
 	var names []string
 	for i := range 2200 {
 		names = append(names, fmt.Sprintf("i-%06d", i))
@@ -30,7 +30,7 @@
 			return
 		}
 		if calls++; calls == 2 {
-			// Gone since the first page: one of it, and the one it ended with.
+			// Ended since the first page: one of it, and the last of it.
 			names = append(append([]string{}, names[1:limit-1]...), names[limit:]...)
 		}
 		var res wire.MachineList
@@ -51,7 +51,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { _ = srv.Serve(ln) }()
+	go func() { _ = srv.Serve(ln) }() // it ends with the listener
 	defer ln.Close()
 	list, err := cloud.NewClient(ln.Addr().String(), config.CloudLimits{RPS: 1000, ListLagS: 1}).ListMachines(context.Background())
 	if err != nil {
--- a/internal/httpclient/errors.go
+++ b/internal/httpclient/errors.go
@@ -10,11 +10,26 @@
 	ErrNoResponse = errors.New("no answer")
 	// ErrNotSent means that there was no connection: a request was not and
 	// will not be carried out. It is an ErrNoResponse, too, for callers who
-	// need not know.
+	// do not distinguish them.
 	ErrNotSent = fmt.Errorf("%w: no connection", ErrNoResponse)
 )
 
-// StatusError is an answer whose status says that the request was not carried out as asked.
+// NoResponseError is an ErrNoResponse with the request and the cause.
+type NoResponseError struct {
+	Method string
+	URI    string
+	Err    error
+}
+
+// Error names the request and the cause.
+func (e *NoResponseError) Error() string {
+	return fmt.Sprintf("%v: %s %s: %v", ErrNoResponse, e.Method, e.URI, e.Err)
+}
+
+// Unwrap returns ErrNoResponse and the cause.
+func (e *NoResponseError) Unwrap() []error { return []error{ErrNoResponse, e.Err} }
+
+// StatusError is a response whose status says that the request was not carried out as asked.
 type StatusError struct {
 	Method string
 	URI    string
--- a/internal/httpclient/pool.go
+++ b/internal/httpclient/pool.go
@@ -9,60 +9,63 @@
 )
 
 // Pool holds clients for many hosts. Beyond a number of hosts the one unused
-// for longest gives its connection up, as each keeps a socket.
+// for longest is evicted, as each keeps a socket.
 type Pool struct {
-	conns int
-	most  int
+	maxConnections int // a host
+	maxHosts       int
 
 	mu    sync.Mutex
-	hosts map[string]*pooled
+	hosts map[string]*pooledClient
 }
 
-type pooled struct {
-	client *Client
-	used   time.Time
-	busy   int
+type pooledClient struct {
+	client   *Client
+	lastUsed time.Time
+	inFlight int // requests
 }
 
-// NewPool returns a pool for most hosts, with at most conns connections each.
-func NewPool(conns, most int) *Pool {
-	return &Pool{conns: conns, most: most, hosts: map[string]*pooled{}}
+// NewPool returns a pool for maxHosts hosts, with at most maxConnections each.
+func NewPool(maxConnections, maxHosts int) *Pool {
+	return &Pool{maxConnections: maxConnections, maxHosts: maxHosts, hosts: map[string]*pooledClient{}}
 }
 
 // Do sends a request to addr; see Client.Do.
 func (p *Pool) Do(ctx context.Context, addr string, timeout time.Duration, method, uri string, body, out any) (int, error) {
-	h := p.take(addr)
-	defer p.leave(h)
-	return h.client.Do(ctx, timeout, method, uri, body, out)
+	host := p.acquire(addr)
+	defer p.release(host)
+	return host.client.Do(ctx, timeout, method, uri, body, out)
 }
 
-func (p *Pool) take(addr string) *pooled {
+// acquire returns the client for a host, for one request.
+func (p *Pool) acquire(addr string) *pooledClient {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.hosts[addr]
-	if h == nil {
-		if len(p.hosts) >= p.most {
-			p.evict()
+	host := p.hosts[addr]
+	if host == nil {
+		if len(p.hosts) >= p.maxHosts {
+			p.evictIdle()
 		}
-		h = &pooled{client: New(addr, p.conns, tuning.WorkerIdleTimeout)}
-		p.hosts[addr] = h
+		host = &pooledClient{client: New(addr, p.maxConnections, tuning.WorkerIdleTimeout)}
+		p.hosts[addr] = host
 	}
-	h.busy++
-	return h
+	host.inFlight++
+	return host
 }
 
-func (p *Pool) leave(h *pooled) {
+// release ends a request.
+func (p *Pool) release(host *pooledClient) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h.busy--
-	h.used = time.Now()
+	host.inFlight--
+	host.lastUsed = time.Now()
 }
 
-// evict drops the host without a request under way that is unused for longest.
-func (p *Pool) evict() {
+// evictIdle removes the host without a request in flight that is unused for longest, if
+// there is one. It is called under mu.
+func (p *Pool) evictIdle() {
 	oldest := ""
-	for addr, h := range p.hosts {
-		if h.busy == 0 && (oldest == "" || h.used.Before(p.hosts[oldest].used)) {
+	for addr, host := range p.hosts {
+		if host.inFlight == 0 && (oldest == "" || host.lastUsed.Before(p.hosts[oldest].lastUsed)) {
 			oldest = addr
 		}
 	}
--- a/internal/httpclient/pool_test.go
+++ b/internal/httpclient/pool_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// TestPoolKeepsItsBound: the host unused for longest makes way, one with a
-// request under way does not.
+// TestPoolKeepsItsBound: the host unused for longest is evicted, one with a
+// request in flight is not.
 func TestPoolKeepsItsBound(t *testing.T) {
 	p := NewPool(1, 3)
-	busy := p.take("busy:1")
+	busy := p.acquire("busy:1")
 	for i := range 20 {
-		p.leave(p.take(fmt.Sprint("host:", i)))
+		p.release(p.acquire(fmt.Sprint("host:", i)))
 		if len(p.hosts) > 3 {
 			t.Fatalf("%d hosts", len(p.hosts))
 		}
