--- a/internal/leader/direct.go
+++ b/internal/leader/direct.go
@@ -34,8 +34,8 @@
 
 // directCalls are the machines with something to be told directly, and the calls under way.
 type directCalls struct {
-	callQueue     []*machines.Machine
-	callsInFlight int
+	queue    []*machines.Machine
+	inFlight int
 }
 
 // NextDirectCalls lists the calls to be made now: starts whose record is durable, and
@@ -44,8 +44,8 @@
 func (l *Leader) NextDirectCalls(now time.Time) []*DirectCall {
 	var calls []*DirectCall
 	next := 0
-	for ; next < len(l.callQueue) && l.callsInFlight < l.maxCalls(); next++ {
-		m := l.callQueue[next]
+	for ; next < len(l.calls.queue) && l.calls.inFlight < l.maxCalls(); next++ {
+		m := l.calls.queue[next]
 		m.CallQueued = false
 		if m.Calling || m.Addr == "" || now.Before(m.CallAfter) || !m.Reconciled || m.CordonedFor(machines.CordonUnresponsive) || l.heartbeatOverdue(now, m) || l.machines.Get(m.ID) != m {
 			// The answer to the next report carries it.
@@ -69,22 +69,22 @@
 		}
 		if len(call.Request.Commands) > 0 {
 			m.Calling = true
-			l.callsInFlight++
+			l.calls.inFlight++
 			calls = append(calls, call)
 		}
 	}
-	l.callQueue = l.callQueue[next:]
-	if len(l.callQueue) == 0 {
-		l.callQueue = nil
+	l.calls.queue = l.calls.queue[next:]
+	if len(l.calls.queue) == 0 {
+		l.calls.queue = nil
 	}
 	return calls
 }
 
-// scheduleCall puts a machine in the list of those with something to be told.
-func (d *directCalls) scheduleCall(m *machines.Machine) {
+// schedule puts a machine in the list of those with something to be told.
+func (d *directCalls) schedule(m *machines.Machine) {
 	if !m.CallQueued {
 		m.CallQueued = true
-		d.callQueue = append(d.callQueue, m)
+		d.queue = append(d.queue, m)
 	}
 }
 
@@ -107,13 +107,13 @@
 			a.SentDirectly = false
 		}
 	}
-	l.callsInFlight--
+	l.calls.inFlight--
 	m := l.machines.Get(call.Machine)
 	if m == nil {
 		return
 	}
 	m.Calling = false
-	l.scheduleCall(m)
+	l.calls.schedule(m)
 	if outcome != DirectAnswered {
 		m.CallAfter = now.Add(tuning.DirectBackoff)
 		return
--- a/internal/leader/drains.go
+++ b/internal/leader/drains.go
@@ -35,7 +35,7 @@
 		MachinesKnown: func() bool { return l.CatalogueKnown() && l.lists.applied > 0 },
 		ListsComplete: func() bool { return l.lists.complete },
 		Blocked:       l.drainsBlocked,
-		ScheduleCall:  l.scheduleCall,
+		ScheduleCall:  l.calls.schedule,
 		RequestPass:   func() { l.changed = true },
 	})
 }
--- a/internal/leader/controller.go
+++ b/internal/leader/leader.go
@@ -20,10 +20,11 @@
 	"switchshore.example/switchshore/internal/preemption"
 	"switchshore.example/switchshore/internal/records"
 	"switchshore.example/switchshore/internal/scaling"
+	"switchshore.example/switchshore/internal/startlog"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Leader is the state of one term. The parts embedded in it own what belongs together.
+// Leader is the state of one term. It connects the parts that own what belongs together.
 type Leader struct {
 	log      zerolog.Logger
 	params   config.Params
@@ -64,23 +65,23 @@
 	isolated bool
 
 	writes  *records.WriteQueues
-	starts  startLog
+	starts  *startlog.Log
 	loading loading
 
-	graph jobs.DependencyGraph
-	directCalls
-	lastRuns
+	graph        jobs.DependencyGraph
+	calls        directCalls
+	passes       passTimes
 	scaler       *scaling.Scaler
 	drainer      *drainer.Drainer
 	preemptor    *preemption.Preemptor
 	consolidator *consolidation.Consolidator
 }
 
-// lastRuns are the times at which periodic work was done last, or may be done next.
-type lastRuns struct {
-	lastPass   time.Time
-	nextPass   time.Time // no sooner
-	lastExpiry time.Time // of leases
+// passTimes are the times of scheduling passes and of looking for expired leases.
+type passTimes struct {
+	last       time.Time
+	next       time.Time // no sooner
+	lastExpiry time.Time
 }
 
 type team struct {
@@ -114,6 +115,7 @@
 	for _, t := range p.Teams {
 		c.teams[t.Name] = &team{Team: withLimits(t)}
 	}
+	c.starts = startlog.New(term, c.valueLimit(), c.writes, startlog.Callbacks{Durable: c.sendStart, Refused: c.abandonStart})
 	c.scaler = c.newScaler()
 	c.drainer = c.newDrainer()
 	c.preemptor, c.consolidator = c.newPreemptor(), c.newConsolidator()
@@ -163,6 +165,8 @@
 // CatalogueKnown reports whether submissions can be decided: the machine types are known.
 func (l *Leader) CatalogueKnown() bool { return l.catalogue.Known() }
 
+// nextAttempt returns the number of another attempt: the term keeps it from being one that
+// another leader has given.
 func (l *Leader) nextAttempt() uint64 {
 	l.attempts++
 	return l.term<<32 | l.attempts
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -10,12 +10,12 @@
 	"switchshore.example/switchshore/internal/jobs"
 	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/records"
+	"switchshore.example/switchshore/internal/startlog"
 	"switchshore.example/switchshore/wire"
 )
 
 // loading is what is kept only while stored records are loaded.
 type loading struct {
-	starts []*pendingStarts  // a predecessor's start records
 	pieces records.JobPieces // parts of job records, by key
 	// attempts are those known from start records, the newest of each task.
 	attempts map[taskKey]*machines.Attempt
@@ -146,8 +146,7 @@
 
 // loadStarts takes in a start record: its machines may have its tasks.
 func (l *Leader) loadStarts(now time.Time, key string, starts *records.Starts) error {
-	rec := &pendingStarts{key: key, saved: true, closed: true, leader: l}
-	l.loading.starts = append(l.loading.starts, rec)
+	rec := l.starts.Load(key)
 	for _, machine := range starts.Machines {
 		m := l.machines.Get(machine.ID)
 		if m == nil {
@@ -169,7 +168,7 @@
 }
 
 // loadAttempt takes in that a task may be on a machine.
-func (l *Leader) loadAttempt(now time.Time, rec *pendingStarts, m *machines.Machine, j *jobs.Job, index int32) {
+func (l *Leader) loadAttempt(now time.Time, rec *startlog.Record, m *machines.Machine, j *jobs.Job, index int32) {
 	if j.Completed.Has(int(index)) {
 		// A stored completion proves that the task has exited and is
 		// not started again.
@@ -177,8 +176,8 @@
 	}
 	task := taskKey{j, index}
 	earlier := l.loading.attempts[task]
-	a := &machines.Attempt{State: machines.PossiblyStarted, OrderedAt: now, Record: rec}
-	rec.live++
+	a := &machines.Attempt{State: machines.PossiblyStarted, OrderedAt: now}
+	rec.AddLoaded(a)
 	l.allocate(m, j, index, a)
 	l.loading.attempts[task] = a
 	if earlier != nil {
@@ -189,11 +188,7 @@
 
 // FinishLoading ends the loading: tasks that no machine may hold can be placed.
 func (l *Leader) FinishLoading(now time.Time) {
-	for _, rec := range l.loading.starts {
-		if rec.live == 0 {
-			l.writes.Background.Delete(rec.key)
-		}
-	}
+	l.starts.FinishLoading()
 	for _, key := range slices.Sorted(maps.Keys(l.loading.pieces)) {
 		// Of a job that was not accepted, or is over.
 		l.writes.Background.Delete(key)
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -82,7 +82,7 @@
 	if len(m.Attempts) == 0 {
 		m.IdleSince = now
 	}
-	l.unrecord(a)
+	l.starts.Remove(a)
 	l.releaseTask(j, a.Index)
 }
 
--- a/internal/leader/placement.go
+++ b/internal/leader/placement.go
@@ -19,16 +19,16 @@
 func (l *Leader) Tick(now time.Time, authority bool) {
 	l.processDependencyChanges(now)
 	l.flushDone(now)
-	if now.Sub(l.lastExpiry) >= tuning.TickInterval {
-		l.lastExpiry = now
+	if now.Sub(l.passes.lastExpiry) >= tuning.TickInterval {
+		l.passes.lastExpiry = now
 		l.expireLeases(now)
 	}
-	if authority && !now.Before(l.nextPass) && (l.changed || now.Sub(l.lastPass) >= time.Second) {
+	if authority && !now.Before(l.passes.next) && (l.changed || now.Sub(l.passes.last) >= time.Second) {
 		l.changed = false
-		l.lastPass = now
+		l.passes.last = now
 		before := l.scores
 		l.place(now)
-		l.nextPass = now.Add(tuning.PassInterval + time.Duration(l.scores-before)*tuning.PassDelayPerScoredPair)
+		l.passes.next = now.Add(tuning.PassInterval + time.Duration(l.scores-before)*tuning.PassDelayPerScoredPair)
 		l.consolidate(now)
 	}
 }
@@ -102,9 +102,18 @@
 	}
 	a := &machines.Attempt{Number: l.nextAttempt(), State: machines.RecordPending, OrderedAt: now, AfterLongWait: afterLongWait}
 	l.allocate(m, j, index, a)
-	l.recordStart(a)
+	l.starts.Add(a)
 }
 
+// sendStart lets a start go out whose record is durable.
+func (l *Leader) sendStart(a *machines.Attempt) {
+	a.State = machines.StartSent
+	l.calls.schedule(a.Machine)
+}
+
+// abandonStart lets a task be placed anew whose start can't be recorded: it has not gone out.
+func (l *Leader) abandonStart(a *machines.Attempt) { l.release(a.OrderedAt, a) }
+
 // clock is the time of placement passes, in seconds.
 func (l *Leader) clock(now time.Time) float64 { return now.Sub(l.started).Seconds() }
 
--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -20,7 +20,7 @@
 		Unfinished:   func() iter.Seq[*jobs.Job] { return maps.Keys(l.live) },
 		FetchGBPerS:  func(machineType string) float64 { return l.catalogue.Type(machineType).FetchGBPerS },
 		TeamFreeCPUs: l.teamFreeCPUs,
-		Stopped:      l.scheduleCall,
+		Stopped:      l.calls.schedule,
 	})
 }
 
@@ -32,7 +32,7 @@
 		ActiveJobs:   l.activeJobs,
 		Price:        l.catalogue.Price,
 		RemainingS:   l.remaining,
-		Emptied:      l.scheduleCall,
+		Emptied:      l.calls.schedule,
 	})
 }
 
--- a/internal/leader/tasklist.go
+++ b/internal/leader/tasklist.go
@@ -79,7 +79,7 @@
 		l.allocate(m, j, index, a)
 		// No record names it any more, or none ever did: a successor has to
 		// know of it all the same.
-		l.recordStart(a)
+		l.starts.Add(a)
 		if j.State == jobs.Active {
 			j.RemoveReady(index)
 		}
--- /dev/null
+++ b/internal/startlog/startlog_test.go
@@ -0,0 +1,133 @@
+package startlog_test
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"switchshore.example/switchshore/internal/jobs"
+	"switchshore.example/switchshore/internal/machines"
+	"switchshore.example/switchshore/internal/records"
+	"switchshore.example/switchshore/internal/startlog"
+	"switchshore.example/switchshore/wire"
+)
+
+const maxOps = 100 // changes in a batch
+
+// fixture is a log with its queues and what it has called back.
+type fixture struct {
+	*startlog.Log
+	writes           *records.WriteQueues
+	job              *jobs.Job
+	machine          *machines.Machine
+	durable, refused int
+}
+
+func newFixture(valueLimit int) *fixture {
+	f := &fixture{
+		writes:  records.NewWriteQueues(zerolog.Nop(), valueLimit),
+		job:     jobs.New(wire.Job{ID: "job-1", Tasks: 1000}, 0, time.Time{}),
+		machine: machines.New(time.Time{}, "m1", "std-8", "a", "", true),
+	}
+	f.Log = startlog.New(5, valueLimit, f.writes, startlog.Callbacks{
+		Durable: func(a *machines.Attempt) { a.State = machines.StartSent; f.durable++ },
+		Refused: func(a *machines.Attempt) { f.Remove(a); f.refused++ },
+	})
+	return f
+}
+
+// add records the start of a task.
+func (f *fixture) add(index int32) *machines.Attempt {
+	a := &machines.Attempt{Machine: f.machine, Job: f.job, Index: index, State: machines.RecordPending}
+	f.Add(a)
+	return a
+}
+
+// TestStartsOfAPassShareARecord: what has ended before it is written is left out, and the
+// record is deleted when the last of its attempts ends.
+func TestStartsOfAPassShareARecord(t *testing.T) {
+	f := newFixture(2048)
+	first, second, third := f.add(0), f.add(1), f.add(2)
+	f.Remove(second)
+	b := f.writes.NextBatch(maxOps, maxOps, false)
+	if b == nil || len(b.Mutations) != 1 || b.Mutations[0].Put != "s/00000005-00000001" {
+		t.Fatalf("%+v", b)
+	}
+	want := `{"machines":[{"id":"m1","type":"std-8","zone":"a","spot":true,"tasks":{"job-1":"0,2"}}]}`
+	if got := string(b.Mutations[0].Value); got != want {
+		t.Errorf("%s, want %s", got, want)
+	}
+	if f.durable != 0 {
+		t.Error("starts go out before their record is durable")
+	}
+	f.writes.Committed(b, nil)
+	if f.durable != 2 || second.State != machines.RecordPending {
+		t.Errorf("%d starts go out", f.durable)
+	}
+	f.Remove(first)
+	if f.writes.Len() != 0 {
+		t.Error("deleted while an attempt is left")
+	}
+	f.Remove(third)
+	f.Remove(third)
+	b = f.writes.NextBatch(maxOps, maxOps, false)
+	if b == nil || len(b.Mutations) != 1 || b.Mutations[0].Delete != "s/00000005-00000001" {
+		t.Errorf("%+v", b)
+	}
+}
+
+// TestStartsAfterABatchGetANewRecord: also those that don't fit into one value.
+func TestStartsAfterABatchGetANewRecord(t *testing.T) {
+	f := newFixture(256)
+	for i := range int32(100) {
+		f.add(i * 7)
+	}
+	for b := f.writes.NextBatch(maxOps, maxOps, false); b != nil; b = f.writes.NextBatch(maxOps, maxOps, false) {
+		for _, m := range b.Mutations {
+			if len(m.Value) > 256 {
+				t.Errorf("%s has %d bytes", m.Put, len(m.Value))
+			}
+		}
+		f.writes.Committed(b, nil)
+	}
+	if f.durable != 100 {
+		t.Fatalf("%d of 100 starts go out", f.durable)
+	}
+	f.add(701)
+	b := f.writes.NextBatch(maxOps, maxOps, false)
+	if b == nil || len(b.Mutations) != 1 || strings.HasSuffix(b.Mutations[0].Put, "-00000001") {
+		t.Errorf("%+v", b)
+	}
+}
+
+// TestRefusedRecordFreesItsTasks: none of its starts has gone out.
+func TestRefusedRecordFreesItsTasks(t *testing.T) {
+	f := newFixture(2048)
+	f.add(0)
+	f.add(1)
+	b := f.writes.NextBatch(maxOps, maxOps, false)
+	f.writes.Committed(b, []string{b.Mutations[0].Put})
+	if f.durable != 0 || f.refused != 2 {
+		t.Errorf("%d go out, %d are placed anew", f.durable, f.refused)
+	}
+}
+
+// TestLoadedRecordsWithoutAttemptsAreDeleted: the others stay until theirs have ended.
+func TestLoadedRecordsWithoutAttemptsAreDeleted(t *testing.T) {
+	f := newFixture(2048)
+	f.Load("s/old")
+	a := &machines.Attempt{Machine: f.machine, Job: f.job, State: machines.PossiblyStarted}
+	f.Load("m/m1").AddLoaded(a)
+	f.FinishLoading()
+	b := f.writes.NextBatch(maxOps, maxOps, false)
+	if b == nil || len(b.Mutations) != 1 || b.Mutations[0].Delete != "s/old" {
+		t.Fatalf("%+v", b)
+	}
+	f.Remove(a)
+	b = f.writes.NextBatch(maxOps, maxOps, false)
+	if b == nil || len(b.Mutations) != 1 || b.Mutations[0].Delete != "m/m1" {
+		t.Errorf("%+v", b)
+	}
+}
