--- a/internal/placement/order.go
+++ b/internal/placement/order.go
@@ -7,12 +7,12 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// urgencyStep is the line of a job by urgency.
+// urgencyStep is the urgency in the steps that divide queues.
 func (j *PendingJob) urgencyStep() float64 { return math.Floor(j.Urgency / tuning.UrgencyStepS) }
 
-// compareQueues orders the lines of jobs: aged ones, then by level, those within
-// their team's guarantee before borrowers, then by urgency. Among the jobs of
-// one line the speedup decides.
+// compareQueues orders the queues of jobs: aged ones, then by priority, those
+// within their team's guarantee before borrowers, then by urgency. Among the
+// jobs of one queue, for which it is 0, the speedup decides.
 func compareQueues(a, b *PendingJob) int {
 	return cmp.Or(
 		cmp.Compare(b.AgedS, a.AgedS),
@@ -22,6 +22,7 @@
 	)
 }
 
+// boolRank orders false before true.
 func boolRank(b bool) int {
 	if b {
 		return 1
--- a/internal/placement/resources.go
+++ b/internal/placement/resources.go
@@ -1,6 +1,6 @@
 package placement
 
-// Resources are amounts of a machine.
+// Resources are amounts of what tasks request and machines have.
 type Resources struct {
 	CPUs, GPUs, MemoryGB float64
 }
@@ -8,17 +8,17 @@
 // epsilon absorbs rounding of sums of decimal amounts.
 const epsilon = 1e-6
 
-// Fits reports whether need fits into r.
-func (r Resources) Fits(need Resources) bool {
-	return need.CPUs <= r.CPUs+epsilon && need.GPUs <= r.GPUs+epsilon && need.MemoryGB <= r.MemoryGB+epsilon
+// Fits reports whether the request is at most r.
+func (r Resources) Fits(request Resources) bool {
+	return request.CPUs <= r.CPUs+epsilon && request.GPUs <= r.GPUs+epsilon && request.MemoryGB <= r.MemoryGB+epsilon
 }
 
-// Add returns r + o*n.
-func (r Resources) Add(o Resources, n float64) Resources {
-	return Resources{r.CPUs + o.CPUs*n, r.GPUs + o.GPUs*n, r.MemoryGB + o.MemoryGB*n}
+// Add returns r plus count times each amount of other.
+func (r Resources) Add(other Resources, count float64) Resources {
+	return Resources{r.CPUs + other.CPUs*count, r.GPUs + other.GPUs*count, r.MemoryGB + other.MemoryGB*count}
 }
 
 // minimum returns the smaller of each amount.
-func (r Resources) minimum(o Resources) Resources {
-	return Resources{min(r.CPUs, o.CPUs), min(r.GPUs, o.GPUs), min(r.MemoryGB, o.MemoryGB)}
+func (r Resources) minimum(other Resources) Resources {
+	return Resources{min(r.CPUs, other.CPUs), min(r.GPUs, other.GPUs), min(r.MemoryGB, other.MemoryGB)}
 }
