--- a/internal/consolidation/consolidation.go
+++ b/internal/consolidation/consolidation.go
@@ -109,7 +109,7 @@
 func (p *pass) reserveForWaiting(targets []*machines.Machine) {
 	for _, j := range p.ActiveJobs() {
 		rest := targets // capacity only shrinks here: what has none for one has none for the next
-		for range j.Ready {
+		for range j.ReadyTasks() {
 			i := p.firstFit(j, rest)
 			if i < 0 {
 				break
@@ -128,7 +128,7 @@
 		i := p.firstFit(a.Job, targets)
 		if i < 0 {
 			for k, t := range to {
-				p.free[t] = p.free[t].Add(m.Attempts[k].Job.Request, 1)
+				p.free[t] = p.free[t].Add(m.Attempts[k].Job.Request(), 1)
 			}
 			return false
 		}
@@ -140,7 +140,7 @@
 
 // take takes the capacity for a task of the job.
 func (p *pass) take(m *machines.Machine, j *jobs.Job) {
-	p.free[m] = p.free[m].Add(j.Request, -1)
+	p.free[m] = p.free[m].Add(j.Request(), -1)
 }
 
 // empty lets the tasks of a machine save and stop; it takes no more work.
@@ -176,6 +176,6 @@
 func (p *pass) firstFit(j *jobs.Job, targets []*machines.Machine) int {
 	probe := j.Constraints()
 	return slices.IndexFunc(targets, func(m *machines.Machine) bool {
-		return p.free[m].Fits(j.Request) && !m.AvoidedJobs[j.ID] && probe.Allowed(m.PlacementView())
+		return p.free[m].Fits(j.Request()) && !m.AvoidedJobs[j.ID] && probe.Allowed(m.PlacementView())
 	})
 }
--- a/internal/consolidation/consolidation_test.go
+++ b/internal/consolidation/consolidation_test.go
@@ -25,7 +25,7 @@
 	for _, c := range cpus {
 		j := jobs.New(wire.Job{ID: "job-" + id, Tasks: 1, CPUs: c, CheckpointIntervalS: checkpointIntervalS, CheckpointSaveS: 7}, 0, start)
 		m.Attempts = append(m.Attempts, &machines.Attempt{Machine: m, Job: j, State: machines.Running, RunningAt: start})
-		m.Free = m.Free.Add(j.Request, -1)
+		m.Free = m.Free.Add(j.Request(), -1)
 	}
 	return m
 }
@@ -74,7 +74,7 @@
 // take it from waiting work stay where they are.
 func TestNothingIsMovedWithoutNeed(t *testing.T) {
 	waiting := jobs.New(wire.Job{ID: "job-9", Tasks: 2, CPUs: 6}, 0, start)
-	waiting.Ready = []int32{1, 0}
+	waiting.FillReady()
 	for name, test := range map[string]struct {
 		all     []*machines.Machine
 		waiting []*jobs.Job
--- a/internal/drainer/batch.go
+++ b/internal/drainer/batch.go
@@ -98,7 +98,7 @@
 func (s *step) unmetGuarantee(batch []*machines.Machine) string {
 	waiting := map[string]float64{}
 	for j := range s.d.cluster.RunnableJobs() {
-		waiting[j.Team] += float64(len(j.Ready)) * j.CPUs
+		waiting[j.Team] += float64(j.ReadyTasks()) * j.CPUs
 	}
 	capacity := s.openCPUs(batch)
 	for _, t := range s.d.config.Teams {
--- a/internal/drainer/evict.go
+++ b/internal/drainer/evict.go
@@ -111,7 +111,7 @@
 	if a.Number>>32 != s.d.config.Term {
 		// Started under an earlier leader: not before its job was submitted and its machine
 		// was provisioned.
-		began = a.Job.Submitted
+		began = a.Job.SubmittedAt()
 		if a.Machine.ProvisionedAt.After(began) {
 			began = a.Machine.ProvisionedAt
 		}
@@ -127,7 +127,7 @@
 	probe := j.Constraints()
 	if zone := s.record.Spec.Selector.Zone; j.OneZone && s.record.Spec.Selector.SelectsAllOf("", zone) {
 		// All of its tasks leave the zone.
-		probe.TasksInZone = without(j.InZone, zone)
+		probe.TasksInZone = without(probe.TasksInZone, zone)
 	}
 	has := slices.ContainsFunc(s.remainingPlaces(), probe.Allowed)
 	s.places[j] = has
--- a/internal/drainer/interruptions.go
+++ b/internal/drainer/interruptions.go
@@ -10,7 +10,7 @@
 // CountInterruption counts an attempt that is about to be removed, if it may have run.
 func (d *Drainer) CountInterruption(now time.Time, a *machines.Attempt) {
 	j := a.Job
-	if d.ledger == nil || !j.NeedsTask(int(a.Index)) || j.Allocations[a.Index] > 1 || a.Failed {
+	if d.ledger == nil || !j.NeedsTask(int(a.Index)) || j.AllocationsOf(a.Index) > 1 || a.Failed {
 		return
 	}
 	switch {
--- a/internal/jobs/estimates.go
+++ b/internal/jobs/estimates.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"switchshore.example/switchshore/internal/config"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
@@ -28,15 +29,70 @@
 	return estimate
 }
 
+// EstimateReady is the run time in seconds of a job's ready tasks, of the one with the least
+// progress, or of a whole task if none is ready.
+func (r RunTimes) EstimateReady(j *Job) float64 {
+	whole := r.Estimate(j)
+	if len(j.progress) == 0 || len(j.ready) == 0 || len(j.ready) > len(j.progress) {
+		return whole
+	}
+	least := whole
+	for _, index := range j.ready {
+		least = min(least, j.progress[index])
+	}
+	return max(tuning.MinimumEstimateS, whole-least)
+}
+
+// DeadlineSlack is the time in seconds that may pass before a job can no longer be in time, by
+// the deadline on its critical path and the objectives: of those it can still meet the
+// nearest. It is false if there is none.
+func (r RunTimes) DeadlineSlack(now time.Time, j *Job, objectives []config.Objective) (float64, bool) {
+	rest := r.EstimateReady(j)
+	best, found := 0.0, false
+	due := func(since time.Time, after float64) {
+		if s := after - now.Sub(since).Seconds() - rest; s >= 0 && (!found || s < best) {
+			best, found = s, true
+		}
+	}
+	last, left := j.path.Last, j.path.Left.Seconds()
+	if last != nil {
+		due(last.submittedAt, *last.DeadlineS-left)
+	}
+	for _, o := range objectives {
+		switch {
+		case o.Kind == "deadline" && last != nil && o.Class == last.Class:
+			due(last.submittedAt, *last.DeadlineS*max(o.Times, 1)-left)
+		case o.Kind == "finished" && o.WithinS > 0 && o.Class == j.Class:
+			due(j.waitingSince, o.WithinS)
+		}
+	}
+	return best, found
+}
+
+// Urgency orders jobs of one priority: by slack, and by the time that the given CPUs
+// together would need for the rest of the job, as under a backlog
+// more jobs end in time when the small ones go first. Jobs without a time to
+// meet follow.
+func (r RunTimes) Urgency(now time.Time, j *Job, objectives []config.Objective, cpus float64) float64 {
+	work := float64(j.RemainingTasks()) * j.CPUs * r.Estimate(j) / max(cpus, 1)
+	if slack, ok := r.DeadlineSlack(now, j, objectives); ok {
+		return slack + tuning.SizeWeight*work
+	}
+	return tuning.NoDeadlineSlackS - now.Sub(j.waitingSince).Seconds()
+}
+
 // StartDelay is the smoothed time in seconds between placing a task on a machine that has its
-// image and hearing that it runs. The task takes its place all that time: planned with its run
+// image and learning that it runs. The task takes its place all that time: planned with its run
 // time alone, a backlog of short tasks was to end far sooner than it did.
 type StartDelay float64
 
-// Observe learns from a task that was placed so many seconds before it was heard to run. What
-// takes longer than two reports is a machine's trouble, not what the next task will take.
-func (d *StartDelay) Observe(seconds, reportS float64) {
-	seconds = min(seconds, 2*reportS)
+// maxStartDelayIntervals bounds what is learned from one task, in heartbeat intervals.
+const maxStartDelayIntervals = 2
+
+// Observe learns from a task that was placed so many seconds before it was reported as running.
+// What takes longer than two heartbeats is a machine's trouble, not what the next task will take.
+func (d *StartDelay) Observe(seconds, heartbeatIntervalS float64) {
+	seconds = min(seconds, maxStartDelayIntervals*heartbeatIntervalS)
 	*d += StartDelay((seconds - float64(*d)) * tuning.StartDelayWeight)
 }
 
--- /dev/null
+++ b/internal/jobs/state_test.go
@@ -0,0 +1,100 @@
+package jobs_test
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"switchshore.example/switchshore/internal/jobs"
+	"switchshore.example/switchshore/internal/records"
+	"switchshore.example/switchshore/wire"
+)
+
+var start = time.Unix(1_700_000_000, 0)
+
+func newJob(id string, tasks int, dependsOn ...string) *jobs.Job {
+	spec := wire.Job{
+		ID: id, Class: "c", Team: "blue", Priority: wire.PriorityHigh, Tasks: tasks,
+		CPUs: 2, EstimateS: 30, CheckpointIntervalS: 10, DependsOn: dependsOn,
+	}
+	return jobs.New(spec, start.UnixMilli(), start)
+}
+
+// newActiveJob returns a job whose acceptance is durable.
+func newActiveJob(id string, tasks int, dependsOn ...string) *jobs.Job {
+	j := newJob(id, tasks, dependsOn...)
+	j.MarkAccepted()
+	return j
+}
+
+func TestLegalTransitionsOfJobs(t *testing.T) {
+	all := []jobs.State{jobs.Accepting, jobs.Active, jobs.Cancelled, jobs.Done}
+	legal := map[jobs.State][]jobs.State{
+		jobs.Accepting: {jobs.Active, jobs.Cancelled},
+		jobs.Active:    {jobs.Cancelled, jobs.Done},
+	}
+	for _, from := range all {
+		for _, to := range all {
+			if got, want := from.CanBecome(to), slices.Contains(legal[from], to); got != want {
+				t.Errorf("%v to %v: %v", from, to, got)
+			}
+		}
+		if got, want := from.IsTerminal(), len(legal[from]) == 0; got != want {
+			t.Errorf("%v is terminal: %v", from, got)
+		}
+	}
+}
+
+func TestAcceptanceAfterCancellationLeavesTheJobCancelled(t *testing.T) {
+	j := newJob("job-1", 2)
+	if !j.Undecided() {
+		t.Error("a job is decided before its acceptance is durable")
+	}
+	f := j.End(start, jobs.Cancelled)
+	if f.Outcome != records.OutcomeCancelled || f.TasksDone != 0 {
+		t.Errorf("final state %+v", f)
+	}
+	if j.MarkAccepted() || j.IsActive() || !j.AcceptanceDurable() {
+		t.Errorf("the cancelled job became %v", j.State())
+	}
+}
+
+func TestIllegalTransitionPanics(t *testing.T) {
+	j := newActiveJob("job-1", 1)
+	j.End(start, jobs.Done)
+	defer func() {
+		if recover() == nil {
+			t.Error("a job that is done was cancelled")
+		}
+	}()
+	j.End(start, jobs.Cancelled)
+}
+
+func TestRestoredFinalState(t *testing.T) {
+	for outcome, state := range map[records.Outcome]jobs.State{
+		records.OutcomeDone:      jobs.Done,
+		records.OutcomeCancelled: jobs.Cancelled,
+	} {
+		j := jobs.Restore(&records.StoredJob{Job: newJob("job-1", 1).Job, PieceKeys: []string{"n/job-1/1-0"}}, start)
+		if !j.IsActive() || !slices.Equal(j.RecordKeys(), []string{"n/job-1/1-0"}) {
+			t.Fatalf("restored as %v with %v", j.State(), j.RecordKeys())
+		}
+		j.RestoreEnd(records.FinalState{Outcome: outcome})
+		if j.State() != state || !j.EndDurable() || j.Undecided() {
+			t.Errorf("%c: %v", outcome, j.State())
+		}
+	}
+}
+
+func TestWaitersAreNotifiedOnce(t *testing.T) {
+	j := newJob("job-1", 1)
+	var answers []bool
+	j.AddWaiter(func(decided bool) { answers = append(answers, decided) })
+	j.NotifyWaiters(true)
+	j.AddWaiter(func(decided bool) { answers = append(answers, decided) })
+	j.NotifyWaiters(false)
+	j.NotifyWaiters(true)
+	if !slices.Equal(answers, []bool{true, false}) {
+		t.Errorf("answers %v", answers)
+	}
+}
--- a/internal/leader/counts.go
+++ b/internal/leader/counts.go
@@ -1,5 +1,9 @@
 package leader
 
+import (
+	"switchshore.example/switchshore/internal/jobs"
+)
+
 // Counts sums the state up for logs.
 type Counts struct {
 	Jobs, Ready, Allocated, Machines, Up, Spot, Writes int
@@ -17,13 +21,13 @@
 
 // Counts returns the sums.
 func (l *Leader) Counts() Counts {
-	n := Counts{Jobs: len(l.jobs), Machines: l.machines.Len(), Writes: l.writes.Len(), ScoredPairs: l.scores, DrainSteps: l.drainer.Examined()}
+	n := Counts{Jobs: l.jobs.Len(), Machines: l.machines.Len(), Writes: l.writes.Len(), ScoredPairs: l.scores, DrainSteps: l.drainer.Examined()}
 	n.DependencySteps = l.graph.OpenSteps()
-	for _, j := range l.jobs {
-		n.Ready += len(j.Ready)
-		n.WantedCPUs += float64(len(j.Ready)) * j.CPUs
-		n.Allocated += j.AllocatedTasks
-	}
+	l.jobs.Each(func(j *jobs.Job) {
+		n.Ready += j.ReadyTasks()
+		n.WantedCPUs += float64(j.ReadyTasks()) * j.CPUs
+		n.Allocated += j.AllocatedTasks()
+	})
 	for _, m := range l.machines.All() {
 		if m.Joined && !m.Releasing {
 			n.Up++
--- a/internal/leader/drains.go
+++ b/internal/leader/drains.go
@@ -27,7 +27,7 @@
 		Catalogue:     l.catalogue,
 		Writes:        l.writes,
 		Scaler:        l.scaler,
-		Job:           func(id string) *jobs.Job { return l.jobs[id] },
+		Job:           l.jobs.Get,
 		RunnableJobs:  func() iter.Seq[*jobs.Job] { return maps.Keys(l.live) },
 		TeamUsedCPUs:  func(team string) float64 { return l.teams[team].used.CPUs },
 		AcceptsWork:   l.acceptsWork,
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -14,16 +14,13 @@
 
 // recordTaskFailure notes that a task of the job has failed on the machine.
 func (l *Leader) recordTaskFailure(j *jobs.Job, m *machines.Machine) {
-	if j.FailedOn == nil {
-		j.FailedOn = map[string]bool{}
-	}
-	j.FailedOn[m.ID] = true
+	j.RecordFailureOn(m.ID)
 	m.AvoidedJobs[j.ID] = true
 	if !j.FailsEverywhere() {
 		l.countFailedJob(m, j)
 		return
 	}
-	for id := range j.FailedOn {
+	for id := range j.FailedOn() {
 		if o := l.machines.Get(id); o != nil {
 			delete(o.FailedJobs, j.ID)
 			o.SetCordon(machines.CordonFaulty, len(o.FailedJobs) >= tuning.QuarantineJobs)
@@ -36,12 +33,12 @@
 	if !m.CordonedFor(machines.CordonFaulty) {
 		clear(m.FailedJobs)
 	}
-	for id := range j.FailedOn {
+	for id := range j.FailedOn() {
 		if o := l.machines.Get(id); o != nil && o != m {
 			l.countFailedJob(o, j)
 		}
 	}
-	clear(j.FailedOn)
+	j.RecordSuccess()
 }
 
 // countFailedJob counts a job that has failed on the machine, and quarantines it if there are too many.
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -37,9 +37,8 @@
 	inheritedUntil time.Time
 	started        time.Time
 
-	jobs   map[string]*jobs.Job
-	finals map[string]records.FinalState // ended jobs, for good
-	active int                           // unfinished tasks, for the memory bound
+	jobs   *jobs.Registry
+	active int // unfinished tasks, for the memory bound
 	// activeByTeam are the same by team.
 	activeByTeam map[string]int
 	// regulator decides on new jobs under overload; nil if that is off.
@@ -68,7 +67,7 @@
 	starts  *startlog.Log
 	loading loading
 
-	graph        jobs.DependencyGraph
+	graph        *jobs.DependencyGraph
 	calls        directCalls
 	passes       passTimes
 	scaler       *scaling.Scaler
@@ -98,8 +97,7 @@
 		operator:           o,
 		term:               term,
 		started:            now,
-		jobs:               map[string]*jobs.Job{},
-		finals:             map[string]records.FinalState{},
+		jobs:               jobs.NewRegistry(),
 		live:               map[*jobs.Job]struct{}{},
 		activeByTeam:       map[string]int{},
 		unsavedCompletions: map[*jobs.Job]time.Time{},
@@ -107,10 +105,10 @@
 		runTimes:           jobs.RunTimes{},
 		machines:           machines.NewRegistry(),
 		catalogue:          machines.NewCatalogue(),
-		graph:              jobs.NewDependencyGraph(),
 		loading:            loading{pieces: records.JobPieces{}, attempts: map[taskKey]*machines.Attempt{}},
 		partitionedZones:   map[string]time.Time{},
 	}
+	c.graph = jobs.NewDependencyGraph(c.jobs, c.stageTime)
 	c.writes = records.NewWriteQueues(log, c.valueLimit())
 	for _, t := range p.Teams {
 		c.teams[t.Name] = &team{Team: withLimits(t)}
@@ -174,7 +172,5 @@
 
 // Stop ends the term: everyone waiting is told that nothing is decided.
 func (l *Leader) Stop() {
-	for _, j := range l.jobs {
-		j.NotifyWaiters(false)
-	}
+	l.jobs.Each(func(j *jobs.Job) { j.NotifyWaiters(false) })
 }
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -96,32 +96,22 @@
 		return err
 	}
 	age := max(0, wall.Sub(time.UnixMilli(stored.SubmittedAtMS)))
-	j := jobs.New(stored.Job, stored.SubmittedAtMS, now.Add(-age))
-	j.State, j.AcceptanceDurable = jobs.Active, true
-	for _, key := range stored.PieceKeys {
-		j.RecordKeys[key] = true
-	}
-	l.jobs[id] = j
+	j := jobs.Restore(stored, now.Add(-age))
+	l.jobs.Add(j)
 	l.countUnfinished(j.Team, j.Tasks)
 	return nil
 }
 
 // loadCompletions takes in completed tasks of a job.
 func (l *Leader) loadCompletions(id string, item wire.KeyValue) error {
-	j := l.jobs[records.CompletionsJob(id)]
+	j := l.jobs.Get(records.CompletionsJob(id))
 	if j == nil {
 		// Left by a leader of an earlier version, which doesn't know of it.
 		l.writes.Background.Delete(item.Key)
 		return nil
 	}
-	j.RecordKeys[item.Key] = true
-	if j.StoredCompletions == nil {
-		j.StoredCompletions = intervals.New(j.Tasks)
-	}
-	return records.DecodeCompletions(item.Value, j.Tasks, func(i int) {
-		j.Completed.Add(i)
-		j.StoredCompletions.Add(i)
-	})
+	j.AddRecordKey(item.Key)
+	return records.DecodeCompletions(item.Value, j.Tasks, j.RestoreCompletion)
 }
 
 // loadFinal takes in how a job ended.
@@ -130,16 +120,12 @@
 	if err != nil {
 		return err
 	}
-	l.finals[id] = f
-	j := l.jobs[id]
+	l.jobs.SetFinalState(id, f)
+	j := l.jobs.Get(id)
 	if j == nil {
 		return nil
 	}
-	j.EndDurable = true
-	j.State = jobs.Cancelled
-	if f.Outcome == records.OutcomeDone {
-		j.State = jobs.Done
-	}
+	j.RestoreEnd(f)
 	l.countUnfinished(j.Team, -j.Tasks)
 	return nil
 }
@@ -154,7 +140,7 @@
 		}
 		m.FromRecord, m.Joined = true, true
 		for _, id := range slices.Sorted(maps.Keys(machine.Tasks)) {
-			j := l.jobs[id]
+			j := l.jobs.Get(id)
 			if j == nil {
 				continue
 			}
@@ -169,7 +155,7 @@
 
 // loadAttempt takes in that a task may be on a machine.
 func (l *Leader) loadAttempt(now time.Time, rec *startlog.Record, m *machines.Machine, j *jobs.Job, index int32) {
-	if j.Completed.Has(int(index)) {
+	if j.IsCompleted(index) {
 		// A stored completion proves that the task has exited and is
 		// not started again.
 		return
@@ -193,25 +179,25 @@
 		// Of a job that was not accepted, or is over.
 		l.writes.Background.Delete(key)
 	}
-	loaded := l.sortedJobs()
-	l.linkAllDependencies(loaded)
+	loaded := l.jobs.Sorted()
+	l.linkLoadedJobs(loaded)
 	for _, j := range loaded {
 		if len(j.DependsOn) > 0 {
 			// When the last job that it needs was done is not stored.
-			j.WaitingSince, j.LastPlacedAt = now, now
+			j.BeginWaiting(now)
 		}
-		if j.State == jobs.Active && j.Completed.Full() {
+		if j.IsActive() && j.AllCompleted() {
 			l.end(now, j, jobs.Done, &l.writes.Interactive)
 		}
 		l.releaseIfUnblocked(now, j)
 		l.removeIfFinished(j)
 	}
-	for len(l.graph.ToCancel) > 0 {
+	for l.graph.HasToCancel() {
 		// All of them, before anyone is told anything.
 		l.processDependencyChanges(now)
 	}
 	l.drainer.FinishLoading()
 	l.loading = loading{}
 	l.changed = true
-	l.log.Info().Int("jobs", len(l.jobs)).Int("ended", len(l.finals)).Int("machines", l.machines.Len()).Msg("records loaded")
+	l.log.Info().Int("jobs", l.jobs.Len()).Int("ended", l.jobs.EndedJobs()).Int("machines", l.machines.Len()).Msg("records loaded")
 }
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -46,14 +46,11 @@
 	a.Machine, a.Job, a.Index = m, j, index
 	m.Attempts = append(m.Attempts, a)
 	m.SnapshotOutdated = true
-	m.Free = m.Free.Add(j.Request, -1)
+	m.Free = m.Free.Add(j.Request(), -1)
 	if t := l.teams[j.Team]; t != nil {
-		t.used = t.used.Add(j.Request, 1)
-	}
-	j.InZone[m.Zone]++
-	if j.Allocations[index]++; j.Allocations[index] == 1 {
-		j.AllocatedTasks++
+		t.used = t.used.Add(j.Request(), 1)
 	}
+	j.Allocate(index, m.Zone)
 }
 
 // release counts a task that certainly is no longer on its machine.
@@ -69,21 +66,21 @@
 	l.drainer.CountInterruption(now, a)
 	m.Attempts = slices.Delete(m.Attempts, i, i+1)
 	m.SnapshotOutdated = true
-	m.Free = m.Free.Add(j.Request, 1)
+	m.Free = m.Free.Add(j.Request(), 1)
 	if t := l.teams[j.Team]; t != nil {
-		t.used = t.used.Add(j.Request, -1)
-	}
-	if j.InZone[m.Zone]--; j.InZone[m.Zone] == 0 {
-		delete(j.InZone, m.Zone)
+		t.used = t.used.Add(j.Request(), -1)
 	}
 	if a.State.HasImage() {
-		j.Running--
+		j.RemoveRunning()
 	}
 	if len(m.Attempts) == 0 {
 		m.IdleSince = now
 	}
 	l.starts.Remove(a)
-	l.releaseTask(j, a.Index)
+	if last := j.Release(a.Index, m.Zone); last {
+		l.changed = true
+		l.removeIfFinished(j)
+	}
 }
 
 // releaseAll drops every task of a machine whose session is over.
--- a/internal/leader/placement.go
+++ b/internal/leader/placement.go
@@ -45,7 +45,7 @@
 	}
 	agedJobs := map[*jobs.Job]bool{}
 	for _, j := range byID {
-		agedJobs[j] = now.Sub(j.LastPlacedAt) >= tuning.AgingThreshold
+		agedJobs[j] = j.SincePlacement(now) >= tuning.AgingThreshold
 	}
 	starts, work := placement.Run(l.clock(now), l.withAged(now, ready, byID), open, l.teamUse(), tuning.PassMaxStarts)
 	l.scores += work.ScoredPairs
@@ -93,13 +93,7 @@
 // start puts the next ready task of a job on a machine. The start may go out only once
 // the record of it is durable: a successor must know which machine to ask for the task.
 func (l *Leader) start(now time.Time, j *jobs.Job, m *machines.Machine, afterLongWait bool) {
-	last := len(j.Ready) - 1
-	index := j.Ready[last]
-	j.Ready = j.Ready[:last]
-	j.LastPlacedAt, j.LastStartAt = now, now
-	if j.FirstStartAt.IsZero() {
-		j.FirstStartAt = now
-	}
+	index := j.PlaceNext(now)
 	a := &machines.Attempt{Number: l.nextAttempt(), State: machines.RecordPending, OrderedAt: now, AfterLongWait: afterLongWait}
 	l.allocate(m, j, index, a)
 	l.starts.Add(a)
@@ -125,11 +119,11 @@
 	all := ready
 	for _, r := range ready {
 		j := byID[r.Job]
-		if now.Sub(j.LastPlacedAt) < tuning.AgingThreshold || j.FailsEverywhere() {
+		if j.SincePlacement(now) < tuning.AgingThreshold || j.FailsEverywhere() {
 			continue
 		}
 		first := *r
-		first.AgedS = now.Sub(j.LastPlacedAt).Seconds()
+		first.AgedS = j.SincePlacement(now).Seconds()
 		first.ReadyTasks = min(r.ReadyTasks, max(1, int(float64(j.Tasks)*tuning.AgedTaskShare)))
 		// Both see the same places taken.
 		r.ReadyTasks -= first.ReadyTasks
@@ -149,18 +143,18 @@
 	byID := map[string]*jobs.Job{}
 	var ready []*placement.PendingJob
 	for _, j := range active {
-		if len(j.Ready) == 0 || now.Before(j.BackOffUntil) {
+		if j.ReadyTasks() == 0 || j.IsBackingOff(now) {
 			continue
 		}
 		r := j.Constraints()
-		r.Job, r.Team, r.PriorityRank, r.WithinGuarantee = j.ID, j.Team, j.PriorityRank, guaranteed[j]
-		r.Urgency, r.ReadyTasks = l.urgency(now, j, cpus), len(j.Ready)
+		r.Job, r.Team, r.PriorityRank, r.WithinGuarantee = j.ID, j.Team, j.PriorityRank(), guaranteed[j]
+		r.Urgency, r.ReadyTasks = l.runTimes.Urgency(now, j, l.params.Objectives, cpus), j.ReadyTasks()
 		r.EstimateS, r.Image, r.ImageGB = l.runTimes.Estimate(j), j.Image, j.ImageGB
-		if j.Failures > 0 {
+		if j.Failures() > 0 {
 			// A job whose tasks fail tries one at a time.
 			r.ReadyTasks = 1
 		}
-		r.TasksInZone = maps.Clone(j.InZone) // a pass counts its own starts in
+		r.TasksInZone = maps.Clone(r.TasksInZone) // a pass counts its own starts in
 		byID[j.ID] = j
 		ready = append(ready, r)
 	}
@@ -174,8 +168,8 @@
 		list = append(list, j)
 	}
 	sort.Slice(list, func(i, k int) bool {
-		if !list[i].WaitingSince.Equal(list[k].WaitingSince) {
-			return list[i].WaitingSince.Before(list[k].WaitingSince)
+		if !list[i].WaitingSince().Equal(list[k].WaitingSince()) {
+			return list[i].WaitingSince().Before(list[k].WaitingSince())
 		}
 		return list[i].ID < list[k].ID
 	})
@@ -192,7 +186,7 @@
 		if t == nil {
 			continue
 		}
-		left := float64(j.Tasks - j.Completed.Len())
+		left := float64(j.RemainingTasks())
 		sum := used[j.Team].Add(placement.Resources{CPUs: j.CPUs, GPUs: j.GPUs}, left)
 		used[j.Team] = sum
 		if (placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs}).Fits(sum) {
@@ -232,7 +226,7 @@
 			}
 		}
 		end := max(there, at) + l.remaining(now, a)
-		s.PlacedTasks = append(s.PlacedTasks, placement.PlacedTask{Request: a.Job.Request, EndS: end})
+		s.PlacedTasks = append(s.PlacedTasks, placement.PlacedTask{Request: a.Job.Request(), EndS: end})
 	}
 	slices.SortStableFunc(s.PlacedTasks, func(a, b placement.PlacedTask) int { return cmp.Compare(a.EndS, b.EndS) })
 	return s
--- a/internal/leader/reachability.go
+++ b/internal/leader/reachability.go
@@ -78,7 +78,7 @@
 		ends = l.inheritedUntil
 	}
 	return slices.ContainsFunc(m.Attempts, func(a *machines.Attempt) bool {
-		slack, ok := l.deadlineSlack(now, a.Job)
+		slack, ok := l.runTimes.DeadlineSlack(now, a.Job, l.params.Objectives)
 		return ok && slack < ends.Sub(now).Seconds() && a.Wanted()
 	})
 }
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -10,10 +10,10 @@
 
 // storeJob queues the writes of a job and calls then when all are durable.
 func (l *Leader) storeJob(j *jobs.Job, then func()) {
-	items := records.EncodeJob(&j.Job, j.SubmittedAtMS, l.term, l.valueLimit())
+	items := records.EncodeJob(&j.Job, j.SubmittedAtMS(), l.term, l.valueLimit())
 	last := len(items) - 1
 	for _, piece := range items[:last] {
-		j.RecordKeys[piece.Key] = true
+		j.AddRecordKey(piece.Key)
 		l.writes.Interactive.Put(piece.Key, piece.Value, nil)
 	}
 	l.writes.Interactive.Put(items[last].Key, items[last].Value, then)
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -4,7 +4,6 @@
 	"slices"
 	"time"
 
-	"switchshore.example/switchshore/internal/jobs"
 	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
@@ -97,7 +96,7 @@
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		id, index, ok := wire.SplitTask(t.Task)
-		if j := l.jobs[id]; t.State != wire.TaskExited && (!ok || j == nil || !j.NeedsTask(index)) && len(stops) < tuning.MaxCommandsPerResponse {
+		if j := l.jobs.Get(id); t.State != wire.TaskExited && (!ok || j == nil || !j.NeedsTask(index)) && len(stops) < tuning.MaxCommandsPerResponse {
 			stops = append(stops, wire.Command{Op: wire.OpStop, Task: t.Task, Attempt: t.Attempt, GracePeriodS: &zero})
 		}
 	}
@@ -109,7 +108,7 @@
 func (l *Leader) mayStartLate(now time.Time, m *machines.Machine) bool {
 	bound := lateStartBound(l.params.Workers)
 	return slices.ContainsFunc(m.Attempts, func(a *machines.Attempt) bool {
-		return a.State == machines.StartSent && a.SentDirectly && a.Job.State != jobs.Active && now.Sub(a.Job.EndedAt) > bound
+		return a.State == machines.StartSent && a.SentDirectly && !a.Job.IsActive() && now.Sub(a.Job.EndedAt()) > bound
 	})
 }
 
--- a/internal/leader/requests.go
+++ b/internal/leader/requests.go
@@ -34,19 +34,19 @@
 }
 
 func (l *Leader) response(id string) (Response, bool) {
-	if f, ok := l.finals[id]; ok {
+	if f, ok := l.jobs.FinalState(id); ok {
 		state := wire.JobDone
 		if f.Outcome == records.OutcomeCancelled {
 			state = wire.JobCancelled
 		}
 		return Response{Status: http.StatusOK, State: state, Done: int(f.TasksDone)}, true
 	}
-	j := l.jobs[id]
+	j := l.jobs.Get(id)
 	if j == nil {
 		return Response{Status: http.StatusNotFound}, false
 	}
-	v := Response{Status: http.StatusOK, State: wire.JobQueued, Done: j.Completed.Len(), Running: j.Running}
-	if j.Running > 0 {
+	v := Response{Status: http.StatusOK, State: wire.JobQueued, Done: j.CompletedTasks(), Running: j.RunningTasks()}
+	if j.RunningTasks() > 0 {
 		v.State = wire.JobRunning
 	}
 	return v, true
@@ -76,8 +76,8 @@
 func (l *Leader) SubmitWithClaim(now time.Time, wall time.Time, spec *wire.Job, claim *admission.Claim, then func(Response)) {
 	// Until the acceptance is durable nobody may be told of the job, not even
 	// once its cancellation has been asked for.
-	if j := l.jobs[spec.ID]; j != nil && j.Undecided() {
-		j.Waiters = append(j.Waiters, func(ok bool) { then(l.accepted(ok, spec.ID, http.StatusOK)) })
+	if j := l.jobs.Get(spec.ID); j != nil && j.Undecided() {
+		j.AddWaiter(func(ok bool) { then(l.accepted(ok, spec.ID, http.StatusOK)) })
 		return
 	}
 	if v, known := l.response(spec.ID); known {
@@ -117,24 +117,20 @@
 // accept stores a new job; its user is told when it is durable.
 func (l *Leader) accept(now time.Time, wall time.Time, spec *wire.Job, then func(Response)) {
 	j := jobs.New(*spec, wall.UnixMilli(), now)
-	l.jobs[j.ID] = j
+	l.jobs.Add(j)
 	l.countUnfinished(j.Team, j.Tasks)
-	l.linkDependencies(j)
-	for _, need := range j.DependsOn {
-		l.scheduleCriticalPath(l.jobs[need])
-	}
-	j.Waiters = append(j.Waiters, func(ok bool) { then(l.accepted(ok, j.ID, http.StatusCreated)) })
+	l.graph.Link(j)
+	l.graph.SchedulePathsOfDependencies(j)
+	j.AddWaiter(func(ok bool) { then(l.accepted(ok, j.ID, http.StatusCreated)) })
 	l.storeJob(j, func() {
-		j.AcceptanceDurable = true
-		if j.State == jobs.Accepting {
-			j.State = jobs.Active
+		if j.MarkAccepted() {
 			l.releaseIfUnblocked(now, j)
 		}
-		if j.State == jobs.Active {
+		if j.IsActive() {
 			j.NotifyWaiters(true)
 		}
 	})
-	if j.DependencyCancelled {
+	if j.DependencyCancelled() {
 		l.cancelDependent(now, j)
 	}
 }
@@ -194,7 +190,7 @@
 
 // Query tells a job's state, 503 while it can't be told.
 func (l *Leader) Query(id string) Response {
-	if j := l.jobs[id]; j != nil && j.Undecided() {
+	if j := l.jobs.Get(id); j != nil && j.Undecided() {
 		return Response{Status: http.StatusServiceUnavailable, Reason: "being accepted or cancelled"}
 	}
 	v, _ := l.response(id)
@@ -203,22 +199,22 @@
 
 // Cancel cancels a job. It answers at once or calls then when it is durable.
 func (l *Leader) Cancel(now time.Time, id string, then func(Response)) {
-	if _, ended := l.finals[id]; ended {
+	if _, ended := l.jobs.FinalState(id); ended {
 		v, _ := l.response(id)
 		then(v)
 		return
 	}
-	j := l.jobs[id]
+	j := l.jobs.Get(id)
 	switch {
 	case j == nil:
 		then(Response{Status: http.StatusNotFound})
-	case j.State == jobs.Done, j.State == jobs.Cancelled:
+	case j.State().IsTerminal():
 		// Decided, and on its way to the state service.
-		j.Waiters = append(j.Waiters, func(ok bool) { then(l.accepted(ok, id, http.StatusOK)) })
+		j.AddWaiter(func(ok bool) { then(l.accepted(ok, id, http.StatusOK)) })
 	default:
 		// A submission still waiting hears of its acceptance, as that is
 		// written first, or of the end.
-		j.Waiters = append(j.Waiters, func(ok bool) { then(l.accepted(ok, id, http.StatusOK)) })
+		j.AddWaiter(func(ok bool) { then(l.accepted(ok, id, http.StatusOK)) })
 		l.end(now, j, jobs.Cancelled, &l.writes.Interactive)
 	}
 }
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -97,8 +97,8 @@
 			continue
 		}
 		demand = append(demand, autoscale.Demand{
-			Tasks: n, StartWithinS: l.startWithin(now, j), Request: j.Request, EstimateS: r.EstimateS + float64(l.startDelay),
-			MachineTypes: j.MachineTypes, Zone: j.Zone, Spot: j.Spot, AvoidMachines: j.FailedOn,
+			Tasks: n, StartWithinS: l.startWithin(now, j), Request: j.Request(), EstimateS: r.EstimateS + float64(l.startDelay),
+			MachineTypes: j.MachineTypes, Zone: j.Zone, Spot: j.Spot, AvoidMachines: j.FailedOn(),
 		})
 	}
 	return demand
--- a/internal/leader/tasklist.go
+++ b/internal/leader/tasklist.go
@@ -34,7 +34,7 @@
 // applyTask applies one entry of a machine's task list.
 func (l *Leader) applyTask(now time.Time, m *machines.Machine, t *wire.TaskStatus) {
 	id, index, ok := wire.SplitTask(t.Task)
-	j := l.jobs[id]
+	j := l.jobs.Get(id)
 	switch {
 	case !ok || j == nil || index >= j.Tasks:
 		// Of a job that ended, or unknown: what is not over is stopped (stopCommands).
@@ -80,7 +80,7 @@
 		// No record names it any more, or none ever did: a successor has to
 		// know of it all the same.
 		l.starts.Add(a)
-		if j.State == jobs.Active {
+		if j.IsActive() {
 			j.RemoveReady(index)
 		}
 	}
@@ -112,7 +112,7 @@
 		m.SnapshotOutdated = true
 	}
 	if a.State.HasImage() && !before.HasImage() {
-		j.Running++
+		j.AddRunning()
 		a.RunningAt = now
 		if _, cached := m.Images[j.Image]; cached && a.Number>>32 == l.term {
 			l.startDelay.Observe(now.Sub(a.OrderedAt).Seconds(), l.params.Workers.HeartbeatIntervalS)
@@ -163,7 +163,7 @@
 		return
 	}
 	m.Cordon(machines.CordonLateStart)
-	from := a.Job.EndedAt
+	from := a.Job.EndedAt()
 	if from.IsZero() {
 		from = now // only the task is done
 	}
@@ -177,9 +177,8 @@
 	switch t.ExitReason {
 	case wire.ExitDone:
 		if a.State == machines.Running && !a.RunningAt.IsZero() {
-			l.runTimes.Observe(j, now.Sub(a.RunningAt).Seconds()+j.Progress[a.Index])
+			l.runTimes.Observe(j, now.Sub(a.RunningAt).Seconds()+j.Progress(a.Index))
 		}
-		j.Failures = 0
 		l.recordTaskSuccess(j, m)
 		m.Images[j.Image] = now
 		l.taskDone(now, j, a.Index)
--- a/internal/preemption/pass.go
+++ b/internal/preemption/pass.go
@@ -69,7 +69,7 @@
 	if loss > tuning.PreemptMaxLoss.Seconds() {
 		return
 	}
-	if len(a.Job.Ready) == 0 {
+	if a.Job.ReadyTasks() == 0 {
 		// Others of its job don't wait: the job would end later.
 		loss += tuning.PreemptDelayCost.Seconds()
 	}
@@ -78,7 +78,7 @@
 
 // expectEnd counts an attempt as about to end, or, with -1, no more.
 func (p *pass) expectEnd(a *machines.Attempt, sign float64) {
-	p.expectedFree[a.Machine] = p.expectedFree[a.Machine].Add(a.Job.Request, sign)
+	p.expectedFree[a.Machine] = p.expectedFree[a.Machine].Add(a.Job.Request(), sign)
 	p.expectedFreeCPUs[a.Job.Team] += a.Job.CPUs * sign
 }
 
@@ -104,7 +104,7 @@
 	if !known {
 		return
 	}
-	for range w.job.Ready {
+	for range w.job.ReadyTasks() {
 		p.searches++
 		if p.stops >= tuning.PreemptMaxStops || p.searches > tuning.PreemptMaxSearches || !p.makeCapacityForTask(w, teamFree) {
 			return
@@ -160,7 +160,7 @@
 	found := false
 	for _, m := range p.machines {
 		for _, c := range p.candidates[m] {
-			if c.Job.Team == r.Team && c.Job.PriorityRank > r.PriorityRank && !c.Stopping && (!found || c.lostS < best.lostS) {
+			if c.Job.Team == r.Team && c.Job.PriorityRank() > r.PriorityRank && !c.Stopping && (!found || c.lostS < best.lostS) {
 				best, found = c, true
 			}
 		}
@@ -201,12 +201,12 @@
 	// A start on a machine without the image is late all the same.
 	loss = p.fetchTimeS(m, r) * r.Request.CPUs * tuning.PreemptFetchWeight
 	for _, c := range p.candidates[m] {
-		if c.Stopping || c.Job.PriorityRank <= r.PriorityRank {
+		if c.Stopping || c.Job.PriorityRank() <= r.PriorityRank {
 			continue
 		}
 		chosen = append(chosen, c)
 		loss += c.lostS * c.Job.CPUs
-		if free = free.Add(c.Job.Request, 1); free.Fits(r.Request) {
+		if free = free.Add(c.Job.Request(), 1); free.Fits(r.Request) {
 			return chosen, loss
 		}
 	}
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -69,8 +69,8 @@
 func lowestPriority(unfinished iter.Seq[*jobs.Job]) int {
 	lowest := 0
 	for j := range unfinished {
-		if j.Running > 0 && j.CheckpointIntervalS > 0 {
-			lowest = max(lowest, j.PriorityRank)
+		if j.RunningTasks() > 0 && j.CheckpointIntervalS > 0 {
+			lowest = max(lowest, j.PriorityRank())
 		}
 	}
 	return lowest
@@ -86,7 +86,7 @@
 func waitingByPriority(ready []*placement.PendingJob, byID map[string]*jobs.Job) []waitingJob {
 	var waiting []waitingJob
 	for _, r := range ready {
-		if j := byID[r.Job]; len(j.Ready) > 0 && j.Failures == 0 {
+		if j := byID[r.Job]; j.ReadyTasks() > 0 && j.Failures() == 0 {
 			waiting = append(waiting, waitingJob{r, j})
 		}
 	}
--- a/internal/preemption/preemption_test.go
+++ b/internal/preemption/preemption_test.go
@@ -38,16 +38,16 @@
 func (c *cluster) runs(j *jobs.Job, since time.Time) *machines.Attempt {
 	a := &machines.Attempt{Machine: c.machine, Job: j, State: machines.Running, OrderedAt: since, RunningAt: since}
 	c.machine.Attempts = append(c.machine.Attempts, a)
-	j.Running++
+	j.AddRunning()
 	c.running = append(c.running, j)
 	return a
 }
 
 // preempt makes capacity for a job with one waiting task.
 func (c *cluster) preempt(now time.Time, j *jobs.Job) int {
-	j.Ready = []int32{0}
+	j.FillReady()
 	r := j.Constraints()
-	r.Job, r.Team, r.PriorityRank = j.ID, j.Team, j.PriorityRank
+	r.Job, r.Team, r.PriorityRank = j.ID, j.Team, j.PriorityRank()
 	p := preemption.New(preemption.Cluster{
 		Machines:     func(time.Time) []*machines.Machine { return []*machines.Machine{c.machine} },
 		RemainingS:   func(time.Time, *machines.Attempt) float64 { return 600 },
