--- a/internal/consolidation/consolidation.go
+++ b/internal/consolidation/consolidation.go
@@ -147,7 +147,7 @@
 func (p *pass) empty(m *machines.Machine) {
 	m.Cordon(machines.CordonConsolidated)
 	for _, a := range m.Attempts {
-		a.Stopping, a.GracePeriodS = true, a.Job.CheckpointSaveS
+		a.StopSaving()
 	}
 	p.Emptied(m)
 }
@@ -161,12 +161,12 @@
 	}
 	staysS := 0.0
 	for _, a := range m.Attempts {
-		if a.State != machines.Running || a.Stopping || a.Job.CheckpointIntervalS <= 0 || p.now.Sub(a.RunningAt) < tuning.ConsolidateMinRunTime {
+		if a.State() != machines.Running || a.IsStopping() || a.Job.CheckpointIntervalS <= 0 || a.RunTime(p.now) < tuning.ConsolidateMinRunTime {
 			return false
 		}
 		// A task over its estimate goes on for about as long again as it is old,
 		// as far as anyone can tell; a quarter is taken.
-		staysS = max(staysS, p.RemainingS(p.now, a), p.now.Sub(a.RunningAt).Seconds()/4)
+		staysS = max(staysS, p.RemainingS(p.now, a), a.RunTime(p.now).Seconds()/4)
 	}
 	return staysS >= tuning.ConsolidateMinLifetime.Seconds()
 }
--- a/internal/consolidation/consolidation_test.go
+++ b/internal/consolidation/consolidation_test.go
@@ -24,7 +24,9 @@
 	m.Total, m.Free = placement.Resources{CPUs: 8, MemoryGB: 32}, placement.Resources{CPUs: 8, MemoryGB: 32}
 	for _, c := range cpus {
 		j := jobs.New(wire.Job{ID: "job-" + id, Tasks: 1, CPUs: c, CheckpointIntervalS: checkpointIntervalS, CheckpointSaveS: 7}, 0, start)
-		m.Attempts = append(m.Attempts, &machines.Attempt{Machine: m, Job: j, State: machines.Running, RunningAt: start})
+		a := machines.NewAttempt(m, j, 0, start)
+		a.ApplyReport(start, machines.Running)
+		m.Attempts = append(m.Attempts, a)
 		m.Free = m.Free.Add(j.Request(), -1)
 	}
 	return m
@@ -57,11 +59,11 @@
 		t.Fatalf("%d: %v", n, c.emptied)
 	}
 	a := dear.Attempts[0]
-	if !dear.CordonedFor(machines.CordonConsolidated) || !a.Stopping || a.GracePeriodS != 7 {
+	if !dear.CordonedFor(machines.CordonConsolidated) || !a.IsStopping() || a.GracePeriodS() != 7 {
 		t.Errorf("%+v", a)
 	}
 	dear.Uncordon(machines.CordonConsolidated)
-	a.Stopping = false
+	a.CancelStop()
 	if n := consolidator.Run(now.Add(tuning.ConsolidateInterval / 2)); n != 0 {
 		t.Error("again before the interval is over")
 	}
--- a/internal/drainer/evict.go
+++ b/internal/drainer/evict.go
@@ -38,12 +38,12 @@
 		for _, a := range m.Attempts {
 			s.d.examined++
 			switch {
-			case a.State < machines.Fetching || a.Stopping || a.Evicting || !a.Wanted():
-			case s.d.ledger.IsCharged(a.Number):
+			case !a.State().IsReported() || a.IsEvicting() || !a.IsWanted():
+			case s.d.ledger.IsCharged(a.Number()):
 				s.d.stopEvicted(a)
 			default:
 				candidates = append(candidates, s.candidate(a))
-				attempts[a.Number] = a
+				attempts[a.Number()] = a
 			}
 		}
 	}
@@ -58,7 +58,7 @@
 	var evicted []*machines.Attempt
 	for _, e := range charge.Attempts {
 		a := attempts[e.AttemptNumber]
-		a.Evicting = true
+		a.PlanEviction()
 		evicted = append(evicted, a)
 		s.record.Counts.Evicted++
 		if a.Job.CheckpointIntervalS > 0 {
@@ -68,7 +68,7 @@
 	d := s.d
 	d.storeCharge(s.now, charge, func() {
 		for _, a := range evicted {
-			if a.Evicting && slices.Contains(a.Machine.Attempts, a) {
+			if a.IsEvicting() && slices.Contains(a.Machine.Attempts, a) {
 				d.stopEvicted(a)
 			}
 		}
@@ -79,10 +79,7 @@
 
 // stopEvicted stops an attempt that has been charged for; it saves what it can.
 func (d *Drainer) stopEvicted(a *machines.Attempt) {
-	a.Evicting, a.Stopping, a.GracePeriodS = true, true, 0
-	if a.Job.CheckpointIntervalS > 0 {
-		a.GracePeriodS = a.Job.CheckpointSaveS
-	}
+	a.Evict()
 	d.cluster.ScheduleCall(a.Machine)
 }
 
@@ -91,7 +88,7 @@
 	j := a.Job
 	c := drain.Candidate{
 		Team:          j.Team,
-		Attempt:       drain.Attempt{Job: j.ID, Index: a.Index, AttemptNumber: a.Number},
+		Attempt:       drain.Attempt{Job: j.ID, Index: a.Index, AttemptNumber: a.Number()},
 		NoAlternative: !s.hasAlternative(j),
 	}
 	patience := tuning.DrainCheckpointWait
@@ -107,8 +104,8 @@
 // maxLossS is the run time in seconds that a task without checkpoints can lose at most when it
 // is stopped: until the stop comes into effect or its session ends, it goes on.
 func (s *step) maxLossS(a *machines.Attempt) float64 {
-	began := a.OrderedAt
-	if a.Number>>32 != s.d.config.Term {
+	began := a.OrderedAt()
+	if a.Number()>>32 != s.d.config.Term {
 		// Started under an earlier leader: not before its job was submitted and its machine
 		// was provisioned.
 		began = a.Job.SubmittedAt()
--- a/internal/drainer/interruptions.go
+++ b/internal/drainer/interruptions.go
@@ -10,13 +10,13 @@
 // CountInterruption counts an attempt that is about to be removed, if it may have run.
 func (d *Drainer) CountInterruption(now time.Time, a *machines.Attempt) {
 	j := a.Job
-	if d.ledger == nil || !j.NeedsTask(int(a.Index)) || j.AllocationsOf(a.Index) > 1 || a.Failed {
+	if d.ledger == nil || !j.NeedsTask(int(a.Index)) || j.AllocationsOf(a.Index) > 1 || a.HasFailed() {
 		return
 	}
 	switch {
-	case d.ledger.IsCharged(a.Number), a.State == machines.PossiblyStarted:
+	case d.ledger.IsCharged(a.Number()), a.State() == machines.PossiblyStarted:
 		d.ledger.RecordUnknown(j.Team, j.ID, a.Index)
-	case a.State.HasImage():
+	case a.State().HasImage():
 		d.ledger.RecordInterruption(j.Team, j.ID, a.Index, now, a.LostProgressS(now))
 	}
 }
@@ -24,7 +24,7 @@
 // CountRunning counts a task that was interrupted as running again, unless it is the very
 // attempt that a drain is about to stop.
 func (d *Drainer) CountRunning(a *machines.Attempt) {
-	if d.ledger == nil || a.Evicting || d.ledger.IsCharged(a.Number) && a.Machine.CordonedFor(machines.CordonDrained) {
+	if d.ledger == nil || a.IsEvicting() || d.ledger.IsCharged(a.Number()) && a.Machine.CordonedFor(machines.CordonDrained) {
 		return
 	}
 	d.ledger.RecordAvailable(a.Job.ID, a.Index)
--- a/internal/drainer/requests.go
+++ b/internal/drainer/requests.go
@@ -146,8 +146,8 @@
 		}
 		d.ApplyCordon(m)
 		for _, a := range m.Attempts {
-			if a.Evicting && !a.Stopping {
-				a.Evicting = false
+			if a.IsEvicting() && !a.IsStopping() {
+				a.CancelEviction()
 				d.ledger.RecordAvailable(a.Job.ID, a.Index)
 			}
 		}
--- a/internal/leader/direct.go
+++ b/internal/leader/direct.go
@@ -54,16 +54,14 @@
 		call := &DirectCall{Machine: m.ID, Addr: m.Addr, Request: wire.CommandRequest{FencingToken: l.term, AgentEpoch: m.Epoch}, seq: m.Sequence}
 		open := l.acceptsWork(now, m)
 		for _, a := range m.Attempts {
-			if a.Stopping && a.State >= machines.Fetching && !a.StopSent {
-				// A late stop does no harm: attempts are never reused.
-				a.StopSent = true
+			if a.TakeDirectStop() {
 				call.Request.Commands = append(call.Request.Commands, a.StopCommand())
 				continue
 			}
-			if !open || a.State != machines.StartSent || !a.Wanted() || a.SentDirectly || a.SentSequence != 0 || len(call.attempts) >= tuning.MaxCommandsPerResponse {
+			if !open || !a.NeedsStart() || a.WasSentDirectly() || a.WasSentInResponse() || len(call.attempts) >= tuning.MaxCommandsPerResponse {
 				continue
 			}
-			a.SentDirectly = true
+			a.MarkSentDirectly()
 			call.attempts = append(call.attempts, a)
 			call.Request.Commands = append(call.Request.Commands, a.StartCommand())
 		}
@@ -104,7 +102,7 @@
 func (l *Leader) DirectCallDone(now time.Time, call *DirectCall, outcome DirectOutcome, r *wire.Heartbeat) {
 	if outcome != DirectUnknown {
 		for _, a := range call.attempts {
-			a.SentDirectly = false
+			a.MarkDirectCallOver()
 		}
 	}
 	l.calls.inFlight--
--- a/internal/leader/estimates.go
+++ b/internal/leader/estimates.go
@@ -11,8 +11,8 @@
 // remaining is the run time left of an attempt by its estimate, at least zero.
 func (l *Leader) remaining(now time.Time, a *machines.Attempt) float64 {
 	ran := a.Job.Progress(a.Index)
-	if !a.RunningAt.IsZero() {
-		ran += now.Sub(a.RunningAt).Seconds()
+	if a.HasRun() {
+		ran += a.RunTime(now).Seconds()
 	}
 	return max(0, l.runTimes.Estimate(a.Job)-ran)
 }
--- a/internal/leader/leases.go
+++ b/internal/leader/leases.go
@@ -43,7 +43,7 @@
 // it is heard of in a new session soon, the machine is released.
 func (l *Leader) releaseExpired(now time.Time, m *machines.Machine) {
 	for i := len(m.Attempts) - 1; i >= 0; i-- {
-		if a := m.Attempts[i]; a.State != machines.StartSent || !a.SentDirectly {
+		if a := m.Attempts[i]; !a.MayStartLate() {
 			l.release(now, a)
 		}
 	}
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -6,11 +6,12 @@
 	"slices"
 	"time"
 
+	"switchshore.example/switchshore/internal/startlog"
+
 	"switchshore.example/switchshore/internal/intervals"
 	"switchshore.example/switchshore/internal/jobs"
 	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/records"
-	"switchshore.example/switchshore/internal/startlog"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -162,9 +163,9 @@
 	}
 	task := taskKey{j, index}
 	earlier := l.loading.attempts[task]
-	a := &machines.Attempt{State: machines.PossiblyStarted, OrderedAt: now}
+	a := machines.NewAttempt(m, j, index, now)
 	rec.AddLoaded(a)
-	l.allocate(m, j, index, a)
+	l.allocate(a)
 	l.loading.attempts[task] = a
 	if earlier != nil {
 		// It was started again since, so it had left that place.
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -4,7 +4,6 @@
 	"slices"
 	"time"
 
-	"switchshore.example/switchshore/internal/jobs"
 	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/records"
 	"switchshore.example/switchshore/wire"
@@ -42,15 +41,15 @@
 }
 
 // allocate counts a task that may be on a machine.
-func (l *Leader) allocate(m *machines.Machine, j *jobs.Job, index int32, a *machines.Attempt) {
-	a.Machine, a.Job, a.Index = m, j, index
+func (l *Leader) allocate(a *machines.Attempt) {
+	m, j := a.Machine, a.Job
 	m.Attempts = append(m.Attempts, a)
 	m.SnapshotOutdated = true
 	m.Free = m.Free.Add(j.Request(), -1)
 	if t := l.teams[j.Team]; t != nil {
 		t.used = t.used.Add(j.Request(), 1)
 	}
-	j.Allocate(index, m.Zone)
+	j.Allocate(a.Index, m.Zone)
 }
 
 // release counts a task that certainly is no longer on its machine.
@@ -60,9 +59,7 @@
 	if i < 0 {
 		return
 	}
-	if !a.RunningAt.IsZero() {
-		j.RecordProgress(a.Index, now.Sub(a.RunningAt).Seconds(), a.CheckpointSaved)
-	}
+	a.SaveProgress(now)
 	l.drainer.CountInterruption(now, a)
 	m.Attempts = slices.Delete(m.Attempts, i, i+1)
 	m.SnapshotOutdated = true
@@ -70,7 +67,7 @@
 	if t := l.teams[j.Team]; t != nil {
 		t.used = t.used.Add(j.Request(), -1)
 	}
-	if a.State.HasImage() {
+	if a.State().HasImage() {
 		j.RemoveRunning()
 	}
 	if len(m.Attempts) == 0 {
--- a/internal/leader/placement.go
+++ b/internal/leader/placement.go
@@ -94,19 +94,19 @@
 // the record of it is durable: a successor must know which machine to ask for the task.
 func (l *Leader) start(now time.Time, j *jobs.Job, m *machines.Machine, afterLongWait bool) {
 	index := j.PlaceNext(now)
-	a := &machines.Attempt{Number: l.nextAttempt(), State: machines.RecordPending, OrderedAt: now, AfterLongWait: afterLongWait}
-	l.allocate(m, j, index, a)
+	a := machines.NewPendingAttempt(m, j, index, now, l.nextAttempt(), afterLongWait)
+	l.allocate(a)
 	l.starts.Add(a)
 }
 
 // sendStart lets a start go out whose record is durable.
 func (l *Leader) sendStart(a *machines.Attempt) {
-	a.State = machines.StartSent
+	a.MarkRecorded()
 	l.calls.schedule(a.Machine)
 }
 
 // abandonStart lets a task be placed anew whose start can't be recorded: it has not gone out.
-func (l *Leader) abandonStart(a *machines.Attempt) { l.release(a.OrderedAt, a) }
+func (l *Leader) abandonStart(a *machines.Attempt) { l.release(a.OrderedAt(), a) }
 
 // clock is the time of placement passes, in seconds.
 func (l *Leader) clock(now time.Time) float64 { return now.Sub(l.started).Seconds() }
@@ -220,7 +220,7 @@
 	for _, a := range m.Attempts {
 		there := at
 		if _, cached := m.Images[a.Job.Image]; !cached && t.FetchGBPerS > 0 {
-			there = l.clock(a.OrderedAt) + placement.FetchTime(a.Job.ImageGB, t.FetchGBPerS)
+			there = l.clock(a.OrderedAt()) + placement.FetchTime(a.Job.ImageGB, t.FetchGBPerS)
 			if there > s.Images[a.Job.Image] {
 				s.Images[a.Job.Image] = there
 			}
--- a/internal/leader/reachability.go
+++ b/internal/leader/reachability.go
@@ -79,7 +79,7 @@
 	}
 	return slices.ContainsFunc(m.Attempts, func(a *machines.Attempt) bool {
 		slack, ok := l.runTimes.DeadlineSlack(now, a.Job, l.params.Objectives)
-		return ok && slack < ends.Sub(now).Seconds() && a.Wanted()
+		return ok && slack < ends.Sub(now).Seconds() && a.IsWanted()
 	})
 }
 
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -108,7 +108,7 @@
 func (l *Leader) mayStartLate(now time.Time, m *machines.Machine) bool {
 	bound := lateStartBound(l.params.Workers)
 	return slices.ContainsFunc(m.Attempts, func(a *machines.Attempt) bool {
-		return a.State == machines.StartSent && a.SentDirectly && !a.Job.IsActive() && now.Sub(a.Job.EndedAt()) > bound
+		return a.MayStartLate() && !a.Job.IsActive() && now.Sub(a.Job.EndedAt()) > bound
 	})
 }
 
@@ -121,7 +121,7 @@
 			m.ReleaseBy = time.Time{}
 		}
 		for _, a := range m.Attempts {
-			a.SentDirectly = false
+			a.MarkDirectCallOver()
 		}
 	}
 	m.Epoch, m.Sequence = r.AgentEpoch, r.Sequence
@@ -135,11 +135,11 @@
 	left := m.ReclaimAt.Sub(now).Seconds()
 	margin := tuning.ReclaimNoticeMargin.Seconds()
 	for _, a := range m.Attempts {
-		if a.Stopping || a.Job.CheckpointIntervalS <= 0 || a.State != machines.Running {
+		if a.IsStopping() || a.Job.CheckpointIntervalS <= 0 || a.State() != machines.Running {
 			continue
 		}
 		if left <= a.Job.CheckpointSaveS+margin {
-			a.Stopping, a.GracePeriodS = true, a.Job.CheckpointSaveS
+			a.StopSaving()
 		}
 	}
 }
@@ -149,7 +149,7 @@
 func (l *Leader) commands(m *machines.Machine, r *wire.Heartbeat, authority bool) []wire.Command {
 	out := l.stopCommands(r)
 	for _, a := range m.Attempts {
-		if !a.Stopping || !a.Job.NeedsTask(int(a.Index)) || a.State < machines.Fetching || a.State == machines.Saving && a.GracePeriodS > 0 || len(out) >= tuning.MaxCommandsPerResponse {
+		if !a.NeedsStop() || len(out) >= tuning.MaxCommandsPerResponse {
 			continue // the stops of what nobody wants are there already
 		}
 		out = append(out, a.StopCommand())
@@ -161,10 +161,10 @@
 	}
 	if authority && !m.Releasing {
 		for _, a := range m.Attempts {
-			if a.State != machines.StartSent || !a.Wanted() || a.SentDirectly && m.Calling || len(out) >= tuning.MaxCommandsPerResponse {
+			if !a.NeedsStart() || a.WasSentDirectly() && m.Calling || len(out) >= tuning.MaxCommandsPerResponse {
 				continue
 			}
-			a.SentSequence = r.Sequence
+			a.MarkSentInResponse(r.Sequence)
 			out = append(out, a.StartCommand())
 		}
 	}
--- a/internal/leader/tasklist.go
+++ b/internal/leader/tasklist.go
@@ -57,12 +57,12 @@
 func (l *Leader) applyExitedTask(now time.Time, m *machines.Machine, j *jobs.Job, index int32, t *wire.TaskStatus) {
 	a := m.Find(j, index)
 	switch {
-	case a != nil && (a.Number == t.Attempt || a.State == machines.PossiblyStarted):
-		a.ListNumber = l.listNumber
-		if a.State == machines.StartSent {
+	case a != nil && (a.Number() == t.Attempt || a.State() == machines.PossiblyStarted):
+		a.MarkExitListed(l.listNumber)
+		if a.State() == machines.StartSent {
 			m.RecordStartObserved()
 		}
-		if a.SentDirectly {
+		if a.WasSentDirectly() {
 			m.Unforgettable[machines.ExitKey{Task: t.Task, Attempt: t.Attempt}] = true
 		}
 		l.applyExit(now, a, t)
@@ -75,8 +75,8 @@
 func (l *Leader) applyLiveTask(now time.Time, m *machines.Machine, j *jobs.Job, index int32, t *wire.TaskStatus) {
 	a := m.Find(j, index)
 	if a == nil {
-		a = &machines.Attempt{OrderedAt: now}
-		l.allocate(m, j, index, a)
+		a = machines.NewAttempt(m, j, index, now)
+		l.allocate(a)
 		// No record names it any more, or none ever did: a successor has to
 		// know of it all the same.
 		l.starts.Add(a)
@@ -84,49 +84,34 @@
 			j.RemoveReady(index)
 		}
 	}
-	a.ListNumber = l.listNumber
-	// Another attempt of a task that is to run here makes the worker refuse
-	// the newer one, so it is the listed one that counts.
-	a.Number = t.Attempt
+	a.MarkListed(l.listNumber, t.Attempt)
 	if !j.NeedsTask(int(index)) {
-		a.Stopping, a.GracePeriodS = true, 0
+		a.StopNow()
 	}
-	if a.State == machines.StartSent {
+	if a.State() == machines.StartSent {
 		m.RecordStartObserved()
 	}
-	l.setReportedState(now, a, t.State)
+	if began := a.ApplyReport(now, machines.ReportedState(t.State)); began {
+		l.countRunning(now, a)
+	}
 }
 
-// setReportedState moves an attempt to the state that its machine reports.
-func (l *Leader) setReportedState(now time.Time, a *machines.Attempt, reported string) {
-	m, j, before := a.Machine, a.Job, a.State
-	switch reported {
-	case wire.TaskRunning:
-		a.State = machines.Running
-	case wire.TaskSaving:
-		a.State = machines.Saving
-	default:
-		a.State = machines.Fetching
-	}
-	if a.State != before {
-		m.SnapshotOutdated = true
-	}
-	if a.State.HasImage() && !before.HasImage() {
-		j.AddRunning()
-		a.RunningAt = now
-		if _, cached := m.Images[j.Image]; cached && a.Number>>32 == l.term {
-			l.startDelay.Observe(now.Sub(a.OrderedAt).Seconds(), l.params.Workers.HeartbeatIntervalS)
-		}
-		m.Images[j.Image] = now
-		l.changed = true
-		l.drainer.CountRunning(a)
+// countRunning notes that an attempt has begun to run.
+func (l *Leader) countRunning(now time.Time, a *machines.Attempt) {
+	m, j := a.Machine, a.Job
+	j.AddRunning()
+	if _, cached := m.Images[j.Image]; cached && a.Number()>>32 == l.term {
+		l.startDelay.Observe(now.Sub(a.OrderedAt()).Seconds(), l.params.Workers.HeartbeatIntervalS)
 	}
+	m.Images[j.Image] = now
+	l.changed = true
+	l.drainer.CountRunning(a)
 }
 
 // countIgnoredStarts notes that starts in an earlier answer had no effect.
 func (l *Leader) countIgnoredStarts(now time.Time, m *machines.Machine) {
 	if slices.ContainsFunc(m.Attempts, func(a *machines.Attempt) bool {
-		return a.ListNumber != l.listNumber && a.State == machines.StartSent && a.SentSequence != 0
+		return !a.IsListed(l.listNumber) && a.State() == machines.StartSent && a.WasSentInResponse()
 	}) {
 		m.IgnoredResponses++
 		m.IgnoredAt = now
@@ -139,16 +124,16 @@
 	for i := len(m.Attempts) - 1; i >= 0; i-- {
 		a := m.Attempts[i]
 		switch {
-		case a.ListNumber == l.listNumber, a.State == machines.RecordPending:
-		case a.State != machines.StartSent:
+		case a.IsListed(l.listNumber), a.State() == machines.RecordPending:
+		case a.State() != machines.StartSent:
 			l.release(now, a)
-		case a.SentDirectly:
+		case a.WasSentDirectly():
 			l.scheduleFencingRelease(now, a)
-		case periodic || a.SentSequence == 0:
+		case periodic || !a.WasSentInResponse():
 			// Not there: the start did not run and, carried only by an
 			// answer now given up, never will.
-			a.SentSequence = 0
-			if !a.Wanted() || !l.acceptsWork(now, m) {
+			a.MarkResponseIgnored()
+			if !a.IsWanted() || !l.acceptsWork(now, m) {
 				l.release(now, a)
 			}
 		}
@@ -159,7 +144,7 @@
 // a task that nobody wants any more.
 func (l *Leader) scheduleFencingRelease(now time.Time, a *machines.Attempt) {
 	m := a.Machine
-	if a.Wanted() || !m.ReleaseBy.IsZero() {
+	if a.IsWanted() || !m.ReleaseBy.IsZero() {
 		return
 	}
 	m.Cordon(machines.CordonLateStart)
@@ -173,18 +158,17 @@
 // applyExit handles the end of an attempt by its reason.
 func (l *Leader) applyExit(now time.Time, a *machines.Attempt, t *wire.TaskStatus) {
 	m, j := a.Machine, a.Job
-	a.CheckpointSaved = t.CheckpointSaved
+	a.MarkExited(t.CheckpointSaved, t.ExitReason == wire.ExitError)
 	switch t.ExitReason {
 	case wire.ExitDone:
-		if a.State == machines.Running && !a.RunningAt.IsZero() {
-			l.runTimes.Observe(j, now.Sub(a.RunningAt).Seconds()+j.Progress(a.Index))
+		if a.State() == machines.Running && a.HasRun() {
+			l.runTimes.Observe(j, a.RunTime(now).Seconds()+j.Progress(a.Index))
 		}
 		l.recordTaskSuccess(j, m)
 		m.Images[j.Image] = now
 		l.taskDone(now, j, a.Index)
 	case wire.ExitError:
 		l.log.Debug().Str("machine", m.ID).Str("task", t.Task).Msg("task failed")
-		a.Failed = true
 		j.RecordFailure(now)
 		l.recordTaskFailure(j, m)
 	case wire.ExitNoCapacity, wire.ExitTaskBusy:
--- /dev/null
+++ b/internal/machines/attempt_test.go
@@ -0,0 +1,156 @@
+package machines_test
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"switchshore.example/switchshore/internal/jobs"
+	"switchshore.example/switchshore/internal/machines"
+	"switchshore.example/switchshore/wire"
+)
+
+var start = time.Unix(1_700_000_000, 0)
+
+func newMachine() *machines.Machine { return machines.New(start, "m1", "std-8", "a", "m1:9", false) }
+
+// newActiveJob returns a job whose tasks may run, with checkpoints or without.
+func newActiveJob(checkpointIntervalS float64) *jobs.Job {
+	j := jobs.New(wire.Job{
+		ID: "job-1", Team: "blue", Tasks: 2, CPUs: 2, MemoryGB: 1,
+		CheckpointIntervalS: checkpointIntervalS, CheckpointSaveS: 7,
+	}, 0, start)
+	j.MarkAccepted()
+	return j
+}
+
+func TestLegalTransitionsOfAttempts(t *testing.T) {
+	all := []machines.AttemptState{
+		machines.PossiblyStarted, machines.RecordPending, machines.StartSent,
+		machines.Fetching, machines.Running, machines.Saving,
+	}
+	for _, from := range all {
+		for _, to := range all {
+			// A machine may report any state at any time; a start is sent only once recorded.
+			want := to.IsReported() || from == machines.RecordPending && to == machines.StartSent
+			if got := from.CanBecome(to); got != want {
+				t.Errorf("%v to %v: %v", from, to, got)
+			}
+		}
+	}
+}
+
+func TestStartIsNotSentTwiceToTheRecord(t *testing.T) {
+	a := machines.NewPendingAttempt(newMachine(), newActiveJob(0), 0, start, 1, false)
+	if a.NeedsStart() {
+		t.Error("sent before the record is durable")
+	}
+	a.MarkRecorded()
+	if !a.NeedsStart() {
+		t.Error("not sent though the record is durable")
+	}
+	defer func() {
+		if recover() == nil {
+			t.Error("recorded twice")
+		}
+	}()
+	a.MarkRecorded()
+}
+
+func TestReportedStateIsTakenOver(t *testing.T) {
+	m := newMachine()
+	a := machines.NewPendingAttempt(m, newActiveJob(0), 0, start, 1, false)
+	a.MarkRecorded()
+	steps := []struct {
+		reported string
+		state    machines.AttemptState
+		began    bool
+	}{
+		{wire.TaskFetching, machines.Fetching, false},
+		{wire.TaskRunning, machines.Running, true},
+		{wire.TaskRunning, machines.Running, false},
+		{wire.TaskSaving, machines.Saving, false},
+	}
+	for i, s := range steps {
+		now := start.Add(time.Duration(i) * time.Second)
+		if began := a.ApplyReport(now, machines.ReportedState(s.reported)); began != s.began || a.State() != s.state {
+			t.Errorf("%s: %v, began: %v", s.reported, a.State(), began)
+		}
+	}
+	if got := a.RunTime(start.Add(11 * time.Second)); got != 10*time.Second {
+		t.Errorf("has run for %v", got)
+	}
+}
+
+func TestStopsAreSentAsLongAsTheyMatter(t *testing.T) {
+	for name, c := range map[string]struct {
+		checkpointIntervalS float64
+		stop                func(*machines.Attempt)
+		reported            machines.AttemptState
+		graceS              float64
+		needed              bool
+	}{
+		"not stopped":                     {stop: func(*machines.Attempt) {}, reported: machines.Running},
+		"now":                             {checkpointIntervalS: 30, stop: (*machines.Attempt).StopNow, reported: machines.Running, needed: true},
+		"saving":                          {checkpointIntervalS: 30, stop: (*machines.Attempt).StopSaving, reported: machines.Running, graceS: 7, needed: true},
+		"saving already":                  {checkpointIntervalS: 30, stop: (*machines.Attempt).StopSaving, reported: machines.Saving, graceS: 7},
+		"saving, no checkpoints":          {stop: (*machines.Attempt).StopSaving, reported: machines.Running, needed: true},
+		"evicted":                         {checkpointIntervalS: 30, stop: (*machines.Attempt).Evict, reported: machines.Running, graceS: 7, needed: true},
+		"taken back":                      {stop: func(a *machines.Attempt) { a.StopNow(); a.CancelStop() }, reported: machines.Running},
+		"now, while an earlier one saves": {checkpointIntervalS: 30, stop: (*machines.Attempt).StopNow, reported: machines.Saving, needed: true},
+	} {
+		a := machines.NewAttempt(newMachine(), newActiveJob(c.checkpointIntervalS), 0, start)
+		a.ApplyReport(start, c.reported)
+		c.stop(a)
+		if a.NeedsStop() != c.needed || a.GracePeriodS() != c.graceS || a.IsWanted() == a.IsStopping() {
+			t.Errorf("%s: needed: %v, %v s", name, a.NeedsStop(), a.GracePeriodS())
+		}
+		if first, second := a.TakeDirectStop(), a.TakeDirectStop(); first != a.IsStopping() || second {
+			t.Errorf("%s: direct stops: %v, %v", name, first, second)
+		}
+	}
+}
+
+func TestProgressOfAnEndedAttempt(t *testing.T) {
+	end := start.Add(25 * time.Second)
+	for name, c := range map[string]struct {
+		intervalS   float64
+		saved       bool
+		lost, saves float64
+	}{
+		"no checkpoints":     {lost: 25},
+		"since the last":     {intervalS: 10, lost: 5, saves: 20},
+		"saved when stopped": {intervalS: 10, saved: true, saves: 25},
+	} {
+		a := machines.NewAttempt(newMachine(), newActiveJob(c.intervalS), 0, start)
+		a.SaveProgress(end) // never ran
+		a.ApplyReport(start, machines.Running)
+		a.MarkExited(c.saved, false)
+		a.SaveProgress(end)
+		if lost, saved := a.LostProgressS(end), a.Job.Progress(0); lost != c.lost || saved != c.saves {
+			t.Errorf("%s: lost %v, saved %v", name, lost, saved)
+		}
+	}
+}
+
+func TestMachinesAreSortedByID(t *testing.T) {
+	r := machines.NewRegistry()
+	for _, id := range []string{"m2", "m3", "m1"} {
+		r.Add(machines.New(start, id, "std-8", "a", "", false))
+	}
+	names := func() []string {
+		var list []string
+		for _, m := range r.All() {
+			list = append(list, m.ID)
+		}
+		return list
+	}
+	if got := names(); !slices.Equal(got, []string{"m1", "m2", "m3"}) {
+		t.Errorf("%v", got)
+	}
+	r.Remove(r.Get("m2"))
+	r.MarkReleased("m2")
+	if got := names(); !slices.Equal(got, []string{"m1", "m3"}) || r.Len() != 2 || r.Get("m2") != nil || !r.WasReleased("m2") || r.WasReleased("m1") {
+		t.Errorf("after a release: %v", got)
+	}
+}
--- a/internal/preemption/pass.go
+++ b/internal/preemption/pass.go
@@ -45,11 +45,11 @@
 	p.expectedFree[m] = m.Free
 	for _, a := range m.Attempts {
 		switch {
-		case a.Stopping, a.State == machines.Saving, p.endsSoon(a):
+		case a.IsStopping(), a.State() == machines.Saving, p.endsSoon(a):
 			p.expectEnd(a, 1)
-		case a.AfterLongWait && p.now.Sub(a.OrderedAt) < tuning.AgedMinRunTime:
+		case a.IsAfterLongWait() && p.now.Sub(a.OrderedAt()) < tuning.AgedMinRunTime:
 			// Stopped at once, pass after pass, its job would never have begun.
-		case a.State == machines.Running && a.Job.CheckpointIntervalS > 0:
+		case a.State() == machines.Running && a.Job.CheckpointIntervalS > 0:
 			p.addCandidate(a)
 		}
 	}
@@ -61,7 +61,7 @@
 // that is over its estimate may go on for long: waiting for it is no plan.
 func (p *pass) endsSoon(a *machines.Attempt) bool {
 	left := p.RemainingS(p.now, a)
-	return a.State == machines.Running && left > 0 && left < tuning.PreemptExitWait.Seconds()
+	return a.State() == machines.Running && left > 0 && left < tuning.PreemptExitWait.Seconds()
 }
 
 func (p *pass) addCandidate(a *machines.Attempt) {
@@ -83,7 +83,7 @@
 }
 
 func (p *pass) stop(c candidate) {
-	c.Stopping, c.GracePeriodS = true, 0
+	c.StopNow()
 	p.expectEnd(c.Attempt, 1)
 	p.stops++
 	p.Stopped(c.Machine)
@@ -91,7 +91,7 @@
 
 func (p *pass) undoStops(stopped []candidate) {
 	for _, c := range stopped {
-		c.Stopping = false
+		c.CancelStop()
 		p.expectEnd(c.Attempt, -1)
 		p.stops--
 	}
@@ -160,7 +160,7 @@
 	found := false
 	for _, m := range p.machines {
 		for _, c := range p.candidates[m] {
-			if c.Job.Team == r.Team && c.Job.PriorityRank() > r.PriorityRank && !c.Stopping && (!found || c.lostS < best.lostS) {
+			if c.Job.Team == r.Team && c.Job.PriorityRank() > r.PriorityRank && !c.IsStopping() && (!found || c.lostS < best.lostS) {
 				best, found = c, true
 			}
 		}
@@ -201,7 +201,7 @@
 	// A start on a machine without the image is late all the same.
 	loss = p.fetchTimeS(m, r) * r.Request.CPUs * tuning.PreemptFetchWeight
 	for _, c := range p.candidates[m] {
-		if c.Stopping || c.Job.PriorityRank() <= r.PriorityRank {
+		if c.IsStopping() || c.Job.PriorityRank() <= r.PriorityRank {
 			continue
 		}
 		chosen = append(chosen, c)
--- a/internal/preemption/preemption_test.go
+++ b/internal/preemption/preemption_test.go
@@ -36,7 +36,13 @@
 
 // runs puts a running attempt on the machine.
 func (c *cluster) runs(j *jobs.Job, since time.Time) *machines.Attempt {
-	a := &machines.Attempt{Machine: c.machine, Job: j, State: machines.Running, OrderedAt: since, RunningAt: since}
+	return c.runsAfterWait(j, since, false)
+}
+
+// runsAfterWait puts a running attempt on the machine, placed since its job had waited long or not.
+func (c *cluster) runsAfterWait(j *jobs.Job, since time.Time, afterLongWait bool) *machines.Attempt {
+	a := machines.NewPendingAttempt(c.machine, j, 0, since, 1, afterLongWait)
+	a.ApplyReport(since, machines.Running)
 	c.machine.Attempts = append(c.machine.Attempts, a)
 	j.AddRunning()
 	c.running = append(c.running, j)
@@ -69,7 +75,7 @@
 	if n := c.preempt(now, newJob("job-3", wire.PriorityHigh, 4)); n != 1 || c.called != 1 {
 		t.Fatalf("%d stopped, %d calls", n, c.called)
 	}
-	if more.Stopping || !less.Stopping {
+	if more.IsStopping() || !less.IsStopping() {
 		t.Error("the one that loses more was stopped")
 	}
 	if !c.machine.ReservedUntil.After(now) {
@@ -96,8 +102,8 @@
 			c.teamFree = test.teamFree
 			a := c.runs(newJob("job-1", test.running, 4), now.Add(-test.since))
 			b := c.runs(newJob("job-2", test.running, 4), now.Add(-test.since))
-			if n := c.preempt(now, newJob("job-3", test.priority, test.cpus)); n != 0 || a.Stopping || b.Stopping {
-				t.Errorf("%d stopped: %v, %v", n, a.Stopping, b.Stopping)
+			if n := c.preempt(now, newJob("job-3", test.priority, test.cpus)); n != 0 || a.IsStopping() || b.IsStopping() {
+				t.Errorf("%d stopped: %v, %v", n, a.IsStopping(), b.IsStopping())
 			}
 		})
 	}
@@ -107,8 +113,7 @@
 // for some time before it may be stopped.
 func TestPreemptionSparesJobsThatWaitedLong(t *testing.T) {
 	c := newCluster()
-	a := c.runs(newJob("job-1", wire.PriorityIdle, 8), start)
-	a.AfterLongWait = true
+	c.runsAfterWait(newJob("job-1", wire.PriorityIdle, 8), start, true)
 	early := start.Add(tuning.AgedMinRunTime - time.Second)
 	if n := c.preempt(early, newJob("job-2", wire.PriorityHigh, 4)); n != 0 {
 		t.Fatalf("%d stopped too early", n)
--- a/internal/startlog/record.go
+++ b/internal/startlog/record.go
@@ -57,7 +57,7 @@
 // finish calls back for the attempts whose start waited for the record.
 func (r *Record) finish(callback func(*machines.Attempt)) {
 	for _, a := range r.attempts {
-		if a.State == machines.RecordPending && a.Record == r {
+		if a.State() == machines.RecordPending && a.Record == r {
 			callback(a)
 		}
 	}
--- a/internal/startlog/startlog_test.go
+++ b/internal/startlog/startlog_test.go
@@ -6,11 +6,11 @@
 	"time"
 
 	"github.com/rs/zerolog"
+	"switchshore.example/switchshore/internal/startlog"
 
 	"switchshore.example/switchshore/internal/jobs"
 	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/records"
-	"switchshore.example/switchshore/internal/startlog"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -32,7 +32,7 @@
 		machine: machines.New(time.Time{}, "m1", "std-8", "a", "", true),
 	}
 	f.Log = startlog.New(5, valueLimit, f.writes, startlog.Callbacks{
-		Durable: func(a *machines.Attempt) { a.State = machines.StartSent; f.durable++ },
+		Durable: func(a *machines.Attempt) { a.MarkRecorded(); f.durable++ },
 		Refused: func(a *machines.Attempt) { f.Remove(a); f.refused++ },
 	})
 	return f
@@ -40,7 +40,7 @@
 
 // add records the start of a task.
 func (f *fixture) add(index int32) *machines.Attempt {
-	a := &machines.Attempt{Machine: f.machine, Job: f.job, Index: index, State: machines.RecordPending}
+	a := machines.NewPendingAttempt(f.machine, f.job, index, time.Time{}, 1, false)
 	f.Add(a)
 	return a
 }
@@ -63,7 +63,7 @@
 		t.Error("starts go out before their record is durable")
 	}
 	f.writes.Committed(b, nil)
-	if f.durable != 2 || second.State != machines.RecordPending {
+	if f.durable != 2 || second.State() != machines.RecordPending {
 		t.Errorf("%d starts go out", f.durable)
 	}
 	f.Remove(first)
@@ -118,7 +118,7 @@
 func TestLoadedRecordsWithoutAttemptsAreDeleted(t *testing.T) {
 	f := newFixture(2048)
 	f.Load("s/old")
-	a := &machines.Attempt{Machine: f.machine, Job: f.job, State: machines.PossiblyStarted}
+	a := machines.NewAttempt(f.machine, f.job, 0, time.Time{})
 	f.Load("m/m1").AddLoaded(a)
 	f.FinishLoading()
 	b := f.writes.NextBatch(maxOps, maxOps, false)
