--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,8 +1,8 @@
-// Package admission decides which new jobs are taken while more are submitted
-// than can be carried. The leader measures the load, divides what can be taken
-// among teams and their classes by weighted max-min fairness, and publishes the
-// result as a policy; every node applies the policy to a job in the same way, by a
-// hash of the job's id and the policy's revision. The leader has the last word.
+// Package admission decides which new jobs are admitted under overload. The
+// leader measures the load (Regulator), divides a budget of new jobs among teams
+// and their classes by weighted max-min fairness, and publishes the result as a
+// Policy. Every node applies the policy to a job in the same way (Gate), by a hash
+// of the job's ID and the policy's revision. The leader decides finally.
 //
 // The package reads no clock and does no I/O: times are passed in, and callers
 // serialise access.
@@ -15,25 +15,25 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Key names what has a share of its own: a class of jobs of a team.
+// Key identifies what has a share of its own: a class of jobs of a team.
 type Key struct {
 	Team  string `json:"team"`
 	Class string `json:"class"`
 }
 
-// OtherClass stands for all classes that the settings don't name: names that come
-// from outside must not fill tables.
+// OtherClass stands for all classes that the settings don't name, so that names
+// from outside can't fill tables.
 const OtherClass = ""
 
-// Team is a team as far as its share is concerned.
+// Team is what determines a team's share.
 type Team struct {
 	Name string
-	// GuaranteedCPUs is the CPUs that the team is guaranteed.
+	// GuaranteedCPUs is the team's guaranteed quota.
 	GuaranteedCPUs float64
-	// Weight and Floor are the operators', 0 for the defaults: 1, and the team's part
-	// of all guarantees.
+	// Weight and Floor are set by the operators; 0 is the default: weight 1, and the
+	// team's part of all guarantees.
 	Weight, Floor float64
-	// Classes are the operators' weights and floors of single classes.
+	// Classes has the weights and floors that the operators set for single classes.
 	Classes []Class
 }
 
@@ -48,7 +48,7 @@
 	Teams []Team
 	// Classes are the names of all classes known.
 	Classes []string
-	// WritesPerSecond is what the state service takes at most, in changes a second.
+	// WritesPerSecond is the largest write rate of the key-value store.
 	WritesPerSecond float64
 }
 
@@ -69,16 +69,16 @@
 	// PriorityRank is the job's priority, 0 being the highest.
 	PriorityRank int
 	Tasks        int
-	// Dependent: the job needs others, which were accepted before.
+	// Dependent: the job depends on others, which were accepted before.
 	Dependent bool
-	// Waited is the time since the job was first refused, as far as the node that
-	// its user has reached knows.
+	// Waited is the time since the job was first rejected, as far as the node that
+	// has received it knows.
 	Waited time.Duration
 }
 
-// agingFactor is how many times as likely as one that has just come the job is admitted: it
-// grows with the time since the first refusal. A job that needs accepted ones counts
-// as having waited for long already.
+// agingFactor is how many times as likely to be admitted as a new job it is: it
+// grows with the time since the first rejection. A job that depends on accepted
+// ones counts as having waited already.
 func (r *Request) agingFactor() float64 {
 	waited := r.Waited
 	if r.Dependent {
@@ -88,20 +88,20 @@
 	return 1 + waited.Seconds()/tuning.AdmissionAgingUnit.Seconds()
 }
 
-// Decision is what becomes of a request.
+// Decision is the outcome of a request.
 type Decision struct {
 	Admitted bool
-	// RetryAfterS is when a user who is refused should come back, in seconds.
+	// RetryAfterS is when a rejected user should retry, in seconds.
 	RetryAfterS int
 }
 
-// Claim is what the node that a user has reached tells the leader of a submission.
+// Claim is what the node that has received a submission reports to the leader.
 // Nodes of versions without admission send none.
 type Claim struct {
 	WaitedMS int64 `json:"waitedMs,omitempty"`
-	// Revision is that of the policy which has admitted the job, 0 if none was known.
+	// Revision is that of the policy that has admitted the job, 0 if none was known.
 	Revision uint64 `json:"revision,omitempty"`
 }
 
-// Waited is the time since the job was first refused.
+// Waited is the time since the job was first rejected.
 func (c *Claim) Waited() time.Duration { return time.Duration(c.WaitedMS) * time.Millisecond }
--- a/internal/admission/fairshare.go
+++ b/internal/admission/fairshare.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// claimant is who takes part in a division: a team, or a class within one.
+// claimant is a participant of a division: a team, or a class within one.
 type claimant struct {
 	demand float64
-	// reserved is what it gets before anybody gets more than that.
+	// reserved is granted before anyone gets more than its own.
 	reserved float64
 	weight   float64
 }
 
-// divide shares capacity out by weighted max-min fairness: first what is reserved, then
-// the rest in proportion to the weights; nobody gets more than its demand, and what one
-// leaves goes to the others.
+// divide divides capacity by weighted max-min fairness: first what is reserved,
+// then the rest in proportion to the weights. Nobody gets more than its demand,
+// and what one leaves goes to the others.
 func divide(capacity float64, claimants []claimant) []float64 {
 	granted := divideReserved(capacity, claimants)
 	rest := capacity
@@ -28,8 +28,8 @@
 			weights += c.weight
 		}
 	}
-	// Whoever needs the least for its weight is served first: if it can have all it
-	// wants, what it leaves of its part goes to the others.
+	// The smallest demand for its weight is served first: if it is met, what is left
+	// of its part goes to the others.
 	need := func(i int) float64 { return (claimants[i].demand - granted[i]) / claimants[i].weight }
 	slices.SortFunc(open, func(a, b int) int { return cmp.Compare(need(a), need(b)) })
 	for _, i := range open {
@@ -41,7 +41,8 @@
 	return granted
 }
 
-// divideReserved grants what is reserved, less in proportion if there is less than that.
+// divideReserved grants what is reserved, or less in proportion if that exceeds
+// the capacity.
 func divideReserved(capacity float64, claimants []claimant) []float64 {
 	granted := make([]float64, len(claimants))
 	total := 0.0
@@ -57,7 +58,7 @@
 	return granted
 }
 
-// MaxMin shares capacity out among equals by max-min fairness.
+// MaxMin divides capacity among equals by max-min fairness.
 func MaxMin(capacity float64, demands []float64) []float64 {
 	claimants := make([]claimant, len(demands))
 	for i, d := range demands {
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -9,8 +9,9 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Gate is a node's own part in admission: it counts what its users submit, remembers
-// whom it has refused since when, and applies the leader's policy. It outlives terms.
+// Gate is a node's part in admission, across terms: it counts the submissions of
+// its users, remembers which jobs it has rejected and since when, and applies the
+// leader's policy.
 type Gate struct {
 	settings      *Settings
 	policy        Policy
@@ -21,35 +22,35 @@
 	leaderQueries *rate.Limiter
 }
 
-// jobHistory is what a node remembers of one team's jobs. Each team has a table of its own:
-// a flood of ids pushes out those of its own team only.
+// jobHistory is what a node remembers of one team's jobs. Each team has tables of
+// its own, so that a flood of IDs evicts only those of its own team.
 type jobHistory struct {
-	// rejected: since when, for jobs that were refused and may come back.
+	// rejected has the time of the first rejection of jobs that may be retried.
 	rejected *simplelru.LRU[string, time.Time]
-	// admitted are jobs that were let through and may have been accepted: they are never
-	// turned away as new work.
+	// admitted has jobs that were forwarded and may have been accepted: they are never
+	// rejected as new ones.
 	admitted *simplelru.LRU[string, struct{}]
 }
 
-// OfferedLoad are the submissions of a key since a node's start.
+// OfferedLoad counts the submissions of a key since a node's start.
 type OfferedLoad struct {
 	Key
 	Count int64 `json:"count"`
-	// Boosted is the same, each counted as often as it is likelier than a new one.
+	// Boosted is the sum of their aging factors.
 	Boosted float64 `json:"boosted"`
 	// Weight is the sum of the weights of their priorities.
 	Weight float64 `json:"weight"`
 }
 
-// NodeOfferedLoad are all offers of a node. Counts only grow as long as Started stays.
+// NodeOfferedLoad is the offered load of a node. Counts only grow while Started is the same.
 type NodeOfferedLoad struct {
 	Node    string        `json:"node"`
 	Started uint64        `json:"started"`
 	Loads   []OfferedLoad `json:"offers,omitempty"`
 }
 
-// olderThan reports whether the counts are from before others of the same process: a copy
-// that came late.
+// olderThan reports whether the counts are from before others of the same process:
+// a message that was delayed.
 func (n *NodeOfferedLoad) olderThan(other *NodeOfferedLoad) bool {
 	return n.Started == other.Started && n.total() < other.total()
 }
@@ -61,23 +62,24 @@
 	return count
 }
 
-// NewGate returns the gate of a node that has started now; started tells its counts from
-// those of an earlier process.
+// NewGate returns the gate of a node; started distinguishes its counts from those of
+// an earlier process.
 func NewGate(s *Settings, started uint64) *Gate {
-	g := &Gate{settings: s, started: started, offered: map[Key]*OfferedLoad{}, historyByTeam: map[string]*jobHistory{}}
-	g.leaderQueries = rate.NewLimiter(tuning.AdmissionChecksPerSecond, tuning.AdmissionChecksPerSecond)
+	g := &Gate{
+		settings: s, started: started, offered: map[Key]*OfferedLoad{}, historyByTeam: map[string]*jobHistory{},
+		leaderQueries: rate.NewLimiter(tuning.AdmissionChecksPerSecond, tuning.AdmissionChecksPerSecond),
+	}
 	size := max(tuning.AdmissionMaxRemembered/max(len(s.Teams), 1), 1)
 	for _, t := range s.Teams {
-		// The only error is a size below one.
-		refused, _ := simplelru.NewLRU[string, time.Time](size, nil)
-		passed, _ := simplelru.NewLRU[string, struct{}](size, nil)
-		g.historyByTeam[t.Name] = &jobHistory{refused, passed}
+		rejected, _ := simplelru.NewLRU[string, time.Time](size, nil) // the only error is a size below one
+		admitted, _ := simplelru.NewLRU[string, struct{}](size, nil)  // the same
+		g.historyByTeam[t.Name] = &jobHistory{rejected: rejected, admitted: admitted}
 	}
 	return g
 }
 
-// ApplyPolicy takes in a policy. One that is not newer than the one known changes nothing: a
-// copy that comes late prolongs nothing.
+// ApplyPolicy takes over a policy unless it is no newer than the present one: a
+// delayed copy must not extend the time for which a policy is applied.
 func (g *Gate) ApplyPolicy(now time.Time, p Policy) {
 	if p.newerThan(&g.policy) {
 		g.policy = p
@@ -85,9 +87,9 @@
 	}
 }
 
-// RecordArrival counts a submission and completes the request by what the node remembers. It
-// returns false if the job may have been accepted already, or its team is unknown: then
-// only the leader can tell.
+// RecordArrival counts a submission and sets how long it has waited. It returns
+// false if the job may have been accepted already, or its team is unknown: then
+// only the leader can decide.
 func (g *Gate) RecordArrival(now time.Time, r *Request) bool {
 	m := g.historyByTeam[r.Key.Team]
 	if m == nil || m.admitted.Contains(r.ID) {
@@ -97,7 +99,7 @@
 		if now.Sub(since) < tuning.AdmissionRetryWindow {
 			r.Waited = now.Sub(since)
 		} else {
-			// The user has given up since: it is a new try.
+			// The user has given up since: this is a new submission.
 			m.rejected.Remove(r.ID)
 		}
 	}
@@ -105,8 +107,9 @@
 	return true
 }
 
-// Decide applies the policy that is known. Without one, or with one that has expired,
-// all goes on to the leader. The revision is that of the policy applied, 0 for none.
+// Decide applies the present policy. Without one, or with one that has expired,
+// every job is forwarded to the leader. The revision is that of the policy applied,
+// 0 for none.
 func (g *Gate) Decide(now time.Time, r *Request) (d Decision, revision uint64) {
 	if !now.Before(g.expires) {
 		return Decision{Admitted: true}, 0
@@ -114,20 +117,20 @@
 	return g.policy.Decide(r), g.policy.Revision
 }
 
-// MayQueryLeader reports whether the leader may be asked about a job that was refused before: it may
-// have been accepted through another node.
+// MayQueryLeader reports whether the leader may be asked about a job that was
+// rejected before and may have been accepted through another node since.
 func (g *Gate) MayQueryLeader(now time.Time, r *Request) bool {
 	return r.Waited > 0 && g.leaderQueries.AllowN(now, 1)
 }
 
-// RecordAdmitted notes that a job is let through.
+// RecordAdmitted records that a job is forwarded.
 func (g *Gate) RecordAdmitted(r *Request) {
 	if m := g.historyByTeam[r.Key.Team]; m != nil {
 		m.admitted.Add(r.ID, struct{}{})
 	}
 }
 
-// RecordRejected notes that a job was turned away, here or by the leader.
+// RecordRejected records that a job was rejected, here or by the leader.
 func (g *Gate) RecordRejected(now time.Time, r *Request) {
 	m := g.historyByTeam[r.Key.Team]
 	if m == nil {
@@ -139,7 +142,7 @@
 	}
 }
 
-// OfferedLoad are the submissions counted so far.
+// OfferedLoad returns the submissions counted so far.
 func (g *Gate) OfferedLoad(node string) NodeOfferedLoad {
 	n := NodeOfferedLoad{Node: node, Started: g.started}
 	for _, o := range g.offered {
@@ -148,19 +151,19 @@
 	return n
 }
 
-// countRequest counts a request into the offers of its key.
-func countRequest(offers map[Key]*OfferedLoad, r *Request) {
-	o := offers[r.Key]
+// countRequest adds a request to the offered load of its key.
+func countRequest(offered map[Key]*OfferedLoad, r *Request) {
+	o := offered[r.Key]
 	if o == nil {
 		o = &OfferedLoad{Key: r.Key}
-		offers[r.Key] = o
+		offered[r.Key] = o
 	}
 	o.Count++
 	o.Boosted += r.agingFactor()
 	o.Weight += priorityWeight(r.PriorityRank)
 }
 
-// priorityWeight is what a job of a priority counts in the division of its team's share.
-func priorityWeight(level int) float64 {
-	return float64(int(1) << max(0, tuning.AdmissionLowestRank-level))
+// priorityWeight is the weight of a job in the division of its team's share.
+func priorityWeight(rank int) float64 {
+	return float64(int(1) << max(0, tuning.AdmissionLowestRank-rank))
 }
--- a/internal/admission/policy.go
+++ b/internal/admission/policy.go
@@ -8,14 +8,14 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Policy is what a leader lets every node know: the share of the submissions of each
-// key that is admitted now.
+// Policy is what a leader publishes to every node: the share of the submissions
+// of each key that is admitted now.
 type Policy struct {
 	Term uint64 `json:"term"`
 	// Revision grows with every policy. It follows the time of day in seconds, so that
 	// it goes on growing when the leader changes.
 	Revision uint64 `json:"revision"`
-	// TTLMS is how long a node may apply the policy after it first heard of it.
+	// TTLMS is how long a node may apply the policy after it has received it first.
 	TTLMS int64 `json:"lifeMs"`
 	// Shares are the keys of which not everything is admitted.
 	Shares []Share `json:"shares,omitempty"`
@@ -38,7 +38,7 @@
 	return p.Revision > other.Revision
 }
 
-// share is the part of a key's submissions that is admitted: all if it isn't named.
+// share is the part of a key's submissions that is admitted: all if the policy has none.
 func (p *Policy) share(k Key) float64 {
 	for _, s := range p.Shares {
 		if s.Key == k {
@@ -48,8 +48,8 @@
 	return 1
 }
 
-// Decide applies the policy to a request. Every node that has the same policy and knows
-// the same of the job's wait comes to the same answer.
+// Decide applies the policy to a request. Nodes with the same policy that know the
+// same wait of the job come to the same decision.
 func (p *Policy) Decide(r *Request) Decision {
 	share := p.share(r.Key)
 	if share >= 1 || ticket(r.ID, p.Revision) < share*r.agingFactor() {
@@ -58,8 +58,8 @@
 	return rejection(r.ID, p.Revision, share)
 }
 
-// rejection asks a user to come back within a time that grows as the share shrinks, each
-// at a moment of his own, so that returns don't come all at once.
+// rejection asks the user to retry within a time that grows as the share shrinks.
+// The times are spread by job, so that retries don't come all at once.
 func rejection(id string, revision uint64, share float64) Decision {
 	spread := float64(tuning.AdmissionRetryMaxS)
 	if share > 0 {
@@ -73,17 +73,20 @@
 // spread more evenly than random numbers.
 const goldenRatio = 0x9E3779B97F4A7C15
 
+// mantissaBits is the precision of a float64, in bits.
+const mantissaBits = 53
+
 // ticket draws a number in [0, 1) for a job and a revision. The draws of one job in
-// successive revisions are spread evenly: one that has missed a share for some time is
-// all the likelier to be drawn next, whichever node or leader it meets.
+// successive revisions are spread evenly: the longer it has missed a share, the
+// likelier it is to be admitted next, whichever node or leader it reaches.
 func ticket(id string, revision uint64) float64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(id))
+	_, _ = h.Write([]byte(id)) // a hash never fails to write
 	draw := mix(h.Sum64()) + revision*goldenRatio
-	return float64(draw>>11) / (1 << 53)
+	return float64(draw>>(64-mantissaBits)) / (1 << mantissaBits)
 }
 
-// mix lets every bit of x depend on all others (the finaliser of MurmurHash3).
+// mix makes every bit of the result depend on all bits of x (the finaliser of MurmurHash3).
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xFF51AFD7ED558CCD
--- a/internal/admission/regulator_test.go
+++ b/internal/admission/regulator_test.go
@@ -2,35 +2,36 @@
 
 import (
 	"fmt"
+	"math"
 	"testing"
 	"time"
 
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// overload brings a regulator into a flood: blue submits 200 new jobs a second, the other
-// teams two each, and the state service has a second of work waiting.
+// overload is a regulator under a flood: blue submits 200 new jobs a second, the other
+// teams two each.
 type overload struct {
 	*Regulator
 	at     time.Time
 	counts map[Key]*OfferedLoad
-	number int
+	jobs   int // submitted so far
 }
 
 func newOverload(term uint64, at time.Time) *overload {
 	return &overload{Regulator: NewRegulator(settings(), term, at), at: at, counts: map[Key]*OfferedLoad{}}
 }
 
-// second lets a second pass, with submissions counted by two nodes that both send the same
-// jobs on; it returns how many were admitted by team.
+// second simulates a second with a number of waiting writes; it returns how many jobs
+// were admitted by team.
 func (o *overload) second(waiting int) map[string]int {
 	admitted := map[string]int{}
 	for team, n := range map[string]int{"blue": 200, "green": 2, "guests": 2} {
 		for range n {
-			o.number++
-			q := Request{ID: fmt.Sprintf("job-%06d", o.number), Key: Key{team, "urgent"}, PriorityRank: 1, Tasks: 1}
-			countRequest(o.counts, &q)
-			if o.Admit(o.at.Add(time.Duration(o.number%100)*time.Millisecond*9), &q, &Claim{}, TaskLoad{}).Admitted {
+			o.jobs++
+			request := Request{ID: fmt.Sprintf("job-%06d", o.jobs), Key: Key{team, "urgent"}, PriorityRank: 1, Tasks: 1}
+			countRequest(o.counts, &request)
+			if o.Admit(o.at.Add(time.Duration(o.jobs%100)*time.Millisecond*9), &request, &Claim{}, TaskLoad{}).Admitted {
 				admitted[team]++
 			}
 		}
@@ -44,8 +45,8 @@
 	return admitted
 }
 
-// TestFloodIsShed: under pressure the flooding team is cut down to what is left by the others,
-// who lose little; with the pressure gone and no more submitted, shedding ends.
+// TestFloodIsShed: under pressure the flooding team gets what the others leave, who lose
+// little; without pressure and submissions shedding ends.
 func TestFloodIsShed(t *testing.T) {
 	o := newOverload(1, begin)
 	o.second(0)
@@ -81,8 +82,8 @@
 	}
 }
 
-// TestBurstsAtTwoNodesStayWithinThePolicy: followers that let far too much through at the
-// same moment, under whatever recent revision, get no more admitted than the budget allows.
+// TestBurstsAtTwoNodesStayWithinThePolicy: followers that forward far too much at the same
+// time, by whatever recent revision, get no more admitted than the budget allows.
 func TestBurstsAtTwoNodesStayWithinThePolicy(t *testing.T) {
 	o := newOverload(1, begin)
 	for range 5 {
@@ -92,8 +93,8 @@
 	admitted := 0
 	for i := range 1000 {
 		for _, node := range []string{"a", "b"} {
-			q := Request{ID: fmt.Sprint("job-5", node, i), Key: Key{"blue", "urgent"}, Tasks: 1}
-			if o.Admit(o.at, &q, &Claim{Revision: o.Policy().Revision - uint64(i%2)}, TaskLoad{}).Admitted {
+			request := Request{ID: fmt.Sprint("job-5", node, i), Key: Key{"blue", "urgent"}, Tasks: 1}
+			if o.Admit(o.at, &request, &Claim{Revision: o.Policy().Revision - uint64(i%2)}, TaskLoad{}).Admitted {
 				admitted++
 			}
 		}
@@ -104,7 +105,7 @@
 }
 
 // TestClaimsOfOtherNodes: a submission without a claim comes from a node that counts nothing,
-// and one decided by an old policy was decided too long ago: the leader applies its own.
+// and the decision by an old policy is too old: the leader applies its own.
 func TestClaimsOfOtherNodes(t *testing.T) {
 	o := newOverload(1, begin)
 	for range 5 {
@@ -114,9 +115,9 @@
 	refused := 0
 	for i := range 200 {
 		for _, claim := range []*Claim{nil, {Revision: 1}} {
-			q := Request{ID: fmt.Sprint("job-7", i), Key: Key{"guests", "nightly"}, Tasks: 1}
-			o.policy.Shares = []Share{{q.Key, 0}}
-			if !o.Admit(o.at, &q, claim, TaskLoad{}).Admitted {
+			request := Request{ID: fmt.Sprint("job-7", i), Key: Key{"guests", "nightly"}, Tasks: 1}
+			o.policy.Shares = []Share{{request.Key, 0}}
+			if !o.Admit(o.at, &request, claim, TaskLoad{}).Admitted {
 				refused++
 			}
 		}
@@ -126,8 +127,8 @@
 	}
 }
 
-// TestRevisionsGoOnWithTheNextLeader: a leader of a later term goes on where the former one
-// was, as far as the clocks agree, and a wrong clock takes nothing back within a term.
+// TestRevisionsGoOnWithTheNextLeader: a leader of a later term continues the revisions of the
+// former one, as far as the clocks agree; a wrong clock takes none back within a term.
 func TestRevisionsGoOnWithTheNextLeader(t *testing.T) {
 	o := newOverload(1, begin)
 	for range 10 {
@@ -146,22 +147,23 @@
 	}
 }
 
-// TestHugeJobsLeaveRoom: unfinished tasks of one team leave room for those of the others.
-func TestHugeJobsLeaveRoom(t *testing.T) {
+// TestHugeJobsLeaveTaskCapacity: unfinished tasks of one team leave capacity for those of
+// the others.
+func TestHugeJobsLeaveTaskCapacity(t *testing.T) {
 	r := NewRegulator(settings(), 1, begin)
 	asks := func(team string, all, own int) bool {
-		q := Request{ID: "job-1", Key: Key{team, "urgent"}, Tasks: 100_000}
-		return r.Admit(begin, &q, &Claim{}, TaskLoad{All: all, Team: own}).Admitted
+		request := Request{ID: "job-1", Key: Key{team, "urgent"}, Tasks: 100_000}
+		return r.Admit(begin, &request, &Claim{}, TaskLoad{All: all, Team: own}).Admitted
 	}
 	if most := int(tuning.MaxActiveTasks * (1 - tuning.AdmissionTaskReserveShare)); !asks("blue", most-100_000, most-100_000) || asks("blue", most, most) {
-		t.Error("blue takes the room kept for others, or may not borrow")
+		t.Error("blue takes the capacity reserved for others, or may not borrow")
 	} else if !asks("green", most, 0) {
-		t.Error("green is shut out by blue's tasks")
+		t.Error("green is blocked by blue's tasks")
 	}
 }
 
-// TestLagSheds: a leader that doesn't get round to its work sheds, too; one that has stood
-// still once doesn't.
+// TestLagSheds: a leader whose periodic work lags sheds, too; one that was suspended once
+// doesn't.
 func TestLagSheds(t *testing.T) {
 	r := NewRegulator(settings(), 1, begin)
 	for i, c := range []struct {
@@ -175,3 +177,33 @@
 		}
 	}
 }
+
+// TestCountsOfRestartedNodesAndLateMessages: a restarted node counts from zero, and
+// a delayed copy of counts takes nothing back.
+func TestCountsOfRestartedNodesAndLateMessages(t *testing.T) {
+	k := Key{"blue", "urgent"}
+	at := begin
+	r := NewRegulator(settings(), 1, at)
+	tell := func(started uint64, count int64) float64 {
+		at = at.Add(tuning.AdmissionInterval)
+		before := 0.0
+		if d := r.demands[k]; d != nil {
+			before = d.count * math.Exp(-tuning.AdmissionInterval.Seconds()/tuning.AdmissionOfferedLoadDecay.Seconds())
+		}
+		o := OfferedLoad{Key: k, Count: count, Boosted: float64(count), Weight: float64(count)}
+		r.Update(at, at, LeaderLoad{}, []NodeOfferedLoad{{Node: "a", Started: started, Loads: []OfferedLoad{o}}})
+		if d := r.demands[k]; d != nil {
+			return (d.count - before) * tuning.AdmissionOfferedLoadDecay.Seconds()
+		}
+		return 0
+	}
+	for i, c := range []struct {
+		started uint64
+		count   int64
+		want    float64
+	}{{1, 1000, 0}, {1, 1030, 30}, {1, 1010, 0}, {1, 1030, 0}, {2, 7, 7}, {2, 9, 2}} {
+		if got := tell(c.started, c.count); math.Abs(got-c.want) > 1e-6 {
+			t.Errorf("%d: counted %v, want %v", i, got, c.want)
+		}
+	}
+}
