--- /dev/null
+++ b/internal/drain/eviction_test.go
@@ -0,0 +1,46 @@
+package drain
+
+import (
+	"testing"
+	"time"
+)
+
+func candidate(team string, number uint64, lossS float64) Candidate {
+	return Candidate{Team: team, Attempt: Attempt{Job: "job-1", Index: int32(number), Number: number}, LossS: lossS}
+}
+
+// TestEvictions: the smallest loss goes first, up to the first bound that is reached; the cause
+// that blocks the rest is returned.
+func TestEvictions(t *testing.T) {
+	budgets := &Budgets{Window: time.Minute, Default: Budget{MaxUnavailable: 2, Evictions: 3, LostS: 100}}
+	three := []Candidate{candidate("blue", 1, 60), candidate("blue", 2, 30), candidate("blue", 3, 10)}
+	for name, c := range map[string]struct {
+		change func(*Budgets, []Candidate)
+		force  bool
+		stops  int
+		cause  Cause
+	}{
+		"unavailable":       {func(*Budgets, []Candidate) {}, false, 2, WaitUnavailable},
+		"evictions":         {func(b *Budgets, _ []Candidate) { b.Default.Evictions = 1 }, false, 1, WaitEvictions},
+		"lost time":         {func(b *Budgets, _ []Candidate) { b.Default = Budget{MaxUnavailable: 9, Evictions: 9, LostS: 99} }, false, 2, WaitLostTime},
+		"budget 0":          {func(b *Budgets, _ []Candidate) { b.Default.MaxUnavailable = 0 }, true, 0, WaitUnavailable},
+		"team's own budget": {func(b *Budgets, _ []Candidate) { b.Teams = map[string]Budget{"blue": {}} }, false, 0, WaitUnavailable},
+		"ends by itself":    {func(_ *Budgets, l []Candidate) { l[2].EndsSoon = true }, false, 2, WaitTasks},
+		"no other place":    {func(_ *Budgets, l []Candidate) { l[1].NoAlternative, l[0].NoAlternative = true, true }, false, 1, WaitNoAlternative},
+		"forced":            {func(_ *Budgets, l []Candidate) { l[1].NoAlternative, l[0].NoAlternative = true, true }, true, 2, WaitUnavailable},
+	} {
+		b, list, charge := *budgets, append([]Candidate(nil), three...), NewCharge("zone-a", now)
+		c.change(&b, list)
+		evictor := Evictor{Ledger: NewLedger(b.Window), Budgets: &b, Force: c.force, Now: now, MaxChargeBytes: 10_000}
+		reason := evictor.Choose(charge, list)
+		if len(charge.Attempts) != c.stops || reason.Cause != c.cause {
+			t.Errorf("%s: %d stops, %v", name, len(charge.Attempts), reason)
+		}
+	}
+	charge := NewCharge("zone-a", now)
+	evictor := Evictor{Ledger: NewLedger(time.Minute), Budgets: &Budgets{Default: Budget{9, 9, 1e6}}, Now: now, MaxChargeBytes: 400}
+	evictor.Choose(charge, three)
+	if n := len(charge.Encode()); len(charge.Attempts) == 0 || len(charge.Attempts) == 3 || n > 400 {
+		t.Errorf("a charge for a small value: %d attempts in %d bytes", len(charge.Attempts), n)
+	}
+}
--- /dev/null
+++ b/internal/drain/file_test.go
@@ -0,0 +1,69 @@
+package drain
+
+import (
+	"errors"
+	"strings"
+	"testing"
+	"time"
+)
+
+var now = time.Date(2026, 12, 2, 20, 0, 0, 0, time.UTC)
+
+const sound = `<drain name="zone-a"><selector><zone>a</zone></selector><batchSize>5</batchSize>
+<deadline>2026-12-03T04:00:00Z</deadline><replace>yes</replace><force>yes</force></drain>`
+
+// TestParse: a file is read as written, and the error of each mistake names the field.
+func TestParse(t *testing.T) {
+	s, err := Parse([]byte(sound), now)
+	if err != nil || s.Name != "zone-a" || s.Selector.Zone != "a" || s.BatchSize != 5 || !s.Replace || !s.Force || s.Deadline.Hour() != 4 {
+		t.Fatalf("%+v, %v", s, err)
+	}
+	for name, c := range map[string]struct{ from, to, field string }{
+		"unknown element":        {"<batchSize>", "<speed>1</speed><batchSize>", "drain/speed"},
+		"element out of place":   {"<zone>a</zone>", "<batchSize>1</batchSize>", "drain/selector/batchSize"},
+		"unknown attribute":      {"<drain ", `<drain zone="b" `, "drain/zone"},
+		"attribute out of place": {"<selector>", `<selector type="std-8">`, "drain/selector/type"},
+		"bad name":               {"zone-a", "Zone A", "name"},
+		"empty selection":        {"<zone>a</zone>", "", "selector"},
+		"no batch size":          {"<batchSize>5</batchSize>", "", "batchSize"},
+		"batch size below 1":     {">5<", ">0<", "batchSize"},
+		"batch size above 1000":  {">5<", ">100000<", "batchSize"},
+		"deadline in the past":   {"2026-12-03", "2026-12-01", "deadline"},
+		"deadline no time":       {"2026-12-03T04:00:00Z", "soon", "deadline"},
+		"force, no deadline":     {"<deadline>2026-12-03T04:00:00Z</deadline>", "", "force"},
+		"neither yes nor no":     {"<replace>yes", "<replace>maybe", "replace"},
+		"empty machine name":     {"<zone>a</zone>", "<machine> </machine>", "selector/machine"},
+	} {
+		_, err := Parse([]byte(strings.Replace(sound, c.from, c.to, 1)), now)
+		var bad *FieldError
+		if !errors.As(err, &bad) || !strings.HasPrefix(bad.Field, c.field) {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+	for _, text := range []string{"", "<drain", "<cluster/>", sound + sound, "{}"} {
+		if _, err := Parse([]byte(text), now); err == nil {
+			t.Errorf("%q was accepted", text)
+		}
+	}
+}
+
+// FuzzDecode: whatever is stored or written, decoding ends with a value that holds or an error.
+func FuzzDecode(f *testing.F) {
+	f.Add([]byte(sound))
+	s, _ := Parse([]byte(sound), now)
+	f.Add([]byte(NewRecord(*s, now).Encode()))
+	f.Add([]byte(`{"drain":"zone-a","at":1,"teams":{"blue":{"evictions":1,"lostS":2}},"attempts":[{"job":"job-1","index":0,"attempt":7}]}`))
+	f.Fuzz(func(t *testing.T, data []byte) {
+		if s, err := Parse(data, now); err == nil && (s.Selector.empty() || s.BatchSize < 1) {
+			t.Errorf("read: %+v", s)
+		}
+		if r, err := DecodeRecord("zone-a", data); err == nil {
+			if again, err := DecodeRecord("zone-a", r.Encode()); err != nil || again.State != r.State {
+				t.Errorf("%v: %+v", err, r)
+			}
+		}
+		if c, err := DecodeCharge(data); err == nil {
+			NewLedger(time.Minute).RecordCharge("b/1", c, now, func(Attempt) (string, bool) { return "blue", true })
+		}
+	})
+}
--- a/internal/drain/ledger.go
+++ b/internal/drain/ledger.go
@@ -1,11 +1,9 @@
 package drain
 
-import (
-	"time"
-)
+import "time"
 
-// Ledger counts the disruption of each team's work: by drains, as charged, and by troubles
-// that no drain has caused.
+// Ledger counts the disruption of each team's work: by drains, as charged, and by failures
+// and preemptions that no drain has caused.
 type Ledger struct {
 	window time.Duration
 	teams  map[string]*teamLedger
@@ -24,11 +22,12 @@
 
 // usageBucket is what was used in a part of the window.
 type usageBucket struct {
-	begun time.Time
-	use   Usage
+	start time.Time
+	usage Usage
 }
 
-// bucketsPerWindow divides the window: what is used counts for up to one part longer.
+// bucketsPerWindow is the number of parts of the window. Usage counts for up to one part
+// longer than the window.
 const bucketsPerWindow = 20
 
 // NewLedger returns an empty ledger.
@@ -39,6 +38,7 @@
 	}
 }
 
+// team returns the ledger of a team.
 func (l *Ledger) team(name string) *teamLedger {
 	t := l.teams[name]
 	if t == nil {
@@ -48,33 +48,33 @@
 	return t
 }
 
-// addUsage counts what a team has lost at a time.
-func (l *Ledger) addUsage(team string, at time.Time, use Usage) {
+// addUsage adds what a team has lost at a time.
+func (l *Ledger) addUsage(team string, at time.Time, usage Usage) {
 	t := l.team(team)
-	if n := len(t.buckets); n == 0 || at.Sub(t.buckets[n-1].begun) >= l.window/bucketsPerWindow {
-		t.buckets = append(t.buckets, usageBucket{begun: at})
+	if n := len(t.buckets); n == 0 || at.Sub(t.buckets[n-1].start) >= l.window/bucketsPerWindow {
+		t.buckets = append(t.buckets, usageBucket{start: at})
 	}
 	last := &t.buckets[len(t.buckets)-1]
-	last.use.Evictions += use.Evictions
-	last.use.LostS += use.LostS
+	last.usage.Evictions += usage.Evictions
+	last.usage.LostS += usage.LostS
 }
 
-// Used is what a team has lost within the window before now, or a little longer.
+// Used returns what a team has lost within the window before now, or a little longer.
 func (l *Ledger) Used(team string, now time.Time) Usage {
 	t := l.team(team)
-	for len(t.buckets) > 0 && now.Sub(t.buckets[0].begun) >= l.window+l.window/bucketsPerWindow {
+	for len(t.buckets) > 0 && now.Sub(t.buckets[0].start) >= l.window+l.window/bucketsPerWindow {
 		t.buckets = t.buckets[1:]
 	}
 	var sum Usage
 	for _, b := range t.buckets {
-		sum.Evictions += b.use.Evictions
-		sum.LostS += b.use.LostS
+		sum.Evictions += b.usage.Evictions
+		sum.LostS += b.usage.LostS
 	}
 	return sum
 }
 
-// Unavailable is the number of a team's tasks that were interrupted, or are about to be, and
-// don't run again yet.
+// Unavailable returns the number of a team's tasks that were interrupted, or are about to be,
+// and don't run again yet.
 func (l *Ledger) Unavailable(team string) int { return l.team(team).unavailable }
 
 // RecordInterruption counts a running task that no drain has stopped.
@@ -86,9 +86,10 @@
 	l.addUnavailable(team, job, index)
 }
 
-// RecordUnknown counts a task that may have run where it is no more as unavailable.
+// RecordUnknown counts a task as unavailable that may have run on a machine where it isn't now.
 func (l *Ledger) RecordUnknown(team, job string, index int32) { l.addUnavailable(team, job, index) }
 
+// addUnavailable counts a task as unavailable, once.
 func (l *Ledger) addUnavailable(team, job string, index int32) {
 	tasks := l.unavailable[job]
 	if tasks == nil {
@@ -114,7 +115,7 @@
 	}
 }
 
-// RecordJobEnd counts no task of a job any more.
+// RecordJobEnd counts no task of a job as unavailable any longer.
 func (l *Ledger) RecordJobEnd(job string) {
 	if n := len(l.unavailable[job]); n > 0 {
 		l.team(l.teamByJob[job]).unavailable -= n
@@ -123,15 +124,15 @@
 	delete(l.teamByJob, job)
 }
 
-// RecordCharge counts a charge, stored under a key, as made at a time. active reports whether a
-// task of it is still to run.
+// RecordCharge counts a charge, stored under a key, as of a time. active returns the team of a
+// task of it unless the task has ended.
 func (l *Ledger) RecordCharge(key string, c *Charge, at time.Time, active func(Attempt) (team string, ok bool)) {
 	l.charges[key] = c
-	for team, use := range c.Teams {
-		l.addUsage(team, at, use)
+	for team, usage := range c.Teams {
+		l.addUsage(team, at, usage)
 	}
 	for _, a := range c.Attempts {
-		l.charged[a.AttemptNumber] = true
+		l.charged[a.Number] = true
 		if team, ok := active(a); ok {
 			l.addUnavailable(team, a.Job, a.Index)
 		}
@@ -141,16 +142,16 @@
 // IsCharged reports whether stopping an attempt has been charged.
 func (l *Ledger) IsCharged(number uint64) bool { return l.charged[number] }
 
-// Expire drops the charges that count no more at the given time of day, and returns their keys:
-// the window is over, and none of their tasks is unavailable.
+// Expire removes the charges that don't count any longer at the given time of day, and returns
+// their keys: the window is over, and none of their tasks is unavailable.
 func (l *Ledger) Expire(now time.Time) []string {
 	var keys []string
 	for key, c := range l.charges {
-		if now.Sub(time.UnixMilli(c.At)) < l.window+l.window/bucketsPerWindow || l.hasUnavailable(c) {
+		if now.Sub(time.UnixMilli(c.AtMS)) < l.window+l.window/bucketsPerWindow || l.hasUnavailable(c) {
 			continue
 		}
 		for _, a := range c.Attempts {
-			delete(l.charged, a.AttemptNumber)
+			delete(l.charged, a.Number)
 		}
 		delete(l.charges, key)
 		keys = append(keys, key)
@@ -158,6 +159,7 @@
 	return keys
 }
 
+// hasUnavailable reports whether a task of the charge is unavailable.
 func (l *Ledger) hasUnavailable(c *Charge) bool {
 	for _, a := range c.Attempts {
 		if l.unavailable[a.Job][a.Index] {
--- a/internal/drain/request.go
+++ b/internal/drain/request.go
@@ -1,6 +1,6 @@
 package drain
 
-// Action is what an operator asks of a drain.
+// Action is what an operator requests.
 type Action string
 
 // Actions.
@@ -13,15 +13,14 @@
 	Cancel Action = "cancel"
 )
 
-// Request is an operator's request to the leader. It may be repeated: what has been carried
-// out already changes nothing.
+// Request is an operator's request to the leader. It is idempotent.
 type Request struct {
 	Action Action `json:"action"`
 	Name   string `json:"name,omitempty"`
 	Spec   *Spec  `json:"spec,omitempty"`
 }
 
-// TeamUsage is what of a team's budget is used.
+// TeamUsage is the used part of a team's budget.
 type TeamUsage struct {
 	Team        string `json:"team"`
 	Unavailable int    `json:"unavailable"`
@@ -29,22 +28,22 @@
 	Budget      Budget `json:"budget"`
 }
 
-// Status is what operators are told of a drain.
+// Status is the status of a drain for operators.
 type Status struct {
 	Spec   Spec   `json:"spec"`
 	State  State  `json:"state"`
 	Reason string `json:"reason,omitempty"`
 	Batch  *Batch `json:"batch,omitempty"`
 	Counts Counts `json:"counts"`
-	// MachinesLeft are the selected machines that are there still.
+	// MachinesLeft is the number of selected machines that are not released yet.
 	MachinesLeft int `json:"machinesLeft"`
-	// Teams are the budgets of the teams with any use, in a request about one drain.
+	// Teams has the teams with any usage, in the response to a request about one drain.
 	Teams []TeamUsage `json:"teams,omitempty"`
 }
 
 // Response is the leader's answer.
 type Response struct {
-	Status int    // as of HTTP
-	Reason string // what is wrong, if anything is
+	Status int    // of HTTP
+	Reason string // of a refusal
 	Drains []Status
 }
--- /dev/null
+++ b/internal/drain/selector.go
@@ -0,0 +1,51 @@
+package drain
+
+import (
+	"slices"
+	"time"
+)
+
+// Selector selects the machines to be drained: those that match all fields that are set.
+type Selector struct {
+	Zone     string   `json:"zone,omitempty" xml:"zone"`
+	Type     string   `json:"type,omitempty" xml:"type"`
+	Machines []string `json:"machines,omitempty" xml:"machine" validate:"dive,min=1,max=64"`
+	// ProvisionedBefore, if set, leaves out machines provisioned later.
+	ProvisionedBefore *time.Time `json:"rentedBefore,omitempty" xml:"rentedBefore"`
+}
+
+// Machine is what a selector looks at.
+type Machine struct {
+	Name, Type, Zone string
+	ProvisionedAt    time.Time
+}
+
+// Selects reports whether a machine is to be drained.
+func (s *Selector) Selects(m Machine) bool {
+	switch {
+	case s.Zone != "" && s.Zone != m.Zone, s.Type != "" && s.Type != m.Type:
+		return false
+	case len(s.Machines) > 0 && !slices.Contains(s.Machines, m.Name):
+		return false
+	}
+	return s.ProvisionedBefore == nil || m.ProvisionedAt.Before(*s.ProvisionedBefore)
+}
+
+// SelectsAllOf reports whether every machine of a type in a zone is selected, also those that
+// would be provisioned from now on.
+func (s *Selector) SelectsAllOf(machineType, zone string) bool {
+	if len(s.Machines) > 0 || s.ProvisionedBefore != nil {
+		return false
+	}
+	return (s.Zone == "" || s.Zone == zone) && (s.Type == "" || s.Type == machineType)
+}
+
+// equal reports whether two selectors have the same fields.
+func (s *Selector) equal(other *Selector) bool {
+	return s.Zone == other.Zone && s.Type == other.Type && slices.Equal(s.Machines, other.Machines) && equalTimes(s.ProvisionedBefore, other.ProvisionedBefore)
+}
+
+// empty reports whether no field is set.
+func (s *Selector) empty() bool {
+	return s.Zone == "" && s.Type == "" && len(s.Machines) == 0 && s.ProvisionedBefore == nil
+}
--- a/internal/drainer/batch.go
+++ b/internal/drainer/batch.go
@@ -32,7 +32,7 @@
 		s.wait(drain.BlockedByGuarantee, team)
 		return
 	}
-	s.record.Batch = &drain.Batch{Since: s.wall.UnixMilli(), Cordoned: !s.record.Spec.Replace}
+	s.record.Batch = &drain.Batch{SinceMS: s.wall.UnixMilli(), Cordoned: !s.record.Spec.Replace}
 	for _, m := range batch {
 		s.record.Batch.Machines = append(s.record.Batch.Machines, m.ID)
 	}
@@ -90,7 +90,7 @@
 // selects reports whether a machine is to be drained.
 func selects(r *drain.Record, now, wall time.Time, m *machines.Machine) bool {
 	provisionedAt := wall.Add(m.ProvisionedAt.Sub(now))
-	return r.Spec.Selector.Selects(drain.Machine{Name: m.ID, Type: m.Type, Zone: m.Zone, RentedAt: provisionedAt})
+	return r.Spec.Selector.Selects(drain.Machine{Name: m.ID, Type: m.Type, Zone: m.Zone, ProvisionedAt: provisionedAt})
 }
 
 // unmetGuarantee is a team with waiting work whose guarantee would not fit, together with those
--- a/internal/drainer/evict.go
+++ b/internal/drainer/evict.go
@@ -17,8 +17,11 @@
 func (s *step) evict() {
 	candidates, attempts := s.candidates()
 	charge := drain.NewCharge(s.record.Spec.Name, s.wall)
-	limit := int(float64(s.d.config.ValueLimit) * tuning.StartRecordValueShare)
-	reason := drain.ChooseEvictions(charge, candidates, s.d.ledger, s.d.config.Budgets, s.record.Forced(s.wall), s.now, limit)
+	evictor := drain.Evictor{
+		Ledger: s.d.ledger, Budgets: s.d.config.Budgets, Force: s.record.Forced(s.wall), Now: s.now,
+		MaxChargeBytes: int(float64(s.d.config.ValueLimit) * tuning.StartRecordValueShare),
+	}
+	reason := evictor.Choose(charge, candidates)
 	s.stopCharged(charge, attempts)
 	if reason.Cause == "" {
 		reason.Cause = drain.WaitMachines
@@ -57,7 +60,7 @@
 	}
 	var evicted []*machines.Attempt
 	for _, e := range charge.Attempts {
-		a := attempts[e.AttemptNumber]
+		a := attempts[e.Number]
 		a.PlanEviction()
 		evicted = append(evicted, a)
 		s.record.Counts.Evicted++
@@ -88,7 +91,7 @@
 	j := a.Job
 	c := drain.Candidate{
 		Team:          j.Team,
-		Attempt:       drain.Attempt{Job: j.ID, Index: a.Index, AttemptNumber: a.Number()},
+		Attempt:       drain.Attempt{Job: j.ID, Index: a.Index, Number: a.Number()},
 		NoAlternative: !s.hasAlternative(j),
 	}
 	patience := tuning.DrainCheckpointWait
@@ -96,7 +99,7 @@
 		patience = tuning.DrainCompletionWait
 		c.LossS = s.maxLossS(a)
 	}
-	patience -= s.wall.Sub(time.UnixMilli(s.record.Batch.Since))
+	patience -= s.wall.Sub(time.UnixMilli(s.record.Batch.SinceMS))
 	c.EndsSoon = patience > 0 && s.d.cluster.RemainingS(s.now, a) <= patience.Seconds()
 	return c
 }
--- a/internal/drainer/replacements.go
+++ b/internal/drainer/replacements.go
@@ -61,7 +61,7 @@
 	switch {
 	case n.complete():
 		s.cordonBatch()
-	case s.wall.Sub(time.UnixMilli(s.record.Batch.Since)) > tuning.ReplacementTimeout:
+	case s.wall.Sub(time.UnixMilli(s.record.Batch.SinceMS)) > tuning.ReplacementTimeout:
 		if s.record.Pause(drain.Reason{Cause: drain.ReplacementTimedOut}) {
 			s.reportPaused()
 		}
@@ -72,7 +72,7 @@
 
 // cordonBatch lets the machines of the batch take no new work any more.
 func (s *step) cordonBatch() {
-	s.record.Batch.Cordoned, s.record.Batch.Since = true, s.wall.UnixMilli()
+	s.record.Batch.Cordoned, s.record.Batch.SinceMS = true, s.wall.UnixMilli()
 	s.applyBatchCordon()
 	s.d.storeDrain(s.record, nil)
 }
--- a/internal/drainer/store.go
+++ b/internal/drainer/store.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	at := now.Add(-max(0, wall.Sub(time.UnixMilli(charge.At))))
+	at := now.Add(-max(0, wall.Sub(time.UnixMilli(charge.AtMS))))
 	d.loadedCharges = append(d.loadedCharges, loadedCharge{key, charge, at})
 	return nil
 }
--- a/internal/simulation/drain_monitor.go
+++ b/internal/simulation/drain_monitor.go
@@ -87,7 +87,7 @@
 		return
 	}
 	for _, attempt := range charge.Attempts {
-		m.budgets.charged[attempt.AttemptNumber] = true
+		m.budgets.charged[attempt.Number] = true
 	}
 	m.sim.Observed[DrainCharge]++
 	if m.OnCharge != nil {
