--- /dev/null
+++ b/internal/httpclient/loopback/loopback.go
@@ -0,0 +1,26 @@
+// Package loopback serves HTTP on loopback in tests of HTTP clients.
+package loopback
+
+import (
+	"net"
+	"testing"
+
+	"github.com/valyala/fasthttp"
+)
+
+// Serve serves requests until the test ends, and returns the address.
+func Serve(t testing.TB, handler fasthttp.RequestHandler) (addr string) {
+	t.Helper()
+	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		if err := ln.Close(); err != nil {
+			t.Error(err)
+		}
+	})
+	server := &fasthttp.Server{Handler: handler}
+	go func() { _ = server.Serve(ln) }() // it ends with the listener
+	return ln.Addr().String()
+}
--- a/internal/kvstore/store.go
+++ b/internal/kvstore/store.go
@@ -14,9 +14,9 @@
 
 // Keys of the service.
 const (
-	// KeyLeader holds who leads, on the leader's lease.
+	// KeyLeader names the leader, on the leader's lease.
 	KeyLeader = "leader"
-	// KeyTerm holds the last term, for good.
+	// KeyTerm is the last term, and outlives every lease.
 	KeyTerm = "term"
 )
 
@@ -32,7 +32,7 @@
 	ErrInvalidRequest = errors.New("malformed request")
 )
 
-// Store is what the service needs of the key-value store; tests put a stand-in here.
+// Store is what the service needs of the key-value store; tests replace it by a fake.
 type Store interface {
 	// Get reads one key.
 	Get(ctx context.Context, key string) (wire.KeyValue, error)
--- a/internal/peer/hub.go
+++ b/internal/peer/hub.go
@@ -23,7 +23,7 @@
 	ErrNoAnswer = errors.New("no answer")
 )
 
-// Hub holds the links to all peers.
+// Hub is the links to all peers and what their heartbeats say.
 type Hub struct {
 	Log zerolog.Logger
 	// LocalHeartbeat returns this node's own heartbeat.
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -55,7 +55,7 @@
 	})
 	_ = readLines(conn, l.receive) // however it ends, the peer is dialled again
 	l.setConnected(false)
-	_ = conn.Close()
+	_ = conn.Close() // it may be closed already
 	l.calls.close()
 	cancel()
 	sending.Wait()
--- a/internal/peer/listener.go
+++ b/internal/peer/listener.go
@@ -58,7 +58,7 @@
 	calls.SetLimit(tuning.PeerMaxCalls)
 	// However the reading ends, the peer dials again.
 	_ = readLines(conn, func(m *message) { h.handleMessage(ctx, &calls, out, m) })
-	_ = conn.Close()
+	_ = conn.Close() // it may be closed already
 	cancel()
 	_ = calls.Wait() // none returns an error
 	sending.Wait()
--- a/internal/peer/membership.go
+++ b/internal/peer/membership.go
@@ -7,13 +7,13 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// member is what a peer last told of itself.
+// member is the last heartbeat of a peer.
 type member struct {
 	heartbeat  Heartbeat
 	receivedAt time.Time
 }
 
-// isRecent reports whether the peer has told it within its timeout.
+// isRecent reports whether the heartbeat is not older than the peer's timeout.
 func (m *member) isRecent(now time.Time) bool {
 	return now.Sub(m.receivedAt) <= tuning.PeerTimeout
 }
