--- a/internal/drainer/drainer.go
+++ b/internal/drainer/drainer.go
@@ -59,7 +59,7 @@
 	ListsComplete func() bool
 	// Blocked is why no batch may begin now whatever machines there are, "" if one may.
 	Blocked func(time.Time) drain.Cause
-	// ScheduleCall lets a machine be told soon what is to be stopped there.
+	// ScheduleCall schedules a direct call to a machine where something is to be stopped.
 	ScheduleCall func(*machines.Machine)
 	// RequestPass asks for a scheduling pass, as machines take work again.
 	RequestPass func()
--- /dev/null
+++ b/internal/drainer/drainer_test.go
@@ -0,0 +1,248 @@
+package drainer_test
+
+import (
+	"iter"
+	"net/http"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"switchshore.example/switchshore/internal/autoscale"
+	"switchshore.example/switchshore/internal/config"
+	"switchshore.example/switchshore/internal/drain"
+	"switchshore.example/switchshore/internal/drainer"
+	"switchshore.example/switchshore/internal/jobs"
+	"switchshore.example/switchshore/internal/machines"
+	"switchshore.example/switchshore/internal/placement"
+	"switchshore.example/switchshore/internal/records"
+	"switchshore.example/switchshore/internal/scaling"
+	"switchshore.example/switchshore/internal/tuning"
+	"switchshore.example/switchshore/wire"
+)
+
+var start = time.Unix(1_700_000_000, 0)
+
+// fixture is a drainer of a cluster with one machine type in one zone.
+type fixture struct {
+	*drainer.Drainer
+	t        *testing.T
+	now      time.Time
+	registry *machines.Registry
+	writes   *records.WriteQueues
+	scaler   *scaling.Scaler
+	jobs     map[string]*jobs.Job
+	blocked  drain.Cause
+	stopped  []string // machines where something is to be stopped
+}
+
+func newFixture(t *testing.T) *fixture {
+	t.Helper()
+	f := &fixture{
+		t:        t,
+		now:      start,
+		registry: machines.NewRegistry(),
+		writes:   records.NewWriteQueues(zerolog.Nop(), 16<<10),
+		jobs:     map[string]*jobs.Job{},
+	}
+	catalogue := machines.NewCatalogue()
+	catalogue.Set([]wire.MachineType{{Name: "std-8", CPUs: 8, MemoryGB: 32, Price: 1, Zones: []string{"a"}}})
+	f.scaler = scaling.New(scaling.Config{Term: 5, CloudRPS: 5}, scaling.Cluster{
+		Machines:    f.registry,
+		Catalogue:   catalogue,
+		Drained:     func(o autoscale.Offer) bool { return f.BlocksProvisioning(o) },
+		Partitioned: func(time.Time, string) bool { return false },
+	})
+	f.Drainer = drainer.New(zerolog.Nop(), drainer.Config{
+		Term:       5,
+		Budgets:    &drain.Budgets{Window: 10 * time.Minute, Default: drain.Budget{MaxUnavailable: 1, Evictions: 1, LostS: 1000}},
+		Teams:      []config.Team{{Name: "blue", CPUs: 4}},
+		ValueLimit: 16 << 10,
+		LeaseTime:  15 * time.Second,
+		LeaseS:     15,
+	}, drainer.Cluster{
+		Machines:      f.registry,
+		Catalogue:     catalogue,
+		Writes:        f.writes,
+		Scaler:        f.scaler,
+		Job:           func(id string) *jobs.Job { return f.jobs[id] },
+		RunnableJobs:  func() iter.Seq[*jobs.Job] { return func(func(*jobs.Job) bool) {} },
+		TeamUsedCPUs:  func(string) float64 { return 0 },
+		AcceptsWork:   func(_ time.Time, m *machines.Machine) bool { return m.Reconciled && !m.Cordoned() },
+		RemainingS:    func(time.Time, *machines.Attempt) float64 { return 3600 },
+		MachinesKnown: func() bool { return true },
+		ListsComplete: func() bool { return true },
+		Blocked:       func(time.Time) drain.Cause { return f.blocked },
+		ScheduleCall:  func(m *machines.Machine) { f.stopped = append(f.stopped, m.ID) },
+		RequestPass:   func() {},
+	})
+	return f
+}
+
+// addMachine adds a machine that has reported.
+func (f *fixture) addMachine(id string) *machines.Machine {
+	m := machines.New(start, id, "std-8", "a", "", false)
+	m.SetTotal(placement.Resources{CPUs: 8, MemoryGB: 32})
+	m.Joined, m.Reconciled, m.ListedAt = true, true, start
+	f.registry.Add(m)
+	return m
+}
+
+// request carries out a request and commits what it changes.
+func (f *fixture) request(q *drain.Request) drain.Response {
+	f.t.Helper()
+	var got drain.Response
+	f.Handle(f.now, f.now, q, func(r drain.Response) { got = r })
+	f.commit()
+	return got
+}
+
+// apply accepts a drain of the given machines.
+func (f *fixture) apply(replace bool, names ...string) {
+	f.t.Helper()
+	r := f.request(&drain.Request{Action: drain.Apply, Spec: &drain.Spec{
+		Name: "maintenance", BatchSize: 1, Replace: replace, Selector: drain.Selector{Machines: names},
+	}})
+	if r.Status != http.StatusCreated {
+		f.t.Fatalf("%+v", r)
+	}
+}
+
+// show is the state of the drain.
+func (f *fixture) show() drain.Status {
+	f.t.Helper()
+	r := f.request(&drain.Request{Action: drain.Show, Name: "maintenance"})
+	if len(r.Drains) != 1 {
+		f.t.Fatalf("%+v", r)
+	}
+	return r.Drains[0]
+}
+
+// commit makes all changes durable and returns the keys that were written.
+func (f *fixture) commit() []string {
+	var keys []string
+	for b := f.writes.NextBatch(10, 10, false); b != nil; b = f.writes.NextBatch(10, 10, false) {
+		for _, m := range b.Mutations {
+			keys = append(keys, m.Put)
+		}
+		f.writes.Committed(b, nil)
+	}
+	return keys
+}
+
+// step lets time pass and takes a step.
+func (f *fixture) step(d time.Duration) {
+	f.now = f.now.Add(d)
+	f.Advance(f.now, f.now)
+}
+
+// release removes a machine that the cloud has released.
+func (f *fixture) release(id string) {
+	f.registry.MarkReleased(id)
+	f.registry.Remove(f.registry.Get(id))
+}
+
+// TestBatchesFollowOneAnother: a batch is cordoned until its machines no longer exist, then the
+// next one is, and after the last one the drain is done.
+func TestBatchesFollowOneAnother(t *testing.T) {
+	f := newFixture(t)
+	for _, id := range []string{"m1", "m2", "m3"} {
+		f.addMachine(id)
+	}
+	f.apply(false, "m1", "m2")
+	for _, id := range []string{"m1", "m2"} {
+		f.step(tuning.DrainBatchInterval)
+		s := f.show()
+		if s.State != drain.Running || s.Batch == nil || !slices.Equal(s.Batch.Machines, []string{id}) {
+			t.Fatalf("%+v, batch %+v", s, s.Batch)
+		}
+		for _, m := range f.registry.All() {
+			if m.CordonedFor(machines.CordonDrained) != (m.ID == id) {
+				t.Errorf("batch of %s: cordon of %s", id, m.ID)
+			}
+		}
+		f.release(id)
+		f.step(tuning.DrainStepInterval)
+	}
+	f.step(tuning.DrainBatchInterval)
+	if s := f.show(); s.State != drain.Done || s.Counts.Machines != 2 || s.Counts.Batches != 2 {
+		t.Errorf("%+v", s)
+	}
+}
+
+// TestNoBatchBeginsWhileBlocked: the reason is shown.
+func TestNoBatchBeginsWhileBlocked(t *testing.T) {
+	f := newFixture(t)
+	m := f.addMachine("m1")
+	f.apply(false, "m1")
+	f.blocked = drain.BlockedByOverload
+	f.step(tuning.DrainBatchInterval)
+	if s := f.show(); s.Batch != nil || m.Cordoned() || s.Reason != string(drain.BlockedByOverload) {
+		t.Errorf("%+v", s)
+	}
+	f.blocked = ""
+	f.step(tuning.DrainBatchInterval)
+	if s := f.show(); s.Batch == nil || !m.Cordoned() {
+		t.Errorf("%+v", s)
+	}
+}
+
+// TestEvictionsStayWithinTheBudget: one task at a time is stopped, after its charge is durable,
+// and the next one only when the first runs again and the window is over.
+func TestEvictionsStayWithinTheBudget(t *testing.T) {
+	f := newFixture(t)
+	m := f.addMachine("m1")
+	j := jobs.New(wire.Job{ID: "job-1", Team: "blue", Tasks: 2, CPUs: 2, CheckpointIntervalS: 30, CheckpointSaveS: 5}, 0, start)
+	f.jobs[j.ID] = j
+	j.MarkAccepted()
+	for i := range int32(2) {
+		a := machines.NewPendingAttempt(m, j, i, start, 5<<32|uint64(i+1), false)
+		a.ApplyReport(start, machines.Running)
+		m.Attempts = append(m.Attempts, a)
+	}
+	f.apply(false, "m1")
+	f.step(tuning.DrainBatchInterval)
+	f.step(tuning.DrainCheckpointWait + time.Second)
+	if len(f.stopped) != 0 {
+		t.Fatal("stopped before the charge is durable")
+	}
+	charged := slices.ContainsFunc(f.commit(), func(key string) bool { return strings.HasPrefix(key, records.KindCharge.Prefix()) })
+	stopping := slices.DeleteFunc(slices.Clone(m.Attempts), func(a *machines.Attempt) bool { return !a.IsStopping() })
+	if !charged || len(f.stopped) != 1 || len(stopping) != 1 || stopping[0].GracePeriodS() != 5 {
+		t.Fatalf("charged %v, stopped on %v, %d attempts", charged, f.stopped, len(stopping))
+	}
+	f.step(tuning.DrainCheckpointWait)
+	f.commit()
+	if len(f.stopped) != 1 {
+		t.Error("stopped another one beyond the budget")
+	}
+}
+
+// TestBatchWaitsForReplacements: one is provisioned for each machine, and only once it takes work
+// the batch is cordoned.
+func TestBatchWaitsForReplacements(t *testing.T) {
+	f := newFixture(t)
+	m := f.addMachine("m1")
+	f.apply(true, "m1")
+	f.step(tuning.DrainBatchInterval)
+	calls := f.ReplacementCalls(f.now)
+	if len(calls) != 1 || calls[0].Provision.Type != "std-8" || calls[0].Provision.Count != 1 {
+		t.Fatalf("%+v", calls)
+	}
+	if again := f.ReplacementCalls(f.now); len(again) != 0 {
+		t.Fatalf("provisioned again: %+v", again)
+	}
+	p := f.scaler.ProvisionAnswered(f.now, calls[0].Provision, 1)
+	f.Provisioned(p.ReplacementFor, []string{"m2"})
+	f.step(tuning.DrainStepInterval)
+	if m.Cordoned() || !f.IsReplacement("m2") {
+		t.Fatal("cordoned before the replacement is ready")
+	}
+	f.addMachine("m2")
+	f.step(tuning.DrainStepInterval)
+	if !m.CordonedFor(machines.CordonDrained) {
+		t.Error("not cordoned although the replacement is ready")
+	}
+}
--- a/internal/drainer/requests.go
+++ b/internal/drainer/requests.go
@@ -169,7 +169,7 @@
 	return list
 }
 
-// status is what operators are told of a drain.
+// status describes a drain to operators.
 func (d *Drainer) status(now, wall time.Time, r *storedDrain) drain.Status {
 	status := drain.Status{Spec: r.Spec, State: r.State, Reason: r.Reason.String(), Counts: r.Counts}
 	if r.Batch != nil {
--- a/internal/leader/admission.go
+++ b/internal/leader/admission.go
@@ -9,7 +9,7 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// AdmissionRequest is a submission as admission control looks at it.
+// AdmissionRequest is a submission as admission control sees it.
 func AdmissionRequest(s *admission.Settings, spec *wire.Job) *admission.Request {
 	key, _ := s.Key(spec.Team, spec.Class)
 	return &admission.Request{
@@ -21,74 +21,85 @@
 	}
 }
 
-// checkAdmission returns why a job that could be accepted is not taken now, or nil.
-func (l *Leader) checkAdmission(now time.Time, spec *wire.Job, claim *admission.Claim) *RejectedError {
-	if l.regulator == nil {
+// admissionControl decides on new jobs under overload. It counts the unfinished tasks.
+type admissionControl struct {
+	settings  *admission.Settings
+	regulator *admission.Regulator // nil: off
+	// unfinished are the unfinished tasks of all teams, unfinishedByTeam those of each.
+	unfinished       int
+	unfinishedByTeam map[string]int
+}
+
+// newAdmissionControl begins the term's admission control, off unless the operators have
+// turned it on.
+func newAdmissionControl(p *config.Params, o *config.Operator, term uint64, now time.Time) *admissionControl {
+	c := &admissionControl{settings: o.AdmissionSettings(p), unfinishedByTeam: map[string]int{}}
+	if c.settings != nil {
+		c.regulator = admission.NewRegulator(c.settings, term, now)
+	}
+	return c
+}
+
+// countUnfinished notes that a team has so many unfinished tasks more, or less.
+func (c *admissionControl) countUnfinished(team string, tasks int) {
+	c.unfinished += tasks
+	c.unfinishedByTeam[team] += tasks
+}
+
+// check returns why a job that could be accepted is not accepted now, or nil.
+func (c *admissionControl) check(now time.Time, spec *wire.Job, claim *admission.Claim) *RejectedError {
+	if c.regulator == nil {
 		return nil
 	}
-	request := AdmissionRequest(l.admissionSettings, spec)
-	tasks := admission.TaskLoad{All: l.active, Team: l.activeByTeam[spec.Team]}
-	decision := l.regulator.Admit(now, request, claim, tasks)
+	request := AdmissionRequest(c.settings, spec)
+	tasks := admission.TaskLoad{All: c.unfinished, Team: c.unfinishedByTeam[spec.Team]}
+	decision := c.regulator.Admit(now, request, claim, tasks)
 	if decision.Admitted {
 		return nil
 	}
 	return RejectOverload(decision)
 }
 
-// RejectOverload is the refusal of a job that is not admitted now.
+// shedding reports whether new jobs are rejected for overload.
+func (c *admissionControl) shedding() bool { return c.regulator != nil && c.regulator.Shedding() }
+
+// RejectOverload is the rejection of a job that is not admitted now.
 func RejectOverload(d admission.Decision) *RejectedError {
 	return &RejectedError{Status: http.StatusTooManyRequests, Reason: "more is submitted than can be taken now", RetryAfter: d.RetryAfterS}
 }
 
-// shedding reports whether new jobs are rejected for overload.
-func (l *Leader) shedding() bool { return l.regulator != nil && l.regulator.Shedding() }
-
-// UpdateAdmission looks at the load and at what all nodes are offered. lag is by how much
-// the leader's periodic work came too late.
+// UpdateAdmission adapts admission to the load and to what all nodes are offered. lag is by how
+// much the leader's periodic work came too late.
 func (l *Leader) UpdateAdmission(now, wall time.Time, lag time.Duration, nodes []admission.NodeOfferedLoad) {
-	if l.regulator == nil {
+	if l.admission.regulator == nil {
 		return
 	}
-	was := l.regulator.Shedding()
-	l.regulator.Update(now, wall, admission.LeaderLoad{
+	was := l.admission.regulator.Shedding()
+	l.admission.regulator.Update(now, wall, admission.LeaderLoad{
 		Waiting: l.writes.Interactive.Len(),
 		Written: l.writes.Interactive.Taken(),
 		Lag:     lag,
 	}, nodes)
-	if is := l.regulator.Shedding(); is != was {
-		s := l.regulator.Summary()
+	if is := l.admission.regulator.Shedding(); is != was {
+		s := l.admission.regulator.Summary()
 		l.log.Info().Bool("shedding", is).Float64("pressure", s.Pressure).Float64("offered", s.Offered).
 			Float64("budget", s.Budget).Msg("admission control changed")
 	}
 }
 
-// AdmissionPolicy is what the leader lets all nodes know, nil if admission is off.
+// AdmissionPolicy is the policy that all nodes apply, nil if admission control is off.
 func (l *Leader) AdmissionPolicy() *admission.Policy {
-	if l.regulator == nil {
+	if l.admission.regulator == nil {
 		return nil
 	}
-	p := l.regulator.Policy()
+	p := l.admission.regulator.Policy()
 	return &p
 }
 
-// AdmissionSummary are the figures of admission for the logs, and whether it is on.
+// AdmissionSummary returns the figures of admission control for the logs, and whether it is on.
 func (l *Leader) AdmissionSummary() (admission.Summary, bool) {
-	if l.regulator == nil {
+	if l.admission.regulator == nil {
 		return admission.Summary{}, false
 	}
-	return l.regulator.Summary(), true
-}
-
-// setUpAdmission begins the term's admission control if the operators have turned it on.
-func (l *Leader) setUpAdmission(o *config.Operator, now time.Time) {
-	l.admissionSettings = o.AdmissionSettings(&l.params)
-	if l.admissionSettings != nil {
-		l.regulator = admission.NewRegulator(l.admissionSettings, l.term, now)
-	}
-}
-
-// countUnfinished notes that a team has so many unfinished tasks more, or less.
-func (l *Leader) countUnfinished(team string, tasks int) {
-	l.active += tasks
-	l.activeByTeam[team] += tasks
+	return l.admission.regulator.Summary(), true
 }
--- a/internal/leader/completion.go
+++ b/internal/leader/completion.go
@@ -20,7 +20,7 @@
 	}
 	queue.Put(records.FinalStateKey(j.ID), f.Encode(), func() {
 		l.jobs.SetFinalState(j.ID, f)
-		l.countUnfinished(j.Team, -j.Tasks)
+		l.admission.countUnfinished(j.Team, -j.Tasks)
 		j.MarkEndDurable()
 		l.graph.JobEnded(j.ID, f)
 		j.NotifyWaiters(true)
--- a/internal/leader/counts.go
+++ b/internal/leader/counts.go
@@ -7,12 +7,12 @@
 // Counts sums the state up for logs.
 type Counts struct {
 	Jobs, Ready, Allocated, Machines, Up, Spot, Writes int
-	// DependencyStepsPerTick are the steps still to be taken after the ends of jobs that others
-	// need.
+	// DependencySteps are the steps still to be taken after the ends of jobs that others
+	// depend on.
 	DependencySteps int
-	// ScoredPairs are the pairs of job and machine looked at so far.
+	// ScoredPairs are the pairs of job and machine scored so far.
 	ScoredPairs int
-	// DrainSteps are the machines and attempts that drains have looked at so far.
+	// DrainSteps are the machines and attempts that drains have examined so far.
 	DrainSteps int
 	// UsedCPUs may be in use, of the CPUs of machines that are up; WantedCPUs
 	// are those of ready tasks.
--- a/internal/leader/drains.go
+++ b/internal/leader/drains.go
@@ -55,7 +55,7 @@
 	switch {
 	case !l.lists.complete || now.Before(l.inheritedUntil):
 		return drain.BlockedByNewLeader
-	case l.shedding():
+	case l.admission.shedding():
 		return drain.BlockedByOverload
 	case l.isolated:
 		return drain.BlockedByPartition
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,7 +1,7 @@
-// Package leader is the leader's view of jobs, tasks and machines and
-// all decisions about them. It does no I/O and reads no clock: time, requests,
-// reports and outcomes are passed in, and what has to be written, rented or
-// sent comes out. Callers serialise access.
+// Package leader is the state of one term and connects the parts that decide on it: jobs,
+// machines, placement, preemption, consolidation, scaling, drains and durable records. It
+// does no I/O and reads no clock: time, requests, heartbeats and outcomes are passed in, and
+// what has to be written, provisioned or sent is returned. Callers serialise access.
 package leader
 
 import (
@@ -10,7 +10,6 @@
 
 	"github.com/rs/zerolog"
 
-	"switchshore.example/switchshore/internal/admission"
 	"switchshore.example/switchshore/internal/config"
 	"switchshore.example/switchshore/internal/consolidation"
 	"switchshore.example/switchshore/internal/drainer"
@@ -32,18 +31,13 @@
 	term     uint64
 	attempts uint64 // numbers given so far
 
-	// inheritedUntil is when every task that a predecessor may have left on a
-	// machine unheard in this term is gone.
+	// inheritedUntil is when every task has ended that a predecessor may have left on a
+	// machine that has not reported in this term.
 	inheritedUntil time.Time
 	started        time.Time
 
-	jobs   *jobs.Registry
-	active int // unfinished tasks, for the memory bound
-	// activeByTeam are the same by team.
-	activeByTeam map[string]int
-	// regulator decides on new jobs under overload; nil if that is off.
-	regulator         *admission.Regulator
-	admissionSettings *admission.Settings
+	jobs      *jobs.Registry
+	admission *admissionControl
 	// live are the unfinished jobs that need no other any more.
 	live               map[*jobs.Job]struct{}
 	unsavedCompletions map[*jobs.Job]time.Time // jobs with unwritten completions, since when
@@ -56,7 +50,7 @@
 	listNumber uint64 // number of task lists applied
 	lists      machineLists
 	changed    bool // since the last pass
-	scores     int  // pairs of job and machine looked at, for the logs
+	scores     int  // pairs of job and machine scored, for the logs
 
 	// partitionedZones are those that seem to be cut off, until then.
 	partitionedZones map[string]time.Time
@@ -89,9 +83,9 @@
 }
 
 // New returns an empty state for a term won at now. grace is how long a
-// leader without the state service goes on answering reports.
+// leader without the key-value store goes on answering heartbeats.
 func New(log zerolog.Logger, p config.Params, o config.Operator, term uint64, now time.Time, grace time.Duration) *Leader {
-	c := &Leader{
+	l := &Leader{
 		log:                log,
 		params:             p,
 		operator:           o,
@@ -99,7 +93,7 @@
 		started:            now,
 		jobs:               jobs.NewRegistry(),
 		live:               map[*jobs.Job]struct{}{},
-		activeByTeam:       map[string]int{},
+		admission:          newAdmissionControl(&p, &o, term, now),
 		unsavedCompletions: map[*jobs.Job]time.Time{},
 		teams:              map[string]*team{},
 		runTimes:           jobs.RunTimes{},
@@ -108,21 +102,20 @@
 		loading:            loading{pieces: records.JobPieces{}, attempts: map[taskKey]*machines.Attempt{}},
 		partitionedZones:   map[string]time.Time{},
 	}
-	c.graph = jobs.NewDependencyGraph(c.jobs, c.stageTime)
-	c.writes = records.NewWriteQueues(log, c.valueLimit())
+	l.graph = jobs.NewDependencyGraph(l.jobs, l.stageTime)
+	l.writes = records.NewWriteQueues(log, l.valueLimit())
 	for _, t := range p.Teams {
-		c.teams[t.Name] = &team{Team: withLimits(t)}
+		l.teams[t.Name] = &team{Team: withLimits(t)}
 	}
-	c.starts = startlog.New(term, c.valueLimit(), c.writes, startlog.Callbacks{Durable: c.sendStart, Refused: c.abandonStart})
-	c.scaler = c.newScaler()
-	c.drainer = c.newDrainer()
-	c.preemptor, c.consolidator = c.newPreemptor(), c.newConsolidator()
-	c.setUpAdmission(&o, now)
+	l.starts = startlog.New(term, l.valueLimit(), l.writes, startlog.Callbacks{Durable: l.sendStart, Refused: l.abandonStart})
+	l.scaler = l.newScaler()
+	l.drainer = l.newDrainer()
+	l.preemptor, l.consolidator = l.newPreemptor(), l.newConsolidator()
 	// A predecessor's last answer comes at the latest a grace after its
-	// authority, which ended before now; the worker's lease runs from the
-	// sending of the report answered.
-	c.inheritedUntil = now.Add(grace + c.leaseTime())
-	return c
+	// authority, which ended before now; the agent's lease runs from the
+	// sending of the heartbeat answered.
+	l.inheritedUntil = now.Add(grace + l.leaseTime())
+	return l
 }
 
 // withLimits returns a team with the limits that its settings stand for.
@@ -135,8 +128,8 @@
 	return t
 }
 
-// GracePeriod is how long a leader without the state service goes on answering
-// reports: as long as possible, with a worker's lease on top still within
+// GracePeriod is how long a leader without the key-value store goes on answering
+// heartbeats: as long as possible, but such that an agent's lease added to it is still within
 // the time for cancellations.
 func GracePeriod(w config.Workers) time.Duration {
 	return max(0, min(seconds(w.LeaseS), seconds(w.CancelDeadlineS-w.LeaseS)-tuning.GracePeriodReserve))
@@ -145,14 +138,14 @@
 // lateStartBound is how long after the end of a job a machine may still be
 // answered on which a start of that job may come late: the rest of its lease ends
 // within the time for cancellations, with the same reserve, and with its session
-// the start is void, even if nobody can release the machine.
+// the start is void, even if the machine can't be released.
 func lateStartBound(w config.Workers) time.Duration {
 	return max(0, min(seconds(w.CancelDeadlineS)/tuning.FencingDivisor, seconds(w.CancelDeadlineS-w.LeaseS)-tuning.GracePeriodReserve))
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// leaseTime is the time after which a worker's lease has provably run out.
+// leaseTime is the time after which an agent's lease has provably expired.
 func (l *Leader) leaseTime() time.Duration {
 	return seconds(l.params.Workers.LeaseS*(1+tuning.ClockDrift)) + tuning.LeaseExpiryMargin
 }
@@ -170,7 +163,7 @@
 	return l.term<<32 | l.attempts
 }
 
-// Stop ends the term: everyone waiting is told that nothing is decided.
+// Stop ends the term: all waiting requests are answered that nothing is decided.
 func (l *Leader) Stop() {
 	l.jobs.Each(func(j *jobs.Job) { j.NotifyWaiters(false) })
 }
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -99,7 +99,7 @@
 	age := max(0, wall.Sub(time.UnixMilli(stored.SubmittedAtMS)))
 	j := jobs.Restore(stored, now.Add(-age))
 	l.jobs.Add(j)
-	l.countUnfinished(j.Team, j.Tasks)
+	l.admission.countUnfinished(j.Team, j.Tasks)
 	return nil
 }
 
@@ -127,7 +127,7 @@
 		return nil
 	}
 	j.RestoreEnd(f)
-	l.countUnfinished(j.Team, -j.Tasks)
+	l.admission.countUnfinished(j.Team, -j.Tasks)
 	return nil
 }
 
@@ -173,7 +173,7 @@
 	}
 }
 
-// FinishLoading ends the loading: tasks that no machine may hold can be placed.
+// FinishLoading ends the loading: tasks that may be on no machine can be placed.
 func (l *Leader) FinishLoading(now time.Time) {
 	l.starts.FinishLoading()
 	for _, key := range slices.Sorted(maps.Keys(l.loading.pieces)) {
@@ -184,7 +184,7 @@
 	l.linkLoadedJobs(loaded)
 	for _, j := range loaded {
 		if len(j.DependsOn) > 0 {
-			// When the last job that it needs was done is not stored.
+			// When the last job that it depends on was done is not stored.
 			j.BeginWaiting(now)
 		}
 		if j.IsActive() && j.AllCompleted() {
@@ -194,7 +194,7 @@
 		l.removeIfFinished(j)
 	}
 	for l.graph.HasToCancel() {
-		// All of them, before anyone is told anything.
+		// All of them, before any request is answered.
 		l.processDependencyChanges(now)
 	}
 	l.drainer.FinishLoading()
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -20,10 +20,10 @@
 }
 
 // NextBatch takes at most maxOps changes to be made next, or returns nil if there are none;
-// spare is how many of them may be such that nobody waits for. Batches must be committed one
+// spare is how many of them may be such that no user waits for. Batches must be committed one
 // after the other, each followed by BatchCommitted.
 func (l *Leader) NextBatch(maxOps, spare int) *records.Batch {
-	return l.writes.NextBatch(maxOps, spare, l.shedding())
+	return l.writes.NextBatch(maxOps, spare, l.admission.shedding())
 }
 
 // BatchCommitted records that a batch is durable, except for the refused keys.
--- a/internal/leader/requests.go
+++ b/internal/leader/requests.go
@@ -86,7 +86,7 @@
 	}
 	rejected := l.checkSubmission(spec)
 	if rejected == nil {
-		rejected = l.checkAdmission(now, spec, claim)
+		rejected = l.admission.check(now, spec, claim)
 	}
 	if rejected != nil {
 		then(rejected.response())
@@ -106,7 +106,7 @@
 	if rejected := l.checkDependencies(spec); rejected != nil {
 		return rejected
 	}
-	if l.active+spec.Tasks > tuning.MaxActiveTasks || l.writes.Interactive.Len() >= l.maxInteractiveWrites() {
+	if l.admission.unfinished+spec.Tasks > tuning.MaxActiveTasks || l.writes.Interactive.Len() >= l.maxInteractiveWrites() {
 		// More than the state service takes while users wait for an answer:
 		// waiting in line would only end in a timeout.
 		return &RejectedError{Status: http.StatusServiceUnavailable, Reason: "too much work queued"}
@@ -118,7 +118,7 @@
 func (l *Leader) accept(now time.Time, wall time.Time, spec *wire.Job, then func(Response)) {
 	j := jobs.New(*spec, wall.UnixMilli(), now)
 	l.jobs.Add(j)
-	l.countUnfinished(j.Team, j.Tasks)
+	l.admission.countUnfinished(j.Team, j.Tasks)
 	l.graph.Link(j)
 	l.graph.SchedulePathsOfDependencies(j)
 	j.AddWaiter(func(ok bool) { then(l.accepted(ok, j.ID, http.StatusCreated)) })
--- a/internal/records/queues.go
+++ b/internal/records/queues.go
@@ -22,7 +22,7 @@
 type WriteQueues struct {
 	Interactive Queue // what users wait for
 	Dependent   Queue // final states that follow from those of other jobs
-	Background  Queue // what nobody waits for
+	Background  Queue // what no user waits for
 	starts      []PendingStarts
 
 	log        zerolog.Logger
@@ -44,7 +44,7 @@
 
 // NextBatch takes at most maxOps changes to be made next, or returns nil if there are none:
 // first those that users wait for, then the records of starts, then at most
-// spare of the rest (completions, and what can be deleted), as nobody waits
+// spare of the rest (completions, and what can be deleted), as no user waits
 // for those and they must not use up the write budget of the others. Final states that
 // follow from others have a small part of every batch, whatever else there is,
 // and more only of what is spare. Users' changes take no more than a part of it while
