--- a/internal/leader/admission_test.go
+++ b/internal/leader/admission_test.go
@@ -22,7 +22,7 @@
 	operator := config.Operator{Admission: &config.Admission{}}
 	l := &testLeader{
 		Leader: leader.New(zerolog.Nop(), params, operator, 5, start, leader.GracePeriod(params.Workers)),
-		t:      t, now: start, kept: map[string]json.RawMessage{},
+		t:      t, now: start, store: map[string]json.RawMessage{},
 	}
 	l.FinishLoading(start)
 	l.SetMachineTypes([]wire.MachineType{bigType})
@@ -47,7 +47,7 @@
 	return got
 }
 
-// TestSheddingKnowsAcceptedJobs: while new jobs are turned away, with a time to come back, a
+// TestSheddingKnowsAcceptedJobs: while new jobs are rejected, with a time to come back, a
 // repeat of an accepted one is answered with its state, and what can never run stays 422.
 func TestSheddingKnowsAcceptedJobs(t *testing.T) {
 	l := sheddingLeader(t)
--- a/internal/leader/cancellation_test.go
+++ b/internal/leader/cancellation_test.go
@@ -27,7 +27,7 @@
 	if cs := l.report("m1", 1, tr); ops(cs) != "kill job-1/0" {
 		t.Fatal(ops(cs))
 	}
-	next := newLeader(t, 6, l.now, l.kept)
+	next := newLeader(t, 6, l.now, l.store)
 	if cs := next.report("m1", 1, tr); ops(cs) != "kill job-1/0" {
 		t.Fatal("successor:", ops(cs))
 	}
@@ -73,7 +73,7 @@
 		l.report("m1", 1)
 		l.pass(time.Second)
 		l.commit()
-		if l.kept["j/job-1"] == nil {
+		if l.store["j/job-1"] == nil {
 			t.Fatal("taken for gone while the start may come late")
 		}
 		for _, c := range l.PlanScaling(l.now) {
@@ -83,7 +83,7 @@
 				}
 				l.ReleaseDone(l.now, c.Release)
 				l.commit()
-				if l.kept["j/job-1"] != nil {
+				if l.store["j/job-1"] != nil {
 					t.Fatal("released, and still held")
 				}
 				return
@@ -131,7 +131,7 @@
 	l, tr := running(t)
 	l.Cancel(l.now, "job-1", func(leader.Response) {})
 	l.commit()
-	next := newLeader(t, 6, l.now.Add(time.Second), l.kept)
+	next := newLeader(t, 6, l.now.Add(time.Second), l.store)
 	list := []wire.TaskStatus{tr, {Task: "job-9/0", Attempt: 1, State: wire.TaskFetching}, {Task: "job-9/1", Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitError}}
 	a, receipt := next.HandleHeartbeat(next.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: 50, FencingToken: 5, Tasks: list}, false)
 	if receipt != leader.HeartbeatApplied || ops(a.Commands) != "kill job-1/0, kill job-9/0" || a.Commands[0].Attempt != tr.Attempt {
--- a/internal/leader/dependencies_test.go
+++ b/internal/leader/dependencies_test.go
@@ -50,7 +50,7 @@
 	if b == nil {
 		return 0
 	}
-	l.keep(b.Mutations)
+	l.apply(b.Mutations)
 	l.BatchCommitted(b, nil)
 	return len(b.Mutations)
 }
@@ -89,7 +89,7 @@
 	if n := l.Counts(); n.Allocated != 1 {
 		t.Fatalf("%d tasks placed before the end of job-1 is durable, want that of job-3", n.Allocated)
 	}
-	if next := newLeader(t, 6, l.now, l.kept); next.state("job-2") != wire.JobQueued || next.Counts().Ready != 0 {
+	if next := newLeader(t, 6, l.now, l.store); next.state("job-2") != wire.JobQueued || next.Counts().Ready != 0 {
 		t.Fatal("a successor starts job-2 although it does not know job-1 as done")
 	}
 	l.commit()
@@ -99,7 +99,7 @@
 		t.Fatalf("not started: %q", got)
 	}
 	// A successor finds the same.
-	next := newLeader(t, 6, l.now, l.kept)
+	next := newLeader(t, 6, l.now, l.store)
 	next.pass(time.Second)
 	if n := next.Counts(); n.Allocated != 2 {
 		t.Fatalf("%d tasks held after the succession", n.Allocated)
@@ -146,7 +146,7 @@
 	if v.Status != 201 || v.State != wire.JobCancelled {
 		t.Errorf("needs a cancelled job: %+v", *v)
 	}
-	next := newLeader(t, 6, l.now, l.kept)
+	next := newLeader(t, 6, l.now, l.store)
 	if got := next.state("job-6"); got != wire.JobCancelled {
 		t.Errorf("after a succession: %s", got)
 	}
@@ -188,7 +188,7 @@
 	for ended := 0; ended < len(all); rounds++ {
 		if rounds == 40 {
 			// Most of it is still to be done.
-			l = newLeader(t, 6, l.now, l.kept)
+			l = newLeader(t, 6, l.now, l.store)
 		}
 		if rounds > 700 {
 			t.Fatalf("%d of %d ended", ended, len(all))
@@ -204,7 +204,7 @@
 		l.some(7, 7)
 		ended = 0
 		for _, id := range all {
-			if _, ok := l.kept["f/"+id]; ok {
+			if _, ok := l.store["f/"+id]; ok {
 				ended++
 			}
 			if got := l.state(id); rounds >= 40 && got != wire.JobCancelled && got != "503" {
@@ -221,7 +221,7 @@
 	for range 3000 {
 		l.some(7, 7)
 	}
-	next := newLeader(t, 7, l.now, l.kept)
+	next := newLeader(t, 7, l.now, l.store)
 	for _, id := range all {
 		if got := next.state(id); got != wire.JobCancelled {
 			t.Fatalf("%s is called %s after all", id, got)
@@ -298,7 +298,7 @@
 				l.commit()
 			}
 			if succession {
-				l = newLeader(t, 6, l.now, l.kept)
+				l = newLeader(t, 6, l.now, l.store)
 			}
 			l.report("m1", 1)
 			l.pass(time.Second)
--- a/internal/leader/drain_test.go
+++ b/internal/leader/drain_test.go
@@ -23,7 +23,7 @@
 
 var ample = drain.Budget{MaxUnavailable: 10, Evictions: 10, LostS: 10_000}
 
-// list tells the leader that the cloud has the machines, and that no other was there long ago.
+// list gives the leader a machine list of the cloud with the machines and no other.
 func (l *testLeader) list(names ...string) {
 	var rows []wire.ListedMachine
 	for _, name := range names {
@@ -59,7 +59,7 @@
 // charges are the keys of the stored charges.
 func (l *testLeader) charges() []string {
 	var keys []string
-	for key := range l.kept {
+	for key := range l.store {
 		if strings.HasPrefix(key, "b/") {
 			keys = append(keys, key)
 		}
@@ -106,11 +106,11 @@
 		attempt uint64
 		charges int
 	}{{attempt, 1}, {attempt + 1, 2}} {
-		kept := map[string]json.RawMessage{}
-		for key, value := range l.kept {
-			kept[key] = value
+		store := map[string]json.RawMessage{}
+		for key, value := range l.store {
+			store[key] = value
 		}
-		next := newLeaderWith(t, drainOperator(ample), 6, l.now.Add(time.Second), kept)
+		next := newLeaderWith(t, drainOperator(ample), 6, l.now.Add(time.Second), store)
 		next.seq = l.seq
 		next.list("m1")
 		running := task
@@ -124,7 +124,7 @@
 	}
 }
 
-// TestDrainRequests: what is wrong is refused before anything is stored; repeating a request
+// TestDrainRequests: what is wrong is rejected before anything is stored; repeating a request
 // changes nothing.
 func TestDrainRequests(t *testing.T) {
 	off := newLeader(t, 5, start, map[string]json.RawMessage{})
@@ -160,8 +160,8 @@
 			t.Errorf("%s: %+v", name, r)
 		}
 	}
-	if _, stored := l.kept["e/maintenance"]; stored || len(l.kept) != 2+1 {
-		t.Errorf("stored: %v", l.kept)
+	if _, stored := l.store["e/maintenance"]; stored || len(l.store) != 2+1 {
+		t.Errorf("stored: %v", l.store)
 	}
 	steps := []struct {
 		q      drain.Request
@@ -187,9 +187,9 @@
 	}
 }
 
-// TestDrainLooksAtItsBatchOnly: with 4,000 machines, all of them to be drained, a step looks at the
-// machines of the batch and what is on them.
-func TestDrainLooksAtItsBatchOnly(t *testing.T) {
+// TestDrainStepExaminesItsBatchOnly: with 4,000 machines, all of them to be drained, a step examines
+// the machines of the batch and what is on them.
+func TestDrainStepExaminesItsBatchOnly(t *testing.T) {
 	l := newLeaderWith(t, drainOperator(drain.Budget{}), 1, start, map[string]json.RawMessage{})
 	names := make([]string, 4000)
 	for i := range names {
@@ -222,7 +222,7 @@
 }
 
 // TestDrainOfAnEmptyZoneEnds: where there is no machine a drain is done, and its zone closed to
-// rentals until it is cancelled. A leader without any machine took itself for isolated, and the drain
+// provisioning until it is cancelled. A leader without any machine took itself for isolated, and the drain
 // waited for ever.
 func TestDrainOfAnEmptyZoneEnds(t *testing.T) {
 	l := newLeaderWith(t, drainOperator(ample), 5, start, map[string]json.RawMessage{})
@@ -238,15 +238,15 @@
 			l.drainRequest(drain.Request{Action: drain.Cancel, Name: "zone"})
 		}
 		l.pass(time.Minute)
-		if rented := rents(l.PlanScaling(l.now)); rented != cancelled {
+		if rented := provisions(l.PlanScaling(l.now)); rented != cancelled {
 			t.Errorf("cancelled: %v, rented: %v", cancelled, rented)
 		}
 	}
 }
 
-// TestZoneBoundWorkHoldsADrain: a task whose job may run nowhere else is not stopped; past the
+// TestZoneBoundWorkBlocksADrain: a task whose job may run nowhere else is not stopped; past the
 // deadline the drain is paused with the team's name, or with force the task is stopped.
-func TestZoneBoundWorkHoldsADrain(t *testing.T) {
+func TestZoneBoundWorkBlocksADrain(t *testing.T) {
 	for _, force := range []bool{false, true} {
 		l, task := leaderWithTask(t, drainOperator(ample))
 		deadline := l.now.Add(2 * time.Minute)
@@ -269,7 +269,7 @@
 }
 
 // TestReplacementsThatNeverCome: while the cloud has none the batch waits and is not cordoned; after
-// the patience the drain is paused and says why, and once resumed it tries again.
+// the timeout the drain is paused with that reason, and once resumed it tries again.
 func TestReplacementsThatNeverCome(t *testing.T) {
 	l, task := leaderWithTask(t, drainOperator(ample))
 	rentals := 0
@@ -308,9 +308,10 @@
 	}
 }
 
-// TestReplacementsAreRentedOnce: a batch waits for as many replacements as it has machines, and goes
-// once they take work. A successor that finds them in the record, and not yet in a list, rents none.
-func TestReplacementsAreRentedOnce(t *testing.T) {
+// TestReplacementsAreProvisionedOnce: a batch waits for as many replacements as it has machines, and is
+// cordoned once they take work. A successor that finds them in the record, and not yet in a list,
+// provisions none.
+func TestReplacementsAreProvisionedOnce(t *testing.T) {
 	l, task := leaderWithTask(t, drainOperator(ample))
 	listed := func(l *testLeader, names ...string) {
 		for _, name := range names {
@@ -339,11 +340,11 @@
 	if len(rentals) != 1 || rentals[0].Count != 1 {
 		t.Fatalf("rented %+v", rentals)
 	}
-	next := newLeaderWith(t, drainOperator(ample), 6, l.now, l.kept)
+	next := newLeaderWith(t, drainOperator(ample), 6, l.now, l.store)
 	next.seq = l.seq
 	next.advance(6*time.Second, func() {
 		listed(next, "m1")
-		if rents(next.PlanScaling(next.now)) {
+		if provisions(next.PlanScaling(next.now)) {
 			t.Fatal("a successor rents again what is not listed yet")
 		}
 	})
--- a/internal/leader/failures_test.go
+++ b/internal/leader/failures_test.go
@@ -105,7 +105,7 @@
 	l.ApplyMachineList(l.now, l.now, nil)
 	for range 70 {
 		l.pass(time.Second)
-		if rents(l.PlanScaling(l.now)) {
+		if provisions(l.PlanScaling(l.now)) {
 			return
 		}
 	}
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -38,24 +38,24 @@
 // testLeader is a leader with a map in the place of the state service.
 type testLeader struct {
 	*leader.Leader
-	t    *testing.T
-	now  time.Time
-	kept map[string]json.RawMessage
-	seq  uint64
+	t     *testing.T
+	now   time.Time
+	store map[string]json.RawMessage
+	seq   uint64
 }
 
-func newLeader(t *testing.T, term uint64, now time.Time, kept map[string]json.RawMessage) *testLeader {
+func newLeader(t *testing.T, term uint64, now time.Time, store map[string]json.RawMessage) *testLeader {
 	t.Helper()
-	return newLeaderWith(t, config.Operator{}, term, now, kept)
+	return newLeaderWith(t, config.Operator{}, term, now, store)
 }
 
-func newLeaderWith(t *testing.T, operator config.Operator, term uint64, now time.Time, kept map[string]json.RawMessage) *testLeader {
+func newLeaderWith(t *testing.T, operator config.Operator, term uint64, now time.Time, store map[string]json.RawMessage) *testLeader {
 	t.Helper()
 	c := leader.New(zerolog.Nop(), params, operator, term, now, leader.GracePeriod(params.Workers))
 	for _, prefix := range records.LoadOrder {
-		for _, k := range slices.Sorted(maps.Keys(kept)) {
+		for _, k := range slices.Sorted(maps.Keys(store)) {
 			if strings.HasPrefix(k, prefix) {
-				if err := c.LoadRecord(now, now, wire.KeyValue{Key: k, Value: kept[k]}); err != nil {
+				if err := c.LoadRecord(now, now, wire.KeyValue{Key: k, Value: store[k]}); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -63,16 +63,16 @@
 	}
 	c.FinishLoading(now)
 	c.SetMachineTypes([]wire.MachineType{bigType})
-	return &testLeader{Leader: c, t: t, now: now, kept: kept}
+	return &testLeader{Leader: c, t: t, now: now, store: store}
 }
 
-// keep makes changes durable.
-func (l *testLeader) keep(writes []wire.Mutation) {
+// apply makes changes durable.
+func (l *testLeader) apply(writes []wire.Mutation) {
 	for _, w := range writes {
 		if w.Delete != "" {
-			delete(l.kept, w.Delete)
+			delete(l.store, w.Delete)
 		} else {
-			l.kept[w.Put] = w.Value
+			l.store[w.Put] = w.Value
 		}
 	}
 }
@@ -80,7 +80,7 @@
 // commit makes all queued changes durable.
 func (l *testLeader) commit() {
 	for b := l.NextBatch(10, 10); b != nil; b = l.NextBatch(10, 10) {
-		l.keep(b.Mutations)
+		l.apply(b.Mutations)
 		l.BatchCommitted(b, nil)
 	}
 }
@@ -182,8 +182,8 @@
 	return l, tr
 }
 
-// rents reports whether a plan rents.
-func rents(calls []scaling.CloudCall) bool {
+// provisions reports whether a plan provisions machines.
+func provisions(calls []scaling.CloudCall) bool {
 	return slices.ContainsFunc(calls, func(c scaling.CloudCall) bool { return c.Op == scaling.CloudProvision })
 }
 
--- a/internal/leader/reachability_test.go
+++ b/internal/leader/reachability_test.go
@@ -20,11 +20,11 @@
 
 var zones = []string{"a", "b"}
 
-func newZoned(t *testing.T, term uint64, now time.Time, kept map[string]json.RawMessage) *zoned {
+func newZoned(t *testing.T, term uint64, now time.Time, store map[string]json.RawMessage) *zoned {
 	old := bigType
 	bigType.Zones = zones
 	t.Cleanup(func() { bigType = old })
-	z := &zoned{newLeader(t, term, now, kept), map[string]bool{}}
+	z := &zoned{newLeader(t, term, now, store), map[string]bool{}}
 	var rows []wire.ListedMachine
 	for _, zone := range zones {
 		for i := range 10 {
@@ -183,7 +183,7 @@
 	addWideTeam(t)
 	z := newZoned(t, 5, start, map[string]json.RawMessage{})
 	on := z.run(urgentJob())
-	next := newZoned(t, 6, z.now, z.kept)
+	next := newZoned(t, 6, z.now, z.store)
 	next.hear(on, "a")
 	if released, _ := next.after(7*time.Second, on, "a"); len(released) != 0 {
 		t.Errorf("released before they can have been missed: %v", released)
--- a/internal/leader/records_test.go
+++ b/internal/leader/records_test.go
@@ -18,9 +18,9 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// TestLongDependenciesFitSmallValues: a valid job is not refused for the length of what
-// it needs or allows. Whenever a leader dies between the writes, there is the
-// whole job or none, and pieces that nothing names any more are cleaned up.
+// TestLongDependenciesFitSmallValues: a valid job is not rejected for the length of its lists of
+// dependencies or machine types. Whenever a leader crashes between the writes, there is the
+// whole job or none, and pieces that no record names any more are deleted.
 func TestLongDependenciesFitSmallValues(t *testing.T) {
 	useTightLimits(t)
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
@@ -36,8 +36,8 @@
 	}
 	v := l.ask(long)
 	for step := 0; v.Status == 0; step++ {
-		kept := maps.Clone(l.kept)
-		next := newLeader(t, 6, l.now, kept)
+		store := maps.Clone(l.store)
+		next := newLeader(t, 6, l.now, store)
 		if next.Query(long.ID).Status != 404 {
 			t.Fatal("known before the last write")
 		}
@@ -47,12 +47,12 @@
 		if again.Status != 201 || next.state(long.ID) != wire.JobQueued {
 			t.Fatalf("%+v", *again)
 		}
-		other := newLeader(t, 7, l.now, kept)
+		other := newLeader(t, 7, l.now, store)
 		if other.state(long.ID) != wire.JobQueued {
 			t.Fatal("lost by a successor")
 		}
 		other.commit()
-		for key := range kept {
+		for key := range store {
 			if strings.HasPrefix(key, "n/"+long.ID+"/5-") {
 				t.Fatalf("%s is left", key)
 			}
@@ -63,7 +63,7 @@
 		t.Fatalf("%+v", *v)
 	}
 	pieces := 0
-	for key, value := range l.kept {
+	for key, value := range l.store {
 		if len(value) > 2048 {
 			t.Errorf("%s has %d bytes", key, len(value))
 		}
@@ -74,37 +74,37 @@
 	if pieces < 3 {
 		t.Errorf("%d pieces", pieces)
 	}
-	next := newLeader(t, 8, l.now, l.kept)
+	next := newLeader(t, 8, l.now, l.store)
 	next.Cancel(next.now, long.DependsOn[17], func(leader.Response) {})
 	next.commit()
 	next.pass(time.Second)
 	next.commit()
 	if got := next.state(long.ID); got != wire.JobCancelled {
-		t.Errorf("a need was lost: called %s", got)
+		t.Errorf("a dependency was lost: called %s", got)
 	}
-	for key := range next.kept {
+	for key := range next.store {
 		if strings.HasPrefix(key, "n/") {
 			t.Errorf("%s is left", key)
 		}
 	}
 }
 
-// TestDamagedRecords: what can be done without is left out by its key; what
-// can't be keeps the service from starting. Jobs that need themselves, which no
+// TestCorruptRecords: an optional record is skipped and logged by its key; any other
+// keeps the service from starting. Jobs that depend on themselves, which no
 // submission can bring about, wait and can be cancelled; nothing loops.
-func TestDamagedRecords(t *testing.T) {
+func TestCorruptRecords(t *testing.T) {
 	useTightLimits(t)
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
 	l.accept(spec("job-1"), dependentJob("job-2", "job-1"), dependentJob("job-3", "job-2"))
-	load := func(kept map[string]json.RawMessage) (*leader.Leader, string, error) {
+	load := func(store map[string]json.RawMessage) (*leader.Leader, string, error) {
 		var logs bytes.Buffer
 		c := leader.New(zerolog.New(&logs), params, config.Operator{}, 6, l.now, 0)
 		for _, prefix := range records.LoadOrder {
-			for _, key := range slices.Sorted(maps.Keys(kept)) {
+			for _, key := range slices.Sorted(maps.Keys(store)) {
 				if !strings.HasPrefix(key, prefix) {
 					continue
 				}
-				if err := c.LoadRecord(l.now, l.now, wire.KeyValue{Key: key, Value: kept[key]}); err != nil {
+				if err := c.LoadRecord(l.now, l.now, wire.KeyValue{Key: key, Value: store[key]}); err != nil {
 					return nil, logs.String(), err
 				}
 			}
@@ -119,16 +119,16 @@
 	long.MachineTypes[0] = "std-8"
 	l.accept(long)
 	for key, named := range map[string]string{"d/job-1/0": "", "c/types": "", "n/job-1/5-0": "", "n/job-5/5-1": "j/job-5", "j/job-1": "j/job-1", "f/job-1": "f/job-1", "s/1-1": "s/1-1"} {
-		kept := maps.Clone(l.kept)
-		kept[key] = json.RawMessage(`7`)
-		_, logs, err := load(kept)
+		store := maps.Clone(l.store)
+		store[key] = json.RawMessage(`7`)
+		_, logs, err := load(store)
 		if (err != nil) != (named != "") || err != nil && !strings.Contains(err.Error(), named) || err == nil && !strings.Contains(logs, key) {
 			t.Errorf("%s: %v, logs %s", key, err, logs)
 		}
 	}
-	kept := maps.Clone(l.kept)
-	kept["j/job-2"] = bytes.ReplaceAll(kept["j/job-2"], []byte(`"awaits":["job-1"]`), []byte(`"awaits":["job-3"]`))
-	c, logs, err := load(kept)
+	store := maps.Clone(l.store)
+	store["j/job-2"] = bytes.ReplaceAll(store["j/job-2"], []byte(`"awaits":["job-1"]`), []byte(`"awaits":["job-3"]`))
+	c, logs, err := load(store)
 	if err != nil || !strings.Contains(logs, "j/job-2") || !strings.Contains(logs, "j/job-3") {
 		t.Fatalf("%v, logs %s", err, logs)
 	}
@@ -140,7 +140,7 @@
 		c.Tick(l.now, true)
 	}
 	if n := c.Counts().DependencySteps; n != 0 {
-		t.Errorf("%d steps left for jobs that need themselves", n)
+		t.Errorf("%d steps left for jobs that depend on themselves", n)
 	}
 	if v := c.Query("job-3"); v.State != wire.JobQueued {
 		t.Errorf("%+v", v)
@@ -155,10 +155,9 @@
 	}
 }
 
-// TestRefusedRecord: a start record that the state service refuses although it
-// should take it holds nothing up: its tasks are placed anew, and all other
-// changes are made.
-func TestRefusedRecord(t *testing.T) {
+// TestRefusedStartRecordBlocksNothing: a start record that the key-value store refuses although
+// it should take it has its tasks placed anew, and all other changes are made.
+func TestRefusedStartRecordBlocksNothing(t *testing.T) {
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
 	l.accept(spec("job-1"))
 	l.report("m1", 1)
@@ -178,8 +177,8 @@
 	}
 }
 
-// TestOversizedChangeIsNotSent: a change above the state service's limit is found
-// before it is sent, named in the logs, and holds up no other.
+// TestOversizedChangeIsNotSent: a change above the key-value store's limit is found
+// before it is sent, named in the logs, and blocks no other.
 func TestOversizedChangeIsNotSent(t *testing.T) {
 	old := params
 	defer func() { params = old }()
@@ -189,13 +188,13 @@
 	var logs bytes.Buffer
 	c := leader.New(zerolog.New(&logs), params, config.Operator{}, 6, l.now, 0)
 	for _, id := range []string{"job-1", "job-2"} {
-		if err := c.LoadRecord(l.now, l.now, wire.KeyValue{Key: "j/" + id, Value: l.kept["j/"+id]}); err != nil {
+		if err := c.LoadRecord(l.now, l.now, wire.KeyValue{Key: "j/" + id, Value: l.store["j/"+id]}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	c.FinishLoading(l.now)
 	c.SetMachineTypes([]wire.MachineType{bigType})
-	next := &testLeader{Leader: c, t: t, now: l.now, kept: l.kept}
+	next := &testLeader{Leader: c, t: t, now: l.now, store: l.store}
 	next.report("m1", 1)
 	next.pass(time.Second)
 	c.Cancel(next.now, "job-2", func(leader.Response) {})
--- a/internal/leader/recovery_test.go
+++ b/internal/leader/recovery_test.go
@@ -17,15 +17,15 @@
 )
 
 // TestSuccessorWaitsForRecordedMachine: a new leader places a task only when
-// the machine that may hold it has spoken in its term or its lease is over.
+// the machine that may have it has reported in its term or its lease has expired.
 func TestSuccessorWaitsForRecordedMachine(t *testing.T) {
 	l, tr := running(t)
-	next := newLeader(t, 6, l.now, l.kept)
+	next := newLeader(t, 6, l.now, l.store)
 	next.report("m2", 1)
 	next.pass(time.Second)
 	next.commit()
 	if cs := next.report("m2", 1); len(cs) != 0 {
-		t.Fatalf("placed a task that m1 may hold: %s", ops(cs))
+		t.Fatalf("placed a task that m1 may have: %s", ops(cs))
 	}
 	// A report that knows an earlier term only proves nothing yet.
 	a, receipt := next.HandleHeartbeat(next.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: 50, FencingToken: 5}, true)
@@ -35,16 +35,16 @@
 	next.pass(time.Second)
 	next.commit()
 	if cs := next.report("m2", 1); len(cs) != 0 {
-		t.Fatalf("placed on the word of an old report: %s", ops(cs))
+		t.Fatalf("placed because of an old heartbeat: %s", ops(cs))
 	}
 	next.seq = 60
 	next.report("m1", 1, tr)
 	if v := next.Query("job-1"); v.State != wire.JobRunning {
 		t.Fatalf("%+v", v)
 	}
-	// Without a word from m1 the task is free once its lease is over,
+	// Without a heartbeat of m1 the task is free once its lease has expired,
 	// counted from the last answer that a predecessor may have given.
-	other := newLeader(t, 7, l.now, l.kept)
+	other := newLeader(t, 7, l.now, l.store)
 	wait := leader.GracePeriod(params.Workers) + 15*time.Second
 	for other.now.Before(l.now.Add(wait)) {
 		other.report("m2", 1)
@@ -63,17 +63,17 @@
 	}
 }
 
-// TestSeenTaskIsRecordedAnew: an older attempt of a task has exited on the
-// machine on which a newer one runs. The record of the start is gone with the
+// TestReportedTaskIsRecordedAnew: an older attempt of a task has exited on the
+// machine on which a newer one runs. The record of the start was deleted with the
 // first; a successor must know of the second all the same.
-func TestSeenTaskIsRecordedAnew(t *testing.T) {
+func TestReportedTaskIsRecordedAnew(t *testing.T) {
 	l, tr := running(t)
-	next := newLeader(t, 6, l.now, l.kept)
+	next := newLeader(t, 6, l.now, l.store)
 	next.seq = 100
 	older := wire.TaskStatus{Task: tr.Task, Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitStopped}
 	next.report("m1", 1, older, tr)
 	next.commit()
-	last := newLeader(t, 7, next.now, next.kept)
+	last := newLeader(t, 7, next.now, next.store)
 	last.report("m2", 1)
 	last.pass(time.Second)
 	last.commit()
@@ -82,10 +82,10 @@
 	}
 }
 
-// TestAbsentFromTheListIsGone: a machine that was listed and is missing from a
-// list that describes a later time has gone with its tasks; a list that may be
+// TestUnlistedMachineIsRemoved: a machine that was listed and is missing from a
+// list that describes a later time no longer exists, nor do its tasks; a list that may be
 // older than the one before it proves nothing.
-func TestAbsentFromTheListIsGone(t *testing.T) {
+func TestUnlistedMachineIsRemoved(t *testing.T) {
 	l, _ := running(t)
 	l.ApplyMachineList(l.now, l.now, []wire.ListedMachine{{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
 	try := func(d time.Duration) string {
@@ -105,13 +105,13 @@
 	}
 }
 
-// TestSuccessorKnowsTheCatalogue: it decides submissions without waiting for
-// the cloud to answer.
+// TestSuccessorKnowsTheCatalogue: it decides on submissions without waiting for
+// the cloud's answer.
 func TestSuccessorKnowsTheCatalogue(t *testing.T) {
 	l, _ := running(t)
 	l.commit()
 	next := leader.New(zerolog.Nop(), params, config.Operator{}, 6, l.now, 0)
-	for key, value := range l.kept {
+	for key, value := range l.store {
 		if strings.HasPrefix(key, records.MachineTypesKey) {
 			if err := next.LoadRecord(l.now, l.now, wire.KeyValue{Key: key, Value: value}); err != nil {
 				t.Fatal(err)
@@ -123,17 +123,17 @@
 	}
 }
 
-// TestLastRecordHolds: of two records that name a task the later one holds, as
+// TestLastStartRecordOfATaskCounts: of two records that name a task the later one counts, as
 // it was started again only when it was nowhere else. A successor doesn't wait
 // for the machine of the earlier one.
-func TestLastRecordHolds(t *testing.T) {
+func TestLastStartRecordOfATaskCounts(t *testing.T) {
 	l, _ := running(t)
-	for key, value := range maps.Clone(l.kept) {
+	for key, value := range maps.Clone(l.store) {
 		if strings.HasPrefix(key, "s/") {
-			l.kept[key+"-later"] = json.RawMessage(strings.Replace(string(value), `"m1"`, `"m2"`, 1))
+			l.store[key+"-later"] = json.RawMessage(strings.Replace(string(value), `"m1"`, `"m2"`, 1))
 		}
 	}
-	next := newLeader(t, 6, l.now, l.kept)
+	next := newLeader(t, 6, l.now, l.store)
 	next.report("m2", 1) // knows this term, and hasn't got the task
 	next.pass(time.Second)
 	next.commit()
@@ -142,12 +142,12 @@
 	}
 }
 
-// TestRecordsGoOnlyAfterTheirSuccessors: however full a batch is, no start
+// TestStartRecordsAreDeletedAfterTheirReplacements: however full a batch is, no start
 // record is deleted while another that has taken over from it waits.
-func TestRecordsGoOnlyAfterTheirSuccessors(t *testing.T) {
+func TestStartRecordsAreDeletedAfterTheirReplacements(t *testing.T) {
 	for pad := range 60 {
 		l, tr := running(t)
-		next := newLeader(t, 6, l.now, l.kept)
+		next := newLeader(t, 6, l.now, l.store)
 		next.seq = 100
 		older := wire.TaskStatus{Task: tr.Task, Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitStopped}
 		next.report("m1", 1, older, tr)
@@ -176,7 +176,7 @@
 }
 
 // TestStartRecordsFitTheValueLimit: the starts of one pass on many machines are
-// split into records that the state service takes.
+// split into records that the key-value store takes.
 func TestStartRecordsFitTheValueLimit(t *testing.T) {
 	old := params
 	defer func() { params = old }()
@@ -193,7 +193,7 @@
 	l.pass(time.Second)
 	l.commit()
 	records := 0
-	for key, value := range l.kept {
+	for key, value := range l.store {
 		if strings.HasPrefix(key, "s/") {
 			records++
 		}
@@ -201,7 +201,7 @@
 			t.Errorf("%s has %d bytes", key, len(value))
 		}
 	}
-	if held := newLeader(t, 6, l.now, l.kept).Counts().Allocated; held != wide.Tasks || records < 2 {
+	if held := newLeader(t, 6, l.now, l.store).Counts().Allocated; held != wide.Tasks || records < 2 {
 		t.Errorf("%d records name %d of %d tasks", records, held, wide.Tasks)
 	}
 }
--- a/internal/leader/reports_test.go
+++ b/internal/leader/reports_test.go
@@ -70,12 +70,12 @@
 	l.seq++
 	l.DirectCallDone(l.now, call, leader.DirectAnswered, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.seq, FencingToken: 5})
 	l.commit()
-	if l.kept["j/job-1"] == nil {
+	if l.store["j/job-1"] == nil {
 		t.Fatal("the task was taken for gone while its start was on its way")
 	}
 	l.report("m1", 1)
 	l.commit()
-	if l.kept["j/job-1"] != nil {
+	if l.store["j/job-1"] != nil {
 		t.Fatal("the next report proves that the start did not run")
 	}
 }
@@ -137,7 +137,7 @@
 // machine is released, and only that frees the task.
 func TestMachineThatNeverLearnsTheTerm(t *testing.T) {
 	l, tr := running(t)
-	next := newLeader(t, 6, l.now, l.kept)
+	next := newLeader(t, 6, l.now, l.store)
 	next.ApplyMachineList(next.now, next.now, []wire.ListedMachine{{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
 	seq := uint64(100)
 	next.onlyAfterRelease(3*time.Second, func() {
--- a/internal/leader/requests_test.go
+++ b/internal/leader/requests_test.go
@@ -35,12 +35,12 @@
 		t.Fatal(ops(cs))
 	}
 	l.commit()
-	for key := range l.kept {
+	for key := range l.store {
 		if strings.HasPrefix(key, "s/") || strings.HasPrefix(key, "j/") {
 			t.Errorf("%s is still stored", key)
 		}
 	}
-	later := newLeader(t, 6, l.now, l.kept)
+	later := newLeader(t, 6, l.now, l.store)
 	if v := later.Query("job-1"); v.State != wire.JobDone || v.Done != 1 {
 		t.Fatalf("after a succession: %+v", v)
 	}
@@ -116,7 +116,7 @@
 	with.Teams = append(slices.Clone(params.Teams), config.Team{Name: "guests"})
 	c := leader.New(zerolog.Nop(), with, config.Operator{}, 5, start, 0)
 	c.SetMachineTypes([]wire.MachineType{bigType})
-	l := &testLeader{Leader: c, t: t, now: start, kept: map[string]json.RawMessage{}}
+	l := &testLeader{Leader: c, t: t, now: start, store: map[string]json.RawMessage{}}
 	j := spec("job-1")
 	j.Team, j.Tasks = "guests", 3
 	var got leader.Response
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -27,7 +27,7 @@
 
 	changes, bytes, starts int
 	accepted               int
-	scores, worst          int // pairs looked at, in all and in one pass
+	scores, worst          int // pairs scored, in all and in one pass
 	cloud                  int // calls
 	submitted              map[string]time.Time
 	begun                  map[string]bool
@@ -42,7 +42,7 @@
 	next   time.Time
 	sent   time.Time
 	change bool
-	dead   bool // silent for good, but listed
+	dead   bool // reports no more, but is listed
 	gone   bool // released
 	// startedBy is the term of the last start that came.
 	startedBy uint64
@@ -197,9 +197,9 @@
 				f.t.Fatalf("%s has %d bytes", w.Put, len(w.Value))
 			}
 			if w.Delete != "" {
-				delete(f.kept, w.Delete)
+				delete(f.store, w.Delete)
 			} else {
-				f.kept[w.Put] = w.Value
+				f.store[w.Put] = w.Value
 			}
 		}
 		if f.bytes += total; total > 64<<10 {
@@ -209,8 +209,8 @@
 	}
 }
 
-// TestLargeFleet: 600 machines, some 70 starts a second. The state service is
-// asked for little per start, no value or transaction is too large, a pass is
+// TestLargeFleet: 600 machines, some 70 starts a second. The key-value store gets
+// few requests per start, no value or transaction is too large, a pass is
 // bounded, urgent work starts at once, and a successor knows of every task.
 func TestLargeFleet(t *testing.T) {
 	old := params
@@ -251,7 +251,7 @@
 		t.Errorf("%d bytes written a start", perStart)
 	}
 	on, records := f.running(), 0
-	for key := range f.kept {
+	for key := range f.store {
 		if strings.HasPrefix(key, "s/") {
 			records++
 		}
@@ -259,7 +259,7 @@
 	if records > 400 {
 		t.Errorf("%d start records for a successor to read", records)
 	}
-	next := newLeader(t, 6, f.now, f.kept)
+	next := newLeader(t, 6, f.now, f.store)
 	if held := next.Counts().Allocated; held < on {
 		t.Errorf("a successor knows of %d tasks, %d run", held, on)
 	}
@@ -326,8 +326,8 @@
 
 // TestFleetBeyondPlannedSize: 4,000 machines under a lasting backlog of long tasks that
 // save and of urgent ones, some hundred starts a second. A tenth of the machines
-// die with all on them, and the leader soon after; every machine gets work of its successor. What it costs stays bounded
-// and the machines stay in use: a pass that scored every machine for every job
+// fail with all on them, and the leader soon after; every machine gets work of its successor. What it
+// costs stays bounded and the machines stay in use: a pass that scored every machine for every job
 // that had waited long once left 39,000 of 46,000 CPUs idle.
 func TestFleetBeyondPlannedSize(t *testing.T) {
 	oldParams, oldType := params, bigType
@@ -373,7 +373,7 @@
 			}
 		case 1050:
 			on := f.running()
-			f.testLeader = newLeader(t, 6, f.now, f.kept)
+			f.testLeader = newLeader(t, 6, f.now, f.store)
 			if n := f.Counts(); n.Allocated < on {
 				t.Errorf("a successor knows of %d tasks, %d run", n.Allocated, on)
 			}
@@ -434,7 +434,7 @@
 		l.commit()
 		l.pass(2 * time.Second)
 		l.report("m1", 1)
-		if rented := rents(l.PlanScaling(l.now)); rented != slow {
+		if rented := provisions(l.PlanScaling(l.now)); rented != slow {
 			t.Errorf("starts slow: %v, rented: %v", slow, rented)
 		}
 	}
--- a/internal/leader/upgrade_test.go
+++ b/internal/leader/upgrade_test.go
@@ -19,27 +19,27 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// previousVersionLeader reads what is kept as the previous version does.
-func previousVersionLeader(t *testing.T, term uint64, now time.Time, kept map[string]json.RawMessage) *testLeader {
+// previousVersionLeader reads the stored records as the previous version does.
+func previousVersionLeader(t *testing.T, term uint64, now time.Time, store map[string]json.RawMessage) *testLeader {
 	t.Helper()
 	old := params
 	defer func() { params = old }()
 	params.KVStore.ValueKB = 16
 	read := map[string]json.RawMessage{}
-	for key, value := range kept {
+	for key, value := range store {
 		if item, ok := simulation.PreviousVersionReads(wire.KeyValue{Key: key, Value: value}); ok {
 			read[key] = item.Value
 		}
 	}
 	l := newLeader(t, term, now, read)
-	l.kept = kept
+	l.store = store
 	return l
 }
 
 // previousVersionCommit makes the changes that the previous version would make.
 func (l *testLeader) previousVersionCommit() {
 	for b := l.NextBatch(10, 10); b != nil; b = l.NextBatch(10, 10) {
-		l.keep(simulation.PreviousVersionWrites(b.Mutations))
+		l.apply(simulation.PreviousVersionWrites(b.Mutations))
 		l.BatchCommitted(b, nil)
 	}
 }
@@ -50,29 +50,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var records, kept map[string]json.RawMessage
+	var records, store map[string]json.RawMessage
 	if err := json.Unmarshal(data, &records); err != nil {
 		t.Fatal(err)
 	}
-	kept = map[string]json.RawMessage{}
+	store = map[string]json.RawMessage{}
 	for key, value := range records {
 		var b bytes.Buffer
 		_ = json.Compact(&b, value)
-		kept[key] = b.Bytes()
+		store[key] = b.Bytes()
 	}
-	return kept
+	return store
 }
 
-// TestDoneSetsOfBothVersions: the completions that the previous version stored,
+// TestCompletionsOfBothVersions: the completions that the previous version stored,
 // in values larger than they may be now, and new ones in smaller parts, survive
-// leaders of both versions in any order, and are gone when the job is.
-func TestDoneSetsOfBothVersions(t *testing.T) {
+// leaders of both versions in any order, and are deleted with the job.
+func TestCompletionsOfBothVersions(t *testing.T) {
 	useTightLimits(t)
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 0))
-		kept := previousVersionRecords(t)
+		store := previousVersionRecords(t)
 		want := intervals.New(3000)
-		for key, value := range kept {
+		for key, value := range store {
 			var text string
 			if strings.HasPrefix(key, "d/job-1/") && json.Unmarshal(value, &text) == nil {
 				_ = intervals.Each(text, 3000, func(i int) { want.Add(i) })
@@ -86,9 +86,9 @@
 			previous := rng.IntN(2) == 0 && want.Len() < 2900
 			var l *testLeader
 			if previous {
-				l = previousVersionLeader(t, term, now, kept)
+				l = previousVersionLeader(t, term, now, store)
 			} else {
-				l = newLeader(t, term, now, kept)
+				l = newLeader(t, term, now, store)
 			}
 			if v := l.Query("job-1"); v.Done != want.Len() {
 				t.Fatalf("seed %d, term %d, previous %v: %d done, want %d", seed, term, previous, v.Done, want.Len())
@@ -113,13 +113,13 @@
 			}
 			now = l.now
 		}
-		next := newLeader(t, 1000, now, kept)
+		next := newLeader(t, 1000, now, store)
 		if got := next.state("job-1"); got != wire.JobDone {
 			t.Fatalf("seed %d: %s", seed, got)
 		}
 		next.pass(40 * time.Second)
 		next.commit()
-		for key := range kept {
+		for key := range store {
 			if strings.HasPrefix(key, "d/") {
 				t.Errorf("seed %d: %s is left", seed, key)
 			}
@@ -128,11 +128,11 @@
 }
 
 // TestRecordsOfThePreviousVersion: jobs, ends, starts and the catalogue are taken
-// over as they are, and no job without needs is stored in another form.
+// over as they are, and no job without dependencies is stored in another form.
 func TestRecordsOfThePreviousVersion(t *testing.T) {
 	useTightLimits(t)
-	kept := previousVersionRecords(t)
-	l := newLeader(t, 8, start.Add(time.Minute), kept)
+	store := previousVersionRecords(t)
+	l := newLeader(t, 8, start.Add(time.Minute), store)
 	for id, want := range map[string]string{"job-1": wire.JobQueued, "job-2": wire.JobDone, "job-3": wire.JobCancelled, "job-4": wire.JobQueued} {
 		if got := l.state(id); got != want {
 			t.Errorf("%s: %s, want %s", id, got, want)
@@ -141,17 +141,17 @@
 	if n := l.Counts(); n.Allocated == 0 || n.Machines != 2 && n.Machines != 1 {
 		t.Errorf("%+v", n)
 	}
-	record := kept["j/job-4"]
+	record := store["j/job-4"]
 	same := newLeader(t, 8, start, map[string]json.RawMessage{})
 	same.accept(spec("job-4"))
-	if got := same.kept["j/job-4"]; !bytes.Equal(got, record) {
+	if got := same.store["j/job-4"]; !bytes.Equal(got, record) {
 		t.Errorf("stored as\n%s, formerly\n%s", got, record)
 	}
 }
 
 // TestPreviousVersionKeepsDependentJobs: a leader of the previous version knows a
 // dependent job and can cancel it, but has no machine for it, whatever the cloud
-// offers; what it does not know of it leaves.
+// offers; it does not touch records that it does not know.
 func TestPreviousVersionKeepsDependentJobs(t *testing.T) {
 	useTightLimits(t)
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
@@ -162,7 +162,7 @@
 	}
 	many.MachineTypes = append(many.MachineTypes, "std-8")
 	l.accept(dependentJob("job-2", "job-1"), many)
-	for key, value := range l.kept {
+	for key, value := range l.store {
 		item, ok := simulation.PreviousVersionReads(wire.KeyValue{Key: key, Value: value})
 		var rec struct {
 			Job wire.Job `json:"job"`
@@ -175,8 +175,8 @@
 			t.Errorf("%s could be started: %s", key, value)
 		}
 	}
-	before := slices.Sorted(maps.Keys(l.kept))
-	previous := previousVersionLeader(t, 6, l.now, l.kept)
+	before := slices.Sorted(maps.Keys(l.store))
+	previous := previousVersionLeader(t, 6, l.now, l.store)
 	for range 2 {
 		previous.report("m1", 1)
 		previous.pass(time.Second)
@@ -190,7 +190,7 @@
 	}
 	previous.Cancel(previous.now, "job-2", func(leader.Response) {})
 	previous.previousVersionCommit()
-	next := newLeader(t, 7, previous.now, l.kept)
+	next := newLeader(t, 7, previous.now, l.store)
 	if next.state("job-2") != wire.JobCancelled || next.state("job-3") != wire.JobQueued {
 		t.Errorf("job-2 %s, job-3 %s, of %v", next.state("job-2"), next.state("job-3"), before)
 	}
--- a/internal/scaling/plan_input.go
+++ b/internal/scaling/plan_input.go
@@ -57,7 +57,7 @@
 		Capacity:    m.Total,
 		Free:        m.Free,
 		Price:       s.cluster.Catalogue.Price(m),
-		Schedulable: !m.Cordoned() && !(m.Joined && s.cluster.HeartbeatOverdue(now, m)),
+		Schedulable: !m.Cordoned() && (!m.Joined || !s.cluster.HeartbeatOverdue(now, m)),
 		Idle: len(m.Attempts) == 0 && m.Joined && m.Reconciled &&
 			now.Sub(m.ProvisionedAt) >= tuning.MinimumBillingTime && !s.cluster.IsReplacement(m.ID),
 		IdleFor: now.Sub(m.IdleSince),
