--- a/internal/kvstore/fenced_writer_test.go
+++ b/internal/kvstore/fenced_writer_test.go
@@ -237,17 +237,32 @@
 		{"applied at once", 2, []step{applied}, nil},
 		{"refused for now, then applied", 1, []step{{err: kvstore.ErrUnavailable, outcome: kvstore.Retry}, applied}, nil},
 		{"answers lost, then applied", 1, []step{lost, lost, applied}, nil},
-		{"condition failed at the first try", 1,
-			[]step{{err: kvstore.ErrConflict, failed: []string{kvstore.KeyTerm}, outcome: kvstore.Deposed}}, nil},
-		{"another leader after a lost answer", 1,
-			[]step{lost, {err: kvstore.ErrConflict, failed: []string{kvstore.KeyLeader}, outcome: kvstore.Deposed}}, nil},
-		{"term key changed after a lost answer", 1,
-			[]step{lost, {err: kvstore.ErrConflict, failed: []string{kvstore.KeyTerm}, outcome: kvstore.OutcomeUnknown}}, nil},
+		{
+			"condition failed at the first try", 1,
+			[]step{{err: kvstore.ErrConflict, failed: []string{kvstore.KeyTerm}, outcome: kvstore.Deposed}},
+			nil,
+		},
+		{
+			"another leader after a lost answer", 1,
+			[]step{lost, {err: kvstore.ErrConflict, failed: []string{kvstore.KeyLeader}, outcome: kvstore.Deposed}},
+			nil,
+		},
+		{
+			"term key changed after a lost answer", 1,
+			[]step{lost, {err: kvstore.ErrConflict, failed: []string{kvstore.KeyTerm}, outcome: kvstore.OutcomeUnknown}},
+			nil,
+		},
 		{"one change not understood", 1, []step{invalid(kvstore.Applied)}, []string{"k0"}},
-		{"the first of two not understood", 2,
-			[]step{invalid(kvstore.ContinueSplit), invalid(kvstore.ContinueSplit), applied}, []string{"k0"}},
-		{"the second of two not understood", 2,
-			[]step{invalid(kvstore.ContinueSplit), {outcome: kvstore.ContinueSplit}, invalid(kvstore.Applied)}, []string{"k1"}},
+		{
+			"the first of two not understood", 2,
+			[]step{invalid(kvstore.ContinueSplit), invalid(kvstore.ContinueSplit), applied},
+			[]string{"k0"},
+		},
+		{
+			"the second of two not understood", 2,
+			[]step{invalid(kvstore.ContinueSplit), {outcome: kvstore.ContinueSplit}, invalid(kvstore.Applied)},
+			[]string{"k1"},
+		},
 		{"not understood without any change", 0, []step{invalid(kvstore.Deposed)}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/leader/dependencies_test.go
+++ b/internal/leader/dependencies_test.go
@@ -57,11 +57,11 @@
 
 // state is what a user would be told.
 func (l *testLeader) state(id string) string {
-	if v := l.Query(id); v.Status == 200 {
-		return v.State
-	} else {
-		return fmt.Sprint(v.Status)
+	response := l.Query(id)
+	if response.Status == 200 {
+		return response.State
 	}
+	return fmt.Sprint(response.Status)
 }
 
 func exited(task string, attempt uint64) wire.TaskStatus {
--- a/internal/loadtest/load.go
+++ b/internal/loadtest/load.go
@@ -58,9 +58,12 @@
 
 // streams are six parts of the rate, and a script of blue's that submits as much again.
 var streams = []stream{
-	{"blue", "urgent", wire.PriorityHigh, 0.17}, {"blue", "nightly", wire.PriorityNormal, 0.17},
-	{"green", "urgent", wire.PriorityHigh, 0.17}, {"green", "nightly", wire.PriorityNormal, 0.17},
-	{"guests", "urgent", wire.PriorityHigh, 0.16}, {"guests", "nightly", wire.PriorityNormal, 0.16},
+	{"blue", "urgent", wire.PriorityHigh, 0.17},
+	{"blue", "nightly", wire.PriorityNormal, 0.17},
+	{"green", "urgent", wire.PriorityHigh, 0.17},
+	{"green", "nightly", wire.PriorityNormal, 0.17},
+	{"guests", "urgent", wire.PriorityHigh, 0.16},
+	{"guests", "nightly", wire.PriorityNormal, 0.16},
 	{"blue", "nightly", wire.PriorityNormal, 1},
 }
 
--- a/internal/node/bad_input_test.go
+++ b/internal/node/bad_input_test.go
@@ -65,11 +65,11 @@
 }
 
 // changed is a submission of another job with a part of the text replaced.
-func changed(t *testing.T, submission string, status int, old, new string) request {
+func changed(t *testing.T, submission string, status int, from, to string) request {
 	t.Helper()
-	body := strings.Replace(strings.Replace(submission, "job-000001", "job-000002", 1), old, new, 1)
-	if !strings.Contains(body, new) || strings.Contains(body, old) {
-		t.Fatalf("%s is not in the submission", old)
+	body := strings.Replace(strings.Replace(submission, "job-000001", "job-000002", 1), from, to, 1)
+	if !strings.Contains(body, to) || strings.Contains(body, from) {
+		t.Fatalf("%s is not in the submission", from)
 	}
 	return request{"POST", wire.PathJobs, body, status}
 }
--- a/internal/simulation/node_leader.go
+++ b/internal/simulation/node_leader.go
@@ -48,10 +48,11 @@
 
 func (n *node) loadRecord(l *leader.Leader, item wire.KeyValue) {
 	if n.previousVersion {
-		known := false
-		if item, known = PreviousVersionReads(item); !known {
+		known, found := PreviousVersionReads(item)
+		if !found {
 			return
 		}
+		item = known
 	}
 	if err := l.LoadRecord(n.clock(), n.sim.now, item); err != nil {
 		n.sim.failure = err
--- a/wire/validation_test.go
+++ b/wire/validation_test.go
@@ -68,9 +68,18 @@
 		}
 	}
 	for _, change := range [][2]string{
-		{`"job-000412"`, `"412"`}, {`"job-000412"`, `"job-4 1"`}, {`"batch"`, `"other"`}, {`"high"`, `"urgent"`},
-		{`"oars":16`, `"oars":0`}, {`"oars":16`, `"oars":100001`}, {`"oars":16`, `"oars":"16"`}, {`"oars":16`, `"oars":1.5`},
-		{`"cores":8.0`, `"cores":-1`}, {`"cores":8.0`, `"cores":0`}, {`"reckonS":240.0`, `"reckonS":-1`}, {`"together":true`, `"together":"yes"`},
+		{`"job-000412"`, `"412"`},
+		{`"job-000412"`, `"job-4 1"`},
+		{`"batch"`, `"other"`},
+		{`"high"`, `"urgent"`},
+		{`"oars":16`, `"oars":0`},
+		{`"oars":16`, `"oars":100001`},
+		{`"oars":16`, `"oars":"16"`},
+		{`"oars":16`, `"oars":1.5`},
+		{`"cores":8.0`, `"cores":-1`},
+		{`"cores":8.0`, `"cores":0`},
+		{`"reckonS":240.0`, `"reckonS":-1`},
+		{`"together":true`, `"together":"yes"`},
 	} {
 		if _, err := wire.ParseJob([]byte(strings.Replace(submission, change[0], change[1], 1))); err == nil {
 			t.Errorf("%s accepted", change[1])
