--- /dev/null
+++ b/internal/peer/hub_test.go
@@ -0,0 +1,141 @@
+package peer
+
+import (
+	"context"
+	"errors"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"switchshore.example/switchshore/internal/config"
+)
+
+// testHub is a hub on loopback that leads or does not.
+type testHub struct {
+	*Hub
+	cancel context.CancelFunc
+	ended  chan error
+}
+
+// startHubs starts linked hubs. links names, for each, the others that it has a link to; the
+// last hub leads, and answers calls with handle.
+func startHubs(t *testing.T, links [][]int, handle func(context.Context, Call) Response) []*testHub {
+	t.Helper()
+	listeners := make([]net.Listener, len(links))
+	for i := range links {
+		ln, err := net.Listen("tcp4", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		listeners[i] = ln
+	}
+	names := []string{"n0", "n1", "n2"}
+	hubs := make([]*testHub, len(links))
+	for i, linked := range links {
+		var peers []config.Peer
+		for _, other := range linked {
+			peers = append(peers, config.Peer{Name: names[other], Addr: listeners[other].Addr().String()})
+		}
+		h := &testHub{Hub: NewHub(zerolog.Nop(), peers), ended: make(chan error, 1)}
+		leads := i == len(links)-1
+		h.LocalHeartbeat = func() Heartbeat {
+			b := Heartbeat{Node: names[i], IsLeader: leads, ReachesLeader: h.LinkedToLeader()}
+			if leads {
+				b.Term = 1
+			}
+			return b
+		}
+		h.OnHigherTerm = func(uint64) {}
+		h.Handle = func(ctx context.Context, c Call) Response {
+			if leads {
+				return handle(ctx, c)
+			}
+			response, err := h.Forward(ctx, c)
+			if err != nil {
+				return Refused(http.StatusServiceUnavailable, err.Error())
+			}
+			return response
+		}
+		ctx, cancel := context.WithCancel(context.Background())
+		h.cancel = cancel
+		go func() { h.ended <- h.Run(ctx, listeners[i]) }()
+		t.Cleanup(cancel)
+		hubs[i] = h
+	}
+	return hubs
+}
+
+// awaitLeader waits until a hub has a way to the leader.
+func (h *testHub) awaitLeader(t *testing.T) {
+	t.Helper()
+	for range 500 {
+		if h.ReachesLeader() {
+			return
+		}
+		time.Sleep(10 * time.Millisecond)
+	}
+	t.Fatal("no way to the leader")
+}
+
+// TestCallsReachTheLeader: over a link of its own, or through one peer that has one; never
+// through two.
+func TestCallsReachTheLeader(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		links [][]int
+		hops  int
+	}{
+		{"directly", [][]int{{1}, {0}}, 1},
+		{"through a peer", [][]int{{1}, {0, 2}, {1}}, 2},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var hops []int // of the calls that the leader got
+			hubs := startHubs(t, c.links, func(_ context.Context, call Call) Response {
+				hops = append(hops, call.Hops)
+				return Response{Status: http.StatusOK, Reason: call.Job}
+			})
+			hubs[0].awaitLeader(t)
+			query := Call{Op: OpQuery, Job: "job-000001"}
+			response, err := hubs[0].Forward(context.Background(), query)
+			if err != nil || response.Status != http.StatusOK || response.Reason != query.Job {
+				t.Errorf("%+v, %v", response, err)
+			}
+			if len(hops) != 1 || hops[0] != c.hops {
+				t.Errorf("the leader got calls of %v hops", hops)
+			}
+			query.Hops = 1
+			if _, err := hubs[0].Forward(context.Background(), query); (c.hops == 1) != (err == nil) || err != nil && !errors.Is(err, ErrUnreachable) {
+				t.Errorf("a call that was relayed already: %v", err)
+			}
+		})
+	}
+}
+
+// TestHubEndsWithItsContext: also while it handles a call that would take for ever; the
+// caller does not wait for that one.
+func TestHubEndsWithItsContext(t *testing.T) {
+	handling := make(chan struct{})
+	hubs := startHubs(t, [][]int{{1}, {0}}, func(ctx context.Context, _ Call) Response {
+		close(handling)
+		<-ctx.Done()
+		return Refused(http.StatusServiceUnavailable, "ended")
+	})
+	hubs[0].awaitLeader(t)
+	answered := make(chan struct{})
+	go func() {
+		defer close(answered)
+		response, err := hubs[0].Forward(context.Background(), Call{Op: OpQuery})
+		if err == nil && response.Status != http.StatusServiceUnavailable {
+			t.Errorf("the caller was told %+v", response)
+		}
+	}()
+	<-handling
+	hubs[1].cancel()
+	if err := <-hubs[1].ended; err != nil {
+		t.Errorf("ended with %v", err)
+	}
+	<-answered
+}
