--- a/internal/api/heartbeats_test.go
+++ b/internal/api/heartbeats_test.go
@@ -68,8 +68,8 @@
 	return res.StatusCode(), res.ConnectionClose()
 }
 
-// heartbeat sends a worker's heartbeat.
-func (s *testServer) heartbeat(c *fasthttp.HostClient) (status int, closed bool) {
+// sendHeartbeat sends a worker's heartbeat.
+func (s *testServer) sendHeartbeat(c *fasthttp.HostClient) (status int, closed bool) {
 	s.t.Helper()
 	return s.send(c, "POST", wire.PathHeartbeat, heartbeatBody)
 }
@@ -83,16 +83,16 @@
 	for range srv.workers.limit {
 		c := srv.client()
 		workers = append(workers, c)
-		if got, closed := srv.heartbeat(c); got != 200 || closed {
+		if got, closed := srv.sendHeartbeat(c); got != 200 || closed {
 			t.Fatalf("worker %d: %d, closed: %v", len(workers), got, closed)
 		}
 	}
 	for range 2 * srv.http.Concurrency {
-		if got, closed := srv.heartbeat(srv.client()); got != 200 || !closed {
+		if got, closed := srv.sendHeartbeat(srv.client()); got != 200 || !closed {
 			t.Fatalf("one worker too many: %d, closed: %v", got, closed)
 		}
 	}
-	if got, closed := srv.heartbeat(workers[0]); got != 200 || closed {
+	if got, closed := srv.sendHeartbeat(workers[0]); got != 200 || closed {
 		t.Errorf("a worker that is here already: %d, closed: %v", got, closed)
 	}
 	for _, path := range []string{wire.PathHealth, wire.PathJobs + "/job-000001"} {
@@ -103,7 +103,7 @@
 	// A connection that ends may be replaced.
 	workers[0].CloseIdleConnections()
 	for range 500 {
-		if _, closed := srv.heartbeat(srv.client()); !closed {
+		if _, closed := srv.sendHeartbeat(srv.client()); !closed {
 			return
 		}
 	}
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -15,8 +15,9 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// nonceSpareBits are left free in a process's first nonce, which is counted up with every campaign.
-const nonceSpareBits = 12
+// nonceBits bounds a process's first nonce, so that it and those counted up from it are exact
+// also for a reader that takes a JSON number for a float64.
+const nonceBits = 52
 
 // Election campaigns for one node.
 type Election struct {
@@ -38,7 +39,7 @@
 
 // Run campaigns, leads and campaigns again until the context ends.
 func (e *Election) Run(ctx context.Context) error {
-	e.nonce = rand.Uint64() >> nonceSpareBits
+	e.nonce = rand.Uint64() >> (64 - nonceBits)
 	for ctx.Err() == nil {
 		leadership, err := e.campaign(ctx)
 		if err != nil {
--- a/internal/node/admission_gate.go
+++ b/internal/node/admission_gate.go
@@ -32,12 +32,12 @@
 	g.gate.ApplyPolicy(now, p)
 }
 
-// offers are what the users of this node submit.
-func (g *admissionGate) offers(node string) *admission.NodeOfferedLoad {
+// offeredLoad are what the users of this node submit.
+func (g *admissionGate) offeredLoad(node string) *admission.NodeOfferedLoad {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	offers := g.gate.OfferedLoad(node)
-	return &offers
+	load := g.gate.OfferedLoad(node)
+	return &load
 }
 
 // recordArrival counts a submission. isNew is false if the job may have been accepted already.
--- a/internal/node/admission_loop.go
+++ b/internal/node/admission_loop.go
@@ -13,10 +13,10 @@
 func (t *term) admissionLoop(ctx context.Context) error {
 	lag := time.Duration(0)
 	for {
-		offers := append(t.node.hub.Offers(), *t.node.gate.offers(t.node.config.Name))
+		loads := append(t.node.hub.OfferedLoads(), *t.node.gate.offeredLoad(t.node.config.Name))
 		now := time.Now()
 		t.node.mu.Lock()
-		t.state.UpdateAdmission(now, now, lag, offers)
+		t.state.UpdateAdmission(now, now, lag, loads)
 		t.node.mu.Unlock()
 		if err := ctxtime.Sleep(ctx, tuning.AdmissionInterval); err != nil {
 			return err
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -10,7 +10,7 @@
 func (n *Node) peerHeartbeat() peer.Heartbeat {
 	heartbeat := peer.Heartbeat{Node: n.config.Name, ReachesLeader: n.hub.LinkedToLeader()}
 	if n.gate != nil {
-		heartbeat.Offers = n.gate.offers(n.config.Name)
+		heartbeat.OfferedLoad = n.gate.offeredLoad(n.config.Name)
 	}
 	now := time.Now()
 	n.mu.Lock()
--- a/internal/peer/membership.go
+++ b/internal/peer/membership.go
@@ -43,18 +43,18 @@
 	}
 }
 
-// Offers are what the users of the peers within reach submit.
-func (h *Hub) Offers() []admission.NodeOfferedLoad {
+// OfferedLoads are what the users of the peers within reach submit.
+func (h *Hub) OfferedLoads() []admission.NodeOfferedLoad {
 	now := time.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var all []admission.NodeOfferedLoad
 	for _, l := range h.links {
 		m := h.members[l.name]
-		if m.heartbeat.Offers != nil && m.isRecent(now) {
-			offers := *m.heartbeat.Offers
-			offers.Node = l.name
-			all = append(all, offers)
+		if m.heartbeat.OfferedLoad != nil && m.isRecent(now) {
+			load := *m.heartbeat.OfferedLoad
+			load.Node = l.name
+			all = append(all, load)
 		}
 	}
 	return all
--- a/internal/peer/membership_test.go
+++ b/internal/peer/membership_test.go
@@ -37,7 +37,7 @@
 	if len(terms) != 1 || terms[0] != 4 {
 		t.Errorf("policies of terms %v", terms)
 	}
-	if offers := h.Offers(); len(offers) != 1 || offers[0].Node != "n1" || offers[0].Loads[0].Count != 7 {
+	if offers := h.OfferedLoads(); len(offers) != 1 || offers[0].Node != "n1" || offers[0].Loads[0].Count != 7 {
 		t.Errorf("%+v", offers)
 	}
 }
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -104,10 +104,10 @@
 	InGracePeriod bool `json:"grace,omitempty"`
 	// ReachesLeader: the node has a direct link to a leader that holds the lease.
 	ReachesLeader bool `json:"hears,omitempty"`
-	// Policy is the leader's for the admission of jobs, Offers what the node's users
+	// Policy is the leader's for the admission of jobs, OfferedLoad what the node's users
 	// submit; nil where admission control is off.
-	Policy *admission.Policy          `json:"policy,omitempty"`
-	Offers *admission.NodeOfferedLoad `json:"offers,omitempty"`
+	Policy      *admission.Policy          `json:"policy,omitempty"`
+	OfferedLoad *admission.NodeOfferedLoad `json:"offers,omitempty"`
 }
 
 // message is one line: exactly one field is set.
