--- a/internal/peer/peertest/peertest.go
+++ b/internal/peer/peertest/peertest.go
@@ -1,5 +1,5 @@
-// Package peertest is a stand-in controller for tests of clients of the JSON-lines protocol
-// between nodes.
+// Package peertest is a fake node for tests of clients of the JSON-lines protocol between
+// nodes.
 package peertest
 
 import (
