--- a/cmd/loadtest/archive.go
+++ b/cmd/loadtest/archive.go
@@ -2,28 +2,31 @@
 
 import (
 	"archive/tar"
+	"errors"
+	"io"
 	"os"
 
 	"github.com/klauspost/compress/zstd"
 )
 
 // archive packs a folder into a compressed file: logs and histories of a run together.
-func archive(folder, path string) (err error) {
+func archive(folder, path string) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return err
 	}
-	defer file.Close()
-	compressed, err := zstd.NewWriter(file)
+	return errors.Join(writeArchive(file, folder), file.Close())
+}
+
+// writeArchive writes a folder as a compressed tar stream.
+func writeArchive(w io.Writer, folder string) error {
+	compressed, err := zstd.NewWriter(w)
 	if err != nil {
 		return err
 	}
 	files := tar.NewWriter(compressed)
 	if err := files.AddFS(os.DirFS(folder)); err != nil {
-		return err
-	}
-	if err := files.Close(); err != nil {
-		return err
+		return errors.Join(err, compressed.Close())
 	}
-	return compressed.Close()
+	return errors.Join(files.Close(), compressed.Close())
 }
--- a/cmd/loadtest/drain.go
+++ b/cmd/loadtest/drain.go
@@ -7,152 +7,153 @@
 	"path/filepath"
 	"slices"
 	"strconv"
+	"strings"
 	"time"
 
 	"golang.org/x/sync/errgroup"
 
+	"switchshore.example/switchshore/internal/ctxtime"
 	"switchshore.example/switchshore/internal/drain"
 	"switchshore.example/switchshore/internal/loadtest"
 	"switchshore.example/switchshore/wire"
 )
 
-// drainCommand measures a drain under load.
+// drainCommand measures a drain under load, and compares it with the loss of the zone at once.
 type drainCommand struct {
-	common
+	commonOptions
 	Seconds int     `help:"How long the load lasts, 120 to 600." default:"180"`
 	Rate    float64 `help:"New jobs of four tasks a second, at most 2." default:"1"`
 	Lost    float64 `help:"Run time that each team may lose in a minute, in seconds." default:"100"`
 }
 
+// Bounds of the options.
+const (
+	minDrainSeconds = 120
+	maxDrainSeconds = 600
+	maxDrainRate    = 2
+)
+
 const (
 	drainedZone = "a"
-	// drainAt is when the zone is drained, or taken away; the leader is killed twice after it.
+	// drainAt is when the zone is drained or removed; the leader is killed twice after it.
 	drainAt     = 60 * time.Second
 	firstKill   = 75 * time.Second
 	secondKill  = 115 * time.Second
 	drainWindow = 60 * time.Second
-	// savedEvery is the interval of the checkpoints of nightly jobs.
-	savedEvery = 5 * time.Second
-	taskTime   = 25 * time.Second
+	// drainCheckpointInterval is that of the nightly jobs.
+	drainCheckpointInterval = 5 * time.Second
+	drainTaskRunTime        = 25 * time.Second
 )
 
-// budget is that of each team.
-func (o *drainCommand) budget() drain.Budget {
-	return drain.Budget{MaxUnavailable: 8, Evictions: 30, LostS: o.Lost}
-}
+// drainOperatorFormat is the operators' file.
+const drainOperatorFormat = `<switchshore><admission/><drains windowSeconds="%g"><budget maxUnavailable="%d" evictions="%d" lostSeconds="%g"/></drains></switchshore>`
 
-const withDrains = `<switchshore><admission/><drains windowSeconds="%g"><budget maxUnavailable="%d" evictions="%d" lostSeconds="%g"/></drains></switchshore>`
-
-// drainResult is one of the two runs.
-type drainResult struct {
-	name     string
-	times    *loadtest.DrainTimes // nil where the zone was taken away
-	released int
-	tasks    []loadtest.TaskEvent
-	answers  []loadtest.Answer
+// drainVariant is one of the two runs.
+type drainVariant struct {
+	name      string
+	removeAll bool // instead of a drain
+	timing    *loadtest.DrainTiming
+	released  int // machines that were removed
+	result    *runResult
 }
 
-// Run plays both variants side by side and writes what came of them.
+// Run runs both variants at the same time and reports the results.
 func (o *drainCommand) Run(ctx context.Context) error {
-	if o.Seconds < 120 || o.Seconds > 600 || o.Rate <= 0 || o.Rate > 2 || o.Lost < 0 {
-		return fmt.Errorf("--seconds must be 120 to 600, --rate above 0 and at most 2, --lost not below 0")
+	if o.Seconds < minDrainSeconds || o.Seconds > maxDrainSeconds || o.Rate <= 0 || o.Rate > maxDrainRate || o.Lost < 0 {
+		return fmt.Errorf("--seconds must be %d to %d, --rate above 0 and at most %d, --lost not below 0", minDrainSeconds, maxDrainSeconds, maxDrainRate)
 	}
 	binary, err := o.build(ctx)
 	if err != nil {
 		return err
 	}
-	results := []*drainResult{{name: "drained"}, {name: "at-once"}}
+	variants := []*drainVariant{{name: "drained"}, {name: "at-once", removeAll: true}}
 	var group errgroup.Group
-	for _, r := range results {
-		group.Go(func() error { return o.play(ctx, binary, r) })
+	for _, v := range variants {
+		group.Go(func() error { return o.runVariant(ctx, binary, v) })
 	}
 	if err := group.Wait(); err != nil {
 		return err
 	}
-	return o.report(results)
+	return o.report(variants)
 }
 
-// runTime is that of a job's tasks: one job in four runs for far longer than estimated.
-func runTime(j *wire.Job) time.Duration {
-	number, _ := strconv.Atoi(j.ID[len("job-"):])
-	factor := []float64{0.5, 1, 1, 4}[number%4]
-	return time.Duration(j.EstimateS * factor * float64(time.Second))
+// budget is that of each team.
+func (o *drainCommand) budget() drain.Budget {
+	return drain.Budget{MaxUnavailable: 8, Evictions: 30, LostS: o.Lost}
 }
 
-func (o *drainCommand) play(ctx context.Context, binary string, r *drainResult) error {
+// operatorFile is the operators' file with the budget.
+func (o *drainCommand) operatorFile() string {
 	b := o.budget()
-	folder, operator, err := o.prepare(r.name, fmt.Sprintf(withDrains, drainWindow.Seconds(), b.MaxUnavailable, b.Evictions, b.LostS))
+	return fmt.Sprintf(drainOperatorFormat, drainWindow.Seconds(), b.MaxUnavailable, b.Evictions, b.LostS)
+}
+
+// runVariant runs a variant and saves its files.
+func (o *drainCommand) runVariant(ctx context.Context, binary string, v *drainVariant) (err error) {
+	v.result, err = o.run(ctx, binary, clusterRun{
+		name: v.name, operator: o.operatorFile(), during: v.emptyZone,
+		cluster: loadtest.ClusterOptions{
+			Machines: 12, WriteRPS: 100, HeartbeatInterval: time.Second,
+			Zones: []string{drainedZone, "b"}, RunTime: actualRunTime,
+		},
+		load: loadtest.LoadOptions{
+			Duration: time.Duration(o.Seconds) * time.Second, JobsPerSecond: o.Rate, Seed: o.Seed,
+			TasksPerJob: 4, TaskRunTime: drainTaskRunTime, CheckpointInterval: drainCheckpointInterval,
+			OnePriority: true, KillLeaderAt: []time.Duration{firstKill, secondKill},
+		},
+	})
 	if err != nil {
 		return err
 	}
-	load := loadtest.Options{
-		Duration: time.Duration(o.Seconds) * time.Second, Rate: o.Rate, Seed: o.Seed, Tasks: 4, TaskTime: taskTime,
-		CheckpointEvery: savedEvery, OnePriority: true, KillLeader: []time.Duration{firstKill, secondKill},
-	}
-	size := loadtest.Size{Machines: 12, WriteRPS: 100, ReportEvery: time.Second, Zones: []string{drainedZone, "b"}, RunTime: runTime}
-	ctx, cancel := context.WithTimeout(ctx, load.Duration+loadtest.LongestObjective()+pollSlack)
-	defer cancel()
-	cluster, err := loadtest.StartCluster(ctx, binary, operator, folder, size)
-	if err != nil {
+	folder := o.folder(v.name)
+	if err := loadtest.SaveHistory(filepath.Join(folder, tasksName), v.result.tasks); err != nil {
 		return err
 	}
-	var group errgroup.Group
-	group.Go(func() error { return r.empty(ctx, cluster) })
-	r.answers, err = loadtest.Run(ctx, cluster, load)
-	if drainErr := group.Wait(); err == nil {
-		err = drainErr
-	}
-	r.tasks = cluster.TaskHistory()
-	cancel()
-	cluster.Wait()
+	return archive(folder, folder+".tar.zst")
+}
+
+// actualRunTime is that of a job's tasks: one job in four runs far longer than estimated.
+func actualRunTime(job *wire.Job) time.Duration {
+	number, err := strconv.Atoi(strings.TrimPrefix(job.ID, "job-"))
 	if err != nil {
-		return fmt.Errorf("%s: %w", r.name, err)
+		number = 0 // not an id of the load
 	}
-	if err := loadtest.Save(filepath.Join(folder, "tasks.parquet"), r.tasks); err != nil {
-		return err
-	}
-	if err := loadtest.Save(filepath.Join(folder, "history.parquet"), r.answers); err != nil {
-		return err
-	}
-	return archive(folder, folder+".tar.zst")
+	factor := []float64{0.5, 1, 1, 4}[number%4]
+	return time.Duration(job.EstimateS * factor * float64(time.Second))
 }
 
-// empty drains the zone, or takes it away at once, when it is time.
-func (r *drainResult) empty(ctx context.Context, cluster *loadtest.Cluster) error {
-	select {
-	case <-ctx.Done():
-		return ctx.Err()
-	case <-time.After(drainAt):
+// emptyZone drains the zone, or removes its machines at once, when it is time.
+func (v *drainVariant) emptyZone(ctx context.Context, cluster *loadtest.Cluster) (err error) {
+	if err := ctxtime.Sleep(ctx, drainAt); err != nil {
+		return err
 	}
-	if r.name != "drained" {
-		r.released = cluster.ReleaseZone(drainedZone)
+	if v.removeAll {
+		v.released = cluster.ReleaseZone(drainedZone)
 		return nil
 	}
-	var err error
-	r.times, err = cluster.Drain(ctx, &drain.Spec{Name: "measured", Selector: drain.Selector{Zone: drainedZone}, BatchSize: 2, Replace: true})
+	v.timing, err = cluster.Drain(ctx, &drain.Spec{
+		Name: "measured", Selector: drain.Selector{Zone: drainedZone}, BatchSize: 2, Replace: true,
+	})
 	return err
 }
 
 // report prints and draws both runs; a budget that is exceeded is an error.
-func (o *drainCommand) report(results []*drainResult) error {
-	budgets := &drain.Budgets{Window: drainWindow, Default: o.budget()}
-	plan := loadtest.Plan{Begin: warmUp, End: time.Duration(o.Seconds) * time.Second, Window: window}
-	var drawn []*loadtest.Result
+func (o *drainCommand) report(variants []*drainVariant) error {
+	var results []*loadtest.Result
 	var exceeded []string
-	for _, r := range results {
-		result, err := loadtest.NewResult("zone "+r.name, r.answers, plan)
+	for _, v := range variants {
+		result, err := o.check(v)
 		if err != nil {
 			return err
 		}
-		result.Disruptions = loadtest.Disruptions(r.tasks, drainedZone, drainWindow)
-		drawn = append(drawn, result)
-		if r.times != nil {
-			exceeded = loadtest.CheckBudgets(result.Disruptions, budgets)
+		if !v.removeAll {
+			exceeded = loadtest.CheckBudgets(result.Disruptions, &drain.Budgets{Window: drainWindow, Default: o.budget()})
 			result.Problems = append(result.Problems, exceeded...)
 		}
-		r.print(result)
+		v.print(result)
+		results = append(results, result)
 	}
-	if err := o.writeReport("drain.html", drawn); err != nil {
+	if err := o.writeReport("drain.html", results); err != nil {
 		return err
 	}
 	if len(exceeded) > 0 {
@@ -161,24 +162,39 @@
 	return nil
 }
 
-func (r *drainResult) print(result *loadtest.Result) {
-	fmt.Printf("%s: %d answers, %d problems\n", result.Name, len(r.answers), len(result.Problems))
+// check checks a variant's histories.
+func (o *drainCommand) check(v *drainVariant) (*loadtest.Result, error) {
+	plan := loadtest.Plan{Begin: warmUp, End: time.Duration(o.Seconds) * time.Second, Window: progressWindow}
+	result, err := loadtest.NewResult("zone "+v.name, v.result.exchanges, plan)
+	if err != nil {
+		return nil, err
+	}
+	result.Disruptions = loadtest.Disruptions(v.result.tasks, drainedZone, drainWindow)
+	return result, nil
+}
+
+// print prints the result of a variant.
+func (v *drainVariant) print(result *loadtest.Result) {
+	fmt.Printf("%s: %d answers, %d problems\n", result.Name, len(v.result.exchanges), len(result.Problems))
 	for _, d := range result.Disruptions {
 		fmt.Printf("  %-7s stopped %3d (saved %3d), lost with machines %3d, run time lost %v; most unavailable %d, in a window %d evictions, %v lost\n",
 			d.Team, d.Stopped, d.Saved, d.Lost, d.LostTime.Round(time.Second), d.MostUnavailable, d.MostEvictions, d.MostLost.Round(time.Second))
 	}
-	for _, row := range result.Rows {
-		fmt.Printf("  %-7s %-8s accepted %4d of %4d, done %4d, p50 %v\n", row.Team, row.Class, row.Accepted, row.Asked, row.Done, row.DoneP50)
+	for _, c := range result.Classes {
+		fmt.Printf("  %-7s %-8s accepted %4d of %4d, done %4d, p50 %v\n", c.Team, c.Class, c.Accepted, c.Submitted, c.Done, c.DoneP50)
 	}
-	if r.times == nil {
-		fmt.Printf("  %d machines taken away at once\n", r.released)
-	} else {
-		fmt.Printf("  drained in %v: %+v\n", r.times.Total.Round(time.Second), r.times.Status.Counts)
-		for _, reason := range slices.Sorted(maps.Keys(r.times.Waits)) {
-			fmt.Printf("    %6v %s\n", r.times.Waits[reason].Round(time.Second), reason)
-		}
-	}
-	for _, p := range result.Problems[:min(len(result.Problems), 10)] {
-		fmt.Println("  problem:", p)
+	v.printTiming()
+	printProblems(result.Problems)
+}
+
+// printTiming prints how the zone was emptied.
+func (v *drainVariant) printTiming() {
+	if v.removeAll {
+		fmt.Printf("  %d machines taken away at once\n", v.released)
+		return
+	}
+	fmt.Printf("  drained in %v: %+v\n", v.timing.Total.Round(time.Second), v.timing.Status.Counts)
+	for _, reason := range slices.Sorted(maps.Keys(v.timing.Waits)) {
+		fmt.Printf("    %6v %s\n", v.timing.Waits[reason].Round(time.Second), reason)
 	}
 }
--- /dev/null
+++ b/internal/loadtest/agents.go
@@ -0,0 +1,69 @@
+package loadtest
+
+import (
+	"encoding/json"
+	"net/http"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"switchshore.example/switchshore/internal/ctxtime"
+	"switchshore.example/switchshore/internal/simulation"
+	"switchshore.example/switchshore/wire"
+)
+
+// unusedAddress is the address of all agents: nothing listens there, so that commands come with the
+// responses to heartbeats only.
+const unusedAddress = "127.0.0.1:1"
+
+// heartbeatTimeout is how long an agent waits for a response.
+const heartbeatTimeout = 4 * time.Second
+
+// runAgent simulates the agent of a machine until the machine is released or the context ends.
+func (c *Cluster) runAgent(machine wire.ListedMachine) {
+	machine.Addr = unusedAddress
+	agent := c.newAgent(machine)
+	recorder := c.recordTasks(agent)
+	defer recorder.machineLost()
+	client := &fasthttp.Client{MaxConnsPerHost: 1}
+	target := int(agent.LeaseEnd.UnixNano() % nodeCount)
+	for c.ctx.Err() == nil && c.services.HasMachine(machine.Name) {
+		agent.Advance(time.Now())
+		recorder.observe()
+		if !c.sendHeartbeat(client, c.clientAddrs[target], agent) {
+			target = (target + 1) % nodeCount
+		}
+		if ctxtime.Sleep(c.ctx, c.options.HeartbeatInterval) != nil {
+			return
+		}
+	}
+}
+
+// newAgent returns an agent whose tasks run as the options say.
+func (c *Cluster) newAgent(machine wire.ListedMachine) *simulation.Agent {
+	agent := simulation.NewAgent(time.Now(), machine, c.services.Cloud.Type, agentLease)
+	agent.LookUpJob = c.job
+	agent.SavedProgress = c.savedProgress
+	agent.RunTime = c.options.RunTime
+	if agent.RunTime == nil {
+		agent.RunTime = func(j *wire.Job) time.Duration { return time.Duration(j.EstimateS * float64(time.Second)) }
+	}
+	return agent
+}
+
+// sendHeartbeat sends an agent's heartbeat to a controller and applies the response, and reports
+// whether there was one.
+func (c *Cluster) sendHeartbeat(client *fasthttp.Client, addr string, agent *simulation.Agent) bool {
+	sent := time.Now()
+	body, err := json.Marshal(agent.NextHeartbeat())
+	if err != nil {
+		panic(err) // it has fields of basic types only
+	}
+	response := sendHTTP(client, addr, http.MethodPost, wire.PathHeartbeat, body, heartbeatTimeout)
+	var answer wire.HeartbeatResponse
+	if response.status != http.StatusOK || json.Unmarshal(response.body, &answer) != nil {
+		return false
+	}
+	agent.HandleHeartbeatResponse(time.Now(), sent, agent.Epoch, answer)
+	return true
+}
--- a/internal/loadtest/check.go
+++ b/internal/loadtest/check.go
@@ -1,30 +1,27 @@
 package loadtest
 
 import (
-	"cmp"
 	"fmt"
 	"maps"
-	"math"
 	"net/http"
 	"slices"
 	"time"
 
-	"switchshore.example/switchshore/internal/admission"
 	"switchshore.example/switchshore/wire"
 )
 
-// Plan is what a history is checked against: the load lasts from Begin to End, and every
-// class with offers is to make progress in each Window in between.
+// Plan is what a history is checked against.
 type Plan struct {
+	// Begin and End bound the load. Every class must make progress in each Window in between.
 	Begin, End, Window time.Duration
-	// Objectives are what is promised for accepted jobs.
+	// Objectives are what accepted jobs are promised.
 	Objectives []Objective
 }
 
-// Check returns what is wrong with a history: a job without exactly one final answer, one
-// that is forgotten or goes back, an accepted one that is not done in the end, a class that
-// makes no progress, or of which fewer jobs are done in time than promised.
-func Check(history []Answer, plan Plan) []string {
+// Check returns the problems of a history: a job without exactly one final response, one that is
+// lost or leaves a final state, an accepted one that does not end, a class that makes no progress,
+// or of which fewer jobs are done in time than its objective promises.
+func Check(history []Exchange, plan Plan) []string {
 	problems := checkJobs(history)
 	problems = append(problems, checkProgress(history, plan)...)
 	for _, o := range plan.Objectives {
@@ -35,20 +32,22 @@
 
 // checkObjective finds a class of which too few of the accepted jobs were done in time, counted
 // from the acceptance: before it no controller knows the job.
-func checkObjective(history []Answer, o Objective) []string {
+func checkObjective(history []Exchange, o Objective) []string {
 	acceptedAt := map[string]time.Duration{}
-	over := map[string]bool{}
+	done := map[string]bool{}
 	inTime := 0
 	for i := range history {
-		a := &history[i]
-		known, accepted := acceptedAt[a.Job]
+		e := &history[i]
+		if e.Class != o.Class {
+			continue
+		}
+		since, accepted := acceptedAt[e.Job]
 		switch {
-		case a.Class != o.Class:
-		case a.accepted() && !accepted:
-			acceptedAt[a.Job] = a.at()
-		case accepted && a.State == wire.JobDone && !over[a.Job]:
-			over[a.Job] = true
-			if a.at()-known <= o.Within {
+		case e.accepted() && !accepted:
+			acceptedAt[e.Job] = e.receivedAt()
+		case accepted && e.State == wire.JobDone && !done[e.Job]:
+			done[e.Job] = true
+			if e.receivedAt()-since <= o.Within {
 				inTime++
 			}
 		}
@@ -56,32 +55,34 @@
 	if float64(inTime) >= o.Share*float64(len(acceptedAt)) {
 		return nil
 	}
-	return []string{fmt.Sprintf("%s: %d of %d accepted jobs done within %v, promised is %g of them", o.Class, inTime, len(acceptedAt), o.Within, o.Share)}
+	return []string{fmt.Sprintf("%s: %d of %d accepted jobs done within %v, promised is %g of them",
+		o.Class, inTime, len(acceptedAt), o.Within, o.Share)}
 }
 
-// jobHistory is what a job's user has been told so far.
-type jobHistory struct {
-	accepted, gaveUp bool
-	state            string
+// observedJob is what a job's user has been told so far.
+type observedJob struct {
+	accepted, abandoned bool
+	state               string
 }
 
-func checkJobs(history []Answer) []string {
+// checkJobs finds jobs whose responses contradict each other, or that do not end.
+func checkJobs(history []Exchange) []string {
 	var problems []string
-	jobs := map[string]*jobHistory{}
+	jobs := map[string]*observedJob{}
 	for i := range history {
-		a := &history[i]
-		j := jobs[a.Job]
+		e := &history[i]
+		j := jobs[e.Job]
 		if j == nil {
-			j = &jobHistory{}
-			jobs[a.Job] = j
+			j = &observedJob{}
+			jobs[e.Job] = j
 		}
-		if problem := j.take(a); problem != "" {
-			problems = append(problems, fmt.Sprintf("%s at %v: %s", a.Job, a.at(), problem))
+		if problem := j.apply(e); problem != "" {
+			problems = append(problems, fmt.Sprintf("%s at %v: %s", e.Job, e.receivedAt(), problem))
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(jobs)) {
 		switch j := jobs[id]; {
-		case !j.accepted && !j.gaveUp:
+		case !j.accepted && !j.abandoned:
 			problems = append(problems, id+": no final answer")
 		case j.accepted && !wire.IsTerminal(j.state):
 			problems = append(problems, id+": accepted, and not over in the end")
@@ -90,145 +91,71 @@
 	return problems
 }
 
-// take adds an answer and says what is wrong with it, or "".
-func (j *jobHistory) take(a *Answer) string {
+// apply adds an exchange and returns its problem, or "".
+func (j *observedJob) apply(e *Exchange) string {
 	switch {
-	case a.Op == OpGiveUp:
+	case e.Op == OpGiveUp:
 		if j.accepted {
 			return "given up after it was accepted"
 		}
-		j.gaveUp = true
-	case j.accepted && slices.Contains([]int32{http.StatusBadRequest, http.StatusNotFound, http.StatusUnprocessableEntity}, a.Status):
-		return fmt.Sprintf("accepted, and then answered %d", a.Status)
-	case a.Status/100 != 2:
+		j.abandoned = true
+	case j.accepted && refusesJob(e.Status):
+		return fmt.Sprintf("accepted, and then answered %d", e.Status)
+	case !succeeded(int(e.Status)):
 		return ""
-	case a.Op == OpQuery && !j.accepted && !j.gaveUp:
+	case e.Op == OpQuery && !j.accepted && !j.abandoned:
 		return "known before it was accepted"
-	case wire.IsTerminal(j.state) && a.State != j.state:
-		return fmt.Sprintf("called %s, and then %s", j.state, a.State)
+	case wire.IsTerminal(j.state) && e.State != j.state:
+		return fmt.Sprintf("called %s, and then %s", j.state, e.State)
 	default:
 		j.accepted = true
-		j.state = a.State
+		j.state = e.State
 	}
 	return ""
 }
 
-func checkProgress(history []Answer, plan Plan) []string {
-	windows := int((plan.End - plan.Begin) / plan.Window)
-	asked, accepted := map[string][]int{}, map[string][]int{}
-	for i := range history {
-		a := &history[i]
-		window := int((a.at() - plan.Begin) / plan.Window)
-		if a.Op != OpSubmit || a.at() < plan.Begin || window >= windows {
-			continue
-		}
-		if asked[a.key()] == nil {
-			asked[a.key()], accepted[a.key()] = make([]int, windows), make([]int, windows)
-		}
-		asked[a.key()][window]++
-		if a.accepted() {
-			accepted[a.key()][window]++
-		}
-	}
+// refusesJob reports whether a status says that a job is unknown or invalid.
+func refusesJob(status int32) bool {
+	return slices.Contains([]int32{http.StatusBadRequest, http.StatusNotFound, http.StatusUnprocessableEntity}, status)
+}
+
+// windowCounts are the submissions of a team's class and how many of them were accepted, by window.
+type windowCounts struct{ submitted, accepted []int }
+
+// checkProgress finds windows in which submissions of a class were made and none was accepted.
+func checkProgress(history []Exchange, plan Plan) []string {
 	var problems []string
-	for _, key := range slices.Sorted(maps.Keys(asked)) {
-		for i, n := range asked[key] {
-			if n > 0 && accepted[key][i] == 0 {
-				problems = append(problems, fmt.Sprintf("%s: none of %d tries accepted from %v", key, n, plan.Begin+time.Duration(i)*plan.Window))
+	counts := countByWindow(history, plan)
+	for _, class := range slices.Sorted(maps.Keys(counts)) {
+		for i, submitted := range counts[class].submitted {
+			if submitted > 0 && counts[class].accepted[i] == 0 {
+				begin := plan.Begin + time.Duration(i)*plan.Window
+				problems = append(problems, fmt.Sprintf("%s: none of %d tries accepted from %v", class, submitted, begin))
 			}
 		}
 	}
 	return problems
 }
 
-// Row sums up what became of a team's class.
-type Row struct {
-	Team, Class              string
-	Asked, Accepted, GivenUp int
-	Tries                    int
-	// P50 and P95 are times from the first try to the acceptance, of those accepted.
-	P50, P95 time.Duration
-	// Done are those heard to be done, DoneP50 the time from the first try to that.
-	Done    int
-	DoneP50 time.Duration
-}
-
-// Summarise sums a history up by team and class.
-func Summarise(history []Answer) []Row {
-	rows := map[string]*Row{}
-	waits := map[string][]time.Duration{}
-	first := map[string]time.Duration{}
-	done := map[string][]time.Duration{}
-	accepted := map[string]bool{}
+// countByWindow counts the submissions by team's class and window.
+func countByWindow(history []Exchange, plan Plan) map[string]windowCounts {
+	windows := int((plan.End - plan.Begin) / plan.Window)
+	counts := map[string]windowCounts{}
 	for i := range history {
-		a := &history[i]
-		r := rows[a.key()]
-		if r == nil {
-			r = &Row{Team: a.Team, Class: a.Class}
-			rows[a.key()] = r
-		}
-		if _, seen := first[a.Job]; !seen {
-			first[a.Job] = time.Duration(a.SentMS) * time.Millisecond
-			r.Asked++
+		e := &history[i]
+		window := int((e.receivedAt() - plan.Begin) / plan.Window)
+		if e.Op != OpSubmit || e.receivedAt() < plan.Begin || window >= windows {
+			continue
 		}
-		switch {
-		case a.Op == OpGiveUp:
-			r.GivenUp++
-		case a.Op == OpSubmit:
-			r.Tries++
-			if a.accepted() && !accepted[a.Job] {
-				accepted[a.Job] = true
-				r.Accepted++
-				waits[a.key()] = append(waits[a.key()], a.at()-first[a.Job])
-			}
-		case a.State == wire.JobDone:
-			// Users ask no more once they have heard it.
-			done[a.key()] = append(done[a.key()], a.at()-first[a.Job])
+		class, known := counts[e.teamClass()]
+		if !known {
+			class = windowCounts{make([]int, windows), make([]int, windows)}
+			counts[e.teamClass()] = class
 		}
-	}
-	var sorted []Row
-	for _, key := range slices.Sorted(maps.Keys(rows)) {
-		r := rows[key]
-		r.P50, r.P95 = quantile(waits[key], 0.5), quantile(waits[key], 0.95)
-		r.Done, r.DoneP50 = len(done[key]), quantile(done[key], 0.5)
-		sorted = append(sorted, *r)
-	}
-	return sorted
-}
-
-func quantile(values []time.Duration, q float64) time.Duration {
-	if len(values) == 0 {
-		return 0
-	}
-	sorted := slices.SortedFunc(slices.Values(values), cmp.Compare[time.Duration])
-	return sorted[int(math.Ceil(q*float64(len(sorted))))-1]
-}
-
-// Jain is Jain's fairness index over the teams: of what each got, related to what it would
-// get if all that was accepted were shared by max-min fairness. 1 is the fairest.
-func Jain(rows []Row) float64 {
-	asked, accepted := map[string]float64{}, map[string]float64{}
-	total := 0.0
-	for _, r := range rows {
-		asked[r.Team] += float64(r.Asked)
-		accepted[r.Team] += float64(r.Accepted)
-		total += float64(r.Accepted)
-	}
-	teams := slices.Sorted(maps.Keys(asked))
-	demands := make([]float64, len(teams))
-	for i, t := range teams {
-		demands[i] = asked[t]
-	}
-	sum, squares := 0.0, 0.0
-	for i, fair := range admission.MaxMin(total, demands) {
-		if fair > 0 {
-			x := accepted[teams[i]] / fair
-			sum += x
-			squares += x * x
+		class.submitted[window]++
+		if e.accepted() {
+			class.accepted[window]++
 		}
 	}
-	if squares == 0 {
-		return 0
-	}
-	return sum * sum / (float64(len(teams)) * squares)
+	return counts
 }
--- a/internal/loadtest/check_test.go
+++ b/internal/loadtest/check_test.go
@@ -12,78 +12,78 @@
 
 var plan = Plan{Begin: 0, End: 20 * time.Second, Window: 10 * time.Second, Objectives: []Objective{{"urgent", 11 * time.Second, 1}}}
 
-func submitted(job string, at int64, status int32) Answer {
-	a := Answer{SentMS: at, Op: OpSubmit, Job: job, Team: "blue", Class: "urgent", Status: status}
+func submitted(job string, at int64, status int32) Exchange {
+	a := Exchange{SentMS: at, Op: OpSubmit, Job: job, Team: "blue", Class: "urgent", Status: status}
 	if status/100 == 2 {
 		a.State = wire.JobQueued
 	}
 	return a
 }
 
-func asked(job string, at int64, status int32, state string) Answer {
-	return Answer{SentMS: at, Op: OpQuery, Job: job, Team: "blue", Class: "urgent", Status: status, State: state}
+func queried(job string, at int64, status int32, state string) Exchange {
+	return Exchange{SentMS: at, Op: OpQuery, Job: job, Team: "blue", Class: "urgent", Status: status, State: state}
 }
 
-// sound is a history in which nothing is wrong.
-func sound() []Answer {
-	return []Answer{
+// validHistory is a history without problems.
+func validHistory() []Exchange {
+	return []Exchange{
 		submitted("job-1", 0, 429), submitted("job-1", 2000, 503), submitted("job-1", 3000, 201),
-		asked("job-1", 5000, 200, wire.JobRunning), asked("job-1", 6000, 503, ""),
+		queried("job-1", 5000, 200, wire.JobRunning), queried("job-1", 6000, 503, ""),
 		submitted("job-2", 6500, 429), submitted("job-3", 12_000, 201), submitted("job-3", 13_000, 200),
-		asked("job-1", 14_000, 200, wire.JobDone), asked("job-3", 15_000, 200, wire.JobDone),
+		queried("job-1", 14_000, 200, wire.JobDone), queried("job-3", 15_000, 200, wire.JobDone),
 		{SentMS: 16_000, Op: OpGiveUp, Job: "job-2", Team: "blue", Class: "urgent"},
 	}
 }
 
-// TestEachCheckFires: a sound history has no problem, and each kind of problem is found.
+// TestEachCheckFires: a valid history has no problem, and each kind of problem is found.
 func TestEachCheckFires(t *testing.T) {
-	if problems := Check(sound(), plan); len(problems) > 0 {
+	if problems := Check(validHistory(), plan); len(problems) > 0 {
 		t.Fatal(problems)
 	}
 	for name, c := range map[string]struct {
-		spoil func([]Answer) []Answer
-		want  string
+		change func([]Exchange) []Exchange
+		want   string
 	}{
-		"never answered for good": {func(h []Answer) []Answer { return h[:len(h)-1] }, "job-2: no final answer"},
-		"never over":              {func(h []Answer) []Answer { return append(h[:8:8], h[9:]...) }, "job-1: accepted, and not over"},
-		"given up though accepted": {func(h []Answer) []Answer {
-			return append(h, Answer{SentMS: 17_000, Op: OpGiveUp, Job: "job-1", Team: "blue", Class: "urgent"})
+		"never answered for good": {func(h []Exchange) []Exchange { return h[:len(h)-1] }, "job-2: no final answer"},
+		"never over":              {func(h []Exchange) []Exchange { return append(h[:8:8], h[9:]...) }, "job-1: accepted, and not over"},
+		"given up though accepted": {func(h []Exchange) []Exchange {
+			return append(h, Exchange{SentMS: 17_000, Op: OpGiveUp, Job: "job-1", Team: "blue", Class: "urgent"})
 		}, "given up after it was accepted"},
-		"forgotten":    {func(h []Answer) []Answer { return append(h, asked("job-1", 17_000, 404, "")) }, "answered 404"},
-		"refused late": {func(h []Answer) []Answer { return append(h, submitted("job-1", 17_000, 422)) }, "answered 422"},
-		"invented":     {func(h []Answer) []Answer { return append(h, asked("job-9", 17_000, 200, wire.JobDone)) }, "known before"},
-		"went back":    {func(h []Answer) []Answer { return append(h, asked("job-1", 17_000, 200, wire.JobRunning)) }, "called done, and then running"},
-		"done too late": {func(h []Answer) []Answer {
+		"forgotten":    {func(h []Exchange) []Exchange { return append(h, queried("job-1", 17_000, 404, "")) }, "answered 404"},
+		"refused late": {func(h []Exchange) []Exchange { return append(h, submitted("job-1", 17_000, 422)) }, "answered 422"},
+		"invented":     {func(h []Exchange) []Exchange { return append(h, queried("job-9", 17_000, 200, wire.JobDone)) }, "known before"},
+		"went back":    {func(h []Exchange) []Exchange { return append(h, queried("job-1", 17_000, 200, wire.JobRunning)) }, "called done, and then running"},
+		"done too late": {func(h []Exchange) []Exchange {
 			h[8].SentMS = 14_001
 			return h
 		}, "urgent: 1 of 2 accepted jobs done within 11s"},
-		"no progress": {func(h []Answer) []Answer {
-			refused, end := submitted("job-4", 17_000, 429), Answer{SentMS: 18_000, Op: OpGiveUp, Job: "job-4", Team: "blue", Class: "nightly"}
+		"no progress": {func(h []Exchange) []Exchange {
+			refused, end := submitted("job-4", 17_000, 429), Exchange{SentMS: 18_000, Op: OpGiveUp, Job: "job-4", Team: "blue", Class: "nightly"}
 			refused.Class = "nightly"
 			return append(h, refused, end)
 		}, "blue/nightly: none of 1 tries accepted from 10s"},
 	} {
-		if found := strings.Join(Check(c.spoil(sound()), plan), "\n"); !strings.Contains(found, c.want) {
+		if found := strings.Join(Check(c.change(validHistory()), plan), "\n"); !strings.Contains(found, c.want) {
 			t.Errorf("%s: found %q", name, found)
 		}
 	}
 }
 
-// TestHistoryIsKept: what is written to the columnar file is read again, in the order of the
-// answers, and can be summed up and drawn.
-func TestHistoryIsKept(t *testing.T) {
+// TestHistoryRoundTrip: what is written to the columnar file is read again, in the order of the
+// responses, and can be summed up and drawn.
+func TestHistoryRoundTrip(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "history.parquet")
-	written := sound()
+	written := validHistory()
 	written[0], written[3] = written[3], written[0]
-	if err := Save(path, written); err != nil {
+	if err := SaveHistory(path, written); err != nil {
 		t.Fatal(err)
 	}
-	read, err := Load(path)
-	if err != nil || len(read) != len(written) || read[0] != sound()[0] {
+	read, err := LoadHistory(path)
+	if err != nil || len(read) != len(written) || read[0] != validHistory()[0] {
 		t.Fatalf("%v %+v", err, read)
 	}
 	rows := Summarise(read)
-	if len(rows) != 1 || rows[0].Asked != 3 || rows[0].Accepted != 2 || rows[0].GivenUp != 1 || rows[0].P50 != 0 || rows[0].P95 != 3*time.Second {
+	if len(rows) != 1 || rows[0].Submitted != 3 || rows[0].Accepted != 2 || rows[0].Abandoned != 1 || rows[0].P50 != 0 || rows[0].P95 != 3*time.Second {
 		t.Errorf("%+v", rows)
 	}
 	result, err := NewResult("test", read, plan)
@@ -94,17 +94,17 @@
 	if err := WriteReport(&page, []*Result{result}); err != nil || !strings.Contains(page.String(), "data:image/png;base64,") {
 		t.Errorf("%v: %.200s", err, page.String())
 	}
-	if _, err := Load(filepath.Join(t.TempDir(), "none")); err == nil {
-		t.Error("a history that isn't there was read")
+	if _, err := LoadHistory(filepath.Join(t.TempDir(), "none")); err == nil {
+		t.Error("a missing history was read")
 	}
 }
 
-// TestJain: the index is 1 if all teams get what max-min fairness gives them, also if one asks
-// for far more, and falls when a flood pushes the others out.
+// TestJain: the index is 1 if all teams have what max-min fairness gives them, also if one submits far
+// more, and falls when a flood displaces the others.
 func TestJain(t *testing.T) {
-	fair := Jain([]Row{{Team: "a", Asked: 1000, Accepted: 50}, {Team: "b", Asked: 30, Accepted: 30}})
-	pushedOut := Jain([]Row{{Team: "a", Asked: 1000, Accepted: 78}, {Team: "b", Asked: 30, Accepted: 2}})
-	if fair < 0.999 || pushedOut > 0.8 {
-		t.Errorf("fair %v, pushed out %v", fair, pushedOut)
+	fair := Jain([]ClassSummary{{Team: "a", Submitted: 1000, Accepted: 50}, {Team: "b", Submitted: 30, Accepted: 30}})
+	displaced := Jain([]ClassSummary{{Team: "a", Submitted: 1000, Accepted: 78}, {Team: "b", Submitted: 30, Accepted: 2}})
+	if fair < 0.999 || displaced > 0.8 {
+		t.Errorf("fair %v, displaced %v", fair, displaced)
 	}
 }
--- a/internal/loadtest/drain_test.go
+++ b/internal/loadtest/disruption_test.go
@@ -8,20 +8,20 @@
 	"switchshore.example/switchshore/internal/drain"
 )
 
-// event is what a worker of zone a saw of a task of blue, which has lost so much.
+// event is an event of a task of team blue in zone a, which lost some run time.
 func event(at time.Duration, task, what string, lost time.Duration) TaskEvent {
 	return TaskEvent{AtMS: at.Milliseconds(), Zone: "a", Task: task, Team: "blue", Event: what, LostMS: lost.Milliseconds()}
 }
 
-// TestBudgetsAreCheckedByTheWorkersHistory: stops count until the task runs again, and within the
-// window; what a lost machine or another zone does is no eviction.
-func TestBudgetsAreCheckedByTheWorkersHistory(t *testing.T) {
+// TestDisruptionsAndBudgets: stops count until the task runs again, and within the window; a lost
+// machine or another zone causes no eviction.
+func TestDisruptionsAndBudgets(t *testing.T) {
 	const second = time.Second
 	other := event(3*second, "job-1/9", TaskStopped, second)
 	other.Zone = "b"
 	history := []TaskEvent{
-		event(0, "job-1/0", TaskRuns, 0), event(1*second, "job-1/0", TaskStopped, 10*second), event(2*second, "job-1/1", TaskSaved, 0),
-		other, event(4*second, "job-1/0", TaskRuns, 0), event(5*second, "job-1/2", TaskLost, 30*second),
+		event(0, "job-1/0", TaskStarted, 0), event(1*second, "job-1/0", TaskStopped, 10*second), event(2*second, "job-1/1", TaskSaved, 0),
+		other, event(4*second, "job-1/0", TaskStarted, 0), event(5*second, "job-1/2", TaskLost, 30*second),
 		event(40*second, "job-1/3", TaskStopped, 5*second), event(70*second, "job-1/4", TaskStopped, 7*second),
 	}
 	found := Disruptions(history, "a", time.Minute)
--- a/internal/loadtest/drain.go
+++ b/internal/loadtest/drain.go
@@ -4,8 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"maps"
-	"slices"
 	"time"
 
 	"switchshore.example/switchshore/internal/ctxtime"
@@ -13,157 +11,91 @@
 	"switchshore.example/switchshore/internal/peer"
 )
 
-// DrainTimes is how long a drain took, and for what it waited.
-type DrainTimes struct {
+// DrainTiming is how long a drain took, and for what it waited.
+type DrainTiming struct {
 	Total time.Duration
-	// Waits are the times by what the drain waited for, as its status said.
+	// Waits are the times by the reason in the drain's status.
 	Waits  map[string]time.Duration
 	Status drain.Status
 }
 
-// ErrNotDrained is a drain that did not end in time.
+// ErrNotDrained is returned for a drain that did not end in time.
 var ErrNotDrained = errors.New("the drain has not ended")
 
+// RefusedError is returned for an operator's request that a controller refused.
+type RefusedError struct {
+	Status int
+	Reason string
+}
+
+// Error implements error.
+func (e *RefusedError) Error() string { return "refused: " + e.Reason }
+
 const (
-	// statusEvery is how often a drain's status is asked for.
-	statusEvery = 250 * time.Millisecond
-	// longestDrain bounds a measurement.
-	longestDrain = 10 * time.Minute
+	// pollInterval is how often a drain's status is requested.
+	pollInterval = 250 * time.Millisecond
+	// operatorTimeout bounds one request.
+	operatorTimeout = 2 * time.Second
+	// maxDrainTime bounds a measurement.
+	maxDrainTime = 10 * time.Minute
 )
 
-// ask sends an operator's request to the controllers, one after the other, until one has
-// carried it out.
-func (c *Cluster) ask(ctx context.Context, q *drain.Request) (drain.Status, error) {
-	for i := 0; ; i++ {
-		attempt, cancel := context.WithTimeout(ctx, 2*time.Second)
-		answer, err := peer.Request(attempt, c.peers[i%nodes], peer.Call{Op: peer.OpDrain, Drain: q})
-		cancel()
-		if err == nil && answer.Status/100 == 2 && len(answer.Drains) == 1 {
-			return answer.Drains[0], nil
-		}
-		if err == nil && answer.Status/100 == 4 {
-			return drain.Status{}, fmt.Errorf("refused: %s", answer.Reason)
+// sendOperatorRequest sends an operator's request to the controllers, one after the other, until one
+// has executed or refused it.
+func (c *Cluster) sendOperatorRequest(ctx context.Context, request *drain.Request) (drain.Status, error) {
+	for attempt := 0; ; attempt++ {
+		response, err := requestDrain(ctx, c.peerAddrs[attempt%nodeCount], request)
+		switch {
+		case err != nil:
+			// Another controller may answer.
+		case succeeded(response.Status) && len(response.Drains) == 1:
+			return response.Drains[0], nil
+		case refused(response.Status):
+			return drain.Status{}, &RefusedError{response.Status, response.Reason}
 		}
-		if err := ctxtime.Sleep(ctx, statusEvery); err != nil {
+		if err := ctxtime.Sleep(ctx, pollInterval); err != nil {
 			return drain.Status{}, err
 		}
 	}
 }
 
+// requestDrain sends an operator's request to one controller.
+func requestDrain(ctx context.Context, addr string, request *drain.Request) (peer.Response, error) {
+	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
+	defer cancel()
+	return peer.Request(ctx, addr, peer.Call{Op: peer.OpDrain, Drain: request})
+}
+
 // Drain applies a drain and follows it to its end.
-func (c *Cluster) Drain(ctx context.Context, s *drain.Spec) (*DrainTimes, error) {
-	ctx, cancel := context.WithTimeout(ctx, longestDrain)
+func (c *Cluster) Drain(ctx context.Context, spec *drain.Spec) (*DrainTiming, error) {
+	ctx, cancel := context.WithTimeout(ctx, maxDrainTime)
 	defer cancel()
-	if _, err := c.ask(ctx, &drain.Request{Action: drain.Apply, Name: s.Name, Spec: s}); err != nil {
+	if _, err := c.sendOperatorRequest(ctx, &drain.Request{Action: drain.Apply, Name: spec.Name, Spec: spec}); err != nil {
 		return nil, err
 	}
-	begun := time.Now()
-	times := &DrainTimes{Waits: map[string]time.Duration{}}
-	for last := begun; ; {
-		status, err := c.ask(ctx, &drain.Request{Action: drain.Show, Name: s.Name})
+	return c.followDrain(ctx, spec.Name)
+}
+
+// followDrain polls a drain's status until it is done.
+func (c *Cluster) followDrain(ctx context.Context, name string) (*DrainTiming, error) {
+	started := time.Now()
+	timing := &DrainTiming{Waits: map[string]time.Duration{}}
+	for last := started; ; {
+		status, err := c.sendOperatorRequest(ctx, &drain.Request{Action: drain.Show, Name: name})
 		if err != nil {
-			return times, fmt.Errorf("%w: %w", ErrNotDrained, err)
+			return timing, fmt.Errorf("%w: %w", ErrNotDrained, err)
 		}
 		now := time.Now()
 		if status.Reason != "" {
-			times.Waits[status.Reason] += now.Sub(last)
+			timing.Waits[status.Reason] += now.Sub(last)
 		}
 		last = now
-		times.Total, times.Status = now.Sub(begun), status
+		timing.Total, timing.Status = now.Sub(started), status
 		if status.State == drain.Done {
-			return times, nil
-		}
-		if err := ctxtime.Sleep(ctx, statusEvery); err != nil {
-			return times, ErrNotDrained
+			return timing, nil
 		}
-	}
-}
-
-// ReleaseZone takes all machines of a zone away at once.
-func (c *Cluster) ReleaseZone(zone string) int { return c.services.ReleaseZone(zone) }
-
-// Disruption is what a team's work has gone through.
-type Disruption struct {
-	Team string
-	// Stopped were stopped by command, Saved those of them that saved their progress; Lost went
-	// with their machines.
-	Stopped, Saved, Lost int
-	LostTime             time.Duration
-	// MostUnavailable is the largest number of tasks stopped that did not run again yet, MostEvictions
-	// and MostLost are the largest sums within a window.
-	MostUnavailable, MostEvictions int
-	MostLost                       time.Duration
-}
-
-// Disruptions sums up, by team, what a workers' history shows of tasks on machines of a zone.
-func Disruptions(history []TaskEvent, zone string, window time.Duration) []Disruption {
-	teams := map[string]*Disruption{}
-	out := map[string]map[string]bool{}
-	recent := map[string][]TaskEvent{}
-	for _, e := range history {
-		d := teams[e.Team]
-		if d == nil {
-			d = &Disruption{Team: e.Team}
-			teams[e.Team], out[e.Team] = d, map[string]bool{}
-		}
-		if e.Event == TaskRuns || e.Event == TaskDone {
-			delete(out[e.Team], e.Task)
-			continue
-		}
-		if e.Zone != zone {
-			continue
-		}
-		d.count(e)
-		if e.Event == TaskLost {
-			continue
-		}
-		out[e.Team][e.Task] = true
-		d.MostUnavailable = max(d.MostUnavailable, len(out[e.Team]))
-		recent[e.Team] = append(recent[e.Team], e)
-		for time.Duration(e.AtMS-recent[e.Team][0].AtMS)*time.Millisecond >= window {
-			recent[e.Team] = recent[e.Team][1:]
-		}
-		d.MostEvictions = max(d.MostEvictions, len(recent[e.Team]))
-		d.MostLost = max(d.MostLost, lostTime(recent[e.Team]))
-	}
-	var sorted []Disruption
-	for _, team := range slices.Sorted(maps.Keys(teams)) {
-		sorted = append(sorted, *teams[team])
-	}
-	return sorted
-}
-
-func (d *Disruption) count(e TaskEvent) {
-	switch e.Event {
-	case TaskSaved:
-		d.Saved++
-		d.Stopped++
-	case TaskStopped:
-		d.Stopped++
-	case TaskLost:
-		d.Lost++
-	}
-	d.LostTime += lostTime([]TaskEvent{e})
-}
-
-// lostTime is the run time thrown away by some events.
-func lostTime(events []TaskEvent) time.Duration {
-	sum := time.Duration(0)
-	for _, e := range events {
-		sum += time.Duration(e.LostMS) * time.Millisecond
-	}
-	return sum
-}
-
-// CheckBudgets returns where disruptions exceed the budgets.
-func CheckBudgets(disruptions []Disruption, budgets *drain.Budgets) []string {
-	var problems []string
-	for _, d := range disruptions {
-		b := budgets.For(d.Team)
-		if d.MostUnavailable > b.MaxUnavailable || d.MostEvictions > b.Evictions || d.MostLost.Seconds() > b.LostS {
-			problems = append(problems, fmt.Sprintf("%s: %d unavailable of %d, %d evictions of %d, %v lost of %gs", d.Team,
-				d.MostUnavailable, b.MaxUnavailable, d.MostEvictions, b.Evictions, d.MostLost, b.LostS))
+		if err := ctxtime.Sleep(ctx, pollInterval); err != nil {
+			return timing, fmt.Errorf("%w: %w", ErrNotDrained, err)
 		}
 	}
-	return problems
 }
--- a/internal/loadtest/history.go
+++ b/internal/loadtest/history.go
@@ -1,6 +1,3 @@
-// Package loadtest measures outside CI: it runs controllers as processes on loopback against
-// stand-ins and under load, keeps the history of every answer and of every task, checks it, and
-// draws a report.
 package loadtest
 
 import (
@@ -15,13 +12,13 @@
 const (
 	OpSubmit = "submit"
 	OpQuery  = "query"
-	// OpGiveUp is a user's end of tries, after his patience.
+	// OpGiveUp stands for the end of a user's retries: no request belongs to it.
 	OpGiveUp = "give up"
 )
 
-// Answer is one request of a user and what came back: a row of the history.
-type Answer struct {
-	// SentMS and TookMS are milliseconds, since the start and of the exchange.
+// Exchange is one request of a user and its response: a row of the history.
+type Exchange struct {
+	// SentMS is the time since the start, TookMS the time until the response, in milliseconds.
 	SentMS int64  `parquet:"sent_ms"`
 	TookMS int64  `parquet:"took_ms"`
 	Op     string `parquet:"op,dict"`
@@ -29,32 +26,34 @@
 	Team   string `parquet:"team,dict"`
 	Class  string `parquet:"class,dict"`
 	Node   int32  `parquet:"node"`
-	// Status is that of HTTP, 0 if no answer came.
+	// Status is the HTTP status, 0 if there was no response.
 	Status     int32  `parquet:"status"`
 	RetryAfter int32  `parquet:"retry_after_s"`
 	State      string `parquet:"state,dict"`
 }
 
-// accepted reports whether the answer says that the job is accepted.
-func (a *Answer) accepted() bool { return a.Op == OpSubmit && a.Status/100 == 2 }
+// accepted reports whether the response says that the job is accepted.
+func (e *Exchange) accepted() bool { return e.Op == OpSubmit && succeeded(int(e.Status)) }
 
-// key is the team and class that the answer counts under.
-func (a *Answer) key() string { return a.Team + "/" + a.Class }
+// teamClass is the team and class that the exchange counts under.
+func (e *Exchange) teamClass() string { return e.Team + "/" + e.Class }
 
-// at is when the answer came.
-func (a *Answer) at() time.Duration { return time.Duration(a.SentMS+a.TookMS) * time.Millisecond }
+// receivedAt is when the response came, since the start.
+func (e *Exchange) receivedAt() time.Duration {
+	return time.Duration(e.SentMS+e.TookMS) * time.Millisecond
+}
 
-// Save writes a history, of answers or of tasks, as a columnar file.
-func Save[Row any](path string, history []Row) error {
+// SaveHistory writes a history, of exchanges or of tasks, as a columnar file.
+func SaveHistory[Row any](path string, history []Row) error {
 	return parquet.WriteFile(path, history, parquet.Compression(&parquet.Zstd))
 }
 
-// Load reads a history, in the order in which the answers came.
-func Load(path string) ([]Answer, error) {
-	history, err := parquet.ReadFile[Answer](path)
+// LoadHistory reads a history of exchanges, in the order of the responses.
+func LoadHistory(path string) ([]Exchange, error) {
+	history, err := parquet.ReadFile[Exchange](path)
 	if err != nil {
 		return nil, fmt.Errorf("history %s: %w", path, err)
 	}
-	slices.SortStableFunc(history, func(a, b Answer) int { return int(a.at() - b.at()) })
+	slices.SortStableFunc(history, func(a, b Exchange) int { return int(a.receivedAt() - b.receivedAt()) })
 	return history, nil
 }
--- a/internal/loadtest/tasks.go
+++ b/internal/loadtest/tasks.go
@@ -1,25 +1,28 @@
 package loadtest
 
 import (
+	"slices"
 	"time"
 
 	"switchshore.example/switchshore/internal/simulation"
 	"switchshore.example/switchshore/wire"
 )
 
-// Events of a task on a machine.
+// Events of a task on a machine. The values are stored in histories.
 const (
-	// TaskRuns: it began to run.
-	TaskRuns = "runs"
-	// TaskStopped: it was stopped by command, and TaskSaved that it saved its progress.
+	// TaskStarted: it began to run.
+	TaskStarted = "runs"
+	// TaskStopped: it was stopped by command.
 	TaskStopped = "stopped"
-	TaskSaved   = "saved"
-	// TaskLost: its machine went away, or its lease ran out, while it ran.
+	// TaskSaved: it was stopped by command and saved its progress.
+	TaskSaved = "saved"
+	// TaskLost: its machine was released, or the lease expired, while it ran.
 	TaskLost = "lost"
-	TaskDone = "done"
+	// TaskCompleted: it has completed.
+	TaskCompleted = "done"
 )
 
-// TaskEvent is something that a stand-in worker saw of a task: a row of the workers' history.
+// TaskEvent is a change of a task that an agent observed: a row of the tasks' history.
 type TaskEvent struct {
 	AtMS    int64  `parquet:"at_ms"`
 	Machine string `parquet:"machine,dict"`
@@ -27,87 +30,94 @@
 	Task    string `parquet:"task"`
 	Team    string `parquet:"team,dict"`
 	Event   string `parquet:"event,dict"`
-	// RanMS is for how long it had run, LostMS what of that is thrown away.
+	// RanMS is for how long it had run, LostMS what of that is lost.
 	RanMS  int64 `parquet:"ran_ms"`
 	LostMS int64 `parquet:"lost_ms"`
 }
 
-// taskWatch notes what becomes of the tasks of one worker.
-type taskWatch struct {
+// taskRecorder records the events of one agent's tasks.
+type taskRecorder struct {
 	cluster *Cluster
-	worker  *simulation.Agent
+	agent   *simulation.Agent
 	running map[*simulation.Task]bool
 }
 
-// watchTasks notes from now on what becomes of a worker's tasks.
-func (c *Cluster) watchTasks(w *simulation.Agent) *taskWatch {
-	t := &taskWatch{c, w, map[*simulation.Task]bool{}}
-	w.OnStop = func(task *simulation.Task, saves bool) {
+// recordTasks records the events of an agent's tasks from now on.
+func (c *Cluster) recordTasks(agent *simulation.Agent) *taskRecorder {
+	r := &taskRecorder{c, agent, map[*simulation.Task]bool{}}
+	agent.OnStop = func(task *simulation.Task, saves bool) {
 		event := TaskStopped
 		if saves {
 			event = TaskSaved
 		}
-		delete(t.running, task)
-		t.note(task, event)
+		delete(r.running, task)
+		r.record(task, event)
 	}
-	return t
+	return r
 }
 
-// look notes the tasks that have begun to run, ended, or gone since the last look.
-func (t *taskWatch) look() {
-	there := map[*simulation.Task]bool{}
-	for _, task := range t.worker.Tasks {
-		there[task] = true
-		done := task.State == wire.TaskExited && task.ExitReason == wire.ExitDone
+// observe records the tasks that have started, completed or been lost since the last call.
+func (r *taskRecorder) observe() {
+	listed := map[*simulation.Task]bool{}
+	for _, task := range r.agent.Tasks {
+		listed[task] = true
+		completed := task.State == wire.TaskExited && task.ExitReason == wire.ExitDone
 		switch {
-		case task.State == wire.TaskRunning && !t.running[task]:
-			t.running[task] = true
-			t.note(task, TaskRuns)
-		case done && t.running[task]:
-			delete(t.running, task)
-			t.note(task, TaskDone)
+		case task.State == wire.TaskRunning && !r.running[task]:
+			r.running[task] = true
+			r.record(task, TaskStarted)
+		case completed && r.running[task]:
+			delete(r.running, task)
+			r.record(task, TaskCompleted)
 		}
 	}
-	for task := range t.running {
-		if !there[task] {
-			delete(t.running, task)
-			t.note(task, TaskLost)
+	for task := range r.running {
+		if !listed[task] {
+			delete(r.running, task)
+			r.record(task, TaskLost)
 		}
 	}
 }
 
-// lost notes all running tasks as lost: the machine is gone.
-func (t *taskWatch) lost() {
-	if t.cluster.ctx.Err() != nil {
-		return // the measurement has ended
+// machineLost records all running tasks as lost, unless the measurement has ended.
+func (r *taskRecorder) machineLost() {
+	if r.cluster.ctx.Err() != nil {
+		return
 	}
-	for task := range t.running {
-		t.note(task, TaskLost)
+	for task := range r.running {
+		r.record(task, TaskLost)
 	}
 }
 
-func (t *taskWatch) note(task *simulation.Task, event string) {
+// record adds an event of a task, and its progress if it saves checkpoints.
+func (r *taskRecorder) record(task *simulation.Task, event string) {
 	id, _, _ := wire.SplitTask(task.Name)
-	job := t.cluster.job(id)
+	job := r.cluster.job(id)
 	now := time.Now()
 	ran := now.Sub(task.StartedAt)
-	lost := time.Duration(0)
-	if event == TaskStopped || event == TaskLost {
-		lost = ran
-		if interval := time.Duration(job.CheckpointIntervalS * float64(time.Second)); interval > 0 {
-			lost = ran % interval
-		}
-	}
+	lost := lostRunTime(job, event, ran)
 	e := TaskEvent{
-		AtMS: now.Sub(t.cluster.begun).Milliseconds(), Machine: t.worker.ID, Zone: t.worker.Machine.Zone, Task: task.Name,
-		Team: job.Team, Event: event, RanMS: ran.Milliseconds(), LostMS: lost.Milliseconds(),
+		AtMS: now.Sub(r.cluster.startedAt).Milliseconds(), Machine: r.agent.ID, Zone: r.agent.Machine.Zone,
+		Task: task.Name, Team: job.Team, Event: event, RanMS: ran.Milliseconds(), LostMS: lost.Milliseconds(),
+	}
+	r.cluster.mu.Lock()
+	defer r.cluster.mu.Unlock()
+	r.cluster.taskEvents = append(r.cluster.taskEvents, e)
+	if job.CheckpointIntervalS > 0 && event != TaskStarted {
+		r.cluster.progress[task.Name] += ran - lost
+	}
+}
+
+// lostRunTime is the part of a task's run time that an event loses: what came after the last
+// checkpoint, if it saves any.
+func lostRunTime(job *wire.Job, event string, ran time.Duration) time.Duration {
+	if event != TaskStopped && event != TaskLost {
+		return 0
 	}
-	t.cluster.mu.Lock()
-	defer t.cluster.mu.Unlock()
-	t.cluster.tasks = append(t.cluster.tasks, e)
-	if job.CheckpointIntervalS > 0 && event != TaskRuns {
-		t.cluster.progress[task.Name] += ran - lost
+	if interval := time.Duration(job.CheckpointIntervalS * float64(time.Second)); interval > 0 {
+		return ran % interval
 	}
+	return ran
 }
 
 // savedProgress is the run time that a task has saved.
@@ -117,9 +127,9 @@
 	return c.progress[task]
 }
 
-// TaskHistory is what the workers have seen so far, in order.
+// TaskHistory is the events recorded so far, in order.
 func (c *Cluster) TaskHistory() []TaskEvent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]TaskEvent(nil), c.tasks...)
+	return slices.Clone(c.taskEvents)
 }
