--- a/internal/consolidation/consolidation.go
+++ b/internal/consolidation/consolidation.go
@@ -176,6 +176,6 @@
 func (p *pass) firstFit(j *jobs.Job, targets []*machines.Machine) int {
 	probe := j.Constraints()
 	return slices.IndexFunc(targets, func(m *machines.Machine) bool {
-		return p.free[m].Fits(j.Request()) && !m.AvoidedJobs[j.ID] && probe.Allowed(m.PlacementView())
+		return p.free[m].Fits(j.Request()) && !m.Avoids(j.ID) && probe.Allowed(m.PlacementView())
 	})
 }
--- a/internal/leader/direct.go
+++ b/internal/leader/direct.go
@@ -46,12 +46,12 @@
 	next := 0
 	for ; next < len(l.calls.queue) && l.calls.inFlight < l.maxCalls(); next++ {
 		m := l.calls.queue[next]
-		m.CallQueued = false
-		if m.Calling || m.Addr == "" || now.Before(m.CallAfter) || !m.Reconciled || m.CordonedFor(machines.CordonUnresponsive) || l.heartbeatOverdue(now, m) || l.machines.Get(m.ID) != m {
+		m.DequeueCall()
+		if !m.CanBeCalled(now, &l.timing) || l.machines.Get(m.ID) != m {
 			// The answer to the next report carries it.
 			continue
 		}
-		call := &DirectCall{Machine: m.ID, Addr: m.Addr, Request: wire.CommandRequest{FencingToken: l.term, AgentEpoch: m.Epoch}, seq: m.Sequence}
+		call := &DirectCall{Machine: m.ID, Addr: m.Addr, Request: wire.CommandRequest{FencingToken: l.term, AgentEpoch: m.Epoch()}, seq: m.Sequence()}
 		open := l.acceptsWork(now, m)
 		for _, a := range m.Attempts {
 			if a.TakeDirectStop() {
@@ -66,7 +66,7 @@
 			call.Request.Commands = append(call.Request.Commands, a.StartCommand())
 		}
 		if len(call.Request.Commands) > 0 {
-			m.Calling = true
+			m.BeginCall()
 			l.calls.inFlight++
 			calls = append(calls, call)
 		}
@@ -80,8 +80,7 @@
 
 // schedule puts a machine in the list of those with something to be told.
 func (d *directCalls) schedule(m *machines.Machine) {
-	if !m.CallQueued {
-		m.CallQueued = true
+	if m.QueueCall() {
 		d.queue = append(d.queue, m)
 	}
 }
@@ -110,10 +109,10 @@
 	if m == nil {
 		return
 	}
-	m.Calling = false
+	m.EndCall()
 	l.calls.schedule(m)
 	if outcome != DirectAnswered {
-		m.CallAfter = now.Add(tuning.DirectBackoff)
+		m.PauseCalls(now.Add(tuning.DirectBackoff))
 		return
 	}
 	if r == nil || r.Machine != m.ID {
@@ -130,6 +129,6 @@
 	if r.FencingToken != l.term || m.IsStale(r) {
 		return
 	}
-	l.advanceSequence(m, r)
+	m.AdvanceSession(r.AgentEpoch, r.Sequence)
 	l.reconcileTasks(now, m, r, false)
 }
--- a/internal/leader/drains.go
+++ b/internal/leader/drains.go
@@ -5,8 +5,9 @@
 	"maps"
 	"time"
 
-	"switchshore.example/switchshore/internal/drain"
 	"switchshore.example/switchshore/internal/drainer"
+
+	"switchshore.example/switchshore/internal/drain"
 	"switchshore.example/switchshore/internal/jobs"
 )
 
@@ -19,7 +20,7 @@
 		Zones:       l.params.Zones,
 		MaxMachines: l.operator.MaxMachines,
 		ValueLimit:  l.valueLimit(),
-		LeaseTime:   l.leaseTime(),
+		LeaseTime:   l.timing.LeaseExpiry,
 		LeaseS:      l.params.Workers.LeaseS,
 	}
 	return drainer.New(l.log, c, drainer.Cluster{
@@ -53,7 +54,7 @@
 // drainsBlocked is why no batch may begin now whatever machines there are, "" if one may.
 func (l *Leader) drainsBlocked(now time.Time) drain.Cause {
 	switch {
-	case !l.lists.complete || now.Before(l.inheritedUntil):
+	case !l.lists.complete || now.Before(l.timing.InheritedUntil):
 		return drain.BlockedByNewLeader
 	case l.admission.shedding():
 		return drain.BlockedByOverload
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -3,7 +3,6 @@
 import (
 	"switchshore.example/switchshore/internal/jobs"
 	"switchshore.example/switchshore/internal/machines"
-	"switchshore.example/switchshore/internal/tuning"
 )
 
 // Whose fault a failure is shows only by where else the job fails or ends. A job that
@@ -15,24 +14,21 @@
 // recordTaskFailure notes that a task of the job has failed on the machine.
 func (l *Leader) recordTaskFailure(j *jobs.Job, m *machines.Machine) {
 	j.RecordFailureOn(m.ID)
-	m.AvoidedJobs[j.ID] = true
+	m.AvoidJob(j.ID)
 	if !j.FailsEverywhere() {
 		l.countFailedJob(m, j)
 		return
 	}
 	for id := range j.FailedOn() {
 		if o := l.machines.Get(id); o != nil {
-			delete(o.FailedJobs, j.ID)
-			o.SetCordon(machines.CordonFaulty, len(o.FailedJobs) >= tuning.QuarantineJobs)
+			o.ForgiveFailedJob(j.ID)
 		}
 	}
 }
 
 // recordTaskSuccess notes that a task of the job has ended on the machine.
 func (l *Leader) recordTaskSuccess(j *jobs.Job, m *machines.Machine) {
-	if !m.CordonedFor(machines.CordonFaulty) {
-		clear(m.FailedJobs)
-	}
+	m.RecordTaskSuccess()
 	for id := range j.FailedOn() {
 		if o := l.machines.Get(id); o != nil && o != m {
 			l.countFailedJob(o, j)
@@ -43,9 +39,7 @@
 
 // countFailedJob counts a job that has failed on the machine, and quarantines it if there are too many.
 func (l *Leader) countFailedJob(m *machines.Machine, j *jobs.Job) {
-	m.FailedJobs[j.ID] = true
-	if len(m.FailedJobs) >= tuning.QuarantineJobs && !m.CordonedFor(machines.CordonFaulty) {
+	if quarantined := m.CountFailedJob(j.ID); quarantined {
 		l.log.Info().Str("machine", m.ID).Msg("machine quarantined")
-		m.Cordon(machines.CordonFaulty)
 	}
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -9,17 +9,17 @@
 	"time"
 
 	"github.com/rs/zerolog"
-
-	"switchshore.example/switchshore/internal/config"
 	"switchshore.example/switchshore/internal/consolidation"
 	"switchshore.example/switchshore/internal/drainer"
+	"switchshore.example/switchshore/internal/preemption"
+	"switchshore.example/switchshore/internal/scaling"
+	"switchshore.example/switchshore/internal/startlog"
+
+	"switchshore.example/switchshore/internal/config"
 	"switchshore.example/switchshore/internal/jobs"
 	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/placement"
-	"switchshore.example/switchshore/internal/preemption"
 	"switchshore.example/switchshore/internal/records"
-	"switchshore.example/switchshore/internal/scaling"
-	"switchshore.example/switchshore/internal/startlog"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
@@ -31,10 +31,7 @@
 	term     uint64
 	attempts uint64 // numbers given so far
 
-	// inheritedUntil is when every task has ended that a predecessor may have left on a
-	// machine that has not reported in this term.
-	inheritedUntil time.Time
-	started        time.Time
+	timing machines.Timing
 
 	jobs      *jobs.Registry
 	admission *admissionControl
@@ -90,7 +87,6 @@
 		params:             p,
 		operator:           o,
 		term:               term,
-		started:            now,
 		jobs:               jobs.NewRegistry(),
 		live:               map[*jobs.Job]struct{}{},
 		admission:          newAdmissionControl(&p, &o, term, now),
@@ -99,6 +95,7 @@
 		runTimes:           jobs.RunTimes{},
 		machines:           machines.NewRegistry(),
 		catalogue:          machines.NewCatalogue(),
+		timing:             newTiming(p.Workers, now, grace),
 		loading:            loading{pieces: records.JobPieces{}, attempts: map[taskKey]*machines.Attempt{}},
 		partitionedZones:   map[string]time.Time{},
 	}
@@ -111,10 +108,6 @@
 	l.scaler = l.newScaler()
 	l.drainer = l.newDrainer()
 	l.preemptor, l.consolidator = l.newPreemptor(), l.newConsolidator()
-	// A predecessor's last answer comes at the latest a grace after its
-	// authority, which ended before now; the agent's lease runs from the
-	// sending of the heartbeat answered.
-	l.inheritedUntil = now.Add(grace + l.leaseTime())
 	return l
 }
 
@@ -145,9 +138,19 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// leaseTime is the time after which an agent's lease has provably expired.
-func (l *Leader) leaseTime() time.Duration {
-	return seconds(l.params.Workers.LeaseS*(1+tuning.ClockDrift)) + tuning.LeaseExpiryMargin
+// newTiming returns the times by which machines are judged in a term that begins now.
+func newTiming(w config.Workers, now time.Time, grace time.Duration) machines.Timing {
+	expiry := seconds(w.LeaseS*(1+tuning.ClockDrift)) + tuning.LeaseExpiryMargin
+	return machines.Timing{
+		HeartbeatTimeout: seconds(w.HeartbeatIntervalS * tuning.HeartbeatTimeoutIntervals),
+		Lease:            seconds(w.LeaseS),
+		LeaseExpiry:      expiry,
+		TermStart:        now,
+		// A predecessor's last answer comes at the latest a grace after its
+		// authority, which ended before now; the agent's lease runs from the
+		// sending of the heartbeat answered.
+		InheritedUntil: now.Add(grace + expiry),
+	}
 }
 
 // Term is the term of this state.
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -85,11 +85,10 @@
 	for len(m.Attempts) > 0 {
 		l.release(now, m.Attempts[len(m.Attempts)-1])
 	}
-	m.Exited = nil
+	m.ClearExited()
 }
 
 // acceptsWork reports whether a machine takes new tasks.
 func (l *Leader) acceptsWork(now time.Time, m *machines.Machine) bool {
-	return m.Joined && m.Reconciled && !m.Releasing && !m.Cordoned() &&
-		m.Total.CPUs > 0 && !now.Before(m.FullUntil) && !l.heartbeatOverdue(now, m)
+	return m.AcceptsWork(now, &l.timing)
 }
--- a/internal/leader/machine_list.go
+++ b/internal/leader/machine_list.go
@@ -18,7 +18,7 @@
 // ApplyMachineList takes in a complete machine list, asked for at the given time.
 func (l *Leader) ApplyMachineList(asked, now time.Time, list []wire.ListedMachine) {
 	l.lists.applied++
-	l.lists.complete = l.lists.complete || asked.Sub(l.started) > l.longestListLag()
+	l.lists.complete = l.lists.complete || asked.Sub(l.timing.TermStart) > l.longestListLag()
 	listed := make(map[string]bool, len(list))
 	for _, row := range list {
 		listed[row.Name] = true
@@ -97,7 +97,7 @@
 // next list may show that they no longer exist.
 func (l *Leader) HeartbeatsMissing(now time.Time) bool {
 	for _, m := range l.machines.All() {
-		if m.Reconciled && len(m.Attempts) > 0 && now.Sub(m.HeartbeatAt) > seconds(l.params.Workers.HeartbeatIntervalS*tuning.LateHeartbeatIntervals) {
+		if m.Reconciled && len(m.Attempts) > 0 && m.SinceHeartbeat(now) > seconds(l.params.Workers.HeartbeatIntervalS*tuning.LateHeartbeatIntervals) {
 			return true
 		}
 	}
--- a/internal/leader/placement.go
+++ b/internal/leader/placement.go
@@ -74,8 +74,8 @@
 			continue
 		}
 		view := l.snapshot(now, m)
-		view.HasReservation = now.Before(m.ReservedUntil) && highest <= m.ReservedRank
-		view.ReservedRank = m.ReservedRank
+		rank, reserved := m.Reservation(now)
+		view.HasReservation, view.ReservedRank = reserved && highest <= rank, rank
 		open = append(open, view)
 	}
 	return open
@@ -109,7 +109,7 @@
 func (l *Leader) abandonStart(a *machines.Attempt) { l.release(a.OrderedAt(), a) }
 
 // clock is the time of placement passes, in seconds.
-func (l *Leader) clock(now time.Time) float64 { return now.Sub(l.started).Seconds() }
+func (l *Leader) clock(now time.Time) float64 { return now.Sub(l.timing.TermStart).Seconds() }
 
 // withAged puts some tasks of the jobs that have waited long without a start
 // before all others. Priority, urgency and size decide who goes first, but
@@ -207,7 +207,7 @@
 	at := l.clock(now)
 	s := m.Snapshot
 	if s == nil {
-		s = &placement.Machine{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, AvoidJobs: m.AvoidedJobs, Images: map[string]float64{}}
+		s = &placement.Machine{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, AvoidJobs: m.AvoidedJobs(), Images: map[string]float64{}}
 		m.Snapshot = s
 	}
 	s.Modified = false
--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -6,10 +6,11 @@
 	"time"
 
 	"switchshore.example/switchshore/internal/consolidation"
+	"switchshore.example/switchshore/internal/preemption"
+
 	"switchshore.example/switchshore/internal/jobs"
 	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/placement"
-	"switchshore.example/switchshore/internal/preemption"
 )
 
 // newPreemptor returns the term's preemptor.
--- a/internal/leader/reachability.go
+++ b/internal/leader/reachability.go
@@ -23,7 +23,7 @@
 		if zones[m.Zone] == nil {
 			zones[m.Zone] = &heartbeatCount{}
 		}
-		missed := l.unreachable(now, m)
+		missed := m.IsUnreachable(now, &l.timing)
 		zones[m.Zone].count(missed)
 		all.count(missed)
 	}
@@ -33,7 +33,7 @@
 		switch {
 		case z.missing >= tuning.PartitionedMachines && z.share() <= tuning.PartitionedShare && others.share() >= tuning.ReachableShare:
 			// Those missed may be released before long.
-			l.partitionedZones[zone] = now.Add(l.leaseTime())
+			l.partitionedZones[zone] = now.Add(l.timing.LeaseExpiry)
 			rest.known -= z.known
 			rest.missing -= z.missing
 		case z.known > z.missing:
@@ -58,60 +58,18 @@
 	return float64(h.known-h.missing) / float64(max(h.known, 1))
 }
 
-// unreachable reports whether a machine known to be up has not been heard of for
-// long, or not since this term began.
-func (l *Leader) unreachable(now time.Time, m *machines.Machine) bool {
-	return m.Joined && l.heartbeatOverdue(now, m) && now.Sub(l.started) > l.heartbeatTimeout()
-}
-
 // holdsUrgentWork reports whether a machine that is missed may hold work that would be
 // late once its lease has run out, but not if it could start elsewhere now: the
 // release proves it gone. Silence mostly outlasts the lease, and then the work
 // on the machine is lost in any case. A successor would wait longest, as its
 // predecessor may be cut off together with the machine and go on answering it.
 func (l *Leader) holdsUrgentWork(now time.Time, m *machines.Machine) bool {
-	if m.Releasing || !l.unreachable(now, m) {
+	if m.Releasing || !m.IsUnreachable(now, &l.timing) {
 		return false
 	}
-	ends := m.LeaseRenewedAt.Add(l.leaseTime())
-	if !m.Reconciled {
-		ends = l.inheritedUntil
-	}
+	ends := m.LeaseEnd(&l.timing)
 	return slices.ContainsFunc(m.Attempts, func(a *machines.Attempt) bool {
 		slack, ok := l.runTimes.DeadlineSlack(now, a.Job, l.params.Objectives)
 		return ok && slack < ends.Sub(now).Seconds() && a.IsWanted()
 	})
 }
-
-// shouldRelease reports whether a machine will do no more work: failed, never up,
-// silent for long, or emptied for a drain.
-func (l *Leader) shouldRelease(now time.Time, m *machines.Machine) bool {
-	boot := l.catalogue.Type(m.Type).BootTimeS
-	switch {
-	case m.Failed, m.CordonedFor(machines.CordonReplaced), !m.ReleaseBy.IsZero() && now.After(m.ReleaseBy):
-		return true
-	case !m.Joined:
-		return boot > 0 && now.Sub(m.ProvisionedAt).Seconds() > boot*tuning.BootTimeoutFactor
-	case l.heartbeatOverdue(now, m) && m.MissedLists >= 2:
-		return true
-	case !m.ResponsesLostSince.IsZero() && now.Sub(m.ResponsesLostSince) > l.leaseTime()*3/2:
-		// It can't be told anything; its tasks died with its lease.
-		return true
-	case !m.Reconciled && !m.FirstHeartbeatAt.IsZero() && now.After(l.inheritedUntil) && now.Sub(m.FirstHeartbeatAt) > l.leaseTime()+tuning.UnreachableReleaseDelay:
-		// Heard, but never in this term: it doesn't get our answers. Whatever
-		// it may hold waits for the release, which proves it gone.
-		return true
-	case m.StaleHeartbeats >= tuning.MaxStaleHeartbeats && l.leaseExpired(now, m) && now.Sub(m.StaleSince) > l.heartbeatTimeout():
-		// Only reports older than the newest: late copies, or a new worker that
-		// began anew. It must not be taken for the old one, and can't be told
-		// from copies, so the machine is replaced.
-		return true
-	case len(m.Attempts) == 0 && m.CordonedFor(machines.RetiringReasons):
-		return true
-	}
-	heard := m.HeartbeatAt
-	if heard.IsZero() {
-		heard = l.started
-	}
-	return now.Sub(heard) > l.leaseTime()+tuning.UnreachableReleaseDelay
-}
--- a/internal/leader/report.go
+++ b/internal/leader/report.go
@@ -38,22 +38,21 @@
 	if m == nil {
 		m = l.addMachine(now, r.Machine, r.Type, r.Zone, r.Addr, r.Spot)
 	}
-	if m.OvertakenByDirectReply(r) {
+	if m.IsOvertakenByDirectReply(r) {
 		// It is on its way still, and its worker waits for an answer.
-		m.LastPeriodic = r.Sequence
-		m.HeartbeatAt, m.LeaseRenewedAt = now, now
+		m.RenewLease(now, r.Sequence)
 		answer.Commands = l.stopCommands(r)
 		return answer, HeartbeatApplied
 	}
 	if m.IsStale(r) {
 		// It proves nothing, renews nothing and gets no commands.
-		if m.StaleHeartbeats++; m.StaleHeartbeats == 1 {
-			m.StaleSince = now
-		}
+		m.RecordStaleHeartbeat(now)
 		return answer, HeartbeatStale
 	}
-	l.detectLostResponses(now, m, r)
-	l.advanceSequence(m, r)
+	if lost := m.DetectLostResponses(now, r.AgentEpoch, &l.timing); lost {
+		l.log.Info().Str("machine", m.ID).Msg("machine does not receive responses")
+	}
+	m.AdvanceSession(r.AgentEpoch, r.Sequence)
 	if l.mayStartLate(now, m) {
 		return answer, HeartbeatStale
 	}
@@ -72,16 +71,9 @@
 
 // recordHeartbeat notes what a report that is answered says of the machine itself.
 func (l *Leader) recordHeartbeat(now time.Time, m *machines.Machine, r *wire.Heartbeat) {
-	m.LastPeriodic = r.Sequence
-	m.HeartbeatAt, m.LeaseRenewedAt = now, now
-	m.Addr = r.Addr
-	if !m.Joined {
-		m.Joined = true
-		l.changed = true
-	}
-	if m.ReclaimAt.IsZero() && r.ReclaimNoticeS != nil {
-		m.ReclaimAt = now.Add(seconds(*r.ReclaimNoticeS))
-		m.Cordon(machines.CordonReclaimed)
+	joined, reclaimed := m.RecordHeartbeat(now, r)
+	l.changed = l.changed || joined
+	if reclaimed {
 		l.log.Debug().Str("machine", m.ID).Float64("notice_s", *r.ReclaimNoticeS).Msg("spot reclaim notice")
 	}
 }
@@ -112,33 +104,18 @@
 	})
 }
 
-// advanceSequence notes the order of a report; a new session ends all that is late.
-func (l *Leader) advanceSequence(m *machines.Machine, r *wire.Heartbeat) {
-	if r.AgentEpoch > m.Epoch {
-		clear(m.Unforgettable)
-		m.LastPeriodic = 0
-		if !m.CordonedFor(machines.CordonConsolidated | machines.CordonLateStart) {
-			m.ReleaseBy = time.Time{}
-		}
-		for _, a := range m.Attempts {
-			a.MarkDirectCallOver()
-		}
-	}
-	m.Epoch, m.Sequence = r.AgentEpoch, r.Sequence
-}
-
 // checkpointBeforeReclaim stops tasks that can save when the machine is about to be taken.
 func (l *Leader) checkpointBeforeReclaim(now time.Time, m *machines.Machine) {
-	if m.ReclaimAt.IsZero() {
+	left, reclaimed := m.ReclaimIn(now)
+	if !reclaimed {
 		return
 	}
-	left := m.ReclaimAt.Sub(now).Seconds()
 	margin := tuning.ReclaimNoticeMargin.Seconds()
 	for _, a := range m.Attempts {
 		if a.IsStopping() || a.Job.CheckpointIntervalS <= 0 || a.State() != machines.Running {
 			continue
 		}
-		if left <= a.Job.CheckpointSaveS+margin {
+		if left.Seconds() <= a.Job.CheckpointSaveS+margin {
 			a.StopSaving()
 		}
 	}
@@ -154,14 +131,14 @@
 		}
 		out = append(out, a.StopCommand())
 	}
-	for _, e := range m.Exited {
+	for _, e := range m.Exited() {
 		if e.Forget && len(out) < tuning.MaxCommandsPerResponse {
 			out = append(out, wire.Command{Op: wire.OpForget, Task: e.Task, Attempt: e.Attempt})
 		}
 	}
 	if authority && !m.Releasing {
 		for _, a := range m.Attempts {
-			if !a.NeedsStart() || a.WasSentDirectly() && m.Calling || len(out) >= tuning.MaxCommandsPerResponse {
+			if !a.NeedsStart() || a.WasSentDirectly() && m.IsBeingCalled() || len(out) >= tuning.MaxCommandsPerResponse {
 				continue
 			}
 			a.MarkSentInResponse(r.Sequence)
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -4,8 +4,10 @@
 	"sort"
 	"time"
 
-	"switchshore.example/switchshore/internal/autoscale"
 	"switchshore.example/switchshore/internal/scaling"
+
+	"switchshore.example/switchshore/internal/autoscale"
+	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -25,7 +27,7 @@
 		Machines:         l.machines,
 		Catalogue:        l.catalogue,
 		Demand:           l.demand,
-		HeartbeatOverdue: l.heartbeatOverdue,
+		HeartbeatOverdue: func(now time.Time, m *machines.Machine) bool { return m.HeartbeatOverdue(now, &l.timing) },
 		RemainingS:       l.remaining,
 		IsReplacement:    func(id string) bool { return l.drainer.IsReplacement(id) },
 		Drained:          func(o autoscale.Offer) bool { return l.drainer.BlocksProvisioning(o) },
@@ -66,7 +68,7 @@
 	}
 	names = append(names, unneeded...)
 	for _, m := range l.machines.All() {
-		if !m.Releasing && l.shouldRelease(now, m) {
+		if !m.Releasing && m.ShouldBeReleased(now, &l.timing, l.catalogue.Type(m.Type).BootTimeS) {
 			names = append(names, m.ID)
 		}
 	}
@@ -75,7 +77,7 @@
 
 // demand is the work that waits for capacity, within the teams' limits.
 func (l *Leader) demand(now time.Time) []autoscale.Demand {
-	if l.term > 1 && now.Sub(l.started) < seconds(l.params.Cloud.ListLagS) {
+	if l.term > 1 && now.Sub(l.timing.TermStart) < seconds(l.params.Cloud.ListLagS) {
 		// Machines that a predecessor provisioned last are not listed yet.
 		return nil
 	}
--- a/internal/leader/tasklist.go
+++ b/internal/leader/tasklist.go
@@ -15,7 +15,7 @@
 // answers did not run: an answer to a direct call may overtake them.
 func (l *Leader) reconcileTasks(now time.Time, m *machines.Machine, r *wire.Heartbeat, periodic bool) {
 	l.listNumber++
-	m.Exited = m.Exited[:0]
+	m.ClearExited()
 	for i := range r.Tasks {
 		l.applyTask(now, m, &r.Tasks[i])
 	}
@@ -51,7 +51,7 @@
 // recordExited keeps an exited entry, to be forgotten by the worker if nobody needs it.
 func (l *Leader) recordExited(m *machines.Machine, t *wire.TaskStatus, unneeded bool) {
 	key := machines.ExitKey{Task: t.Task, Attempt: t.Attempt}
-	m.Exited = append(m.Exited, machines.Exit{ExitKey: key, Forget: unneeded && !m.Unforgettable[key]})
+	m.AddExited(key, unneeded)
 }
 
 func (l *Leader) applyExitedTask(now time.Time, m *machines.Machine, j *jobs.Job, index int32, t *wire.TaskStatus) {
@@ -63,7 +63,7 @@
 			m.RecordStartObserved()
 		}
 		if a.WasSentDirectly() {
-			m.Unforgettable[machines.ExitKey{Task: t.Task, Attempt: t.Attempt}] = true
+			m.NeverForget(machines.ExitKey{Task: t.Task, Attempt: t.Attempt})
 		}
 		l.applyExit(now, a, t)
 	case t.ExitReason == wire.ExitDone:
@@ -113,9 +113,7 @@
 	if slices.ContainsFunc(m.Attempts, func(a *machines.Attempt) bool {
 		return !a.IsListed(l.listNumber) && a.State() == machines.StartSent && a.WasSentInResponse()
 	}) {
-		m.IgnoredResponses++
-		m.IgnoredAt = now
-		m.UpdateDeliveryCordon()
+		m.RecordIgnoredResponse(now)
 	}
 }
 
@@ -144,7 +142,7 @@
 // a task that nobody wants any more.
 func (l *Leader) scheduleFencingRelease(now time.Time, a *machines.Attempt) {
 	m := a.Machine
-	if a.IsWanted() || !m.ReleaseBy.IsZero() {
+	if a.IsWanted() || m.ReleaseRequired() {
 		return
 	}
 	m.Cordon(machines.CordonLateStart)
@@ -152,7 +150,7 @@
 	if from.IsZero() {
 		from = now // only the task is done
 	}
-	m.ReleaseBy = from.Add(lateStartBound(l.params.Workers))
+	m.RequireRelease(from.Add(lateStartBound(l.params.Workers)))
 }
 
 // applyExit handles the end of an attempt by its reason.
@@ -172,7 +170,7 @@
 		j.RecordFailure(now)
 		l.recordTaskFailure(j, m)
 	case wire.ExitNoCapacity, wire.ExitTaskBusy:
-		m.FullUntil = now.Add(tuning.FullMachineBackoff)
+		m.MarkFull(now.Add(tuning.FullMachineBackoff))
 	case wire.ExitUnknown:
 		j.DelayUntil(now.Add(tuning.UnknownJobBackoff))
 	}
--- /dev/null
+++ b/internal/machines/lease.go
@@ -0,0 +1,107 @@
+package machines
+
+import (
+	"time"
+
+	"switchshore.example/switchshore/internal/tuning"
+)
+
+// Timing are the times by which the state of machines is judged.
+type Timing struct {
+	// HeartbeatTimeout is the time without a heartbeat after which a machine seems unreachable.
+	HeartbeatTimeout time.Duration
+	// Lease is how long an agent goes on without an answer to its heartbeats.
+	Lease time.Duration
+	// LeaseExpiry is the time after an answer at which the agent's lease has provably expired.
+	LeaseExpiry time.Duration
+	// TermStart is when the term began.
+	TermStart time.Time
+	// InheritedUntil is when every task that a predecessor may have left on a
+	// machine that has not reported in this term has ended.
+	InheritedUntil time.Time
+}
+
+// HeartbeatOverdue reports whether no heartbeat has come for long.
+func (m *Machine) HeartbeatOverdue(now time.Time, t *Timing) bool {
+	return m.SinceHeartbeat(now) > t.HeartbeatTimeout
+}
+
+// IsUnreachable reports whether no heartbeat of a machine known to be up has come for
+// long, or not since this term began.
+func (m *Machine) IsUnreachable(now time.Time, t *Timing) bool {
+	return m.Joined && m.HeartbeatOverdue(now, t) && now.Sub(t.TermStart) > t.HeartbeatTimeout
+}
+
+// LeaseExpired reports whether all that the machine may have run has provably ended.
+func (m *Machine) LeaseExpired(now time.Time, t *Timing) bool {
+	if m.CordonedFor(CordonReplaced) || !m.Reconciled && now.Before(t.InheritedUntil) {
+		return false
+	}
+	return m.leaseRenewedAt.IsZero() || now.Sub(m.leaseRenewedAt) > t.LeaseExpiry
+}
+
+// LeaseEnd is when the machine's lease will have expired without another heartbeat.
+func (m *Machine) LeaseEnd(t *Timing) time.Time {
+	if !m.Reconciled {
+		return t.InheritedUntil
+	}
+	return m.leaseRenewedAt.Add(t.LeaseExpiry)
+}
+
+// ExpireSession notes that the agent's session is over.
+func (m *Machine) ExpireSession() { m.expiredEpoch = m.epoch }
+
+// AcceptsWork reports whether a machine takes new tasks.
+func (m *Machine) AcceptsWork(now time.Time, t *Timing) bool {
+	return m.Joined && m.Reconciled && !m.Releasing && !m.Cordoned() &&
+		m.Total.CPUs > 0 && !now.Before(m.fullUntil) && !m.HeartbeatOverdue(now, t)
+}
+
+// RequireRelease has the machine released by the given time.
+func (m *Machine) RequireRelease(by time.Time) { m.releaseBy = by }
+
+// ReleaseRequired reports whether the machine has to be released by some time.
+func (m *Machine) ReleaseRequired() bool { return !m.releaseBy.IsZero() }
+
+// minMissedLists is how many lists in a row have to lack a machine that sends no heartbeats.
+const minMissedLists = 2
+
+// ShouldBeReleased reports whether a machine will do no more work: failed, never up,
+// without heartbeats for long, or emptied for a drain. bootTimeS is how long machines of its
+// type take to come up, 0 if that is not known.
+func (m *Machine) ShouldBeReleased(now time.Time, t *Timing, bootTimeS float64) bool {
+	switch {
+	case m.Failed, m.CordonedFor(CordonReplaced), m.ReleaseRequired() && now.After(m.releaseBy):
+		return true
+	case !m.Joined:
+		return bootTimeS > 0 && now.Sub(m.ProvisionedAt).Seconds() > bootTimeS*tuning.BootTimeoutFactor
+	case m.HeartbeatOverdue(now, t) && m.MissedLists >= minMissedLists:
+		return true
+	case !m.responsesLostSince.IsZero() && now.Sub(m.responsesLostSince) > t.LeaseExpiry*3/2:
+		// It can't be sent anything; its tasks ended with its lease.
+		return true
+	case m.neverReconciled(now, t):
+		// It reports, but never with this term's token: it doesn't get our responses. Whatever
+		// it may run waits for the release, which proves that it has ended.
+		return true
+	case m.staleHeartbeats >= tuning.MaxStaleHeartbeats && m.LeaseExpired(now, t) && now.Sub(m.staleSince) > t.HeartbeatTimeout:
+		// Only heartbeats older than the newest: late copies, or a new agent that
+		// began anew. It must not be taken for the old one, and can't be told
+		// from copies, so the machine is replaced.
+		return true
+	case len(m.Attempts) == 0 && m.CordonedFor(RetiringReasons):
+		return true
+	}
+	newest := m.heartbeatAt
+	if newest.IsZero() {
+		newest = t.TermStart
+	}
+	return now.Sub(newest) > t.LeaseExpiry+tuning.UnreachableReleaseDelay
+}
+
+// neverReconciled reports whether a machine has sent heartbeats for long in this term without
+// having learned of the term.
+func (m *Machine) neverReconciled(now time.Time, t *Timing) bool {
+	return !m.Reconciled && !m.firstHeartbeatAt.IsZero() && now.After(t.InheritedUntil) &&
+		now.Sub(m.firstHeartbeatAt) > t.LeaseExpiry+tuning.UnreachableReleaseDelay
+}
--- /dev/null
+++ b/internal/machines/machine_test.go
@@ -0,0 +1,242 @@
+package machines_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"switchshore.example/switchshore/internal/machines"
+	"switchshore.example/switchshore/internal/placement"
+	"switchshore.example/switchshore/internal/tuning"
+	"switchshore.example/switchshore/wire"
+)
+
+// timing is that of a term that began at start.
+var timing = &machines.Timing{
+	HeartbeatTimeout: 9 * time.Second,
+	Lease:            15 * time.Second,
+	LeaseExpiry:      20 * time.Second,
+	TermStart:        start,
+	InheritedUntil:   start.Add(30 * time.Second),
+}
+
+// newReportingMachine returns a machine that has reported once, knowing the term.
+func newReportingMachine(now time.Time) *machines.Machine {
+	m := newMachine()
+	m.SetTotal(placement.Resources{CPUs: 8})
+	heartbeat(m, now, 1, 1)
+	m.Reconciled = true
+	return m
+}
+
+// heartbeat lets a heartbeat of the agent be answered.
+func heartbeat(m *machines.Machine, now time.Time, epoch, sequence uint64) (lost bool) {
+	lost = m.DetectLostResponses(now, epoch, timing)
+	m.AdvanceSession(epoch, sequence)
+	m.RecordHeartbeat(now, &wire.Heartbeat{Addr: "m1:9", AgentEpoch: epoch, Sequence: sequence})
+	return lost
+}
+
+func TestCordonsFollowFromWhatIsKnown(t *testing.T) {
+	notice := 30.0
+	for name, c := range map[string]struct {
+		change func(*machines.Machine)
+		want   machines.CordonReason
+	}{
+		"none":    {change: func(*machines.Machine) {}},
+		"drained": {change: func(m *machines.Machine) { m.Cordon(machines.CordonDrained) }, want: machines.CordonDrained},
+		"two, one lifted": {change: func(m *machines.Machine) {
+			m.SetCordon(machines.CordonDrained, true)
+			m.Cordon(machines.CordonLateStart)
+			m.SetCordon(machines.CordonDrained, false)
+		}, want: machines.CordonLateStart},
+		"reclaim notice": {change: func(m *machines.Machine) {
+			m.RecordHeartbeat(start, &wire.Heartbeat{ReclaimNoticeS: &notice})
+		}, want: machines.CordonReclaimed},
+		"some responses ignored": {change: func(m *machines.Machine) {
+			for range tuning.MaxIgnoredResponses - 1 {
+				m.RecordIgnoredResponse(start)
+			}
+		}},
+		"responses ignored": {change: func(m *machines.Machine) {
+			for range tuning.MaxIgnoredResponses {
+				m.RecordIgnoredResponse(start)
+			}
+		}, want: machines.CordonUnresponsive},
+		"start observed": {change: func(m *machines.Machine) {
+			for range tuning.MaxIgnoredResponses {
+				m.RecordIgnoredResponse(start)
+			}
+			m.RecordStartObserved()
+		}},
+	} {
+		m := newReportingMachine(start)
+		c.change(m)
+		if got := m.CordonReasons(); got != c.want || m.Cordoned() != (c.want != 0) || m.AcceptsWork(start, timing) != (c.want == 0) {
+			t.Errorf("%s: reasons %b", name, got)
+		}
+	}
+}
+
+func TestQuarantineAfterFailuresOfSeveralJobs(t *testing.T) {
+	m := newReportingMachine(start)
+	for i := range tuning.QuarantineJobs {
+		id := fmt.Sprintf("job-%d", i)
+		m.AvoidJob(id)
+		if quarantined := m.CountFailedJob(id); quarantined != (i == tuning.QuarantineJobs-1) {
+			t.Errorf("after %d jobs: %v", i+1, quarantined)
+		}
+	}
+	m.RecordTaskSuccess()
+	if !m.CordonedFor(machines.CordonFaulty) || m.CountFailedJob("another") {
+		t.Error("quarantined anew, or no longer")
+	}
+	m.ForgiveFailedJob("another")
+	m.ForgiveFailedJob("job-0")
+	if m.CordonedFor(machines.CordonFaulty) || !m.Avoids("job-0") {
+		t.Error("still quarantined, or the job is no longer avoided")
+	}
+	m.RecordTaskSuccess()
+	if m.CountFailedJob("job-0") {
+		t.Error("failures before a success count")
+	}
+}
+
+func TestLeaseExpiry(t *testing.T) {
+	for name, c := range map[string]struct {
+		change func(*machines.Machine)
+		after  time.Duration
+		want   bool
+	}{
+		"renewed":                     {after: timing.LeaseExpiry},
+		"expired":                     {after: timing.LeaseExpiry + 1, want: true},
+		"agent replaced":              {change: func(m *machines.Machine) { m.Cordon(machines.CordonReplaced) }, after: time.Hour},
+		"inherited, within the bound": {change: func(m *machines.Machine) { m.Reconciled = false }, after: timing.LeaseExpiry + 1},
+		"inherited, after the bound":  {change: func(m *machines.Machine) { m.Reconciled = false }, after: 30 * time.Second, want: true},
+	} {
+		m := newReportingMachine(start)
+		if c.change != nil {
+			c.change(m)
+		}
+		if got := m.LeaseExpired(start.Add(c.after), timing); got != c.want {
+			t.Errorf("%s: %v", name, got)
+		}
+	}
+}
+
+func TestHeartbeatsOfAnExpiredSessionAreStale(t *testing.T) {
+	m := newReportingMachine(start)
+	heartbeat(m, start, 2, 5)
+	for name, c := range map[string]struct {
+		epoch, sequence  uint64
+		stale, overtaken bool
+	}{
+		"newer":             {epoch: 2, sequence: 6},
+		"repeated":          {epoch: 2, sequence: 5, stale: true},
+		"earlier session":   {epoch: 1, sequence: 9, stale: true},
+		"following session": {epoch: 3, sequence: 1},
+	} {
+		r := &wire.Heartbeat{AgentEpoch: c.epoch, Sequence: c.sequence}
+		if m.IsStale(r) != c.stale || m.IsOvertakenByDirectReply(r) != c.overtaken {
+			t.Errorf("%s: stale: %v, overtaken: %v", name, m.IsStale(r), m.IsOvertakenByDirectReply(r))
+		}
+	}
+	m.AdvanceSession(2, 8) // the reply to a direct call
+	if r := (&wire.Heartbeat{AgentEpoch: 2, Sequence: 7}); !m.IsOvertakenByDirectReply(r) {
+		t.Error("a heartbeat overtaken by a reply is refused")
+	}
+	m.ExpireSession()
+	if r := (&wire.Heartbeat{AgentEpoch: 2, Sequence: 9}); !m.IsStale(r) || m.IsOvertakenByDirectReply(r) {
+		t.Error("a heartbeat of the expired session is not stale")
+	}
+}
+
+func TestNewSessionAfterSteadyHeartbeatsShowsLostResponses(t *testing.T) {
+	m := newReportingMachine(start)
+	now, sequence := start, uint64(1)
+	steady := func(epoch uint64, d time.Duration) (lost bool) {
+		for end := now.Add(d); now.Before(end); {
+			now, sequence = now.Add(3*time.Second), sequence+1
+			lost = heartbeat(m, now, epoch, sequence) || lost
+		}
+		return lost
+	}
+	if steady(1, 18*time.Second) {
+		t.Fatal("lost within a session")
+	}
+	if !steady(2, 3*time.Second) || !m.CordonedFor(machines.CordonUnresponsive) || m.CanBeCalled(now, timing) {
+		t.Error("a new session right after steady heartbeats shows nothing")
+	}
+	if steady(2, timing.LeaseExpiry+3*time.Second) || m.CordonedFor(machines.CordonUnresponsive) || !m.CanBeCalled(now, timing) {
+		t.Error("a session longer than the lease does not show that responses arrive")
+	}
+	now = now.Add(time.Minute) // a gap
+	if steady(3, 3*time.Second) {
+		t.Error("a new session after a gap counts")
+	}
+}
+
+func TestMachinesThatWillDoNoMoreWorkAreReleased(t *testing.T) {
+	const bootTimeS = 10
+	for name, c := range map[string]struct {
+		change func(*machines.Machine)
+		after  time.Duration
+		want   bool
+	}{
+		"reports":                {},
+		"failed":                 {change: func(m *machines.Machine) { m.Failed = true }, want: true},
+		"replaced":               {change: func(m *machines.Machine) { m.Cordon(machines.CordonReplaced) }, want: true},
+		"release required later": {change: func(m *machines.Machine) { m.RequireRelease(start.Add(time.Second)) }},
+		"release required":       {change: func(m *machines.Machine) { m.RequireRelease(start.Add(-time.Second)) }, want: true},
+		"empty and drained":      {change: func(m *machines.Machine) { m.Cordon(machines.CordonDrained) }, want: true},
+		"not listed, reports":    {change: func(m *machines.Machine) { m.MissedLists = 2 }},
+		"not listed, silent":     {change: func(m *machines.Machine) { m.MissedLists = 2 }, after: 10 * time.Second, want: true},
+		"silent for long":        {after: timing.LeaseExpiry + tuning.UnreachableReleaseDelay + 1, want: true},
+		"never up":               {change: func(m *machines.Machine) { m.Joined = false }, after: time.Hour, want: true},
+	} {
+		m := newReportingMachine(start)
+		if c.change != nil {
+			c.change(m)
+		}
+		if got := m.ShouldBeReleased(start.Add(c.after), timing, bootTimeS); got != c.want {
+			t.Errorf("%s: %v", name, got)
+		}
+	}
+}
+
+func TestExitedAttemptIsForgottenUnlessItsStartMayComeLate(t *testing.T) {
+	m := newReportingMachine(start)
+	key := machines.ExitKey{Task: "job-1/0", Attempt: 1}
+	m.NeverForget(key)
+	m.AddExited(key, true)
+	m.AddExited(machines.ExitKey{Task: "job-1/0", Attempt: 2}, true)
+	m.AddExited(machines.ExitKey{Task: "job-1/1", Attempt: 3}, false)
+	for i, want := range []bool{false, true, false} {
+		if got := m.Exited()[i].Forget; got != want {
+			t.Errorf("%v: forgotten: %v", m.Exited()[i].ExitKey, got)
+		}
+	}
+	m.ClearExited()
+	m.AdvanceSession(2, 1)
+	m.AddExited(key, true)
+	if !m.Exited()[0].Forget {
+		t.Error("not forgotten in a new session")
+	}
+}
+
+func TestReservationKeepsTheHighestPriority(t *testing.T) {
+	m := newReportingMachine(start)
+	if _, reserved := m.Reservation(start); reserved {
+		t.Error("reserved without need")
+	}
+	m.Reserve(start, 1)
+	m.Reserve(start, 2)
+	if rank, reserved := m.Reservation(start); rank != 1 || !reserved {
+		t.Errorf("rank %d, %v", rank, reserved)
+	}
+	later := start.Add(tuning.PreemptReservation)
+	m.Reserve(later, 2)
+	if rank, reserved := m.Reservation(later); rank != 2 || !reserved {
+		t.Errorf("after the reservation: rank %d, %v", rank, reserved)
+	}
+}
--- a/internal/machines/registry.go
+++ b/internal/machines/registry.go
@@ -62,9 +62,8 @@
 		lifecycle:     lifecycle{ProvisionedAt: provisionedAt, IdleSince: provisionedAt},
 		capacity:      capacity{SnapshotOutdated: true},
 		Images:        map[string]time.Time{},
-		AvoidedJobs:   map[string]bool{},
-		FailedJobs:    map[string]bool{},
-		Unforgettable: map[ExitKey]bool{},
+		failures:      failures{avoidedJobs: map[string]bool{}, failedJobs: map[string]bool{}},
+		unforgettable: map[ExitKey]bool{},
 	}
 }
 
--- a/internal/preemption/pass.go
+++ b/internal/preemption/pass.go
@@ -182,7 +182,7 @@
 	least := math.Inf(1)
 	for _, m := range p.machines {
 		free := p.expectedFree[m]
-		if m.AvoidedJobs[r.Job] || !r.Allowed(m.PlacementView()) {
+		if m.Avoids(r.Job) || !r.Allowed(m.PlacementView()) {
 			continue
 		}
 		if free.Fits(r.Request) {
--- a/internal/preemption/preemption_test.go
+++ b/internal/preemption/preemption_test.go
@@ -78,7 +78,7 @@
 	if more.IsStopping() || !less.IsStopping() {
 		t.Error("the one that loses more was stopped")
 	}
-	if !c.machine.ReservedUntil.After(now) {
+	if _, reserved := c.machine.Reservation(now); !reserved {
 		t.Error("the capacity is not reserved")
 	}
 }
