--- a/internal/drainer/drainer_test.go
+++ b/internal/drainer/drainer_test.go
@@ -200,7 +200,7 @@
 	for i := range int32(2) {
 		a := machines.NewPendingAttempt(m, j, i, start, 5<<32|uint64(i+1), false)
 		a.ApplyReport(start, machines.Running)
-		m.Attempts = append(m.Attempts, a)
+		m.AddAttempt(a)
 	}
 	f.apply(false, "m1")
 	f.step(tuning.DrainBatchInterval)
--- a/internal/drainer/evict.go
+++ b/internal/drainer/evict.go
@@ -71,7 +71,7 @@
 	d := s.d
 	d.storeCharge(s.now, charge, func() {
 		for _, a := range evicted {
-			if a.IsEvicting() && slices.Contains(a.Machine.Attempts, a) {
+			if a.IsEvicting() && a.IsAllocated() {
 				d.stopEvicted(a)
 			}
 		}
--- a/internal/leader/drains.go
+++ b/internal/leader/drains.go
@@ -30,7 +30,7 @@
 		Scaler:        l.scaler,
 		Job:           l.jobs.Get,
 		RunnableJobs:  func() iter.Seq[*jobs.Job] { return maps.Keys(l.live) },
-		TeamUsedCPUs:  func(team string) float64 { return l.teams[team].used.CPUs },
+		TeamUsedCPUs:  l.ledger.UsedCPUs,
 		AcceptsWork:   l.acceptsWork,
 		RemainingS:    l.remaining,
 		MachinesKnown: func() bool { return l.CatalogueKnown() && l.lists.applied > 0 },
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -5,7 +5,6 @@
 package leader
 
 import (
-	"math"
 	"time"
 
 	"github.com/rs/zerolog"
@@ -15,10 +14,10 @@
 	"switchshore.example/switchshore/internal/scaling"
 	"switchshore.example/switchshore/internal/startlog"
 
+	"switchshore.example/switchshore/internal/allocation"
 	"switchshore.example/switchshore/internal/config"
 	"switchshore.example/switchshore/internal/jobs"
 	"switchshore.example/switchshore/internal/machines"
-	"switchshore.example/switchshore/internal/placement"
 	"switchshore.example/switchshore/internal/records"
 	"switchshore.example/switchshore/internal/tuning"
 )
@@ -38,7 +37,7 @@
 	// live are the unfinished jobs that need no other any more.
 	live               map[*jobs.Job]struct{}
 	unsavedCompletions map[*jobs.Job]time.Time // jobs with unwritten completions, since when
-	teams              map[string]*team
+	ledger             *allocation.Ledger
 	runTimes           jobs.RunTimes
 	startDelay         jobs.StartDelay
 
@@ -74,11 +73,6 @@
 	lastExpiry time.Time
 }
 
-type team struct {
-	config.Team
-	used placement.Resources // of all tasks that may be on a machine
-}
-
 // New returns an empty state for a term won at now. grace is how long a
 // leader without the key-value store goes on answering heartbeats.
 func New(log zerolog.Logger, p config.Params, o config.Operator, term uint64, now time.Time, grace time.Duration) *Leader {
@@ -91,7 +85,7 @@
 		live:               map[*jobs.Job]struct{}{},
 		admission:          newAdmissionControl(&p, &o, term, now),
 		unsavedCompletions: map[*jobs.Job]time.Time{},
-		teams:              map[string]*team{},
+		ledger:             allocation.NewLedger(p.Teams),
 		runTimes:           jobs.RunTimes{},
 		machines:           machines.NewRegistry(),
 		catalogue:          machines.NewCatalogue(),
@@ -101,9 +95,6 @@
 	}
 	l.graph = jobs.NewDependencyGraph(l.jobs, l.stageTime)
 	l.writes = records.NewWriteQueues(log, l.valueLimit())
-	for _, t := range p.Teams {
-		l.teams[t.Name] = &team{Team: withLimits(t)}
-	}
 	l.starts = startlog.New(term, l.valueLimit(), l.writes, startlog.Callbacks{Durable: l.sendStart, Refused: l.abandonStart})
 	l.scaler = l.newScaler()
 	l.drainer = l.newDrainer()
@@ -111,16 +102,6 @@
 	return l
 }
 
-// withLimits returns a team with the limits that its settings stand for.
-func withLimits(t config.Team) config.Team {
-	if t.CPUsMax == 0 && t.GPUsMax == 0 {
-		// "A value of 0 means none": a guest without a guarantee and without a
-		// limit, not one that may use nothing.
-		t.CPUsMax, t.GPUsMax = math.Inf(1), math.Inf(1)
-	}
-	return t
-}
-
 // GracePeriod is how long a leader without the key-value store goes on answering
 // heartbeats: as long as possible, but such that an agent's lease added to it is still within
 // the time for cancellations.
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -165,7 +165,7 @@
 	earlier := l.loading.attempts[task]
 	a := machines.NewAttempt(m, j, index, now)
 	rec.AddLoaded(a)
-	l.allocate(a)
+	l.ledger.Allocate(a)
 	l.loading.attempts[task] = a
 	if earlier != nil {
 		// It was started again since, so it had left that place.
--- a/internal/leader/machine.go
+++ b/internal/leader/machine.go
@@ -1,7 +1,6 @@
 package leader
 
 import (
-	"slices"
 	"time"
 
 	"switchshore.example/switchshore/internal/machines"
@@ -40,43 +39,18 @@
 	l.changed = true
 }
 
-// allocate counts a task that may be on a machine.
-func (l *Leader) allocate(a *machines.Attempt) {
-	m, j := a.Machine, a.Job
-	m.Attempts = append(m.Attempts, a)
-	m.SnapshotOutdated = true
-	m.Free = m.Free.Add(j.Request(), -1)
-	if t := l.teams[j.Team]; t != nil {
-		t.used = t.used.Add(j.Request(), 1)
-	}
-	j.Allocate(a.Index, m.Zone)
-}
-
-// release counts a task that certainly is no longer on its machine.
+// release counts an attempt no more whose task certainly is no longer on its machine.
 func (l *Leader) release(now time.Time, a *machines.Attempt) {
-	m, j := a.Machine, a.Job
-	i := slices.Index(m.Attempts, a)
-	if i < 0 {
+	if !a.IsAllocated() {
 		return
 	}
 	a.SaveProgress(now)
 	l.drainer.CountInterruption(now, a)
-	m.Attempts = slices.Delete(m.Attempts, i, i+1)
-	m.SnapshotOutdated = true
-	m.Free = m.Free.Add(j.Request(), 1)
-	if t := l.teams[j.Team]; t != nil {
-		t.used = t.used.Add(j.Request(), -1)
-	}
-	if a.State().HasImage() {
-		j.RemoveRunning()
-	}
-	if len(m.Attempts) == 0 {
-		m.IdleSince = now
-	}
+	last := l.ledger.Release(now, a)
 	l.starts.Remove(a)
-	if last := j.Release(a.Index, m.Zone); last {
+	if last {
 		l.changed = true
-		l.removeIfFinished(j)
+		l.removeIfFinished(a.Job)
 	}
 }
 
--- a/internal/leader/placement.go
+++ b/internal/leader/placement.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"maps"
-	"math"
 	"slices"
 	"sort"
 	"time"
@@ -47,7 +46,7 @@
 	for _, j := range byID {
 		agedJobs[j] = j.SincePlacement(now) >= tuning.AgingThreshold
 	}
-	starts, work := placement.Run(l.clock(now), l.withAged(now, ready, byID), open, l.teamUse(), tuning.PassMaxStarts)
+	starts, work := placement.Run(l.clock(now), l.withAged(now, ready, byID), open, l.ledger.PlacementTeams(), tuning.PassMaxStarts)
 	l.scores += work.ScoredPairs
 	for _, s := range starts {
 		j := byID[s.Job]
@@ -81,21 +80,12 @@
 	return open
 }
 
-// teamUse is what each team uses, and its limit.
-func (l *Leader) teamUse() map[string]*placement.Team {
-	teams := map[string]*placement.Team{}
-	for name, t := range l.teams {
-		teams[name] = &placement.Team{Used: t.used, Limit: placement.Resources{CPUs: t.CPUsMax, GPUs: t.GPUsMax, MemoryGB: math.Inf(1)}}
-	}
-	return teams
-}
-
 // start puts the next ready task of a job on a machine. The start may go out only once
 // the record of it is durable: a successor must know which machine to ask for the task.
 func (l *Leader) start(now time.Time, j *jobs.Job, m *machines.Machine, afterLongWait bool) {
 	index := j.PlaceNext(now)
 	a := machines.NewPendingAttempt(m, j, index, now, l.nextAttempt(), afterLongWait)
-	l.allocate(a)
+	l.ledger.Allocate(a)
 	l.starts.Add(a)
 }
 
@@ -135,7 +125,7 @@
 // readyJobs lists jobs with tasks to place, oldest first.
 func (l *Leader) readyJobs(now time.Time) ([]*placement.PendingJob, map[string]*jobs.Job) {
 	active := l.activeJobs()
-	guaranteed := l.guaranteed(active)
+	guaranteed := l.ledger.WithinGuarantee(active)
 	cpus := 0.0
 	for _, m := range l.machines.All() {
 		cpus += m.Total.CPUs
@@ -176,26 +166,6 @@
 	return list
 }
 
-// guaranteed tells which unfinished jobs, listed oldest first, fit into their
-// team's guarantee together with the team's earlier ones.
-func (l *Leader) guaranteed(list []*jobs.Job) map[*jobs.Job]bool {
-	used := map[string]placement.Resources{}
-	fits := map[*jobs.Job]bool{}
-	for _, j := range list {
-		t := l.teams[j.Team]
-		if t == nil {
-			continue
-		}
-		left := float64(j.RemainingTasks())
-		sum := used[j.Team].Add(placement.Resources{CPUs: j.CPUs, GPUs: j.GPUs}, left)
-		used[j.Team] = sum
-		if (placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs}).Fits(sum) {
-			fits[j] = true
-		}
-	}
-	return fits
-}
-
 // snapshot describes a machine to the placement rule. It is made anew only
 // when something has changed there, or a pass has used it up.
 func (l *Leader) snapshot(now time.Time, m *machines.Machine) *placement.Machine {
--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -20,7 +20,7 @@
 		RemainingS:   l.remaining,
 		Unfinished:   func() iter.Seq[*jobs.Job] { return maps.Keys(l.live) },
 		FetchGBPerS:  func(machineType string) float64 { return l.catalogue.Type(machineType).FetchGBPerS },
-		TeamFreeCPUs: l.teamFreeCPUs,
+		TeamFreeCPUs: l.ledger.FreeCPUs,
 		Stopped:      l.calls.schedule,
 	})
 }
@@ -61,13 +61,3 @@
 	}
 	return list
 }
-
-// teamFreeCPUs are the CPUs that a team may use beyond those that it uses; known is false for
-// teams that are not in the settings.
-func (l *Leader) teamFreeCPUs(team string) (cpus float64, known bool) {
-	t := l.teams[team]
-	if t == nil {
-		return 0, false
-	}
-	return t.CPUsMax - t.used.CPUs, true
-}
--- a/internal/leader/requests.go
+++ b/internal/leader/requests.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"switchshore.example/switchshore/internal/admission"
+	"switchshore.example/switchshore/internal/allocation"
 	"switchshore.example/switchshore/internal/config"
 	"switchshore.example/switchshore/internal/jobs"
 	"switchshore.example/switchshore/internal/machines"
@@ -151,7 +152,7 @@
 
 // impossible says why a job can never run, or "".
 func (l *Leader) impossible(spec *wire.Job) string {
-	if why := aboveLimit(l.teams[spec.Team], spec); why != "" {
+	if why := l.ledger.AboveLimit(spec); why != "" {
 		return why
 	}
 	need := placement.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}
@@ -166,26 +167,10 @@
 	return "a task fits no allowed machine type"
 }
 
-// aboveLimit says why a job can never run, as far as its team's settings tell, or "".
-func aboveLimit(t *team, spec *wire.Job) string {
-	if t == nil {
-		return "unknown team"
-	}
-	if !(placement.Resources{CPUs: t.CPUsMax, GPUs: t.GPUsMax}).Fits(placement.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs}) {
-		return "a task needs more than the team's limit"
-	}
-	return ""
-}
-
 // AboveLimit says why a job can never run, as far as the settings alone tell, or "": any
 // node can say that, whether or not a leader is known.
 func AboveLimit(teams []config.Team, spec *wire.Job) string {
-	for _, t := range teams {
-		if t.Name == spec.Team {
-			return aboveLimit(&team{Team: withLimits(t)}, spec)
-		}
-	}
-	return aboveLimit(nil, spec)
+	return allocation.AboveLimit(teams, spec)
 }
 
 // Query tells a job's state, 503 while it can't be told.
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -81,10 +81,7 @@
 		// Machines that a predecessor provisioned last are not listed yet.
 		return nil
 	}
-	free := map[string]float64{} // CPUs by team
-	for name, t := range l.teams {
-		free[name] = t.CPUsMax - t.used.CPUs
-	}
+	free := l.ledger.FreeCPUsByTeam()
 	ready, byID := l.readyJobs(now)
 	sort.SliceStable(ready, func(i, k int) bool { return ready[i].PriorityRank < ready[k].PriorityRank })
 	var demand []autoscale.Demand
--- a/internal/leader/tasklist.go
+++ b/internal/leader/tasklist.go
@@ -76,7 +76,7 @@
 	a := m.Find(j, index)
 	if a == nil {
 		a = machines.NewAttempt(m, j, index, now)
-		l.allocate(a)
+		l.ledger.Allocate(a)
 		// No record names it any more, or none ever did: a successor has to
 		// know of it all the same.
 		l.starts.Add(a)
--- a/internal/machines/attempt.go
+++ b/internal/machines/attempt.go
@@ -20,6 +20,7 @@
 
 	number        uint64
 	state         AttemptState
+	allocated     bool   // counts on its machine
 	listNumber    uint64 // the last task list that showed it
 	afterLongWait bool   // placed since its job had waited long
 	orderedAt     time.Time
@@ -73,6 +74,9 @@
 // to be known.
 func (a *Attempt) OrderedAt() time.Time { return a.orderedAt }
 
+// IsAllocated reports whether the attempt counts on its machine.
+func (a *Attempt) IsAllocated() bool { return a.allocated }
+
 // IsAfterLongWait reports whether the attempt was placed since its job had waited long.
 func (a *Attempt) IsAfterLongWait() bool { return a.afterLongWait }
 
--- a/internal/machines/machine.go
+++ b/internal/machines/machine.go
@@ -3,6 +3,7 @@
 package machines
 
 import (
+	"slices"
 	"time"
 
 	"switchshore.example/switchshore/internal/jobs"
@@ -66,6 +67,26 @@
 	SnapshotOutdated bool
 }
 
+// AddAttempt counts an attempt on the machine. Only package allocation calls it.
+func (m *Machine) AddAttempt(a *Attempt) {
+	a.allocated = true
+	m.Attempts = append(m.Attempts, a)
+	m.Free = m.Free.Add(a.Job.Request(), -1)
+	m.SnapshotOutdated = true
+}
+
+// RemoveAttempt counts an attempt on the machine no more. Only package allocation calls it.
+func (m *Machine) RemoveAttempt(now time.Time, a *Attempt) {
+	a.allocated = false
+	i := slices.Index(m.Attempts, a)
+	m.Attempts = slices.Delete(m.Attempts, i, i+1)
+	m.Free = m.Free.Add(a.Job.Request(), 1)
+	m.SnapshotOutdated = true
+	if len(m.Attempts) == 0 {
+		m.IdleSince = now
+	}
+}
+
 // Find returns the attempt of a task on the machine, or nil.
 func (m *Machine) Find(j *jobs.Job, index int32) *Attempt {
 	for _, a := range m.Attempts {
