--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -5,21 +5,20 @@
 package leader
 
 import (
-	"math"
 	"time"
 
 	"github.com/rs/zerolog"
-
-	"switchshore.example/switchshore/internal/config"
 	"switchshore.example/switchshore/internal/consolidation"
 	"switchshore.example/switchshore/internal/drainer"
-	"switchshore.example/switchshore/internal/jobs"
-	"switchshore.example/switchshore/internal/machines"
-	"switchshore.example/switchshore/internal/placement"
 	"switchshore.example/switchshore/internal/preemption"
-	"switchshore.example/switchshore/internal/records"
 	"switchshore.example/switchshore/internal/scaling"
 	"switchshore.example/switchshore/internal/startlog"
+
+	"switchshore.example/switchshore/internal/allocation"
+	"switchshore.example/switchshore/internal/config"
+	"switchshore.example/switchshore/internal/jobs"
+	"switchshore.example/switchshore/internal/machines"
+	"switchshore.example/switchshore/internal/records"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
@@ -31,17 +30,14 @@
 	term     uint64
 	attempts uint64 // numbers given so far
 
-	// inheritedUntil is when every task has ended that a predecessor may have left on a
-	// machine that has not reported in this term.
-	inheritedUntil time.Time
-	started        time.Time
+	timing machines.Timing
 
 	jobs      *jobs.Registry
 	admission *admissionControl
 	// live are the unfinished jobs that need no other any more.
 	live               map[*jobs.Job]struct{}
 	unsavedCompletions map[*jobs.Job]time.Time // jobs with unwritten completions, since when
-	teams              map[string]*team
+	ledger             *allocation.Ledger
 	runTimes           jobs.RunTimes
 	startDelay         jobs.StartDelay
 
@@ -77,11 +73,6 @@
 	lastExpiry time.Time
 }
 
-type team struct {
-	config.Team
-	used placement.Resources // of all tasks that may be on a machine
-}
-
 // New returns an empty state for a term won at now. grace is how long a
 // leader without the key-value store goes on answering heartbeats.
 func New(log zerolog.Logger, p config.Params, o config.Operator, term uint64, now time.Time, grace time.Duration) *Leader {
@@ -90,44 +81,27 @@
 		params:             p,
 		operator:           o,
 		term:               term,
-		started:            now,
 		jobs:               jobs.NewRegistry(),
 		live:               map[*jobs.Job]struct{}{},
 		admission:          newAdmissionControl(&p, &o, term, now),
 		unsavedCompletions: map[*jobs.Job]time.Time{},
-		teams:              map[string]*team{},
+		ledger:             allocation.NewLedger(p.Teams),
 		runTimes:           jobs.RunTimes{},
 		machines:           machines.NewRegistry(),
 		catalogue:          machines.NewCatalogue(),
+		timing:             newTiming(p.Workers, now, grace),
 		loading:            loading{pieces: records.JobPieces{}, attempts: map[taskKey]*machines.Attempt{}},
 		partitionedZones:   map[string]time.Time{},
 	}
 	l.graph = jobs.NewDependencyGraph(l.jobs, l.stageTime)
 	l.writes = records.NewWriteQueues(log, l.valueLimit())
-	for _, t := range p.Teams {
-		l.teams[t.Name] = &team{Team: withLimits(t)}
-	}
 	l.starts = startlog.New(term, l.valueLimit(), l.writes, startlog.Callbacks{Durable: l.sendStart, Refused: l.abandonStart})
 	l.scaler = l.newScaler()
 	l.drainer = l.newDrainer()
 	l.preemptor, l.consolidator = l.newPreemptor(), l.newConsolidator()
-	// A predecessor's last answer comes at the latest a grace after its
-	// authority, which ended before now; the agent's lease runs from the
-	// sending of the heartbeat answered.
-	l.inheritedUntil = now.Add(grace + l.leaseTime())
 	return l
 }
 
-// withLimits returns a team with the limits that its settings stand for.
-func withLimits(t config.Team) config.Team {
-	if t.CPUsMax == 0 && t.GPUsMax == 0 {
-		// "A value of 0 means none": a guest without a guarantee and without a
-		// limit, not one that may use nothing.
-		t.CPUsMax, t.GPUsMax = math.Inf(1), math.Inf(1)
-	}
-	return t
-}
-
 // GracePeriod is how long a leader without the key-value store goes on answering
 // heartbeats: as long as possible, but such that an agent's lease added to it is still within
 // the time for cancellations.
@@ -145,9 +119,19 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// leaseTime is the time after which an agent's lease has provably expired.
-func (l *Leader) leaseTime() time.Duration {
-	return seconds(l.params.Workers.LeaseS*(1+tuning.ClockDrift)) + tuning.LeaseExpiryMargin
+// newTiming returns the times by which machines are judged in a term that begins now.
+func newTiming(w config.Workers, now time.Time, grace time.Duration) machines.Timing {
+	expiry := seconds(w.LeaseS*(1+tuning.ClockDrift)) + tuning.LeaseExpiryMargin
+	return machines.Timing{
+		HeartbeatTimeout: seconds(w.HeartbeatIntervalS * tuning.HeartbeatTimeoutIntervals),
+		Lease:            seconds(w.LeaseS),
+		LeaseExpiry:      expiry,
+		TermStart:        now,
+		// A predecessor's last answer comes at the latest a grace after its
+		// authority, which ended before now; the agent's lease runs from the
+		// sending of the heartbeat answered.
+		InheritedUntil: now.Add(grace + expiry),
+	}
 }
 
 // Term is the term of this state.
