--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -9,13 +9,13 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Admission is how the operators want submissions to be shared out under overload.
+// Admission has the shares of teams under overload that the operators set.
 type Admission struct {
 	Teams []AdmissionShare
 }
 
-// AdmissionShare is the weight and floor of a team, or of a class within one. Zero means
-// the default.
+// AdmissionShare is the weight and floor of a team, or of a class within one; zero is the
+// default.
 type AdmissionShare struct {
 	Name    string
 	Weight  float64
@@ -23,7 +23,7 @@
 	Classes []AdmissionShare
 }
 
-// admissionElement is the element as it is written.
+// admissionElement is the element as written.
 type admissionElement struct {
 	Teams []shareElement `xml:"team"`
 	Other []struct {
@@ -31,6 +31,7 @@
 	} `xml:",any"`
 }
 
+// shareElement is a team, or a class within one, as written.
 type shareElement struct {
 	Name    string         `xml:"name,attr"`
 	Weight  string         `xml:"weight,attr"`
@@ -41,16 +42,16 @@
 	} `xml:",any"`
 }
 
-// maxWeight bounds weights: more than that is a slip.
+// maxWeight bounds weights: larger ones are typing errors.
 const maxWeight = 1000
 
-// parse checks the element against the deployment's teams and classes.
+// parse checks the element against the deployment's teams and classes; nil is off.
 func (e *admissionElement) parse(p *Params) (*Admission, error) {
 	if e == nil {
 		return nil, nil
 	}
 	if len(e.Other) > 0 {
-		return nil, &FieldError{Field: "admission/" + e.Other[0].XMLName.Local, Reason: "unknown element"}
+		return nil, &FieldError{Field: "admission/" + e.Other[0].XMLName.Local, Reason: reasonUnknownElement}
 	}
 	shares, err := parseShares("admission/team", e.Teams, p.teamNames(), tuning.AdmissionReservedShare)
 	if err != nil {
@@ -63,16 +64,16 @@
 		}
 		for _, class := range team.Classes {
 			if len(class.Classes) > 0 {
-				return nil, &FieldError{Field: field + "/class", Reason: "unknown element"}
+				return nil, &FieldError{Field: field + "/class", Reason: reasonUnknownElement}
 			}
 		}
 	}
 	return &Admission{Teams: shares}, nil
 }
 
-// parseShares reads teams or classes, each of the known ones at most once; their floors
-// sum up to at most most.
-func parseShares(field string, elements []shareElement, known []string, most float64) ([]AdmissionShare, error) {
+// parseShares parses the shares of teams or classes, each of the known names at most once;
+// the sum of their floors is at most maxFloors.
+func parseShares(field string, elements []shareElement, known []string, maxFloors float64) ([]AdmissionShare, error) {
 	var shares []AdmissionShare
 	seen := map[string]bool{}
 	floors := 0.0
@@ -80,33 +81,42 @@
 		at := fmt.Sprintf("%s[%s]", field, e.Name)
 		switch {
 		case len(e.Other) > 0:
-			return nil, &FieldError{Field: at + "/" + e.Other[0].XMLName.Local, Reason: "unknown element"}
+			return nil, &FieldError{Field: at + "/" + e.Other[0].XMLName.Local, Reason: reasonUnknownElement}
 		case !slices.Contains(known, e.Name):
-			return nil, &FieldError{Field: at + "/name", Reason: "not in the platform's settings"}
+			return nil, &FieldError{Field: at + "/name", Reason: reasonNotInSettings}
 		case seen[e.Name]:
-			return nil, &FieldError{Field: at, Reason: "given twice"}
+			return nil, &FieldError{Field: at, Reason: reasonTwice}
 		}
 		seen[e.Name] = true
-		weight, err := amount(at+"/weight", e.Weight)
+		share, err := e.share(at)
 		if err != nil {
 			return nil, err
 		}
-		if e.Weight != "" && weight == 0 || weight > maxWeight {
-			return nil, &FieldError{Field: at + "/weight", Reason: fmt.Sprintf("must be above 0 and at most %d", maxWeight)}
+		if floors += share.Floor; floors > maxFloors {
+			return nil, &FieldError{Field: at + "/floor", Reason: fmt.Sprintf("floors must not sum up to more than %g", maxFloors)}
 		}
-		floor, err := amount(at+"/floor", e.Floor)
-		if err != nil {
-			return nil, err
-		}
-		if floors += floor; floors > most {
-			return nil, &FieldError{Field: at + "/floor", Reason: fmt.Sprintf("floors must not sum up to more than %g", most)}
-		}
-		shares = append(shares, AdmissionShare{Name: e.Name, Weight: weight, Floor: floor})
+		shares = append(shares, share)
 	}
 	return shares, nil
 }
 
-// teamNames are the names of the teams.
+// share parses the weight and the floor.
+func (e *shareElement) share(field string) (AdmissionShare, error) {
+	weight, err := parseAmount(field+"/weight", e.Weight)
+	if err != nil {
+		return AdmissionShare{}, err
+	}
+	if e.Weight != "" && weight == 0 || weight > maxWeight {
+		return AdmissionShare{}, &FieldError{Field: field + "/weight", Reason: fmt.Sprintf("must be above 0 and at most %d", maxWeight)}
+	}
+	floor, err := parseAmount(field+"/floor", e.Floor)
+	if err != nil {
+		return AdmissionShare{}, err
+	}
+	return AdmissionShare{Name: e.Name, Weight: weight, Floor: floor}, nil
+}
+
+// teamNames returns the names of the teams.
 func (p *Params) teamNames() []string {
 	names := make([]string, len(p.Teams))
 	for i, t := range p.Teams {
@@ -115,7 +125,7 @@
 	return names
 }
 
-// Classes are the names of the classes that the objectives name, each once.
+// Classes returns the names of the classes that have objectives, each once.
 func (p *Params) Classes() []string {
 	var names []string
 	for _, o := range p.Objectives {
@@ -126,7 +136,7 @@
 	return names
 }
 
-// AdmissionSettings are the settings of admission control, nil if it is off.
+// AdmissionSettings returns the settings of admission control, nil if it is off.
 func (o *Operator) AdmissionSettings(p *Params) *admission.Settings {
 	if o.Admission == nil {
 		return nil
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -8,39 +8,54 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// FieldError is a setting that is missing or wrong.
+// FieldError is a setting that is missing or invalid.
 type FieldError = wire.FieldError
 
-// checker keeps the first error of the settings that it looks at.
+// Reasons of a FieldError that several checks give.
+const (
+	reasonMissing          = "missing"
+	reasonNegative         = "must not be negative"
+	reasonNotNumber        = "not a number"
+	reasonNotWhole         = "must be a whole number"
+	reasonUnknownElement   = "unknown element"
+	reasonUnknownAttribute = "unknown attribute"
+	reasonTwice            = "given twice"
+	reasonNotInSettings    = "not in the platform's settings"
+)
+
+// checker keeps the first error.
 type checker struct {
 	err error
 }
 
+// require keeps an error if a condition doesn't hold.
 func (c *checker) require(ok bool, field, reason string) {
 	if !ok && c.err == nil {
 		c.err = &FieldError{Field: field, Reason: reason}
 	}
 }
 
+// addr checks an IP address with a port.
 func (c *checker) addr(value, field string) {
 	if value == "" {
-		c.require(false, field, "missing")
+		c.require(false, field, reasonMissing)
 		return
 	}
 	host, _, err := net.SplitHostPort(value)
 	c.require(err == nil && net.ParseIP(host) != nil, field, "must be an IP address with a port")
 }
 
+// positive checks a number above zero.
 func (c *checker) positive(value float64, field string) {
 	c.require(value > 0, field, "must be above zero")
 	c.require(!math.IsInf(value, 0), field, "must be finite")
 }
 
-// check returns the first setting that is missing or wrong.
+// check returns the first error of the settings.
 func (c *Config) check() error {
-	var k checker
-	k.require(c.Name != "", "label", "missing")
-	k.require(c.Zone != "", "domain", "missing")
+	k := &checker{}
+	k.require(c.Name != "", "label", reasonMissing)
+	k.require(c.Zone != "", "domain", reasonMissing)
 	k.addr(c.Listen, "client_listen")
 	k.addr(c.PeerListen, "peer_bind")
 	for i, p := range c.Peers {
@@ -49,10 +64,11 @@
 	}
 	k.addr(c.Services.Cloud, "services.cloud")
 	k.addr(c.Services.KVStore, "services.state")
-	c.Params.check(&k)
+	c.Params.check(k)
 	return k.err
 }
 
+// check checks the deployment's parameters.
 func (p *Params) check(k *checker) {
 	checkTeams(k, p.Teams)
 	k.positive(p.Workers.HeartbeatIntervalS, "facts.workers.report_s")
@@ -62,22 +78,25 @@
 	p.KVStore.check(k, "facts.state")
 	p.KVStore.Tightest().check(k, "facts.state.next")
 	k.positive(p.Cloud.RPS, "facts.cloud.rps")
-	k.require(p.Cloud.ListLagS >= 0 && !math.IsInf(p.Cloud.ListLagS, 0), "facts.cloud.list_lag_s", "must not be negative")
-	k.require(p.Limits.MemoryMB >= 0, "facts.resources.memory_mb", "must not be negative")
-	k.require(p.Limits.MaxConnections >= 0, "facts.resources.fd_limit", "must not be negative")
+	k.require(p.Cloud.ListLagS >= 0 && !math.IsInf(p.Cloud.ListLagS, 0), "facts.cloud.list_lag_s", reasonNegative)
+	k.require(p.Limits.MemoryMB >= 0, "facts.resources.memory_mb", reasonNegative)
+	k.require(p.Limits.MaxConnections >= 0, "facts.resources.fd_limit", reasonNegative)
 }
 
+// checkTeams checks that team names are unique, and quotas not negative.
 func checkTeams(k *checker, teams []Team) {
-	k.require(len(teams) > 0, "facts.teams", "missing")
+	k.require(len(teams) > 0, "facts.teams", reasonMissing)
 	seen := map[string]bool{}
 	for i, t := range teams {
-		k.require(t.Name != "" && !seen[t.Name], fmt.Sprintf("facts.teams[%d].name", i), "missing or twice")
-		k.require(t.CPUs >= 0 && t.GPUs >= 0, fmt.Sprintf("facts.teams[%d].cpus", i), "must not be negative")
-		k.require(t.CPUsMax >= 0 && t.GPUsMax >= 0, fmt.Sprintf("facts.teams[%d].cpus_max", i), "must not be negative")
+		table := fmt.Sprintf("facts.teams[%d]", i)
+		k.require(t.Name != "" && !seen[t.Name], table+".name", "missing or twice")
+		k.require(t.CPUs >= 0 && t.GPUs >= 0, table+".cpus", reasonNegative)
+		k.require(t.CPUsMax >= 0 && t.GPUsMax >= 0, table+".cpus_max", reasonNegative)
 		seen[t.Name] = true
 	}
 }
 
+// check checks the limits of a table of the file.
 func (s KVStoreLimits) check(k *checker, table string) {
 	k.positive(s.RPS, table+".rps")
 	k.positive(s.WriteRPS, table+".write_rps")
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,17 +1,9 @@
-// Package config reads and checks the platform's settings (TOML) and the
-// operators' own (XML).
+// Package config reads and checks the platform's settings (TOML, Load) and the
+// operators' own (XML, LoadOperator). An invalid setting is a FieldError, whose field is
+// written as in the file.
 package config
 
-import (
-	"errors"
-	"fmt"
-	"os"
-	"strings"
-
-	"github.com/pelletier/go-toml/v2"
-)
-
-// Config is the platform's settings file.
+// Config is the platform's settings file: this node and its surroundings.
 type Config struct {
 	Name       string   `toml:"label"`
 	Zone       string   `toml:"domain"`
@@ -29,13 +21,13 @@
 	Addr string `toml:"addr"`
 }
 
-// Services are the addresses of cloud and state service.
+// Services has the addresses of the cloud and of the key-value store.
 type Services struct {
 	Cloud   string `toml:"cloud"`
 	KVStore string `toml:"state"`
 }
 
-// Params are the facts of the deployment.
+// Params describes the deployment; it is the same on all nodes.
 type Params struct {
 	Nodes        int           `toml:"initial_size"`
 	Zones        []string      `toml:"zones"`
@@ -48,7 +40,7 @@
 	Limits       ProcessLimits `toml:"resources"`
 }
 
-// Team is a team's guarantee and limit.
+// Team is a team's quota: what it is guaranteed, and its limit (Max).
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -57,7 +49,7 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective is an aim on starting or finishing.
+// Objective is a service-level objective on the start or the end of a class of jobs.
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
@@ -66,25 +58,25 @@
 	WithinS float64 `toml:"within_s"`
 }
 
-// Workers are the times of the worker protocol, in seconds.
+// Workers has the times of the worker protocol, in seconds.
 type Workers struct {
 	HeartbeatIntervalS float64 `toml:"report_s"`
 	LeaseS             float64 `toml:"lease_s"`
 	CancelDeadlineS    float64 `toml:"cancel_s"`
 }
 
-// KVStoreLimits are the limits of the state service.
+// KVStoreLimits has the limits of the key-value store.
 type KVStoreLimits struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
 	TxnOps   int     `toml:"txn_ops"`
-	// Upcoming holds the limits that the state service will have from some moment
-	// on, without notice; what is left out stays.
+	// Upcoming holds the limits that the store will have from some time on,
+	// without notice; those left out don't change.
 	Upcoming UpcomingKVStoreLimits `toml:"next"`
 }
 
-// UpcomingKVStoreLimits are limits of the state service to come.
+// UpcomingKVStoreLimits has limits of the key-value store that will come; nil is no change.
 type UpcomingKVStoreLimits struct {
 	RPS      *float64 `toml:"rps"`
 	WriteRPS *float64 `toml:"write_rps"`
@@ -92,8 +84,8 @@
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// Tightest are the limits that hold before and after those to come: nobody is
-// told when they change, and a request above them is refused.
+// Tightest returns limits that hold before and after the change: its time is not
+// known, and requests above the limits are refused.
 func (s KVStoreLimits) Tightest() KVStoreLimits {
 	next := s.Upcoming
 	return KVStoreLimits{
@@ -104,6 +96,7 @@
 	}
 }
 
+// tighter returns the smaller limit.
 func tighter[N int | float64](now N, next *N) N {
 	if next == nil {
 		return now
@@ -111,46 +104,15 @@
 	return min(now, *next)
 }
 
-// CloudLimits are the limits of the cloud.
+// CloudLimits has the limits of the cloud.
 type CloudLimits struct {
 	RPS      float64 `toml:"rps"`
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// ProcessLimits are the resources of this process.
+// ProcessLimits has the resources of this process; 0 is no limit.
 type ProcessLimits struct {
 	CPUShare       float64 `toml:"core_share"`
 	MemoryMB       float64 `toml:"memory_mb"`
 	MaxConnections int     `toml:"fd_limit"`
 }
-
-// Load reads and checks the settings file at path.
-func Load(path string) (*Config, error) {
-	data, err := os.ReadFile(path)
-	if err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
-	}
-	c, err := Parse(data)
-	if err != nil {
-		return nil, fmt.Errorf("settings %s: %w", path, err)
-	}
-	return c, nil
-}
-
-// Parse decodes and checks settings; unknown fields are ignored.
-func Parse(data []byte) (*Config, error) {
-	c := &Config{}
-	if err := toml.Unmarshal(data, c); err != nil {
-		var decode *toml.DecodeError
-		if errors.As(err, &decode) {
-			row, column := decode.Position()
-			return nil, fmt.Errorf("line %d, column %d: field %s: %s", row, column, strings.Join(decode.Key(), "."), decode.Error())
-		}
-		return nil, err
-	}
-	if err := c.check(); err != nil {
-		return nil, err
-	}
-	c.Params.KVStore = c.Params.KVStore.Tightest()
-	return c, nil
-}
--- a/internal/config/drains.go
+++ b/internal/config/drains.go
@@ -14,7 +14,7 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// drainsElement is the element that turns drains on, as it is written.
+// drainsElement is the element that turns drains on, as written.
 type drainsElement struct {
 	Window  string          `xml:"windowSeconds,attr"`
 	Attrs   []xml.Attr      `xml:",any,attr"`
@@ -24,7 +24,7 @@
 	} `xml:",any"`
 }
 
-// budgetElement is the budget of a team, or of all that have none of their own.
+// budgetElement is the budget of a team or, without one, the default, as written.
 type budgetElement struct {
 	Team           string     `xml:"team,attr"`
 	MaxUnavailable string     `xml:"maxUnavailable,attr"`
@@ -40,32 +40,18 @@
 	}
 	switch {
 	case len(e.Other) > 0:
-		return nil, &FieldError{Field: "drains/" + e.Other[0].XMLName.Local, Reason: "unknown element"}
+		return nil, &FieldError{Field: "drains/" + e.Other[0].XMLName.Local, Reason: reasonUnknownElement}
 	case len(e.Attrs) > 0:
-		return nil, &FieldError{Field: "drains/" + e.Attrs[0].Name.Local, Reason: "unknown attribute"}
+		return nil, &FieldError{Field: "drains/" + e.Attrs[0].Name.Local, Reason: reasonUnknownAttribute}
 	}
-	b := &drain.Budgets{Window: tuning.DrainWindow, Teams: map[string]drain.Budget{}, Default: drain.Budget{
-		MaxUnavailable: tuning.DrainMaxUnavailable, Evictions: tuning.DrainMaxEvictions, LostS: tuning.DrainMaxLostTime.Seconds(),
-	}}
-	window, err := amount("drains/windowSeconds", e.Window)
+	window, err := e.window()
 	if err != nil {
 		return nil, err
 	}
-	if e.Window != "" {
-		b.Window = time.Duration(window * float64(time.Second))
-	}
-	if b.Window < tuning.DrainWindowMin || b.Window > tuning.DrainWindowMax {
-		return nil, &FieldError{Field: "drains/windowSeconds", Reason: fmt.Sprintf("must be %g to %g", tuning.DrainWindowMin.Seconds(), tuning.DrainWindowMax.Seconds())}
-	}
-	general := b.Default
-	for _, element := range e.Budgets {
-		if element.Team == "" {
-			if general, err = element.parse("drains/budget", b.Default); err != nil {
-				return nil, err
-			}
-		}
+	b := &drain.Budgets{Window: window, Teams: map[string]drain.Budget{}}
+	if b.Default, err = e.defaultBudget(); err != nil {
+		return nil, err
 	}
-	b.Default = general
 	for _, element := range e.Budgets {
 		if err := element.addTo(b, p); err != nil {
 			return nil, err
@@ -74,6 +60,42 @@
 	return b, nil
 }
 
+// window parses the window of the budgets.
+func (e *drainsElement) window() (time.Duration, error) {
+	const field = "drains/windowSeconds"
+	seconds, err := parseAmount(field, e.Window)
+	if err != nil {
+		return 0, err
+	}
+	window := tuning.DrainWindow
+	if e.Window != "" {
+		window = time.Duration(seconds * float64(time.Second))
+	}
+	if window < tuning.DrainWindowMin || window > tuning.DrainWindowMax {
+		reason := fmt.Sprintf("must be %g to %g", tuning.DrainWindowMin.Seconds(), tuning.DrainWindowMax.Seconds())
+		return 0, &FieldError{Field: field, Reason: reason}
+	}
+	return window, nil
+}
+
+// defaultBudget parses the budget of the teams without one of their own; the last one counts.
+func (e *drainsElement) defaultBudget() (drain.Budget, error) {
+	builtIn := drain.Budget{
+		MaxUnavailable: tuning.DrainMaxUnavailable, Evictions: tuning.DrainMaxEvictions, LostS: tuning.DrainMaxLostTime.Seconds(),
+	}
+	budget := builtIn
+	for _, element := range e.Budgets {
+		if element.Team != "" {
+			continue
+		}
+		var err error
+		if budget, err = element.parse("drains/budget", builtIn); err != nil {
+			return drain.Budget{}, err
+		}
+	}
+	return budget, nil
+}
+
 // addTo adds a team's own budget.
 func (e *budgetElement) addTo(b *drain.Budgets, p *Params) error {
 	if e.Team == "" {
@@ -81,47 +103,55 @@
 	}
 	field := fmt.Sprintf("drains/budget[%s]", e.Team)
 	if !slices.Contains(p.teamNames(), e.Team) {
-		return &FieldError{Field: field + "/team", Reason: "not in the platform's settings"}
+		return &FieldError{Field: field + "/team", Reason: reasonNotInSettings}
 	}
 	if _, twice := b.Teams[e.Team]; twice {
-		return &FieldError{Field: field, Reason: "given twice"}
+		return &FieldError{Field: field, Reason: reasonTwice}
 	}
 	own, err := e.parse(field, b.Default)
 	b.Teams[e.Team] = own
 	return err
 }
 
-// parse reads a budget; what it leaves out is as in another one.
+// parse parses a budget; what is left out is as in the default.
 func (e *budgetElement) parse(field string, budget drain.Budget) (drain.Budget, error) {
 	if len(e.Attrs) > 0 {
-		return budget, &FieldError{Field: field + "/" + e.Attrs[0].Name.Local, Reason: "unknown attribute"}
+		return budget, &FieldError{Field: field + "/" + e.Attrs[0].Name.Local, Reason: reasonUnknownAttribute}
 	}
-	for _, number := range []struct {
-		name, text string
-		to         *int
-	}{{"maxUnavailable", e.MaxUnavailable, &budget.MaxUnavailable}, {"evictions", e.Evictions, &budget.Evictions}} {
-		if number.text == "" {
-			continue
-		}
-		value, err := strconv.Atoi(strings.TrimSpace(number.text))
-		if err != nil {
-			return budget, &FieldError{Field: field + "/" + number.name, Reason: "must be a whole number"}
-		}
-		*number.to = value
+	if err := parseCount(field+"/maxUnavailable", e.MaxUnavailable, &budget.MaxUnavailable); err != nil {
+		return budget, err
+	}
+	if err := parseCount(field+"/evictions", e.Evictions, &budget.Evictions); err != nil {
+		return budget, err
 	}
 	if e.LostSeconds != "" {
 		value, err := strconv.ParseFloat(strings.TrimSpace(e.LostSeconds), 64)
 		if err != nil || math.IsNaN(value) {
-			return budget, &FieldError{Field: field + "/lostSeconds", Reason: "not a number"}
+			return budget, &FieldError{Field: field + "/lostSeconds", Reason: reasonNotNumber}
 		}
 		budget.LostS = value
 	}
-	if err := budget.Validate(); err != nil {
-		var bad *FieldError
-		if errors.As(err, &bad) {
-			return budget, &FieldError{Field: field + "/" + bad.Field, Reason: bad.Reason}
-		}
-		return budget, err
+	return budget, withinField(field, budget.Validate())
+}
+
+// parseCount parses a whole number into target, unless the text is empty.
+func parseCount(field, text string, target *int) error {
+	if text == "" {
+		return nil
 	}
-	return budget, nil
+	value, err := strconv.Atoi(strings.TrimSpace(text))
+	if err != nil {
+		return &FieldError{Field: field, Reason: reasonNotWhole}
+	}
+	*target = value
+	return nil
+}
+
+// withinField puts the path of the element before the field of a FieldError.
+func withinField(path string, err error) error {
+	var invalid *FieldError
+	if errors.As(err, &invalid) {
+		return &FieldError{Field: path + "/" + invalid.Field, Reason: invalid.Reason}
+	}
+	return err
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -14,22 +14,21 @@
 	"switchshore.example/switchshore/internal/drain"
 )
 
-// Operator is the operators' own settings. The zero value of a field means
-// the default.
+// Operator is the operators' own settings. A field that is zero has its default, or is off.
 type Operator struct {
-	// MaxMachines caps the machines rented at once, 0 for no cap.
+	// MaxMachines bounds the machines provisioned at a time; the default is no bound.
 	MaxMachines int
-	// ScaleInIdleS overrides how long an idle machine is kept, in seconds.
+	// ScaleInIdleS is how long an idle machine is kept, in seconds.
 	ScaleInIdleS float64
-	// StartWithinS overrides the planning horizon, in seconds.
+	// StartWithinS is the time within which waiting work should start, in seconds.
 	StartWithinS float64
-	// Admission turns fair admission under overload on; nil is off.
+	// Admission turns on fair admission under overload.
 	Admission *Admission
-	// Drains turns drains of machines on, with the budgets of the teams; nil is off.
+	// Drains turns on drains of machines, with the budgets of the teams.
 	Drains *drain.Budgets
 }
 
-// operatorFile is the file as it is written; a field left out is empty.
+// operatorFile is the file as written; a field left out is empty.
 type operatorFile struct {
 	XMLName      xml.Name `xml:"switchshore"`
 	MaxMachines  string   `xml:"machines>max"`
@@ -40,7 +39,8 @@
 	Drains    *drainsElement    `xml:"drains"`
 }
 
-// LoadOperator reads the operators' file for a deployment; an empty path gives the defaults.
+// LoadOperator reads and checks the operators' file for a deployment. An empty path gives the
+// defaults.
 func LoadOperator(path string, p *Params) (*Operator, error) {
 	if path == "" {
 		return &Operator{}, nil
@@ -56,25 +56,26 @@
 	return o, nil
 }
 
-// ParseOperator decodes and checks the operators' file for a deployment.
+// ParseOperator decodes and checks the operators' file for a deployment. The error is a
+// FieldError, ErrNoElement, ErrExtraContent, or that of the XML decoder.
 func ParseOperator(data []byte, p *Params) (*Operator, error) {
 	file, err := decodeOperator(data)
 	if err != nil {
 		return nil, err
 	}
 	o := &Operator{}
-	most, err := amount("machines/max", file.MaxMachines)
+	maxMachines, err := parseAmount("machines/max", file.MaxMachines)
 	if err != nil {
 		return nil, err
 	}
-	if most != math.Trunc(most) || most > math.MaxInt32 {
-		return nil, &FieldError{Field: "machines/max", Reason: "must be a whole number"}
+	if maxMachines != math.Trunc(maxMachines) || maxMachines > math.MaxInt32 {
+		return nil, &FieldError{Field: "machines/max", Reason: reasonNotWhole}
 	}
-	o.MaxMachines = int(most)
-	if o.ScaleInIdleS, err = amount("machines/keepIdleSeconds", file.ScaleInIdleS); err != nil {
+	o.MaxMachines = int(maxMachines)
+	if o.ScaleInIdleS, err = parseAmount("machines/keepIdleSeconds", file.ScaleInIdleS); err != nil {
 		return nil, err
 	}
-	if o.StartWithinS, err = amount("machines/planHorizonSeconds", file.StartWithinS); err != nil {
+	if o.StartWithinS, err = parseAmount("machines/planHorizonSeconds", file.StartWithinS); err != nil {
 		return nil, err
 	}
 	if o.Admission, err = file.Admission.parse(p); err != nil {
@@ -86,34 +87,53 @@
 	return o, nil
 }
 
-// decodeOperator reads the one element that the file consists of.
+// Errors of an operators' file as a whole.
+var (
+	ErrNoElement    = errors.New("no switchshore element")
+	ErrExtraContent = errors.New("more than the switchshore element")
+)
+
+// decodeOperator decodes the one element that the file consists of.
 func decodeOperator(data []byte) (*operatorFile, error) {
 	var file operatorFile
 	decoder := xml.NewDecoder(bytes.NewReader(data))
-	if err := decoder.Decode(&file); err != nil {
-		if errors.Is(err, io.EOF) {
-			err = errors.New("no switchshore element")
-		}
+	err := decoder.Decode(&file)
+	if errors.Is(err, io.EOF) {
+		return nil, ErrNoElement
+	}
+	if err != nil {
+		return nil, err
+	}
+	if err := checkRest(decoder); err != nil {
 		return nil, err
 	}
+	return &file, nil
+}
+
+// checkRest checks that only comments and white space are left.
+func checkRest(decoder *xml.Decoder) error {
 	for {
 		token, err := decoder.Token()
 		if errors.Is(err, io.EOF) {
-			return &file, nil
+			return nil
 		}
 		if err != nil {
-			return nil, err
+			return err
 		}
-		if text, blank := token.(xml.CharData); !blank || len(bytes.TrimSpace(text)) > 0 {
-			if _, comment := token.(xml.Comment); !comment {
-				return nil, errors.New("more than the switchshore element")
+		switch t := token.(type) {
+		case xml.Comment:
+		case xml.CharData:
+			if len(bytes.TrimSpace(t)) > 0 {
+				return ErrExtraContent
 			}
+		default:
+			return ErrExtraContent
 		}
 	}
 }
 
-// amount reads a number that is not negative, 0 if there is none.
-func amount(field, text string) (float64, error) {
+// parseAmount parses a number that is not negative; an empty text is 0.
+func parseAmount(field, text string) (float64, error) {
 	text = strings.TrimSpace(text)
 	if text == "" {
 		return 0, nil
@@ -121,9 +141,9 @@
 	value, err := strconv.ParseFloat(text, 64)
 	switch {
 	case err != nil || math.IsNaN(value) || math.IsInf(value, 0):
-		return 0, &FieldError{Field: field, Reason: "not a number"}
+		return 0, &FieldError{Field: field, Reason: reasonNotNumber}
 	case value < 0:
-		return 0, &FieldError{Field: field, Reason: "must not be negative"}
+		return 0, &FieldError{Field: field, Reason: reasonNegative}
 	}
 	return value, nil
 }
