--- a/internal/admission/policy.go
+++ b/internal/admission/policy.go
@@ -13,7 +13,7 @@
 type Policy struct {
 	Term uint64 `json:"term"`
 	// Revision grows with every policy. It follows the time of day in seconds, so that
-	// it goes on growing when the leader changes.
+	// it continues to grow when the leader changes.
 	Revision uint64 `json:"revision"`
 	// TTLMS is how long a node may apply the policy after it has received it first.
 	TTLMS int64 `json:"lifeMs"`
--- a/internal/admission/regulator_test.go
+++ b/internal/admission/regulator_test.go
@@ -78,7 +78,7 @@
 		o.Update(o.at, o.at, LeaderLoad{}, nil)
 	}
 	if o.Shedding() || len(o.Policy().Shares) > 0 {
-		t.Error("goes on shedding with nothing to shed")
+		t.Error("continues to shed with nothing to shed")
 	}
 }
 
@@ -184,7 +184,7 @@
 	k := Key{"blue", "urgent"}
 	at := begin
 	r := NewRegulator(settings(), 1, at)
-	tell := func(started uint64, count int64) float64 {
+	report := func(started uint64, count int64) float64 {
 		at = at.Add(tuning.AdmissionInterval)
 		before := 0.0
 		if d := r.demands[k]; d != nil {
@@ -202,7 +202,7 @@
 		count   int64
 		want    float64
 	}{{1, 1000, 0}, {1, 1030, 30}, {1, 1010, 0}, {1, 1030, 0}, {2, 7, 7}, {2, 9, 2}} {
-		if got := tell(c.started, c.count); math.Abs(got-c.want) > 1e-6 {
+		if got := report(c.started, c.count); math.Abs(got-c.want) > 1e-6 {
 			t.Errorf("%d: counted %v, want %v", i, got, c.want)
 		}
 	}
--- a/internal/drain/selector.go
+++ b/internal/drain/selector.go
@@ -14,7 +14,7 @@
 	ProvisionedBefore *time.Time `json:"rentedBefore,omitempty" xml:"rentedBefore"`
 }
 
-// Machine is what a selector looks at.
+// Machine is what a selector compares.
 type Machine struct {
 	Name, Type, Zone string
 	ProvisionedAt    time.Time
--- a/internal/drain/validation.go
+++ b/internal/drain/validation.go
@@ -26,13 +26,13 @@
 		name, _, _ := strings.Cut(f.Tag.Get("xml"), ",")
 		return name
 	})
-	// The only errors are a missing name or function.
-	_ = v.RegisterValidation("drainname", func(f validator.FieldLevel) bool {
-		return drainName.MatchString(f.Field().String())
-	})
+	_ = v.RegisterValidation("drainname", isDrainName) // the only errors are an empty name and no function
 	return v
 }
 
+// isDrainName validates the name of a drain.
+func isDrainName(f validator.FieldLevel) bool { return drainName.MatchString(f.Field().String()) }
+
 // fieldError turns the first error of the validator into a FieldError.
 func fieldError(err error) error {
 	var all validator.ValidationErrors
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -107,71 +107,106 @@
 	}
 }
 
+// randomMachines returns machines with running tasks, some of them beyond their estimate.
+func randomMachines(rng *rand.Rand) []*placement.Machine {
+	var machines []*placement.Machine
+	for i := range 1 + rng.IntN(6) {
+		m := newMachine(fmt.Sprint("m", i), float64(1+rng.IntN(16)))
+		m.Zone = string(rune('a' + rng.IntN(3)))
+		m.Spot = rng.IntN(2) == 0
+		for range rng.IntN(3) {
+			request := placement.Resources{CPUs: float64(1 + rng.IntN(3)), MemoryGB: 1}
+			if m.Free.Fits(request) {
+				m.Free = m.Free.Add(request, -1)
+				m.PlacedTasks = append(m.PlacedTasks, placement.PlacedTask{Request: request, EndS: float64(rng.IntN(3))})
+				slices.SortFunc(m.PlacedTasks, func(a, b placement.PlacedTask) int { return cmp.Compare(a.EndS, b.EndS) })
+			}
+		}
+		machines = append(machines, m)
+	}
+	return machines
+}
+
+// randomJobs returns jobs of team blue with random constraints.
+func randomJobs(rng *rand.Rand) []*placement.PendingJob {
+	var jobs []*placement.PendingJob
+	for i := range 1 + rng.IntN(8) {
+		j := newJob(fmt.Sprint("j", i), rng.IntN(4), 1+rng.IntN(9))
+		j.Request.CPUs = float64(1 + rng.IntN(4))
+		j.Image = fmt.Sprint("img", rng.IntN(3))
+		j.Spot = rng.IntN(3) > 0
+		j.OneZone = rng.IntN(3) == 0
+		j.SpreadZones = !j.OneZone && rng.IntN(3) == 0
+		jobs = append(jobs, j)
+	}
+	return jobs
+}
+
+// startChecker replays the starts of a pass and checks each against the state that the pass began with.
+type startChecker struct {
+	jobs     map[string]*placement.PendingJob
+	machines map[string]*placement.Machine
+	free     map[string]placement.Resources // by machine
+	zones    map[string]map[string]int      // tasks by job and zone
+	usedCPUs float64
+}
+
+func newStartChecker(jobs []*placement.PendingJob, machines []*placement.Machine) *startChecker {
+	c := &startChecker{
+		jobs: map[string]*placement.PendingJob{}, machines: map[string]*placement.Machine{},
+		free: map[string]placement.Resources{}, zones: map[string]map[string]int{},
+	}
+	for _, j := range jobs {
+		c.jobs[j.Job] = j
+	}
+	for _, m := range machines {
+		c.machines[m.ID], c.free[m.ID] = m, m.Free
+	}
+	return c
+}
+
+// add returns what is wrong with a start, empty if nothing is.
+func (c *startChecker) add(s placement.Assignment) string {
+	j, m := c.jobs[s.Job], c.machines[s.Machine]
+	if !c.free[m.ID].Fits(j.Request) {
+		return "no capacity"
+	}
+	c.free[m.ID] = c.free[m.ID].Add(j.Request, -1)
+	c.usedCPUs += j.Request.CPUs
+	if c.zones[j.Job] == nil {
+		c.zones[j.Job] = map[string]int{}
+	}
+	zones := c.zones[j.Job]
+	zones[m.Zone]++
+	for zone, tasks := range zones {
+		if j.OneZone && len(zones) > 1 || j.SpreadZones && tasks > (j.TotalTasks+1)/2 {
+			return fmt.Sprintf("in zone %s: %v", zone, zones)
+		}
+	}
+	if m.Spot && !j.Spot {
+		return "on a spot machine"
+	}
+	return ""
+}
+
 // TestRandomPasses: whatever the snapshot, no start exceeds capacity or limits, or
 // violates the constraints on zones and spot machines.
 func TestRandomPasses(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 4))
-		var machines []*placement.Machine
-		free := map[string]placement.Resources{}
-		zone := map[string]string{}
-		for i := range 1 + rng.IntN(6) {
-			m := newMachine(fmt.Sprint("m", i), float64(1+rng.IntN(16)))
-			m.Zone = string(rune('a' + rng.IntN(3)))
-			m.Spot = rng.IntN(2) == 0
-			for range rng.IntN(3) {
-				// Running tasks, some of them over their estimate.
-				need := placement.Resources{CPUs: float64(1 + rng.IntN(3)), MemoryGB: 1}
-				if m.Free.Fits(need) {
-					m.Free = m.Free.Add(need, -1)
-					m.PlacedTasks = append(m.PlacedTasks, placement.PlacedTask{Request: need, EndS: float64(rng.IntN(3))})
-					slices.SortFunc(m.PlacedTasks, func(a, b placement.PlacedTask) int { return cmp.Compare(a.EndS, b.EndS) })
-				}
-			}
-			free[m.ID], zone[m.ID] = m.Free, m.Zone
-			machines = append(machines, m)
-		}
-		jobs := map[string]*placement.PendingJob{}
-		var ready []*placement.PendingJob
-		for i := range 1 + rng.IntN(8) {
-			j := newJob(fmt.Sprint("j", i), rng.IntN(4), 1+rng.IntN(9))
-			j.Request.CPUs = float64(1 + rng.IntN(4))
-			j.Image = fmt.Sprint("img", rng.IntN(3))
-			j.Spot = rng.IntN(3) > 0
-			j.OneZone = rng.IntN(3) == 0
-			j.SpreadZones = !j.OneZone && rng.IntN(3) == 0
-			jobs[j.Job] = j
-			ready = append(ready, j)
-		}
+		machines := randomMachines(rng)
+		jobs := randomJobs(rng)
 		limit := float64(1 + rng.IntN(30))
 		teams := map[string]*placement.Team{"blue": {Limit: placement.Resources{CPUs: limit, GPUs: 1, MemoryGB: 1e9}}}
-		used := 0.0
-		zones := map[string]map[string]int{}
-		starts, _ := placement.Run(0, ready, machines, teams, 100)
+		checker := newStartChecker(jobs, machines)
+		starts, _ := placement.Run(0, jobs, machines, teams, 100)
 		for _, s := range starts {
-			j := jobs[s.Job]
-			if !free[s.Machine].Fits(j.Request) {
-				t.Fatalf("seed %d: no capacity for %v", seed, s)
-			}
-			free[s.Machine] = free[s.Machine].Add(j.Request, -1)
-			used += j.Request.CPUs
-			if zones[s.Job] == nil {
-				zones[s.Job] = map[string]int{}
-			}
-			zones[s.Job][zone[s.Machine]]++
-			for z, n := range zones[s.Job] {
-				if j.OneZone && len(zones[s.Job]) > 1 || j.SpreadZones && n > (j.TotalTasks+1)/2 {
-					t.Fatalf("seed %d: %v in zone %s: %v", seed, s, z, zones[s.Job])
-				}
-			}
-			for _, m := range machines {
-				if m.ID == s.Machine && m.Spot && !j.Spot {
-					t.Fatalf("seed %d: %v on a spot machine", seed, s)
-				}
+			if wrong := checker.add(s); wrong != "" {
+				t.Fatalf("seed %d: %v: %s", seed, s, wrong)
 			}
 		}
-		if used > limit {
-			t.Fatalf("seed %d: %v CPUs of %v", seed, used, limit)
+		if checker.usedCPUs > limit {
+			t.Fatalf("seed %d: %v CPUs of %v", seed, checker.usedCPUs, limit)
 		}
 	}
 }
