--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -51,7 +51,8 @@
 
 // messageNames replaces names of this package in the decoder's messages, which
 // quote the Go type and field. Operators get the messages of the versions in
-// which the types had these names; a renamed type or field needs an entry here.
+// which the types had these names; a renamed type or field needs an entry here
+// (TestMessagesNameTheField).
 var messageNames = strings.NewReplacer(
 	"config.UpcomingKVStoreLimits", "config.StateNext",
 	"config.KVStoreLimits.Upcoming", "config.State.Next",
