--- /dev/null
+++ b/internal/leader/consolidation.go
@@ -0,0 +1,26 @@
+package leader
+
+import (
+	"time"
+
+	"switchshore.example/switchshore/internal/consolidation"
+)
+
+// newConsolidator returns the term's consolidator.
+func (l *Leader) newConsolidator() *consolidation.Consolidator {
+	return consolidation.New(consolidation.Cluster{
+		Machines:     l.machinesAcceptingWork,
+		MachineCount: l.machines.Len,
+		ActiveJobs:   l.activeJobs,
+		Price:        l.catalogue.Price,
+		RemainingS:   l.remaining,
+		Emptied:      l.calls.schedule,
+	})
+}
+
+// consolidate empties machines whose tasks fit elsewhere.
+func (l *Leader) consolidate(now time.Time) {
+	if n := l.consolidator.Run(now); n > 0 {
+		l.log.Debug().Int("machines", n).Msg("consolidating machines")
+	}
+}
--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -5,12 +5,10 @@
 	"maps"
 	"time"
 
-	"switchshore.example/switchshore/internal/consolidation"
-	"switchshore.example/switchshore/internal/preemption"
-
 	"switchshore.example/switchshore/internal/jobs"
 	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/placement"
+	"switchshore.example/switchshore/internal/preemption"
 )
 
 // newPreemptor returns the term's preemptor.
@@ -25,18 +23,6 @@
 	})
 }
 
-// newConsolidator returns the term's consolidator.
-func (l *Leader) newConsolidator() *consolidation.Consolidator {
-	return consolidation.New(consolidation.Cluster{
-		Machines:     l.machinesAcceptingWork,
-		MachineCount: l.machines.Len,
-		ActiveJobs:   l.activeJobs,
-		Price:        l.catalogue.Price,
-		RemainingS:   l.remaining,
-		Emptied:      l.calls.schedule,
-	})
-}
-
 // preempt makes capacity for tasks that found none.
 func (l *Leader) preempt(now time.Time, ready []*placement.PendingJob, byID map[string]*jobs.Job) {
 	if n := l.preemptor.Run(now, ready, byID); n > 0 {
@@ -44,13 +30,6 @@
 	}
 }
 
-// consolidate empties machines whose tasks fit elsewhere.
-func (l *Leader) consolidate(now time.Time) {
-	if n := l.consolidator.Run(now); n > 0 {
-		l.log.Debug().Int("machines", n).Msg("consolidating machines")
-	}
-}
-
 // machinesAcceptingWork are the machines that take work, in the order of their IDs.
 func (l *Leader) machinesAcceptingWork(now time.Time) []*machines.Machine {
 	var list []*machines.Machine
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"math/rand/v2"
 	"slices"
 	"strings"
 	"testing"
@@ -11,204 +10,10 @@
 
 	"switchshore.example/switchshore/internal/config"
 	"switchshore.example/switchshore/internal/leader"
-	"switchshore.example/switchshore/internal/scaling"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
 
-// fleet plays several hundred machines without faults against one leader, in
-// steps of a tenth of a second, within the write budget of the settings.
-type fleet struct {
-	*testLeader
-	workers []*fleetWorker
-	byName  map[string]*fleetWorker
-	rng     *rand.Rand
-	tokens  float64
-
-	changes, bytes, starts int
-	accepted               int
-	scores, worst          int // pairs scored, in all and in one pass
-	cloud                  int // calls
-	submitted              map[string]time.Time
-	begun                  map[string]bool
-	waits                  []time.Duration
-}
-
-type fleetWorker struct {
-	name   string
-	tasks  []wire.TaskStatus
-	ends   []time.Time
-	seq    uint64
-	next   time.Time
-	sent   time.Time
-	change bool
-	dead   bool // reports no more, but is listed
-	gone   bool // released
-	// startedBy is the term of the last start that came.
-	startedBy uint64
-}
-
-// newFleet returns a leader of term 5 with machines that are up, but unheard.
-func newFleet(t *testing.T, machines int) *fleet {
-	f := &fleet{
-		testLeader: newLeader(t, 5, start, map[string]json.RawMessage{}), rng: rand.New(rand.NewPCG(1, 1)),
-		submitted: map[string]time.Time{}, begun: map[string]bool{}, byName: map[string]*fleetWorker{},
-	}
-	for i := range machines {
-		w := &fleetWorker{name: fmt.Sprintf("i-%06d", i)}
-		f.workers, f.byName[w.name] = append(f.workers, w), w
-	}
-	return f
-}
-
-// ask submits a job.
-func (f *fleet) ask(j *wire.Job) {
-	f.submitted[j.ID] = f.now
-	f.Submit(f.now, f.now, j, func(v leader.Response) {
-		if v.Status == 201 {
-			f.accepted++
-		}
-	})
-}
-
-// running counts the tasks on machines that are alive.
-func (f *fleet) running() int {
-	on := 0
-	for _, w := range f.workers {
-		for _, task := range w.tasks {
-			if !w.dead && task.State == wire.TaskRunning {
-				on++
-			}
-		}
-	}
-	return on
-}
-
-func (f *fleet) report(w *fleetWorker) *wire.Heartbeat {
-	w.seq++
-	return &wire.Heartbeat{
-		Machine: w.name, Addr: w.name + ":9", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: w.seq, FencingToken: f.Term(),
-		Tasks: append([]wire.TaskStatus{}, w.tasks...),
-	}
-}
-
-func (f *fleet) execute(w *fleetWorker, commands []wire.Command) {
-	for _, c := range commands {
-		w.change = true
-		switch c.Op {
-		case wire.OpStart:
-			w.tasks = append(w.tasks, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
-			f.starts++
-			w.startedBy = f.Term()
-			job, _, _ := wire.SplitTask(c.Task)
-			f.begun[job] = true
-			lasts := time.Duration(5+f.rng.IntN(10)) * time.Second
-			if strings.HasPrefix(job, "job-9") { // the long ones of some tests
-				lasts *= 7
-			}
-			w.ends = append(w.ends, f.now.Add(lasts))
-			f.waits = append(f.waits, f.now.Sub(f.submitted[job]))
-		case wire.OpStop:
-			for i := range w.tasks {
-				if t := &w.tasks[i]; t.Task == c.Task && t.Attempt == c.Attempt && t.State == wire.TaskRunning {
-					t.State, t.ExitReason = wire.TaskExited, wire.ExitStopped
-				}
-			}
-		case wire.OpForget:
-			for i, t := range w.tasks {
-				if t.Task == c.Task && t.Attempt == c.Attempt {
-					w.tasks = append(w.tasks[:i], w.tasks[i+1:]...)
-					w.ends = append(w.ends[:i], w.ends[i+1:]...)
-					break
-				}
-			}
-		}
-	}
-}
-
-// step is a tenth of a second.
-func (f *fleet) step() {
-	f.t.Helper()
-	f.now = f.now.Add(100 * time.Millisecond)
-	for _, w := range f.workers {
-		if w.dead {
-			continue
-		}
-		for i := range w.tasks {
-			if w.tasks[i].State == wire.TaskRunning && !f.now.Before(w.ends[i]) {
-				w.tasks[i].State, w.tasks[i].ExitReason = wire.TaskExited, wire.ExitDone
-				w.change = true
-			}
-		}
-		if f.now.Before(w.next) && (!w.change || f.now.Sub(w.sent) < 500*time.Millisecond) {
-			continue
-		}
-		w.change, w.sent, w.next = false, f.now, f.now.Add(3*time.Second)
-		a, receipt := f.HandleHeartbeat(f.now, f.report(w), true)
-		if receipt != leader.HeartbeatApplied {
-			f.t.Fatalf("%s: receipt %d", w.name, receipt)
-		}
-		f.execute(w, a.Commands)
-	}
-	before := f.scores
-	f.Tick(f.now, true)
-	f.scores = f.Counts().ScoredPairs
-	f.worst = max(f.worst, f.scores-before)
-	f.write()
-	for _, call := range f.PlanScaling(f.now) {
-		f.cloud++
-		if call.Op == scaling.CloudProvision {
-			f.ProvisionDone(f.now, call.Provision, nil)
-			continue
-		}
-		for _, id := range call.Release {
-			f.byName[id].dead, f.byName[id].gone = true, true
-		}
-		f.ReleaseDone(f.now, call.Release)
-	}
-	for _, call := range f.NextDirectCalls(f.now) {
-		w := f.byName[call.Machine]
-		if w.dead {
-			f.DirectCallDone(f.now, call, leader.DirectUnknown, nil)
-			continue
-		}
-		f.execute(w, call.Request.Commands)
-		f.DirectCallDone(f.now, call, leader.DirectAnswered, f.report(w))
-	}
-}
-
-// write commits what the budget allows.
-func (f *fleet) write() {
-	f.t.Helper()
-	s := params.KVStore
-	perSecond := s.WriteRPS * tuning.StoreWriteShare
-	f.tokens = min(f.tokens+perSecond/10, perSecond/2)
-	for f.tokens >= 1 {
-		b := f.NextBatch(min(s.TxnOps, int(f.tokens)), max(0, int(f.tokens-perSecond/4)))
-		if b == nil {
-			return
-		}
-		f.tokens -= float64(len(b.Mutations))
-		total := 0
-		for _, w := range b.Mutations {
-			f.changes++
-			total += len(w.Key()) + len(w.Value) + 40
-			if float64(len(w.Value)) > s.ValueKB*1024 {
-				f.t.Fatalf("%s has %d bytes", w.Put, len(w.Value))
-			}
-			if w.Delete != "" {
-				delete(f.store, w.Delete)
-			} else {
-				f.store[w.Put] = w.Value
-			}
-		}
-		if f.bytes += total; total > 64<<10 {
-			f.t.Fatalf("a transaction of %d bytes", total)
-		}
-		f.BatchCommitted(b, nil)
-	}
-}
-
 // TestLargeFleet: 600 machines, some 70 starts a second. The key-value store gets
 // few requests per start, no value or transaction is too large, a pass is
 // bounded, urgent work starts at once, and a successor knows of every task.
@@ -223,7 +28,7 @@
 			for k := range 2 {
 				j := spec(fmt.Sprintf("job-%06d", 2*tick+k))
 				j.Tasks, j.CPUs, j.EstimateS, j.Image, j.ImageGB = 35, 2, 10, fmt.Sprint("img", f.rng.IntN(5)), 0.5
-				f.ask(j)
+				f.submitJob(j)
 			}
 		}
 		f.step()
@@ -260,70 +65,12 @@
 		t.Errorf("%d start records for a successor to read", records)
 	}
 	next := newLeader(t, 6, f.now, f.store)
-	if held := next.Counts().Allocated; held < on {
-		t.Errorf("a successor knows of %d tasks, %d run", held, on)
+	if known := next.Counts().Allocated; known < on {
+		t.Errorf("a successor knows of %d tasks, %d run", known, on)
 	}
 	t.Logf("%d starts, %.2f changes and %d bytes each, %d records, %d scores", f.starts, float64(f.changes)/float64(f.starts), f.bytes/f.starts, records, f.Counts().ScoredPairs)
 }
 
-// list hands the leader the cloud's list, in which the dead still stand.
-func (f *fleet) list() {
-	var rows []wire.ListedMachine
-	for _, w := range f.workers {
-		if !w.gone {
-			rows = append(rows, wire.ListedMachine{Name: w.name, Addr: w.name + ":9", Type: "std-8", Zone: "a", State: wire.MachineRunning, AgeS: f.now.Sub(start).Seconds()})
-		}
-	}
-	f.ApplyMachineList(f.now, f.now, rows)
-}
-
-// checkAllStartAgain checks that every machine that lives has been given work by the
-// leader of the given term, unless it is still full of its predecessor's.
-func (f *fleet) checkAllStartAgain(term uint64) {
-	f.t.Helper()
-	idle := 0
-	for _, w := range f.workers {
-		if !w.dead && w.startedBy < term && w.usedCPUs() < bigType.CPUs {
-			idle++
-		}
-	}
-	if idle > 0 {
-		f.t.Errorf("%d machines that live got no start in term %d", idle, term)
-	}
-}
-
-// usedCPUs are those of its running tasks: the jobs with long tasks ask for 8 a task, the others for 4.
-func (w *fleetWorker) usedCPUs() float64 {
-	cpus := 0.0
-	for _, task := range w.tasks {
-		switch {
-		case task.State != wire.TaskRunning:
-		case strings.HasPrefix(task.Task, "job-9"):
-			cpus += 8
-		default:
-			cpus += 4
-		}
-	}
-	return cpus
-}
-
-// checkWorkPerRequest counts the allocations of a report and of a question: neither may
-// grow with the number of machines, jobs or ended jobs.
-func (f *fleet) checkWorkPerRequest() {
-	f.t.Helper()
-	w := f.workers[1]
-	most := 40 + 8*len(w.tasks)
-	if got := testing.AllocsPerRun(50, func() { f.HandleHeartbeat(f.now, f.report(w), true) }); got > float64(most) {
-		f.t.Errorf("a report of %d tasks allocates %.0f times, at most %d wanted", len(w.tasks), got, most)
-	}
-	for id := range f.submitted {
-		if got := testing.AllocsPerRun(50, func() { f.Query(id) }); got > 0 {
-			f.t.Errorf("a question allocates %.0f times", got)
-		}
-		break
-	}
-}
-
 // TestFleetBeyondPlannedSize: 4,000 machines under a lasting backlog of long tasks that
 // save and of urgent ones, some hundred starts a second. A tenth of the machines
 // fail with all on them, and the leader soon after; every machine gets work of its successor. What it
@@ -361,7 +108,7 @@
 			}
 			j.Class, j.Team = j.Priority, fmt.Sprint("team", f.rng.IntN(10))
 			j.Image, j.ImageGB = fmt.Sprint("img", f.rng.IntN(20)), 1.5
-			f.ask(j)
+			f.submitJob(j)
 		}
 		if tick%60 == 0 {
 			f.list()
@@ -369,7 +116,7 @@
 		switch tick {
 		case 1000:
 			for i := range machines / 10 {
-				f.workers[10*i].dead = true
+				f.agents[10*i].failed = true
 			}
 		case 1050:
 			on := f.running()
@@ -384,6 +131,13 @@
 	}
 	f.checkAllStartAgain(6)
 	f.checkWorkPerRequest()
+	f.checkBounds(machines)
+}
+
+// checkBounds checks that the work of the leader was bounded and that its machines, of which a
+// tenth has failed, are in use.
+func (f *fleet) checkBounds(machines int) {
+	f.t.Helper()
 	waiting := 0
 	for id, at := range f.submitted {
 		if !f.begun[id] && f.now.Sub(at) > tuning.AgingThreshold+30*time.Second {
@@ -391,25 +145,25 @@
 		}
 	}
 	if waiting > 0 {
-		t.Errorf("%d jobs wait for long and have not begun", waiting)
+		f.t.Errorf("%d jobs wait for long and have not begun", waiting)
 	}
 	n := f.Counts()
-	t.Logf("%d accepted, %d starts, %.2f changes and %d bytes each, %d pairs in one pass at most, %d calls to the cloud, %+v",
+	f.t.Logf("%d accepted, %d starts, %.2f changes and %d bytes each, %d pairs in one pass at most, %d calls to the cloud, %+v",
 		f.accepted, f.starts, float64(f.changes)/float64(f.starts), f.bytes/f.starts, f.worst, f.cloud, n)
 	if f.worst > 2*tuning.PassMaxScoredPairs {
-		t.Errorf("one pass looked at %d pairs", f.worst)
+		f.t.Errorf("one pass scored %d pairs", f.worst)
 	}
 	if f.changes > f.starts {
-		t.Errorf("%d changes for %d starts", f.changes, f.starts)
+		f.t.Errorf("%d changes for %d starts", f.changes, f.starts)
 	}
 	if n.WantedCPUs < n.CPUs || n.UsedCPUs < 0.95*n.CPUs {
-		t.Errorf("%.0f of %.0f CPUs in use with work for %.0f waiting", n.UsedCPUs, n.CPUs, n.WantedCPUs)
+		f.t.Errorf("%.0f of %.0f CPUs in use with work for %.0f waiting", n.UsedCPUs, n.CPUs, n.WantedCPUs)
 	}
 	if n.Up > machines-machines/10 {
-		t.Errorf("%d machines count as up", n.Up)
+		f.t.Errorf("%d machines count as up", n.Up)
 	}
 	if n.Writes > 200 {
-		t.Errorf("%d changes wait", n.Writes)
+		f.t.Errorf("%d changes wait", n.Writes)
 	}
 }
 
@@ -434,8 +188,8 @@
 		l.commit()
 		l.pass(2 * time.Second)
 		l.report("m1", 1)
-		if rented := provisions(l.PlanScaling(l.now)); rented != slow {
-			t.Errorf("starts slow: %v, rented: %v", slow, rented)
+		if provisioned := provisions(l.PlanScaling(l.now)); provisioned != slow {
+			t.Errorf("starts slow: %v, provisioned: %v", slow, provisioned)
 		}
 	}
 }
