--- a/internal/simulation/drain_test.go
+++ b/internal/simulation/drain_test.go
@@ -33,6 +33,7 @@
 	return &drain.Spec{Name: "maintenance", Selector: drain.Selector{Zone: "a"}, BatchSize: 2}
 }
 
+// withReplacement is maintenance with replacement of the drained machines.
 func withReplacement() *drain.Spec {
 	s := maintenance()
 	s.Replace = true
@@ -57,14 +58,17 @@
 	}
 }
 
+// apply is the request to start a drain.
 func apply(s *drain.Spec) *drain.Request {
 	return &drain.Request{Action: drain.Apply, Name: s.Name, Spec: s}
 }
 
-func ask(action drain.Action) *drain.Request {
+// request is an operator's request about the drain of maintenance.
+func request(action drain.Action) *drain.Request {
 	return &drain.Request{Action: action, Name: "maintenance"}
 }
 
+// drainScenario is a run in which faults overlap with a drain.
 type drainScenario struct {
 	name string
 	spec func() *drain.Spec
@@ -193,10 +197,10 @@
 		var statuses []int
 		note := func(r drain.Response) { statuses = append(statuses, r.Status) }
 		sim.RequestDrain(drainBegins, apply(maintenance()), note)
-		sim.RequestDrain(70*second, ask(drain.Pause), note)
+		sim.RequestDrain(70*second, request(drain.Pause), note)
 		sim.At(72*second, func() { sim.CrashLeader(second) })
-		sim.RequestDrain(90*second, ask(drain.Resume), note)
-		sim.RequestDrain(110*second, ask(drain.Cancel), note)
+		sim.RequestDrain(90*second, request(drain.Resume), note)
+		sim.RequestDrain(110*second, request(drain.Cancel), note)
 		sim.At(111*second, func() { sim.CrashLeader(second) })
 		later := maintenance()
 		later.Name, later.BatchSize = "later", 1
@@ -209,11 +213,11 @@
 			t.Errorf("%+v, then %+v", r, second)
 		}
 		if len(statuses) != 5 {
-			t.Errorf("answered: %v", statuses)
+			t.Errorf("statuses: %v", statuses)
 		}
 		for _, status := range statuses {
 			if status != http.StatusOK && status != http.StatusCreated {
-				t.Errorf("answered: %v", statuses)
+				t.Errorf("statuses: %v", statuses)
 			}
 		}
 	})
@@ -233,13 +237,13 @@
 		"budget: 20 s of blue lost":               {drain.Budget{MaxUnavailable: 9, Evictions: 9, LostS: 19}, 10, true},
 	} {
 		checker := simulation.NewDrainBudgetChecker(&drain.Budgets{Window: time.Minute, Default: c.budget})
-		worker := simulation.NewAgent(at, wire.ListedMachine{Name: "m2"}, machineType, time.Hour)
+		agent := simulation.NewAgent(at, wire.ListedMachine{Name: "m2"}, machineType, time.Hour)
 		evict := func(task string) error {
 			checker.Evicted(at, "blue", task, 1, c.lostS)
 			if c.back {
-				worker.Tasks[task] = &simulation.Task{Name: task, Attempt: 2, State: wire.TaskRunning}
+				agent.Tasks[task] = &simulation.Task{Name: task, Attempt: 2, State: wire.TaskRunning}
 			}
-			return checker.Check(at, []*simulation.Agent{worker}, running)
+			return checker.Check(at, []*simulation.Agent{agent}, running)
 		}
 		first := evict("job-1/0")
 		at = at.Add(59 * time.Second)
--- a/internal/simulation/overlapping_faults_test.go
+++ b/internal/simulation/overlapping_faults_test.go
@@ -54,6 +54,9 @@
 	observed []simulation.Observation // what must have happened for the run to count
 }
 
+// manySmallJobs is the scenario that needs teams with higher limits.
+const manySmallJobs = "07 one-task jobs, four a second"
+
 // overlappingFaults are the overlaps that operators named, in the order of docs/fault-matrix.md.
 // Where the order of two events matters, the seeds draw it.
 var overlappingFaults = []faultScenario{
@@ -91,7 +94,7 @@
 		sim.At(65*second, func() { sim.CrashAll(300 * time.Millisecond) })
 		sim.At(65*second+400*time.Millisecond, func() { sim.CrashAll(700 * time.Millisecond) })
 	}, []simulation.Observation{simulation.SecondTerm}},
-	{"07 one-task jobs, four a second", func(sim *simulation.Simulation, seed uint64) {
+	{manySmallJobs, func(sim *simulation.Simulation, seed uint64) {
 		submitRandomJobs(sim, seed, 480, 120*second, 0.25, shortSingleTask)
 		sim.At(50*second, func() { sim.CrashLeader(second) })
 		sim.At(0, func() { sim.CancelAtCompletion(0.1, 120*second) })
@@ -142,11 +145,11 @@
 		sim.At(0, func() { sim.EnableFollowUps(300 * second) })
 		sim.At(0, func() { sim.InvalidRequests(200 * second) })
 	}, []simulation.Observation{simulation.CancelledAtLastTask, simulation.FollowUpQuery, simulation.InvalidRequest}},
-	{"15 mute workers that direct commands reach", func(sim *simulation.Simulation, seed uint64) {
+	{"15 agents without heartbeats that direct calls reach", func(sim *simulation.Simulation, seed uint64) {
 		submitRandomJobs(sim, seed, 25, 150*second, 0.3, nil)
 		sim.InjectFaults(simulation.MachineHeartbeatsLost, simulation.MachineHeartbeatsLost, simulation.RunningJobsCancelled)
 	}, []simulation.Observation{simulation.HeartbeatLost}},
-	{"16 cancelled as the state service refuses the leader alone", func(sim *simulation.Simulation, seed uint64) {
+	{"16 cancelled as the store refuses the leader alone", func(sim *simulation.Simulation, seed uint64) {
 		submitRandomJobs(sim, seed, 25, 100*second, 0, longRunning)
 		sim.At(60*second, func() { sim.Inject(simulation.StoreRefusesLeader, 14*second) })
 		// Before the refusal is felt, and once the next leader is there.
@@ -164,7 +167,7 @@
 		sim.At(50*second, func() { sim.Inject(simulation.ZonePartitioned, 40*second) })
 		sim.At(55*second, func() { sim.CancelRunning(4, 0) })
 	}, []simulation.Observation{simulation.CancelledWhileRunning}},
-	{"19 machines up at once, writes lag, the leader ends", func(sim *simulation.Simulation, seed uint64) {
+	{"19 fast boots, slow writes, the leader crashes", func(sim *simulation.Simulation, seed uint64) {
 		submitRandomJobs(sim, seed, 25, 60*second, 0.2, nil)
 		sim.At(0, func() { sim.Inject(simulation.FastBoots, 200*second) })
 		sim.At(10*second, func() { sim.Inject(simulation.StoreSlow, 60*second) })
@@ -191,7 +194,7 @@
 			}
 		}
 	}, []simulation.Observation{simulation.CancelledWhileRunning, simulation.SecondTerm}},
-	{"22 the leader ends, machines with long tasks can't be reached", func(sim *simulation.Simulation, seed uint64) {
+	{"22 the leader crashes, machines with long tasks are partitioned", func(sim *simulation.Simulation, seed uint64) {
 		submitRandomJobs(sim, seed, 25, 100*second, 0, longRunning)
 		sim.At(60*second, func() { sim.PartitionBusyMachines(0.3, 40*second) })
 		sim.At(60*second, func() { sim.LoseResponsesToBusyMachines(0.3, 60*second) })
@@ -227,7 +230,7 @@
 		t.Run(scenario.name, func(t *testing.T) {
 			eachSeed(t, 3, func(t *testing.T, seed uint64) {
 				p := params()
-				if scenario.name[:2] == "07" {
+				if scenario.name == manySmallJobs {
 					p.Teams = []config.Team{{Name: "blue", CPUs: 16, CPUsMax: 48}, {Name: "green", CPUs: 8, CPUsMax: 48}}
 				}
 				sim := simulation.New(1000+seed, 3+2*int(seed%2), p, machineType)
