--- a/internal/leader/completion.go
+++ b/internal/leader/completion.go
@@ -8,8 +8,8 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// end decides how a job ends and writes its final state; only then is it told
-// to anyone, and followed by what it means for the jobs that need this one.
+// end decides how a job ends and queues the write of its final state; only once that is durable
+// users are told, and it takes effect on the jobs that depend on this one.
 func (l *Leader) end(now time.Time, j *jobs.Job, state jobs.State, queue *records.Queue) {
 	f := j.End(now, state)
 	delete(l.unsavedCompletions, j)
@@ -28,7 +28,7 @@
 	})
 }
 
-// removeIfFinished drops the record of an ended job once none of its tasks may be on a
+// removeIfFinished deletes the records of an ended job once none of its tasks may be on a
 // machine: until then its team, zone and size are needed for the counts.
 func (l *Leader) removeIfFinished(j *jobs.Job) {
 	if !j.EndDurable() || j.AllocatedTasks() > 0 || l.jobs.Get(j.ID) != j {
@@ -42,7 +42,7 @@
 	}
 }
 
-// taskDone notes a completion; it is written soon and told only afterwards.
+// taskDone notes a completion; users are told only once it is stored.
 func (l *Leader) taskDone(now time.Time, j *jobs.Job, index int32) {
 	if !j.Complete(index) {
 		return
@@ -63,7 +63,7 @@
 	}
 }
 
-// logIfLate tells what a job that is done after its deadline has spent its time on.
+// logIfLate logs where the time of a job that is done after its deadline went.
 func (l *Leader) logIfLate(now time.Time, j *jobs.Job) {
 	if j.DeadlineS == nil || now.Sub(j.SubmittedAt()).Seconds() <= *j.DeadlineS {
 		return
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// cancelDependent cancels a job that needs one that was cancelled; those that need it
+// cancelDependent cancels a job that depends on one that was cancelled; those that depend on it
 // follow at once, as the first cancellation is durable.
 func (l *Leader) cancelDependent(now time.Time, j *jobs.Job) {
 	if j.State().IsTerminal() {
@@ -38,13 +38,13 @@
 	j.MarkDependencyCancelled()
 	queue := &l.writes.Dependent
 	if !j.AcceptanceDurable() {
-		queue = &l.writes.Interactive // behind the acceptance; its user hears of both at once
+		queue = &l.writes.Interactive // behind the acceptance; its user gets one response to both
 	}
 	l.end(now, j, jobs.Cancelled, queue)
 	l.graph.JobEnded(j.ID, records.FinalState{Outcome: records.OutcomeCancelled})
 }
 
-// releaseIfUnblocked lets a job that is stored take its turn, unless it waits for others.
+// releaseIfUnblocked makes the tasks of an accepted job ready, unless it waits for others.
 func (l *Leader) releaseIfUnblocked(now time.Time, j *jobs.Job) {
 	switch {
 	case !j.IsActive():
@@ -58,7 +58,7 @@
 	}
 }
 
-// stageTime is the time that a job takes once the jobs that it needs are done, by
+// stageTime is the time that a job takes once the jobs that it depends on are done, by
 // its estimate.
 func (l *Leader) stageTime(j *jobs.Job) time.Duration {
 	rate := 0.0
--- a/internal/leader/direct.go
+++ b/internal/leader/direct_calls.go
@@ -9,14 +9,14 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// DirectCall is a request to a worker's own address.
+// DirectCall is a request to an agent's own address.
 type DirectCall struct {
 	Machine string
 	Addr    string
 	Request wire.CommandRequest
 
-	attempts []*machines.Attempt
-	seq      uint64 // newest message of the session when the call was made
+	attempts []*machines.Attempt // those whose start it carries
+	sequence uint64              // newest message of the session when the call was made
 }
 
 // DirectOutcome is what came of a direct call.
@@ -24,23 +24,22 @@
 
 // Outcomes of direct calls.
 const (
-	// DirectAnswered: executed or refused, the worker's report tells which.
+	// DirectAnswered: executed or refused, as the agent's heartbeat shows.
 	DirectAnswered DirectOutcome = iota
-	// DirectNotDelivered: it did not reach the worker and never will.
+	// DirectNotDelivered: it did not reach the agent and never will.
 	DirectNotDelivered
 	// DirectUnknown: it may be executed, now or minutes later.
 	DirectUnknown
 )
 
-// directCalls are the machines with something to be told directly, and the calls under way.
+// directCalls are the machines to be called, and the number of calls under way.
 type directCalls struct {
 	queue    []*machines.Machine
 	inFlight int
 }
 
-// NextDirectCalls lists the calls to be made now: starts whose record is durable, and
-// stops, to machines heard of lately, so that they need not wait for the next
-// report.
+// NextDirectCalls lists the calls to be made now, with starts whose record is durable, and
+// stops: to machines whose heartbeats arrive, so that they need not wait for the next one.
 func (l *Leader) NextDirectCalls(now time.Time) []*DirectCall {
 	var calls []*DirectCall
 	next := 0
@@ -48,24 +47,10 @@
 		m := l.calls.queue[next]
 		m.DequeueCall()
 		if !m.CanBeCalled(now, &l.timing) || l.machines.Get(m.ID) != m {
-			// The answer to the next report carries it.
+			// The response to the next heartbeat carries the commands.
 			continue
 		}
-		call := &DirectCall{Machine: m.ID, Addr: m.Addr, Request: wire.CommandRequest{FencingToken: l.term, AgentEpoch: m.Epoch()}, seq: m.Sequence()}
-		open := l.acceptsWork(now, m)
-		for _, a := range m.Attempts {
-			if a.TakeDirectStop() {
-				call.Request.Commands = append(call.Request.Commands, a.StopCommand())
-				continue
-			}
-			if !open || !a.NeedsStart() || a.WasSentDirectly() || a.WasSentInResponse() || len(call.attempts) >= tuning.MaxCommandsPerResponse {
-				continue
-			}
-			a.MarkSentDirectly()
-			call.attempts = append(call.attempts, a)
-			call.Request.Commands = append(call.Request.Commands, a.StartCommand())
-		}
-		if len(call.Request.Commands) > 0 {
+		if call := l.directCall(now, m); len(call.Request.Commands) > 0 {
 			m.BeginCall()
 			l.calls.inFlight++
 			calls = append(calls, call)
@@ -78,7 +63,31 @@
 	return calls
 }
 
-// schedule puts a machine in the list of those with something to be told.
+// directCall is a call with the commands for a machine that have not been sent.
+func (l *Leader) directCall(now time.Time, m *machines.Machine) *DirectCall {
+	call := &DirectCall{
+		Machine:  m.ID,
+		Addr:     m.Addr,
+		Request:  wire.CommandRequest{FencingToken: l.term, AgentEpoch: m.Epoch()},
+		sequence: m.Sequence(),
+	}
+	acceptsWork := m.AcceptsWork(now, &l.timing)
+	for _, a := range m.Attempts {
+		if a.TakeDirectStop() {
+			call.Request.Commands = append(call.Request.Commands, a.StopCommand())
+			continue
+		}
+		if !acceptsWork || !a.NeedsStart() || a.WasSentDirectly() || a.WasSentInResponse() || len(call.attempts) >= tuning.MaxCommandsPerResponse {
+			continue
+		}
+		a.MarkSentDirectly()
+		call.attempts = append(call.attempts, a)
+		call.Request.Commands = append(call.Request.Commands, a.StartCommand())
+	}
+	return call
+}
+
+// schedule has a machine called.
 func (d *directCalls) schedule(m *machines.Machine) {
 	if m.QueueCall() {
 		d.queue = append(d.queue, m)
@@ -96,8 +105,8 @@
 	return max(1, int(float64(l.MaxConnections)*tuning.DirectShare))
 }
 
-// DirectCallDone takes in the outcome of a direct call, with the worker's report
-// if it was answered. It does not renew the worker's lease.
+// DirectCallDone applies the outcome of a direct call, with the agent's heartbeat
+// if it was answered. It does not renew the agent's lease.
 func (l *Leader) DirectCallDone(now time.Time, call *DirectCall, outcome DirectOutcome, r *wire.Heartbeat) {
 	if outcome != DirectUnknown {
 		for _, a := range call.attempts {
@@ -118,9 +127,9 @@
 	if r == nil || r.Machine != m.ID {
 		return
 	}
-	if r.AgentEpoch < call.Request.AgentEpoch || r.AgentEpoch == call.Request.AgentEpoch && r.Sequence <= call.seq {
-		// An answer to this very call can't be older than what was known before
-		// it: a new worker has taken the place of the one known, and may have
+	if r.AgentEpoch < call.Request.AgentEpoch || r.AgentEpoch == call.Request.AgentEpoch && r.Sequence <= call.sequence {
+		// The reply to this very call can't be older than what was known before
+		// it: a new agent has taken the place of the one known, and may have
 		// carried the starts out.
 		l.log.Info().Str("machine", m.ID).Msg("worker replaced, releasing machine")
 		m.Cordon(machines.CordonReplaced)
--- a/internal/leader/estimates.go
+++ b/internal/leader/estimates.go
@@ -8,7 +8,7 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// remaining is the run time left of an attempt by its estimate, at least zero.
+// remaining is the run time left of an attempt by its estimate in seconds, at least zero.
 func (l *Leader) remaining(now time.Time, a *machines.Attempt) float64 {
 	ran := a.Job.Progress(a.Index)
 	if a.HasRun() {
@@ -17,9 +17,9 @@
 	return max(0, l.runTimes.Estimate(a.Job)-ran)
 }
 
-// startWithin is the time within which a job's tasks should begin: a part of its
-// slack, so that pressing work makes the planner rent and patient work waits
-// for the machines there are.
+// startWithin is the time in seconds within which a job's tasks should start: a part of its
+// slack, so that urgent work makes the planner scale out while other work waits
+// for the machines that there are.
 func (l *Leader) startWithin(now time.Time, j *jobs.Job) float64 {
 	if l.operator.StartWithinS > 0 {
 		return l.operator.StartWithinS
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -5,11 +5,11 @@
 	"switchshore.example/switchshore/internal/machines"
 )
 
-// Whose fault a failure is shows only by where else the job fails or ends. A job that
-// has failed on several machines, and ended on none, is taken for one submitted with a
-// mistake: no machine is quarantined for it. Once a task of it ends somewhere, the
-// machines where it failed are to blame. One on which several jobs failed in a row is
-// faulty.
+// Whether the job or the machine is at fault shows only by where else the job fails or
+// completes. A job that has failed on several machines, and completed a task on none, seems to
+// have been submitted with a mistake: no machine is quarantined for it. Once a task of it
+// completes somewhere, the machines where it failed are at fault. One on which several jobs
+// have failed in a row is faulty.
 
 // recordTaskFailure notes that a task of the job has failed on the machine.
 func (l *Leader) recordTaskFailure(j *jobs.Job, m *machines.Machine) {
@@ -26,7 +26,7 @@
 	}
 }
 
-// recordTaskSuccess notes that a task of the job has ended on the machine.
+// recordTaskSuccess notes that a task of the job has completed on the machine.
 func (l *Leader) recordTaskSuccess(j *jobs.Job, m *machines.Machine) {
 	m.RecordTaskSuccess()
 	for id := range j.FailedOn() {
@@ -37,7 +37,8 @@
 	j.RecordSuccess()
 }
 
-// countFailedJob counts a job that has failed on the machine, and quarantines it if there are too many.
+// countFailedJob counts a job that has failed on the machine, which is quarantined once there
+// are too many.
 func (l *Leader) countFailedJob(m *machines.Machine, j *jobs.Job) {
 	if quarantined := m.CountFailedJob(j.ID); quarantined {
 		l.log.Info().Str("machine", m.ID).Msg("machine quarantined")
--- a/internal/leader/leases.go
+++ b/internal/leader/leases.go
@@ -7,7 +7,7 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// expireLeases drops what was on machines whose lease has run out.
+// expireLeases releases the attempts on machines whose lease has expired.
 func (l *Leader) expireLeases(now time.Time) {
 	for _, m := range l.machines.All() {
 		if (len(m.Attempts) > 0 || !m.Reconciled) && m.LeaseExpired(now, &l.timing) && (m.Joined || m.FromRecord) {
@@ -20,10 +20,10 @@
 	}
 }
 
-// releaseExpired drops what was on a machine whose lease has run out, but for starts
-// sent directly without an answer: should the worker have been replaced by a
+// releaseExpired releases the attempts on a machine whose lease has expired, except for starts
+// sent by a direct call without an answer: should the agent have been replaced by a
 // new one, which counts its sessions anew, they could still run there. Unless
-// it is heard of in a new session soon, the machine is released.
+// a heartbeat of a new session comes soon, the machine is released.
 func (l *Leader) releaseExpired(now time.Time, m *machines.Machine) {
 	for i := len(m.Attempts) - 1; i >= 0; i-- {
 		if a := m.Attempts[i]; !a.MayStartLate() {
--- a/internal/leader/machine.go
+++ b/internal/leader/machines.go
@@ -8,6 +8,7 @@
 	"switchshore.example/switchshore/wire"
 )
 
+// addMachine takes in a machine that was not known.
 func (l *Leader) addMachine(now time.Time, id, typ, zone, addr string, spot bool) *machines.Machine {
 	m := machines.New(now, id, typ, zone, addr, spot)
 	l.machines.Add(m)
@@ -16,7 +17,7 @@
 	return m
 }
 
-// setCapacity fills in the amounts of the machine's type once it is known.
+// setCapacity sets the machine's capacity once its type is known.
 func (l *Leader) setCapacity(m *machines.Machine) {
 	if l.catalogue.Has(m.Type) {
 		m.SetTotal(machines.Resources(l.catalogue.Type(m.Type)))
@@ -24,7 +25,7 @@
 	m.SnapshotOutdated = true
 }
 
-// SetMachineTypes takes in the cloud's catalogue.
+// SetMachineTypes applies the cloud's catalogue.
 func (l *Leader) SetMachineTypes(types []wire.MachineType) {
 	if len(types) == 0 {
 		return
@@ -54,7 +55,7 @@
 	}
 }
 
-// releaseAll drops every task of a machine whose session is over.
+// releaseAll releases all attempts on a machine that no longer exists.
 func (l *Leader) releaseAll(now time.Time, m *machines.Machine) {
 	for len(m.Attempts) > 0 {
 		l.release(now, m.Attempts[len(m.Attempts)-1])
--- a/internal/leader/reachability.go
+++ b/internal/leader/reachability.go
@@ -8,11 +8,11 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// updateReachability looks at which machines known to be up can be heard. It notes the zones
-// that seem to be cut off: most of their machines are missed, while those
-// elsewhere are heard; what is rented there could not report. It returns whether
-// many others are missed, too: then it must be this node that has lost them, or
-// has not got round to their reports yet after a succession.
+// updateReachability counts the machines known to be up whose heartbeats are missing. It notes
+// the zones that seem to be partitioned: most of their machines are unreachable, while those
+// elsewhere are not; what is provisioned there could not report. It returns whether
+// many others are unreachable, too: then this node must have lost them, or
+// has not yet applied their heartbeats after a failover.
 func (l *Leader) updateReachability(now time.Time) (lost bool) {
 	zones := map[string]*heartbeatCount{}
 	all := &heartbeatCount{}
@@ -23,16 +23,16 @@
 		if zones[m.Zone] == nil {
 			zones[m.Zone] = &heartbeatCount{}
 		}
-		missed := m.IsUnreachable(now, &l.timing)
-		zones[m.Zone].count(missed)
-		all.count(missed)
+		missing := m.IsUnreachable(now, &l.timing)
+		zones[m.Zone].count(missing)
+		all.count(missing)
 	}
 	rest := *all
 	for zone, z := range zones {
-		others := heartbeatCount{all.known - z.known, all.missing - z.missing}
+		others := heartbeatCount{known: all.known - z.known, missing: all.missing - z.missing}
 		switch {
 		case z.missing >= tuning.PartitionedMachines && z.share() <= tuning.PartitionedShare && others.share() >= tuning.ReachableShare:
-			// Those missed may be released before long.
+			// Its unreachable machines may be released before long.
 			l.partitionedZones[zone] = now.Add(l.timing.LeaseExpiry)
 			rest.known -= z.known
 			rest.missing -= z.missing
@@ -43,27 +43,27 @@
 	return rest.known > 0 && rest.share() < tuning.ReachableShare
 }
 
-// heartbeatCount counts machines known to be up and those of them that are missed.
+// heartbeatCount counts machines known to be up and those of them that are unreachable.
 type heartbeatCount struct{ known, missing int }
 
-func (h *heartbeatCount) count(missed bool) {
+func (h *heartbeatCount) count(missing bool) {
 	h.known++
-	if missed {
+	if missing {
 		h.missing++
 	}
 }
 
-// share is the part that is heard, 0 of none.
+// share is the part that is reachable, 0 of none.
 func (h *heartbeatCount) share() float64 {
 	return float64(h.known-h.missing) / float64(max(h.known, 1))
 }
 
-// holdsUrgentWork reports whether a machine that is missed may hold work that would be
-// late once its lease has run out, but not if it could start elsewhere now: the
-// release proves it gone. Silence mostly outlasts the lease, and then the work
-// on the machine is lost in any case. A successor would wait longest, as its
+// hasUrgentWork reports whether an unreachable machine may have work that would be
+// late once its lease has expired, but not if it could start elsewhere now: the
+// release proves that the work has ended. Most gaps in heartbeats outlast the lease, and then
+// the work on the machine is lost in any case. A new leader would wait longest, as its
 // predecessor may be cut off together with the machine and go on answering it.
-func (l *Leader) holdsUrgentWork(now time.Time, m *machines.Machine) bool {
+func (l *Leader) hasUrgentWork(now time.Time, m *machines.Machine) bool {
 	if m.Releasing || !m.IsUnreachable(now, &l.timing) {
 		return false
 	}
--- a/internal/leader/tasklist.go
+++ b/internal/leader/reconcile.go
@@ -10,9 +10,9 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// reconcileTasks compares the machine's complete task list with what is known. Only a report
-// that the worker sent by itself (periodic) proves that the starts in earlier
-// answers did not run: an answer to a direct call may overtake them.
+// reconcileTasks compares the machine's complete task list with what is known. Only a heartbeat
+// that the agent sent by itself (periodic) proves that the starts in earlier
+// responses did not run: the reply to a direct call may overtake them.
 func (l *Leader) reconcileTasks(now time.Time, m *machines.Machine, r *wire.Heartbeat, periodic bool) {
 	l.listNumber++
 	m.ClearExited()
@@ -37,9 +37,9 @@
 	j := l.jobs.Get(id)
 	switch {
 	case !ok || j == nil || index >= j.Tasks:
-		// Of a job that ended, or unknown: what is not over is stopped (stopCommands).
+		// Of a job that has ended, or unknown: stopCommands stops what has not exited.
 		if t.State == wire.TaskExited {
-			l.recordExited(m, t, true)
+			recordExited(m, t, true)
 		}
 	case t.State == wire.TaskExited:
 		l.applyExitedTask(now, m, j, int32(index), t)
@@ -48,12 +48,13 @@
 	}
 }
 
-// recordExited keeps an exited entry, to be forgotten by the worker if nobody needs it.
-func (l *Leader) recordExited(m *machines.Machine, t *wire.TaskStatus, unneeded bool) {
+// recordExited keeps an exited entry, to be forgotten by the agent if it is unneeded.
+func recordExited(m *machines.Machine, t *wire.TaskStatus, unneeded bool) {
 	key := machines.ExitKey{Task: t.Task, Attempt: t.Attempt}
 	m.AddExited(key, unneeded)
 }
 
+// applyExitedTask applies an entry of a task that has exited.
 func (l *Leader) applyExitedTask(now time.Time, m *machines.Machine, j *jobs.Job, index int32, t *wire.TaskStatus) {
 	a := m.Find(j, index)
 	switch {
@@ -69,16 +70,17 @@
 	case t.ExitReason == wire.ExitDone:
 		l.taskDone(now, j, index)
 	}
-	l.recordExited(m, t, t.ExitReason != wire.ExitDone || j.IsCompletionStored(index))
+	recordExited(m, t, t.ExitReason != wire.ExitDone || j.IsCompletionStored(index))
 }
 
+// applyLiveTask applies an entry of a task that has not exited.
 func (l *Leader) applyLiveTask(now time.Time, m *machines.Machine, j *jobs.Job, index int32, t *wire.TaskStatus) {
 	a := m.Find(j, index)
 	if a == nil {
 		a = machines.NewAttempt(m, j, index, now)
 		l.ledger.Allocate(a)
-		// No record names it any more, or none ever did: a successor has to
-		// know of it all the same.
+		// No record names it any more, or none ever did, but a successor has to
+		// know of it.
 		l.starts.Add(a)
 		if j.IsActive() {
 			j.RemoveReady(index)
@@ -108,7 +110,7 @@
 	l.drainer.CountRunning(a)
 }
 
-// countIgnoredStarts notes that starts in an earlier answer had no effect.
+// countIgnoredStarts notes that starts in an earlier response had no effect.
 func (l *Leader) countIgnoredStarts(now time.Time, m *machines.Machine) {
 	if slices.ContainsFunc(m.Attempts, func(a *machines.Attempt) bool {
 		return !a.IsListed(l.listNumber) && a.State() == machines.StartSent && a.WasSentInResponse()
@@ -117,7 +119,7 @@
 	}
 }
 
-// releaseUnlisted gives up the attempts that the list just applied proves absent.
+// releaseUnlisted releases the attempts that the list just applied proves absent.
 func (l *Leader) releaseUnlisted(now time.Time, m *machines.Machine, periodic bool) {
 	for i := len(m.Attempts) - 1; i >= 0; i-- {
 		a := m.Attempts[i]
@@ -128,8 +130,8 @@
 		case a.WasSentDirectly():
 			l.scheduleFencingRelease(now, a)
 		case periodic || !a.WasSentInResponse():
-			// Not there: the start did not run and, carried only by an
-			// answer now given up, never will.
+			// The start has not run and never will, as it was sent only in a
+			// response that the agent no longer waits for.
 			a.MarkResponseIgnored()
 			if !a.IsWanted() || !l.acceptsWork(now, m) {
 				l.release(now, a)
@@ -139,7 +141,7 @@
 }
 
 // scheduleFencingRelease has a machine released in time if a start that may still reach it is of
-// a task that nobody wants any more.
+// a task that is not to run any more.
 func (l *Leader) scheduleFencingRelease(now time.Time, a *machines.Attempt) {
 	m := a.Machine
 	if a.IsWanted() || m.ReleaseRequired() {
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -62,7 +62,7 @@
 func (l *Leader) machinesToRelease(now time.Time, unneeded []string, isolated bool) []string {
 	var names []string
 	for _, m := range l.machines.All() {
-		if !isolated && l.holdsUrgentWork(now, m) {
+		if !isolated && l.hasUrgentWork(now, m) {
 			names = append(names, m.ID)
 		}
 	}
--- /dev/null
+++ b/internal/leader/submission.go
@@ -0,0 +1,113 @@
+package leader
+
+import (
+	"net/http"
+	"time"
+
+	"switchshore.example/switchshore/internal/admission"
+	"switchshore.example/switchshore/internal/allocation"
+	"switchshore.example/switchshore/internal/config"
+	"switchshore.example/switchshore/internal/jobs"
+	"switchshore.example/switchshore/internal/machines"
+	"switchshore.example/switchshore/internal/placement"
+	"switchshore.example/switchshore/internal/tuning"
+	"switchshore.example/switchshore/wire"
+)
+
+// Submit handles a valid submission without a claim of another node.
+func (l *Leader) Submit(now time.Time, wall time.Time, spec *wire.Job, then func(Response)) {
+	l.SubmitWithClaim(now, wall, spec, nil, then)
+}
+
+// SubmitWithClaim handles a valid submission with the claim of the node that its user has
+// reached. It calls then at once, or later, when the job is durable or
+// the term is over.
+func (l *Leader) SubmitWithClaim(now time.Time, wall time.Time, spec *wire.Job, claim *admission.Claim, then func(Response)) {
+	// Until the acceptance is durable no response may tell of the job, not even
+	// once its cancellation has been requested.
+	if j := l.jobs.Get(spec.ID); j != nil && j.Undecided() {
+		j.AddWaiter(func(ok bool) { then(l.accepted(ok, spec.ID, http.StatusOK)) })
+		return
+	}
+	if r, known := l.response(spec.ID); known {
+		then(r)
+		return
+	}
+	rejected := l.checkSubmission(spec)
+	if rejected == nil {
+		rejected = l.admission.check(now, spec, claim)
+	}
+	if rejected != nil {
+		then(rejected.response())
+		return
+	}
+	l.accept(now, wall, spec, then)
+}
+
+// checkSubmission returns why a job that is not known yet can't be accepted, or nil.
+func (l *Leader) checkSubmission(spec *wire.Job) *RejectedError {
+	if !l.CatalogueKnown() {
+		return &RejectedError{Status: http.StatusServiceUnavailable, Reason: "machine types not known yet"}
+	}
+	if reason := l.impossible(spec); reason != "" {
+		return &RejectedError{Status: http.StatusUnprocessableEntity, Reason: reason}
+	}
+	if rejected := l.checkDependencies(spec); rejected != nil {
+		return rejected
+	}
+	if l.admission.unfinished+spec.Tasks > tuning.MaxActiveTasks || l.writes.Interactive.Len() >= l.maxInteractiveWrites() {
+		// More than the key-value store takes while users wait for a response:
+		// queueing would only end in a timeout.
+		return &RejectedError{Status: http.StatusServiceUnavailable, Reason: "too much work queued"}
+	}
+	return nil
+}
+
+// accept stores a new job; its user gets a response when it is durable.
+func (l *Leader) accept(now time.Time, wall time.Time, spec *wire.Job, then func(Response)) {
+	j := jobs.New(*spec, wall.UnixMilli(), now)
+	l.jobs.Add(j)
+	l.admission.countUnfinished(j.Team, j.Tasks)
+	l.graph.Link(j)
+	l.graph.SchedulePathsOfDependencies(j)
+	j.AddWaiter(func(ok bool) { then(l.accepted(ok, j.ID, http.StatusCreated)) })
+	l.storeJob(j, func() {
+		if j.MarkAccepted() {
+			l.releaseIfUnblocked(now, j)
+		}
+		if j.IsActive() {
+			j.NotifyWaiters(true)
+		}
+	})
+	if j.DependencyCancelled() {
+		l.cancelDependent(now, j)
+	}
+}
+
+// maxInteractiveWrites is how many changes the write budget takes while a user waits.
+func (l *Leader) maxInteractiveWrites() int {
+	return max(1, int(l.params.KVStore.WriteRPS*tuning.StoreWriteShare*tuning.SubmitTimeout.Seconds()))
+}
+
+// impossible says why a job can never run, or "".
+func (l *Leader) impossible(spec *wire.Job) string {
+	if reason := l.ledger.AboveLimit(spec); reason != "" {
+		return reason
+	}
+	request := placement.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}
+	probe := placement.PendingJob{MachineTypes: spec.MachineTypes, Zone: spec.Zone, Spot: true, Request: request, TotalTasks: spec.Tasks}
+	for mt := range l.catalogue.All() {
+		for _, zone := range mt.Zones {
+			if probe.Allowed(&placement.Machine{Type: mt.Name, Zone: zone, Capacity: machines.Resources(mt)}) {
+				return ""
+			}
+		}
+	}
+	return "a task fits no allowed machine type"
+}
+
+// AboveLimit says why a job can never run, as far as the settings alone tell, or "": any
+// node can say that, whether or not a leader is known.
+func AboveLimit(teams []config.Team, spec *wire.Job) string {
+	return allocation.AboveLimit(teams, spec)
+}
--- a/internal/machines/machine.go
+++ b/internal/machines/machine.go
@@ -1,4 +1,4 @@
-// Package machines holds what is known of the rented machines of a term and of the attempts
+// Package machines holds what is known of the provisioned machines of a term and of the attempts
 // to run tasks on them. It reads no clock and does no I/O.
 package machines
 
@@ -16,7 +16,7 @@
 	return &placement.Machine{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Capacity: m.Total}
 }
 
-// Machine is a rented machine with all that may be on it.
+// Machine is a provisioned machine with all attempts that may be on it.
 type Machine struct {
 	ID, Type, Zone, Addr string
 	Spot                 bool
@@ -38,7 +38,7 @@
 	unforgettable map[ExitKey]bool
 }
 
-// lifecycle is how far a machine has come between its rental and its release.
+// lifecycle is how far a machine has come between provisioning and release.
 type lifecycle struct {
 	ProvisionedAt time.Time
 	Joined        bool // has reported to some term
@@ -97,13 +97,13 @@
 	return nil
 }
 
-// Reserve keeps the room that comes free on a machine, for a moment, from work of a lower
-// priority. The stopped tasks leave one by one: the first room would otherwise go to what
-// was stopped, which then had to be stopped again, and the task that it all was for would
-// not start either.
-func (m *Machine) Reserve(now time.Time, level int) {
-	if !now.Before(m.reservedUntil) || level < m.reservedRank {
-		m.reservedRank = level
+// Reserve keeps the capacity that comes free on a machine, for a moment, from work of a lower
+// priority. The stopped tasks end one by one: the first capacity would otherwise be given to
+// what was stopped, which would have to be stopped again, and the task that needs all of it
+// would not start either.
+func (m *Machine) Reserve(now time.Time, rank int) {
+	if !now.Before(m.reservedUntil) || rank < m.reservedRank {
+		m.reservedRank = rank
 	}
 	m.reservedUntil = now.Add(tuning.PreemptReservation)
 }
