--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -8,18 +8,17 @@
 	"time"
 
 	"github.com/rs/zerolog"
-	"switchshore.example/switchshore/internal/consolidation"
-	"switchshore.example/switchshore/internal/drainer"
-	"switchshore.example/switchshore/internal/preemption"
-	"switchshore.example/switchshore/internal/scaling"
-	"switchshore.example/switchshore/internal/startlog"
 
 	"switchshore.example/switchshore/internal/allocation"
 	"switchshore.example/switchshore/internal/config"
+	"switchshore.example/switchshore/internal/consolidation"
+	"switchshore.example/switchshore/internal/drainer"
 	"switchshore.example/switchshore/internal/jobs"
 	"switchshore.example/switchshore/internal/machines"
+	"switchshore.example/switchshore/internal/preemption"
 	"switchshore.example/switchshore/internal/records"
-	"switchshore.example/switchshore/internal/tuning"
+	"switchshore.example/switchshore/internal/scaling"
+	"switchshore.example/switchshore/internal/startlog"
 )
 
 // Leader is the state of one term. It connects the parts that own what belongs together.
@@ -29,41 +28,43 @@
 	operator config.Operator
 	term     uint64
 	attempts uint64 // numbers given so far
+	timing   machines.Timing
 
-	timing machines.Timing
+	// What is durable, and how it gets there.
+	writes  *records.WriteQueues
+	starts  *startlog.Log
+	loading loading
 
+	// Jobs.
 	jobs      *jobs.Registry
+	graph     *jobs.DependencyGraph
 	admission *admissionControl
-	// live are the unfinished jobs that need no other any more.
+	// live are the unfinished jobs that wait for no others.
 	live               map[*jobs.Job]struct{}
 	unsavedCompletions map[*jobs.Job]time.Time // jobs with unwritten completions, since when
-	ledger             *allocation.Ledger
 	runTimes           jobs.RunTimes
 	startDelay         jobs.StartDelay
 
+	// Machines.
 	machines   *machines.Registry
 	catalogue  *machines.Catalogue
-	listNumber uint64 // number of task lists applied
+	ledger     *allocation.Ledger
+	calls      directCalls
 	lists      machineLists
-	changed    bool // since the last pass
-	scores     int  // pairs of job and machine scored, for the logs
-
+	listNumber uint64 // number of task lists applied
 	// partitionedZones are those that seem to be cut off, until then.
 	partitionedZones map[string]time.Time
 	// isolated: this node seems to have lost most machines.
 	isolated bool
 
-	writes  *records.WriteQueues
-	starts  *startlog.Log
-	loading loading
-
-	graph        *jobs.DependencyGraph
-	calls        directCalls
+	// Decisions.
 	passes       passTimes
-	scaler       *scaling.Scaler
-	drainer      *drainer.Drainer
+	changed      bool // since the last pass
+	scores       int  // pairs of job and machine scored, for the logs
 	preemptor    *preemption.Preemptor
 	consolidator *consolidation.Consolidator
+	scaler       *scaling.Scaler
+	drainer      *drainer.Drainer
 }
 
 // passTimes are the times of scheduling passes and of looking for expired leases.
@@ -102,38 +103,6 @@
 	return l
 }
 
-// GracePeriod is how long a leader without the key-value store goes on answering
-// heartbeats: as long as possible, but such that an agent's lease added to it is still within
-// the time for cancellations.
-func GracePeriod(w config.Workers) time.Duration {
-	return max(0, min(seconds(w.LeaseS), seconds(w.CancelDeadlineS-w.LeaseS)-tuning.GracePeriodReserve))
-}
-
-// lateStartBound is how long after the end of a job a machine may still be
-// answered on which a start of that job may come late: the rest of its lease ends
-// within the time for cancellations, with the same reserve, and with its session
-// the start is void, even if the machine can't be released.
-func lateStartBound(w config.Workers) time.Duration {
-	return max(0, min(seconds(w.CancelDeadlineS)/tuning.FencingDivisor, seconds(w.CancelDeadlineS-w.LeaseS)-tuning.GracePeriodReserve))
-}
-
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-
-// newTiming returns the times by which machines are judged in a term that begins now.
-func newTiming(w config.Workers, now time.Time, grace time.Duration) machines.Timing {
-	expiry := seconds(w.LeaseS*(1+tuning.ClockDrift)) + tuning.LeaseExpiryMargin
-	return machines.Timing{
-		HeartbeatTimeout: seconds(w.HeartbeatIntervalS * tuning.HeartbeatTimeoutIntervals),
-		Lease:            seconds(w.LeaseS),
-		LeaseExpiry:      expiry,
-		TermStart:        now,
-		// A predecessor's last answer comes at the latest a grace after its
-		// authority, which ended before now; the agent's lease runs from the
-		// sending of the heartbeat answered.
-		InheritedUntil: now.Add(grace + expiry),
-	}
-}
-
 // Term is the term of this state.
 func (l *Leader) Term() uint64 { return l.term }
 
