--- a/internal/consolidation/consolidation.go
+++ b/internal/consolidation/consolidation.go
@@ -17,10 +17,9 @@
 // Cluster is what consolidation has to know of the cluster, and the one thing that it does to
 // it.
 type Cluster struct {
-	// Machines returns the machines that take work, in the order of their IDs.
-	Machines func(now time.Time) []*machines.Machine
-	// MachineCount returns the number of all machines.
-	MachineCount func() int
+	Machines *machines.Registry
+	// AcceptsWork reports whether a machine takes new tasks.
+	AcceptsWork func(now time.Time, m *machines.Machine) bool
 	// ActiveJobs returns the unfinished jobs that wait for no others, oldest first.
 	ActiveJobs func() []*jobs.Job
 	// Price is what a machine costs now.
@@ -49,7 +48,7 @@
 		return 0
 	}
 	c.lastRun = now
-	p := &pass{Cluster: &c.cluster, now: now, free: map[*machines.Machine]placement.Resources{}}
+	p := &pass{Cluster: &c.cluster, now: now}
 	p.divide()
 	if len(p.movable) < 2 {
 		return 0
@@ -69,10 +68,12 @@
 
 // divide finds out which of the machines that take work may be emptied.
 func (p *pass) divide() {
-	for _, m := range p.Machines(p.now) {
-		if p.isMovable(m) {
+	for _, m := range p.Machines.All() {
+		switch {
+		case !p.AcceptsWork(p.now, m):
+		case p.isMovable(m):
 			p.movable = append(p.movable, m)
-		} else {
+		default:
 			p.others = append(p.others, m)
 		}
 	}
@@ -84,13 +85,14 @@
 		return cmp.Or(-cmp.Compare(p.Price(a), p.Price(b)), -cmp.Compare(a.Free.CPUs/a.Total.CPUs, b.Free.CPUs/b.Total.CPUs))
 	})
 	targets := slices.Concat(p.movable, p.others)
+	p.free = map[*machines.Machine]placement.Resources{}
 	for _, m := range targets {
 		p.free[m] = m.Free
 	}
 	p.reserveForWaiting(targets)
 	emptied := 0
 	for i, m := range p.movable {
-		if emptied >= max(1, p.MachineCount()/tuning.ConsolidateDivisor) {
+		if emptied >= max(1, p.Machines.Len()/tuning.ConsolidateDivisor) {
 			break
 		}
 		if p.free[m] != m.Free {
--- a/internal/consolidation/consolidation_test.go
+++ b/internal/consolidation/consolidation_test.go
@@ -40,13 +40,17 @@
 }
 
 func (c *cluster) consolidator() *consolidation.Consolidator {
+	registry := machines.NewRegistry()
+	for _, m := range c.machines {
+		registry.Add(m)
+	}
 	return consolidation.New(consolidation.Cluster{
-		Machines:     func(time.Time) []*machines.Machine { return c.machines },
-		MachineCount: func() int { return len(c.machines) },
-		ActiveJobs:   func() []*jobs.Job { return c.waiting },
-		Price:        func(m *machines.Machine) float64 { return map[string]float64{"dear": 2}[m.ID] },
-		RemainingS:   func(time.Time, *machines.Attempt) float64 { return 3600 },
-		Emptied:      func(m *machines.Machine) { c.emptied = append(c.emptied, m.ID) },
+		Machines:    registry,
+		AcceptsWork: func(time.Time, *machines.Machine) bool { return true },
+		ActiveJobs:  func() []*jobs.Job { return c.waiting },
+		Price:       func(m *machines.Machine) float64 { return map[string]float64{"dear": 2}[m.ID] },
+		RemainingS:  func(time.Time, *machines.Attempt) float64 { return 3600 },
+		Emptied:     func(m *machines.Machine) { c.emptied = append(c.emptied, m.ID) },
 	})
 }
 
--- a/internal/leader/consolidation.go
+++ b/internal/leader/consolidation.go
@@ -9,12 +9,12 @@
 // newConsolidator returns the term's consolidator.
 func (l *Leader) newConsolidator() *consolidation.Consolidator {
 	return consolidation.New(consolidation.Cluster{
-		Machines:     l.machinesAcceptingWork,
-		MachineCount: l.machines.Len,
-		ActiveJobs:   l.activeJobs,
-		Price:        l.catalogue.Price,
-		RemainingS:   l.remaining,
-		Emptied:      l.calls.schedule,
+		Machines:    l.machines,
+		AcceptsWork: l.acceptsWork,
+		ActiveJobs:  l.activeJobs,
+		Price:       l.catalogue.Price,
+		RemainingS:  l.remaining,
+		Emptied:     l.calls.schedule,
 	})
 }
 
--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"switchshore.example/switchshore/internal/jobs"
-	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/placement"
 	"switchshore.example/switchshore/internal/preemption"
 )
@@ -14,7 +13,8 @@
 // newPreemptor returns the term's preemptor.
 func (l *Leader) newPreemptor() *preemption.Preemptor {
 	return preemption.New(preemption.Cluster{
-		Machines:     l.machinesAcceptingWork,
+		Machines:     l.machines,
+		AcceptsWork:  l.acceptsWork,
 		RemainingS:   l.remaining,
 		Unfinished:   func() iter.Seq[*jobs.Job] { return maps.Keys(l.live) },
 		FetchGBPerS:  func(machineType string) float64 { return l.catalogue.Type(machineType).FetchGBPerS },
@@ -29,14 +29,3 @@
 		l.log.Debug().Int("tasks", n).Msg("tasks preempted")
 	}
 }
-
-// machinesAcceptingWork are the machines that take work, in the order of their IDs.
-func (l *Leader) machinesAcceptingWork(now time.Time) []*machines.Machine {
-	var list []*machines.Machine
-	for _, m := range l.machines.All() {
-		if l.acceptsWork(now, m) {
-			list = append(list, m)
-		}
-	}
-	return list
-}
--- a/internal/preemption/pass.go
+++ b/internal/preemption/pass.go
@@ -5,6 +5,7 @@
 	"sort"
 	"time"
 
+	"switchshore.example/switchshore/internal/jobs"
 	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/placement"
 	"switchshore.example/switchshore/internal/tuning"
@@ -13,10 +14,9 @@
 // pass is one search for capacity that stopping attempts could make.
 type pass struct {
 	*Cluster
-	now      time.Time
-	machines []*machines.Machine
-	// expectedFree is the capacity of each machine once stopping and soon-ending attempts have
-	// ended.
+	now time.Time
+	// expectedFree is the capacity, of each machine that takes work, once stopping and
+	// soon-ending attempts have ended.
 	expectedFree map[*machines.Machine]placement.Resources
 	// expectedFreeCPUs are the CPUs of these attempts, by team.
 	expectedFreeCPUs map[string]float64
@@ -30,13 +30,14 @@
 	p := &pass{
 		Cluster:          cluster,
 		now:              now,
-		machines:         cluster.Machines(now),
 		expectedFree:     map[*machines.Machine]placement.Resources{},
 		expectedFreeCPUs: map[string]float64{},
 		candidates:       map[*machines.Machine][]candidate{},
 	}
-	for _, m := range p.machines {
-		p.addMachine(m)
+	for _, m := range p.Machines.All() {
+		if p.AcceptsWork(now, m) {
+			p.addMachine(m)
+		}
 	}
 	return p
 }
@@ -99,26 +100,26 @@
 
 // makeCapacityForJob stops attempts for as many waiting tasks of the job as it finds capacity
 // for.
-func (p *pass) makeCapacityForJob(w waitingJob) {
-	teamFree, known := p.TeamFreeCPUs(w.Team)
+func (p *pass) makeCapacityForJob(r *placement.PendingJob, j *jobs.Job) {
+	teamFree, known := p.TeamFreeCPUs(r.Team)
 	if !known {
 		return
 	}
-	for range w.job.ReadyTasks() {
+	for range j.ReadyTasks() {
 		p.searches++
-		if p.stops >= tuning.PreemptMaxStops || p.searches > tuning.PreemptMaxSearches || !p.makeCapacityForTask(w, teamFree) {
+		if p.stops >= tuning.PreemptMaxStops || p.searches > tuning.PreemptMaxSearches || !p.makeCapacityForTask(r, teamFree) {
 			return
 		}
 	}
 }
 
 // makeCapacityForTask is false if no capacity can be made for a task of the job.
-func (p *pass) makeCapacityForTask(w waitingJob, teamFree float64) bool {
-	own, ok := p.stopWithinLimit(w, teamFree)
+func (p *pass) makeCapacityForTask(r *placement.PendingJob, teamFree float64) bool {
+	own, ok := p.stopWithinLimit(r, teamFree)
 	if !ok {
 		return false
 	}
-	best, chosen := p.cheapestMachine(w.PendingJob)
+	best, chosen := p.cheapestMachine(r)
 	if best == nil {
 		// No machine would have it even then: stopping for nothing, pass
 		// after pass, would keep the team's other work from ever ending.
@@ -129,10 +130,10 @@
 		p.stop(c)
 	}
 	if len(chosen) > 0 {
-		best.Reserve(p.now, w.PriorityRank)
+		best.Reserve(p.now, r.PriorityRank)
 	}
-	p.expectedFree[best] = p.expectedFree[best].Add(w.Request, -1)
-	p.expectedFreeCPUs[w.Team] -= w.Request.CPUs
+	p.expectedFree[best] = p.expectedFree[best].Add(r.Request, -1)
+	p.expectedFreeCPUs[r.Team] -= r.Request.CPUs
 	return true
 }
 
@@ -140,10 +141,10 @@
 // the team is at its limit, until another task of the job fits: all that it takes or none.
 // One that is too small, stopped pass after pass, would never end, and the larger one
 // would not begin either.
-func (p *pass) stopWithinLimit(w waitingJob, teamFree float64) ([]candidate, bool) {
+func (p *pass) stopWithinLimit(r *placement.PendingJob, teamFree float64) ([]candidate, bool) {
 	var own []candidate
-	for teamFree+p.expectedFreeCPUs[w.Team] < w.Request.CPUs {
-		c, ok := p.cheapestOfTeam(w.PendingJob)
+	for teamFree+p.expectedFreeCPUs[r.Team] < r.Request.CPUs {
+		c, ok := p.cheapestOfTeam(r)
 		if !ok {
 			p.undoStops(own)
 			return nil, false
@@ -158,7 +159,7 @@
 func (p *pass) cheapestOfTeam(r *placement.PendingJob) (candidate, bool) {
 	var best candidate
 	found := false
-	for _, m := range p.machines {
+	for _, m := range p.Machines.All() {
 		for _, c := range p.candidates[m] {
 			if c.Job.Team == r.Team && c.Job.PriorityRank() > r.PriorityRank && !c.IsStopping() && (!found || c.lostS < best.lostS) {
 				best, found = c, true
@@ -180,9 +181,9 @@
 // loss, and what to stop there; nothing, if capacity is coming anyway.
 func (p *pass) cheapestMachine(r *placement.PendingJob) (best *machines.Machine, stops []candidate) {
 	least := math.Inf(1)
-	for _, m := range p.machines {
-		free := p.expectedFree[m]
-		if m.Avoids(r.Job) || !r.Allowed(m.PlacementView()) {
+	for _, m := range p.Machines.All() {
+		free, ok := p.expectedFree[m]
+		if !ok || m.Avoids(r.Job) || !r.Allowed(m.PlacementView()) {
 			continue
 		}
 		if free.Fits(r.Request) {
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -15,8 +15,9 @@
 
 // Cluster is what preemption has to know of the cluster, and the one thing that it does to it.
 type Cluster struct {
-	// Machines returns the machines that take work, in the order of their IDs.
-	Machines func(now time.Time) []*machines.Machine
+	Machines *machines.Registry
+	// AcceptsWork reports whether a machine takes new tasks.
+	AcceptsWork func(now time.Time, m *machines.Machine) bool
 	// RemainingS estimates the rest of an attempt's run time in seconds, 0 if it is over its
 	// estimate.
 	RemainingS func(now time.Time, a *machines.Attempt) float64
@@ -55,11 +56,11 @@
 		return 0
 	}
 	p := newPass(now, &s.cluster)
-	for _, w := range waiting {
-		if w.PriorityRank >= lowest {
+	for _, r := range waiting {
+		if r.PriorityRank >= lowest {
 			break
 		}
-		p.makeCapacityForJob(w)
+		p.makeCapacityForJob(r, byID[r.Job])
 	}
 	return p.stops
 }
@@ -76,18 +77,12 @@
 	return lowest
 }
 
-// waitingJob is a job with tasks that found no capacity.
-type waitingJob struct {
-	*placement.PendingJob
-	job *jobs.Job
-}
-
 // waitingByPriority returns the jobs with tasks that found no capacity, highest priority first.
-func waitingByPriority(ready []*placement.PendingJob, byID map[string]*jobs.Job) []waitingJob {
-	var waiting []waitingJob
+func waitingByPriority(ready []*placement.PendingJob, byID map[string]*jobs.Job) []*placement.PendingJob {
+	var waiting []*placement.PendingJob
 	for _, r := range ready {
 		if j := byID[r.Job]; j.ReadyTasks() > 0 && j.Failures() == 0 {
-			waiting = append(waiting, waitingJob{r, j})
+			waiting = append(waiting, r)
 		}
 	}
 	sort.SliceStable(waiting, func(i, k int) bool { return waiting[i].PriorityRank < waiting[k].PriorityRank })
--- a/internal/preemption/preemption_test.go
+++ b/internal/preemption/preemption_test.go
@@ -18,6 +18,7 @@
 
 // cluster is one with a full machine of eight CPUs, and what was done to it.
 type cluster struct {
+	registry *machines.Registry
 	machine  *machines.Machine
 	teamFree float64 // CPUs
 	called   int
@@ -27,7 +28,9 @@
 func newCluster() *cluster {
 	m := machines.New(start, "m1", "std-8", "a", "", false)
 	m.Total, m.Free = placement.Resources{CPUs: 8, MemoryGB: 32}, placement.Resources{MemoryGB: 32}
-	return &cluster{machine: m, teamFree: 100}
+	c := &cluster{registry: machines.NewRegistry(), machine: m, teamFree: 100}
+	c.registry.Add(m)
+	return c
 }
 
 func newJob(id string, priority string, cpus float64) *jobs.Job {
@@ -55,7 +58,8 @@
 	r := j.Constraints()
 	r.Job, r.Team, r.PriorityRank = j.ID, j.Team, j.PriorityRank()
 	p := preemption.New(preemption.Cluster{
-		Machines:     func(time.Time) []*machines.Machine { return []*machines.Machine{c.machine} },
+		Machines:     c.registry,
+		AcceptsWork:  func(time.Time, *machines.Machine) bool { return true },
 		RemainingS:   func(time.Time, *machines.Attempt) float64 { return 600 },
 		Unfinished:   func() iter.Seq[*jobs.Job] { return slices.Values(c.running) },
 		FetchGBPerS:  func(string) float64 { return 1 },
