--- a/internal/allocation/ledger_test.go
+++ b/internal/allocation/ledger_test.go
@@ -32,7 +32,7 @@
 
 func newMachine(id, zone string) *machines.Machine {
 	m := machines.New(start, id, "std-8", zone, "", false)
-	m.SetTotal(capacity)
+	m.SetCapacity(capacity)
 	return m
 }
 
@@ -43,15 +43,15 @@
 	l.Allocate(a)
 	a.ApplyReport(start, machines.Running)
 	j.AddRunning()
-	if m.Free != (placement.Resources{CPUs: 6, MemoryGB: 31}) || l.UsedCPUs("blue") != 2 || j.AllocatedTasks() != 1 || j.Constraints().TasksInZone["a"] != 1 || !a.IsAllocated() {
-		t.Errorf("free %+v, used %v, in zones %v", m.Free, l.UsedCPUs("blue"), j.Constraints().TasksInZone)
+	if m.Free() != (placement.Resources{CPUs: 6, MemoryGB: 31}) || l.UsedCPUs("blue") != 2 || j.AllocatedTasks() != 1 || j.Constraints().TasksInZone["a"] != 1 || !a.IsAllocated() {
+		t.Errorf("free %+v, used %v, in zones %v", m.Free(), l.UsedCPUs("blue"), j.Constraints().TasksInZone)
 	}
 	end := start.Add(time.Minute)
 	if last := l.Release(end, a); !last {
 		t.Error("another machine may have the task")
 	}
-	if m.Free != capacity || l.UsedCPUs("blue") != 0 || j.RunningTasks() != 0 || j.ReadyTasks() != 1 || a.IsAllocated() || !m.IdleSince.Equal(end) {
-		t.Errorf("free %+v, used %v, %d running, %d ready", m.Free, l.UsedCPUs("blue"), j.RunningTasks(), j.ReadyTasks())
+	if m.Free() != capacity || l.UsedCPUs("blue") != 0 || j.RunningTasks() != 0 || j.ReadyTasks() != 1 || a.IsAllocated() || m.IdleFor(end) != 0 {
+		t.Errorf("free %+v, used %v, %d running, %d ready", m.Free(), l.UsedCPUs("blue"), j.RunningTasks(), j.ReadyTasks())
 	}
 }
 
@@ -76,7 +76,7 @@
 				}
 			}
 			for _, m := range all {
-				if got := capacity.CPUs - m.Free.CPUs; got != onMachine[m] {
+				if got := capacity.CPUs - m.Free().CPUs; got != onMachine[m] {
 					t.Fatalf("seed %d: %v used on %s, not %v", seed, got, m.ID, onMachine[m])
 				}
 			}
--- a/internal/consolidation/consolidation.go
+++ b/internal/consolidation/consolidation.go
@@ -82,12 +82,12 @@
 // run empties the dearest and emptiest machines first, into the fullest of the others.
 func (p *pass) run() int {
 	slices.SortStableFunc(p.movable, func(a, b *machines.Machine) int {
-		return cmp.Or(-cmp.Compare(p.Price(a), p.Price(b)), -cmp.Compare(a.Free.CPUs/a.Total.CPUs, b.Free.CPUs/b.Total.CPUs))
+		return cmp.Or(-cmp.Compare(p.Price(a), p.Price(b)), -cmp.Compare(a.Free().CPUs/a.Capacity().CPUs, b.Free().CPUs/b.Capacity().CPUs))
 	})
 	targets := slices.Concat(p.movable, p.others)
 	p.free = map[*machines.Machine]placement.Resources{}
 	for _, m := range targets {
-		p.free[m] = m.Free
+		p.free[m] = m.Free()
 	}
 	p.reserveForWaiting(targets)
 	emptied := 0
@@ -95,7 +95,7 @@
 		if emptied >= max(1, p.Machines.Len()/tuning.ConsolidateDivisor) {
 			break
 		}
-		if p.free[m] != m.Free {
+		if p.free[m] != m.Free() {
 			continue // it has got or will get work
 		}
 		if p.moveAll(m, slices.Concat(p.others, p.movable[i+1:])) {
@@ -125,12 +125,12 @@
 // moveAll takes capacity for all tasks of a machine on others, the fullest first, or none.
 func (p *pass) moveAll(m *machines.Machine, targets []*machines.Machine) bool {
 	slices.SortStableFunc(targets, func(a, b *machines.Machine) int { return cmp.Compare(p.free[a].CPUs, p.free[b].CPUs) })
-	to := make([]*machines.Machine, 0, len(m.Attempts))
-	for _, a := range m.Attempts {
+	to := make([]*machines.Machine, 0, len(m.Attempts()))
+	for _, a := range m.Attempts() {
 		i := p.firstFit(a.Job, targets)
 		if i < 0 {
 			for k, t := range to {
-				p.free[t] = p.free[t].Add(m.Attempts[k].Job.Request(), 1)
+				p.free[t] = p.free[t].Add(m.Attempts()[k].Job.Request(), 1)
 			}
 			return false
 		}
@@ -148,7 +148,7 @@
 // empty lets the tasks of a machine save and stop; it takes no more work.
 func (p *pass) empty(m *machines.Machine) {
 	m.Cordon(machines.CordonConsolidated)
-	for _, a := range m.Attempts {
+	for _, a := range m.Attempts() {
 		a.StopSaving()
 	}
 	p.Emptied(m)
@@ -158,11 +158,11 @@
 // along, and whether moving them is worth it: the machine is at most half used
 // and would stay for long, and none of the tasks has just begun.
 func (p *pass) isMovable(m *machines.Machine) bool {
-	if len(m.Attempts) == 0 || m.Free.CPUs < m.Total.CPUs/2 || p.now.Sub(m.ProvisionedAt) < tuning.MinimumBillingTime {
+	if len(m.Attempts()) == 0 || m.Free().CPUs < m.Capacity().CPUs/2 || p.now.Sub(m.ProvisionedAt()) < tuning.MinimumBillingTime {
 		return false
 	}
 	staysS := 0.0
-	for _, a := range m.Attempts {
+	for _, a := range m.Attempts() {
 		if a.State() != machines.Running || a.IsStopping() || a.Job.CheckpointIntervalS <= 0 || a.RunTime(p.now) < tuning.ConsolidateMinRunTime {
 			return false
 		}
--- a/internal/consolidation/consolidation_test.go
+++ b/internal/consolidation/consolidation_test.go
@@ -21,13 +21,12 @@
 // addMachine returns a machine of eight CPUs with attempts of so many CPUs each.
 func addMachine(id string, checkpointIntervalS float64, cpus ...float64) *machines.Machine {
 	m := machines.New(start, id, "std-8", "a", "", false)
-	m.Total, m.Free = placement.Resources{CPUs: 8, MemoryGB: 32}, placement.Resources{CPUs: 8, MemoryGB: 32}
+	m.SetCapacity(placement.Resources{CPUs: 8, MemoryGB: 32})
 	for _, c := range cpus {
 		j := jobs.New(wire.Job{ID: "job-" + id, Tasks: 1, CPUs: c, CheckpointIntervalS: checkpointIntervalS, CheckpointSaveS: 7}, 0, start)
 		a := machines.NewAttempt(m, j, 0, start)
 		a.ApplyReport(start, machines.Running)
-		m.Attempts = append(m.Attempts, a)
-		m.Free = m.Free.Add(j.Request(), -1)
+		m.AddAttempt(a)
 	}
 	return m
 }
@@ -62,7 +61,7 @@
 	if n := consolidator.Run(now); n != 1 || !slices.Equal(c.emptied, []string{"dear"}) {
 		t.Fatalf("%d: %v", n, c.emptied)
 	}
-	a := dear.Attempts[0]
+	a := dear.Attempts()[0]
 	if !dear.CordonedFor(machines.CordonConsolidated) || !a.IsStopping() || a.GracePeriodS() != 7 {
 		t.Errorf("%+v", a)
 	}
--- a/internal/drainer/batch.go
+++ b/internal/drainer/batch.go
@@ -26,7 +26,7 @@
 		s.finish(leaving)
 		return
 	}
-	slices.SortStableFunc(selected, func(a, b *machines.Machine) int { return cmp.Compare(len(a.Attempts), len(b.Attempts)) })
+	slices.SortStableFunc(selected, func(a, b *machines.Machine) int { return cmp.Compare(len(a.Attempts()), len(b.Attempts())) })
 	batch := selected[:min(s.record.Spec.BatchSize, len(selected))]
 	if team := s.unmetGuarantee(batch); team != "" {
 		s.wait(drain.BlockedByGuarantee, team)
@@ -78,7 +78,7 @@
 		s.d.examined++
 		switch {
 		case !selects(s.record.Record, s.now, s.wall, m):
-		case m.Releasing || m.ListedAt.IsZero():
+		case m.IsReleasing() || !m.IsListed():
 			leaving++
 		default:
 			selected = append(selected, m)
@@ -89,7 +89,7 @@
 
 // selects reports whether a machine is to be drained.
 func selects(r *drain.Record, now, wall time.Time, m *machines.Machine) bool {
-	provisionedAt := wall.Add(m.ProvisionedAt.Sub(now))
+	provisionedAt := wall.Add(m.ProvisionedAt().Sub(now))
 	return r.Spec.Selector.Selects(drain.Machine{Name: m.ID, Type: m.Type, Zone: m.Zone, ProvisionedAt: provisionedAt})
 }
 
@@ -120,7 +120,7 @@
 	for _, m := range s.d.cluster.Machines.All() {
 		s.d.examined++
 		if s.d.cluster.AcceptsWork(s.now, m) {
-			cpus += m.Total.CPUs
+			cpus += m.Capacity().CPUs
 		}
 	}
 	if s.record.Spec.Replace {
@@ -128,7 +128,7 @@
 	}
 	for _, m := range batch {
 		if s.d.cluster.AcceptsWork(s.now, m) {
-			cpus -= m.Total.CPUs
+			cpus -= m.Capacity().CPUs
 		}
 	}
 	return cpus
--- a/internal/drainer/drainer_test.go
+++ b/internal/drainer/drainer_test.go
@@ -9,16 +9,16 @@
 	"time"
 
 	"github.com/rs/zerolog"
+	"switchshore.example/switchshore/internal/drainer"
+	"switchshore.example/switchshore/internal/scaling"
 
 	"switchshore.example/switchshore/internal/autoscale"
 	"switchshore.example/switchshore/internal/config"
 	"switchshore.example/switchshore/internal/drain"
-	"switchshore.example/switchshore/internal/drainer"
 	"switchshore.example/switchshore/internal/jobs"
 	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/placement"
 	"switchshore.example/switchshore/internal/records"
-	"switchshore.example/switchshore/internal/scaling"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -70,7 +70,7 @@
 		Job:           func(id string) *jobs.Job { return f.jobs[id] },
 		RunnableJobs:  func() iter.Seq[*jobs.Job] { return func(func(*jobs.Job) bool) {} },
 		TeamUsedCPUs:  func(string) float64 { return 0 },
-		AcceptsWork:   func(_ time.Time, m *machines.Machine) bool { return m.Reconciled && !m.Cordoned() },
+		AcceptsWork:   func(_ time.Time, m *machines.Machine) bool { return m.IsReconciled() && !m.Cordoned() },
 		RemainingS:    func(time.Time, *machines.Attempt) float64 { return 3600 },
 		MachinesKnown: func() bool { return true },
 		ListsComplete: func() bool { return true },
@@ -84,8 +84,10 @@
 // addMachine adds a machine that has reported.
 func (f *fixture) addMachine(id string) *machines.Machine {
 	m := machines.New(start, id, "std-8", "a", "", false)
-	m.SetTotal(placement.Resources{CPUs: 8, MemoryGB: 32})
-	m.Joined, m.Reconciled, m.ListedAt = true, true, start
+	m.SetCapacity(placement.Resources{CPUs: 8, MemoryGB: 32})
+	m.RecordHeartbeat(start, &wire.Heartbeat{})
+	m.MarkReconciled(start)
+	m.ApplyListed(start, start, &wire.ListedMachine{})
 	f.registry.Add(m)
 	return m
 }
@@ -209,7 +211,7 @@
 		t.Fatal("stopped before the charge is durable")
 	}
 	charged := slices.ContainsFunc(f.commit(), func(key string) bool { return strings.HasPrefix(key, records.KindCharge.Prefix()) })
-	stopping := slices.DeleteFunc(slices.Clone(m.Attempts), func(a *machines.Attempt) bool { return !a.IsStopping() })
+	stopping := slices.DeleteFunc(slices.Clone(m.Attempts()), func(a *machines.Attempt) bool { return !a.IsStopping() })
 	if !charged || len(f.stopped) != 1 || len(stopping) != 1 || stopping[0].GracePeriodS() != 5 {
 		t.Fatalf("charged %v, stopped on %v, %d attempts", charged, f.stopped, len(stopping))
 	}
--- a/internal/drainer/evict.go
+++ b/internal/drainer/evict.go
@@ -35,10 +35,10 @@
 	attempts = map[uint64]*machines.Attempt{}
 	for _, name := range s.record.Batch.Machines {
 		m := s.d.cluster.Machines.Get(name)
-		if m == nil || !m.Reconciled || m.ListedAt.IsZero() {
+		if m == nil || !m.IsReconciled() || !m.IsListed() {
 			continue
 		}
-		for _, a := range m.Attempts {
+		for _, a := range m.Attempts() {
 			s.d.examined++
 			switch {
 			case !a.State().IsReported() || a.IsEvicting() || !a.IsWanted():
@@ -112,8 +112,8 @@
 		// Started under an earlier leader: not before its job was submitted and its machine
 		// was provisioned.
 		began = a.Job.SubmittedAt()
-		if a.Machine.ProvisionedAt.After(began) {
-			began = a.Machine.ProvisionedAt
+		if a.Machine.ProvisionedAt().After(began) {
+			began = a.Machine.ProvisionedAt()
 		}
 	}
 	return (s.now.Sub(began) + s.d.config.LeaseTime).Seconds()
--- a/internal/drainer/requests.go
+++ b/internal/drainer/requests.go
@@ -145,7 +145,7 @@
 			continue
 		}
 		d.ApplyCordon(m)
-		for _, a := range m.Attempts {
+		for _, a := range m.Attempts() {
 			if a.IsEvicting() && !a.IsStopping() {
 				a.CancelEviction()
 				d.ledger.RecordAvailable(a.Job.ID, a.Index)
--- a/internal/leader/counts.go
+++ b/internal/leader/counts.go
@@ -29,10 +29,10 @@
 		n.Allocated += j.AllocatedTasks()
 	})
 	for _, m := range l.machines.All() {
-		if m.Joined && !m.Releasing {
+		if m.HasJoined() && !m.IsReleasing() {
 			n.Up++
-			n.CPUs += m.Total.CPUs
-			n.UsedCPUs += m.Total.CPUs - m.Free.CPUs
+			n.CPUs += m.Capacity().CPUs
+			n.UsedCPUs += m.Capacity().CPUs - m.Free().CPUs
 			if m.Spot {
 				n.Spot++
 			}
--- a/internal/leader/direct_calls.go
+++ b/internal/leader/direct_calls.go
@@ -72,7 +72,7 @@
 		sequence: m.Sequence(),
 	}
 	acceptsWork := m.AcceptsWork(now, &l.timing)
-	for _, a := range m.Attempts {
+	for _, a := range m.Attempts() {
 		if a.TakeDirectStop() {
 			call.Request.Commands = append(call.Request.Commands, a.StopCommand())
 			continue
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -82,7 +82,7 @@
 // late to the machine's present session: no response may renew that session's lease.
 func (l *Leader) mayStartLate(now time.Time, m *machines.Machine) bool {
 	bound := lateStartBound(l.params.Workers)
-	return slices.ContainsFunc(m.Attempts, func(a *machines.Attempt) bool {
+	return slices.ContainsFunc(m.Attempts(), func(a *machines.Attempt) bool {
 		return a.MayStartLate() && !a.Job.IsActive() && now.Sub(a.Job.EndedAt()) > bound
 	})
 }
@@ -94,7 +94,7 @@
 		return
 	}
 	margin := tuning.ReclaimNoticeMargin.Seconds()
-	for _, a := range m.Attempts {
+	for _, a := range m.Attempts() {
 		if a.IsStopping() || a.Job.CheckpointIntervalS <= 0 || a.State() != machines.Running {
 			continue
 		}
--- a/internal/leader/heartbeat_commands.go
+++ b/internal/leader/heartbeat_commands.go
@@ -10,7 +10,7 @@
 // lease whether all fit or not, then forgets, then starts.
 func (l *Leader) commands(m *machines.Machine, r *wire.Heartbeat, authority bool) []wire.Command {
 	list := l.stopCommands(r)
-	for _, a := range m.Attempts {
+	for _, a := range m.Attempts() {
 		// The stops of tasks that are not to run anywhere are there already.
 		if a.NeedsStop() && len(list) < tuning.MaxCommandsPerResponse {
 			list = append(list, a.StopCommand())
@@ -21,7 +21,7 @@
 			list = append(list, wire.Command{Op: wire.OpForget, Task: e.Task, Attempt: e.Attempt})
 		}
 	}
-	if authority && !m.Releasing {
+	if authority && !m.IsReleasing() {
 		list = appendStarts(list, m, r.Sequence)
 	}
 	return list
@@ -30,7 +30,7 @@
 // appendStarts adds the starts that no task list has shown yet, unless a direct call with them
 // is under way.
 func appendStarts(list []wire.Command, m *machines.Machine, sequence uint64) []wire.Command {
-	for _, a := range m.Attempts {
+	for _, a := range m.Attempts() {
 		if !a.NeedsStart() || a.WasSentDirectly() && m.IsBeingCalled() || len(list) >= tuning.MaxCommandsPerResponse {
 			continue
 		}
--- a/internal/leader/leases.go
+++ b/internal/leader/leases.go
@@ -10,9 +10,9 @@
 // expireLeases releases the attempts on machines whose lease has expired.
 func (l *Leader) expireLeases(now time.Time) {
 	for _, m := range l.machines.All() {
-		if (len(m.Attempts) > 0 || !m.Reconciled) && m.LeaseExpired(now, &l.timing) && (m.Joined || m.FromRecord) {
-			if len(m.Attempts) > 0 && !m.ReleaseRequired() {
-				l.log.Info().Str("machine", m.ID).Int("tasks", len(m.Attempts)).Msg("lease expired")
+		if (len(m.Attempts()) > 0 || !m.IsReconciled()) && m.LeaseExpired(now, &l.timing) && m.MayHaveAttempts() {
+			if len(m.Attempts()) > 0 && !m.ReleaseRequired() {
+				l.log.Info().Str("machine", m.ID).Int("tasks", len(m.Attempts())).Msg("lease expired")
 			}
 			m.ExpireSession()
 			l.releaseExpired(now, m)
@@ -25,13 +25,13 @@
 // new one, which counts its sessions anew, they could still run there. Unless
 // a heartbeat of a new session comes soon, the machine is released.
 func (l *Leader) releaseExpired(now time.Time, m *machines.Machine) {
-	for i := len(m.Attempts) - 1; i >= 0; i-- {
-		if a := m.Attempts[i]; !a.MayStartLate() {
+	for i := len(m.Attempts()) - 1; i >= 0; i-- {
+		if a := m.Attempts()[i]; !a.MayStartLate() {
 			l.release(now, a)
 		}
 	}
 	m.ClearExited()
-	if len(m.Attempts) > 0 && !m.ReleaseRequired() {
+	if len(m.Attempts()) > 0 && !m.ReleaseRequired() {
 		m.RequireRelease(now.Add(tuning.FencingDelay))
 	}
 }
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -139,7 +139,7 @@
 		if m == nil {
 			m = l.addMachine(now, machine.ID, machine.Type, machine.Zone, "", machine.Spot)
 		}
-		m.FromRecord, m.Joined = true, true
+		m.MarkRecorded()
 		for _, id := range slices.Sorted(maps.Keys(machine.Tasks)) {
 			j := l.jobs.Get(id)
 			if j == nil {
--- a/internal/leader/machine_list.go
+++ b/internal/leader/machine_list.go
@@ -20,7 +20,8 @@
 	l.lists.applied++
 	l.lists.complete = l.lists.complete || asked.Sub(l.timing.TermStart) > l.longestListLag()
 	listed := make(map[string]bool, len(list))
-	for _, row := range list {
+	for i := range list {
+		row := &list[i]
 		listed[row.Name] = true
 		if !l.machines.WasReleased(row.Name) {
 			l.applyListed(asked, now, row)
@@ -32,26 +33,12 @@
 }
 
 // applyListed applies one row of a machine list.
-func (l *Leader) applyListed(asked, now time.Time, row wire.ListedMachine) {
+func (l *Leader) applyListed(asked, now time.Time, row *wire.ListedMachine) {
 	m := l.machines.Get(row.Name)
 	if m == nil {
 		m = l.addMachine(asked, row.Name, row.Type, row.Zone, row.Addr, row.Spot)
 	}
-	// What a predecessor provisioned is older than this term: a successor that
-	// took it for new kept idle machines through their minimum billing time again.
-	if at := asked.Add(-seconds(row.AgeS)); at.Before(m.ProvisionedAt) {
-		m.ProvisionedAt = at
-	}
-	if m.Addr == "" {
-		m.Addr = row.Addr
-	}
-	if m.ListedAt.IsZero() {
-		m.ListedAt = now
-	}
-	m.MissedLists = 0
-	if row.State == wire.MachineFailed {
-		m.Failed = true
-	}
+	m.ApplyListed(asked, now, row)
 }
 
 // longestListLag is by how much a machine list may be older than the request for it.
@@ -60,18 +47,12 @@
 }
 
 // missingLongEnough counts the machines that a list lacks, and names those that provably no
-// longer exist. A machine stays listed as long as it exists, and a list is at most twice
-// its lag old: one asked for later than that after a machine was first listed
-// describes a time at which it had been listed.
+// longer exist. A list is at most twice its lag old.
 func (l *Leader) missingLongEnough(asked time.Time, listed map[string]bool) []string {
 	var gone []string
 	lag := l.longestListLag()
 	for _, m := range l.machines.All() {
-		if listed[m.ID] || m.ListedAt.IsZero() && !m.FromRecord {
-			continue
-		}
-		m.MissedLists++
-		if !m.ListedAt.IsZero() && asked.Sub(m.ListedAt) > lag {
+		if !listed[m.ID] && m.CountMissed(asked, lag) {
 			gone = append(gone, m.ID)
 		}
 	}
@@ -97,7 +78,7 @@
 // next list may show that they no longer exist.
 func (l *Leader) HeartbeatsMissing(now time.Time) bool {
 	for _, m := range l.machines.All() {
-		if m.Reconciled && len(m.Attempts) > 0 && m.SinceHeartbeat(now) > seconds(l.params.Workers.HeartbeatIntervalS*tuning.LateHeartbeatIntervals) {
+		if m.IsReconciled() && len(m.Attempts()) > 0 && m.SinceHeartbeat(now) > seconds(l.params.Workers.HeartbeatIntervalS*tuning.LateHeartbeatIntervals) {
 			return true
 		}
 	}
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -20,9 +20,9 @@
 // setCapacity sets the machine's capacity once its type is known.
 func (l *Leader) setCapacity(m *machines.Machine) {
 	if l.catalogue.Has(m.Type) {
-		m.SetTotal(machines.Resources(l.catalogue.Type(m.Type)))
+		m.SetCapacity(machines.Resources(l.catalogue.Type(m.Type)))
 	}
-	m.SnapshotOutdated = true
+	m.MarkSnapshotOutdated()
 }
 
 // SetMachineTypes applies the cloud's catalogue.
@@ -57,8 +57,8 @@
 
 // releaseAll releases all attempts on a machine that no longer exists.
 func (l *Leader) releaseAll(now time.Time, m *machines.Machine) {
-	for len(m.Attempts) > 0 {
-		l.release(now, m.Attempts[len(m.Attempts)-1])
+	for len(m.Attempts()) > 0 {
+		l.release(now, m.Attempts()[len(m.Attempts())-1])
 	}
 	m.ClearExited()
 }
--- a/internal/leader/reachability.go
+++ b/internal/leader/reachability.go
@@ -17,7 +17,7 @@
 	zones := map[string]*heartbeatCount{}
 	all := &heartbeatCount{}
 	for _, m := range l.machines.All() {
-		if !m.Joined {
+		if !m.HasJoined() {
 			continue
 		}
 		if zones[m.Zone] == nil {
@@ -64,11 +64,11 @@
 // the work on the machine is lost in any case. A new leader would wait longest, as its
 // predecessor may be cut off together with the machine and go on answering it.
 func (l *Leader) hasUrgentWork(now time.Time, m *machines.Machine) bool {
-	if m.Releasing || !m.IsUnreachable(now, &l.timing) {
+	if m.IsReleasing() || !m.IsUnreachable(now, &l.timing) {
 		return false
 	}
 	ends := m.LeaseEnd(&l.timing)
-	return slices.ContainsFunc(m.Attempts, func(a *machines.Attempt) bool {
+	return slices.ContainsFunc(m.Attempts(), func(a *machines.Attempt) bool {
 		slack, ok := l.runTimes.DeadlineSlack(now, a.Job, l.params.Objectives)
 		return ok && slack < ends.Sub(now).Seconds() && a.IsWanted()
 	})
--- a/internal/leader/ready_jobs.go
+++ b/internal/leader/ready_jobs.go
@@ -37,7 +37,7 @@
 	guaranteed := l.ledger.WithinGuarantee(active)
 	cpus := 0.0
 	for _, m := range l.machines.All() {
-		cpus += m.Total.CPUs
+		cpus += m.Capacity().CPUs
 	}
 	byID := map[string]*jobs.Job{}
 	var ready []*placement.PendingJob
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -23,9 +23,7 @@
 		l.countIgnoredStarts(now, m)
 	}
 	l.releaseUnlisted(now, m, periodic)
-	if !m.Reconciled {
-		m.Reconciled = true
-		m.IdleSince = now
+	if first := m.MarkReconciled(now); first {
 		l.changed = true
 		l.log.Debug().Str("machine", m.ID).Int("tasks", len(r.Tasks)).Msg("machine reconciled")
 	}
@@ -102,17 +100,17 @@
 func (l *Leader) countRunning(now time.Time, a *machines.Attempt) {
 	m, j := a.Machine, a.Job
 	j.AddRunning()
-	if _, cached := m.Images[j.Image]; cached && a.Number()>>32 == l.term {
+	if m.HasImage(j.Image) && a.Number()>>32 == l.term {
 		l.startDelay.Observe(now.Sub(a.OrderedAt()).Seconds(), l.params.Workers.HeartbeatIntervalS)
 	}
-	m.Images[j.Image] = now
+	m.RecordImage(now, j.Image)
 	l.changed = true
 	l.drainer.CountRunning(a)
 }
 
 // countIgnoredStarts notes that starts in an earlier response had no effect.
 func (l *Leader) countIgnoredStarts(now time.Time, m *machines.Machine) {
-	if slices.ContainsFunc(m.Attempts, func(a *machines.Attempt) bool {
+	if slices.ContainsFunc(m.Attempts(), func(a *machines.Attempt) bool {
 		return !a.IsListed(l.listNumber) && a.State() == machines.StartSent && a.WasSentInResponse()
 	}) {
 		m.RecordIgnoredResponse(now)
@@ -121,8 +119,8 @@
 
 // releaseUnlisted releases the attempts that the list just applied proves absent.
 func (l *Leader) releaseUnlisted(now time.Time, m *machines.Machine, periodic bool) {
-	for i := len(m.Attempts) - 1; i >= 0; i-- {
-		a := m.Attempts[i]
+	for i := len(m.Attempts()) - 1; i >= 0; i-- {
+		a := m.Attempts()[i]
 		switch {
 		case a.IsListed(l.listNumber), a.State() == machines.RecordPending:
 		case a.State() != machines.StartSent:
@@ -165,7 +163,7 @@
 			l.runTimes.Observe(j, a.RunTime(now).Seconds()+j.Progress(a.Index))
 		}
 		l.recordTaskSuccess(j, m)
-		m.Images[j.Image] = now
+		m.RecordImage(now, j.Image)
 		l.taskDone(now, j, a.Index)
 	case wire.ExitError:
 		l.log.Debug().Str("machine", m.ID).Str("task", t.Task).Msg("task failed")
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -68,7 +68,7 @@
 	}
 	names = append(names, unneeded...)
 	for _, m := range l.machines.All() {
-		if !m.Releasing && m.ShouldBeReleased(now, &l.timing, l.catalogue.Type(m.Type).BootTimeS) {
+		if !m.IsReleasing() && m.ShouldBeReleased(now, &l.timing, l.catalogue.Type(m.Type).BootTimeS) {
 			names = append(names, m.ID)
 		}
 	}
@@ -114,7 +114,7 @@
 			continue
 		}
 		m := l.addMachine(now, id, r.Type, r.Zone, "", r.Spot)
-		m.ProvisionedAt = call.At
+		m.SetProvisionedAt(call.At)
 	}
 	l.drainer.Provisioned(call.ReplacementFor, names)
 	l.log.Debug().Str("request", r.RequestID).Str("zone", r.Zone).Bool("spot", r.Spot).Int("requested", r.Count).Int("received", len(names)).Msg("machines provisioned")
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -12,27 +12,16 @@
 // snapshot describes a machine to the placement rule. It is made anew only
 // when something has changed there, or a pass has modified it.
 func (l *Leader) snapshot(now time.Time, m *machines.Machine) *placement.Machine {
-	if !m.SnapshotOutdated && !m.Snapshot.Modified {
-		return m.Snapshot
+	if s := m.CachedSnapshot(); s != nil {
+		return s
 	}
-	m.SnapshotOutdated = false
+	s := m.NewSnapshot()
 	t := l.catalogue.Type(m.Type)
+	s.FetchGBPerS, s.Price = t.FetchGBPerS, l.catalogue.Price(m)
 	at := l.clock(now)
-	s := m.Snapshot
-	if s == nil {
-		s = &placement.Machine{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, AvoidJobs: m.AvoidedJobs(), Images: map[string]float64{}}
-		m.Snapshot = s
-	}
-	s.Modified = false
-	s.Capacity, s.Free, s.FetchGBPerS, s.Price = m.Total, m.Free, t.FetchGBPerS, l.catalogue.Price(m)
-	s.PlacedTasks = s.PlacedTasks[:0]
-	clear(s.Images)
-	for image := range m.Images {
-		s.Images[image] = 0
-	}
-	for _, a := range m.Attempts {
+	for _, a := range m.Attempts() {
 		startsAt := at
-		if _, cached := m.Images[a.Job.Image]; !cached && t.FetchGBPerS > 0 {
+		if !m.HasImage(a.Job.Image) && t.FetchGBPerS > 0 {
 			startsAt = l.clock(a.OrderedAt()) + placement.FetchTime(a.Job.ImageGB, t.FetchGBPerS)
 			if startsAt > s.Images[a.Job.Image] {
 				s.Images[a.Job.Image] = startsAt
--- a/internal/machines/attempt.go
+++ b/internal/machines/attempt.go
@@ -124,7 +124,7 @@
 		return false
 	}
 	a.changeState(reported)
-	a.Machine.SnapshotOutdated = true
+	a.Machine.snapshotOutdated = true
 	if !reported.HasImage() || before.HasImage() {
 		return false
 	}
--- a/internal/machines/delivery.go
+++ b/internal/machines/delivery.go
@@ -32,7 +32,7 @@
 		m.steadySince = now
 	}
 	if epoch != m.epoch {
-		if m.epoch != 0 && m.Reconciled && now.Sub(m.steadySince) >= t.Lease && m.responsesLostSince.IsZero() {
+		if m.epoch != 0 && m.reconciled && now.Sub(m.steadySince) >= t.Lease && m.responsesLostSince.IsZero() {
 			m.responsesLostSince = now
 			lost = true
 		}
--- a/internal/machines/direct.go
+++ b/internal/machines/direct.go
@@ -12,7 +12,7 @@
 // CanBeCalled reports whether a direct call to the machine makes sense now. What is not sent
 // by it is sent in the response to the next heartbeat.
 func (m *Machine) CanBeCalled(now time.Time, t *Timing) bool {
-	return !m.calling && m.Addr != "" && !now.Before(m.callAfter) && m.Reconciled &&
+	return !m.calling && m.Addr != "" && !now.Before(m.callAfter) && m.reconciled &&
 		!m.CordonedFor(CordonUnresponsive) && !m.HeartbeatOverdue(now, t)
 }
 
--- a/internal/machines/heartbeat.go
+++ b/internal/machines/heartbeat.go
@@ -64,8 +64,8 @@
 func (m *Machine) RecordHeartbeat(now time.Time, r *wire.Heartbeat) (joined, reclaimed bool) {
 	m.RenewLease(now, r.Sequence)
 	m.Addr = r.Addr
-	joined = !m.Joined
-	m.Joined = true
+	joined = !m.joined
+	m.joined = true
 	if m.reclaimAt.IsZero() && r.ReclaimNoticeS != nil {
 		m.reclaimAt = now.Add(seconds(*r.ReclaimNoticeS))
 		reclaimed = true
@@ -86,7 +86,7 @@
 		if !m.CordonedFor(CordonConsolidated | CordonLateStart) {
 			m.releaseBy = time.Time{}
 		}
-		for _, a := range m.Attempts {
+		for _, a := range m.attempts {
 			a.MarkDirectCallOver()
 		}
 	}
--- a/internal/machines/lease.go
+++ b/internal/machines/lease.go
@@ -29,12 +29,12 @@
 // IsUnreachable reports whether no heartbeat of a machine known to be up has come for
 // long, or not since this term began.
 func (m *Machine) IsUnreachable(now time.Time, t *Timing) bool {
-	return m.Joined && m.HeartbeatOverdue(now, t) && now.Sub(t.TermStart) > t.HeartbeatTimeout
+	return m.joined && m.HeartbeatOverdue(now, t) && now.Sub(t.TermStart) > t.HeartbeatTimeout
 }
 
 // LeaseExpired reports whether all that the machine may have run has provably ended.
 func (m *Machine) LeaseExpired(now time.Time, t *Timing) bool {
-	if m.CordonedFor(CordonReplaced) || !m.Reconciled && now.Before(t.InheritedUntil) {
+	if m.CordonedFor(CordonReplaced) || !m.reconciled && now.Before(t.InheritedUntil) {
 		return false
 	}
 	return m.leaseRenewedAt.IsZero() || now.Sub(m.leaseRenewedAt) > t.LeaseExpiry
@@ -42,7 +42,7 @@
 
 // LeaseEnd is when the machine's lease will have expired without another heartbeat.
 func (m *Machine) LeaseEnd(t *Timing) time.Time {
-	if !m.Reconciled {
+	if !m.reconciled {
 		return t.InheritedUntil
 	}
 	return m.leaseRenewedAt.Add(t.LeaseExpiry)
@@ -53,8 +53,8 @@
 
 // AcceptsWork reports whether a machine takes new tasks.
 func (m *Machine) AcceptsWork(now time.Time, t *Timing) bool {
-	return m.Joined && m.Reconciled && !m.Releasing && !m.Cordoned() &&
-		m.Total.CPUs > 0 && !now.Before(m.fullUntil) && !m.HeartbeatOverdue(now, t)
+	return m.joined && m.reconciled && !m.releasing && !m.Cordoned() &&
+		m.total.CPUs > 0 && !now.Before(m.fullUntil) && !m.HeartbeatOverdue(now, t)
 }
 
 // RequireRelease has the machine released by the given time.
@@ -71,11 +71,11 @@
 // type take to come up, 0 if that is not known.
 func (m *Machine) ShouldBeReleased(now time.Time, t *Timing, bootTimeS float64) bool {
 	switch {
-	case m.Failed, m.CordonedFor(CordonReplaced), m.ReleaseRequired() && now.After(m.releaseBy):
+	case m.failed, m.CordonedFor(CordonReplaced), m.ReleaseRequired() && now.After(m.releaseBy):
 		return true
-	case !m.Joined:
-		return bootTimeS > 0 && now.Sub(m.ProvisionedAt).Seconds() > bootTimeS*tuning.BootTimeoutFactor
-	case m.HeartbeatOverdue(now, t) && m.MissedLists >= minMissedLists:
+	case !m.joined:
+		return bootTimeS > 0 && now.Sub(m.provisionedAt).Seconds() > bootTimeS*tuning.BootTimeoutFactor
+	case m.HeartbeatOverdue(now, t) && m.missedLists >= minMissedLists:
 		return true
 	case !m.responsesLostSince.IsZero() && now.Sub(m.responsesLostSince) > t.LeaseExpiry*3/2:
 		// It can't be sent anything; its tasks ended with its lease.
@@ -89,7 +89,7 @@
 		// began anew. It must not be taken for the old one, and can't be told
 		// from copies, so the machine is replaced.
 		return true
-	case len(m.Attempts) == 0 && m.CordonedFor(RetiringReasons):
+	case len(m.attempts) == 0 && m.CordonedFor(RetiringReasons):
 		return true
 	}
 	newest := m.heartbeatAt
@@ -102,6 +102,6 @@
 // neverReconciled reports whether a machine has sent heartbeats for long in this term without
 // having learned of the term.
 func (m *Machine) neverReconciled(now time.Time, t *Timing) bool {
-	return !m.Reconciled && !m.firstHeartbeatAt.IsZero() && now.After(t.InheritedUntil) &&
+	return !m.reconciled && !m.firstHeartbeatAt.IsZero() && now.After(t.InheritedUntil) &&
 		now.Sub(m.firstHeartbeatAt) > t.LeaseExpiry+tuning.UnreachableReleaseDelay
 }
--- a/internal/machines/machine_test.go
+++ b/internal/machines/machine_test.go
@@ -22,10 +22,16 @@
 
 // newReportingMachine returns a machine that has reported once, knowing the term.
 func newReportingMachine(now time.Time) *machines.Machine {
+	m := newInheritedMachine(now)
+	m.MarkReconciled(now)
+	return m
+}
+
+// newInheritedMachine returns a machine that has reported once, not knowing the term.
+func newInheritedMachine(now time.Time) *machines.Machine {
 	m := newMachine()
-	m.SetTotal(placement.Resources{CPUs: 8})
+	m.SetCapacity(placement.Resources{CPUs: 8})
 	heartbeat(m, now, 1, 1)
-	m.Reconciled = true
 	return m
 }
 
@@ -103,22 +109,20 @@
 }
 
 func TestLeaseExpiry(t *testing.T) {
+	replaced := newReportingMachine(start)
+	replaced.Cordon(machines.CordonReplaced)
 	for name, c := range map[string]struct {
-		change func(*machines.Machine)
-		after  time.Duration
-		want   bool
+		machine *machines.Machine
+		after   time.Duration
+		want    bool
 	}{
-		"renewed":                     {after: timing.LeaseExpiry},
-		"expired":                     {after: timing.LeaseExpiry + 1, want: true},
-		"agent replaced":              {change: func(m *machines.Machine) { m.Cordon(machines.CordonReplaced) }, after: time.Hour},
-		"inherited, within the bound": {change: func(m *machines.Machine) { m.Reconciled = false }, after: timing.LeaseExpiry + 1},
-		"inherited, after the bound":  {change: func(m *machines.Machine) { m.Reconciled = false }, after: 30 * time.Second, want: true},
+		"renewed":                     {machine: newReportingMachine(start), after: timing.LeaseExpiry},
+		"expired":                     {machine: newReportingMachine(start), after: timing.LeaseExpiry + 1, want: true},
+		"agent replaced":              {machine: replaced, after: time.Hour},
+		"inherited, within the bound": {machine: newInheritedMachine(start), after: timing.LeaseExpiry + 1},
+		"inherited, after the bound":  {machine: newInheritedMachine(start), after: 30 * time.Second, want: true},
 	} {
-		m := newReportingMachine(start)
-		if c.change != nil {
-			c.change(m)
-		}
-		if got := m.LeaseExpired(start.Add(c.after), timing); got != c.want {
+		if got := c.machine.LeaseExpired(start.Add(c.after), timing); got != c.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
@@ -178,30 +182,55 @@
 
 func TestMachinesThatWillDoNoMoreWorkAreReleased(t *testing.T) {
 	const bootTimeS = 10
+	missTwice := func(m *machines.Machine) {
+		m.ApplyListed(start, start, &wire.ListedMachine{})
+		m.CountMissed(start, time.Minute)
+		m.CountMissed(start, time.Minute)
+	}
 	for name, c := range map[string]struct {
 		change func(*machines.Machine)
 		after  time.Duration
 		want   bool
 	}{
-		"reports":                {},
-		"failed":                 {change: func(m *machines.Machine) { m.Failed = true }, want: true},
+		"reports": {change: func(*machines.Machine) {}},
+		"failed": {change: func(m *machines.Machine) {
+			m.ApplyListed(start, start, &wire.ListedMachine{State: wire.MachineFailed})
+		}, want: true},
 		"replaced":               {change: func(m *machines.Machine) { m.Cordon(machines.CordonReplaced) }, want: true},
 		"release required later": {change: func(m *machines.Machine) { m.RequireRelease(start.Add(time.Second)) }},
 		"release required":       {change: func(m *machines.Machine) { m.RequireRelease(start.Add(-time.Second)) }, want: true},
 		"empty and drained":      {change: func(m *machines.Machine) { m.Cordon(machines.CordonDrained) }, want: true},
-		"not listed, reports":    {change: func(m *machines.Machine) { m.MissedLists = 2 }},
-		"not listed, silent":     {change: func(m *machines.Machine) { m.MissedLists = 2 }, after: 10 * time.Second, want: true},
-		"silent for long":        {after: timing.LeaseExpiry + tuning.UnreachableReleaseDelay + 1, want: true},
-		"never up":               {change: func(m *machines.Machine) { m.Joined = false }, after: time.Hour, want: true},
+		"not listed, reports":    {change: missTwice},
+		"not listed, silent":     {change: missTwice, after: 10 * time.Second, want: true},
+		"silent for long":        {change: func(*machines.Machine) {}, after: timing.LeaseExpiry + tuning.UnreachableReleaseDelay + 1, want: true},
 	} {
 		m := newReportingMachine(start)
-		if c.change != nil {
-			c.change(m)
-		}
+		c.change(m)
 		if got := m.ShouldBeReleased(start.Add(c.after), timing, bootTimeS); got != c.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
+	if m := newMachine(); m.ShouldBeReleased(start.Add(time.Second), timing, bootTimeS) || !m.ShouldBeReleased(start.Add(time.Hour), timing, bootTimeS) {
+		t.Error("a machine that never comes up is not released in time")
+	}
+}
+
+func TestMachineMissingFromListsIsGone(t *testing.T) {
+	const lag = 8 * time.Second
+	m := newMachine()
+	if m.CountMissed(start.Add(time.Hour), lag) {
+		t.Error("gone although it was never listed")
+	}
+	m.ApplyListed(start, start, &wire.ListedMachine{AgeS: 60, Addr: "other:9"})
+	if !m.IsListed() || !m.ProvisionedAt().Equal(start.Add(-time.Minute)) || m.Addr != "m1:9" {
+		t.Errorf("listed: %v, provisioned at %v, address %s", m.IsListed(), m.ProvisionedAt(), m.Addr)
+	}
+	if m.CountMissed(start.Add(lag), lag) {
+		t.Error("gone although the list may be older than the machine")
+	}
+	if !m.CountMissed(start.Add(lag+1), lag) {
+		t.Error("not gone although the list is newer than the machine")
+	}
 }
 
 func TestExitedAttemptIsForgottenUnlessItsStartMayComeLate(t *testing.T) {
--- a/internal/machines/registry.go
+++ b/internal/machines/registry.go
@@ -3,9 +3,6 @@
 import (
 	"slices"
 	"strings"
-	"time"
-
-	"switchshore.example/switchshore/internal/placement"
 )
 
 // Registry owns the machines that are known, and the names of those that were released.
@@ -50,27 +47,3 @@
 
 // WasReleased reports whether a machine of that name has been released.
 func (r *Registry) WasReleased(id string) bool { return r.released[id] }
-
-// New returns a machine that was provisioned at the given time, as far as is known.
-func New(provisionedAt time.Time, id, machineType, zone, addr string, spot bool) *Machine {
-	return &Machine{
-		ID:            id,
-		Type:          machineType,
-		Zone:          zone,
-		Addr:          addr,
-		Spot:          spot,
-		lifecycle:     lifecycle{ProvisionedAt: provisionedAt, IdleSince: provisionedAt},
-		capacity:      capacity{SnapshotOutdated: true},
-		Images:        map[string]time.Time{},
-		failures:      failures{avoidedJobs: map[string]bool{}, failedJobs: map[string]bool{}},
-		unforgettable: map[ExitKey]bool{},
-	}
-}
-
-// SetTotal fills in the capacity of the machine's type once it is known.
-func (m *Machine) SetTotal(total placement.Resources) {
-	if m.Total == (placement.Resources{}) {
-		m.Total = total
-		m.Free = m.Free.Add(total, 1)
-	}
-}
--- a/internal/preemption/pass.go
+++ b/internal/preemption/pass.go
@@ -43,8 +43,8 @@
 }
 
 func (p *pass) addMachine(m *machines.Machine) {
-	p.expectedFree[m] = m.Free
-	for _, a := range m.Attempts {
+	p.expectedFree[m] = m.Free()
+	for _, a := range m.Attempts() {
 		switch {
 		case a.IsStopping(), a.State() == machines.Saving, p.endsSoon(a):
 			p.expectEnd(a, 1)
@@ -171,7 +171,7 @@
 
 // fetchTimeS is the time that a machine takes to fetch the job's image, in seconds.
 func (p *pass) fetchTimeS(m *machines.Machine, r *placement.PendingJob) float64 {
-	if _, cached := m.Images[r.Image]; cached {
+	if m.HasImage(r.Image) {
 		return 0
 	}
 	return placement.FetchTime(r.ImageGB, p.FetchGBPerS(m.Type))
--- a/internal/preemption/preemption_test.go
+++ b/internal/preemption/preemption_test.go
@@ -27,7 +27,7 @@
 
 func newCluster() *cluster {
 	m := machines.New(start, "m1", "std-8", "a", "", false)
-	m.Total, m.Free = placement.Resources{CPUs: 8, MemoryGB: 32}, placement.Resources{MemoryGB: 32}
+	m.SetCapacity(placement.Resources{CPUs: 8, MemoryGB: 32})
 	c := &cluster{registry: machines.NewRegistry(), machine: m, teamFree: 100}
 	c.registry.Add(m)
 	return c
@@ -46,7 +46,7 @@
 func (c *cluster) runsAfterWait(j *jobs.Job, since time.Time, afterLongWait bool) *machines.Attempt {
 	a := machines.NewPendingAttempt(c.machine, j, 0, since, 1, afterLongWait)
 	a.ApplyReport(since, machines.Running)
-	c.machine.Attempts = append(c.machine.Attempts, a)
+	c.machine.AddAttempt(a)
 	j.AddRunning()
 	c.running = append(c.running, j)
 	return a
--- a/internal/scaling/plan_input.go
+++ b/internal/scaling/plan_input.go
@@ -28,10 +28,10 @@
 func (s *Scaler) busyCPUs() float64 {
 	busy := 0.0
 	for _, m := range s.cluster.Machines.All() {
-		if m.Releasing {
+		if m.IsReleasing() {
 			continue
 		}
-		for _, a := range m.Attempts {
+		for _, a := range m.Attempts() {
 			busy += a.Job.CPUs
 		}
 	}
@@ -42,7 +42,7 @@
 func (s *Scaler) plannedMachines(now time.Time) []autoscale.Machine {
 	list := make([]autoscale.Machine, 0, s.cluster.Machines.Len())
 	for _, m := range s.cluster.Machines.All() {
-		if !m.Releasing {
+		if !m.IsReleasing() {
 			list = append(list, s.plannedMachine(now, m))
 		}
 	}
@@ -54,19 +54,19 @@
 	planned := autoscale.Machine{
 		ID:          m.ID,
 		Offer:       autoscale.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot},
-		Capacity:    m.Total,
-		Free:        m.Free,
+		Capacity:    m.Capacity(),
+		Free:        m.Free(),
 		Price:       s.cluster.Catalogue.Price(m),
-		Schedulable: !m.Cordoned() && (!m.Joined || !s.cluster.HeartbeatOverdue(now, m)),
-		Idle: len(m.Attempts) == 0 && m.Joined && m.Reconciled &&
-			now.Sub(m.ProvisionedAt) >= tuning.MinimumBillingTime && !s.cluster.IsReplacement(m.ID),
-		IdleFor: now.Sub(m.IdleSince),
+		Schedulable: !m.Cordoned() && (!m.HasJoined() || !s.cluster.HeartbeatOverdue(now, m)),
+		Idle: len(m.Attempts()) == 0 && m.HasJoined() && m.IsReconciled() &&
+			now.Sub(m.ProvisionedAt()) >= tuning.MinimumBillingTime && !s.cluster.IsReplacement(m.ID),
+		IdleFor: m.IdleFor(now),
 	}
-	if !m.Joined {
+	if !m.HasJoined() {
 		planned.Schedulable = planned.Schedulable && !s.cluster.Partitioned(now, m.Zone)
-		planned.BootRemainingS = max(0, s.cluster.Catalogue.Type(m.Type).BootTimeS-now.Sub(m.ProvisionedAt).Seconds())
+		planned.BootRemainingS = max(0, s.cluster.Catalogue.Type(m.Type).BootTimeS-now.Sub(m.ProvisionedAt()).Seconds())
 	}
-	for _, a := range m.Attempts {
+	for _, a := range m.Attempts() {
 		planned.BusyS += s.cluster.RemainingS(now, a) * a.Job.CPUs
 	}
 	return planned
--- a/internal/scaling/scale_in.go
+++ b/internal/scaling/scale_in.go
@@ -17,8 +17,8 @@
 	most := tuning.MaxReleaseCount * max(1, int(s.config.CloudRPS*tuning.CloudShare*tuning.ReleasesInFlight))
 	var releasing []string
 	for _, name := range names {
-		if m := s.cluster.Machines.Get(name); m != nil && !m.Releasing && len(releasing) < most {
-			m.Releasing = true
+		if m := s.cluster.Machines.Get(name); m != nil && !m.IsReleasing() && len(releasing) < most {
+			m.BeginRelease()
 			releasing = append(releasing, name)
 		}
 	}
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -98,7 +98,7 @@
 	for _, call := range calls {
 		released += len(call.Release)
 	}
-	if released != tuning.MaxReleaseCount || !registry.Get(names[0]).Releasing || registry.Get(names[len(names)-1]).Releasing {
+	if released != tuning.MaxReleaseCount || !registry.Get(names[0]).IsReleasing() || registry.Get(names[len(names)-1]).IsReleasing() {
 		t.Errorf("%d released", released)
 	}
 	if !s.Releasing() {
