--- a/internal/leader/completion.go
+++ b/internal/leader/completion.go
@@ -5,15 +5,14 @@
 
 	"switchshore.example/switchshore/internal/jobs"
 	"switchshore.example/switchshore/internal/records"
-	"switchshore.example/switchshore/internal/tuning"
 )
 
 // end decides how a job ends and queues the write of its final state; only once that is durable
 // users are told, and it takes effect on the jobs that depend on this one.
 func (l *Leader) end(now time.Time, j *jobs.Job, state jobs.State, queue *records.Queue) {
 	f := j.End(now, state)
-	delete(l.unsavedCompletions, j)
-	delete(l.live, j)
+	l.unsavedCompletions.Remove(j)
+	l.jobs.MarkEnded(j)
 	l.drainer.CountEnded(j)
 	if state == jobs.Cancelled {
 		l.graph.SchedulePathsOfDependencies(j)
@@ -35,7 +34,7 @@
 		return
 	}
 	l.jobs.Remove(j)
-	delete(l.unsavedCompletions, j)
+	l.unsavedCompletions.Remove(j)
 	l.writes.Background.Delete(records.JobKey(j.ID))
 	for _, key := range j.RecordKeys() {
 		l.writes.Background.Delete(key)
@@ -58,9 +57,7 @@
 		return
 	}
 	j.MarkUnsaved(index, l.valueLimit())
-	if _, ok := l.unsavedCompletions[j]; !ok {
-		l.unsavedCompletions[j] = now
-	}
+	l.unsavedCompletions.Add(now, j)
 }
 
 // logIfLate logs where the time of a job that is done after its deadline went.
@@ -79,15 +76,7 @@
 
 // flushDone queues the writes of completions that have waited long enough.
 func (l *Leader) flushDone(now time.Time) {
-	var due []*jobs.Job
-	for j, since := range l.unsavedCompletions {
-		if now.Sub(since) >= tuning.CompletionFlushDelay {
-			due = append(due, j)
-		}
-	}
-	jobs.SortByID(due)
-	for _, j := range due {
-		delete(l.unsavedCompletions, j)
+	for _, j := range l.unsavedCompletions.TakeDue(now) {
 		for _, completions := range j.TakeUnsavedCompletions(l.valueLimit()) {
 			l.writes.Background.Put(completions.Key, completions.Encode(), func() { j.MarkStored(completions) })
 		}
--- a/internal/leader/consolidation.go
+++ b/internal/leader/consolidation.go
@@ -11,7 +11,7 @@
 	return consolidation.New(consolidation.Cluster{
 		Machines:    l.machines,
 		AcceptsWork: l.acceptsWork,
-		ActiveJobs:  l.activeJobs,
+		ActiveJobs:  l.jobs.RunnableByAge,
 		Price:       l.catalogue.Price,
 		RemainingS:  l.remaining,
 		Emptied:     l.calls.schedule,
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -51,7 +51,7 @@
 	case j.DependencyCancelled():
 		l.graph.CancelLater(j)
 	case !j.IsBlocked():
-		l.live[j] = struct{}{}
+		l.jobs.MarkRunnable(j)
 		j.FillReady()
 		l.scaler.History.CountInflow(now, j.WaitingSince(), float64(j.Tasks)*j.CPUs*l.runTimes.Estimate(j))
 		l.changed = true
--- a/internal/leader/drains.go
+++ b/internal/leader/drains.go
@@ -1,14 +1,11 @@
 package leader
 
 import (
-	"iter"
-	"maps"
 	"time"
 
 	"switchshore.example/switchshore/internal/drainer"
 
 	"switchshore.example/switchshore/internal/drain"
-	"switchshore.example/switchshore/internal/jobs"
 )
 
 // newDrainer returns the term's drainer.
@@ -29,7 +26,7 @@
 		Writes:        l.writes,
 		Scaler:        l.scaler,
 		Job:           l.jobs.Get,
-		RunnableJobs:  func() iter.Seq[*jobs.Job] { return maps.Keys(l.live) },
+		RunnableJobs:  l.jobs.Runnable,
 		TeamUsedCPUs:  l.ledger.UsedCPUs,
 		AcceptsWork:   l.acceptsWork,
 		RemainingS:    l.remaining,
@@ -58,13 +55,8 @@
 		return drain.BlockedByNewLeader
 	case l.admission.shedding():
 		return drain.BlockedByOverload
-	case l.isolated:
+	case l.reachability.IsIsolated() || l.reachability.AnyPartitioned(now):
 		return drain.BlockedByPartition
 	}
-	for zone := range l.partitionedZones {
-		if l.partitioned(now, zone) {
-			return drain.BlockedByPartition
-		}
-	}
 	return ""
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -8,17 +8,17 @@
 	"time"
 
 	"github.com/rs/zerolog"
+	"switchshore.example/switchshore/internal/consolidation"
+	"switchshore.example/switchshore/internal/drainer"
+	"switchshore.example/switchshore/internal/preemption"
+	"switchshore.example/switchshore/internal/scaling"
+	"switchshore.example/switchshore/internal/startlog"
 
 	"switchshore.example/switchshore/internal/allocation"
 	"switchshore.example/switchshore/internal/config"
-	"switchshore.example/switchshore/internal/consolidation"
-	"switchshore.example/switchshore/internal/drainer"
 	"switchshore.example/switchshore/internal/jobs"
 	"switchshore.example/switchshore/internal/machines"
-	"switchshore.example/switchshore/internal/preemption"
 	"switchshore.example/switchshore/internal/records"
-	"switchshore.example/switchshore/internal/scaling"
-	"switchshore.example/switchshore/internal/startlog"
 )
 
 // Leader is the state of one term. It connects the parts that own what belongs together.
@@ -36,26 +36,21 @@
 	loading loading
 
 	// Jobs.
-	jobs      *jobs.Registry
-	graph     *jobs.DependencyGraph
-	admission *admissionControl
-	// live are the unfinished jobs that wait for no others.
-	live               map[*jobs.Job]struct{}
-	unsavedCompletions map[*jobs.Job]time.Time // jobs with unwritten completions, since when
+	jobs               *jobs.Registry
+	graph              *jobs.DependencyGraph
+	admission          *admissionControl
+	unsavedCompletions jobs.UnsavedCompletions
 	runTimes           jobs.RunTimes
 	startDelay         jobs.StartDelay
 
 	// Machines.
-	machines   *machines.Registry
-	catalogue  *machines.Catalogue
-	ledger     *allocation.Ledger
-	calls      directCalls
-	lists      machineLists
-	listNumber uint64 // number of task lists applied
-	// partitionedZones are those that seem to be cut off, until then.
-	partitionedZones map[string]time.Time
-	// isolated: this node seems to have lost most machines.
-	isolated bool
+	machines     *machines.Registry
+	catalogue    *machines.Catalogue
+	ledger       *allocation.Ledger
+	calls        directCalls
+	lists        machineLists
+	listNumber   uint64 // number of task lists applied
+	reachability *machines.Reachability
 
 	// Decisions.
 	passes       passTimes
@@ -83,16 +78,15 @@
 		operator:           o,
 		term:               term,
 		jobs:               jobs.NewRegistry(),
-		live:               map[*jobs.Job]struct{}{},
 		admission:          newAdmissionControl(&p, &o, term, now),
-		unsavedCompletions: map[*jobs.Job]time.Time{},
+		unsavedCompletions: jobs.UnsavedCompletions{},
 		ledger:             allocation.NewLedger(p.Teams),
 		runTimes:           jobs.RunTimes{},
 		machines:           machines.NewRegistry(),
 		catalogue:          machines.NewCatalogue(),
 		timing:             newTiming(p.Workers, now, grace),
 		loading:            loading{pieces: records.JobPieces{}, attempts: map[taskKey]*machines.Attempt{}},
-		partitionedZones:   map[string]time.Time{},
+		reachability:       machines.NewReachability(),
 	}
 	l.graph = jobs.NewDependencyGraph(l.jobs, l.stageTime)
 	l.writes = records.NewWriteQueues(log, l.valueLimit())
--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -1,8 +1,6 @@
 package leader
 
 import (
-	"iter"
-	"maps"
 	"time"
 
 	"switchshore.example/switchshore/internal/preemption"
@@ -17,7 +15,7 @@
 		Machines:     l.machines,
 		AcceptsWork:  l.acceptsWork,
 		RemainingS:   l.remaining,
-		Unfinished:   func() iter.Seq[*jobs.Job] { return maps.Keys(l.live) },
+		Unfinished:   l.jobs.Runnable,
 		FetchGBPerS:  func(machineType string) float64 { return l.catalogue.Type(machineType).FetchGBPerS },
 		TeamFreeCPUs: l.ledger.FreeCPUs,
 		Stopped:      l.calls.schedule,
--- a/internal/leader/ready_jobs.go
+++ b/internal/leader/ready_jobs.go
@@ -2,7 +2,6 @@
 
 import (
 	"maps"
-	"sort"
 	"time"
 
 	"switchshore.example/switchshore/internal/jobs"
@@ -33,7 +32,7 @@
 
 // readyJobs lists jobs with tasks to place, oldest first.
 func (l *Leader) readyJobs(now time.Time) ([]*placement.PendingJob, map[string]*jobs.Job) {
-	active := l.activeJobs()
+	active := l.jobs.RunnableByAge()
 	guaranteed := l.ledger.WithinGuarantee(active)
 	cpus := 0.0
 	for _, m := range l.machines.All() {
@@ -59,18 +58,3 @@
 	}
 	return ready, byID
 }
-
-// activeJobs lists the unfinished jobs that wait for no others, oldest first.
-func (l *Leader) activeJobs() []*jobs.Job {
-	list := make([]*jobs.Job, 0, len(l.live))
-	for j := range l.live {
-		list = append(list, j)
-	}
-	sort.Slice(list, func(i, k int) bool {
-		if !list[i].WaitingSince().Equal(list[k].WaitingSince()) {
-			return list[i].WaitingSince().Before(list[k].WaitingSince())
-		}
-		return list[i].ID < list[k].ID
-	})
-	return list
-}
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -31,7 +31,7 @@
 		RemainingS:       l.remaining,
 		IsReplacement:    func(id string) bool { return l.drainer.IsReplacement(id) },
 		Drained:          func(o autoscale.Offer) bool { return l.drainer.BlocksProvisioning(o) },
-		Partitioned:      l.partitioned,
+		Partitioned:      l.reachability.IsPartitioned,
 	})
 }
 
@@ -41,28 +41,22 @@
 	if !l.catalogue.Known() || l.lists.applied == 0 || !l.scaler.Due(now) {
 		return nil
 	}
-	isolated := l.updateReachability(now)
-	l.isolated = isolated
+	l.reachability.Update(now, l.machines.All(), &l.timing)
 	plan := l.scaler.Plan(now)
 	calls := append(l.scaler.ScaleOut(now, plan.ScaleOut), l.drainer.ReplacementCalls(now)...)
 	if l.scaler.Releasing() {
 		return calls
 	}
-	return append(calls, l.scaler.ScaleIn(l.machinesToRelease(now, plan.ScaleIn, isolated))...)
-}
-
-// partitioned reports whether a zone seems to be cut off.
-func (l *Leader) partitioned(now time.Time, zone string) bool {
-	return now.Before(l.partitionedZones[zone])
+	return append(calls, l.scaler.ScaleIn(l.machinesToRelease(now, plan.ScaleIn))...)
 }
 
 // machinesToRelease lists the machines to be released, the most urgent first: those that keep
 // urgent work from starting elsewhere, unless it is this node that is isolated, then
 // those that the plan has no use for, then those that will do no more work.
-func (l *Leader) machinesToRelease(now time.Time, unneeded []string, isolated bool) []string {
+func (l *Leader) machinesToRelease(now time.Time, unneeded []string) []string {
 	var names []string
 	for _, m := range l.machines.All() {
-		if !isolated && l.hasUrgentWork(now, m) {
+		if !l.reachability.IsIsolated() && l.hasUrgentWork(now, m) {
 			names = append(names, m.ID)
 		}
 	}
--- /dev/null
+++ b/internal/machines/reachability_test.go
@@ -0,0 +1,50 @@
+package machines_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"switchshore.example/switchshore/internal/machines"
+)
+
+// newZones returns machines in zones a and b that have reported at the given times.
+func newZones(perZone int, reportedA, reportedB time.Time) []*machines.Machine {
+	var list []*machines.Machine
+	for zone, at := range map[string]time.Time{"a": reportedA, "b": reportedB} {
+		for i := range perZone {
+			m := machines.New(start, fmt.Sprintf("%s%d", zone, i), "std-8", zone, "", false)
+			heartbeat(m, at, 1, 1)
+			list = append(list, m)
+		}
+	}
+	return list
+}
+
+func TestPartitionOfAZoneAndIsolationOfTheNode(t *testing.T) {
+	now := start.Add(time.Minute)
+	late := now.Add(-timing.HeartbeatTimeout - 1)
+	for name, c := range map[string]struct {
+		reportedA, reportedB  time.Time
+		partitioned, isolated bool
+	}{
+		"all reachable": {reportedA: now, reportedB: now},
+		"one zone":      {reportedA: late, reportedB: now, partitioned: true},
+		"everything":    {reportedA: late, reportedB: late, isolated: true},
+	} {
+		r := machines.NewReachability()
+		r.Update(now, newZones(10, c.reportedA, c.reportedB), timing)
+		if r.IsPartitioned(now, "a") != c.partitioned || r.AnyPartitioned(now) != c.partitioned || r.IsPartitioned(now, "b") || r.IsIsolated() != c.isolated {
+			t.Errorf("%s: partitioned: %v, isolated: %v", name, r.IsPartitioned(now, "a"), r.IsIsolated())
+		}
+		r.Update(now, newZones(10, now, now), timing)
+		if r.AnyPartitioned(now) || r.IsIsolated() {
+			t.Errorf("%s: not over once all machines report", name)
+		}
+	}
+	r := machines.NewReachability()
+	r.Update(now, newZones(10, late, now), timing)
+	if after := now.Add(timing.LeaseExpiry); r.AnyPartitioned(after) {
+		t.Error("a partition counts although its machines may have been released")
+	}
+}
