--- a/internal/simulation/admission_test.go
+++ b/internal/simulation/admission_test.go
@@ -150,36 +150,38 @@
 	})
 }
 
+// overloadScenarios are faults during an overload.
+var overloadScenarios = map[string]struct {
+	inject   func(f *flood)
+	terms    int // at least
+	observed []simulation.Observation
+}{
+	"the leader crashes twice": {func(f *flood) {
+		f.At(35*second, func() { f.CrashLeader(second) })
+		f.At(55*second, func() { f.CrashLeader(second / 5) })
+	}, 2, nil},
+	"an isolated leader": {func(f *flood) {
+		f.At(35*second, func() { f.Inject(simulation.LeaderIsolated, 20*second) })
+	}, 2, nil},
+	"all controllers crash": {func(f *flood) {
+		f.At(40*second, func() { f.CrashAll(2 * second) })
+	}, 2, nil},
+	"responses to writes are lost": {func(f *flood) {
+		f.At(30*second, func() { f.Inject(simulation.WriteResponsesLost, 10*second) })
+	}, 1, []simulation.Observation{simulation.WriteResponseLost}},
+	"admission control is off at one node": {func(f *flood) { f.AdmissionOff(1) }, 1, nil},
+	"a rolling upgrade": {func(f *flood) {
+		f.RollingUpgrade(25*second, 12*second)
+	}, 2, nil},
+	"partitioned nodes": {func(f *flood) {
+		f.At(20*second, func() { f.InjectFaults(simulation.NodesPartitioned) })
+	}, 1, nil},
+}
+
 // TestOverloadWithFaults: all teams submit ten times the normal load, two of them in bursts at
 // the same moments, while faults hit the controllers and what they talk to.
 func TestOverloadWithFaults(t *testing.T) {
-	scenarios := map[string]struct {
-		inject   func(f *flood)
-		terms    int // at least
-		observed []simulation.Observation
-	}{
-		"the leader crashes twice": {func(f *flood) {
-			f.At(35*second, func() { f.CrashLeader(second) })
-			f.At(55*second, func() { f.CrashLeader(second / 5) })
-		}, 2, nil},
-		"an isolated leader": {func(f *flood) {
-			f.At(35*second, func() { f.Inject(simulation.LeaderIsolated, 20*second) })
-		}, 2, nil},
-		"all controllers crash": {func(f *flood) {
-			f.At(40*second, func() { f.CrashAll(2 * second) })
-		}, 2, nil},
-		"responses to writes are lost": {func(f *flood) {
-			f.At(30*second, func() { f.Inject(simulation.WriteResponsesLost, 10*second) })
-		}, 1, []simulation.Observation{simulation.WriteResponseLost}},
-		"admission control is off at one node": {func(f *flood) { f.AdmissionOff(1) }, 1, nil},
-		"a rolling upgrade": {func(f *flood) {
-			f.RollingUpgrade(25*second, 12*second)
-		}, 2, nil},
-		"partitioned nodes": {func(f *flood) {
-			f.At(20*second, func() { f.InjectFaults(simulation.NodesPartitioned) })
-		}, 1, nil},
-	}
-	for name, s := range scenarios {
+	for name, s := range overloadScenarios {
 		t.Run(name, func(t *testing.T) {
 			eachSeed(t, 1, func(t *testing.T, seed uint64) {
 				f := newFlood(t, 800+seed)
--- a/internal/simulation/overlapping_faults_test.go
+++ b/internal/simulation/overlapping_faults_test.go
@@ -256,6 +256,34 @@
 	}
 }
 
+// outageVariants are the faults beside an outage after cancellations.
+var outageVariants = []struct {
+	name     string
+	inject   func(sim *simulation.Simulation)
+	observed []simulation.Observation
+}{
+	{"refused", func(sim *simulation.Simulation) {
+		sim.At(70*second, func() { sim.Inject(simulation.OutageAfterCancellation, 0) })
+	}, []simulation.Observation{simulation.HeartbeatInGracePeriod, simulation.SecondTerm}},
+	{"isolated, responses to machines lost", func(sim *simulation.Simulation) {
+		sim.At(66*second, func() { sim.LoseResponsesToBusyMachines(0.3, 60*second) })
+		sim.At(70*second, func() { sim.Inject(simulation.LeaderIsolated, 60*second) })
+		sim.At(70*second, func() { sim.Inject(simulation.OutageAfterCancellation, 0) })
+	}, []simulation.Observation{simulation.BusyMachineResponsesLost, simulation.SecondTerm}},
+	{"frozen, machines hang", func(sim *simulation.Simulation) {
+		sim.At(70*second, func() { sim.Inject(simulation.LeaderFrozen, 14*second) })
+		sim.At(74*second, func() { sim.CancelRunning(4, 12*second) })
+		sim.At(75*second, func() { sim.Inject(simulation.StoreOutage, 65*second) })
+	}, []simulation.Observation{simulation.SecondTerm}},
+	{"restarted at once", func(sim *simulation.Simulation) {
+		sim.At(70*second, func() { sim.Inject(simulation.StoreRefusesLeader, 4*second) })
+		sim.At(73*second, func() { sim.CancelRunning(3, 0) })
+		sim.At(73*second+300*time.Millisecond, func() { sim.CrashLeader(200 * time.Millisecond) })
+		sim.At(75*second, func() { sim.CancelRunning(3, 0) })
+		sim.At(76*second, func() { sim.Inject(simulation.StoreOutage, 65*second) })
+	}, []simulation.Observation{simulation.SecondTerm}},
+}
+
 // TestOutageAfterCancellation: the key-value store refuses the leader alone, another controller
 // confirms cancellations, and then the store is down for all, for longer than a cancellation may
 // take, while the agents send their heartbeats to the old leader. Whatever grace period the settings
@@ -263,34 +291,8 @@
 // isolated or restarted within a fraction of a second, the next one crashed, too, and jobs of one
 // task.
 func TestOutageAfterCancellation(t *testing.T) {
-	variants := []struct {
-		name     string
-		inject   func(sim *simulation.Simulation)
-		observed []simulation.Observation
-	}{
-		{"refused", func(sim *simulation.Simulation) {
-			sim.At(70*second, func() { sim.Inject(simulation.OutageAfterCancellation, 0) })
-		}, []simulation.Observation{simulation.HeartbeatInGracePeriod, simulation.SecondTerm}},
-		{"isolated, responses to machines lost", func(sim *simulation.Simulation) {
-			sim.At(66*second, func() { sim.LoseResponsesToBusyMachines(0.3, 60*second) })
-			sim.At(70*second, func() { sim.Inject(simulation.LeaderIsolated, 60*second) })
-			sim.At(70*second, func() { sim.Inject(simulation.OutageAfterCancellation, 0) })
-		}, []simulation.Observation{simulation.BusyMachineResponsesLost, simulation.SecondTerm}},
-		{"frozen, machines hang", func(sim *simulation.Simulation) {
-			sim.At(70*second, func() { sim.Inject(simulation.LeaderFrozen, 14*second) })
-			sim.At(74*second, func() { sim.CancelRunning(4, 12*second) })
-			sim.At(75*second, func() { sim.Inject(simulation.StoreOutage, 65*second) })
-		}, []simulation.Observation{simulation.SecondTerm}},
-		{"restarted at once", func(sim *simulation.Simulation) {
-			sim.At(70*second, func() { sim.Inject(simulation.StoreRefusesLeader, 4*second) })
-			sim.At(73*second, func() { sim.CancelRunning(3, 0) })
-			sim.At(73*second+300*time.Millisecond, func() { sim.CrashLeader(200 * time.Millisecond) })
-			sim.At(75*second, func() { sim.CancelRunning(3, 0) })
-			sim.At(76*second, func() { sim.Inject(simulation.StoreOutage, 65*second) })
-		}, []simulation.Observation{simulation.SecondTerm}},
-	}
 	for _, cancel := range []float64{45, 32, 21, 18} {
-		for _, v := range variants {
+		for _, v := range outageVariants {
 			t.Run(fmt.Sprintf("cancel_s=%v, %s", cancel, v.name), func(t *testing.T) {
 				eachSeed(t, 3, func(t *testing.T, seed uint64) {
 					p := params()
