--- a/internal/loadtest/plot.go
+++ b/internal/loadtest/plot.go
@@ -65,7 +65,7 @@
 	return lines
 }
 
-// draw plots lines as a PNG image that stands within the page itself.
+// drawLines plots lines as a PNG image that is embedded in the page.
 func drawLines(title, x, y string, lines map[string]plotter.XYs) (template.URL, error) {
 	p := plot.New()
 	p.Legend.Top, p.Legend.Left = true, true
