--- a/internal/simulation/agent_process.go
+++ b/internal/simulation/agent_process.go
@@ -3,8 +3,6 @@
 import (
 	"time"
 
-	"switchshore.example/switchshore/internal/leader"
-	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -106,70 +104,3 @@
 	return max(a.partitionedUntil.Sub(now), a.responsesLostUntil.Sub(now), a.hungUntil.Sub(now),
 		a.sim.network.partitionedZoneUntil.Sub(now), 0)
 }
-
-// agentCall is a leader's direct call to an agent.
-type agentCall struct {
-	node      *node
-	leader    *leader.Leader
-	call      *leader.DirectCall
-	connected *agentProcess // the agent at the time of the call
-}
-
-// callAgent sends a leader's direct call to an agent; it may arrive minutes late.
-func (n *node) callAgent(l *leader.Leader, call *leader.DirectCall) {
-	sim := n.sim
-	sim.fail(sim.Invariants.CheckCommands(sim.now, call.Request.Commands))
-	sim.trace(boundaryAgentCall, n, call.Machine, call.Addr, call.Request)
-	c := &agentCall{n, l, call, sim.fleet.agents[call.Machine]}
-	switch {
-	case c.connected == nil:
-		c.done(tuning.DirectTimeout, leader.DirectNotDelivered, nil)
-	case !c.connected.reachableFrom(n.zone) || sim.faultsAllowed() && sim.chance(0.05):
-		c.timeOut()
-	default:
-		n.after(sim.between(1, 20), c.execute)
-	}
-}
-
-// timeOut lets the call fail: it is not delivered, or delivered late without a response.
-func (c *agentCall) timeOut() {
-	sim := c.node.sim
-	if sim.chance(0.3) {
-		c.done(tuning.DirectTimeout, leader.DirectNotDelivered, nil)
-		return
-	}
-	sim.after(c.connected.reachableAfter()+sim.between(0, 60_000), func() {
-		// A connection ends with its agent: a new one gets no delayed command.
-		if sim.fleet.agents[c.call.Machine] == c.connected {
-			c.deliver(c.connected)
-		}
-	})
-	c.done(tuning.DirectTimeout, leader.DirectUnknown, nil)
-}
-
-// execute delivers the call to the machine's present agent and returns its heartbeat to the leader.
-func (c *agentCall) execute() {
-	sim := c.node.sim
-	a := sim.fleet.agents[c.call.Machine]
-	if a == nil {
-		c.done(tuning.DirectTimeout, leader.DirectUnknown, nil)
-		return
-	}
-	heartbeat := c.deliver(a)
-	c.done(sim.between(1, 100), leader.DirectAnswered, heartbeat)
-}
-
-// deliver lets an agent execute the commands, and returns its next heartbeat.
-func (c *agentCall) deliver(a *agentProcess) *wire.Heartbeat {
-	a.HandleCommandRequest(a.sim.now, c.call.Request)
-	return a.NextHeartbeat()
-}
-
-// done reports the outcome to the leader after a time, if it still leads.
-func (c *agentCall) done(delay time.Duration, outcome leader.DirectOutcome, heartbeat *wire.Heartbeat) {
-	c.node.after(delay, func() {
-		if c.node.leader == c.leader {
-			c.leader.DirectCallDone(c.node.clock(), c.call, outcome, heartbeat)
-		}
-	})
-}
--- /dev/null
+++ b/internal/simulation/helpers_test.go
@@ -0,0 +1,131 @@
+package simulation_test
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"switchshore.example/switchshore/internal/config"
+	"switchshore.example/switchshore/internal/simulation"
+	"switchshore.example/switchshore/wire"
+)
+
+const second = time.Second
+
+var machineType = wire.MachineType{
+	Name: "std-8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 0.5, CacheGB: 20,
+	Price: 1, SpotPrice: 0.4, BootTimeS: 10, Zones: []string{"a", "b"},
+}
+
+func params() config.Params {
+	return config.Params{
+		Teams: []config.Team{
+			{Name: "blue", CPUs: 16, CPUsMax: 24},
+			{Name: "green", CPUs: 8, CPUsMax: 12},
+		},
+		Workers: config.Workers{HeartbeatIntervalS: 3, LeaseS: 15, CancelDeadlineS: 45},
+		KVStore: config.KVStoreLimits{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 48},
+		Cloud:   config.CloudLimits{RPS: 5, ListLagS: 4},
+	}
+}
+
+// drawJob draws a job of any shape the protocol allows.
+func drawJob(rng *rand.Rand, number int) *wire.Job {
+	j := &wire.Job{
+		ID: fmt.Sprintf("job-%06d", number), Class: "c", Team: "blue", Kind: wire.KindArray,
+		Priority: []string{wire.PriorityCritical, wire.PriorityHigh, wire.PriorityNormal, wire.PriorityIdle}[rng.IntN(4)],
+		Tasks:    1 + rng.IntN(9), CPUs: float64(1 + rng.IntN(4)), MemoryGB: float64(1 + rng.IntN(8)),
+		Image: fmt.Sprintf("img-%d", rng.IntN(4)), ImageGB: rng.Float64() * 2,
+		Spot: rng.IntN(3) > 0, OneZone: rng.IntN(4) == 0, EstimateS: 2 + 20*rng.Float64(),
+	}
+	if rng.IntN(8) == 0 {
+		j.EstimateS = 90 // longer than a cancellation may take
+	}
+	if rng.IntN(2) == 0 {
+		j.Team = "green"
+	}
+	if rng.IntN(2) == 0 {
+		j.CheckpointIntervalS, j.CheckpointSaveS = 5, 2
+	}
+	if rng.IntN(5) == 0 {
+		j.Zone = "b"
+	} else if !j.OneZone && rng.IntN(4) == 0 {
+		j.SpreadZones = true
+	}
+	return j
+}
+
+// submitRandomJobs submits jobs of any shape, a share of them cancelled within a minute.
+func submitRandomJobs(sim *simulation.Simulation, seed uint64, count int, over time.Duration, cancelled float64, shape func(*rand.Rand, *wire.Job)) {
+	rng := rand.New(rand.NewPCG(seed, 5))
+	for i := range count {
+		j := drawJob(rng, i)
+		if shape != nil {
+			shape(rng, j)
+		}
+		cancel := time.Duration(0)
+		if rng.Float64() < cancelled {
+			cancel = time.Duration(1+rng.IntN(60_000)) * time.Millisecond
+		}
+		sim.Submit(time.Duration(rng.Int64N(int64(over))), j, cancel)
+	}
+}
+
+// longRunning makes jobs run for longer than a cancellation may take.
+func longRunning(rng *rand.Rand, j *wire.Job) { j.EstimateS = 70 + 40*rng.Float64() }
+
+// shortSingleTask makes jobs of one task that runs for a moment.
+func shortSingleTask(rng *rand.Rand, j *wire.Job) {
+	j.Tasks, j.CPUs, j.MemoryGB, j.ImageGB = 1, 1, 1, 0.2
+	j.EstimateS = 1 + 3*rng.Float64()
+	j.OneZone, j.SpreadZones = false, false
+}
+
+// atTeamLimit makes jobs of far more work than the teams' limits allow at a time.
+func atTeamLimit(rng *rand.Rand, j *wire.Job) {
+	j.Tasks, j.CPUs = 6+rng.IntN(6), 2
+	j.EstimateS = 20 + 40*rng.Float64()
+	j.OneZone, j.SpreadZones, j.Zone = false, false, ""
+}
+
+// runToEnd runs a simulation to its end. The test fails if an invariant is violated, if a job does
+// not end once faults are over, or if requests about one go unanswered.
+func runToEnd(t *testing.T, sim *simulation.Simulation) *simulation.Simulation {
+	t.Helper()
+	err := sim.Run(1800*time.Second, 300*time.Second)
+	logDigest(t, sim)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if left := sim.Invariants.Unfinished(); len(left) > 0 {
+		t.Fatalf("jobs did not end: %v", left)
+	}
+	if sim.Invariants.StartCount() == 0 {
+		t.Fatal("no task was started")
+	}
+	return sim
+}
+
+// eachSeed runs a test with several seeds in parallel.
+func eachSeed(t *testing.T, count uint64, run func(t *testing.T, seed uint64)) {
+	for seed := range count {
+		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
+			t.Parallel()
+			run(t, seed)
+		})
+	}
+}
+
+// checkObserved fails the test unless all the observations were made.
+func checkObserved(t *testing.T, sim *simulation.Simulation, observed []simulation.Observation) {
+	t.Helper()
+	sim.Observed[simulation.CancellationConfirmed] = sim.Invariants.CancelledCount()
+	sim.Observed[simulation.SecondTerm] = max(0, sim.Observed[simulation.TermStarted]-1)
+	sim.Observed[simulation.FifthTerm] = max(0, sim.Observed[simulation.TermStarted]-4)
+	for _, what := range observed {
+		if sim.Observed[what] == 0 {
+			t.Errorf("not observed: %s; observed: %v", what, sim.Observed)
+		}
+	}
+}
--- a/internal/simulation/overlapping_faults_test.go
+++ b/internal/simulation/overlapping_faults_test.go
@@ -12,41 +12,6 @@
 	"switchshore.example/switchshore/wire"
 )
 
-const second = time.Second
-
-// submitRandomJobs submits jobs of any shape, a share of them cancelled within a minute.
-func submitRandomJobs(sim *simulation.Simulation, seed uint64, count int, over time.Duration, cancelled float64, shape func(*rand.Rand, *wire.Job)) {
-	rng := rand.New(rand.NewPCG(seed, 5))
-	for i := range count {
-		j := drawJob(rng, i)
-		if shape != nil {
-			shape(rng, j)
-		}
-		cancel := time.Duration(0)
-		if rng.Float64() < cancelled {
-			cancel = time.Duration(1+rng.IntN(60_000)) * time.Millisecond
-		}
-		sim.Submit(time.Duration(rng.Int64N(int64(over))), j, cancel)
-	}
-}
-
-// longRunning makes jobs run for longer than a cancellation may take.
-func longRunning(rng *rand.Rand, j *wire.Job) { j.EstimateS = 70 + 40*rng.Float64() }
-
-// shortSingleTask makes jobs of one task that runs for a moment.
-func shortSingleTask(rng *rand.Rand, j *wire.Job) {
-	j.Tasks, j.CPUs, j.MemoryGB, j.ImageGB = 1, 1, 1, 0.2
-	j.EstimateS = 1 + 3*rng.Float64()
-	j.OneZone, j.SpreadZones = false, false
-}
-
-// atTeamLimit makes jobs of far more work than the teams' limits allow at a time.
-func atTeamLimit(rng *rand.Rand, j *wire.Job) {
-	j.Tasks, j.CPUs = 6+rng.IntN(6), 2
-	j.EstimateS = 20 + 40*rng.Float64()
-	j.OneZone, j.SpreadZones, j.Zone = false, false, ""
-}
-
 // faultScenario is a run in which some faults overlap.
 type faultScenario struct {
 	name     string
@@ -243,19 +208,6 @@
 	}
 }
 
-// checkObserved fails the test unless all the observations were made.
-func checkObserved(t *testing.T, sim *simulation.Simulation, observed []simulation.Observation) {
-	t.Helper()
-	sim.Observed[simulation.CancellationConfirmed] = sim.Invariants.CancelledCount()
-	sim.Observed[simulation.SecondTerm] = max(0, sim.Observed[simulation.TermStarted]-1)
-	sim.Observed[simulation.FifthTerm] = max(0, sim.Observed[simulation.TermStarted]-4)
-	for _, what := range observed {
-		if sim.Observed[what] == 0 {
-			t.Errorf("not observed: %s; observed: %v", what, sim.Observed)
-		}
-	}
-}
-
 // outageVariants are the faults beside an outage after cancellations.
 var outageVariants = []struct {
 	name     string
