--- a/internal/allocation/ledger.go
+++ b/internal/allocation/ledger.go
@@ -104,7 +104,7 @@
 	return teams
 }
 
-// WithinGuarantee tells which unfinished jobs, listed oldest first, fit into their
+// WithinGuarantee returns which unfinished jobs, listed oldest first, fit into their
 // team's guarantee together with the team's earlier ones.
 func (l *Ledger) WithinGuarantee(list []*jobs.Job) map[*jobs.Job]bool {
 	used := map[string]placement.Resources{}
@@ -125,7 +125,7 @@
 	return fits
 }
 
-// AboveLimit says why a job can never run, as far as its team's quota tells, or "".
+// AboveLimit says why a job can never run, as far as its team's quota shows, or "".
 func (l *Ledger) AboveLimit(spec *wire.Job) string {
 	t := l.teams[spec.Team]
 	if t == nil {
@@ -144,7 +144,7 @@
 	return ""
 }
 
-// AboveLimit says why a job can never run, as far as the settings alone tell, or "".
+// AboveLimit says why a job can never run, as far as the settings alone show, or "".
 func AboveLimit(teams []config.Team, spec *wire.Job) string {
 	for _, t := range teams {
 		if t.Name == spec.Team {
--- a/internal/jobs/dependencies.go
+++ b/internal/jobs/dependencies.go
@@ -199,6 +199,11 @@
 			g.Link(j)
 		}
 	}
+	return g.updateAllPaths(all)
+}
+
+// updateAllPaths derives the paths of all jobs, each after those of its dependents.
+func (g *DependencyGraph) updateAllPaths(all []*Job) (missing []MissingDependency, cyclic []*Job) {
 	var last []*Job
 	after := map[*Job]int{} // dependents whose path is not known yet
 	for _, j := range all {
--- a/internal/jobs/estimates.go
+++ b/internal/jobs/estimates.go
@@ -69,10 +69,10 @@
 	return best, found
 }
 
-// Urgency orders jobs of one priority: by slack, and by the time that the given CPUs
-// together would need for the rest of the job, as under a backlog
-// more jobs end in time when the small ones go first. Jobs without a time to
-// meet follow.
+// Urgency orders jobs of one priority, the most urgent having the least: by slack, and by the
+// time that the given CPUs would take for the rest of the job, as under a backlog
+// more jobs meet their deadlines when small ones start first. Jobs without a deadline or an
+// objective follow, in the order of their waits.
 func (r RunTimes) Urgency(now time.Time, j *Job, objectives []config.Objective, cpus float64) float64 {
 	work := float64(j.RemainingTasks()) * j.CPUs * r.Estimate(j) / max(cpus, 1)
 	if slack, ok := r.DeadlineSlack(now, j, objectives); ok {
--- a/internal/jobs/registry.go
+++ b/internal/jobs/registry.go
@@ -31,7 +31,7 @@
 // tasks may be on a machine.
 func (r *Registry) Get(id string) *Job { return r.byID[id] }
 
-// Add takes in a job.
+// Add adds a job.
 func (r *Registry) Add(j *Job) { r.byID[j.ID] = j }
 
 // Remove forgets a job, but not its final state.
--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -113,18 +113,20 @@
 	return records.FinalState{Outcome: outcome, TasksDone: int32(j.CompletedTasks())}
 }
 
-// RestoreEnd takes in the stored final state of the job.
+// RestoreEnd applies the stored final state of the job. Applied twice it changes nothing.
 func (j *Job) RestoreEnd(f records.FinalState) {
+	state := Cancelled
 	if f.Outcome == records.OutcomeDone {
-		j.changeState(Done)
-	} else {
-		j.changeState(Cancelled)
+		state = Done
+	}
+	if j.state != state {
+		j.changeState(state)
 	}
 	j.endDurable = true
 }
 
-// Undecided reports whether a job's state can't be told now: its acceptance is
+// Undecided reports whether no response may give the job's state now: its acceptance is
 // not durable, so whether it exists is not decided, or it is being cancelled
-// together with one that it depends on. However long that takes to become durable,
-// nobody is told any more that the job waits or runs.
+// with one that it depends on. However long that takes to become durable,
+// no response says any more that the job waits or runs.
 func (j *Job) Undecided() bool { return !j.acceptanceDurable || j.dependencyCancelled && !j.endDurable }
--- a/internal/jobs/state_test.go
+++ b/internal/jobs/state_test.go
@@ -80,6 +80,7 @@
 			t.Fatalf("restored as %v with %v", j.State(), j.RecordKeys())
 		}
 		j.RestoreEnd(records.FinalState{Outcome: outcome})
+		j.RestoreEnd(records.FinalState{Outcome: outcome})
 		if j.State() != state || !j.EndDurable() || j.Undecided() {
 			t.Errorf("%c: %v", outcome, j.State())
 		}
--- a/internal/jobs/tasks.go
+++ b/internal/jobs/tasks.go
@@ -64,7 +64,7 @@
 	return list
 }
 
-// RestoreCompletion takes in the stored completion of a task.
+// RestoreCompletion applies the stored completion of a task.
 func (j *Job) RestoreCompletion(index int) {
 	j.completed.Add(index)
 	j.markStored(index)
--- a/internal/leader/completion.go
+++ b/internal/leader/completion.go
@@ -8,7 +8,7 @@
 )
 
 // end decides how a job ends and queues the write of its final state; only once that is durable
-// users are told, and it takes effect on the jobs that depend on this one.
+// users get a response, and it takes effect on the jobs that depend on this one.
 func (l *Leader) end(now time.Time, j *jobs.Job, state jobs.State, queue *records.Queue) {
 	f := j.End(now, state)
 	l.unsavedCompletions.Remove(j)
@@ -41,7 +41,7 @@
 	}
 }
 
-// taskDone notes a completion; users are told only once it is stored.
+// taskDone notes a completion, which is written after a delay.
 func (l *Leader) taskDone(now time.Time, j *jobs.Job, index int32) {
 	if !j.Complete(index) {
 		return
--- a/internal/leader/leases.go
+++ b/internal/leader/leases.go
@@ -21,7 +21,7 @@
 }
 
 // releaseExpired releases the attempts on a machine whose lease has expired, except for starts
-// sent by a direct call without an answer: should the agent have been replaced by a
+// sent by a direct call without a reply: should the agent have been replaced by a
 // new one, which counts its sessions anew, they could still run there. Unless
 // a heartbeat of a new session comes soon, the machine is released.
 func (l *Leader) releaseExpired(now time.Time, m *machines.Machine) {
--- a/internal/leader/machine_list.go
+++ b/internal/leader/machine_list.go
@@ -15,7 +15,7 @@
 	complete bool
 }
 
-// ApplyMachineList takes in a complete machine list, asked for at the given time.
+// ApplyMachineList applies a complete machine list, asked for at the given time.
 func (l *Leader) ApplyMachineList(asked, now time.Time, list []wire.ListedMachine) {
 	l.lists.applied++
 	l.lists.complete = l.lists.complete || asked.Sub(l.timing.TermStart) > l.longestListLag()
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -8,7 +8,7 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// addMachine takes in a machine that was not known.
+// addMachine adds a machine that is not known.
 func (l *Leader) addMachine(now time.Time, id, typ, zone, addr string, spot bool) *machines.Machine {
 	m := machines.New(now, id, typ, zone, addr, spot)
 	l.machines.Add(m)
--- a/internal/leader/submission.go
+++ b/internal/leader/submission.go
@@ -23,7 +23,7 @@
 // reached. It calls then at once, or later, when the job is durable or
 // the term is over.
 func (l *Leader) SubmitWithClaim(now time.Time, wall time.Time, spec *wire.Job, claim *admission.Claim, then func(Response)) {
-	// Until the acceptance is durable no response may tell of the job, not even
+	// Until the acceptance is durable no response may mention the job, not even
 	// once its cancellation has been requested.
 	if j := l.jobs.Get(spec.ID); j != nil && j.Undecided() {
 		j.AddWaiter(func(ok bool) { then(l.accepted(ok, spec.ID, http.StatusOK)) })
@@ -106,7 +106,7 @@
 	return "a task fits no allowed machine type"
 }
 
-// AboveLimit says why a job can never run, as far as the settings alone tell, or "": any
+// AboveLimit says why a job can never run, as far as the settings alone show, or "": any
 // node can say that, whether or not a leader is known.
 func AboveLimit(teams []config.Team, spec *wire.Job) string {
 	return allocation.AboveLimit(teams, spec)
--- a/internal/leader/urgent_work.go
+++ b/internal/leader/urgent_work.go
@@ -11,7 +11,7 @@
 // late once its lease has expired, but not if it could start elsewhere now: the
 // release proves that the work has ended. Most gaps in heartbeats outlast the lease, and then
 // the work on the machine is lost in any case. A new leader would wait longest, as its
-// predecessor may be cut off together with the machine and go on answering it.
+// predecessor may be partitioned with the machine and still respond to it.
 func (l *Leader) hasUrgentWork(now time.Time, m *machines.Machine) bool {
 	if m.IsReleasing() || !m.IsUnreachable(now, &l.timing) {
 		return false
--- a/internal/machines/attempt.go
+++ b/internal/machines/attempt.go
@@ -116,7 +116,7 @@
 // IsListed reports whether a task list has shown the attempt.
 func (a *Attempt) IsListed(listNumber uint64) bool { return a.listNumber == listNumber }
 
-// ApplyReport takes in the state that the machine reports, and reports whether the attempt
+// ApplyReport applies the state that the machine reports. It returns whether the attempt
 // has begun to run with it.
 func (a *Attempt) ApplyReport(now time.Time, reported AttemptState) (began bool) {
 	before := a.state
--- a/internal/machines/attempt_commands.go
+++ b/internal/machines/attempt_commands.go
@@ -2,7 +2,7 @@
 
 import "switchshore.example/switchshore/wire"
 
-// NeedsStart reports whether the start of the attempt is to be sent, as no report has shown
+// NeedsStart reports whether the start of the attempt is to be sent, as no task list has shown
 // it yet.
 func (a *Attempt) NeedsStart() bool { return a.state == StartSent && a.IsWanted() }
 
--- a/internal/machines/attempt_state.go
+++ b/internal/machines/attempt_state.go
@@ -27,8 +27,8 @@
 	Saving
 )
 
-// reportedStates are those that a machine can report; it may report any of them first, as
-// heartbeats tell of moments.
+// reportedStates are those that a machine can report. It may report any of them first, as
+// states may pass between two heartbeats.
 var reportedStates = []AttemptState{Fetching, Running, Saving}
 
 // attemptTransitions are the legal successors of each state. A reported state may follow any
--- a/internal/machines/cordon.go
+++ b/internal/machines/cordon.go
@@ -12,7 +12,7 @@
 	CordonDrained CordonReason = 1 << iota
 	// CordonConsolidated: its tasks are moved, so that it can be released.
 	CordonConsolidated
-	// CordonLateStart: a start that nobody wants any more may still come late.
+	// CordonLateStart: a start of a task that is not to run any more may still come late.
 	CordonLateStart
 	// CordonReplaced: a new agent has taken the place of the one known, and counts sessions
 	// anew. Only the release proves that what it may run has ended.
--- a/internal/machines/direct.go
+++ b/internal/machines/direct.go
@@ -5,7 +5,7 @@
 // directCalls is the state of direct calls to a machine.
 type directCalls struct {
 	calling   bool      // a call is under way
-	callAfter time.Time // no sooner, after one without an answer
+	callAfter time.Time // no sooner, after a call without a reply
 	queued    bool      // among those to be called
 }
 
--- a/internal/machines/exit.go
+++ b/internal/machines/exit.go
@@ -9,7 +9,7 @@
 // Exit is an exited attempt in a machine's list.
 type Exit struct {
 	ExitKey
-	Forget bool // nobody needs the agent's memory of it any more
+	Forget bool // the agent may forget it
 }
 
 // ClearExited forgets the exited attempts of the last list.
--- a/internal/machines/lease.go
+++ b/internal/machines/lease.go
@@ -10,9 +10,9 @@
 type Timing struct {
 	// HeartbeatTimeout is the time without a heartbeat after which a machine seems unreachable.
 	HeartbeatTimeout time.Duration
-	// Lease is how long an agent goes on without an answer to its heartbeats.
+	// Lease is how long an agent keeps its tasks without a response to its heartbeats.
 	Lease time.Duration
-	// LeaseExpiry is the time after an answer at which the agent's lease has provably expired.
+	// LeaseExpiry is the time after a response at which the agent's lease has provably expired.
 	LeaseExpiry time.Duration
 	// TermStart is when the term began.
 	TermStart time.Time
@@ -86,7 +86,7 @@
 		return true
 	case m.staleHeartbeats >= tuning.MaxStaleHeartbeats && m.LeaseExpired(now, t) && now.Sub(m.staleSince) > t.HeartbeatTimeout:
 		// Only heartbeats older than the newest: late copies, or a new agent that
-		// began anew. It must not be taken for the old one, and can't be told
+		// began anew. It must not be taken for the old one, and can't be distinguished
 		// from copies, so the machine is replaced.
 		return true
 	case len(m.attempts) == 0 && m.CordonedFor(RetiringReasons):
--- a/internal/machines/registry.go
+++ b/internal/machines/registry.go
@@ -27,7 +27,7 @@
 // Len returns the number of machines.
 func (r *Registry) Len() int { return len(r.sorted) }
 
-// Add takes in a machine, in the place of one with the same ID.
+// Add adds a machine that is not known.
 func (r *Registry) Add(m *Machine) {
 	r.byID[m.ID] = m
 	i, _ := slices.BinarySearchFunc(r.sorted, m.ID, func(o *Machine, id string) int { return strings.Compare(o.ID, id) })
