--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -112,5 +112,7 @@
 
 // Stop ends the term: all waiting requests are answered that nothing is decided.
 func (l *Leader) Stop() {
-	l.jobs.Each(func(j *jobs.Job) { j.NotifyWaiters(false) })
+	for _, j := range l.jobs.Sorted() { // in the order of IDs, so that a simulated run repeats
+		j.NotifyWaiters(false)
+	}
 }
--- a/internal/simulation/node_admission.go
+++ b/internal/simulation/node_admission.go
@@ -1,7 +1,9 @@
 package simulation
 
 import (
+	"cmp"
 	"net/http"
+	"slices"
 
 	"switchshore.example/switchshore/internal/admission"
 	"switchshore.example/switchshore/internal/leader"
@@ -129,7 +131,7 @@
 		policy = n.leader.AdmissionPolicy()
 	}
 	sim := n.sim
-	sim.trace(boundaryNodeHeartbeat, n, to.name, offers, policy)
+	sim.trace(boundaryNodeHeartbeat, n, to.name, withSortedLoads(offers), policy)
 	delay := sim.between(1, 20)
 	if sim.network.nodesPartitioned(n, to) {
 		delay += sim.between(500, 20_000)
@@ -141,3 +143,12 @@
 		}
 	})
 }
+
+// withSortedLoads returns an offered load in the order of teams and classes. A node sends it in any
+// order, which must not enter the trace digest.
+func withSortedLoads(l admission.NodeOfferedLoad) admission.NodeOfferedLoad {
+	l.Loads = slices.SortedFunc(slices.Values(l.Loads), func(a, b admission.OfferedLoad) int {
+		return cmp.Or(cmp.Compare(a.Team, b.Team), cmp.Compare(a.Class, b.Class))
+	})
+	return l
+}
