--- a/internal/leader/drains.go
+++ b/internal/leader/drains.go
@@ -3,9 +3,8 @@
 import (
 	"time"
 
-	"switchshore.example/switchshore/internal/drainer"
-
 	"switchshore.example/switchshore/internal/drain"
+	"switchshore.example/switchshore/internal/drainer"
 )
 
 // newDrainer returns the term's drainer.
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -6,12 +6,11 @@
 	"slices"
 	"time"
 
-	"switchshore.example/switchshore/internal/startlog"
-
 	"switchshore.example/switchshore/internal/intervals"
 	"switchshore.example/switchshore/internal/jobs"
 	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/records"
+	"switchshore.example/switchshore/internal/startlog"
 	"switchshore.example/switchshore/wire"
 )
 
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -4,10 +4,9 @@
 	"sort"
 	"time"
 
-	"switchshore.example/switchshore/internal/scaling"
-
 	"switchshore.example/switchshore/internal/autoscale"
 	"switchshore.example/switchshore/internal/machines"
+	"switchshore.example/switchshore/internal/scaling"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
