--- a/internal/machines/attempt.go
+++ b/internal/machines/attempt.go
@@ -15,20 +15,22 @@
 	Machine *Machine
 	Job     *jobs.Job
 	Index   int32
+
+	state           AttemptState
+	allocated       bool // counts on its machine
+	afterLongWait   bool // placed since its job had waited long
+	checkpointSaved bool // it saved its progress when it was stopped
+	failed          bool // it ended by an error of its own
+
 	// Record is the start record that names the attempt, of the package that stores it.
 	Record any
 
-	number        uint64
-	state         AttemptState
-	allocated     bool   // counts on its machine
-	listNumber    uint64 // the last task list that showed it
-	afterLongWait bool   // placed since its job had waited long
-	orderedAt     time.Time
-	runningAt     time.Time // when it was first reported as running, or zero
+	number     uint64
+	listNumber uint64 // the last task list that showed it
+	orderedAt  time.Time
+	runningAt  time.Time // when it was first reported as running, or zero
 	startDelivery
 	stopRequest
-	checkpointSaved bool // it saved its progress when it was stopped
-	failed          bool // it ended by an error of its own
 }
 
 // startDelivery is how the start of an attempt was sent.
@@ -43,8 +45,8 @@
 
 // stopRequest is whether and how an attempt is to be stopped.
 type stopRequest struct {
-	stopping     bool
 	gracePeriodS float64
+	stopping     bool
 	stopSent     bool // by a direct call
 	// evicting: a drain is about to stop it, once the charge for that is durable.
 	evicting bool
--- a/internal/machines/attempt_state.go
+++ b/internal/machines/attempt_state.go
@@ -9,7 +9,7 @@
 
 // AttemptState is how far an attempt has come. The order counts: from Fetching on, the machine
 // has reported the attempt.
-type AttemptState int
+type AttemptState uint8
 
 // States of an attempt.
 const (
