--- a/internal/admission/regulator.go
+++ b/internal/admission/regulator.go
@@ -89,7 +89,7 @@
 // Policy returns the policy to be published.
 func (r *Regulator) Policy() Policy { return r.policy }
 
-// Update takes in the load and the counts of all nodes, and makes the next policy
+// Update applies the load and the counts of all nodes, and makes the next policy
 // once the present one is AdmissionInterval old. wall is the time of day.
 func (r *Regulator) Update(now, wall time.Time, load LeaderLoad, nodes []NodeOfferedLoad) {
 	passed := now.Sub(r.updatedAt)
--- a/internal/drainer/store.go
+++ b/internal/drainer/store.go
@@ -16,7 +16,7 @@
 	at     time.Time
 }
 
-// LoadDrain takes in a stored drain. The errors are those of drain.DecodeRecord.
+// LoadDrain loads a stored drain. The errors are those of drain.DecodeRecord.
 func (d *Drainer) LoadDrain(name string, value json.RawMessage) error {
 	if d.config.Budgets == nil {
 		return nil
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// LoadCharge takes in a stored charge; wall and now relate the time of day in the record to
+// LoadCharge loads a stored charge; wall and now relate the time of day in the record to
 // the steady clock. The errors are those of drain.DecodeCharge.
 func (d *Drainer) LoadCharge(now, wall time.Time, key string, value json.RawMessage) error {
 	if d.config.Budgets == nil {
--- a/internal/kvstore/fenced_writer.go
+++ b/internal/kvstore/fenced_writer.go
@@ -84,7 +84,7 @@
 	return txn
 }
 
-// HandleResult takes in the result of Txn.
+// HandleResult applies the result of Txn.
 func (w *FencedWriter) HandleResult(result wire.TxnResult, err error) Outcome {
 	switch {
 	case err == nil:
@@ -107,7 +107,7 @@
 	return Retry
 }
 
-// ResolveUnknown takes in what KeyTerm was read to be.
+// ResolveUnknown applies what KeyTerm was read to be.
 func (w *FencedWriter) ResolveUnknown(item wire.KeyValue, err error) Outcome {
 	var record TermRecord
 	switch {
--- a/internal/kvstore/timeout.go
+++ b/internal/kvstore/timeout.go
@@ -36,7 +36,7 @@
 	return min(max(tuning.StoreTimeoutFactor*t.latency, tuning.StoreTimeoutMin), tuning.StoreTimeout)
 }
 
-// observe takes in the latency of a transaction and its error; without an answer, the
+// observe records the latency of a transaction and its error; without an answer, the
 // next one gets twice the time.
 func (t *transactionTimeout) observe(latency time.Duration, err error) {
 	latency = min(latency, tuning.StoreTimeout)
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -27,7 +27,7 @@
 	index int32
 }
 
-// LoadRecord takes in one stored record; wall and now relate the time of day in
+// LoadRecord loads one stored record; wall and now relate the time of day in
 // the records to the steady clock. Records must come in records.LoadOrder. The error is a
 // records.CorruptError, or nil if the service can do without the record.
 func (l *Leader) LoadRecord(now, wall time.Time, item wire.KeyValue) error {
@@ -46,7 +46,7 @@
 	return &records.CorruptError{Key: item.Key, Err: err}
 }
 
-// load takes in a record of a kind; id is the rest of its key.
+// load loads a record of a kind; id is the rest of its key.
 func (l *Leader) load(now, wall time.Time, kind records.Kind, id string, item wire.KeyValue) error {
 	switch kind {
 	case records.KindMachineTypes:
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// loadJob takes in a job's record; its pieces have been loaded before.
+// loadJob loads a job's record; its pieces have been loaded before.
 func (l *Leader) loadJob(now, wall time.Time, id string, value json.RawMessage) error {
 	stored, err := records.DecodeJob(id, value, l.loading.pieces)
 	if err != nil {
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// loadCompletions takes in completed tasks of a job.
+// loadCompletions loads completed tasks of a job.
 func (l *Leader) loadCompletions(id string, item wire.KeyValue) error {
 	j := l.jobs.Get(records.CompletionsJob(id))
 	if j == nil {
@@ -114,7 +114,7 @@
 	return records.DecodeCompletions(item.Value, j.Tasks, j.RestoreCompletion)
 }
 
-// loadFinal takes in how a job ended.
+// loadFinal loads how a job ended.
 func (l *Leader) loadFinal(id string, value json.RawMessage) error {
 	f, err := records.DecodeFinalState(value)
 	if err != nil {
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// loadStarts takes in a start record: its machines may have its tasks.
+// loadStarts loads a start record: its machines may have its tasks.
 func (l *Leader) loadStarts(now time.Time, key string, starts *records.Starts) error {
 	rec := l.starts.Load(key)
 	for _, machine := range starts.Machines {
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// loadAttempt takes in that a task may be on a machine.
+// loadAttempt records that a task may be on a machine.
 func (l *Leader) loadAttempt(now time.Time, rec *startlog.Record, m *machines.Machine, j *jobs.Job, index int32) {
 	if j.IsCompleted(index) {
 		// A stored completion proves that the task has exited and is
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -96,7 +96,7 @@
 	return demand
 }
 
-// ProvisionDone takes in the answer of a provisioning call: names, or none if it was rejected.
+// ProvisionDone applies the answer of a provisioning call: names, or none if it was rejected.
 func (l *Leader) ProvisionDone(now time.Time, r wire.ProvisionRequest, names []string) {
 	call := l.scaler.ProvisionAnswered(now, r, len(names))
 	if call == nil {
@@ -113,7 +113,7 @@
 	l.log.Debug().Str("request", r.RequestID).Str("zone", r.Zone).Bool("spot", r.Spot).Int("requested", r.Count).Int("received", len(names)).Msg("machines provisioned")
 }
 
-// ReleaseDone takes in that machines, and all on them, no longer exist.
+// ReleaseDone records that machines, and all on them, no longer exist.
 func (l *Leader) ReleaseDone(now time.Time, names []string) {
 	l.scaler.ReleaseAnswered()
 	l.remove(now, names)
--- a/internal/machines/catalogue.go
+++ b/internal/machines/catalogue.go
@@ -43,7 +43,7 @@
 // modified.
 func (c *Catalogue) Offers() []wire.MachineType { return c.offers }
 
-// Set takes in the types of the cloud's last answer. Those that it no longer offers are kept
+// Set applies the types of the cloud's last answer. Those that it no longer offers are kept
 // for the machines that there are.
 func (c *Catalogue) Set(types []wire.MachineType) {
 	c.offers = types
--- a/internal/node/admission_gate.go
+++ b/internal/node/admission_gate.go
@@ -24,7 +24,7 @@
 	return &admissionGate{settings: settings, teams: teams, gate: gate}
 }
 
-// applyPolicy takes in the leader's policy.
+// applyPolicy applies the leader's policy.
 func (g *admissionGate) applyPolicy(p admission.Policy) {
 	now := time.Now()
 	g.mu.Lock()
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -14,7 +14,7 @@
 	lastReached   time.Time
 }
 
-// update takes in whether a leader is within reach, and reports whether one was within the
+// update records whether a leader is within reach, and reports whether one was within the
 // grace period.
 func (h *health) update(now time.Time, reachesLeader bool, grace time.Duration) bool {
 	h.mu.Lock()
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// receive takes in a line of the peer.
+// receive handles a line of the peer.
 func (l *link) receive(m *message) {
 	switch {
 	case m.Heartbeat != nil:
--- a/internal/peer/membership.go
+++ b/internal/peer/membership.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// recordHeartbeat takes in a peer's heartbeat. A policy counts only from a peer that leads
+// recordHeartbeat records a peer's heartbeat. A policy counts only from a peer that leads
 // with the lease, and of its own term.
 func (h *Hub) recordHeartbeat(b *Heartbeat) {
 	h.mu.Lock()
--- a/internal/tuning/placement.go
+++ b/internal/tuning/placement.go
@@ -17,7 +17,7 @@
 	// of a core only; the rest follows in the next pass.
 	PassMaxStarts = 200
 	// PassMaxScoredPairs bounds the pairs of job and machine that a pass scores
-	// before it takes in no further job; at twice that it ends. It is some
+	// before it scores no further job; at twice that it ends. It is some
 	// milliseconds of work, after which renewals and answers get their turn.
 	PassMaxScoredPairs = 20_000
 	// PassDelayPerScoredPair is the pause that each scored pair adds before the
