--- a/internal/consolidation/consolidation_test.go
+++ b/internal/consolidation/consolidation_test.go
@@ -66,7 +66,7 @@
 		t.Errorf("%+v", a)
 	}
 	dear.Uncordon(machines.CordonConsolidated)
-	a.CancelStop()
+	a.RevertStop()
 	if n := consolidator.Run(now.Add(tuning.ConsolidateInterval / 2)); n != 0 {
 		t.Error("again before the interval is over")
 	}
--- a/internal/drainer/requests.go
+++ b/internal/drainer/requests.go
@@ -147,7 +147,7 @@
 		d.ApplyCordon(m)
 		for _, a := range m.Attempts() {
 			if a.IsEvicting() && !a.IsStopping() {
-				a.CancelEviction()
+				a.RevertEviction()
 				d.ledger.RecordAvailable(a.Job.ID, a.Index)
 			}
 		}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -8,17 +8,17 @@
 	"time"
 
 	"github.com/rs/zerolog"
-	"switchshore.example/switchshore/internal/consolidation"
-	"switchshore.example/switchshore/internal/drainer"
-	"switchshore.example/switchshore/internal/preemption"
-	"switchshore.example/switchshore/internal/scaling"
-	"switchshore.example/switchshore/internal/startlog"
 
 	"switchshore.example/switchshore/internal/allocation"
 	"switchshore.example/switchshore/internal/config"
+	"switchshore.example/switchshore/internal/consolidation"
+	"switchshore.example/switchshore/internal/drainer"
 	"switchshore.example/switchshore/internal/jobs"
 	"switchshore.example/switchshore/internal/machines"
+	"switchshore.example/switchshore/internal/preemption"
 	"switchshore.example/switchshore/internal/records"
+	"switchshore.example/switchshore/internal/scaling"
+	"switchshore.example/switchshore/internal/startlog"
 )
 
 // Leader is the state of one term. It connects the parts that own what belongs together.
--- a/internal/machines/attempt_commands.go
+++ b/internal/machines/attempt_commands.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// CancelStop takes back a stop that has not been sent.
-func (a *Attempt) CancelStop() { a.stopping = false }
+// RevertStop takes back a stop that has not been sent.
+func (a *Attempt) RevertStop() { a.stopping = false }
 
 // IsStopping reports whether the attempt is to be stopped.
 func (a *Attempt) IsStopping() bool { return a.stopping }
@@ -54,8 +54,8 @@
 // PlanEviction notes that a drain is about to stop the attempt.
 func (a *Attempt) PlanEviction() { a.evicting = true }
 
-// CancelEviction takes back an eviction that was planned.
-func (a *Attempt) CancelEviction() { a.evicting = false }
+// RevertEviction takes back an eviction that was planned.
+func (a *Attempt) RevertEviction() { a.evicting = false }
 
 // Evict stops the attempt for a drain.
 func (a *Attempt) Evict() {
--- a/internal/machines/attempt_test.go
+++ b/internal/machines/attempt_test.go
@@ -96,7 +96,7 @@
 		"saving already":                  {checkpointIntervalS: 30, stop: (*machines.Attempt).StopSaving, reported: machines.Saving, graceS: 7},
 		"saving, no checkpoints":          {stop: (*machines.Attempt).StopSaving, reported: machines.Running, needed: true},
 		"evicted":                         {checkpointIntervalS: 30, stop: (*machines.Attempt).Evict, reported: machines.Running, graceS: 7, needed: true},
-		"taken back":                      {stop: func(a *machines.Attempt) { a.StopNow(); a.CancelStop() }, reported: machines.Running},
+		"taken back":                      {stop: func(a *machines.Attempt) { a.StopNow(); a.RevertStop() }, reported: machines.Running},
 		"now, while an earlier one saves": {checkpointIntervalS: 30, stop: (*machines.Attempt).StopNow, reported: machines.Saving, needed: true},
 	} {
 		a := machines.NewAttempt(newMachine(), newActiveJob(c.checkpointIntervalS), 0, start)
--- a/internal/machines/delivery_test.go
+++ b/internal/machines/delivery_test.go
@@ -68,7 +68,7 @@
 	if !a.IsEvicting() || a.IsStopping() {
 		t.Error("stopped before the charge is durable")
 	}
-	a.CancelEviction()
+	a.RevertEviction()
 	if a.IsEvicting() || !a.IsWanted() {
 		t.Error("not taken back")
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -62,7 +62,7 @@
 		tickSignal:  make(chan struct{}, 1),
 		writeSignal: make(chan struct{}, 1),
 	}
-	n.election = &election.Election{Store: n.store, Node: c.Name, Log: log, OnElected: n.serveTerm}
+	n.election = &election.Election{Store: n.store, Node: c.Name, Log: log, OnElected: n.leadTerm}
 	if settings := o.AdmissionSettings(&c.Params); settings != nil {
 		n.gate = newAdmissionGate(settings, c.Params.Teams, time.Now())
 		n.hub.OnPolicy = n.gate.applyPolicy
--- a/internal/node/term.go
+++ b/internal/node/term.go
@@ -23,8 +23,8 @@
 	leadership *election.Leadership
 }
 
-// serveTerm loads the stored records, then runs the leader's loops until the term ends.
-func (n *Node) serveTerm(ctx context.Context, leadership *election.Leadership) error {
+// leadTerm loads the stored records, then runs the leader's loops until the term ends.
+func (n *Node) leadTerm(ctx context.Context, leadership *election.Leadership) error {
 	n.store.SetLeading(true)
 	defer n.store.SetLeading(false)
 	state, err := n.load(ctx, leadership)
--- a/internal/preemption/pass.go
+++ b/internal/preemption/pass.go
@@ -92,7 +92,7 @@
 
 func (p *pass) undoStops(stopped []candidate) {
 	for _, c := range stopped {
-		c.CancelStop()
+		c.RevertStop()
 		p.expectEnd(c.Attempt, -1)
 		p.stops--
 	}
