--- a/internal/drainer/drainer_test.go
+++ b/internal/drainer/drainer_test.go
@@ -9,16 +9,16 @@
 	"time"
 
 	"github.com/rs/zerolog"
-	"switchshore.example/switchshore/internal/drainer"
-	"switchshore.example/switchshore/internal/scaling"
 
 	"switchshore.example/switchshore/internal/autoscale"
 	"switchshore.example/switchshore/internal/config"
 	"switchshore.example/switchshore/internal/drain"
+	"switchshore.example/switchshore/internal/drainer"
 	"switchshore.example/switchshore/internal/jobs"
 	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/placement"
 	"switchshore.example/switchshore/internal/records"
+	"switchshore.example/switchshore/internal/scaling"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -3,10 +3,9 @@
 import (
 	"time"
 
-	"switchshore.example/switchshore/internal/preemption"
-
 	"switchshore.example/switchshore/internal/jobs"
 	"switchshore.example/switchshore/internal/placement"
+	"switchshore.example/switchshore/internal/preemption"
 )
 
 // newPreemptor returns the term's preemptor.
--- a/internal/startlog/startlog_test.go
+++ b/internal/startlog/startlog_test.go
@@ -6,11 +6,11 @@
 	"time"
 
 	"github.com/rs/zerolog"
-	"switchshore.example/switchshore/internal/startlog"
 
 	"switchshore.example/switchshore/internal/jobs"
 	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/records"
+	"switchshore.example/switchshore/internal/startlog"
 	"switchshore.example/switchshore/wire"
 )
 
