--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"net"
-	"sync"
 	"time"
 
 	"switchshore.example/switchshore/internal/config"
@@ -41,24 +40,16 @@
 // in. A connection on which nothing comes back for PeerTimeout is closed, as a network
 // partition gives no error.
 func (l *link) serveConnection(ctx context.Context, conn net.Conn) {
-	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
-	stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // ends the reading
-	defer stop()
-	out := newLineWriter(conn)
-	var sending sync.WaitGroup
-	sending.Go(func() { out.run(ctx) })
-	l.calls.open(out)
-	sending.Go(func() {
-		defer cancel()
-		l.sendHeartbeats(ctx, out)
+	ctx, c := newConnection(ctx, conn)
+	l.calls.open(c.out)
+	c.sending.Go(func() {
+		defer c.cancel()
+		l.sendHeartbeats(ctx, c.out)
 	})
 	_ = readLines(conn, l.receive) // however it ends, the peer is dialled again
 	l.setConnected(false)
-	_ = conn.Close() // it may be closed already
 	l.calls.close()
-	cancel()
-	sending.Wait()
+	c.close()
 }
 
 // sendHeartbeats sends one at every interval, and at once when due, until the context ends.
--- a/internal/peer/listener.go
+++ b/internal/peer/listener.go
@@ -4,7 +4,6 @@
 	"context"
 	"net"
 	"net/http"
-	"sync"
 
 	"golang.org/x/sync/errgroup"
 
@@ -47,21 +46,13 @@
 
 // serveConnection answers the heartbeats and calls that come on one connection.
 func (h *Hub) serveConnection(ctx context.Context, conn net.Conn) {
-	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
-	stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // ends the reading
-	defer stop()
-	out := newLineWriter(conn)
-	var sending sync.WaitGroup
-	sending.Go(func() { out.run(ctx) })
+	ctx, c := newConnection(ctx, conn)
 	var calls errgroup.Group
 	calls.SetLimit(tuning.PeerMaxCalls)
 	// However the reading ends, the peer dials again.
-	_ = readLines(conn, func(m *message) { h.handleMessage(ctx, &calls, out, m) })
-	_ = conn.Close() // it may be closed already
-	cancel()
+	_ = readLines(conn, func(m *message) { h.handleMessage(ctx, &calls, c.out, m) })
+	c.close()
 	_ = calls.Wait() // none returns an error
-	sending.Wait()
 }
 
 // handleMessage answers one line. An answer that can't be written is lost with the
