--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -93,5 +93,5 @@
 
 // ordered is a key that sorts by term and number.
 func ordered(k Kind, term, number uint64) string {
-	return fmt.Sprintf("%s%08x-%08x", k.Prefix(), term, number)
+	return fmt.Sprintf("%s/%08x-%08x", k, term, number)
 }
--- a/internal/records/starts.go
+++ b/internal/records/starts.go
@@ -73,8 +73,8 @@
 }
 
 // NewStartsSize is the size of an empty record.
-func NewStartsSize() *StartsSize {
-	return &StartsSize{bytes: startsFrameBytes, machines: map[string]map[string]bool{}}
+func NewStartsSize() StartsSize {
+	return StartsSize{bytes: startsFrameBytes, machines: map[string]map[string]bool{}}
 }
 
 // Bytes is the most that the record takes.
--- a/internal/startlog/record.go
+++ b/internal/startlog/record.go
@@ -14,7 +14,7 @@
 	live     int  // attempts
 	saved    bool // durable or on its way
 	closed   bool // takes no further starts
-	size     *records.StartsSize
+	size     records.StartsSize
 	attempts []*machines.Attempt // until it is durable
 }
 
@@ -61,7 +61,7 @@
 			callback(a)
 		}
 	}
-	r.attempts, r.size = nil, nil
+	r.attempts, r.size = nil, records.StartsSize{}
 }
 
 // starts is the record's content; attempts that have ended meanwhile are left out.
