--- a/cmd/loadtest/drain.go
+++ b/cmd/loadtest/drain.go
@@ -15,6 +15,7 @@
 	"switchshore.example/switchshore/internal/ctxtime"
 	"switchshore.example/switchshore/internal/drain"
 	"switchshore.example/switchshore/internal/loadtest"
+	"switchshore.example/switchshore/internal/seconds"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -119,7 +120,7 @@
 		number = 0 // not an id of the load
 	}
 	factor := []float64{0.5, 1, 1, 4}[number%4]
-	return time.Duration(job.EstimateS * factor * float64(time.Second))
+	return seconds.Duration(job.EstimateS * factor)
 }
 
 // emptyZone drains the zone, or removes its machines at once, when it is time.
--- a/internal/autoscale/bins.go
+++ b/internal/autoscale/bins.go
@@ -61,8 +61,3 @@
 	}
 	return min(1, float64(parallelTasks(capacity, request))*request.CPUs/capacity.CPUs)
 }
-
-// capacity is the size of a machine of the type.
-func capacity(t wire.MachineType) placement.Resources {
-	return placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
-}
--- a/internal/autoscale/offers.go
+++ b/internal/autoscale/offers.go
@@ -3,6 +3,7 @@
 import (
 	"sort"
 
+	"switchshore.example/switchshore/internal/placement"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -43,7 +44,7 @@
 	var best *pricedOffer
 	for i := range p.offers {
 		o := &p.offers[i]
-		if !d.allows(o.Offer) || p.in.Unavailable(o.Offer) || !capacity(p.types[o.Type]).Fits(d.Request) {
+		if !d.allows(o.Offer) || p.in.Unavailable(o.Offer) || !placement.MachineCapacity(p.types[o.Type]).Fits(d.Request) {
 			continue
 		}
 		if best == nil || o.price == best.price && p.plan.ScaleOut[o.Offer] < p.plan.ScaleOut[best.Offer] {
--- a/internal/autoscale/plan.go
+++ b/internal/autoscale/plan.go
@@ -175,7 +175,7 @@
 
 // scaleOut provisions one machine, and returns for how many of the tasks it is.
 func (p *planner) scaleOut(o Offer, d *Demand, tasks int) int {
-	size := capacity(p.types[o.Type])
+	size := placement.MachineCapacity(p.types[o.Type])
 	b := bin{offer: o, capacity: size, free: size, schedulable: true}
 	added := max(1, b.add(d, tasks, d.StartWithinS))
 	p.bins = append(p.bins, b)
--- a/internal/config/drains.go
+++ b/internal/config/drains.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"switchshore.example/switchshore/internal/drain"
+	"switchshore.example/switchshore/internal/seconds"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
@@ -63,13 +64,13 @@
 // window parses the window of the budgets.
 func (e *drainsElement) window() (time.Duration, error) {
 	const field = "drains/windowSeconds"
-	seconds, err := parseAmount(field, e.Window)
+	amount, err := parseAmount(field, e.Window)
 	if err != nil {
 		return 0, err
 	}
 	window := tuning.DrainWindow
 	if e.Window != "" {
-		window = time.Duration(seconds * float64(time.Second))
+		window = seconds.Duration(amount)
 	}
 	if window < tuning.DrainWindowMin || window > tuning.DrainWindowMax {
 		reason := fmt.Sprintf("must be %g to %g", tuning.DrainWindowMin.Seconds(), tuning.DrainWindowMax.Seconds())
--- a/internal/drainer/drainer.go
+++ b/internal/drainer/drainer.go
@@ -18,6 +18,7 @@
 	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/records"
 	"switchshore.example/switchshore/internal/scaling"
+	"switchshore.example/switchshore/internal/seconds"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
@@ -94,7 +95,7 @@
 	d := &Drainer{log: log, config: c, cluster: cluster, drains: map[string]*storedDrain{}, unreadable: map[string]bool{}}
 	if c.Budgets != nil {
 		// What is charged may come into effect later than what is charged after it.
-		late := time.Duration(c.LeaseS * tuning.DrainDeliveryLeases * float64(time.Second))
+		late := seconds.Duration(c.LeaseS * tuning.DrainDeliveryLeases)
 		d.ledger = drain.NewLedger(c.Budgets.Window + late)
 	}
 	return d
--- a/internal/jobs/dependencies.go
+++ b/internal/jobs/dependencies.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"switchshore.example/switchshore/internal/records"
+	"switchshore.example/switchshore/internal/seconds"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -54,7 +55,7 @@
 func (j *Job) standalonePath() (int, CriticalPath) {
 	p := CriticalPath{}
 	if j.DeadlineS != nil {
-		p = CriticalPath{Last: j, Due: j.submittedAt.Add(seconds(*j.DeadlineS))}
+		p = CriticalPath{Last: j, Due: j.submittedAt.Add(seconds.Duration(*j.DeadlineS))}
 	}
 	return wire.PriorityRank(j.Priority), p
 }
--- a/internal/jobs/estimates.go
+++ b/internal/jobs/estimates.go
@@ -95,5 +95,3 @@
 	seconds = min(seconds, maxStartDelayIntervals*heartbeatIntervalS)
 	*d += StartDelay((seconds - float64(*d)) * tuning.StartDelayWeight)
 }
-
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -38,7 +38,7 @@
 func New(spec wire.Job, submittedAtMS int64, submittedAt time.Time) *Job {
 	j := &Job{
 		Job:           spec,
-		request:       placement.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB},
+		request:       placement.TaskRequest(&spec),
 		submittedAtMS: submittedAtMS,
 		submittedAt:   submittedAt,
 		waitingSince:  submittedAt,
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -8,6 +8,7 @@
 	"switchshore.example/switchshore/internal/jobs"
 	"switchshore.example/switchshore/internal/placement"
 	"switchshore.example/switchshore/internal/records"
+	"switchshore.example/switchshore/internal/seconds"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -69,7 +70,7 @@
 	if rate > 0 {
 		takes += placement.FetchTime(j.ImageGB, rate)
 	}
-	return seconds(takes) + tuning.StageDelay
+	return seconds.Duration(takes) + tuning.StageDelay
 }
 
 // processDependencyChanges takes some of the steps that final states ask for.
--- a/internal/leader/drains.go
+++ b/internal/leader/drains.go
@@ -29,7 +29,7 @@
 		TeamUsedCPUs:  l.ledger.UsedCPUs,
 		AcceptsWork:   l.acceptsWork,
 		RemainingS:    l.remaining,
-		MachinesKnown: func() bool { return l.CatalogueKnown() && l.lists.applied > 0 },
+		MachinesKnown: l.machinesKnown,
 		ListsComplete: func() bool { return l.lists.complete },
 		Blocked:       l.drainsBlocked,
 		ScheduleCall:  l.calls.schedule,
--- a/internal/leader/machine_list.go
+++ b/internal/leader/machine_list.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"switchshore.example/switchshore/internal/seconds"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -43,7 +44,7 @@
 
 // longestListLag is by how much a machine list may be older than the request for it.
 func (l *Leader) longestListLag() time.Duration {
-	return seconds(l.params.Cloud.ListLagS * (1 + tuning.ClockDrift) * 2)
+	return seconds.Duration(l.params.Cloud.ListLagS * (1 + tuning.ClockDrift) * 2)
 }
 
 // missingLongEnough counts the machines that a list lacks, and names those that provably no
@@ -78,7 +79,7 @@
 // next list may show that they no longer exist.
 func (l *Leader) HeartbeatsMissing(now time.Time) bool {
 	for _, m := range l.machines.All() {
-		if m.IsReconciled() && len(m.Attempts()) > 0 && m.SinceHeartbeat(now) > seconds(l.params.Workers.HeartbeatIntervalS*tuning.LateHeartbeatIntervals) {
+		if m.IsReconciled() && len(m.Attempts()) > 0 && m.SinceHeartbeat(now) > seconds.Duration(l.params.Workers.HeartbeatIntervalS*tuning.LateHeartbeatIntervals) {
 			return true
 		}
 	}
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"switchshore.example/switchshore/internal/machines"
+	"switchshore.example/switchshore/internal/placement"
 	"switchshore.example/switchshore/internal/records"
 	"switchshore.example/switchshore/wire"
 )
@@ -17,10 +18,13 @@
 	return m
 }
 
+// machinesKnown reports whether the machine types are known and a machine list has been applied.
+func (l *Leader) machinesKnown() bool { return l.CatalogueKnown() && l.lists.applied > 0 }
+
 // setCapacity sets the machine's capacity once its type is known.
 func (l *Leader) setCapacity(m *machines.Machine) {
 	if l.catalogue.Has(m.Type) {
-		m.SetCapacity(machines.Resources(l.catalogue.Type(m.Type)))
+		m.SetCapacity(placement.MachineCapacity(l.catalogue.Type(m.Type)))
 	}
 	m.MarkSnapshotOutdated()
 }
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -7,6 +7,7 @@
 	"switchshore.example/switchshore/internal/autoscale"
 	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/scaling"
+	"switchshore.example/switchshore/internal/seconds"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -20,7 +21,7 @@
 		ScaleInIdleTime: tuning.ScaleInIdleTime,
 	}
 	if l.operator.ScaleInIdleS > 0 {
-		c.ScaleInIdleTime = seconds(l.operator.ScaleInIdleS)
+		c.ScaleInIdleTime = seconds.Duration(l.operator.ScaleInIdleS)
 	}
 	return scaling.New(c, scaling.Cluster{
 		Machines:         l.machines,
@@ -37,7 +38,7 @@
 // PlanScaling decides about scaling out and in, at most once per planning period, and returns
 // the calls to the cloud to be made.
 func (l *Leader) PlanScaling(now time.Time) []scaling.CloudCall {
-	if !l.catalogue.Known() || l.lists.applied == 0 || !l.scaler.Due(now) {
+	if !l.machinesKnown() || !l.scaler.Due(now) {
 		return nil
 	}
 	l.reachability.Update(now, l.machines.All(), &l.timing)
@@ -70,7 +71,7 @@
 
 // demand is the work that waits for capacity, within the teams' limits.
 func (l *Leader) demand(now time.Time) []autoscale.Demand {
-	if l.term > 1 && now.Sub(l.timing.TermStart) < seconds(l.params.Cloud.ListLagS) {
+	if l.term > 1 && now.Sub(l.timing.TermStart) < seconds.Duration(l.params.Cloud.ListLagS) {
 		// Machines that a predecessor provisioned last are not listed yet.
 		return nil
 	}
--- a/internal/leader/submission.go
+++ b/internal/leader/submission.go
@@ -8,7 +8,6 @@
 	"switchshore.example/switchshore/internal/allocation"
 	"switchshore.example/switchshore/internal/config"
 	"switchshore.example/switchshore/internal/jobs"
-	"switchshore.example/switchshore/internal/machines"
 	"switchshore.example/switchshore/internal/placement"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
@@ -94,11 +93,11 @@
 	if reason := l.ledger.AboveLimit(spec); reason != "" {
 		return reason
 	}
-	request := placement.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}
+	request := placement.TaskRequest(spec)
 	probe := placement.PendingJob{MachineTypes: spec.MachineTypes, Zone: spec.Zone, Spot: true, Request: request, TotalTasks: spec.Tasks}
 	for mt := range l.catalogue.All() {
 		for _, zone := range mt.Zones {
-			if probe.Allowed(&placement.Machine{Type: mt.Name, Zone: zone, Capacity: machines.Resources(mt)}) {
+			if probe.Allowed(&placement.Machine{Type: mt.Name, Zone: zone, Capacity: placement.MachineCapacity(mt)}) {
 				return ""
 			}
 		}
--- a/internal/leader/timing.go
+++ b/internal/leader/timing.go
@@ -5,6 +5,7 @@
 
 	"switchshore.example/switchshore/internal/config"
 	"switchshore.example/switchshore/internal/machines"
+	"switchshore.example/switchshore/internal/seconds"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
@@ -12,7 +13,7 @@
 // heartbeats: as long as possible, but such that an agent's lease added to it is still within
 // the time for cancellations.
 func GracePeriod(w config.Workers) time.Duration {
-	return max(0, min(seconds(w.LeaseS), seconds(w.CancelDeadlineS-w.LeaseS)-tuning.GracePeriodReserve))
+	return max(0, min(seconds.Duration(w.LeaseS), seconds.Duration(w.CancelDeadlineS-w.LeaseS)-tuning.GracePeriodReserve))
 }
 
 // lateStartBound is how long after the end of a job a machine may still be
@@ -20,18 +21,15 @@
 // within the time for cancellations, with the same reserve, and with its session
 // the start is void, even if the machine can't be released.
 func lateStartBound(w config.Workers) time.Duration {
-	return max(0, min(seconds(w.CancelDeadlineS)/tuning.FencingDivisor, seconds(w.CancelDeadlineS-w.LeaseS)-tuning.GracePeriodReserve))
+	return max(0, min(seconds.Duration(w.CancelDeadlineS)/tuning.FencingDivisor, seconds.Duration(w.CancelDeadlineS-w.LeaseS)-tuning.GracePeriodReserve))
 }
 
-// seconds converts a number of seconds.
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-
 // newTiming returns the times by which machines are judged in a term that begins now.
 func newTiming(w config.Workers, now time.Time, grace time.Duration) machines.Timing {
-	expiry := seconds(w.LeaseS*(1+tuning.ClockDrift)) + tuning.LeaseExpiryMargin
+	expiry := seconds.Duration(w.LeaseS*(1+tuning.ClockDrift)) + tuning.LeaseExpiryMargin
 	return machines.Timing{
-		HeartbeatTimeout: seconds(w.HeartbeatIntervalS * tuning.HeartbeatTimeoutIntervals),
-		Lease:            seconds(w.LeaseS),
+		HeartbeatTimeout: seconds.Duration(w.HeartbeatIntervalS * tuning.HeartbeatTimeoutIntervals),
+		Lease:            seconds.Duration(w.LeaseS),
 		LeaseExpiry:      expiry,
 		TermStart:        now,
 		// A predecessor's last answer comes at the latest a grace after its
--- a/internal/loadtest/agents.go
+++ b/internal/loadtest/agents.go
@@ -8,6 +8,7 @@
 	"github.com/valyala/fasthttp"
 
 	"switchshore.example/switchshore/internal/ctxtime"
+	"switchshore.example/switchshore/internal/seconds"
 	"switchshore.example/switchshore/internal/simulation"
 	"switchshore.example/switchshore/wire"
 )
@@ -46,7 +47,7 @@
 	agent.SavedProgress = c.savedProgress
 	agent.RunTime = c.options.RunTime
 	if agent.RunTime == nil {
-		agent.RunTime = func(j *wire.Job) time.Duration { return time.Duration(j.EstimateS * float64(time.Second)) }
+		agent.RunTime = func(j *wire.Job) time.Duration { return seconds.Duration(j.EstimateS) }
 	}
 	return agent
 }
--- a/internal/loadtest/load.go
+++ b/internal/loadtest/load.go
@@ -11,6 +11,7 @@
 	"golang.org/x/sync/semaphore"
 
 	"switchshore.example/switchshore/internal/ctxtime"
+	"switchshore.example/switchshore/internal/seconds"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -155,7 +156,7 @@
 func (g *loadGenerator) drawInterval(perSecond float64) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return time.Duration(g.rng.ExpFloat64() / perSecond * float64(time.Second))
+	return seconds.Duration(g.rng.ExpFloat64() / perSecond)
 }
 
 // anyNode draws a controller.
--- a/internal/loadtest/tasks.go
+++ b/internal/loadtest/tasks.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"switchshore.example/switchshore/internal/seconds"
 	"switchshore.example/switchshore/internal/simulation"
 	"switchshore.example/switchshore/wire"
 )
@@ -114,7 +115,7 @@
 	if event != TaskStopped && event != TaskLost {
 		return 0
 	}
-	if interval := time.Duration(job.CheckpointIntervalS * float64(time.Second)); interval > 0 {
+	if interval := seconds.Duration(job.CheckpointIntervalS); interval > 0 {
 		return ran % interval
 	}
 	return ran
--- a/internal/machines/catalogue.go
+++ b/internal/machines/catalogue.go
@@ -83,14 +83,9 @@
 	for _, t := range c.offers {
 		for _, zone := range t.Zones {
 			if keep(t.Name, zone) {
-				places = append(places, &placement.Machine{Type: t.Name, Zone: zone, Capacity: Resources(t)})
+				places = append(places, &placement.Machine{Type: t.Name, Zone: zone, Capacity: placement.MachineCapacity(t)})
 			}
 		}
 	}
 	return places
 }
-
-// Resources are the amounts of a machine of the type.
-func Resources(t wire.MachineType) placement.Resources {
-	return placement.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
-}
--- a/internal/machines/heartbeat.go
+++ b/internal/machines/heartbeat.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"switchshore.example/switchshore/internal/seconds"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -67,7 +68,7 @@
 	joined = !m.joined
 	m.joined = true
 	if m.reclaimAt.IsZero() && r.ReclaimNoticeS != nil {
-		m.reclaimAt = now.Add(seconds(*r.ReclaimNoticeS))
+		m.reclaimAt = now.Add(seconds.Duration(*r.ReclaimNoticeS))
 		reclaimed = true
 	}
 	return joined, reclaimed
@@ -92,5 +93,3 @@
 	}
 	m.epoch, m.sequence = epoch, sequence
 }
-
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/machines/lifecycle.go
+++ b/internal/machines/lifecycle.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"switchshore.example/switchshore/internal/seconds"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -69,7 +70,7 @@
 func (m *Machine) ApplyListed(asked, now time.Time, row *wire.ListedMachine) {
 	// What a predecessor provisioned is older than this term: a successor that
 	// took it for new kept idle machines through their minimum billing time again.
-	if at := asked.Add(-seconds(row.AgeS)); at.Before(m.provisionedAt) {
+	if at := asked.Add(-seconds.Duration(row.AgeS)); at.Before(m.provisionedAt) {
 		m.provisionedAt = at
 	}
 	if m.Addr == "" {
--- a/internal/node/machines.go
+++ b/internal/node/machines.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"switchshore.example/switchshore/internal/ctxtime"
+	"switchshore.example/switchshore/internal/seconds"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
@@ -58,6 +59,6 @@
 
 // listInterval is a multiple of the time by which the list may be out of date.
 func (t *term) listInterval(factor float64) time.Duration {
-	lag := time.Duration(t.node.config.Params.Cloud.ListLagS * factor * float64(time.Second))
+	lag := seconds.Duration(t.node.config.Params.Cloud.ListLagS * factor)
 	return max(tuning.ListIntervalMin, lag)
 }
--- a/internal/placement/resources.go
+++ b/internal/placement/resources.go
@@ -1,10 +1,22 @@
 package placement
 
+import "switchshore.example/switchshore/wire"
+
 // Resources are amounts of what tasks request and machines have.
 type Resources struct {
 	CPUs, GPUs, MemoryGB float64
 }
 
+// MachineCapacity is what a machine of the type has.
+func MachineCapacity(t wire.MachineType) Resources {
+	return Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB}
+}
+
+// TaskRequest is what one task of the job requests.
+func TaskRequest(spec *wire.Job) Resources {
+	return Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}
+}
+
 // epsilon absorbs rounding of sums of decimal amounts.
 const epsilon = 1e-6
 
--- a/internal/scaling/plan_input.go
+++ b/internal/scaling/plan_input.go
@@ -7,6 +7,7 @@
 
 	"switchshore.example/switchshore/internal/autoscale"
 	"switchshore.example/switchshore/internal/machines"
+	"switchshore.example/switchshore/internal/placement"
 	"switchshore.example/switchshore/internal/tuning"
 )
 
@@ -78,7 +79,7 @@
 	for _, name := range slices.Sorted(maps.Keys(s.pending)) {
 		p := s.pending[name]
 		t := s.cluster.Catalogue.Type(p.Offer.Type)
-		total := machines.Resources(t)
+		total := placement.MachineCapacity(t)
 		for range p.Count {
 			list = append(list, autoscale.Machine{
 				Offer: p.Offer, Capacity: total, Free: total, Schedulable: true, BootRemainingS: t.BootTimeS,
--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -7,6 +7,7 @@
 	"strconv"
 	"time"
 
+	"switchshore.example/switchshore/internal/seconds"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -216,7 +217,7 @@
 	}
 	switch {
 	case running && saves:
-		t.State, t.StateEndsAt = wire.TaskSaving, now.Add(seconds(job.CheckpointSaveS))
+		t.State, t.StateEndsAt = wire.TaskSaving, now.Add(seconds.Duration(job.CheckpointSaveS))
 	case t.State != wire.TaskSaving || grace == 0:
 		t.exit(wire.ExitStopped)
 	}
@@ -236,7 +237,7 @@
 	}
 	t.State, t.StateEndsAt = wire.TaskFetching, now
 	if !a.CachedImages[job.Image] {
-		t.StateEndsAt = now.Add(seconds(job.ImageGB / a.Type.FetchGBPerS))
+		t.StateEndsAt = now.Add(seconds.Duration(job.ImageGB / a.Type.FetchGBPerS))
 	}
 	return t
 }
--- a/internal/simulation/agent_heartbeats.go
+++ b/internal/simulation/agent_heartbeats.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"switchshore.example/switchshore/internal/leader"
+	"switchshore.example/switchshore/internal/seconds"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -35,7 +36,7 @@
 	a.StateChanged = false
 	a.lastHeartbeatAt = sim.now
 	a.inFlight = true
-	a.nextHeartbeatAt = sim.now.Add(seconds(sim.Params.Workers.HeartbeatIntervalS * (0.75 + 0.5*sim.rng.Float64())))
+	a.nextHeartbeatAt = sim.now.Add(seconds.Duration(sim.Params.Workers.HeartbeatIntervalS * (0.75 + 0.5*sim.rng.Float64())))
 	h.send(sim.nodes[a.targetNode])
 }
 
--- a/internal/simulation/agent_process.go
+++ b/internal/simulation/agent_process.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"switchshore.example/switchshore/internal/seconds"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -57,10 +58,10 @@
 
 // startAgent starts the agent of a machine that has booted.
 func (sim *Simulation) startAgent(machine *cloudMachine) {
-	lease := seconds(sim.Params.Workers.LeaseS)
+	lease := seconds.Duration(sim.Params.Workers.LeaseS)
 	a := &agentProcess{Agent: NewAgent(sim.now, machine.ListedMachine, sim.Cloud.Type, lease), sim: sim}
 	a.LookUpJob = func(id string) *wire.Job { return sim.clients.jobs[id] }
-	a.RunTime = func(job *wire.Job) time.Duration { return seconds(job.EstimateS * (0.5 + sim.rng.Float64())) }
+	a.RunTime = func(job *wire.Job) time.Duration { return seconds.Duration(job.EstimateS * (0.5 + sim.rng.Float64())) }
 	a.OnStop = func(task *Task, saves bool) { sim.taskStopped(a, task, saves) }
 	a.FailsJob = func(id string) bool { return sim.clients.failing[id] }
 	a.Faulty = sim.faultsAllowed() && sim.chance(0.05)
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -7,6 +7,7 @@
 	"slices"
 	"time"
 
+	"switchshore.example/switchshore/internal/seconds"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -77,7 +78,7 @@
 
 // drawBootTime draws how long a machine provisioned now takes to boot; one in twenty never does.
 func (c *Cloud) drawBootTime(now time.Time, rng *rand.Rand) time.Duration {
-	boot := seconds(c.Type.BootTimeS * (0.6 + 0.9*rng.Float64()))
+	boot := seconds.Duration(c.Type.BootTimeS * (0.6 + 0.9*rng.Float64()))
 	if rng.IntN(20) == 0 {
 		boot = neverBoots
 	}
--- a/internal/simulation/cloud_calls.go
+++ b/internal/simulation/cloud_calls.go
@@ -5,6 +5,7 @@
 
 	"switchshore.example/switchshore/internal/leader"
 	"switchshore.example/switchshore/internal/scaling"
+	"switchshore.example/switchshore/internal/seconds"
 	"switchshore.example/switchshore/internal/tuning"
 	"switchshore.example/switchshore/wire"
 )
@@ -81,7 +82,7 @@
 	sim := n.sim
 	sim.trace(boundaryCloudCall, n, "list")
 	sent := n.clock()
-	lag := seconds(sim.Params.Cloud.ListLagS * (0.5 + sim.rng.Float64()))
+	lag := seconds.Duration(sim.Params.Cloud.ListLagS * (0.5 + sim.rng.Float64()))
 	machines := sim.Cloud.List(sim.now, lag)
 	if !sim.network.zonesPartitioned(n.zone, outside) {
 		n.after(sim.between(20, 200), func() {
--- a/internal/simulation/fault_injection.go
+++ b/internal/simulation/fault_injection.go
@@ -1,6 +1,10 @@
 package simulation
 
-import "time"
+import (
+	"time"
+
+	"switchshore.example/switchshore/internal/seconds"
+)
 
 // maxFaultOverrun is how long the last faults may outlast the end of fault injection.
 const maxFaultOverrun = 90 * time.Second
@@ -176,7 +180,7 @@
 		sim.redirectAgentsTo(n)
 	})
 	sim.after(sim.between(1900, 3000), func() { sim.CancelRunning(10, 0) })
-	sim.after(sim.between(3000, 5000), func() { sim.storeOutage(seconds(sim.Params.Workers.CancelDeadlineS + 12)) })
+	sim.after(sim.between(3000, 5000), func() { sim.storeOutage(seconds.Duration(sim.Params.Workers.CancelDeadlineS + 12)) })
 }
 
 // injectMessageFault lets a fault of messages, or requests at the wrong moment, begin.
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"switchshore.example/switchshore/internal/config"
+	"switchshore.example/switchshore/internal/seconds"
 	"switchshore.example/switchshore/wire"
 )
 
@@ -46,7 +47,7 @@
 	loop := newEventLoop(seed)
 	sim := &Simulation{
 		Params:     params,
-		Invariants: NewInvariantChecker(params.Teams, seconds(params.Workers.CancelDeadlineS)),
+		Invariants: NewInvariantChecker(params.Teams, seconds.Duration(params.Workers.CancelDeadlineS)),
 		Store:      NewKeyValueStore(),
 		Cloud:      NewCloud(machineType, cloudCapacity),
 		Observed:   map[Observation]int{},
@@ -113,6 +114,3 @@
 		sim.failure = err
 	}
 }
-
-// seconds converts a setting into a duration.
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
