--- a/internal/drainer/evict.go
+++ b/internal/drainer/evict.go
@@ -19,7 +19,7 @@
 	charge := drain.NewCharge(s.record.Spec.Name, s.wall)
 	evictor := drain.Evictor{
 		Ledger: s.d.ledger, Budgets: s.d.config.Budgets, Force: s.record.Forced(s.wall), Now: s.now,
-		MaxChargeBytes: int(float64(s.d.config.ValueLimit) * tuning.StartRecordValueShare),
+		MaxChargeBytes: int(float64(s.d.config.ValueLimit) * tuning.RecordValueShare),
 	}
 	reason := evictor.Choose(charge, candidates)
 	s.stopCharged(charge, attempts)
--- a/internal/leader/leases.go
+++ b/internal/leader/leases.go
@@ -10,7 +10,7 @@
 // expireLeases releases the attempts on machines whose lease has expired.
 func (l *Leader) expireLeases(now time.Time) {
 	for _, m := range l.machines.All() {
-		if (len(m.Attempts()) > 0 || !m.IsReconciled()) && m.LeaseExpired(now, &l.timing) && m.MayHaveAttempts() {
+		if (len(m.Attempts()) > 0 || !m.IsReconciled()) && m.LeaseExpired(now, &l.timing) && m.HasJoined() {
 			if len(m.Attempts()) > 0 && !m.ReleaseRequired() {
 				l.log.Info().Str("machine", m.ID).Int("tasks", len(m.Attempts())).Msg("lease expired")
 			}
--- a/internal/machines/lifecycle.go
+++ b/internal/machines/lifecycle.go
@@ -51,9 +51,6 @@
 // leader.
 func (l *lifecycle) MarkRecorded() { l.recorded, l.joined = true, true }
 
-// MayHaveAttempts reports whether the machine has ever been up.
-func (l *lifecycle) MayHaveAttempts() bool { return l.joined || l.recorded }
-
 // IsReleasing reports whether the release of the machine has begun.
 func (l *lifecycle) IsReleasing() bool { return l.releasing }
 
--- a/internal/tuning/kvstore.go
+++ b/internal/tuning/kvstore.go
@@ -39,9 +39,9 @@
 	// MaxTransactionBytes bounds the values of a transaction (protocol: 64 KiB
 	// altogether).
 	MaxTransactionBytes = 48 << 10
-	// StartRecordValueShare is the share of the value limit that a start record
-	// fills, as its size is estimated before it is encoded.
-	StartRecordValueShare = 0.9
+	// RecordValueShare is the share of the value limit that a record of starts or
+	// evictions fills, as its size is estimated before it is encoded.
+	RecordValueShare = 0.9
 	// CompletionChunkTasks is the largest number of tasks whose completion shares
 	// one key. CompletionBytesPerTask is the most that a task adds to its value:
 	// ranges of two take twelve bytes for every three tasks ("10000-10001,").
