--- a/internal/consolidation/consolidation_test.go
+++ b/internal/consolidation/consolidation_test.go
@@ -79,7 +79,7 @@
 // take it from waiting work stay where they are.
 func TestNothingIsMovedWithoutNeed(t *testing.T) {
 	waiting := jobs.New(wire.Job{ID: "job-9", Tasks: 2, CPUs: 6}, 0, start)
-	waiting.FillReady()
+	waiting.RebuildReadyTasks()
 	for name, test := range map[string]struct {
 		all     []*machines.Machine
 		waiting []*jobs.Job
--- a/internal/jobs/completions.go
+++ b/internal/jobs/completions.go
@@ -19,8 +19,8 @@
 // Remove forgets a job whose completions need not be written any more.
 func (u UnsavedCompletions) Remove(j *Job) { delete(u, j) }
 
-// TakeDue takes the jobs whose completions have waited long enough, in the order of their IDs.
-func (u UnsavedCompletions) TakeDue(now time.Time) []*Job {
+// PopDue takes the jobs whose completions have waited long enough, in the order of their IDs.
+func (u UnsavedCompletions) PopDue(now time.Time) []*Job {
 	var due []*Job
 	for j, since := range u {
 		if now.Sub(since) >= tuning.CompletionFlushDelay {
--- a/internal/jobs/dependencies.go
+++ b/internal/jobs/dependencies.go
@@ -20,7 +20,7 @@
 type CriticalPath struct {
 	Last *Job // whose deadline it is; nil if there is none
 	Due  time.Time
-	Left time.Duration // what lies between
+	DownstreamTime time.Duration // what lies between
 }
 
 // dependencyState is what follows for a job from those it depends on, and those that depend
@@ -79,8 +79,8 @@
 	return &DependencyGraph{registry: registry, stageTime: stageTime, dependents: map[string][]*Job{}}
 }
 
-// OpenSteps is the number of steps still to be taken after the ends of jobs.
-func (g *DependencyGraph) OpenSteps() int {
+// QueuedSteps is the number of steps still to be taken after the ends of jobs.
+func (g *DependencyGraph) QueuedSteps() int {
 	return len(g.unblocked) + len(g.toCancel) + len(g.pathOutdated)
 }
 
@@ -109,14 +109,14 @@
 	}
 }
 
-// CancelLater queues a job that depends on one that was cancelled.
-func (g *DependencyGraph) CancelLater(j *Job) { g.toCancel = append(g.toCancel, j) }
+// QueueCancellation queues a job that depends on one that was cancelled.
+func (g *DependencyGraph) QueueCancellation(j *Job) { g.toCancel = append(g.toCancel, j) }
 
-// NextToCancel takes a job that depends on one that was cancelled, or returns nil.
-func (g *DependencyGraph) NextToCancel() *Job { return takeFirst(&g.toCancel) }
+// NextCancellation takes a job that depends on one that was cancelled, or returns nil.
+func (g *DependencyGraph) NextCancellation() *Job { return takeFirst(&g.toCancel) }
 
-// HasToCancel reports whether jobs are to be cancelled.
-func (g *DependencyGraph) HasToCancel() bool { return len(g.toCancel) > 0 }
+// HasCancellations reports whether jobs are to be cancelled.
+func (g *DependencyGraph) HasCancellations() bool { return len(g.toCancel) > 0 }
 
 // NextUnblocked takes a job of whose dependencies one is done, or returns nil. The job may
 // still wait for others.
@@ -128,8 +128,8 @@
 	return j
 }
 
-// NextPathOutdated takes a job whose path is to be derived again, or returns nil.
-func (g *DependencyGraph) NextPathOutdated() *Job {
+// NextOutdatedPath takes a job whose path is to be derived again, or returns nil.
+func (g *DependencyGraph) NextOutdatedPath() *Job {
 	j := takeFirst(&g.pathOutdated)
 	if j != nil {
 		j.pathScheduled = false
@@ -147,9 +147,9 @@
 	return j
 }
 
-// SchedulePathsOfDependencies notes that what is expected of the jobs that j depends on may
+// QueuePathUpdates notes that what is expected of the jobs that j depends on may
 // have changed.
-func (g *DependencyGraph) SchedulePathsOfDependencies(j *Job) {
+func (g *DependencyGraph) QueuePathUpdates(j *Job) {
 	for _, id := range j.DependsOn {
 		d := g.registry.Get(id)
 		if d != nil && !d.pathScheduled && !d.endDurable {
@@ -176,7 +176,7 @@
 		}
 		takes := g.stageTime(d)
 		if due := d.path.Due.Add(-takes); p.Last == nil || due.Before(p.Due) {
-			p = CriticalPath{Last: d.path.Last, Due: due, Left: d.path.Left + takes}
+			p = CriticalPath{Last: d.path.Last, Due: due, DownstreamTime: d.path.DownstreamTime + takes}
 		}
 	}
 	changed := rank != j.priorityRank || p != j.path
--- a/internal/jobs/dependencies_test.go
+++ b/internal/jobs/dependencies_test.go
@@ -31,14 +31,14 @@
 		f := records.FinalState{Outcome: records.OutcomeDone, TasksDone: 1}
 		registry.SetFinalState(id, f)
 		g.JobEnded(id, f)
-		if g.OpenSteps() != 1 || g.NextUnblocked() != c {
+		if g.QueuedSteps() != 1 || g.NextUnblocked() != c {
 			t.Fatalf("%s: not notified", id)
 		}
 		if blocked := i == 0; c.IsBlocked() != blocked {
 			t.Errorf("after %s: blocked: %v", id, c.IsBlocked())
 		}
 	}
-	if g.OpenSteps() != 0 || g.NextUnblocked() != nil || g.NextToCancel() != nil || g.NextPathOutdated() != nil {
+	if g.QueuedSteps() != 0 || g.NextUnblocked() != nil || g.NextCancellation() != nil || g.NextOutdatedPath() != nil {
 		t.Error("steps are left")
 	}
 }
@@ -50,7 +50,7 @@
 	f := a.End(start, jobs.Cancelled)
 	registry.SetFinalState("a", f)
 	g.JobEnded("a", f)
-	if !g.HasToCancel() || g.NextToCancel() != b || g.HasToCancel() {
+	if !g.HasCancellations() || g.NextCancellation() != b || g.HasCancellations() {
 		t.Error("the dependent is not cancelled once")
 	}
 	late := newActiveJob("late", 1, "a")
@@ -81,18 +81,18 @@
 	if missing, cyclic := g.LinkAll(list); len(missing)+len(cyclic) > 0 {
 		t.Fatalf("missing %v, cyclic %v", missing, cyclic)
 	}
-	want := jobs.CriticalPath{Last: last, Due: start.Add(30*time.Minute - 2*stage), Left: 2 * stage}
+	want := jobs.CriticalPath{Last: last, Due: start.Add(30*time.Minute - 2*stage), DownstreamTime: 2 * stage}
 	if got := first.CriticalPath(); got != want || first.PriorityRank() != wire.PriorityRank(wire.PriorityHigh) {
 		t.Errorf("path %+v, rank %d", got, first.PriorityRank())
 	}
 	last.End(start, jobs.Cancelled)
-	g.SchedulePathsOfDependencies(last)
-	for j := g.NextPathOutdated(); j != nil; j = g.NextPathOutdated() {
+	g.QueuePathUpdates(last)
+	for j := g.NextOutdatedPath(); j != nil; j = g.NextOutdatedPath() {
 		if g.UpdateCriticalPath(j) {
-			g.SchedulePathsOfDependencies(j)
+			g.QueuePathUpdates(j)
 		}
 	}
-	want = jobs.CriticalPath{Last: patient, Due: start.Add(time.Hour - stage), Left: stage}
+	want = jobs.CriticalPath{Last: patient, Due: start.Add(time.Hour - stage), DownstreamTime: stage}
 	if got := first.CriticalPath(); got != want || first.PriorityRank() != wire.PriorityRank(wire.PriorityIdle) {
 		t.Errorf("without the cancelled job: path %+v, rank %d", got, first.PriorityRank())
 	}
--- a/internal/jobs/estimates.go
+++ b/internal/jobs/estimates.go
@@ -7,11 +7,11 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// RunTimes is the ratio of run times to their estimates, by class.
-type RunTimes map[string]float64
+// RunTimeRatios is the ratio of run times to their estimates, by class.
+type RunTimeRatios map[string]float64
 
 // Observe learns from a task that has run for so many seconds.
-func (r RunTimes) Observe(j *Job, ran float64) {
+func (r RunTimeRatios) Observe(j *Job, ran float64) {
 	ratio := ran / max(j.EstimateS, tuning.MinimumEstimateS)
 	old, ok := r[j.Class]
 	if !ok {
@@ -21,7 +21,7 @@
 }
 
 // Estimate is a task's run time in seconds.
-func (r RunTimes) Estimate(j *Job) float64 {
+func (r RunTimeRatios) Estimate(j *Job) float64 {
 	estimate := max(j.EstimateS, tuning.MinimumEstimateS)
 	if ratio, ok := r[j.Class]; ok {
 		estimate *= ratio
@@ -31,7 +31,7 @@
 
 // EstimateReady is the run time in seconds of a job's ready tasks, of the one with the least
 // progress, or of a whole task if none is ready.
-func (r RunTimes) EstimateReady(j *Job) float64 {
+func (r RunTimeRatios) EstimateReady(j *Job) float64 {
 	whole := r.Estimate(j)
 	if len(j.progress) == 0 || len(j.ready) == 0 || len(j.ready) > len(j.progress) {
 		return whole
@@ -46,7 +46,7 @@
 // DeadlineSlack is the time in seconds that may pass before a job can no longer be in time, by
 // the deadline on its critical path and the objectives: of those it can still meet the
 // nearest. It is false if there is none.
-func (r RunTimes) DeadlineSlack(now time.Time, j *Job, objectives []config.Objective) (float64, bool) {
+func (r RunTimeRatios) DeadlineSlack(now time.Time, j *Job, objectives []config.Objective) (float64, bool) {
 	rest := r.EstimateReady(j)
 	best, found := 0.0, false
 	due := func(since time.Time, after float64) {
@@ -54,7 +54,7 @@
 			best, found = s, true
 		}
 	}
-	last, left := j.path.Last, j.path.Left.Seconds()
+	last, left := j.path.Last, j.path.DownstreamTime.Seconds()
 	if last != nil {
 		due(last.submittedAt, *last.DeadlineS-left)
 	}
@@ -73,7 +73,7 @@
 // time that the given CPUs would take for the rest of the job, as under a backlog
 // more jobs meet their deadlines when small ones start first. Jobs without a deadline or an
 // objective follow, in the order of their waits.
-func (r RunTimes) Urgency(now time.Time, j *Job, objectives []config.Objective, cpus float64) float64 {
+func (r RunTimeRatios) Urgency(now time.Time, j *Job, objectives []config.Objective, cpus float64) float64 {
 	work := float64(j.RemainingTasks()) * j.CPUs * r.Estimate(j) / max(cpus, 1)
 	if slack, ok := r.DeadlineSlack(now, j, objectives); ok {
 		return slack + tuning.SizeWeight*work
--- a/internal/jobs/estimates_test.go
+++ b/internal/jobs/estimates_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestEstimatesFollowObservedRunTimes(t *testing.T) {
-	j, runTimes := newActiveJob("job-1", 1), jobs.RunTimes{}
+	j, runTimes := newActiveJob("job-1", 1), jobs.RunTimeRatios{}
 	if got := runTimes.Estimate(j); got != j.EstimateS {
 		t.Errorf("before any run: %v", got)
 	}
@@ -22,9 +22,9 @@
 }
 
 func TestEstimateOfReadyTasksCountsProgress(t *testing.T) {
-	j, runTimes := newActiveJob("job-1", 2), jobs.RunTimes{}
-	j.FillReady()
-	j.PlaceNext(start)
+	j, runTimes := newActiveJob("job-1", 2), jobs.RunTimeRatios{}
+	j.RebuildReadyTasks()
+	j.PopReadyTask(start)
 	j.RecordProgress(1, 20, true)
 	if got := runTimes.EstimateReady(j); got != j.EstimateS-20 {
 		t.Errorf("%v", got)
@@ -53,7 +53,7 @@
 			spec.DeadlineS = &c.deadlineS
 		}
 		j := jobs.New(spec, start.UnixMilli(), start)
-		got, found := jobs.RunTimes{}.DeadlineSlack(start.Add(c.after), j, c.objectives)
+		got, found := jobs.RunTimeRatios{}.DeadlineSlack(start.Add(c.after), j, c.objectives)
 		if got != c.want || found != c.found {
 			t.Errorf("%s: %v, %v", name, got, found)
 		}
--- a/internal/jobs/registry_test.go
+++ b/internal/jobs/registry_test.go
@@ -64,13 +64,13 @@
 	later := start.Add(tuning.CompletionFlushDelay)
 	u.Add(later, b) // has waited since its first completion
 	u.Remove(c)
-	if got := u.TakeDue(later.Add(-1)); got != nil {
+	if got := u.PopDue(later.Add(-1)); got != nil {
 		t.Errorf("too early: %v", ids(got))
 	}
-	if got := ids(u.TakeDue(later)); !slices.Equal(got, []string{"a", "b"}) {
+	if got := ids(u.PopDue(later)); !slices.Equal(got, []string{"a", "b"}) {
 		t.Errorf("%v", got)
 	}
-	if got := u.TakeDue(later); got != nil {
+	if got := u.PopDue(later); got != nil {
 		t.Errorf("twice: %v", ids(got))
 	}
 }
--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -125,8 +125,8 @@
 	j.endDurable = true
 }
 
-// Undecided reports whether no response may give the job's state now: its acceptance is
+// StateWithheld reports whether no response may give the job's state now: its acceptance is
 // not durable, so whether it exists is not decided, or it is being cancelled
 // with one that it depends on. However long that takes to become durable,
 // no response says any more that the job waits or runs.
-func (j *Job) Undecided() bool { return !j.acceptanceDurable || j.dependencyCancelled && !j.endDurable }
+func (j *Job) StateWithheld() bool { return !j.acceptanceDurable || j.dependencyCancelled && !j.endDurable }
--- a/internal/jobs/state_test.go
+++ b/internal/jobs/state_test.go
@@ -47,7 +47,7 @@
 
 func TestAcceptanceAfterCancellationLeavesTheJobCancelled(t *testing.T) {
 	j := newJob("job-1", 2)
-	if !j.Undecided() {
+	if !j.StateWithheld() {
 		t.Error("a job is decided before its acceptance is durable")
 	}
 	f := j.End(start, jobs.Cancelled)
@@ -81,7 +81,7 @@
 		}
 		j.RestoreEnd(records.FinalState{Outcome: outcome})
 		j.RestoreEnd(records.FinalState{Outcome: outcome})
-		if j.State() != state || !j.EndDurable() || j.Undecided() {
+		if j.State() != state || !j.EndDurable() || j.StateWithheld() {
 			t.Errorf("%c: %v", outcome, j.State())
 		}
 	}
--- a/internal/jobs/tasks.go
+++ b/internal/jobs/tasks.go
@@ -47,13 +47,13 @@
 // Complete notes that a task has completed, and reports whether that is new.
 func (t *taskSet) Complete(index int32) bool { return t.completed.Add(int(index)) }
 
-// MarkUnsaved notes that the completion of a task is to be written.
-func (t *taskSet) MarkUnsaved(index int32, valueLimit int) {
+// MarkCompletionUnsaved notes that the completion of a task is to be written.
+func (t *taskSet) MarkCompletionUnsaved(index int32, valueLimit int) {
 	t.unsavedChunks[int(index)/records.CompletionChunk(valueLimit)] = true
 }
 
-// TakeUnsavedCompletions returns the records of the completions that are to be written.
-func (j *Job) TakeUnsavedCompletions(valueLimit int) []records.Completions {
+// PopUnsavedCompletions returns the records of the completions that are to be written.
+func (j *Job) PopUnsavedCompletions(valueLimit int) []records.Completions {
 	list := make([]records.Completions, 0, len(j.unsavedChunks))
 	for _, chunk := range slices.Sorted(maps.Keys(j.unsavedChunks)) {
 		r := records.NewCompletions(j.ID, j.completed, chunk, valueLimit)
@@ -88,8 +88,8 @@
 	return j.endDurable || j.stored != nil && j.stored.Has(int(index))
 }
 
-// FillReady queues every task that is neither done nor maybe on a machine.
-func (j *Job) FillReady() {
+// RebuildReadyTasks queues every task that is neither done nor maybe on a machine.
+func (j *Job) RebuildReadyTasks() {
 	j.ready = j.ready[:0]
 	for i := int32(j.Tasks) - 1; i >= 0; i-- {
 		if !j.IsCompleted(i) && j.allocations[i] == 0 {
@@ -101,8 +101,8 @@
 // ReadyTasks is the number of tasks to be placed.
 func (t *taskSet) ReadyTasks() int { return len(t.ready) }
 
-// PlaceNext takes the next of the tasks to be placed, of which there must be one.
-func (t *taskSet) PlaceNext(now time.Time) int32 {
+// PopReadyTask takes the next of the tasks to be placed, of which there must be one.
+func (t *taskSet) PopReadyTask(now time.Time) int32 {
 	last := len(t.ready) - 1
 	index := t.ready[last]
 	t.ready = t.ready[:last]
@@ -113,8 +113,8 @@
 	return index
 }
 
-// RemoveReady takes a task out of those to be placed.
-func (t *taskSet) RemoveReady(index int32) {
+// RemoveReadyTask takes a task out of those to be placed.
+func (t *taskSet) RemoveReadyTask(index int32) {
 	if i := slices.Index(t.ready, index); i >= 0 {
 		t.ready = slices.Delete(t.ready, i, i+1)
 	}
--- a/internal/jobs/tasks_test.go
+++ b/internal/jobs/tasks_test.go
@@ -14,7 +14,7 @@
 func placeAll(j *jobs.Job, now time.Time) []int32 {
 	var indexes []int32
 	for j.ReadyTasks() > 0 {
-		indexes = append(indexes, j.PlaceNext(now))
+		indexes = append(indexes, j.PopReadyTask(now))
 	}
 	return indexes
 }
@@ -22,7 +22,7 @@
 func TestTaskIsReadyAgainOnceNoMachineMayHaveIt(t *testing.T) {
 	j := newActiveJob("job-1", 3)
 	j.Complete(1)
-	j.FillReady()
+	j.RebuildReadyTasks()
 	if got := placeAll(j, start); len(got) != 2 || got[0] != 0 || got[1] != 2 {
 		t.Fatalf("placed %v", got)
 	}
@@ -40,7 +40,7 @@
 	if zones := j.Constraints().TasksInZone; len(zones) != 0 {
 		t.Errorf("in zones %v", zones)
 	}
-	j.RemoveReady(0)
+	j.RemoveReadyTask(0)
 	if j.ReadyTasks() != 0 {
 		t.Error("still ready")
 	}
@@ -48,8 +48,8 @@
 
 func TestCompletedTaskIsNotReadyAgain(t *testing.T) {
 	j := newActiveJob("job-1", 1)
-	j.FillReady()
-	j.Allocate(j.PlaceNext(start), "a")
+	j.RebuildReadyTasks()
+	j.Allocate(j.PopReadyTask(start), "a")
 	if !j.Complete(0) || j.Complete(0) || !j.AllCompleted() || j.NeedsTask(0) || j.RemainingTasks() != 0 {
 		t.Error("the completion is not counted once")
 	}
@@ -62,9 +62,9 @@
 	j := newActiveJob("job-1", 3)
 	for _, index := range []int32{0, 2} {
 		j.Complete(index)
-		j.MarkUnsaved(index, valueLimit)
+		j.MarkCompletionUnsaved(index, valueLimit)
 	}
-	list := j.TakeUnsavedCompletions(valueLimit)
+	list := j.PopUnsavedCompletions(valueLimit)
 	if len(list) != 1 || len(j.RecordKeys()) != 1 || j.RecordKeys()[0] != list[0].Key {
 		t.Fatalf("records %+v, keys %v", list, j.RecordKeys())
 	}
@@ -75,7 +75,7 @@
 	if !j.IsCompletionStored(0) || j.IsCompletionStored(1) || !j.IsCompletionStored(2) {
 		t.Error("not the completions of the record")
 	}
-	if rest := j.TakeUnsavedCompletions(valueLimit); len(rest) != 0 {
+	if rest := j.PopUnsavedCompletions(valueLimit); len(rest) != 0 {
 		t.Errorf("written twice: %+v", rest)
 	}
 }
--- a/internal/leader/completion.go
+++ b/internal/leader/completion.go
@@ -15,7 +15,7 @@
 	l.jobs.MarkEnded(j)
 	l.drainer.CountEnded(j)
 	if state == jobs.Cancelled {
-		l.graph.SchedulePathsOfDependencies(j)
+		l.graph.QueuePathUpdates(j)
 	}
 	queue.Put(records.FinalStateKey(j.ID), f.Encode(), func() {
 		l.jobs.SetFinalState(j.ID, f)
@@ -56,7 +56,7 @@
 		l.end(now, j, jobs.Done, &l.writes.Interactive)
 		return
 	}
-	j.MarkUnsaved(index, l.valueLimit())
+	j.MarkCompletionUnsaved(index, l.valueLimit())
 	l.unsavedCompletions.Add(now, j)
 }
 
@@ -76,8 +76,8 @@
 
 // flushDone queues the writes of completions that have waited long enough.
 func (l *Leader) flushDone(now time.Time) {
-	for _, j := range l.unsavedCompletions.TakeDue(now) {
-		for _, completions := range j.TakeUnsavedCompletions(l.valueLimit()) {
+	for _, j := range l.unsavedCompletions.PopDue(now) {
+		for _, completions := range j.PopUnsavedCompletions(l.valueLimit()) {
 			l.writes.Background.Put(completions.Key, completions.Encode(), func() { j.MarkStored(completions) })
 		}
 	}
--- a/internal/leader/counts.go
+++ b/internal/leader/counts.go
@@ -22,7 +22,7 @@
 // Counts returns the sums.
 func (l *Leader) Counts() Counts {
 	n := Counts{Jobs: l.jobs.Len(), Machines: l.machines.Len(), Writes: l.writes.Len(), ScoredPairs: l.scores, DrainSteps: l.drainer.Examined()}
-	n.DependencySteps = l.graph.OpenSteps()
+	n.DependencySteps = l.graph.QueuedSteps()
 	l.jobs.Each(func(j *jobs.Job) {
 		n.Ready += j.ReadyTasks()
 		n.WantedCPUs += float64(j.ReadyTasks()) * j.CPUs
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -50,10 +50,10 @@
 	switch {
 	case !j.IsActive():
 	case j.DependencyCancelled():
-		l.graph.CancelLater(j)
+		l.graph.QueueCancellation(j)
 	case !j.IsBlocked():
 		l.jobs.MarkRunnable(j)
-		j.FillReady()
+		j.RebuildReadyTasks()
 		l.scaler.History.CountInflow(now, j.WaitingSince(), float64(j.Tasks)*j.CPUs*l.runTimes.Estimate(j))
 		l.changed = true
 	}
@@ -77,7 +77,7 @@
 func (l *Leader) processDependencyChanges(now time.Time) {
 	steps := tuning.DependencyStepsPerTick
 	for ; steps > 0; steps-- {
-		j := l.graph.NextToCancel()
+		j := l.graph.NextCancellation()
 		if j == nil {
 			break
 		}
@@ -94,13 +94,13 @@
 		}
 	}
 	for ; steps > 0; steps-- {
-		j := l.graph.NextPathOutdated()
+		j := l.graph.NextOutdatedPath()
 		if j == nil {
 			break
 		}
 		if l.graph.UpdateCriticalPath(j) {
 			l.changed = true
-			l.graph.SchedulePathsOfDependencies(j)
+			l.graph.QueuePathUpdates(j)
 		}
 	}
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -40,7 +40,7 @@
 	graph              *jobs.DependencyGraph
 	admission          *admissionControl
 	unsavedCompletions jobs.UnsavedCompletions
-	runTimes           jobs.RunTimes
+	runTimes           jobs.RunTimeRatios
 	startDelay         jobs.StartDelay
 
 	// Machines.
@@ -81,7 +81,7 @@
 		admission:          newAdmissionControl(&p, &o, term, now),
 		unsavedCompletions: jobs.UnsavedCompletions{},
 		ledger:             allocation.NewLedger(p.Teams),
-		runTimes:           jobs.RunTimes{},
+		runTimes:           jobs.RunTimeRatios{},
 		machines:           machines.NewRegistry(),
 		catalogue:          machines.NewCatalogue(),
 		timing:             newTiming(p.Workers, now, grace),
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -192,7 +192,7 @@
 		l.releaseIfUnblocked(now, j)
 		l.removeIfFinished(j)
 	}
-	for l.graph.HasToCancel() {
+	for l.graph.HasCancellations() {
 		// All of them, before any request is answered.
 		l.processDependencyChanges(now)
 	}
--- a/internal/leader/pass.go
+++ b/internal/leader/pass.go
@@ -94,7 +94,7 @@
 // start puts the next ready task of a job on a machine. The start may be sent only once
 // the record of it is durable: a successor must know which machine may have the task.
 func (l *Leader) start(now time.Time, j *jobs.Job, m *machines.Machine, afterLongWait bool) {
-	index := j.PlaceNext(now)
+	index := j.PopReadyTask(now)
 	a := machines.NewPendingAttempt(m, j, index, now, l.nextAttempt(), afterLongWait)
 	l.ledger.Allocate(a)
 	l.starts.Add(a)
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -81,7 +81,7 @@
 		// know of it.
 		l.starts.Add(a)
 		if j.IsActive() {
-			j.RemoveReady(index)
+			j.RemoveReadyTask(index)
 		}
 	}
 	a.MarkListed(l.listNumber, t.Attempt)
--- a/internal/leader/requests.go
+++ b/internal/leader/requests.go
@@ -9,7 +9,7 @@
 
 // Query returns a job's state, 503 while that is not decided.
 func (l *Leader) Query(id string) Response {
-	if j := l.jobs.Get(id); j != nil && j.Undecided() {
+	if j := l.jobs.Get(id); j != nil && j.StateWithheld() {
 		return Response{Status: http.StatusServiceUnavailable, Reason: "being accepted or cancelled"}
 	}
 	r, _ := l.response(id)
--- a/internal/leader/submission.go
+++ b/internal/leader/submission.go
@@ -24,7 +24,7 @@
 func (l *Leader) SubmitWithClaim(now time.Time, wall time.Time, spec *wire.Job, claim *admission.Claim, then func(Response)) {
 	// Until the acceptance is durable no response may mention the job, not even
 	// once its cancellation has been requested.
-	if j := l.jobs.Get(spec.ID); j != nil && j.Undecided() {
+	if j := l.jobs.Get(spec.ID); j != nil && j.StateWithheld() {
 		j.AddWaiter(func(ok bool) { then(l.accepted(ok, spec.ID, http.StatusOK)) })
 		return
 	}
@@ -68,7 +68,7 @@
 	l.jobs.Add(j)
 	l.admission.countUnfinished(j.Team, j.Tasks)
 	l.graph.Link(j)
-	l.graph.SchedulePathsOfDependencies(j)
+	l.graph.QueuePathUpdates(j)
 	j.AddWaiter(func(ok bool) { then(l.accepted(ok, j.ID, http.StatusCreated)) })
 	l.storeJob(j, func() {
 		if j.MarkAccepted() {
--- a/internal/preemption/preemption_test.go
+++ b/internal/preemption/preemption_test.go
@@ -54,7 +54,7 @@
 
 // preempt makes capacity for a job with one waiting task.
 func (c *cluster) preempt(now time.Time, j *jobs.Job) int {
-	j.FillReady()
+	j.RebuildReadyTasks()
 	r := j.Constraints()
 	r.Job, r.Team, r.PriorityRank = j.ID, j.Team, j.PriorityRank()
 	p := preemption.New(preemption.Cluster{
