--- a/internal/allocation/ledger.go
+++ b/internal/allocation/ledger.go
@@ -125,8 +125,8 @@
 	return fits
 }
 
-// AboveLimit says why a job can never run, as far as its team's quota shows, or "".
-func (l *Ledger) AboveLimit(spec *wire.Job) string {
+// QuotaViolation says why a job can never run, as far as its team's quota shows, or "".
+func (l *Ledger) QuotaViolation(spec *wire.Job) string {
 	t := l.teams[spec.Team]
 	if t == nil {
 		return unknownTeam
@@ -144,8 +144,8 @@
 	return ""
 }
 
-// AboveLimit says why a job can never run, as far as the settings alone show, or "".
-func AboveLimit(teams []config.Team, spec *wire.Job) string {
+// QuotaViolation says why a job can never run, as far as the settings alone show, or "".
+func QuotaViolation(teams []config.Team, spec *wire.Job) string {
 	for _, t := range teams {
 		if t.Name == spec.Team {
 			quota := withLimits(t)
--- a/internal/allocation/ledger_test.go
+++ b/internal/allocation/ledger_test.go
@@ -138,10 +138,10 @@
 		"no limit":         {spec: wire.Job{Team: "guest", CPUs: 1000}},
 		"unknown team":     {spec: wire.Job{Team: "nobody"}, want: "unknown team"},
 	} {
-		if got := l.AboveLimit(&c.spec); got != c.want {
+		if got := l.QuotaViolation(&c.spec); got != c.want {
 			t.Errorf("%s: %q", name, got)
 		}
-		if got := allocation.AboveLimit(teams, &c.spec); got != c.want {
+		if got := allocation.QuotaViolation(teams, &c.spec); got != c.want {
 			t.Errorf("%s: by the settings %q", name, got)
 		}
 	}
--- a/internal/drainer/drainer_test.go
+++ b/internal/drainer/drainer_test.go
@@ -129,7 +129,7 @@
 		for _, m := range b.Mutations {
 			keys = append(keys, m.Put)
 		}
-		f.writes.Committed(b, nil)
+		f.writes.MarkCommitted(b, nil)
 	}
 	return keys
 }
--- a/internal/intervals/set_test.go
+++ b/internal/intervals/set_test.go
@@ -19,7 +19,7 @@
 		}
 		chunk := 1 + rng.IntN(100)
 		for from := 0; from < size; from += chunk {
-			if err := intervals.Each(a.Format(from, from+chunk), size, func(i int) { b.Add(i) }); err != nil {
+			if err := intervals.ParseEach(a.Format(from, from+chunk), size, func(i int) { b.Add(i) }); err != nil {
 				t.Fatalf("seed %d: %v", seed, err)
 			}
 		}
@@ -32,7 +32,7 @@
 // TestEachRefuses: what is no list of intervals below the limit is an error.
 func TestEachRefuses(t *testing.T) {
 	for text, outOfBounds := range map[string]bool{"x": false, "3-": false, "-1": false, "5-2": true, "9": true} {
-		err := intervals.Each(text, 9, func(int) {})
+		err := intervals.ParseEach(text, 9, func(int) {})
 		if err == nil || errors.Is(err, intervals.ErrOutOfBounds) != outOfBounds {
 			t.Errorf("%q: %v", text, err)
 		}
--- a/internal/intervals/text.go
+++ b/internal/intervals/text.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// Each parses intervals and calls f for every index, all below limit. The error
+// ParseEach parses intervals and calls f for every index, all below limit. The error
 // is ErrOutOfBounds, or that of a number.
-func Each(text string, limit int, f func(int)) error {
+func ParseEach(text string, limit int, f func(int)) error {
 	if text == "" {
 		return nil
 	}
--- a/internal/jobs/tasks.go
+++ b/internal/jobs/tasks.go
@@ -49,7 +49,7 @@
 
 // MarkCompletionUnsaved notes that the completion of a task is to be written.
 func (t *taskSet) MarkCompletionUnsaved(index int32, valueLimit int) {
-	t.unsavedChunks[int(index)/records.CompletionChunk(valueLimit)] = true
+	t.unsavedChunks[int(index)/records.CompletionChunkSize(valueLimit)] = true
 }
 
 // PopUnsavedCompletions returns the records of the completions that are to be written.
@@ -73,7 +73,7 @@
 // MarkStored notes that completions are stored: the attempts may be forgotten.
 func (j *Job) MarkStored(c records.Completions) {
 	// The ranges were formatted by the job itself and can't be malformed.
-	_ = intervals.Each(c.Tasks, j.Tasks, j.markStored)
+	_ = intervals.ParseEach(c.Tasks, j.Tasks, j.markStored)
 }
 
 func (j *Job) markStored(index int) {
--- a/internal/leader/admission.go
+++ b/internal/leader/admission.go
@@ -77,7 +77,7 @@
 	was := l.admission.regulator.Shedding()
 	l.admission.regulator.Update(now, wall, admission.LeaderLoad{
 		Waiting: l.writes.Interactive.Len(),
-		Written: l.writes.Interactive.Taken(),
+		Written: l.writes.Interactive.Dequeued(),
 		Lag:     lag,
 	}, nodes)
 	if is := l.admission.regulator.Shedding(); is != was {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -90,7 +90,7 @@
 	}
 	l.graph = jobs.NewDependencyGraph(l.jobs, l.stageTime)
 	l.writes = records.NewWriteQueues(log, l.valueLimit())
-	l.starts = startlog.New(term, l.valueLimit(), l.writes, startlog.Callbacks{Durable: l.sendStart, Refused: l.abandonStart})
+	l.starts = startlog.New(term, l.valueLimit(), l.writes, startlog.Callbacks{OnDurable: l.sendStart, OnRefused: l.abandonStart})
 	l.scaler = l.newScaler()
 	l.drainer = l.newDrainer()
 	l.preemptor, l.consolidator = l.newPreemptor(), l.newConsolidator()
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -104,7 +104,7 @@
 
 // loadCompletions loads completed tasks of a job.
 func (l *Leader) loadCompletions(id string, item wire.KeyValue) error {
-	j := l.jobs.Get(records.CompletionsJob(id))
+	j := l.jobs.Get(records.CompletionsJobID(id))
 	if j == nil {
 		// Left by a leader of an earlier version, which doesn't know of it.
 		l.writes.Background.Delete(item.Key)
@@ -132,7 +132,7 @@
 
 // loadStarts loads a start record: its machines may have its tasks.
 func (l *Leader) loadStarts(now time.Time, key string, starts *records.Starts) error {
-	rec := l.starts.Load(key)
+	rec := l.starts.LoadRecord(key)
 	for _, machine := range starts.Machines {
 		m := l.machines.Get(machine.ID)
 		if m == nil {
@@ -144,7 +144,7 @@
 			if j == nil {
 				continue
 			}
-			err := intervals.Each(machine.Tasks[id], j.Tasks, func(i int) { l.loadAttempt(now, rec, m, j, int32(i)) })
+			err := intervals.ParseEach(machine.Tasks[id], j.Tasks, func(i int) { l.loadAttempt(now, rec, m, j, int32(i)) })
 			if err != nil {
 				return err
 			}
@@ -163,7 +163,7 @@
 	task := taskKey{j, index}
 	earlier := l.loading.attempts[task]
 	a := machines.NewAttempt(m, j, index, now)
-	rec.AddLoaded(a)
+	rec.AddLoadedAttempt(a)
 	l.ledger.Allocate(a)
 	l.loading.attempts[task] = a
 	if earlier != nil {
--- a/internal/leader/submission.go
+++ b/internal/leader/submission.go
@@ -90,7 +90,7 @@
 
 // impossible says why a job can never run, or "".
 func (l *Leader) impossible(spec *wire.Job) string {
-	if reason := l.ledger.AboveLimit(spec); reason != "" {
+	if reason := l.ledger.QuotaViolation(spec); reason != "" {
 		return reason
 	}
 	request := placement.TaskRequest(spec)
@@ -108,5 +108,5 @@
 // AboveLimit says why a job can never run, as far as the settings alone show, or "": any
 // node can say that, whether or not a leader is known.
 func AboveLimit(teams []config.Team, spec *wire.Job) string {
-	return allocation.AboveLimit(teams, spec)
+	return allocation.QuotaViolation(teams, spec)
 }
--- a/internal/leader/upgrade_test.go
+++ b/internal/leader/upgrade_test.go
@@ -75,7 +75,7 @@
 		for key, value := range store {
 			var text string
 			if strings.HasPrefix(key, "d/job-1/") && json.Unmarshal(value, &text) == nil {
-				_ = intervals.Each(text, 3000, func(i int) { want.Add(i) })
+				_ = intervals.ParseEach(text, 3000, func(i int) { want.Add(i) })
 			}
 		}
 		if seed == 0 && want.Len() != 1667 {
--- a/internal/records/completions.go
+++ b/internal/records/completions.go
@@ -11,10 +11,10 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// CompletionChunk is the number of tasks whose completion shares a record where values have
+// CompletionChunkSize is the number of tasks whose completion shares a record where values have
 // at most valueLimit bytes: the largest power of two, up to a bound, with which the record
 // fits into a value however fragmented it is.
-func CompletionChunk(valueLimit int) int {
+func CompletionChunkSize(valueLimit int) int {
 	most := max(1, (valueLimit-len(`""`))/tuning.CompletionBytesPerTask)
 	return min(tuning.CompletionChunkTasks, 1<<(bits.Len(uint(most))-1))
 }
@@ -32,7 +32,7 @@
 // it; as each key stands for the same bounds to every version, none takes a completion out of
 // a record that another one has written.
 func NewCompletions(jobID string, completed *intervals.Set, number, valueLimit int) Completions {
-	size := CompletionChunk(valueLimit)
+	size := CompletionChunkSize(valueLimit)
 	from, to := number*size, (number+1)*size
 	key := KindCompletions.Prefix() + jobID + "/" + strconv.Itoa(number)
 	if size < tuning.CompletionChunkTasks {
@@ -44,8 +44,8 @@
 // Encode returns the stored form.
 func (c Completions) Encode() json.RawMessage { return encode(c.Tasks) }
 
-// CompletionsJob is the job that the completions stored under the given id belong to.
-func CompletionsJob(id string) string {
+// CompletionsJobID is the job that the completions stored under the given id belong to.
+func CompletionsJobID(id string) string {
 	jobID, _, _ := strings.Cut(id, "/")
 	return jobID
 }
@@ -57,5 +57,5 @@
 	if err := json.Unmarshal(value, &completed); err != nil {
 		return err
 	}
-	return intervals.Each(completed, tasks, add)
+	return intervals.ParseEach(completed, tasks, add)
 }
--- a/internal/records/errors.go
+++ b/internal/records/errors.go
@@ -11,8 +11,8 @@
 // Reasons why a record is corrupt.
 var (
 	ErrMissingPiece = errors.New("piece of the job record is missing")
-	ErrOtherJob     = errors.New("record of another job")
-	ErrFinalState   = errors.New("unknown final state")
+	ErrJobIDMismatch     = errors.New("record of another job")
+	ErrUnknownFinalState   = errors.New("unknown final state")
 )
 
 // CorruptError is a stored record that can't be right, and without which the state would be
--- a/internal/records/final.go
+++ b/internal/records/final.go
@@ -35,11 +35,11 @@
 		return FinalState{}, err
 	}
 	if text == "" {
-		return FinalState{}, fmt.Errorf("%w: %q", ErrFinalState, text)
+		return FinalState{}, fmt.Errorf("%w: %q", ErrUnknownFinalState, text)
 	}
 	outcome := Outcome(text[0])
 	if outcome != OutcomeDone && outcome != OutcomeCancelled {
-		return FinalState{}, fmt.Errorf("%w: %q", ErrFinalState, text)
+		return FinalState{}, fmt.Errorf("%w: %q", ErrUnknownFinalState, text)
 	}
 	n, err := strconv.ParseInt(text[1:], 10, 32)
 	return FinalState{outcome, int32(n)}, err
--- a/internal/records/job.go
+++ b/internal/records/job.go
@@ -128,7 +128,7 @@
 		}
 	}
 	if stored.ID != id {
-		return nil, fmt.Errorf("%w: %q", ErrOtherJob, stored.ID)
+		return nil, fmt.Errorf("%w: %q", ErrJobIDMismatch, stored.ID)
 	}
 	return stored, nil
 }
--- a/internal/records/queue.go
+++ b/internal/records/queue.go
@@ -25,8 +25,8 @@
 // Len is the number of changes that wait.
 func (q *Queue) Len() int { return len(q.queue) - q.head }
 
-// Taken is the number of changes taken out so far.
-func (q *Queue) Taken() int64 { return q.taken }
+// Dequeued is the number of changes taken out so far.
+func (q *Queue) Dequeued() int64 { return q.taken }
 
 // Put queues a new value of a key and calls onCommit, if set, when it or a later value is
 // durable.
--- a/internal/records/queues.go
+++ b/internal/records/queues.go
@@ -11,11 +11,11 @@
 // PendingStarts is a start record that waits to be written. Its content is fixed only when it
 // is put into a batch, without the attempts that have ended meanwhile.
 type PendingStarts interface {
-	// Size is the most that the record takes in bytes, 0 if nothing needs to be written.
-	Size() int
-	// Take is called when the record leaves the queue. It returns the change to be made, or
+	// MaxSize is the most that the record takes in bytes, 0 if nothing needs to be written.
+	MaxSize() int
+	// Finalize is called when the record leaves the queue. It returns the change to be made, or
 	// nil if none is needed.
-	Take() *Write
+	Finalize() *Write
 }
 
 // WriteQueues are the changes that wait for the key-value store, by who waits for them.
@@ -81,11 +81,11 @@
 // moveStartsTo moves start records into the batch.
 func (q *WriteQueues) moveStartsTo(b *Batch) {
 	for len(q.starts) > 0 {
-		size := q.starts[0].Size()
+		size := q.starts[0].MaxSize()
 		if size > 0 && !b.fits(size+writeFrameBytes) {
 			return
 		}
-		if w := q.starts[0].Take(); w != nil {
+		if w := q.starts[0].Finalize(); w != nil {
 			b.add(w)
 		}
 		q.starts = q.starts[1:]
@@ -93,8 +93,8 @@
 	q.starts = nil
 }
 
-// Committed records that a batch is durable, except for the refused keys.
-func (q *WriteQueues) Committed(b *Batch, refused []string) {
+// MarkCommitted records that a batch is durable, except for the refused keys.
+func (q *WriteQueues) MarkCommitted(b *Batch, refused []string) {
 	for _, w := range b.writes {
 		if slices.Contains(refused, w.Key) {
 			q.refused(w)
--- a/internal/records/queues_test.go
+++ b/internal/records/queues_test.go
@@ -22,9 +22,9 @@
 	taken        bool
 }
 
-func (s *pendingStarts) Size() int { return len(s.content) }
+func (s *pendingStarts) MaxSize() int { return len(s.content) }
 
-func (s *pendingStarts) Take() *records.Write {
+func (s *pendingStarts) Finalize() *records.Write {
 	s.taken = true
 	if s.content == "" {
 		return nil
@@ -69,15 +69,15 @@
 		t.Fatalf("%v", b.Mutations)
 	}
 	q.Interactive.Delete("a")
-	q.Committed(b, nil)
+	q.MarkCommitted(b, nil)
 	if called != 2 {
 		t.Errorf("%d calls", called)
 	}
 	if got := keys(q.NextBatch(10, 0, false)); !slices.Equal(got, []string{"-a"}) {
 		t.Errorf("%v", got)
 	}
-	if q.Len() != 0 || q.Interactive.Taken() != 3 || q.NextBatch(10, 10, false) != nil {
-		t.Errorf("%d wait, %d taken", q.Len(), q.Interactive.Taken())
+	if q.Len() != 0 || q.Interactive.Dequeued() != 3 || q.NextBatch(10, 10, false) != nil {
+		t.Errorf("%d wait, %d taken", q.Len(), q.Interactive.Dequeued())
 	}
 }
 
@@ -160,7 +160,7 @@
 	if got := keys(b); !slices.Equal(got, []string{"refused", "fine"}) {
 		t.Fatalf("%v", got)
 	}
-	q.Committed(b, []string{"refused"})
+	q.MarkCommitted(b, []string{"refused"})
 	if done["long"] || done["refused"] || !done["fine"] {
 		t.Errorf("%v", done)
 	}
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -33,7 +33,7 @@
 		records.DrainKey("maintenance"):       "e/maintenance",
 		records.ChargeKey(16, 1):              "b/00000010-00000001",
 		records.KindMachineStarts.Prefix():    "m/",
-		records.CompletionsJob("job-1/0-511"): "job-1",
+		records.CompletionsJobID("job-1/0-511"): "job-1",
 	} {
 		if key != want {
 			t.Errorf("%q, want %q", key, want)
@@ -148,8 +148,8 @@
 	_, final := records.DecodeFinalState(json.RawMessage(`"x3"`))
 	for name, test := range map[string]struct{ err, want error }{
 		"missing piece": {missing, records.ErrMissingPiece},
-		"other job":     {other, records.ErrOtherJob},
-		"final state":   {final, records.ErrFinalState},
+		"other job":     {other, records.ErrJobIDMismatch},
+		"final state":   {final, records.ErrUnknownFinalState},
 	} {
 		if !errors.Is(test.err, test.want) {
 			t.Errorf("%s: %v", name, test.err)
@@ -183,7 +183,7 @@
 			id := fmt.Sprint("job-", k)
 			var indexes []int
 			for i := m; i < 100_000; i += 9973 {
-				if with := size.With(machine, id); with <= size.Bytes() {
+				if with := size.BytesWith(machine, id); with <= size.Bytes() {
 					t.Fatalf("%d bytes with another attempt, %d without", with, size.Bytes())
 				}
 				size.Add(machine, id)
--- a/internal/records/starts.go
+++ b/internal/records/starts.go
@@ -80,8 +80,8 @@
 // Bytes is the most that the record takes.
 func (s *StartsSize) Bytes() int { return s.bytes }
 
-// With is the most that the record takes with one more attempt of a job on a machine.
-func (s *StartsSize) With(machine MachineStarts, jobID string) int {
+// BytesWith is the most that the record takes with one more attempt of a job on a machine.
+func (s *StartsSize) BytesWith(machine MachineStarts, jobID string) int {
 	sum := s.bytes + taskIndexBytes
 	jobs := s.machines[machine.ID]
 	if jobs == nil {
@@ -95,7 +95,7 @@
 
 // Add counts an attempt of a job on a machine in.
 func (s *StartsSize) Add(machine MachineStarts, jobID string) {
-	s.bytes = s.With(machine, jobID)
+	s.bytes = s.BytesWith(machine, jobID)
 	if s.machines[machine.ID] == nil {
 		s.machines[machine.ID] = map[string]bool{}
 	}
--- a/internal/startlog/record.go
+++ b/internal/startlog/record.go
@@ -22,25 +22,25 @@
 func (r *Record) add(machine records.MachineStarts, a *machines.Attempt) {
 	r.size.Add(machine, a.Job.ID)
 	r.attempts = append(r.attempts, a)
-	r.AddLoaded(a)
+	r.AddLoadedAttempt(a)
 }
 
-// AddLoaded counts an attempt that the stored record names.
-func (r *Record) AddLoaded(a *machines.Attempt) {
+// AddLoadedAttempt counts an attempt that the stored record names.
+func (r *Record) AddLoadedAttempt(a *machines.Attempt) {
 	r.live++
 	a.Record = r
 }
 
-// Size implements records.PendingStarts.
-func (r *Record) Size() int {
+// MaxSize implements records.PendingStarts.
+func (r *Record) MaxSize() int {
 	if r.live == 0 {
 		return 0
 	}
 	return r.size.Bytes()
 }
 
-// Take implements records.PendingStarts.
-func (r *Record) Take() *records.Write {
+// Finalize implements records.PendingStarts.
+func (r *Record) Finalize() *records.Write {
 	r.closed = true
 	if r.live == 0 {
 		return nil
@@ -49,8 +49,8 @@
 	return &records.Write{
 		Key:       r.key,
 		Value:     r.starts().Encode(),
-		OnCommit:  []func(){func() { r.finish(r.log.callbacks.Durable) }},
-		OnRefused: func() { r.finish(r.log.callbacks.Refused) },
+		OnCommit:  []func(){func() { r.finish(r.log.callbacks.OnDurable) }},
+		OnRefused: func() { r.finish(r.log.callbacks.OnRefused) },
 	}
 }
 
--- a/internal/startlog/startlog.go
+++ b/internal/startlog/startlog.go
@@ -12,10 +12,10 @@
 // Callbacks are what follows from the fate of a record, for each of its attempts whose start
 // has not been sent.
 type Callbacks struct {
-	// Durable is called once the record is durable: the start may be sent.
-	Durable func(*machines.Attempt)
-	// Refused is called if the record can't be stored: the task has to be placed anew.
-	Refused func(*machines.Attempt)
+	// OnDurable is called once the record is durable: the start may be sent.
+	OnDurable func(*machines.Attempt)
+	// OnRefused is called if the record can't be stored: the task has to be placed anew.
+	OnRefused func(*machines.Attempt)
 }
 
 // Log owns the start records of a term.
@@ -38,7 +38,7 @@
 func (l *Log) Add(a *machines.Attempt) {
 	machine, jobID := a.Machine.RecordIdentity(), a.Job.ID
 	limit := float64(l.valueLimit) * tuning.RecordValueShare
-	if l.newest == nil || l.newest.closed || float64(l.newest.size.With(machine, jobID)) > limit {
+	if l.newest == nil || l.newest.closed || float64(l.newest.size.BytesWith(machine, jobID)) > limit {
 		l.addRecord()
 	}
 	l.newest.add(machine, a)
@@ -63,8 +63,8 @@
 	}
 }
 
-// Load returns a record of a predecessor.
-func (l *Log) Load(key string) *Record {
+// LoadRecord returns a record of a predecessor.
+func (l *Log) LoadRecord(key string) *Record {
 	r := &Record{log: l, key: key, saved: true, closed: true}
 	l.loaded = append(l.loaded, r)
 	return r
--- a/internal/startlog/startlog_test.go
+++ b/internal/startlog/startlog_test.go
@@ -32,8 +32,8 @@
 		machine: machines.New(time.Time{}, "m1", "std-8", "a", "", true),
 	}
 	f.Log = startlog.New(5, valueLimit, f.writes, startlog.Callbacks{
-		Durable: func(a *machines.Attempt) { a.MarkRecorded(); f.durable++ },
-		Refused: func(a *machines.Attempt) { f.Remove(a); f.refused++ },
+		OnDurable: func(a *machines.Attempt) { a.MarkRecorded(); f.durable++ },
+		OnRefused: func(a *machines.Attempt) { f.Remove(a); f.refused++ },
 	})
 	return f
 }
@@ -62,7 +62,7 @@
 	if f.durable != 0 {
 		t.Error("starts go out before their record is durable")
 	}
-	f.writes.Committed(b, nil)
+	f.writes.MarkCommitted(b, nil)
 	if f.durable != 2 || second.State() != machines.RecordPending {
 		t.Errorf("%d starts go out", f.durable)
 	}
@@ -90,7 +90,7 @@
 				t.Errorf("%s has %d bytes", m.Put, len(m.Value))
 			}
 		}
-		f.writes.Committed(b, nil)
+		f.writes.MarkCommitted(b, nil)
 	}
 	if f.durable != 100 {
 		t.Fatalf("%d of 100 starts go out", f.durable)
@@ -108,7 +108,7 @@
 	f.add(0)
 	f.add(1)
 	b := f.writes.NextBatch(maxOps, maxOps, false)
-	f.writes.Committed(b, []string{b.Mutations[0].Put})
+	f.writes.MarkCommitted(b, []string{b.Mutations[0].Put})
 	if f.durable != 0 || f.refused != 2 {
 		t.Errorf("%d go out, %d are placed anew", f.durable, f.refused)
 	}
@@ -117,9 +117,9 @@
 // TestLoadedRecordsWithoutAttemptsAreDeleted: the others stay until theirs have ended.
 func TestLoadedRecordsWithoutAttemptsAreDeleted(t *testing.T) {
 	f := newFixture(2048)
-	f.Load("s/old")
+	f.LoadRecord("s/old")
 	a := machines.NewAttempt(f.machine, f.job, 0, time.Time{})
-	f.Load("m/m1").AddLoaded(a)
+	f.LoadRecord("m/m1").AddLoadedAttempt(a)
 	f.FinishLoading()
 	b := f.writes.NextBatch(maxOps, maxOps, false)
 	if b == nil || len(b.Mutations) != 1 || b.Mutations[0].Delete != "s/old" {
