--- a/internal/allocation/ledger.go
+++ b/internal/allocation/ledger.go
@@ -16,26 +16,26 @@
 // Ledger owns the quotas of the teams and what they use of them. An attempt counts from when
 // its task may be on the machine until it certainly no longer is.
 type Ledger struct {
-	teams map[string]*account
+	teams map[string]*teamUsage
 }
 
-// account is a team's quota and what all its tasks that may be on a machine use.
-type account struct {
+// teamUsage is a team's quota and what all its tasks that may be on a machine use.
+type teamUsage struct {
 	quota config.Team
 	used  placement.Resources
 }
 
 // NewLedger returns a ledger of teams that use nothing.
 func NewLedger(teams []config.Team) *Ledger {
-	l := &Ledger{teams: map[string]*account{}}
+	l := &Ledger{teams: map[string]*teamUsage{}}
 	for _, t := range teams {
-		l.teams[t.Name] = &account{quota: withLimits(t)}
+		l.teams[t.Name] = &teamUsage{quota: resolveLimits(t)}
 	}
 	return l
 }
 
-// withLimits returns a team with the limits that its settings stand for.
-func withLimits(t config.Team) config.Team {
+// resolveLimits returns a team with the limits that its settings stand for.
+func resolveLimits(t config.Team) config.Team {
 	if t.CPUsMax == 0 && t.GPUsMax == 0 {
 		// "A value of 0 means none": a guest without a guarantee and without a
 		// limit, not one that may use nothing.
@@ -131,12 +131,12 @@
 	if t == nil {
 		return unknownTeam
 	}
-	return aboveLimit(&t.quota, spec)
+	return quotaViolation(&t.quota, spec)
 }
 
 const unknownTeam = "unknown team"
 
-func aboveLimit(quota *config.Team, spec *wire.Job) string {
+func quotaViolation(quota *config.Team, spec *wire.Job) string {
 	limit := placement.Resources{CPUs: quota.CPUsMax, GPUs: quota.GPUsMax}
 	if !limit.Fits(placement.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs}) {
 		return "a task needs more than the team's limit"
@@ -148,8 +148,8 @@
 func QuotaViolation(teams []config.Team, spec *wire.Job) string {
 	for _, t := range teams {
 		if t.Name == spec.Team {
-			quota := withLimits(t)
-			return aboveLimit(&quota, spec)
+			quota := resolveLimits(t)
+			return quotaViolation(&quota, spec)
 		}
 	}
 	return unknownTeam
--- a/internal/allocation/ledger_test.go
+++ b/internal/allocation/ledger_test.go
@@ -55,9 +55,9 @@
 	}
 }
 
-// TestLedgerBalances allocates and releases attempts in random order: what is used is always
+// TestUsageMatchesRandomAllocations allocates and releases attempts in random order: what is used is always
 // what the allocated attempts take, and nothing is left in the end.
-func TestLedgerBalances(t *testing.T) {
+func TestUsageMatchesRandomAllocations(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, seed))
 		l := allocation.NewLedger(teams)
--- a/internal/intervals/set_test.go
+++ b/internal/intervals/set_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// TestEachRefuses: what is no list of intervals below the limit is an error.
-func TestEachRefuses(t *testing.T) {
+// TestParseEachRejectsInvalidText: what is no list of intervals below the limit is an error.
+func TestParseEachRejectsInvalidText(t *testing.T) {
 	for text, outOfBounds := range map[string]bool{"x": false, "3-": false, "-1": false, "5-2": true, "9": true} {
 		err := intervals.ParseEach(text, 9, func(int) {})
 		if err == nil || errors.Is(err, intervals.ErrOutOfBounds) != outOfBounds {
--- a/internal/jobs/dependencies.go
+++ b/internal/jobs/dependencies.go
@@ -18,32 +18,32 @@
 // it: the deadline of the last one of the tightest path, less the estimated time
 // of what lies between.
 type CriticalPath struct {
-	Last *Job // whose deadline it is; nil if there is none
-	Due  time.Time
+	Last           *Job // whose deadline it is; nil if there is none
+	Due            time.Time
 	DownstreamTime time.Duration // what lies between
 }
 
 // dependencyState is what follows for a job from those it depends on, and those that depend
 // on it.
 type dependencyState struct {
-	openDependencies int // jobs that it depends on and that have not ended
+	unfinishedDependencies int // jobs that it depends on and that have not ended
 	// dependencyCancelled: a job that it depends on was cancelled, and so will it be.
 	dependencyCancelled bool
 	// priorityRank is its priority, or that of a job that depends on it, if higher.
-	priorityRank  int
-	path          CriticalPath
-	cyclic        bool // its path can't be derived: damaged records lead in a circle
-	pathScheduled bool // among those whose path is to be derived again
+	priorityRank int
+	criticalPath CriticalPath
+	cyclic       bool // its path can't be derived: damaged records lead in a circle
+	pathQueued   bool // among those whose path is to be derived again
 }
 
 // PriorityRank is the job's priority, or that of a job that depends on it, if higher.
 func (s *dependencyState) PriorityRank() int { return s.priorityRank }
 
 // CriticalPath is what the jobs that depend on the job expect of it.
-func (s *dependencyState) CriticalPath() CriticalPath { return s.path }
+func (s *dependencyState) CriticalPath() CriticalPath { return s.criticalPath }
 
 // IsBlocked reports whether the job waits for others to be done.
-func (s *dependencyState) IsBlocked() bool { return s.openDependencies > 0 }
+func (s *dependencyState) IsBlocked() bool { return s.unfinishedDependencies > 0 }
 
 // DependencyCancelled reports whether a job that it depends on was cancelled.
 func (s *dependencyState) DependencyCancelled() bool { return s.dependencyCancelled }
@@ -67,10 +67,10 @@
 	// stageTime is the time that a job takes once the jobs that it depends on are done.
 	stageTime func(*Job) time.Duration
 	// dependents are the jobs that depend on one that has not ended, by its ID.
-	dependents   map[string][]*Job
-	unblocked    []*Job // a job that they depend on is done
-	toCancel     []*Job // a job that they depend on was cancelled
-	pathOutdated []*Job // what others expect of them may have changed
+	dependents    map[string][]*Job
+	unblocked     []*Job // a job that they depend on is done
+	toCancel      []*Job // a job that they depend on was cancelled
+	outdatedPaths []*Job // what others expect of them may have changed
 }
 
 // NewDependencyGraph returns a graph without edges. stageTime is the time that a job takes once
@@ -81,7 +81,7 @@
 
 // QueuedSteps is the number of steps still to be taken after the ends of jobs.
 func (g *DependencyGraph) QueuedSteps() int {
-	return len(g.unblocked) + len(g.toCancel) + len(g.pathOutdated)
+	return len(g.unblocked) + len(g.toCancel) + len(g.outdatedPaths)
 }
 
 // Link counts what a job waits for, and notes it with the jobs it depends on.
@@ -90,7 +90,7 @@
 		f, ended := g.registry.FinalState(id)
 		switch {
 		case !ended:
-			j.openDependencies++
+			j.unfinishedDependencies++
 			g.dependents[id] = append(g.dependents[id], j)
 		case f.Outcome == records.OutcomeCancelled:
 			j.dependencyCancelled = true
@@ -113,7 +113,7 @@
 func (g *DependencyGraph) QueueCancellation(j *Job) { g.toCancel = append(g.toCancel, j) }
 
 // NextCancellation takes a job that depends on one that was cancelled, or returns nil.
-func (g *DependencyGraph) NextCancellation() *Job { return takeFirst(&g.toCancel) }
+func (g *DependencyGraph) NextCancellation() *Job { return popFirst(&g.toCancel) }
 
 // HasCancellations reports whether jobs are to be cancelled.
 func (g *DependencyGraph) HasCancellations() bool { return len(g.toCancel) > 0 }
@@ -121,24 +121,24 @@
 // NextUnblocked takes a job of whose dependencies one is done, or returns nil. The job may
 // still wait for others.
 func (g *DependencyGraph) NextUnblocked() *Job {
-	j := takeFirst(&g.unblocked)
+	j := popFirst(&g.unblocked)
 	if j != nil {
-		j.openDependencies--
+		j.unfinishedDependencies--
 	}
 	return j
 }
 
 // NextOutdatedPath takes a job whose path is to be derived again, or returns nil.
 func (g *DependencyGraph) NextOutdatedPath() *Job {
-	j := takeFirst(&g.pathOutdated)
+	j := popFirst(&g.outdatedPaths)
 	if j != nil {
-		j.pathScheduled = false
+		j.pathQueued = false
 	}
 	return j
 }
 
-// takeFirst takes the first job of a queue, or returns nil.
-func takeFirst(queue *[]*Job) *Job {
+// popFirst takes the first job of a queue, or returns nil.
+func popFirst(queue *[]*Job) *Job {
 	if len(*queue) == 0 {
 		return nil
 	}
@@ -152,9 +152,9 @@
 func (g *DependencyGraph) QueuePathUpdates(j *Job) {
 	for _, id := range j.DependsOn {
 		d := g.registry.Get(id)
-		if d != nil && !d.pathScheduled && !d.endDurable {
-			d.pathScheduled = true
-			g.pathOutdated = append(g.pathOutdated, d)
+		if d != nil && !d.pathQueued && !d.endDurable {
+			d.pathQueued = true
+			g.outdatedPaths = append(g.outdatedPaths, d)
 		}
 	}
 }
@@ -171,16 +171,16 @@
 			continue
 		}
 		rank = min(rank, d.priorityRank)
-		if d.path.Last == nil {
+		if d.criticalPath.Last == nil {
 			continue
 		}
-		takes := g.stageTime(d)
-		if due := d.path.Due.Add(-takes); p.Last == nil || due.Before(p.Due) {
-			p = CriticalPath{Last: d.path.Last, Due: due, DownstreamTime: d.path.DownstreamTime + takes}
+		duration := g.stageTime(d)
+		if due := d.criticalPath.Due.Add(-duration); p.Last == nil || due.Before(p.Due) {
+			p = CriticalPath{Last: d.criticalPath.Last, Due: due, DownstreamTime: d.criticalPath.DownstreamTime + duration}
 		}
 	}
-	changed := rank != j.priorityRank || p != j.path
-	j.priorityRank, j.path = rank, p
+	changed := rank != j.priorityRank || p != j.criticalPath
+	j.priorityRank, j.criticalPath = rank, p
 	return changed
 }
 
@@ -205,17 +205,17 @@
 
 // updateAllPaths derives the paths of all jobs, each after those of its dependents.
 func (g *DependencyGraph) updateAllPaths(all []*Job) (missing []MissingDependency, cyclic []*Job) {
-	var last []*Job
-	after := map[*Job]int{} // dependents whose path is not known yet
+	var resolved []*Job
+	unresolvedDependents := map[*Job]int{} // dependents whose path is not known yet
 	for _, j := range all {
-		if after[j] = len(g.dependents[j.ID]); after[j] == 0 {
-			last = append(last, j)
+		if unresolvedDependents[j] = len(g.dependents[j.ID]); unresolvedDependents[j] == 0 {
+			resolved = append(resolved, j)
 		}
 	}
-	for len(last) > 0 {
-		j := last[len(last)-1]
-		last = last[:len(last)-1]
-		delete(after, j)
+	for len(resolved) > 0 {
+		j := resolved[len(resolved)-1]
+		resolved = resolved[:len(resolved)-1]
+		delete(unresolvedDependents, j)
 		g.UpdateCriticalPath(j)
 		if j.endDurable {
 			continue
@@ -231,12 +231,12 @@
 			if d.endDurable {
 				continue
 			}
-			if after[d]--; after[d] == 0 {
-				last = append(last, d)
+			if unresolvedDependents[d]--; unresolvedDependents[d] == 0 {
+				resolved = append(resolved, d)
 			}
 		}
 	}
-	for j := range after {
+	for j := range unresolvedDependents {
 		j.cyclic = true
 		cyclic = append(cyclic, j)
 	}
--- a/internal/jobs/dependencies_test.go
+++ b/internal/jobs/dependencies_test.go
@@ -74,9 +74,9 @@
 	}
 	first := withDeadline("first", 0, wire.PriorityIdle)
 	middle := withDeadline("middle", 0, wire.PriorityIdle, "first")
-	patient := withDeadline("patient", 3600, wire.PriorityIdle, "first")
+	direct := withDeadline("direct", 3600, wire.PriorityIdle, "first")
 	last := withDeadline("last", 1800, wire.PriorityHigh, "middle")
-	list := []*jobs.Job{first, middle, patient, last}
+	list := []*jobs.Job{first, middle, direct, last}
 	g, _ := newGraph(list...)
 	if missing, cyclic := g.LinkAll(list); len(missing)+len(cyclic) > 0 {
 		t.Fatalf("missing %v, cyclic %v", missing, cyclic)
@@ -92,7 +92,7 @@
 			g.QueuePathUpdates(j)
 		}
 	}
-	want = jobs.CriticalPath{Last: patient, Due: start.Add(time.Hour - stage), DownstreamTime: stage}
+	want = jobs.CriticalPath{Last: direct, Due: start.Add(time.Hour - stage), DownstreamTime: stage}
 	if got := first.CriticalPath(); got != want || first.PriorityRank() != wire.PriorityRank(wire.PriorityIdle) {
 		t.Errorf("without the cancelled job: path %+v, rank %d", got, first.PriorityRank())
 	}
@@ -115,9 +115,9 @@
 	}
 }
 
-// TestRandomGraphIsWorkedOff ends the jobs of random graphs in the order in which they are
+// TestRandomGraphUnblocksInOrder ends the jobs of random graphs in the order in which they are
 // unblocked: every job is unblocked exactly when all that it depends on have ended.
-func TestRandomGraphIsWorkedOff(t *testing.T) {
+func TestRandomGraphUnblocksInOrder(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, seed))
 		var list []*jobs.Job
--- a/internal/jobs/estimates.go
+++ b/internal/jobs/estimates.go
@@ -11,8 +11,8 @@
 type RunTimeRatios map[string]float64
 
 // Observe learns from a task that has run for so many seconds.
-func (r RunTimeRatios) Observe(j *Job, ran float64) {
-	ratio := ran / max(j.EstimateS, tuning.MinimumEstimateS)
+func (r RunTimeRatios) Observe(j *Job, ranS float64) {
+	ratio := ranS / max(j.EstimateS, tuning.MinimumEstimateS)
 	old, ok := r[j.Class]
 	if !ok {
 		old = 1
@@ -32,41 +32,41 @@
 // EstimateReady is the run time in seconds of a job's ready tasks, of the one with the least
 // progress, or of a whole task if none is ready.
 func (r RunTimeRatios) EstimateReady(j *Job) float64 {
-	whole := r.Estimate(j)
+	fullS := r.Estimate(j)
 	if len(j.progress) == 0 || len(j.ready) == 0 || len(j.ready) > len(j.progress) {
-		return whole
+		return fullS
 	}
-	least := whole
+	leastProgressS := fullS
 	for _, index := range j.ready {
-		least = min(least, j.progress[index])
+		leastProgressS = min(leastProgressS, j.progress[index])
 	}
-	return max(tuning.MinimumEstimateS, whole-least)
+	return max(tuning.MinimumEstimateS, fullS-leastProgressS)
 }
 
 // DeadlineSlack is the time in seconds that may pass before a job can no longer be in time, by
 // the deadline on its critical path and the objectives: of those it can still meet the
 // nearest. It is false if there is none.
 func (r RunTimeRatios) DeadlineSlack(now time.Time, j *Job, objectives []config.Objective) (float64, bool) {
-	rest := r.EstimateReady(j)
-	best, found := 0.0, false
-	due := func(since time.Time, after float64) {
-		if s := after - now.Sub(since).Seconds() - rest; s >= 0 && (!found || s < best) {
-			best, found = s, true
+	remainingS := r.EstimateReady(j)
+	slackS, found := 0.0, false
+	considerDueTime := func(since time.Time, after float64) {
+		if s := after - now.Sub(since).Seconds() - remainingS; s >= 0 && (!found || s < slackS) {
+			slackS, found = s, true
 		}
 	}
-	last, left := j.path.Last, j.path.DownstreamTime.Seconds()
+	last, downstreamS := j.criticalPath.Last, j.criticalPath.DownstreamTime.Seconds()
 	if last != nil {
-		due(last.submittedAt, *last.DeadlineS-left)
+		considerDueTime(last.submittedAt, *last.DeadlineS-downstreamS)
 	}
 	for _, o := range objectives {
 		switch {
 		case o.Kind == "deadline" && last != nil && o.Class == last.Class:
-			due(last.submittedAt, *last.DeadlineS*max(o.Times, 1)-left)
+			considerDueTime(last.submittedAt, *last.DeadlineS*max(o.Times, 1)-downstreamS)
 		case o.Kind == "finished" && o.WithinS > 0 && o.Class == j.Class:
-			due(j.waitingSince, o.WithinS)
+			considerDueTime(j.waitingSince, o.WithinS)
 		}
 	}
-	return best, found
+	return slackS, found
 }
 
 // Urgency orders jobs of one priority, the most urgent having the least: by slack, and by the
@@ -91,7 +91,7 @@
 
 // Observe learns from a task that was placed so many seconds before it was reported as running.
 // What takes longer than two heartbeats is a machine's trouble, not what the next task will take.
-func (d *StartDelay) Observe(seconds, heartbeatIntervalS float64) {
-	seconds = min(seconds, maxStartDelayIntervals*heartbeatIntervalS)
-	*d += StartDelay((seconds - float64(*d)) * tuning.StartDelayWeight)
+func (d *StartDelay) Observe(delayS, heartbeatIntervalS float64) {
+	delayS = min(delayS, maxStartDelayIntervals*heartbeatIntervalS)
+	*d += StartDelay((delayS - float64(*d)) * tuning.StartDelayWeight)
 }
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -43,15 +43,15 @@
 		submittedAt:   submittedAt,
 		waitingSince:  submittedAt,
 		taskSet: taskSet{
-			completed:     intervals.New(spec.Tasks),
-			unsavedChunks: map[int]bool{},
-			allocations:   map[int32]int8{},
-			inZone:        map[string]int{},
-			lastPlacedAt:  submittedAt,
+			completed:         intervals.New(spec.Tasks),
+			unsavedChunks:     map[int]bool{},
+			allocations:       map[int32]int8{},
+			allocationsByZone: map[string]int{},
+			lastPlacedAt:      submittedAt,
 		},
 		recordKeys: map[string]bool{},
 	}
-	j.priorityRank, j.path = j.standalonePath()
+	j.priorityRank, j.criticalPath = j.standalonePath()
 	return j
 }
 
@@ -85,7 +85,7 @@
 func (j *Job) Constraints() *placement.PendingJob {
 	return &placement.PendingJob{
 		MachineTypes: j.MachineTypes, Zone: j.Zone, OneZone: j.OneZone, SpreadZones: j.SpreadZones,
-		Spot: j.Spot, Request: j.request, TotalTasks: j.Tasks, TasksInZone: j.inZone,
+		Spot: j.Spot, Request: j.request, TotalTasks: j.Tasks, TasksInZone: j.allocationsByZone,
 	}
 }
 
--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -129,4 +129,6 @@
 // not durable, so whether it exists is not decided, or it is being cancelled
 // with one that it depends on. However long that takes to become durable,
 // no response says any more that the job waits or runs.
-func (j *Job) StateWithheld() bool { return !j.acceptanceDurable || j.dependencyCancelled && !j.endDurable }
+func (j *Job) StateWithheld() bool {
+	return !j.acceptanceDurable || j.dependencyCancelled && !j.endDurable
+}
--- a/internal/jobs/tasks.go
+++ b/internal/jobs/tasks.go
@@ -12,13 +12,13 @@
 
 // taskSet is what is known of the tasks of a job.
 type taskSet struct {
-	completed     *intervals.Set
-	stored        *intervals.Set // completions known to be stored; nil for none
-	unsavedChunks map[int]bool   // parts of completed that are to be written
-	ready         []int32        // tasks to be placed, last first
-	allocations   map[int32]int8 // machines that may have a task
-	inZone        map[string]int // allocations by zone
-	running       int
+	completed         *intervals.Set
+	storedCompletions *intervals.Set // completions known to be stored; nil for none
+	unsavedChunks     map[int]bool   // parts of completed that are to be written
+	ready             []int32        // tasks to be placed, last first
+	allocations       map[int32]int8 // machines that may have a task
+	allocationsByZone map[string]int // allocations by zone
+	running           int
 	// progress is what tasks that are to run again have saved, in seconds, as
 	// far as this term has seen it.
 	progress map[int32]float64
@@ -77,15 +77,15 @@
 }
 
 func (j *Job) markStored(index int) {
-	if j.stored == nil {
-		j.stored = intervals.New(j.Tasks)
+	if j.storedCompletions == nil {
+		j.storedCompletions = intervals.New(j.Tasks)
 	}
-	j.stored.Add(index)
+	j.storedCompletions.Add(index)
 }
 
 // IsCompletionStored reports whether the completion of a task is stored.
 func (j *Job) IsCompletionStored(index int32) bool {
-	return j.endDurable || j.stored != nil && j.stored.Has(int(index))
+	return j.endDurable || j.storedCompletions != nil && j.storedCompletions.Has(int(index))
 }
 
 // RebuildReadyTasks queues every task that is neither done nor maybe on a machine.
@@ -128,15 +128,15 @@
 
 // Allocate counts a machine in the zone that may have the task.
 func (t *taskSet) Allocate(index int32, zone string) {
-	t.inZone[zone]++
+	t.allocationsByZone[zone]++
 	t.allocations[index]++
 }
 
 // Release counts a machine in the zone less that may have the task. If there is none left the
 // task is queued again if it is still to run, and the result is true.
 func (j *Job) Release(index int32, zone string) (last bool) {
-	if j.inZone[zone]--; j.inZone[zone] == 0 {
-		delete(j.inZone, zone)
+	if j.allocationsByZone[zone]--; j.allocationsByZone[zone] == 0 {
+		delete(j.allocationsByZone, zone)
 	}
 	if j.allocations[index]--; j.allocations[index] > 0 {
 		return false
--- a/internal/records/batch.go
+++ b/internal/records/batch.go
@@ -7,8 +7,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// writeFrameBytes is what a change takes of a transaction beside its key and value.
-const writeFrameBytes = 64
+// writeOverheadBytes is what a change takes of a transaction beside its key and value.
+const writeOverheadBytes = 64
 
 // Batch is a group of changes to be committed in one transaction.
 type Batch struct {
@@ -42,4 +42,6 @@
 }
 
 // writeSize is what a change takes of a transaction, its JSON frame included.
-func writeSize(key string, value json.RawMessage) int { return len(key) + len(value) + writeFrameBytes }
+func writeSize(key string, value json.RawMessage) int {
+	return len(key) + len(value) + writeOverheadBytes
+}
--- a/internal/records/completions.go
+++ b/internal/records/completions.go
@@ -15,8 +15,8 @@
 // at most valueLimit bytes: the largest power of two, up to a bound, with which the record
 // fits into a value however fragmented it is.
 func CompletionChunkSize(valueLimit int) int {
-	most := max(1, (valueLimit-len(`""`))/tuning.CompletionBytesPerTask)
-	return min(tuning.CompletionChunkTasks, 1<<(bits.Len(uint(most))-1))
+	maxTasks := max(1, (valueLimit-len(`""`))/tuning.CompletionBytesPerTask)
+	return min(tuning.CompletionChunkTasks, 1<<(bits.Len(uint(maxTasks))-1))
 }
 
 // Completions are the completed tasks of one part of a job.
--- a/internal/records/errors.go
+++ b/internal/records/errors.go
@@ -10,9 +10,9 @@
 
 // Reasons why a record is corrupt.
 var (
-	ErrMissingPiece = errors.New("piece of the job record is missing")
+	ErrMissingPiece      = errors.New("piece of the job record is missing")
 	ErrJobIDMismatch     = errors.New("record of another job")
-	ErrUnknownFinalState   = errors.New("unknown final state")
+	ErrUnknownFinalState = errors.New("unknown final state")
 )
 
 // CorruptError is a stored record that can't be right, and without which the state would be
--- a/internal/records/job.go
+++ b/internal/records/job.go
@@ -38,15 +38,15 @@
 	var items []Item
 	if len(value) > valueLimit {
 		rec.Whole, rec.Term = nil, term
-		items = jobPieces(job, term, valueLimit)
+		items = splitJob(job, term, valueLimit)
 		rec.Pieces = len(items)
 		value = encode(rec)
 	}
 	return append(items, Item{JobKey(job.ID), value})
 }
 
-// jobPieces cuts a job that is too large for one value.
-func jobPieces(job *wire.Job, term uint64, valueLimit int) []Item {
+// splitJob cuts a job that is too large for one value.
+func splitJob(job *wire.Job, term uint64, valueLimit int) []Item {
 	size := (valueLimit - len(`""`)) / 4 * 3 // as base64
 	var items []Item
 	for rest := []byte(encode(job)); len(rest) > 0; {
@@ -82,8 +82,8 @@
 	return err
 }
 
-// take removes a job's pieces and returns their keys and their content put together.
-func (p JobPieces) take(id string, term uint64, count int) (keys []string, content []byte, err error) {
+// assemble removes a job's pieces and returns their keys and their content put together.
+func (p JobPieces) assemble(id string, term uint64, count int) (keys []string, content []byte, err error) {
 	for number := range count {
 		key := JobPieceKey(id, term, number)
 		piece, ok := p[key]
@@ -118,7 +118,7 @@
 	case rec.Whole != nil:
 		stored.Job = *rec.Whole
 	case rec.Pieces > 0:
-		keys, content, err := pieces.take(id, rec.Term, rec.Pieces)
+		keys, content, err := pieces.assemble(id, rec.Term, rec.Pieces)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -83,15 +83,15 @@
 }
 
 // StartsKey names a start record. Keys sort in the order in which the records were written.
-func StartsKey(term, number uint64) string { return ordered(KindStarts, term, number) }
+func StartsKey(term, number uint64) string { return sortableKey(KindStarts, term, number) }
 
 // DrainKey is the key of a drain's record.
 func DrainKey(name string) string { return KindDrain.Prefix() + name }
 
 // ChargeKey names the record of a charge. Keys sort in the order of the charges.
-func ChargeKey(term, number uint64) string { return ordered(KindCharge, term, number) }
+func ChargeKey(term, number uint64) string { return sortableKey(KindCharge, term, number) }
 
-// ordered is a key that sorts by term and number.
-func ordered(k Kind, term, number uint64) string {
+// sortableKey is a key that sorts by term and number.
+func sortableKey(k Kind, term, number uint64) string {
 	return fmt.Sprintf("%s/%08x-%08x", k, term, number)
 }
--- a/internal/records/queue.go
+++ b/internal/records/queue.go
@@ -16,17 +16,17 @@
 // Queue holds changes in order. The latest value of a key replaces an earlier one that has
 // not been taken.
 type Queue struct {
-	queue []*Write
-	byKey map[string]*Write
-	head  int
-	taken int64
+	writes   []*Write
+	byKey    map[string]*Write
+	head     int
+	dequeued int64
 }
 
 // Len is the number of changes that wait.
-func (q *Queue) Len() int { return len(q.queue) - q.head }
+func (q *Queue) Len() int { return len(q.writes) - q.head }
 
 // Dequeued is the number of changes taken out so far.
-func (q *Queue) Dequeued() int64 { return q.taken }
+func (q *Queue) Dequeued() int64 { return q.dequeued }
 
 // Put queues a new value of a key and calls onCommit, if set, when it or a later value is
 // durable.
@@ -38,7 +38,7 @@
 	if w == nil {
 		w = &Write{Key: key}
 		q.byKey[key] = w
-		q.queue = append(q.queue, w)
+		q.writes = append(q.writes, w)
 	}
 	w.Value = value
 	if onCommit != nil {
@@ -50,19 +50,19 @@
 func (q *Queue) Delete(key string) { q.Put(key, nil, nil) }
 
 // moveTo moves changes from the queue into the batch, at most most.
-func (q *Queue) moveTo(b *Batch, most int) {
-	for ; most > 0 && q.head < len(q.queue); most-- {
-		w := q.queue[q.head]
+func (q *Queue) moveTo(b *Batch, limit int) {
+	for ; limit > 0 && q.head < len(q.writes); limit-- {
+		w := q.writes[q.head]
 		if !b.fits(writeSize(w.Key, w.Value)) {
 			break
 		}
-		q.queue[q.head] = nil
+		q.writes[q.head] = nil
 		q.head++
-		q.taken++
+		q.dequeued++
 		delete(q.byKey, w.Key)
 		b.add(w)
 	}
-	if q.head == len(q.queue) {
-		q.queue, q.head = q.queue[:0], 0
+	if q.head == len(q.writes) {
+		q.writes, q.head = q.writes[:0], 0
 	}
 }
--- a/internal/records/queues.go
+++ b/internal/records/queues.go
@@ -51,26 +51,26 @@
 // starts wait, and while new jobs are shed also while the rest does: acceptances would
 // otherwise fill every batch, and no accepted job would begin or end. Batches must be
 // committed one after the other, each followed by Committed.
-func (q *WriteQueues) NextBatch(maxOps, spare int, shedding bool) *Batch {
+func (q *WriteQueues) NextBatch(maxOps, spareOps int, shedding bool) *Batch {
 	b := &Batch{maxOps: maxOps, valueLimit: q.valueLimit}
 	q.Dependent.moveTo(b, max(1, maxOps/tuning.DependentWritesDivisor))
-	first := max(1, maxOps/tuning.InteractiveWritesDivisor)
-	q.Interactive.moveTo(b, first)
+	interactiveShare := max(1, maxOps/tuning.InteractiveWritesDivisor)
+	q.Interactive.moveTo(b, interactiveShare)
 	q.moveStartsTo(b)
 	if shedding {
-		spare = max(spare, first/tuning.InteractiveWritesDivisor)
+		spareOps = max(spareOps, interactiveShare/tuning.InteractiveWritesDivisor)
 	} else {
 		q.Interactive.moveTo(b, maxOps)
 	}
-	q.Dependent.moveTo(b, spare)
+	q.Dependent.moveTo(b, spareOps)
 	if len(q.starts) == 0 {
 		// A record may be deleted only once what it still stood for is stored
 		// elsewhere.
-		q.Background.moveTo(b, spare)
+		q.Background.moveTo(b, spareOps)
 	}
 	q.Interactive.moveTo(b, maxOps)
 	for _, w := range b.oversized {
-		q.refused(w)
+		q.dropRejected(w)
 	}
 	if len(b.Mutations) == 0 {
 		return nil
@@ -82,7 +82,7 @@
 func (q *WriteQueues) moveStartsTo(b *Batch) {
 	for len(q.starts) > 0 {
 		size := q.starts[0].MaxSize()
-		if size > 0 && !b.fits(size+writeFrameBytes) {
+		if size > 0 && !b.fits(size+writeOverheadBytes) {
 			return
 		}
 		if w := q.starts[0].Finalize(); w != nil {
@@ -97,7 +97,7 @@
 func (q *WriteQueues) MarkCommitted(b *Batch, refused []string) {
 	for _, w := range b.writes {
 		if slices.Contains(refused, w.Key) {
-			q.refused(w)
+			q.dropRejected(w)
 			continue
 		}
 		for _, onCommit := range w.OnCommit {
@@ -106,9 +106,9 @@
 	}
 }
 
-// refused gives up a change that can't be stored. What waits for it goes on
+// dropRejected gives up a change that can't be stored. What waits for it goes on
 // waiting, except for starts, which can be decided anew.
-func (q *WriteQueues) refused(w *Write) {
+func (q *WriteQueues) dropRejected(w *Write) {
 	q.log.Error().Str("key", w.Key).Int("bytes", len(w.Value)).Msg("record rejected by state store, skipped")
 	if w.OnRefused != nil {
 		w.OnRefused()
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -26,13 +26,13 @@
 // TestKeys pins the stored names: another version of the program must find them.
 func TestKeys(t *testing.T) {
 	for key, want := range map[string]string{
-		records.JobKey("job-1"):               "j/job-1",
-		records.JobPieceKey("job-1", 5, 2):    "n/job-1/5-2",
-		records.FinalStateKey("job-1"):        "f/job-1",
-		records.StartsKey(5, 258):             "s/00000005-00000102",
-		records.DrainKey("maintenance"):       "e/maintenance",
-		records.ChargeKey(16, 1):              "b/00000010-00000001",
-		records.KindMachineStarts.Prefix():    "m/",
+		records.JobKey("job-1"):                 "j/job-1",
+		records.JobPieceKey("job-1", 5, 2):      "n/job-1/5-2",
+		records.FinalStateKey("job-1"):          "f/job-1",
+		records.StartsKey(5, 258):               "s/00000005-00000102",
+		records.DrainKey("maintenance"):         "e/maintenance",
+		records.ChargeKey(16, 1):                "b/00000010-00000001",
+		records.KindMachineStarts.Prefix():      "m/",
 		records.CompletionsJobID("job-1/0-511"): "job-1",
 	} {
 		if key != want {
--- a/internal/records/starts.go
+++ b/internal/records/starts.go
@@ -60,10 +60,10 @@
 
 // Bytes that the parts of a start record take at most beside the names in them.
 const (
-	startsFrameBytes  = 32
-	machineFrameBytes = 72
-	jobFrameBytes     = 8
-	taskIndexBytes    = 8
+	startsOverheadBytes  = 32
+	machineOverheadBytes = 72
+	jobOverheadBytes     = 8
+	taskIndexBytes       = 8
 )
 
 // StartsSize bounds the encoded size of a start record while attempts are added to it.
@@ -74,7 +74,7 @@
 
 // NewStartsSize is the size of an empty record.
 func NewStartsSize() StartsSize {
-	return StartsSize{bytes: startsFrameBytes, machines: map[string]map[string]bool{}}
+	return StartsSize{bytes: startsOverheadBytes, machines: map[string]map[string]bool{}}
 }
 
 // Bytes is the most that the record takes.
@@ -85,10 +85,10 @@
 	sum := s.bytes + taskIndexBytes
 	jobs := s.machines[machine.ID]
 	if jobs == nil {
-		sum += len(machine.ID) + len(machine.Type) + len(machine.Zone) + machineFrameBytes
+		sum += len(machine.ID) + len(machine.Type) + len(machine.Zone) + machineOverheadBytes
 	}
 	if !jobs[jobID] {
-		sum += len(jobID) + jobFrameBytes
+		sum += len(jobID) + jobOverheadBytes
 	}
 	return sum
 }
--- a/internal/startlog/record.go
+++ b/internal/startlog/record.go
@@ -9,13 +9,13 @@
 
 // Record is a start record and the attempts that it still stands for.
 type Record struct {
-	log      *Log
-	key      string
-	live     int  // attempts
-	saved    bool // durable or on its way
-	closed   bool // takes no further starts
-	size     records.StartsSize
-	attempts []*machines.Attempt // until it is durable
+	log          *Log
+	key          string
+	liveAttempts int  // attempts
+	written      bool // durable or on its way
+	closed       bool // takes no further starts
+	size         records.StartsSize
+	attempts     []*machines.Attempt // until it is durable
 }
 
 // add puts an attempt in.
@@ -27,13 +27,13 @@
 
 // AddLoadedAttempt counts an attempt that the stored record names.
 func (r *Record) AddLoadedAttempt(a *machines.Attempt) {
-	r.live++
+	r.liveAttempts++
 	a.Record = r
 }
 
 // MaxSize implements records.PendingStarts.
 func (r *Record) MaxSize() int {
-	if r.live == 0 {
+	if r.liveAttempts == 0 {
 		return 0
 	}
 	return r.size.Bytes()
@@ -42,20 +42,20 @@
 // Finalize implements records.PendingStarts.
 func (r *Record) Finalize() *records.Write {
 	r.closed = true
-	if r.live == 0 {
+	if r.liveAttempts == 0 {
 		return nil
 	}
-	r.saved = true
+	r.written = true
 	return &records.Write{
 		Key:       r.key,
-		Value:     r.starts().Encode(),
-		OnCommit:  []func(){func() { r.finish(r.log.callbacks.OnDurable) }},
-		OnRefused: func() { r.finish(r.log.callbacks.OnRefused) },
+		Value:     r.buildStarts().Encode(),
+		OnCommit:  []func(){func() { r.notifyAttempts(r.log.callbacks.OnDurable) }},
+		OnRefused: func() { r.notifyAttempts(r.log.callbacks.OnRefused) },
 	}
 }
 
-// finish calls back for the attempts whose start waited for the record.
-func (r *Record) finish(callback func(*machines.Attempt)) {
+// notifyAttempts calls back for the attempts whose start waited for the record.
+func (r *Record) notifyAttempts(callback func(*machines.Attempt)) {
 	for _, a := range r.attempts {
 		if a.State() == machines.RecordPending && a.Record == r {
 			callback(a)
@@ -64,8 +64,8 @@
 	r.attempts, r.size = nil, records.StartsSize{}
 }
 
-// starts is the record's content; attempts that have ended meanwhile are left out.
-func (r *Record) starts() *records.Starts {
+// buildStarts is the record's content; attempts that have ended meanwhile are left out.
+func (r *Record) buildStarts() *records.Starts {
 	byMachine := map[*machines.Machine]map[string][]int{}
 	var order []*machines.Machine
 	for _, a := range r.attempts {
--- a/internal/startlog/startlog.go
+++ b/internal/startlog/startlog.go
@@ -24,8 +24,8 @@
 	valueLimit int // bytes of a stored value
 	writes     *records.WriteQueues
 	callbacks  Callbacks
-	named      uint64    // records named so far
-	newest     *Record   // takes further starts until it is full or put into a batch
+	lastNumber uint64    // records named so far
+	current    *Record   // takes further starts until it is full or put into a batch
 	loaded     []*Record // those of predecessors, while records are loaded
 }
 
@@ -38,17 +38,17 @@
 func (l *Log) Add(a *machines.Attempt) {
 	machine, jobID := a.Machine.RecordIdentity(), a.Job.ID
 	limit := float64(l.valueLimit) * tuning.RecordValueShare
-	if l.newest == nil || l.newest.closed || float64(l.newest.size.BytesWith(machine, jobID)) > limit {
+	if l.current == nil || l.current.closed || float64(l.current.size.BytesWith(machine, jobID)) > limit {
 		l.addRecord()
 	}
-	l.newest.add(machine, a)
+	l.current.add(machine, a)
 }
 
 // addRecord queues an empty record.
 func (l *Log) addRecord() {
-	l.named++
-	l.newest = &Record{log: l, key: records.StartsKey(l.term, l.named), size: records.NewStartsSize()}
-	l.writes.PutStarts(l.newest)
+	l.lastNumber++
+	l.current = &Record{log: l, key: records.StartsKey(l.term, l.lastNumber), size: records.NewStartsSize()}
+	l.writes.PutStarts(l.current)
 }
 
 // Remove takes an attempt that has ended out of its record's count.
@@ -58,14 +58,14 @@
 		return
 	}
 	a.Record = nil
-	if r.live--; r.live == 0 && r.saved {
+	if r.liveAttempts--; r.liveAttempts == 0 && r.written {
 		l.writes.Background.Delete(r.key)
 	}
 }
 
 // LoadRecord returns a record of a predecessor.
 func (l *Log) LoadRecord(key string) *Record {
-	r := &Record{log: l, key: key, saved: true, closed: true}
+	r := &Record{log: l, key: key, written: true, closed: true}
 	l.loaded = append(l.loaded, r)
 	return r
 }
@@ -73,7 +73,7 @@
 // FinishLoading deletes the loaded records that stand for no attempt.
 func (l *Log) FinishLoading() {
 	for _, r := range l.loaded {
-		if r.live == 0 {
+		if r.liveAttempts == 0 {
 			l.writes.Background.Delete(r.key)
 		}
 	}
