--- a/internal/allocation/ledger.go
+++ b/internal/allocation/ledger.go
@@ -1,5 +1,5 @@
-// Package allocation counts what the attempts on machines take: of the machines' capacity, of
-// the teams' quotas and of the zones. It reads no clock and does no I/O.
+// Package allocation accounts for the resources of attempts against the machines' capacity and
+// the teams' quotas, and counts them by zone. It reads no clock and does no I/O.
 package allocation
 
 import (
@@ -13,8 +13,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// Ledger owns the quotas of the teams and what they use of them. An attempt counts from when
-// its task may be on the machine until it certainly no longer is.
+// Ledger owns the quotas of the teams and their usage. An attempt counts from when its task may
+// be on the machine until the task is known to have left it.
 type Ledger struct {
 	teams map[string]*teamUsage
 }
@@ -25,7 +25,7 @@
 	used  placement.Resources
 }
 
-// NewLedger returns a ledger of teams that use nothing.
+// NewLedger returns a ledger without usage.
 func NewLedger(teams []config.Team) *Ledger {
 	l := &Ledger{teams: map[string]*teamUsage{}}
 	for _, t := range teams {
@@ -34,11 +34,11 @@
 	return l
 }
 
-// resolveLimits returns a team with the limits that its settings stand for.
+// resolveLimits returns a team with the limits that its settings imply.
 func resolveLimits(t config.Team) config.Team {
 	if t.CPUsMax == 0 && t.GPUsMax == 0 {
-		// "A value of 0 means none": a guest without a guarantee and without a
-		// limit, not one that may use nothing.
+		// Limits of 0 mean that the team has no limit, as a guest without a guarantee,
+		// not that it may use nothing.
 		t.CPUsMax, t.GPUsMax = math.Inf(1), math.Inf(1)
 	}
 	return t
@@ -53,8 +53,8 @@
 	a.Job.Allocate(a.Index, a.Machine.Zone)
 }
 
-// Release counts an attempt no more whose task certainly is no longer on its machine. It
-// reports whether no other machine may have the task.
+// Release removes an attempt whose task is known to have left its machine. It reports whether
+// no other machine may have the task.
 func (l *Ledger) Release(now time.Time, a *machines.Attempt) (last bool) {
 	a.Machine.RemoveAttempt(now, a)
 	if t := l.teams[a.Job.Team]; t != nil {
@@ -66,7 +66,7 @@
 	return a.Job.Release(a.Index, a.Machine.Zone)
 }
 
-// UsedCPUs are the CPUs that a team uses.
+// UsedCPUs returns the CPUs that a team uses.
 func (l *Ledger) UsedCPUs(team string) float64 {
 	t := l.teams[team]
 	if t == nil {
@@ -75,7 +75,7 @@
 	return t.used.CPUs
 }
 
-// FreeCPUs are the CPUs that a team may use beyond those that it uses; known is false for
+// FreeCPUs returns the CPUs that a team may use beyond those that it uses; known is false for
 // teams that are not in the settings.
 func (l *Ledger) FreeCPUs(team string) (cpus float64, known bool) {
 	t := l.teams[team]
@@ -85,7 +85,7 @@
 	return t.quota.CPUsMax - t.used.CPUs, true
 }
 
-// FreeCPUsByTeam are the free CPUs of all teams. The caller may modify the map.
+// FreeCPUsByTeam returns the free CPUs of all teams. The caller may modify the map.
 func (l *Ledger) FreeCPUsByTeam() map[string]float64 {
 	free := make(map[string]float64, len(l.teams))
 	for name, t := range l.teams {
@@ -94,7 +94,7 @@
 	return free
 }
 
-// PlacementTeams is what each team uses, and its limit, for one scheduling pass.
+// PlacementTeams returns the usage and the limit of each team for one scheduling pass.
 func (l *Ledger) PlacementTeams() map[string]*placement.Team {
 	teams := make(map[string]*placement.Team, len(l.teams))
 	for name, t := range l.teams {
@@ -104,8 +104,8 @@
 	return teams
 }
 
-// WithinGuarantee returns which unfinished jobs, listed oldest first, fit into their
-// team's guarantee together with the team's earlier ones.
+// WithinGuarantee returns the jobs of the list, which is sorted oldest first, that fit into
+// their team's guarantee together with the team's earlier ones.
 func (l *Ledger) WithinGuarantee(list []*jobs.Job) map[*jobs.Job]bool {
 	used := map[string]placement.Resources{}
 	fits := map[*jobs.Job]bool{}
@@ -125,7 +125,7 @@
 	return fits
 }
 
-// QuotaViolation says why a job can never run, as far as its team's quota shows, or "".
+// QuotaViolation returns why a job can never run within the quota of its team, or "" if it can.
 func (l *Ledger) QuotaViolation(spec *wire.Job) string {
 	t := l.teams[spec.Team]
 	if t == nil {
@@ -144,7 +144,7 @@
 	return ""
 }
 
-// QuotaViolation says why a job can never run, as far as the settings alone show, or "".
+// QuotaViolation returns why a job can never run within the given quotas, or "" if it can.
 func QuotaViolation(teams []config.Team, spec *wire.Job) string {
 	for _, t := range teams {
 		if t.Name == spec.Team {
--- a/internal/intervals/set.go
+++ b/internal/intervals/set.go
@@ -1,5 +1,5 @@
-// Package intervals is an interval set of task indexes: a bit for each index in
-// memory, and text such as "0-3,7" in stored records.
+// Package intervals implements sets of task indexes: a bitmap in memory, and text such as
+// "0-3,7" in stored records.
 package intervals
 
 // wordBits is the number of indexes in a word of a set.
@@ -22,7 +22,7 @@
 	return i >= 0 && i < s.size && s.words[i/wordBits]&(1<<(i%wordBits)) != 0
 }
 
-// Add puts i in the set and reports whether it was new.
+// Add adds i to the set and reports whether it was new.
 func (s *Set) Add(i int) bool {
 	if i < 0 || i >= s.size || s.Has(i) {
 		return false
@@ -32,7 +32,7 @@
 	return true
 }
 
-// Len is the number of indexes in the set.
+// Len returns the number of indexes in the set.
 func (s *Set) Len() int { return s.count }
 
 // Full reports whether every index is in the set.
--- a/internal/intervals/text.go
+++ b/internal/intervals/text.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// ErrOutOfBounds is matched by the error of an interval beyond the limit, or
-// whose end is before its begin.
+// ErrOutOfBounds is matched by the error for an interval that is beyond the limit or ends
+// before it begins.
 var ErrOutOfBounds = errors.New("range out of bounds")
 
-// Format writes the indexes from to to-1 as intervals.
+// Format returns the indexes of the set from from to to-1 as intervals.
 func (s *Set) Format(from, to int) string {
 	var b strings.Builder
 	to = min(to, s.size)
@@ -36,7 +36,7 @@
 	return b.String()
 }
 
-// FormatList writes ascending indexes as intervals.
+// FormatList returns ascending indexes as intervals.
 func FormatList(sorted []int) string {
 	var b strings.Builder
 	for i := 0; i < len(sorted); {
@@ -50,7 +50,7 @@
 	return b.String()
 }
 
-// appendInterval writes the interval from..to, both included.
+// appendInterval appends the interval from..to, both included.
 func appendInterval(b *strings.Builder, from, to int) {
 	if b.Len() > 0 {
 		b.WriteByte(',')
@@ -62,8 +62,8 @@
 	}
 }
 
-// ParseEach parses intervals and calls f for every index, all below limit. The error
-// is ErrOutOfBounds, or that of a number.
+// ParseEach parses intervals and calls f for every index. Each must be below limit; the error
+// is ErrOutOfBounds or that of a malformed number.
 func ParseEach(text string, limit int, f func(int)) error {
 	if text == "" {
 		return nil
--- a/internal/jobs/completions.go
+++ b/internal/jobs/completions.go
@@ -6,20 +6,21 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// UnsavedCompletions are the jobs with completions that are to be written, since when.
+// UnsavedCompletions maps each job with completions to be written to the time of the first.
 type UnsavedCompletions map[*Job]time.Time
 
-// Add notes that a job has completions to be written.
+// Add adds a job with completions to be written. A job that is present keeps its time.
 func (u UnsavedCompletions) Add(now time.Time, j *Job) {
 	if _, known := u[j]; !known {
 		u[j] = now
 	}
 }
 
-// Remove forgets a job whose completions need not be written any more.
+// Remove removes a job whose completions no longer need to be written.
 func (u UnsavedCompletions) Remove(j *Job) { delete(u, j) }
 
-// PopDue takes the jobs whose completions have waited long enough, in the order of their IDs.
+// PopDue removes and returns the jobs whose completions have waited for CompletionFlushDelay,
+// sorted by ID.
 func (u UnsavedCompletions) PopDue(now time.Time) []*Job {
 	var due []*Job
 	for j, since := range u {
--- a/internal/jobs/dependencies.go
+++ b/internal/jobs/dependencies.go
@@ -8,50 +8,49 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// Dependent jobs. What a job that depends on others waits for follows from the final
-// states of those, and from nothing else: a successor finds the same, and a
-// leader that dies between a final state and what it means for other jobs
-// leaves nothing half done. Only jobs that were accepted before can be named,
-// so no job can depend on itself, directly or through others.
-
-// CriticalPath is what the jobs that depend on a job, through any number of steps, expect of
-// it: the deadline of the last one of the tightest path, less the estimated time
-// of what lies between.
+// Whether a job is blocked or has to be cancelled follows only from the final states of its
+// dependencies. A successor therefore derives the same, and a leader that fails after it stored
+// a final state, but before it updated the dependents, leaves nothing inconsistent. A job can
+// depend only on jobs that were accepted before it, so the graph has no cycles.
+
+// CriticalPath is the tightest deadline that a job has to meet for itself or for its direct and
+// indirect dependents: the deadline of the last job on the path, less the estimated time of the
+// jobs after this one.
 type CriticalPath struct {
-	Last           *Job // whose deadline it is; nil if there is none
+	Last           *Job // the job with the deadline; nil if there is none
 	Due            time.Time
-	DownstreamTime time.Duration // what lies between
+	DownstreamTime time.Duration // estimated time of the later jobs on the path, including Last
 }
 
-// dependencyState is what follows for a job from those it depends on, and those that depend
-// on it.
+// dependencyState is what a job derives from its dependencies and its dependents.
 type dependencyState struct {
-	unfinishedDependencies int // jobs that it depends on and that have not ended
-	// dependencyCancelled: a job that it depends on was cancelled, and so will it be.
+	unfinishedDependencies int // dependencies that have not ended
+	// dependencyCancelled: a dependency was cancelled, so this job will be cancelled too.
 	dependencyCancelled bool
-	// priorityRank is its priority, or that of a job that depends on it, if higher.
+	// priorityRank is the job's own priority, or that of a dependent if it is higher.
 	priorityRank int
 	criticalPath CriticalPath
-	cyclic       bool // its path can't be derived: damaged records lead in a circle
-	pathQueued   bool // among those whose path is to be derived again
+	cyclic       bool // its path can't be derived: corrupt records contain a cycle
+	pathQueued   bool // in outdatedPaths of the graph
 }
 
-// PriorityRank is the job's priority, or that of a job that depends on it, if higher.
+// PriorityRank returns the job's own priority, or that of a dependent if it is higher.
 func (s *dependencyState) PriorityRank() int { return s.priorityRank }
 
-// CriticalPath is what the jobs that depend on the job expect of it.
+// CriticalPath returns the tightest deadline that the job has to meet.
 func (s *dependencyState) CriticalPath() CriticalPath { return s.criticalPath }
 
-// IsBlocked reports whether the job waits for others to be done.
+// IsBlocked reports whether the job has unfinished dependencies.
 func (s *dependencyState) IsBlocked() bool { return s.unfinishedDependencies > 0 }
 
-// DependencyCancelled reports whether a job that it depends on was cancelled.
+// DependencyCancelled reports whether a dependency of the job was cancelled.
 func (s *dependencyState) DependencyCancelled() bool { return s.dependencyCancelled }
 
-// MarkDependencyCancelled notes that a job that it depends on was cancelled.
+// MarkDependencyCancelled records that a dependency of the job was cancelled.
 func (s *dependencyState) MarkDependencyCancelled() { s.dependencyCancelled = true }
 
-// standalonePath is a job's priority and path as if no other job depended on it.
+// standalonePath returns the priority and the critical path of a job as if it had no
+// dependents.
 func (j *Job) standalonePath() (int, CriticalPath) {
 	p := CriticalPath{}
 	if j.DeadlineS != nil {
@@ -60,31 +59,33 @@
 	return wire.PriorityRank(j.Priority), p
 }
 
-// DependencyGraph knows which jobs wait for which, and what follows from the jobs that
-// have ended. Its queues are worked off step by step, as there may be thousands.
+// DependencyGraph holds the dependencies between jobs and queues the jobs that are affected by
+// the end of another. Callers process a bounded number of them at a time, as there may be
+// thousands.
 type DependencyGraph struct {
 	registry *Registry
-	// stageTime is the time that a job takes once the jobs that it depends on are done.
+	// stageTime estimates the time from the end of a job's last dependency to its own end.
 	stageTime func(*Job) time.Duration
-	// dependents are the jobs that depend on one that has not ended, by its ID.
+	// dependents are the jobs that depend on an unfinished job, by the ID of that job.
 	dependents    map[string][]*Job
-	unblocked     []*Job // a job that they depend on is done
-	toCancel      []*Job // a job that they depend on was cancelled
-	outdatedPaths []*Job // what others expect of them may have changed
+	unblocked     []*Job // a dependency of theirs is done
+	toCancel      []*Job // a dependency of theirs was cancelled
+	outdatedPaths []*Job // their critical paths may have changed
 }
 
-// NewDependencyGraph returns a graph without edges. stageTime is the time that a job takes once
-// the jobs that it depends on are done.
+// NewDependencyGraph returns a graph without edges. stageTime estimates the time from the end
+// of a job's last dependency to its own end.
 func NewDependencyGraph(registry *Registry, stageTime func(*Job) time.Duration) *DependencyGraph {
 	return &DependencyGraph{registry: registry, stageTime: stageTime, dependents: map[string][]*Job{}}
 }
 
-// QueuedSteps is the number of steps still to be taken after the ends of jobs.
+// QueuedSteps returns the number of queued jobs, each of which takes one step to process.
 func (g *DependencyGraph) QueuedSteps() int {
 	return len(g.unblocked) + len(g.toCancel) + len(g.outdatedPaths)
 }
 
-// Link counts what a job waits for, and notes it with the jobs it depends on.
+// Link adds a job to the dependents of its unfinished dependencies, and marks it if a
+// dependency was cancelled.
 func (g *DependencyGraph) Link(j *Job) {
 	for _, id := range j.DependsOn {
 		f, ended := g.registry.FinalState(id)
@@ -98,7 +99,8 @@
 	}
 }
 
-// JobEnded lets a final state take effect on the jobs that depend on the one that has ended.
+// JobEnded queues the dependents of a job that has ended: they have to be cancelled if it was
+// cancelled, and are otherwise unblocked.
 func (g *DependencyGraph) JobEnded(id string, f records.FinalState) {
 	list := g.dependents[id]
 	delete(g.dependents, id)
@@ -109,17 +111,17 @@
 	}
 }
 
-// QueueCancellation queues a job that depends on one that was cancelled.
+// QueueCancellation queues a job that has to be cancelled because a dependency was.
 func (g *DependencyGraph) QueueCancellation(j *Job) { g.toCancel = append(g.toCancel, j) }
 
-// NextCancellation takes a job that depends on one that was cancelled, or returns nil.
+// NextCancellation removes and returns the next job to be cancelled, or nil.
 func (g *DependencyGraph) NextCancellation() *Job { return popFirst(&g.toCancel) }
 
-// HasCancellations reports whether jobs are to be cancelled.
+// HasCancellations reports whether jobs are queued to be cancelled.
 func (g *DependencyGraph) HasCancellations() bool { return len(g.toCancel) > 0 }
 
-// NextUnblocked takes a job of whose dependencies one is done, or returns nil. The job may
-// still wait for others.
+// NextUnblocked removes and returns the next job that had a dependency done, or nil. The job
+// may have other unfinished dependencies.
 func (g *DependencyGraph) NextUnblocked() *Job {
 	j := popFirst(&g.unblocked)
 	if j != nil {
@@ -128,7 +130,8 @@
 	return j
 }
 
-// NextOutdatedPath takes a job whose path is to be derived again, or returns nil.
+// NextOutdatedPath removes and returns the next job whose critical path has to be updated, or
+// nil.
 func (g *DependencyGraph) NextOutdatedPath() *Job {
 	j := popFirst(&g.outdatedPaths)
 	if j != nil {
@@ -137,7 +140,7 @@
 	return j
 }
 
-// popFirst takes the first job of a queue, or returns nil.
+// popFirst removes and returns the first job of a queue, or returns nil if it is empty.
 func popFirst(queue *[]*Job) *Job {
 	if len(*queue) == 0 {
 		return nil
@@ -147,8 +150,7 @@
 	return j
 }
 
-// QueuePathUpdates notes that what is expected of the jobs that j depends on may
-// have changed.
+// QueuePathUpdates queues the dependencies of j, as their critical paths may have changed.
 func (g *DependencyGraph) QueuePathUpdates(j *Job) {
 	for _, id := range j.DependsOn {
 		d := g.registry.Get(id)
@@ -159,8 +161,8 @@
 	}
 }
 
-// UpdateCriticalPath derives what is expected of a job from the jobs that depend on it, and
-// reports whether that has changed.
+// UpdateCriticalPath derives the priority and the critical path of a job from its dependents,
+// and reports whether either has changed.
 func (g *DependencyGraph) UpdateCriticalPath(j *Job) bool {
 	if j.cyclic {
 		return false
@@ -184,16 +186,16 @@
 	return changed
 }
 
-// MissingDependency is a job that another one names and of which there is no record.
+// MissingDependency is a dependency of a job that is neither a known job nor an ended one.
 type MissingDependency struct {
 	Job        *Job
 	Dependency string
 }
 
-// LinkAll derives, from the records that were loaded, what every job waits for and what is
-// expected of it: last stages first, so that each path is derived once. It returns what the
-// records lack, and the jobs that depend on themselves or that such a job depends on: those
-// records can't be right. The jobs wait, and can be cancelled.
+// LinkAll links all loaded jobs and derives their critical paths, dependents first, so that
+// each path is derived once. It returns the dependencies without a record, and the jobs that
+// are in a dependency cycle or on which such a job depends: their records are corrupt. These
+// jobs stay blocked and can be cancelled.
 func (g *DependencyGraph) LinkAll(all []*Job) (missing []MissingDependency, cyclic []*Job) {
 	for _, j := range all {
 		if !j.endDurable {
@@ -203,18 +205,18 @@
 	return g.updateAllPaths(all)
 }
 
-// updateAllPaths derives the paths of all jobs, each after those of its dependents.
+// updateAllPaths derives the critical paths of all jobs, each after those of its dependents.
 func (g *DependencyGraph) updateAllPaths(all []*Job) (missing []MissingDependency, cyclic []*Job) {
-	var resolved []*Job
-	unresolvedDependents := map[*Job]int{} // dependents whose path is not known yet
+	var resolvable []*Job
+	unresolvedDependents := map[*Job]int{} // number of dependents whose path is not derived yet
 	for _, j := range all {
 		if unresolvedDependents[j] = len(g.dependents[j.ID]); unresolvedDependents[j] == 0 {
-			resolved = append(resolved, j)
+			resolvable = append(resolvable, j)
 		}
 	}
-	for len(resolved) > 0 {
-		j := resolved[len(resolved)-1]
-		resolved = resolved[:len(resolved)-1]
+	for len(resolvable) > 0 {
+		j := resolvable[len(resolvable)-1]
+		resolvable = resolvable[:len(resolvable)-1]
 		delete(unresolvedDependents, j)
 		g.UpdateCriticalPath(j)
 		if j.endDurable {
@@ -232,7 +234,7 @@
 				continue
 			}
 			if unresolvedDependents[d]--; unresolvedDependents[d] == 0 {
-				resolved = append(resolved, d)
+				resolvable = append(resolvable, d)
 			}
 		}
 	}
--- a/internal/jobs/estimates.go
+++ b/internal/jobs/estimates.go
@@ -7,10 +7,10 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// RunTimeRatios is the ratio of run times to their estimates, by class.
+// RunTimeRatios are the smoothed ratios of run times to their estimates, by class.
 type RunTimeRatios map[string]float64
 
-// Observe learns from a task that has run for so many seconds.
+// Observe updates the ratio of a job's class with a task that ran for ranS seconds.
 func (r RunTimeRatios) Observe(j *Job, ranS float64) {
 	ratio := ranS / max(j.EstimateS, tuning.MinimumEstimateS)
 	old, ok := r[j.Class]
@@ -20,7 +20,7 @@
 	r[j.Class] = old + (ratio-old)*tuning.EstimateWeight
 }
 
-// Estimate is a task's run time in seconds.
+// Estimate returns the expected run time in seconds of a whole task.
 func (r RunTimeRatios) Estimate(j *Job) float64 {
 	estimate := max(j.EstimateS, tuning.MinimumEstimateS)
 	if ratio, ok := r[j.Class]; ok {
@@ -29,7 +29,7 @@
 	return estimate
 }
 
-// EstimateReady is the run time in seconds of a job's ready tasks, of the one with the least
+// EstimateReady returns the expected run time in seconds of the ready task with the least
 // progress, or of a whole task if none is ready.
 func (r RunTimeRatios) EstimateReady(j *Job) float64 {
 	fullS := r.Estimate(j)
@@ -43,14 +43,14 @@
 	return max(tuning.MinimumEstimateS, fullS-leastProgressS)
 }
 
-// DeadlineSlack is the time in seconds that may pass before a job can no longer be in time, by
-// the deadline on its critical path and the objectives: of those it can still meet the
-// nearest. It is false if there is none.
+// DeadlineSlack returns how many seconds the start of a job may be delayed until it misses the
+// nearest due time that it can still meet. Due times follow from the deadline on its critical
+// path and from the objectives. The second result is false if there is none.
 func (r RunTimeRatios) DeadlineSlack(now time.Time, j *Job, objectives []config.Objective) (float64, bool) {
 	remainingS := r.EstimateReady(j)
 	slackS, found := 0.0, false
-	considerDueTime := func(since time.Time, after float64) {
-		if s := after - now.Sub(since).Seconds() - remainingS; s >= 0 && (!found || s < slackS) {
+	considerDueTime := func(since time.Time, withinS float64) {
+		if s := withinS - now.Sub(since).Seconds() - remainingS; s >= 0 && (!found || s < slackS) {
 			slackS, found = s, true
 		}
 	}
@@ -69,28 +69,29 @@
 	return slackS, found
 }
 
-// Urgency orders jobs of one priority, the most urgent having the least: by slack, and by the
-// time that the given CPUs would take for the rest of the job, as under a backlog
-// more jobs meet their deadlines when small ones start first. Jobs without a deadline or an
-// objective follow, in the order of their waits.
+// Urgency returns a sort key for jobs of one priority, which is lowest for the most urgent job:
+// its slack, plus a weighted time that the given CPUs would need for the rest of the job,
+// because under a backlog more jobs meet their deadlines when small ones start first. Jobs
+// without a deadline or objective that they can meet rank by their waiting time.
 func (r RunTimeRatios) Urgency(now time.Time, j *Job, objectives []config.Objective, cpus float64) float64 {
-	work := float64(j.RemainingTasks()) * j.CPUs * r.Estimate(j) / max(cpus, 1)
+	workS := float64(j.RemainingTasks()) * j.CPUs * r.Estimate(j) / max(cpus, 1)
 	if slack, ok := r.DeadlineSlack(now, j, objectives); ok {
-		return slack + tuning.SizeWeight*work
+		return slack + tuning.SizeWeight*workS
 	}
 	return tuning.NoDeadlineSlackS - now.Sub(j.waitingSince).Seconds()
 }
 
-// StartDelay is the smoothed time in seconds between placing a task on a machine that has its
-// image and learning that it runs. The task takes its place all that time: planned with its run
-// time alone, a backlog of short tasks was to end far sooner than it did.
+// StartDelay is the smoothed time in seconds between the placement of a task, on a machine that
+// has its image, and the report that it runs. The task occupies its resources during that time:
+// plans with run times alone expected a backlog of short tasks to end far too early.
 type StartDelay float64
 
-// maxStartDelayIntervals bounds what is learned from one task, in heartbeat intervals.
+// maxStartDelayIntervals bounds the observed delay of one task, in heartbeat intervals.
 const maxStartDelayIntervals = 2
 
-// Observe learns from a task that was placed so many seconds before it was reported as running.
-// What takes longer than two heartbeats is a machine's trouble, not what the next task will take.
+// Observe updates the delay with a task that was placed delayS seconds before it was reported
+// as running. A delay of more than two heartbeat intervals is attributed to the machine and says
+// nothing about the next task, so it is capped.
 func (d *StartDelay) Observe(delayS, heartbeatIntervalS float64) {
 	delayS = min(delayS, maxStartDelayIntervals*heartbeatIntervalS)
 	*d += StartDelay((delayS - float64(*d)) * tuning.StartDelayWeight)
--- a/internal/jobs/failures.go
+++ b/internal/jobs/failures.go
@@ -6,7 +6,7 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// failureHistory is what is known of the failures of a job's tasks.
+// failureHistory tracks the failures of a job's tasks.
 type failureHistory struct {
 	failures int // since a task was done
 	// failedOn are the machines where tasks have failed since one was done.
@@ -14,17 +14,17 @@
 	backOffUntil time.Time
 }
 
-// maxBackoffDoublings bounds the growth of the delay after a failure.
+// maxBackoffDoublings bounds the exponent of the delay after failures.
 const maxBackoffDoublings = 10
 
-// RecordFailure makes a job with failing tasks back off.
+// RecordFailure counts a failure and delays further tasks of the job exponentially.
 func (h *failureHistory) RecordFailure(now time.Time) {
 	h.failures++
 	delay := tuning.FailureBackoffMin << min(h.failures-1, maxBackoffDoublings)
 	h.backOffUntil = now.Add(min(delay, tuning.FailureBackoffMax))
 }
 
-// RecordFailureOn notes the machine where a task has failed.
+// RecordFailureOn records the machine where a task has failed.
 func (h *failureHistory) RecordFailureOn(machine string) {
 	if h.failedOn == nil {
 		h.failedOn = map[string]bool{}
@@ -32,30 +32,32 @@
 	h.failedOn[machine] = true
 }
 
-// RecordSuccess notes that a task is done: what has failed before was not the job's fault.
+// RecordSuccess resets the failures after a task is done: they were not the job's fault.
 func (h *failureHistory) RecordSuccess() {
 	h.failures = 0
 	clear(h.failedOn)
 }
 
-// DelayUntil places no task of the job before the given time.
+// DelayUntil keeps tasks of the job from being placed before the given time. It never shortens
+// a delay.
 func (h *failureHistory) DelayUntil(until time.Time) {
 	if until.After(h.backOffUntil) {
 		h.backOffUntil = until
 	}
 }
 
-// IsBackingOff reports whether no task of the job is to be placed now.
+// IsBackingOff reports whether no task of the job may be placed now.
 func (h *failureHistory) IsBackingOff(now time.Time) bool { return now.Before(h.backOffUntil) }
 
-// Failures is the number of failures since a task was done.
+// Failures returns the number of failures since a task was done.
 func (h *failureHistory) Failures() int { return h.failures }
 
-// FailedOn are the machines where tasks have failed since one was done. The map is the job's
-// own: it must not be modified.
+// FailedOn returns the machines where tasks have failed since one was done. The map is the
+// job's own and must not be modified.
 func (h *failureHistory) FailedOn() map[string]bool { return h.failedOn }
 
-// FailsEverywhere reports whether the job seems to fail everywhere.
+// FailsEverywhere reports whether the job itself seems to be at fault: its tasks have failed on
+// FailsEverywhereMachines machines, and none is done.
 func (j *Job) FailsEverywhere() bool {
 	return len(j.failedOn) >= tuning.FailsEverywhereMachines && j.CompletedTasks() == 0
 }
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -1,5 +1,6 @@
-// Package jobs holds what is known of the jobs of a term: their tasks, states and final states,
-// what they depend on, and estimates of their run times. It reads no clock and does no I/O.
+// Package jobs keeps the state of the jobs in a leadership term: their tasks, lifecycle and
+// final states, their dependencies, and estimates of their run times. It reads no clock and
+// does no I/O.
 package jobs
 
 import (
@@ -14,27 +15,27 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// Job is an accepted submission, or one that is being accepted, with what is known of its
-// tasks. The embedded submission never changes.
+// Job is a submission, accepted or being accepted, with the state of its tasks. The embedded
+// submission never changes.
 type Job struct {
 	wire.Job
 	request       placement.Resources // of one task
-	submittedAtMS int64               // time of day
+	submittedAtMS int64               // wall clock
 	submittedAt   time.Time
-	// waitingSince is when its waits begin: when it was submitted, or the last job
-	// that it depends on was done.
+	// waitingSince is when the job started to wait for placement: at its submission, or when
+	// its last dependency was done.
 	waitingSince time.Time
 	lifecycle
 	taskSet
 	failureHistory
 	dependencyState
-	// recordKeys are the stored records of the job beside its own.
+	// recordKeys are the keys of the job's stored records other than its job record.
 	recordKeys map[string]bool
 	waiters    []func(decided bool) // called when the acceptance or the end is durable
 }
 
-// New returns a job that is being accepted. It was submitted at the time of day submittedAtMS,
-// which is submittedAt on the steady clock.
+// New returns a job in state Accepting. submittedAtMS and submittedAt are the time of its
+// submission on the wall clock and on the monotonic clock.
 func New(spec wire.Job, submittedAtMS int64, submittedAt time.Time) *Job {
 	j := &Job{
 		Job:           spec,
@@ -55,7 +56,7 @@
 	return j
 }
 
-// Restore returns a job whose acceptance is stored.
+// Restore returns a job from its stored record. Its acceptance is durable.
 func Restore(stored *records.StoredJob, submittedAt time.Time) *Job {
 	j := New(stored.Job, stored.SubmittedAtMS, submittedAt)
 	j.MarkAccepted()
@@ -65,23 +66,24 @@
 	return j
 }
 
-// Request is what one task of the job takes of a machine.
+// Request returns the resources that one task of the job requests.
 func (j *Job) Request() placement.Resources { return j.request }
 
-// SubmittedAtMS is the time of day of the submission, in milliseconds.
+// SubmittedAtMS returns the wall-clock time of the submission in milliseconds.
 func (j *Job) SubmittedAtMS() int64 { return j.submittedAtMS }
 
-// SubmittedAt is when the job was submitted, on the steady clock.
+// SubmittedAt returns the time of the submission on the monotonic clock.
 func (j *Job) SubmittedAt() time.Time { return j.submittedAt }
 
-// WaitingSince is when the job was submitted, or the last job that it depends on was done.
+// WaitingSince returns when the job started to wait for placement: at its submission, or when
+// its last dependency was done.
 func (j *Job) WaitingSince() time.Time { return j.waitingSince }
 
-// BeginWaiting lets the waits of the job begin now.
+// BeginWaiting restarts the waiting time of the job at now.
 func (j *Job) BeginWaiting(now time.Time) { j.waitingSince, j.lastPlacedAt = now, now }
 
-// Constraints is where tasks of the job may be, to the placement rule. TasksInZone is the job's own
-// map: it must not be modified.
+// Constraints returns where tasks of the job may be placed. TasksInZone is the job's own map
+// and must not be modified.
 func (j *Job) Constraints() *placement.PendingJob {
 	return &placement.PendingJob{
 		MachineTypes: j.MachineTypes, Zone: j.Zone, OneZone: j.OneZone, SpreadZones: j.SpreadZones,
@@ -89,17 +91,17 @@
 	}
 }
 
-// AddRecordKey notes a stored record of the job beside its own.
+// AddRecordKey registers a stored record of the job other than its job record.
 func (j *Job) AddRecordKey(key string) { j.recordKeys[key] = true }
 
-// RecordKeys returns the keys of the stored records of the job beside its own, sorted.
+// RecordKeys returns the sorted keys of the job's stored records other than its job record.
 func (j *Job) RecordKeys() []string { return slices.Sorted(maps.Keys(j.recordKeys)) }
 
-// AddWaiter has f called when the job's acceptance or end is durable, or, with decided false,
-// when the term is over and neither is decided.
+// AddWaiter registers f to be called with decided true when the job's acceptance or end is
+// durable, or with false if the term ends before that.
 func (j *Job) AddWaiter(f func(decided bool)) { j.waiters = append(j.waiters, f) }
 
-// NotifyWaiters answers all who wait for the job's acceptance or end.
+// NotifyWaiters calls and removes all registered waiters.
 func (j *Job) NotifyWaiters(decided bool) {
 	for _, notify := range j.waiters {
 		notify(decided)
--- a/internal/jobs/registry.go
+++ b/internal/jobs/registry.go
@@ -10,11 +10,11 @@
 	"switchshore.example/switchshore/internal/records"
 )
 
-// Registry owns the jobs that are known, and the final states of those that have ended.
+// Registry holds the known jobs, and the final states of jobs that have ended.
 type Registry struct {
 	byID        map[string]*Job
 	finalStates map[string]records.FinalState
-	// runnable are the unfinished jobs that wait for no others.
+	// runnable are the unfinished jobs without unfinished dependencies.
 	runnable map[*Job]struct{}
 }
 
@@ -27,26 +27,26 @@
 	}
 }
 
-// Get returns a job that is known, or nil. One that has ended stays known until none of its
-// tasks may be on a machine.
+// Get returns a known job, or nil. An ended job stays known until none of its tasks may be on a
+// machine.
 func (r *Registry) Get(id string) *Job { return r.byID[id] }
 
 // Add adds a job.
 func (r *Registry) Add(j *Job) { r.byID[j.ID] = j }
 
-// Remove forgets a job, but not its final state.
+// Remove removes a job but keeps its final state.
 func (r *Registry) Remove(j *Job) { delete(r.byID, j.ID) }
 
-// MarkRunnable notes that a job is accepted and waits for no others.
+// MarkRunnable records that a job is accepted and has no unfinished dependencies.
 func (r *Registry) MarkRunnable(j *Job) { r.runnable[j] = struct{}{} }
 
-// MarkEnded notes that the end of a job is decided.
+// MarkEnded removes a job whose end is decided from the runnable jobs.
 func (r *Registry) MarkEnded(j *Job) { delete(r.runnable, j) }
 
-// Runnable returns the unfinished jobs that wait for no others, in no certain order.
+// Runnable returns the runnable jobs in unspecified order.
 func (r *Registry) Runnable() iter.Seq[*Job] { return maps.Keys(r.runnable) }
 
-// RunnableByAge returns the unfinished jobs that wait for no others, oldest first.
+// RunnableByAge returns the runnable jobs, the longest waiting first.
 func (r *Registry) RunnableByAge() []*Job {
 	list := make([]*Job, 0, len(r.runnable))
 	for j := range r.runnable {
@@ -58,17 +58,17 @@
 	return list
 }
 
-// Len is the number of jobs that are known.
+// Len returns the number of known jobs.
 func (r *Registry) Len() int { return len(r.byID) }
 
-// Each calls f for all jobs that are known, in no certain order.
+// Each calls f for all known jobs in unspecified order.
 func (r *Registry) Each(f func(*Job)) {
 	for _, j := range r.byID {
 		f(j)
 	}
 }
 
-// Sorted returns the jobs that are known by their IDs.
+// Sorted returns the known jobs, sorted by ID.
 func (r *Registry) Sorted() []*Job {
 	list := make([]*Job, 0, len(r.byID))
 	for _, j := range r.byID {
@@ -78,14 +78,14 @@
 	return list
 }
 
-// FinalState returns how a job has ended, if that is durable.
+// FinalState returns the final state of a job, if it is durable.
 func (r *Registry) FinalState(id string) (f records.FinalState, ended bool) {
 	f, ended = r.finalStates[id]
 	return f, ended
 }
 
-// SetFinalState notes how a job has ended, once that is durable.
+// SetFinalState records the durable final state of a job.
 func (r *Registry) SetFinalState(id string, f records.FinalState) { r.finalStates[id] = f }
 
-// EndedJobs is the number of final states.
+// EndedJobs returns the number of recorded final states.
 func (r *Registry) EndedJobs() int { return len(r.finalStates) }
--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -7,16 +7,16 @@
 	"switchshore.example/switchshore/internal/records"
 )
 
-// State is how far a job has come.
+// State is the lifecycle state of a job.
 type State int
 
 // States of a job.
 const (
 	// Accepting: the acceptance is not durable yet.
 	Accepting State = iota
-	// Active: tasks are to run.
+	// Active: the job is accepted and has tasks to run.
 	Active
-	// Cancelled: the record stays until no task may be on a machine.
+	// Cancelled: the record stays until no task of the job may be on a machine.
 	Cancelled
 	// Done: all tasks have completed.
 	Done
@@ -56,7 +56,7 @@
 	return fmt.Sprintf("State(%d)", int(s))
 }
 
-// lifecycle is the state of a job, and what of it is durable.
+// lifecycle is the state of a job and which of its changes are durable.
 type lifecycle struct {
 	state             State
 	endedAt           time.Time // when the end was decided, in this term
@@ -64,7 +64,8 @@
 	endDurable        bool // the final state is durable
 }
 
-// changeState changes to a legal next state; any other is a fault of the caller.
+// changeState changes to a legal next state. It panics on any other, which is a bug of the
+// caller.
 func (l *lifecycle) changeState(next State) {
 	if !l.state.CanBecome(next) {
 		panic(fmt.Sprintf("jobs: a job that is %v can't become %v", l.state, next))
@@ -72,7 +73,7 @@
 	l.state = next
 }
 
-// State is how far the job has come.
+// State returns the lifecycle state of the job.
 func (l *lifecycle) State() State { return l.state }
 
 // IsActive reports whether the job is accepted and neither done nor cancelled.
@@ -84,11 +85,11 @@
 // EndDurable reports whether the final state of the job is durable.
 func (l *lifecycle) EndDurable() bool { return l.endDurable }
 
-// EndedAt is when the end of the job was decided in this term, or zero.
+// EndedAt returns when the end of the job was decided in this term, or the zero time.
 func (l *lifecycle) EndedAt() time.Time { return l.endedAt }
 
-// MarkAccepted notes that the acceptance is durable. It reports whether the job is active from
-// now on: it may have been cancelled meanwhile.
+// MarkAccepted records that the acceptance is durable. It reports whether the job becomes
+// active, which it does not if it was cancelled in the meantime.
 func (l *lifecycle) MarkAccepted() bool {
 	l.acceptanceDurable = true
 	if l.state != Accepting {
@@ -98,10 +99,10 @@
 	return true
 }
 
-// MarkEndDurable notes that the final state is durable.
+// MarkEndDurable records that the final state is durable.
 func (l *lifecycle) MarkEndDurable() { l.endDurable = true }
 
-// End decides how the job ends, as Done or Cancelled, and returns the final state to be stored.
+// End changes the job to Done or Cancelled and returns the final state to be stored.
 func (j *Job) End(now time.Time, state State) records.FinalState {
 	j.changeState(state)
 	j.endedAt = now
@@ -113,7 +114,7 @@
 	return records.FinalState{Outcome: outcome, TasksDone: int32(j.CompletedTasks())}
 }
 
-// RestoreEnd applies the stored final state of the job. Applied twice it changes nothing.
+// RestoreEnd applies the stored final state of the job. It is idempotent.
 func (j *Job) RestoreEnd(f records.FinalState) {
 	state := Cancelled
 	if f.Outcome == records.OutcomeDone {
@@ -125,10 +126,10 @@
 	j.endDurable = true
 }
 
-// StateWithheld reports whether no response may give the job's state now: its acceptance is
-// not durable, so whether it exists is not decided, or it is being cancelled
-// with one that it depends on. However long that takes to become durable,
-// no response says any more that the job waits or runs.
+// StateWithheld reports whether responses must not give the job's state yet. While its
+// acceptance is not durable, the job may turn out not to exist. After a dependency was
+// cancelled, the job will be cancelled too, and no response may say that it waits or runs,
+// however long the cancellation takes to become durable.
 func (j *Job) StateWithheld() bool {
 	return !j.acceptanceDurable || j.dependencyCancelled && !j.endDurable
 }
--- a/internal/jobs/tasks.go
+++ b/internal/jobs/tasks.go
@@ -10,49 +10,50 @@
 	"switchshore.example/switchshore/internal/records"
 )
 
-// taskSet is what is known of the tasks of a job.
+// taskSet is the state of the tasks of a job.
 type taskSet struct {
 	completed         *intervals.Set
-	storedCompletions *intervals.Set // completions known to be stored; nil for none
-	unsavedChunks     map[int]bool   // parts of completed that are to be written
-	ready             []int32        // tasks to be placed, last first
-	allocations       map[int32]int8 // machines that may have a task
+	storedCompletions *intervals.Set // completions known to be durable; nil if there are none
+	unsavedChunks     map[int]bool   // chunks of completed that have to be written
+	ready             []int32        // tasks to be placed; the last one is next
+	allocations       map[int32]int8 // number of machines that may have a task
 	allocationsByZone map[string]int // allocations by zone
 	running           int
-	// progress is what tasks that are to run again have saved, in seconds, as
-	// far as this term has seen it.
+	// progress is the checkpointed run time, in seconds, of tasks that have to run again, as
+	// far as it was reported in this term.
 	progress map[int32]float64
-	// lastPlacedAt is when a task of the job was last placed, or when its waits began.
+	// lastPlacedAt is when a task of the job was last placed, or when the job started to wait.
 	lastPlacedAt time.Time
-	// firstStartAt and lastStartAt are when the first and the last task were placed in
-	// this term, zero before.
+	// firstStartAt and lastStartAt are when the first and the last task were placed in this
+	// term, or zero.
 	firstStartAt, lastStartAt time.Time
 }
 
-// NeedsTask reports whether a task of the job is still to run.
+// NeedsTask reports whether a task of the job still has to run.
 func (j *Job) NeedsTask(index int) bool { return j.state == Active && !j.completed.Has(index) }
 
 // IsCompleted reports whether a task has completed.
 func (t *taskSet) IsCompleted(index int32) bool { return t.completed.Has(int(index)) }
 
-// CompletedTasks is the number of tasks that have completed.
+// CompletedTasks returns the number of completed tasks.
 func (t *taskSet) CompletedTasks() int { return t.completed.Len() }
 
 // AllCompleted reports whether all tasks have completed.
 func (t *taskSet) AllCompleted() bool { return t.completed.Full() }
 
-// RemainingTasks is the number of tasks that have not completed.
+// RemainingTasks returns the number of tasks that have not completed.
 func (j *Job) RemainingTasks() int { return j.Tasks - j.completed.Len() }
 
-// Complete notes that a task has completed, and reports whether that is new.
+// Complete marks a task as completed and reports whether it was not before.
 func (t *taskSet) Complete(index int32) bool { return t.completed.Add(int(index)) }
 
-// MarkCompletionUnsaved notes that the completion of a task is to be written.
+// MarkCompletionUnsaved marks the completion of a task as still to be written.
 func (t *taskSet) MarkCompletionUnsaved(index int32, valueLimit int) {
 	t.unsavedChunks[int(index)/records.CompletionChunkSize(valueLimit)] = true
 }
 
-// PopUnsavedCompletions returns the records of the completions that are to be written.
+// PopUnsavedCompletions returns the records of the completions to be written and clears their
+// marks.
 func (j *Job) PopUnsavedCompletions(valueLimit int) []records.Completions {
 	list := make([]records.Completions, 0, len(j.unsavedChunks))
 	for _, chunk := range slices.Sorted(maps.Keys(j.unsavedChunks)) {
@@ -70,7 +71,7 @@
 	j.markStored(index)
 }
 
-// MarkStored notes that completions are stored: the attempts may be forgotten.
+// MarkStored records that completions are durable, so that their attempts may be discarded.
 func (j *Job) MarkStored(c records.Completions) {
 	// The ranges were formatted by the job itself and can't be malformed.
 	_ = intervals.ParseEach(c.Tasks, j.Tasks, j.markStored)
@@ -88,7 +89,7 @@
 	return j.endDurable || j.storedCompletions != nil && j.storedCompletions.Has(int(index))
 }
 
-// RebuildReadyTasks queues every task that is neither done nor maybe on a machine.
+// RebuildReadyTasks queues every task that has not completed and cannot be on a machine.
 func (j *Job) RebuildReadyTasks() {
 	j.ready = j.ready[:0]
 	for i := int32(j.Tasks) - 1; i >= 0; i-- {
@@ -98,10 +99,10 @@
 	}
 }
 
-// ReadyTasks is the number of tasks to be placed.
+// ReadyTasks returns the number of tasks to be placed.
 func (t *taskSet) ReadyTasks() int { return len(t.ready) }
 
-// PopReadyTask takes the next of the tasks to be placed, of which there must be one.
+// PopReadyTask removes and returns the next task to be placed. There must be one.
 func (t *taskSet) PopReadyTask(now time.Time) int32 {
 	last := len(t.ready) - 1
 	index := t.ready[last]
@@ -113,27 +114,28 @@
 	return index
 }
 
-// RemoveReadyTask takes a task out of those to be placed.
+// RemoveReadyTask removes a task from those to be placed, if it is one of them.
 func (t *taskSet) RemoveReadyTask(index int32) {
 	if i := slices.Index(t.ready, index); i >= 0 {
 		t.ready = slices.Delete(t.ready, i, i+1)
 	}
 }
 
-// SincePlacement is the time since a task was last placed, or since the waits of the job began.
+// SincePlacement returns the time since a task was last placed, or since the job started to
+// wait.
 func (t *taskSet) SincePlacement(now time.Time) time.Duration { return now.Sub(t.lastPlacedAt) }
 
-// StartTimes are when the first and the last task were placed in this term, zero before.
+// StartTimes returns when the first and the last task were placed in this term, or zero times.
 func (t *taskSet) StartTimes() (first, last time.Time) { return t.firstStartAt, t.lastStartAt }
 
-// Allocate counts a machine in the zone that may have the task.
+// Allocate counts one more machine, in the zone, that may have the task.
 func (t *taskSet) Allocate(index int32, zone string) {
 	t.allocationsByZone[zone]++
 	t.allocations[index]++
 }
 
-// Release counts a machine in the zone less that may have the task. If there is none left the
-// task is queued again if it is still to run, and the result is true.
+// Release counts one machine less, in the zone, that may have the task. If none is left, the
+// task is queued again if it still has to run, and the result is true.
 func (j *Job) Release(index int32, zone string) (last bool) {
 	if j.allocationsByZone[zone]--; j.allocationsByZone[zone] == 0 {
 		delete(j.allocationsByZone, zone)
@@ -148,29 +150,30 @@
 	return true
 }
 
-// AllocatedTasks is the number of tasks that may be on a machine.
+// AllocatedTasks returns the number of tasks that may be on a machine.
 func (t *taskSet) AllocatedTasks() int { return len(t.allocations) }
 
-// AllocationsOf is the number of machines that may have the task.
+// AllocationsOf returns the number of machines that may have the task.
 func (t *taskSet) AllocationsOf(index int32) int { return int(t.allocations[index]) }
 
-// RunningTasks is the number of attempts that are known to run.
+// RunningTasks returns the number of attempts that are known to run.
 func (t *taskSet) RunningTasks() int { return t.running }
 
-// AddRunning counts one attempt more that is known to run.
+// AddRunning increments the number of attempts that are known to run.
 func (t *taskSet) AddRunning() { t.running++ }
 
-// RemoveRunning counts one attempt less that is known to run.
+// RemoveRunning decrements the number of attempts that are known to run.
 func (t *taskSet) RemoveRunning() { t.running-- }
 
-// Progress is the run time in seconds that a task has saved for its next attempt.
+// Progress returns the run time in seconds that a task has checkpointed for its next attempt.
 func (t *taskSet) Progress(index int32) float64 { return t.progress[index] }
 
-// InterruptedTasks is the number of tasks that have saved progress for a next attempt.
+// InterruptedTasks returns the number of tasks with checkpointed progress.
 func (t *taskSet) InterruptedTasks() int { return len(t.progress) }
 
-// RecordProgress notes the progress saved by an attempt that has ended after running for
-// ranS seconds: by itself at every interval, and when it was stopped with time to save.
+// RecordProgress adds the progress of an attempt that ended after running for ranS seconds: all
+// of it if a checkpoint was saved when the attempt was stopped, otherwise up to its last
+// periodic checkpoint.
 func (j *Job) RecordProgress(index int32, ranS float64, checkpointSaved bool) {
 	if j.CheckpointIntervalS <= 0 || j.IsCompleted(index) {
 		return
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -27,7 +27,9 @@
 }
 
 // BatchCommitted records that a batch is durable, except for the refused keys.
-func (l *Leader) BatchCommitted(b *records.Batch, refused []string) { l.writes.MarkCommitted(b, refused) }
+func (l *Leader) BatchCommitted(b *records.Batch, refused []string) {
+	l.writes.MarkCommitted(b, refused)
+}
 
 // HasPendingWrites reports whether changes wait for the key-value store.
 func (l *Leader) HasPendingWrites() bool { return l.writes.Len() > 0 }
--- a/internal/records/batch.go
+++ b/internal/records/batch.go
@@ -7,26 +7,26 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// writeOverheadBytes is what a change takes of a transaction beside its key and value.
+// writeOverheadBytes is the size of a change in a transaction beyond its key and value.
 const writeOverheadBytes = 64
 
 // Batch is a group of changes to be committed in one transaction.
 type Batch struct {
 	Mutations  []wire.Mutation
-	writes     []*Write // the same, with what follows them
+	writes     []*Write // the changes in Mutations, with their callbacks
 	size       int      // bytes
 	maxOps     int
 	valueLimit int      // bytes of a value
-	oversized  []*Write // would be refused, and are not sent
+	oversized  []*Write // not sent, as the store would reject them
 }
 
-// fits reports whether a change of the given size still goes in.
+// fits reports whether a change of the given size fits into the batch.
 func (b *Batch) fits(size int) bool {
 	return len(b.Mutations) < b.maxOps && (len(b.Mutations) == 0 || b.size+size <= tuning.MaxTransactionBytes)
 }
 
-// add puts a change in, unless the key-value store would refuse it. All records
-// are made to fit; one that doesn't must not block the others.
+// add adds a change, unless the key-value store would reject it. All records are built to fit;
+// one that does not must not block the others.
 func (b *Batch) add(w *Write) {
 	if len(w.Key) > wire.MaxKeyBytes || len(w.Value) > b.valueLimit {
 		b.oversized = append(b.oversized, w)
@@ -41,7 +41,7 @@
 	b.writes = append(b.writes, w)
 }
 
-// writeSize is what a change takes of a transaction, its JSON frame included.
+// writeSize returns the size of a change in a transaction, including its JSON overhead.
 func writeSize(key string, value json.RawMessage) int {
 	return len(key) + len(value) + writeOverheadBytes
 }
--- a/internal/records/completions.go
+++ b/internal/records/completions.go
@@ -11,25 +11,25 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// CompletionChunkSize is the number of tasks whose completion shares a record where values have
-// at most valueLimit bytes: the largest power of two, up to a bound, with which the record
-// fits into a value however fragmented it is.
+// CompletionChunkSize returns the number of tasks whose completions share a record: the largest
+// power of two, up to a bound, for which the record fits into valueLimit bytes however
+// fragmented it is.
 func CompletionChunkSize(valueLimit int) int {
 	maxTasks := max(1, (valueLimit-len(`""`))/tuning.CompletionBytesPerTask)
 	return min(tuning.CompletionChunkTasks, 1<<(bits.Len(uint(maxTasks))-1))
 }
 
-// Completions are the completed tasks of one part of a job.
+// Completions is the record of the completed tasks in one chunk of a job.
 type Completions struct {
 	Key string
 	// Tasks are the indexes of the tasks as ranges, see package intervals.
 	Tasks string
 }
 
-// NewCompletions returns the record of a part of a job's completed tasks, the number-th chunk
-// of them. Parts of the full size have the keys that versions before the smaller ones used.
-// Those read all parts, whatever their bounds, but write their own with all that they know of
-// it; as each key stands for the same bounds to every version, none takes a completion out of
+// NewCompletions returns the record of the completed tasks in the given chunk of a job. Chunks
+// of the full size have the keys used by versions that had no smaller chunks. Those versions
+// read chunks of any bounds, but write their own with all completions in them that they know.
+// As each key stands for the same bounds in every version, no version removes a completion from
 // a record that another one has written.
 func NewCompletions(jobID string, completed *intervals.Set, number, valueLimit int) Completions {
 	size := CompletionChunkSize(valueLimit)
@@ -44,14 +44,15 @@
 // Encode returns the stored form.
 func (c Completions) Encode() json.RawMessage { return encode(c.Tasks) }
 
-// CompletionsJobID is the job that the completions stored under the given id belong to.
+// CompletionsJobID returns the ID of the job to which the completions with the given record id
+// belong.
 func CompletionsJobID(id string) string {
 	jobID, _, _ := strings.Cut(id, "/")
 	return jobID
 }
 
-// DecodeCompletions calls add for every completed task of a job with the given number of
-// tasks. After an error some may have been added.
+// DecodeCompletions calls add for every completed task in a record of a job with the given
+// number of tasks. It may have called add before it fails.
 func DecodeCompletions(value json.RawMessage, tasks int, add func(index int)) error {
 	var completed string
 	if err := json.Unmarshal(value, &completed); err != nil {
--- a/internal/records/errors.go
+++ b/internal/records/errors.go
@@ -15,7 +15,7 @@
 	ErrUnknownFinalState = errors.New("unknown final state")
 )
 
-// CorruptError is a stored record that can't be right, and without which the state would be
+// CorruptError reports an invalid stored record without which the leader's state would be
 // wrong.
 type CorruptError struct {
 	Key string
--- a/internal/records/final.go
+++ b/internal/records/final.go
@@ -15,8 +15,7 @@
 	OutcomeCancelled Outcome = 'c'
 )
 
-// FinalState is the end of a job, stored as "d14" or "c3": how, and how many of
-// its tasks were done.
+// FinalState is how a job ended and how many of its tasks were done, stored as "d14" or "c3".
 type FinalState struct {
 	Outcome   Outcome
 	TasksDone int32
@@ -27,8 +26,8 @@
 	return json.RawMessage(`"` + string(rune(f.Outcome)) + strconv.Itoa(int(f.TasksDone)) + `"`)
 }
 
-// DecodeFinalState reads a final state. The errors are those of JSON and of numbers, and
-// ErrFinalState.
+// DecodeFinalState decodes a final state. It fails with an error of JSON or of number parsing,
+// or with ErrUnknownFinalState.
 func DecodeFinalState(value json.RawMessage) (FinalState, error) {
 	var text string
 	if err := json.Unmarshal(value, &text); err != nil {
--- a/internal/records/job.go
+++ b/internal/records/job.go
@@ -7,9 +7,9 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// jobRecord is the stored form of a job. A job that earlier versions understand completely is
-// in Job. Where Job is only a placeholder the job as submitted is in Whole or, if that is too
-// large for a value, cut into Pieces records of Term.
+// jobRecord is the stored form of a job. Job holds the submitted job if earlier versions handle
+// it correctly. Otherwise Job is a placeholder, and the submitted job is in Whole or, if it is
+// too large for one value, split into Pieces records of Term.
 type jobRecord struct {
 	Job    wire.Job  `json:"job"`
 	At     int64     `json:"at"`
@@ -24,10 +24,10 @@
 	Value json.RawMessage
 }
 
-// EncodeJob returns the records of a job that was submitted at a time of day in milliseconds,
-// none with a value of more than valueLimit bytes. They must be committed in order: pieces
-// come before the record that names them, which is last; after a crash between them there is
-// no job, and a successor deletes them.
+// EncodeJob returns the records of a job that was submitted at a wall-clock time in
+// milliseconds, none with a value of more than valueLimit bytes. They must be committed in
+// order, the pieces before the job record that refers to them: after a crash in between there
+// are pieces without a job, which a successor deletes.
 func EncodeJob(job *wire.Job, submittedAtMS int64, term uint64, valueLimit int) []Item {
 	rec := jobRecord{Job: *job, At: submittedAtMS}
 	value := encode(rec)
@@ -45,9 +45,9 @@
 	return append(items, Item{JobKey(job.ID), value})
 }
 
-// splitJob cuts a job that is too large for one value.
+// splitJob splits a job that is too large for one value into pieces.
 func splitJob(job *wire.Job, term uint64, valueLimit int) []Item {
-	size := (valueLimit - len(`""`)) / 4 * 3 // as base64
+	size := (valueLimit - len(`""`)) / 4 * 3 // before base64 encoding
 	var items []Item
 	for rest := []byte(encode(job)); len(rest) > 0; {
 		piece := rest[:min(size, len(rest))]
@@ -60,9 +60,9 @@
 // unknownMachineType is a machine type that no cloud offers.
 const unknownMachineType = "(known to later versions)"
 
-// placeholder is what versions before the dependent jobs read of a job that they would
-// get wrong: it is queued and can be cancelled, but fits no machine, so that they
-// never start it. Needed while such a version may run.
+// placeholder returns the job that versions without dependent jobs read in place of one that
+// they would handle incorrectly: it is queued and can be cancelled, but fits no machine, so
+// that they never start it. It is needed as long as such a version may run.
 func placeholder(job wire.Job) wire.Job {
 	job.Class, job.Image, job.Zone = "-", "-", ""
 	job.MachineTypes = []string{unknownMachineType}
@@ -73,8 +73,8 @@
 // JobPieces holds loaded pieces of job records by key until their jobs are loaded.
 type JobPieces map[string][]byte
 
-// Add keeps a piece. One that is corrupt is kept without content, so that it is deleted if it
-// belongs to no job.
+// Add adds a loaded piece. A corrupt piece is added without content, so that it is deleted if
+// it belongs to no job.
 func (p JobPieces) Add(key string, value json.RawMessage) error {
 	var piece []byte
 	err := json.Unmarshal(value, &piece)
@@ -82,7 +82,7 @@
 	return err
 }
 
-// assemble removes a job's pieces and returns their keys and their content put together.
+// assemble removes the pieces of a job and returns their keys and their concatenated content.
 func (p JobPieces) assemble(id string, term uint64, count int) (keys []string, content []byte, err error) {
 	for number := range count {
 		key := JobPieceKey(id, term, number)
@@ -97,17 +97,17 @@
 	return keys, content, nil
 }
 
-// StoredJob is a job as loaded.
+// StoredJob is a job loaded from its records.
 type StoredJob struct {
 	wire.Job
-	// SubmittedAtMS is the time of day of its submission in milliseconds.
+	// SubmittedAtMS is the wall-clock time of its submission in milliseconds.
 	SubmittedAtMS int64
-	// PieceKeys are the keys of its records beside its own.
+	// PieceKeys are the keys of its pieces.
 	PieceKeys []string
 }
 
-// DecodeJob reads the job record of an id; its pieces are taken out of those loaded before.
-// The errors are those of JSON, ErrMissingPiece and ErrOtherJob.
+// DecodeJob decodes the job record of an ID and removes the job's pieces from those loaded
+// before. It fails with a JSON error, ErrMissingPiece or ErrJobIDMismatch.
 func DecodeJob(id string, value json.RawMessage, pieces JobPieces) (*StoredJob, error) {
 	var rec jobRecord
 	if err := json.Unmarshal(value, &rec); err != nil {
--- a/internal/records/queue.go
+++ b/internal/records/queue.go
@@ -4,17 +4,16 @@
 	"encoding/json"
 )
 
-// Write is a change of one key that waits to be committed.
+// Write is a queued change of one key.
 type Write struct {
 	Key      string
-	Value    json.RawMessage // nil: delete
+	Value    json.RawMessage // nil to delete the key
 	OnCommit []func()
-	// OnRefused is called, if set, should the key-value store refuse the change for good.
+	// OnRefused, if set, is called if the key-value store rejects the change permanently.
 	OnRefused func()
 }
 
-// Queue holds changes in order. The latest value of a key replaces an earlier one that has
-// not been taken.
+// Queue holds changes in order. A new value of a key replaces a queued one in its place.
 type Queue struct {
 	writes   []*Write
 	byKey    map[string]*Write
@@ -22,10 +21,10 @@
 	dequeued int64
 }
 
-// Len is the number of changes that wait.
+// Len returns the number of queued changes.
 func (q *Queue) Len() int { return len(q.writes) - q.head }
 
-// Dequeued is the number of changes taken out so far.
+// Dequeued returns the number of changes moved into batches so far.
 func (q *Queue) Dequeued() int64 { return q.dequeued }
 
 // Put queues a new value of a key and calls onCommit, if set, when it or a later value is
@@ -49,7 +48,7 @@
 // Delete queues the deletion of a key.
 func (q *Queue) Delete(key string) { q.Put(key, nil, nil) }
 
-// moveTo moves changes from the queue into the batch, at most most.
+// moveTo moves at most limit changes from the queue into the batch.
 func (q *Queue) moveTo(b *Batch, limit int) {
 	for ; limit > 0 && q.head < len(q.writes); limit-- {
 		w := q.writes[q.head]
--- a/internal/records/queues.go
+++ b/internal/records/queues.go
@@ -8,21 +8,21 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// PendingStarts is a start record that waits to be written. Its content is fixed only when it
-// is put into a batch, without the attempts that have ended meanwhile.
+// PendingStarts is a queued start record. Its content is fixed only when it is moved into a
+// batch, and excludes attempts that have ended by then.
 type PendingStarts interface {
-	// MaxSize is the most that the record takes in bytes, 0 if nothing needs to be written.
+	// MaxSize bounds the size of the record in bytes. It is 0 if nothing needs to be written.
 	MaxSize() int
-	// Finalize is called when the record leaves the queue. It returns the change to be made, or
-	// nil if none is needed.
+	// Finalize is called when the record leaves the queue. It returns the change to be written,
+	// or nil if none is needed.
 	Finalize() *Write
 }
 
-// WriteQueues are the changes that wait for the key-value store, by who waits for them.
+// WriteQueues are the queued changes for the key-value store, by who waits for them.
 type WriteQueues struct {
-	Interactive Queue // what users wait for
+	Interactive Queue // changes that users wait for
 	Dependent   Queue // final states that follow from those of other jobs
-	Background  Queue // what no user waits for
+	Background  Queue // changes that no user waits for
 	starts      []PendingStarts
 
 	log        zerolog.Logger
@@ -37,20 +37,22 @@
 // PutStarts queues a start record.
 func (q *WriteQueues) PutStarts(s PendingStarts) { q.starts = append(q.starts, s) }
 
-// Len is the number of changes that wait.
+// Len returns the number of queued changes.
 func (q *WriteQueues) Len() int {
 	return q.Interactive.Len() + q.Dependent.Len() + q.Background.Len() + len(q.starts)
 }
 
-// NextBatch takes at most maxOps changes to be made next, or returns nil if there are none:
-// first those that users wait for, then the records of starts, then at most
-// spare of the rest (completions, and what can be deleted), as no user waits
-// for those and they must not use up the write budget of the others. Final states that
-// follow from others have a small part of every batch, whatever else there is,
-// and more only of what is spare. Users' changes take no more than a part of it while
-// starts wait, and while new jobs are shed also while the rest does: acceptances would
-// otherwise fill every batch, and no accepted job would begin or end. Batches must be
-// committed one after the other, each followed by Committed.
+// NextBatch moves at most maxOps queued changes into a batch, or returns nil if there are none.
+// The queues share a batch as follows:
+//   - Dependent changes get a small share of every batch, and beyond it only spareOps.
+//   - Interactive changes get a limited share before the start records and the rest after them.
+//     Without this limit acceptances would fill every batch, and no accepted job would start or
+//     end. While new jobs are shed, dependent and background changes come before the rest, and
+//     spareOps is raised to a minimum.
+//   - Background changes (completions and deletions) get at most spareOps: no user waits for
+//     them, and they must not use up the write budget of the others.
+//
+// Batches must be committed one after the other, each followed by MarkCommitted.
 func (q *WriteQueues) NextBatch(maxOps, spareOps int, shedding bool) *Batch {
 	b := &Batch{maxOps: maxOps, valueLimit: q.valueLimit}
 	q.Dependent.moveTo(b, max(1, maxOps/tuning.DependentWritesDivisor))
@@ -64,8 +66,8 @@
 	}
 	q.Dependent.moveTo(b, spareOps)
 	if len(q.starts) == 0 {
-		// A record may be deleted only once what it still stood for is stored
-		// elsewhere.
+		// A start record may be deleted only once the attempts that it still named are
+		// stored in another one, which may be queued.
 		q.Background.moveTo(b, spareOps)
 	}
 	q.Interactive.moveTo(b, maxOps)
@@ -78,7 +80,7 @@
 	return b
 }
 
-// moveStartsTo moves start records into the batch.
+// moveStartsTo moves start records into the batch until one does not fit.
 func (q *WriteQueues) moveStartsTo(b *Batch) {
 	for len(q.starts) > 0 {
 		size := q.starts[0].MaxSize()
@@ -93,7 +95,8 @@
 	q.starts = nil
 }
 
-// MarkCommitted records that a batch is durable, except for the refused keys.
+// MarkCommitted calls the callbacks of a durable batch. Changes of the refused keys are dropped
+// instead.
 func (q *WriteQueues) MarkCommitted(b *Batch, refused []string) {
 	for _, w := range b.writes {
 		if slices.Contains(refused, w.Key) {
@@ -106,8 +109,8 @@
 	}
 }
 
-// dropRejected gives up a change that can't be stored. What waits for it goes on
-// waiting, except for starts, which can be decided anew.
+// dropRejected drops a change that the store rejects. Callers that wait for it keep waiting,
+// except for starts, which are decided again.
 func (q *WriteQueues) dropRejected(w *Write) {
 	q.log.Error().Str("key", w.Key).Int("bytes", len(w.Value)).Msg("record rejected by state store, skipped")
 	if w.OnRefused != nil {
--- a/internal/records/starts.go
+++ b/internal/records/starts.go
@@ -6,14 +6,13 @@
 	"switchshore.example/switchshore/internal/intervals"
 )
 
-// Starts is the stored form of starts decided together: which tasks may
-// have been sent to which machine. It is written before the first of them goes out,
-// so that a successor knows which machine to ask about which task, and deleted when none
-// of its attempts is left. One change thus carries the starts of a whole scheduling pass,
-// however many machines they go to.
+// Starts is the stored form of the starts of a scheduling pass: which tasks may have been sent
+// to which machine. It is written before the first of them is sent, so that a successor knows
+// which machine to ask about which task, and deleted when none of its attempts is left. One
+// change thus covers all starts of the pass, however many machines they go to.
 //
-// Records are ordered by their keys. Where several name a task the last one
-// counts: a task is started again only when it is provably nowhere else.
+// Records are ordered by their keys. If several name a task, the last one counts: a task is
+// started again only when it is proved to be on no other machine.
 type Starts struct {
 	Machines []MachineStarts `json:"machines"`
 }
@@ -31,7 +30,7 @@
 // Encode returns the stored form.
 func (s *Starts) Encode() json.RawMessage { return encode(s) }
 
-// DecodeStarts reads a start record.
+// DecodeStarts decodes a start record.
 func DecodeStarts(value json.RawMessage) (*Starts, error) {
 	starts := &Starts{}
 	if err := json.Unmarshal(value, starts); err != nil {
@@ -40,7 +39,7 @@
 	return starts, nil
 }
 
-// DecodeMachineStarts reads the record of a single machine, as earlier versions wrote them.
+// DecodeMachineStarts decodes the record of a single machine, as written by earlier versions.
 func DecodeMachineStarts(id string, value json.RawMessage) (*Starts, error) {
 	var machine MachineStarts
 	if err := json.Unmarshal(value, &machine); err != nil {
@@ -50,7 +49,7 @@
 	return &Starts{Machines: []MachineStarts{machine}}, nil
 }
 
-// SetTasks names tasks of a job by their ascending indexes.
+// SetTasks sets the tasks of a job from their ascending indexes.
 func (m *MachineStarts) SetTasks(jobID string, sorted []int) {
 	if m.Tasks == nil {
 		m.Tasks = map[string]string{}
@@ -58,7 +57,7 @@
 	m.Tasks[jobID] = intervals.FormatList(sorted)
 }
 
-// Bytes that the parts of a start record take at most beside the names in them.
+// Upper bounds, in bytes, of the parts of an encoded start record without the names in them.
 const (
 	startsOverheadBytes  = 32
 	machineOverheadBytes = 72
@@ -72,15 +71,15 @@
 	machines map[string]map[string]bool // jobs by machine
 }
 
-// NewStartsSize is the size of an empty record.
+// NewStartsSize returns the size of an empty record.
 func NewStartsSize() StartsSize {
 	return StartsSize{bytes: startsOverheadBytes, machines: map[string]map[string]bool{}}
 }
 
-// Bytes is the most that the record takes.
+// Bytes returns the upper bound of the record's size.
 func (s *StartsSize) Bytes() int { return s.bytes }
 
-// BytesWith is the most that the record takes with one more attempt of a job on a machine.
+// BytesWith returns the upper bound with one more attempt of a job on a machine.
 func (s *StartsSize) BytesWith(machine MachineStarts, jobID string) int {
 	sum := s.bytes + taskIndexBytes
 	jobs := s.machines[machine.ID]
@@ -93,7 +92,7 @@
 	return sum
 }
 
-// Add counts an attempt of a job on a machine in.
+// Add counts one more attempt of a job on a machine.
 func (s *StartsSize) Add(machine MachineStarts, jobID string) {
 	s.bytes = s.BytesWith(machine, jobID)
 	if s.machines[machine.ID] == nil {
--- a/internal/seconds/seconds.go
+++ b/internal/seconds/seconds.go
@@ -3,5 +3,5 @@
 
 import "time"
 
-// Duration is a number of seconds as a duration, cut off at nanoseconds.
+// Duration converts seconds into a duration, truncated to nanoseconds.
 func Duration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/startlog/record.go
+++ b/internal/startlog/record.go
@@ -7,25 +7,25 @@
 	"switchshore.example/switchshore/internal/records"
 )
 
-// Record is a start record and the attempts that it still stands for.
+// Record is a start record and those of its attempts that have not ended.
 type Record struct {
 	log          *Log
 	key          string
-	liveAttempts int  // attempts
-	written      bool // durable or on its way
-	closed       bool // takes no further starts
+	liveAttempts int  // attempts that have not ended
+	written      bool // durable or in a batch
+	closed       bool // accepts no further starts
 	size         records.StartsSize
-	attempts     []*machines.Attempt // until it is durable
+	attempts     []*machines.Attempt // those added to it, until it is durable
 }
 
-// add puts an attempt in.
+// add adds an attempt whose start is to be recorded.
 func (r *Record) add(machine records.MachineStarts, a *machines.Attempt) {
 	r.size.Add(machine, a.Job.ID)
 	r.attempts = append(r.attempts, a)
 	r.AddLoadedAttempt(a)
 }
 
-// AddLoadedAttempt counts an attempt that the stored record names.
+// AddLoadedAttempt adds an attempt that the stored record names.
 func (r *Record) AddLoadedAttempt(a *machines.Attempt) {
 	r.liveAttempts++
 	a.Record = r
@@ -54,7 +54,7 @@
 	}
 }
 
-// notifyAttempts calls back for the attempts whose start waited for the record.
+// notifyAttempts calls back for the attempts whose start waits for the record.
 func (r *Record) notifyAttempts(callback func(*machines.Attempt)) {
 	for _, a := range r.attempts {
 		if a.State() == machines.RecordPending && a.Record == r {
@@ -64,7 +64,7 @@
 	r.attempts, r.size = nil, records.StartsSize{}
 }
 
-// buildStarts is the record's content; attempts that have ended meanwhile are left out.
+// buildStarts returns the content of the record, without attempts that have ended.
 func (r *Record) buildStarts() *records.Starts {
 	byMachine := map[*machines.Machine]map[string][]int{}
 	var order []*machines.Machine
--- a/internal/startlog/startlog.go
+++ b/internal/startlog/startlog.go
@@ -1,6 +1,6 @@
-// Package startlog records starts of tasks before they are sent: a successor must know which
-// machine to ask about which task. The starts of a scheduling pass share a record, which is
-// deleted when none of its attempts is left. It reads no clock and does no I/O.
+// Package startlog writes start records before the starts are sent, so that a successor knows
+// which machine to ask about which task. The starts of a scheduling pass share a record, which
+// is deleted when none of its attempts is left. The package reads no clock and does no I/O.
 package startlog
 
 import (
@@ -9,12 +9,12 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Callbacks are what follows from the fate of a record, for each of its attempts whose start
-// has not been sent.
+// Callbacks are called for each attempt of a record whose start has not been sent.
 type Callbacks struct {
-	// OnDurable is called once the record is durable: the start may be sent.
+	// OnDurable is called once the record is durable, so that the start may be sent.
 	OnDurable func(*machines.Attempt)
-	// OnRefused is called if the record can't be stored: the task has to be placed anew.
+	// OnRefused is called if the record can't be stored, so that the task has to be placed
+	// again.
 	OnRefused func(*machines.Attempt)
 }
 
@@ -24,9 +24,9 @@
 	valueLimit int // bytes of a stored value
 	writes     *records.WriteQueues
 	callbacks  Callbacks
-	lastNumber uint64    // records named so far
-	current    *Record   // takes further starts until it is full or put into a batch
-	loaded     []*Record // those of predecessors, while records are loaded
+	lastNumber uint64    // number of the last record
+	current    *Record   // accepts starts until it is full or in a batch
+	loaded     []*Record // records of predecessors, until loading is finished
 }
 
 // New returns a log without records.
@@ -34,7 +34,7 @@
 	return &Log{term: term, valueLimit: valueLimit, writes: writes, callbacks: callbacks}
 }
 
-// Add puts an attempt into the record that is written next.
+// Add adds an attempt to the next record to be written.
 func (l *Log) Add(a *machines.Attempt) {
 	machine, jobID := a.Machine.RecordIdentity(), a.Job.ID
 	limit := float64(l.valueLimit) * tuning.RecordValueShare
@@ -44,14 +44,15 @@
 	l.current.add(machine, a)
 }
 
-// addRecord queues an empty record.
+// addRecord queues an empty record and makes it the current one.
 func (l *Log) addRecord() {
 	l.lastNumber++
 	l.current = &Record{log: l, key: records.StartsKey(l.term, l.lastNumber), size: records.NewStartsSize()}
 	l.writes.PutStarts(l.current)
 }
 
-// Remove takes an attempt that has ended out of its record's count.
+// Remove removes an ended attempt from its record. It deletes a written record with its last
+// attempt.
 func (l *Log) Remove(a *machines.Attempt) {
 	r, recorded := a.Record.(*Record)
 	if !recorded {
@@ -63,14 +64,14 @@
 	}
 }
 
-// LoadRecord returns a record of a predecessor.
+// LoadRecord returns a record of a predecessor, to which loaded attempts are added.
 func (l *Log) LoadRecord(key string) *Record {
 	r := &Record{log: l, key: key, written: true, closed: true}
 	l.loaded = append(l.loaded, r)
 	return r
 }
 
-// FinishLoading deletes the loaded records that stand for no attempt.
+// FinishLoading deletes the loaded records without attempts.
 func (l *Log) FinishLoading() {
 	for _, r := range l.loaded {
 		if r.liveAttempts == 0 {
