--- a/internal/allocation/ledger_test.go
+++ b/internal/allocation/ledger_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestUsageMatchesRandomAllocations allocates and releases attempts in random order: what is used is always
-// what the allocated attempts take, and nothing is left in the end.
+// TestUsageMatchesRandomAllocations allocates and releases attempts in random order. Usage must
+// always equal the resources of the allocated attempts, and be zero at the end.
 func TestUsageMatchesRandomAllocations(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, seed))
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestJobAboveItsTeamsLimit(t *testing.T) {
+func TestQuotaViolation(t *testing.T) {
 	l := allocation.NewLedger(teams)
 	for name, c := range map[string]struct {
 		spec wire.Job
--- a/internal/intervals/set_test.go
+++ b/internal/intervals/set_test.go
@@ -8,7 +8,7 @@
 	"switchshore.example/switchshore/internal/intervals"
 )
 
-// TestRoundTrip: random sets are the same after encoding and decoding, chunk by chunk.
+// TestRoundTrip: random sets are equal after formatting and parsing, chunk by chunk.
 func TestRoundTrip(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -29,7 +29,8 @@
 	}
 }
 
-// TestParseEachRejectsInvalidText: what is no list of intervals below the limit is an error.
+// TestParseEachRejectsInvalidText: text that is not a list of intervals below the limit is an
+// error.
 func TestParseEachRejectsInvalidText(t *testing.T) {
 	for text, outOfBounds := range map[string]bool{"x": false, "3-": false, "-1": false, "5-2": true, "9": true} {
 		err := intervals.ParseEach(text, 9, func(int) {})
--- a/internal/jobs/dependencies_test.go
+++ b/internal/jobs/dependencies_test.go
@@ -12,7 +12,7 @@
 	"switchshore.example/switchshore/wire"
 )
 
-const stage = time.Minute
+const stageTime = time.Minute
 
 // newGraph returns a graph of the given jobs, which are not linked yet.
 func newGraph(list ...*jobs.Job) (*jobs.DependencyGraph, *jobs.Registry) {
@@ -20,7 +20,7 @@
 	for _, j := range list {
 		registry.Add(j)
 	}
-	return jobs.NewDependencyGraph(registry, func(*jobs.Job) time.Duration { return stage }), registry
+	return jobs.NewDependencyGraph(registry, func(*jobs.Job) time.Duration { return stageTime }), registry
 }
 
 func TestDependentIsUnblockedByItsLastDependency(t *testing.T) {
@@ -32,14 +32,14 @@
 		registry.SetFinalState(id, f)
 		g.JobEnded(id, f)
 		if g.QueuedSteps() != 1 || g.NextUnblocked() != c {
-			t.Fatalf("%s: not notified", id)
+			t.Fatalf("%s: the dependent is not unblocked", id)
 		}
 		if blocked := i == 0; c.IsBlocked() != blocked {
 			t.Errorf("after %s: blocked: %v", id, c.IsBlocked())
 		}
 	}
 	if g.QueuedSteps() != 0 || g.NextUnblocked() != nil || g.NextCancellation() != nil || g.NextOutdatedPath() != nil {
-		t.Error("steps are left")
+		t.Error("queued steps are left")
 	}
 }
 
@@ -51,7 +51,7 @@
 	registry.SetFinalState("a", f)
 	g.JobEnded("a", f)
 	if !g.HasCancellations() || g.NextCancellation() != b || g.HasCancellations() {
-		t.Error("the dependent is not cancelled once")
+		t.Error("the dependent is not queued for cancellation exactly once")
 	}
 	late := newActiveJob("late", 1, "a")
 	registry.Add(late)
@@ -81,7 +81,7 @@
 	if missing, cyclic := g.LinkAll(list); len(missing)+len(cyclic) > 0 {
 		t.Fatalf("missing %v, cyclic %v", missing, cyclic)
 	}
-	want := jobs.CriticalPath{Last: last, Due: start.Add(30*time.Minute - 2*stage), DownstreamTime: 2 * stage}
+	want := jobs.CriticalPath{Last: last, Due: start.Add(30*time.Minute - 2*stageTime), DownstreamTime: 2 * stageTime}
 	if got := first.CriticalPath(); got != want || first.PriorityRank() != wire.PriorityRank(wire.PriorityHigh) {
 		t.Errorf("path %+v, rank %d", got, first.PriorityRank())
 	}
@@ -92,7 +92,7 @@
 			g.QueuePathUpdates(j)
 		}
 	}
-	want = jobs.CriticalPath{Last: direct, Due: start.Add(time.Hour - stage), DownstreamTime: stage}
+	want = jobs.CriticalPath{Last: direct, Due: start.Add(time.Hour - stageTime), DownstreamTime: stageTime}
 	if got := first.CriticalPath(); got != want || first.PriorityRank() != wire.PriorityRank(wire.PriorityIdle) {
 		t.Errorf("without the cancelled job: path %+v, rank %d", got, first.PriorityRank())
 	}
@@ -111,12 +111,12 @@
 		t.Errorf("cyclic %v", cyclic)
 	}
 	if g.UpdateCriticalPath(a) || !a.IsBlocked() || !lost.IsBlocked() {
-		t.Error("jobs of damaged records do not wait")
+		t.Error("jobs with corrupt records are not blocked")
 	}
 }
 
 // TestRandomGraphUnblocksInOrder ends the jobs of random graphs in the order in which they are
-// unblocked: every job is unblocked exactly when all that it depends on have ended.
+// unblocked. Every job must be unblocked exactly when all its dependencies have ended.
 func TestRandomGraphUnblocksInOrder(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, seed))
--- a/internal/jobs/registry_test.go
+++ b/internal/jobs/registry_test.go
@@ -45,7 +45,7 @@
 	j := newActiveJob("a", 1)
 	r.Add(j)
 	if _, ended := r.FinalState("a"); ended || r.Len() != 1 {
-		t.Error("ended before its end")
+		t.Error("a job has a final state before its end")
 	}
 	f := records.FinalState{Outcome: records.OutcomeDone, TasksDone: 1}
 	r.SetFinalState("a", f)
--- a/internal/jobs/state_test.go
+++ b/internal/jobs/state_test.go
@@ -48,7 +48,7 @@
 func TestAcceptanceAfterCancellationLeavesTheJobCancelled(t *testing.T) {
 	j := newJob("job-1", 2)
 	if !j.StateWithheld() {
-		t.Error("a job is decided before its acceptance is durable")
+		t.Error("the state is not withheld before the acceptance is durable")
 	}
 	f := j.End(start, jobs.Cancelled)
 	if f.Outcome != records.OutcomeCancelled || f.TasksDone != 0 {
@@ -89,13 +89,13 @@
 
 func TestWaitersAreNotifiedOnce(t *testing.T) {
 	j := newJob("job-1", 1)
-	var answers []bool
-	j.AddWaiter(func(decided bool) { answers = append(answers, decided) })
+	var decisions []bool
+	j.AddWaiter(func(decided bool) { decisions = append(decisions, decided) })
 	j.NotifyWaiters(true)
-	j.AddWaiter(func(decided bool) { answers = append(answers, decided) })
+	j.AddWaiter(func(decided bool) { decisions = append(decisions, decided) })
 	j.NotifyWaiters(false)
 	j.NotifyWaiters(true)
-	if !slices.Equal(answers, []bool{true, false}) {
-		t.Errorf("answers %v", answers)
+	if !slices.Equal(decisions, []bool{true, false}) {
+		t.Errorf("decisions %v", decisions)
 	}
 }
--- a/internal/jobs/tasks_test.go
+++ b/internal/jobs/tasks_test.go
@@ -73,7 +73,7 @@
 	}
 	j.MarkStored(list[0])
 	if !j.IsCompletionStored(0) || j.IsCompletionStored(1) || !j.IsCompletionStored(2) {
-		t.Error("not the completions of the record")
+		t.Error("other completions are stored than those of the record")
 	}
 	if rest := j.PopUnsavedCompletions(valueLimit); len(rest) != 0 {
 		t.Errorf("written twice: %+v", rest)
@@ -124,15 +124,15 @@
 	j := newActiveJob("job-1", 2)
 	for i := range tuning.FailsEverywhereMachines {
 		if j.FailsEverywhere() {
-			t.Fatalf("after %d machines", i)
+			t.Fatalf("reported after %d machines", i)
 		}
 		j.RecordFailureOn(string(rune('a' + i)))
 	}
 	if !j.FailsEverywhere() {
-		t.Error("not after all machines")
+		t.Error("not reported after failures on enough machines")
 	}
 	j.Complete(0)
 	if j.FailsEverywhere() {
-		t.Error("though a task is done")
+		t.Error("reported although a task is done")
 	}
 }
--- a/internal/records/queues_test.go
+++ b/internal/records/queues_test.go
@@ -13,26 +13,27 @@
 	"switchshore.example/switchshore/internal/records"
 )
 
-// one is some value of a key.
-const one = `1`
+// anyValue is an arbitrary stored value.
+const anyValue = `1`
 
-// pendingStarts is a start record of given content, "" if nothing is to be written.
+// pendingStarts is a queued start record with the given content, "" if nothing has to be
+// written.
 type pendingStarts struct {
 	key, content string
-	taken        bool
+	finalized    bool
 }
 
 func (s *pendingStarts) MaxSize() int { return len(s.content) }
 
 func (s *pendingStarts) Finalize() *records.Write {
-	s.taken = true
+	s.finalized = true
 	if s.content == "" {
 		return nil
 	}
 	return &records.Write{Key: s.key, Value: json.RawMessage(s.content)}
 }
 
-// keys are those of a batch's changes; deleted ones begin with "-".
+// keys returns the keys of a batch's changes, with "-" before deleted ones.
 func keys(b *records.Batch) []string {
 	if b == nil {
 		return nil
@@ -52,17 +53,17 @@
 
 func fill(q *records.Queue, name string, count int) {
 	for i := range count {
-		q.Put(fmt.Sprint(name, i), json.RawMessage(one), nil)
+		q.Put(fmt.Sprint(name, i), json.RawMessage(anyValue), nil)
 	}
 }
 
-// TestLatestValueOfAKeyIsWrittenOnce: until it is taken a change is replaced by a later one of
-// the same key, in its place; all who wait for either are called.
+// TestLatestValueOfAKeyIsWrittenOnce: a queued change is replaced in its place by a later one
+// of the same key, and the callbacks of both are called.
 func TestLatestValueOfAKeyIsWrittenOnce(t *testing.T) {
 	q := newQueues()
 	called := 0
-	q.Interactive.Put("a", json.RawMessage(one), func() { called++ })
-	q.Interactive.Put("b", json.RawMessage(one), nil)
+	q.Interactive.Put("a", json.RawMessage(anyValue), func() { called++ })
+	q.Interactive.Put("b", json.RawMessage(anyValue), nil)
 	q.Interactive.Put("a", json.RawMessage(`2`), func() { called++ })
 	b := q.NextBatch(10, 0, false)
 	if got := keys(b); !slices.Equal(got, []string{"a", "b"}) || string(b.Mutations[0].Value) != `2` {
@@ -77,7 +78,7 @@
 		t.Errorf("%v", got)
 	}
 	if q.Len() != 0 || q.Interactive.Dequeued() != 3 || q.NextBatch(10, 10, false) != nil {
-		t.Errorf("%d wait, %d taken", q.Len(), q.Interactive.Dequeued())
+		t.Errorf("%d queued, %d dequeued", q.Len(), q.Interactive.Dequeued())
 	}
 }
 
@@ -92,7 +93,7 @@
 		"users alone":                      {interactive: 9, want: "i0 i1 i2 i3 i4 i5 i6 i7"},
 		"users and starts":                 {interactive: 9, starts: 2, want: "i0 i1 i2 i3 s0 s1 i4 i5"},
 		"dependent ends have a small part": {interactive: 9, dependent: 9, want: "d0 d1 i0 i1 i2 i3 i4 i5"},
-		"more of them only of the spare":   {dependent: 9, spare: 3, want: "d0 d1 d2 d3 d4"},
+		"more dependent ends need spare":   {dependent: 9, spare: 3, want: "d0 d1 d2 d3 d4"},
 		"background needs spare":           {background: 9, want: ""},
 		"background takes the spare":       {background: 9, spare: 2, want: "b0 b1"},
 		"shedding leaves a part for rest":  {interactive: 9, background: 9, shedding: true, want: "i0 i1 i2 i3 b0 b1 i4 i5"},
@@ -103,7 +104,7 @@
 			fill(&q.Dependent, "d", test.dependent)
 			fill(&q.Background, "b", test.background)
 			for i := range test.starts {
-				q.PutStarts(&pendingStarts{key: fmt.Sprint("s", i), content: one})
+				q.PutStarts(&pendingStarts{key: fmt.Sprint("s", i), content: anyValue})
 			}
 			if got := strings.Join(keys(q.NextBatch(8, test.spare, test.shedding)), " "); got != test.want {
 				t.Errorf("%s, want %s", got, test.want)
@@ -112,8 +113,8 @@
 	}
 }
 
-// TestNothingIsDeletedBeforeStartsAreWritten: a start record may stand for what a waiting one
-// takes over, so deletions wait until none waits.
+// TestNothingIsDeletedBeforeStartsAreWritten: a queued start record may replace a stored one
+// that is to be deleted, so deletions wait until no start record is queued.
 func TestNothingIsDeletedBeforeStartsAreWritten(t *testing.T) {
 	q := newQueues()
 	q.Background.Delete("s/old")
@@ -134,23 +135,24 @@
 	}
 }
 
-// TestEmptyStartRecordIsNotWritten: it leaves the queue all the same.
+// TestEmptyStartRecordIsNotWritten: a start record without content leaves the queue without a
+// change.
 func TestEmptyStartRecordIsNotWritten(t *testing.T) {
 	q, s := newQueues(), &pendingStarts{key: "s1"}
 	q.PutStarts(s)
-	if b := q.NextBatch(10, 10, false); b != nil || !s.taken || q.Len() != 0 {
-		t.Errorf("%v, taken %v, %d wait", keys(b), s.taken, q.Len())
+	if b := q.NextBatch(10, 10, false); b != nil || !s.finalized || q.Len() != 0 {
+		t.Errorf("%v, finalized %v, %d queued", keys(b), s.finalized, q.Len())
 	}
 }
 
-// TestRefusedAndOversizedChangesBlockNoOther: they are logged by their key and given up, and
-// only those who wait for others are called.
+// TestRefusedAndOversizedChangesBlockNoOther: refused and oversized changes are logged with
+// their keys and dropped, and only the callbacks of other changes are called.
 func TestRefusedAndOversizedChangesBlockNoOther(t *testing.T) {
 	var logs bytes.Buffer
 	q := records.NewWriteQueues(zerolog.New(&logs), 16)
 	done := map[string]bool{}
 	for _, key := range []string{"long", "refused", "fine"} {
-		value := one
+		value := anyValue
 		if key == "long" {
 			value = `"much too long for the limit"`
 		}
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -14,8 +14,8 @@
 
 const valueLimit = 2048 // bytes
 
-// TestLoadOrderCoversEveryKind: each kind of record is loaded, pieces before jobs, and jobs
-// before everything that belongs to one.
+// TestLoadOrderCoversEveryKind: records of each kind are loaded, pieces before jobs, and jobs
+// before the records that belong to one.
 func TestLoadOrderCoversEveryKind(t *testing.T) {
 	want := []string{"c/types", "n/", "j/", "d/", "f/", "m/", "s/", "e/", "b/"}
 	if !slices.Equal(records.LoadOrder, want) {
@@ -23,7 +23,7 @@
 	}
 }
 
-// TestKeys pins the stored names: another version of the program must find them.
+// TestKeys pins the stored keys, which other versions of the program must find.
 func TestKeys(t *testing.T) {
 	for key, want := range map[string]string{
 		records.JobKey("job-1"):                 "j/job-1",
@@ -43,7 +43,7 @@
 		t.Errorf("%q, %q, %v", kind, id, ok)
 	}
 	if _, _, ok := records.ParseKey("leader"); ok {
-		t.Error("a key without a kind is taken for the leader's")
+		t.Error("a key without a kind is accepted")
 	}
 }
 
@@ -78,10 +78,10 @@
 	return j
 }
 
-// TestJobSurvivesItsRecords: a job is read back as submitted whether or not it fits into one
-// value, and no value exceeds the limit. What earlier versions would get wrong they see as a
-// job that fits no machine.
-func TestJobSurvivesItsRecords(t *testing.T) {
+// TestJobRoundTripsThroughRecords: a job is read back as submitted whether or not it fits into
+// one value, and no value exceeds the limit. In place of a job that earlier versions would
+// handle incorrectly, they read one that fits no machine.
+func TestJobRoundTripsThroughRecords(t *testing.T) {
 	dependent := job("job-2", 1)
 	dependent.DependsOn = []string{"job-1"}
 	for name, test := range map[string]struct {
@@ -140,7 +140,8 @@
 	return string(text)
 }
 
-// TestCorruptRecordsAreRejected: whatever can't be right is an error with a reason.
+// TestCorruptRecordsAreRejected: decoding an invalid record fails, and the error matches the
+// cause.
 func TestCorruptRecordsAreRejected(t *testing.T) {
 	long := records.EncodeJob(job("job-3", 400), 0, 5, valueLimit)
 	_, missing := records.DecodeJob("job-3", long[len(long)-1].Value, records.JobPieces{})
@@ -169,12 +170,12 @@
 		"types":       func(v json.RawMessage) error { _, err := records.DecodeMachineTypes(v); return err },
 	} {
 		if decode(json.RawMessage(`7`)) == nil {
-			t.Errorf("%s: 7 is taken for a record", name)
+			t.Errorf("%s: 7 is accepted as a record", name)
 		}
 	}
 }
 
-// TestStartsSizeIsAnUpperBound: a record never takes more than was reckoned.
+// TestStartsSizeIsAnUpperBound: an encoded record is never larger than its computed size.
 func TestStartsSizeIsAnUpperBound(t *testing.T) {
 	size, starts := records.NewStartsSize(), &records.Starts{}
 	for m := range 20 {
@@ -194,6 +195,6 @@
 		starts.Machines = append(starts.Machines, machine)
 	}
 	if n := len(starts.Encode()); n > size.Bytes() {
-		t.Errorf("%d bytes, reckoned %d", n, size.Bytes())
+		t.Errorf("%d bytes, bound %d", n, size.Bytes())
 	}
 }
--- a/internal/startlog/startlog_test.go
+++ b/internal/startlog/startlog_test.go
@@ -16,7 +16,7 @@
 
 const maxOps = 100 // changes in a batch
 
-// fixture is a log with its queues and what it has called back.
+// fixture is a log with its write queues and the numbers of its callbacks.
 type fixture struct {
 	*startlog.Log
 	writes           *records.WriteQueues
@@ -38,15 +38,15 @@
 	return f
 }
 
-// add records the start of a task.
+// add adds the start of a task to the log.
 func (f *fixture) add(index int32) *machines.Attempt {
 	a := machines.NewPendingAttempt(f.machine, f.job, index, time.Time{}, 1, false)
 	f.Add(a)
 	return a
 }
 
-// TestStartsOfAPassShareARecord: what has ended before it is written is left out, and the
-// record is deleted when the last of its attempts ends.
+// TestStartsOfAPassShareARecord: attempts that end before the record is written are left out,
+// and the record is deleted when the last of its attempts ends.
 func TestStartsOfAPassShareARecord(t *testing.T) {
 	f := newFixture(2048)
 	first, second, third := f.add(0), f.add(1), f.add(2)
@@ -60,11 +60,11 @@
 		t.Errorf("%s, want %s", got, want)
 	}
 	if f.durable != 0 {
-		t.Error("starts go out before their record is durable")
+		t.Error("starts are sent before their record is durable")
 	}
 	f.writes.MarkCommitted(b, nil)
 	if f.durable != 2 || second.State() != machines.RecordPending {
-		t.Errorf("%d starts go out", f.durable)
+		t.Errorf("%d starts sent", f.durable)
 	}
 	f.Remove(first)
 	if f.writes.Len() != 0 {
@@ -78,7 +78,8 @@
 	}
 }
 
-// TestStartsAfterABatchGetANewRecord: also those that don't fit into one value.
+// TestStartsAfterABatchGetANewRecord: starts get a new record when the current one is in a
+// batch or would exceed the value limit.
 func TestStartsAfterABatchGetANewRecord(t *testing.T) {
 	f := newFixture(256)
 	for i := range int32(100) {
@@ -93,7 +94,7 @@
 		f.writes.MarkCommitted(b, nil)
 	}
 	if f.durable != 100 {
-		t.Fatalf("%d of 100 starts go out", f.durable)
+		t.Fatalf("%d of 100 starts sent", f.durable)
 	}
 	f.add(701)
 	b := f.writes.NextBatch(maxOps, maxOps, false)
@@ -102,19 +103,21 @@
 	}
 }
 
-// TestRefusedRecordFreesItsTasks: none of its starts has gone out.
-func TestRefusedRecordFreesItsTasks(t *testing.T) {
+// TestRefusedRecordCallsBackForItsAttempts: none of the starts was sent, so their tasks can be
+// placed again.
+func TestRefusedRecordCallsBackForItsAttempts(t *testing.T) {
 	f := newFixture(2048)
 	f.add(0)
 	f.add(1)
 	b := f.writes.NextBatch(maxOps, maxOps, false)
 	f.writes.MarkCommitted(b, []string{b.Mutations[0].Put})
 	if f.durable != 0 || f.refused != 2 {
-		t.Errorf("%d go out, %d are placed anew", f.durable, f.refused)
+		t.Errorf("%d starts sent, %d refused", f.durable, f.refused)
 	}
 }
 
-// TestLoadedRecordsWithoutAttemptsAreDeleted: the others stay until theirs have ended.
+// TestLoadedRecordsWithoutAttemptsAreDeleted: other loaded records stay until their attempts
+// have ended.
 func TestLoadedRecordsWithoutAttemptsAreDeleted(t *testing.T) {
 	f := newFixture(2048)
 	f.LoadRecord("s/old")
