--- a/internal/records/batch.go
+++ b/internal/records/batch.go
@@ -17,7 +17,7 @@
 	size       int      // bytes
 	maxOps     int
 	valueLimit int      // bytes of a value
-	oversized  []*Write // not sent, as the store would reject them
+	oversized  []*Write // not sent, as the store would refuse them
 }
 
 // fits reports whether a change of the given size fits into the batch.
@@ -25,7 +25,7 @@
 	return len(b.Mutations) < b.maxOps && (len(b.Mutations) == 0 || b.size+size <= tuning.MaxTransactionBytes)
 }
 
-// add adds a change, unless the key-value store would reject it. All records are built to fit;
+// add adds a change, unless the key-value store would refuse it. All records are built to fit;
 // one that does not must not block the others.
 func (b *Batch) add(w *Write) {
 	if len(w.Key) > wire.MaxKeyBytes || len(w.Value) > b.valueLimit {
--- a/internal/records/queue.go
+++ b/internal/records/queue.go
@@ -9,7 +9,7 @@
 	Key      string
 	Value    json.RawMessage // nil to delete the key
 	OnCommit []func()
-	// OnRefused, if set, is called if the key-value store rejects the change permanently.
+	// OnRefused, if set, is called if the key-value store refuses the change permanently.
 	OnRefused func()
 }
 
--- a/internal/records/queues.go
+++ b/internal/records/queues.go
@@ -72,7 +72,7 @@
 	}
 	q.Interactive.moveTo(b, maxOps)
 	for _, w := range b.oversized {
-		q.dropRejected(w)
+		q.dropRefused(w)
 	}
 	if len(b.Mutations) == 0 {
 		return nil
@@ -100,7 +100,7 @@
 func (q *WriteQueues) MarkCommitted(b *Batch, refused []string) {
 	for _, w := range b.writes {
 		if slices.Contains(refused, w.Key) {
-			q.dropRejected(w)
+			q.dropRefused(w)
 			continue
 		}
 		for _, onCommit := range w.OnCommit {
@@ -109,9 +109,9 @@
 	}
 }
 
-// dropRejected drops a change that the store rejects. Callers that wait for it keep waiting,
+// dropRefused drops a change that the store refuses. Callers that wait for it keep waiting,
 // except for starts, which are decided again.
-func (q *WriteQueues) dropRejected(w *Write) {
+func (q *WriteQueues) dropRefused(w *Write) {
 	q.log.Error().Str("key", w.Key).Int("bytes", len(w.Value)).Msg("record rejected by state store, skipped")
 	if w.OnRefused != nil {
 		w.OnRefused()
--- a/internal/startlog/startlog.go
+++ b/internal/startlog/startlog.go
@@ -13,7 +13,7 @@
 type Callbacks struct {
 	// OnDurable is called once the record is durable, so that the start may be sent.
 	OnDurable func(*machines.Attempt)
-	// OnRefused is called if the record can't be stored, so that the task has to be placed
+	// OnRefused is called if the store refuses the record, so that the task has to be placed
 	// again.
 	OnRefused func(*machines.Attempt)
 }
