--- a/internal/allocation/ledger_test.go
+++ b/internal/allocation/ledger_test.go
@@ -26,7 +26,7 @@
 func newJob(id, team string, tasks int) *jobs.Job {
 	j := jobs.New(wire.Job{ID: id, Team: team, Tasks: tasks, CPUs: 2, MemoryGB: 1}, 0, start)
 	j.MarkAccepted()
-	j.FillReady()
+	j.RebuildReadyTasks()
 	return j
 }
 
@@ -39,7 +39,7 @@
 func TestAttemptCountsUntilItIsReleased(t *testing.T) {
 	l := allocation.NewLedger(teams)
 	m, j := newMachine("m1", "a"), newJob("job-1", "blue", 1)
-	a := machines.NewAttempt(m, j, j.PlaceNext(start), start)
+	a := machines.NewAttempt(m, j, j.PopReadyTask(start), start)
 	l.Allocate(a)
 	a.ApplyReport(start, machines.Running)
 	j.AddRunning()
@@ -55,9 +55,9 @@
 	}
 }
 
-// TestLedgerBalances allocates and releases attempts in random order: what is used is always
-// what the allocated attempts take, and nothing is left in the end.
-func TestLedgerBalances(t *testing.T) {
+// TestUsageMatchesRandomAllocations allocates and releases attempts in random order. Usage must
+// always equal the resources of the allocated attempts, and be zero at the end.
+func TestUsageMatchesRandomAllocations(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, seed))
 		l := allocation.NewLedger(teams)
@@ -88,7 +88,7 @@
 				l.Release(start, attempts[i])
 				attempts = append(attempts[:i], attempts[i+1:]...)
 			} else if j.ReadyTasks() > 0 {
-				a := machines.NewAttempt(all[rng.IntN(len(all))], j, j.PlaceNext(start), start)
+				a := machines.NewAttempt(all[rng.IntN(len(all))], j, j.PopReadyTask(start), start)
 				l.Allocate(a)
 				attempts = append(attempts, a)
 			}
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestJobAboveItsTeamsLimit(t *testing.T) {
+func TestQuotaViolation(t *testing.T) {
 	l := allocation.NewLedger(teams)
 	for name, c := range map[string]struct {
 		spec wire.Job
@@ -138,10 +138,10 @@
 		"no limit":         {spec: wire.Job{Team: "guest", CPUs: 1000}},
 		"unknown team":     {spec: wire.Job{Team: "nobody"}, want: "unknown team"},
 	} {
-		if got := l.AboveLimit(&c.spec); got != c.want {
+		if got := l.QuotaViolation(&c.spec); got != c.want {
 			t.Errorf("%s: %q", name, got)
 		}
-		if got := allocation.AboveLimit(teams, &c.spec); got != c.want {
+		if got := allocation.QuotaViolation(teams, &c.spec); got != c.want {
 			t.Errorf("%s: by the settings %q", name, got)
 		}
 	}
--- a/internal/jobs/dependencies_test.go
+++ b/internal/jobs/dependencies_test.go
@@ -12,7 +12,7 @@
 	"switchshore.example/switchshore/wire"
 )
 
-const stage = time.Minute
+const stageTime = time.Minute
 
 // newGraph returns a graph of the given jobs, which are not linked yet.
 func newGraph(list ...*jobs.Job) (*jobs.DependencyGraph, *jobs.Registry) {
@@ -20,7 +20,7 @@
 	for _, j := range list {
 		registry.Add(j)
 	}
-	return jobs.NewDependencyGraph(registry, func(*jobs.Job) time.Duration { return stage }), registry
+	return jobs.NewDependencyGraph(registry, func(*jobs.Job) time.Duration { return stageTime }), registry
 }
 
 func TestDependentIsUnblockedByItsLastDependency(t *testing.T) {
@@ -31,15 +31,15 @@
 		f := records.FinalState{Outcome: records.OutcomeDone, TasksDone: 1}
 		registry.SetFinalState(id, f)
 		g.JobEnded(id, f)
-		if g.OpenSteps() != 1 || g.NextUnblocked() != c {
-			t.Fatalf("%s: not notified", id)
+		if g.QueuedSteps() != 1 || g.NextUnblocked() != c {
+			t.Fatalf("%s: the dependent is not unblocked", id)
 		}
 		if blocked := i == 0; c.IsBlocked() != blocked {
 			t.Errorf("after %s: blocked: %v", id, c.IsBlocked())
 		}
 	}
-	if g.OpenSteps() != 0 || g.NextUnblocked() != nil || g.NextToCancel() != nil || g.NextPathOutdated() != nil {
-		t.Error("steps are left")
+	if g.QueuedSteps() != 0 || g.NextUnblocked() != nil || g.NextCancellation() != nil || g.NextOutdatedPath() != nil {
+		t.Error("queued steps are left")
 	}
 }
 
@@ -50,8 +50,8 @@
 	f := a.End(start, jobs.Cancelled)
 	registry.SetFinalState("a", f)
 	g.JobEnded("a", f)
-	if !g.HasToCancel() || g.NextToCancel() != b || g.HasToCancel() {
-		t.Error("the dependent is not cancelled once")
+	if !g.HasCancellations() || g.NextCancellation() != b || g.HasCancellations() {
+		t.Error("the dependent is not queued for cancellation exactly once")
 	}
 	late := newActiveJob("late", 1, "a")
 	registry.Add(late)
@@ -74,25 +74,25 @@
 	}
 	first := withDeadline("first", 0, wire.PriorityIdle)
 	middle := withDeadline("middle", 0, wire.PriorityIdle, "first")
-	patient := withDeadline("patient", 3600, wire.PriorityIdle, "first")
+	direct := withDeadline("direct", 3600, wire.PriorityIdle, "first")
 	last := withDeadline("last", 1800, wire.PriorityHigh, "middle")
-	list := []*jobs.Job{first, middle, patient, last}
+	list := []*jobs.Job{first, middle, direct, last}
 	g, _ := newGraph(list...)
 	if missing, cyclic := g.LinkAll(list); len(missing)+len(cyclic) > 0 {
 		t.Fatalf("missing %v, cyclic %v", missing, cyclic)
 	}
-	want := jobs.CriticalPath{Last: last, Due: start.Add(30*time.Minute - 2*stage), Left: 2 * stage}
+	want := jobs.CriticalPath{Last: last, Due: start.Add(30*time.Minute - 2*stageTime), DownstreamTime: 2 * stageTime}
 	if got := first.CriticalPath(); got != want || first.PriorityRank() != wire.PriorityRank(wire.PriorityHigh) {
 		t.Errorf("path %+v, rank %d", got, first.PriorityRank())
 	}
 	last.End(start, jobs.Cancelled)
-	g.SchedulePathsOfDependencies(last)
-	for j := g.NextPathOutdated(); j != nil; j = g.NextPathOutdated() {
+	g.QueuePathUpdates(last)
+	for j := g.NextOutdatedPath(); j != nil; j = g.NextOutdatedPath() {
 		if g.UpdateCriticalPath(j) {
-			g.SchedulePathsOfDependencies(j)
+			g.QueuePathUpdates(j)
 		}
 	}
-	want = jobs.CriticalPath{Last: patient, Due: start.Add(time.Hour - stage), Left: stage}
+	want = jobs.CriticalPath{Last: direct, Due: start.Add(time.Hour - stageTime), DownstreamTime: stageTime}
 	if got := first.CriticalPath(); got != want || first.PriorityRank() != wire.PriorityRank(wire.PriorityIdle) {
 		t.Errorf("without the cancelled job: path %+v, rank %d", got, first.PriorityRank())
 	}
@@ -111,13 +111,13 @@
 		t.Errorf("cyclic %v", cyclic)
 	}
 	if g.UpdateCriticalPath(a) || !a.IsBlocked() || !lost.IsBlocked() {
-		t.Error("jobs of damaged records do not wait")
+		t.Error("jobs with corrupt records are not blocked")
 	}
 }
 
-// TestRandomGraphIsWorkedOff ends the jobs of random graphs in the order in which they are
-// unblocked: every job is unblocked exactly when all that it depends on have ended.
-func TestRandomGraphIsWorkedOff(t *testing.T) {
+// TestRandomGraphUnblocksInOrder ends the jobs of random graphs in the order in which they are
+// unblocked. Every job must be unblocked exactly when all its dependencies have ended.
+func TestRandomGraphUnblocksInOrder(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, seed))
 		var list []*jobs.Job
--- a/internal/records/errors.go
+++ b/internal/records/errors.go
@@ -10,12 +10,12 @@
 
 // Reasons why a record is corrupt.
 var (
-	ErrMissingPiece = errors.New("piece of the job record is missing")
-	ErrOtherJob     = errors.New("record of another job")
-	ErrFinalState   = errors.New("unknown final state")
+	ErrMissingPiece      = errors.New("piece of the job record is missing")
+	ErrJobIDMismatch     = errors.New("record of another job")
+	ErrUnknownFinalState = errors.New("unknown final state")
 )
 
-// CorruptError is a stored record that can't be right, and without which the state would be
+// CorruptError reports an invalid stored record without which the leader's state would be
 // wrong.
 type CorruptError struct {
 	Key string
