--- a/internal/consolidation/consolidation.go
+++ b/internal/consolidation/consolidation.go
@@ -149,7 +149,7 @@
 func (p *pass) empty(m *machines.Machine) {
 	m.Cordon(machines.CordonConsolidated)
 	for _, a := range m.Attempts() {
-		a.StopSaving()
+		a.StopGracefully()
 	}
 	p.Emptied(m)
 }
--- a/internal/drainer/evict.go
+++ b/internal/drainer/evict.go
@@ -41,7 +41,7 @@
 		for _, a := range m.Attempts() {
 			s.d.examined++
 			switch {
-			case !a.State().IsReported() || a.IsEvicting() || !a.IsWanted():
+			case !a.State().IsReported() || a.IsEvicting() || !a.ShouldRun():
 			case s.d.ledger.IsCharged(a.Number()):
 				s.d.stopEvicted(a)
 			default:
@@ -107,7 +107,7 @@
 // maxLossS is the run time in seconds that a task without checkpoints can lose at most when it
 // is stopped: until the stop comes into effect or its session ends, it goes on.
 func (s *step) maxLossS(a *machines.Attempt) float64 {
-	began := a.OrderedAt()
+	began := a.CreatedAt()
 	if a.Number()>>32 != s.d.config.Term {
 		// Started under an earlier leader: not before its job was submitted and its machine
 		// was provisioned.
--- a/internal/leader/direct_calls.go
+++ b/internal/leader/direct_calls.go
@@ -71,9 +71,9 @@
 		Request:  wire.CommandRequest{FencingToken: l.term, AgentEpoch: m.Epoch()},
 		sequence: m.Sequence(),
 	}
-	acceptsWork := m.AcceptsWork(now, &l.timing)
+	acceptsWork := m.IsSchedulable(now, &l.timing)
 	for _, a := range m.Attempts() {
-		if a.TakeDirectStop() {
+		if a.ClaimDirectStop() {
 			call.Request.Commands = append(call.Request.Commands, a.StopCommand())
 			continue
 		}
@@ -110,7 +110,7 @@
 func (l *Leader) DirectCallDone(now time.Time, call *DirectCall, outcome DirectOutcome, r *wire.Heartbeat) {
 	if outcome != DirectUnknown {
 		for _, a := range call.attempts {
-			a.MarkDirectCallOver()
+			a.ClearSentDirectly()
 		}
 	}
 	l.calls.inFlight--
--- a/internal/leader/drains.go
+++ b/internal/leader/drains.go
@@ -50,7 +50,7 @@
 // drainsBlocked is why no batch may begin now whatever machines there are, "" if one may.
 func (l *Leader) drainsBlocked(now time.Time) drain.Cause {
 	switch {
-	case !l.lists.complete || now.Before(l.timing.InheritedUntil):
+	case !l.lists.complete || now.Before(l.timing.InheritedTasksEnd):
 		return drain.BlockedByNewLeader
 	case l.admission.shedding():
 		return drain.BlockedByOverload
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -21,7 +21,7 @@
 	}
 	for id := range j.FailedOn() {
 		if o := l.machines.Get(id); o != nil {
-			o.ForgiveFailedJob(j.ID)
+			o.RemoveFailedJob(j.ID)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 // countFailedJob counts a job that has failed on the machine, which is quarantined once there
 // are too many.
 func (l *Leader) countFailedJob(m *machines.Machine, j *jobs.Job) {
-	if quarantined := m.CountFailedJob(j.ID); quarantined {
+	if quarantined := m.AddFailedJob(j.ID); quarantined {
 		l.log.Info().Str("machine", m.ID).Msg("machine quarantined")
 	}
 }
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -99,7 +99,7 @@
 			continue
 		}
 		if left.Seconds() <= a.Job.CheckpointSaveS+margin {
-			a.StopSaving()
+			a.StopGracefully()
 		}
 	}
 }
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -49,7 +49,7 @@
 	if !a.IsAllocated() {
 		return
 	}
-	a.SaveProgress(now)
+	a.RecordProgress(now)
 	l.drainer.CountInterruption(now, a)
 	last := l.ledger.Release(now, a)
 	l.starts.Remove(a)
@@ -69,5 +69,5 @@
 
 // acceptsWork reports whether a machine takes new tasks.
 func (l *Leader) acceptsWork(now time.Time, m *machines.Machine) bool {
-	return m.AcceptsWork(now, &l.timing)
+	return m.IsSchedulable(now, &l.timing)
 }
--- a/internal/leader/pass.go
+++ b/internal/leader/pass.go
@@ -107,7 +107,7 @@
 }
 
 // abandonStart lets a task be placed anew whose start can't be recorded: it has not been sent.
-func (l *Leader) abandonStart(a *machines.Attempt) { l.release(a.OrderedAt(), a) }
+func (l *Leader) abandonStart(a *machines.Attempt) { l.release(a.CreatedAt(), a) }
 
 // clock is the time of the placement rule, in seconds.
 func (l *Leader) clock(now time.Time) float64 { return now.Sub(l.timing.TermStart).Seconds() }
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -101,7 +101,7 @@
 	m, j := a.Machine, a.Job
 	j.AddRunning()
 	if m.HasImage(j.Image) && a.Number()>>32 == l.term {
-		l.startDelay.Observe(now.Sub(a.OrderedAt()).Seconds(), l.params.Workers.HeartbeatIntervalS)
+		l.startDelay.Observe(now.Sub(a.CreatedAt()).Seconds(), l.params.Workers.HeartbeatIntervalS)
 	}
 	m.RecordImage(now, j.Image)
 	l.changed = true
@@ -131,7 +131,7 @@
 			// The start has not run and never will, as it was sent only in a
 			// response that the agent no longer waits for.
 			a.MarkResponseIgnored()
-			if !a.IsWanted() || !l.acceptsWork(now, m) {
+			if !a.ShouldRun() || !l.acceptsWork(now, m) {
 				l.release(now, a)
 			}
 		}
@@ -142,7 +142,7 @@
 // a task that is not to run any more.
 func (l *Leader) scheduleFencingRelease(now time.Time, a *machines.Attempt) {
 	m := a.Machine
-	if a.IsWanted() || m.ReleaseRequired() {
+	if a.ShouldRun() || m.ReleaseRequired() {
 		return
 	}
 	m.Cordon(machines.CordonLateStart)
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -22,7 +22,7 @@
 	for _, a := range m.Attempts() {
 		startsAt := at
 		if !m.HasImage(a.Job.Image) && t.FetchGBPerS > 0 {
-			startsAt = l.clock(a.OrderedAt()) + placement.FetchTime(a.Job.ImageGB, t.FetchGBPerS)
+			startsAt = l.clock(a.CreatedAt()) + placement.FetchTime(a.Job.ImageGB, t.FetchGBPerS)
 			if startsAt > s.Images[a.Job.Image] {
 				s.Images[a.Job.Image] = startsAt
 			}
--- a/internal/leader/timing.go
+++ b/internal/leader/timing.go
@@ -35,6 +35,6 @@
 		// A predecessor's last answer comes at the latest a grace after its
 		// authority, which ended before now; the agent's lease runs from the
 		// sending of the heartbeat answered.
-		InheritedUntil: now.Add(grace + expiry),
+		InheritedTasksEnd: now.Add(grace + expiry),
 	}
 }
--- a/internal/leader/urgent_work.go
+++ b/internal/leader/urgent_work.go
@@ -16,9 +16,9 @@
 	if m.IsReleasing() || !m.IsUnreachable(now, &l.timing) {
 		return false
 	}
-	ends := m.LeaseEnd(&l.timing)
+	ends := m.LeaseExpiresAt(&l.timing)
 	return slices.ContainsFunc(m.Attempts(), func(a *machines.Attempt) bool {
 		slack, ok := l.runTimes.DeadlineSlack(now, a.Job, l.params.Objectives)
-		return ok && slack < ends.Sub(now).Seconds() && a.IsWanted()
+		return ok && slack < ends.Sub(now).Seconds() && a.ShouldRun()
 	})
 }
--- a/internal/machines/attempt.go
+++ b/internal/machines/attempt.go
@@ -72,15 +72,15 @@
 // State is how far the attempt has come.
 func (a *Attempt) State() AttemptState { return a.state }
 
-// OrderedAt is when the start was decided, or, under an earlier leader, when the attempt came
+// CreatedAt is when the start was decided, or, under an earlier leader, when the attempt came
 // to be known.
-func (a *Attempt) OrderedAt() time.Time { return a.orderedAt }
+func (a *Attempt) CreatedAt() time.Time { return a.orderedAt }
 
 // IsAllocated reports whether the attempt counts on its machine.
 func (a *Attempt) IsAllocated() bool { return a.allocated }
 
-// IsAfterLongWait reports whether the attempt was placed since its job had waited long.
-func (a *Attempt) IsAfterLongWait() bool { return a.afterLongWait }
+// PlacedWhileAged reports whether the attempt was placed since its job had waited long.
+func (a *Attempt) PlacedWhileAged() bool { return a.afterLongWait }
 
 // HasRun reports whether the attempt was ever reported as running.
 func (a *Attempt) HasRun() bool { return !a.runningAt.IsZero() }
@@ -88,8 +88,8 @@
 // RunTime is the time since the attempt was first reported as running.
 func (a *Attempt) RunTime(now time.Time) time.Duration { return now.Sub(a.runningAt) }
 
-// IsWanted reports whether the attempt is still to run.
-func (a *Attempt) IsWanted() bool { return !a.stopping && a.IsNeeded() }
+// ShouldRun reports whether the attempt is still to run.
+func (a *Attempt) ShouldRun() bool { return !a.stopping && a.IsNeeded() }
 
 // IsNeeded reports whether the task of the attempt is still to run somewhere.
 func (a *Attempt) IsNeeded() bool { return a.Job.NeedsTask(int(a.Index)) }
@@ -142,8 +142,8 @@
 // HasFailed reports whether the attempt has ended by an error of its own.
 func (a *Attempt) HasFailed() bool { return a.failed }
 
-// SaveProgress hands the progress of an attempt that has ended to its job.
-func (a *Attempt) SaveProgress(now time.Time) {
+// RecordProgress hands the progress of an attempt that has ended to its job.
+func (a *Attempt) RecordProgress(now time.Time) {
 	if a.HasRun() {
 		a.Job.RecordProgress(a.Index, a.RunTime(now).Seconds(), a.checkpointSaved)
 	}
--- a/internal/machines/attempt_commands.go
+++ b/internal/machines/attempt_commands.go
@@ -4,7 +4,7 @@
 
 // NeedsStart reports whether the start of the attempt is to be sent, as no task list has shown
 // it yet.
-func (a *Attempt) NeedsStart() bool { return a.state == StartSent && a.IsWanted() }
+func (a *Attempt) NeedsStart() bool { return a.state == StartSent && a.ShouldRun() }
 
 // StartCommand is the command that starts the attempt.
 func (a *Attempt) StartCommand() wire.Command {
@@ -24,8 +24,8 @@
 // MarkSentDirectly notes that the start was sent by a direct call.
 func (d *startDelivery) MarkSentDirectly() { d.sentDirectly = true }
 
-// MarkDirectCallOver notes that the start can no longer come late by a direct call.
-func (d *startDelivery) MarkDirectCallOver() { d.sentDirectly = false }
+// ClearSentDirectly notes that the start can no longer come late by a direct call.
+func (d *startDelivery) ClearSentDirectly() { d.sentDirectly = false }
 
 // WasSentDirectly reports whether the start may still come late by a direct call.
 func (d *startDelivery) WasSentDirectly() bool { return d.sentDirectly }
@@ -37,8 +37,8 @@
 // StopNow has the attempt stopped without time to save.
 func (a *Attempt) StopNow() { a.stopping, a.gracePeriodS = true, 0 }
 
-// StopSaving has the attempt stopped, with time to save if its job saves checkpoints.
-func (a *Attempt) StopSaving() {
+// StopGracefully has the attempt stopped, with time to save if its job saves checkpoints.
+func (a *Attempt) StopGracefully() {
 	a.StopNow()
 	if a.Job.CheckpointIntervalS > 0 {
 		a.gracePeriodS = a.Job.CheckpointSaveS
@@ -60,7 +60,7 @@
 // Evict stops the attempt for a drain.
 func (a *Attempt) Evict() {
 	a.evicting = true
-	a.StopSaving()
+	a.StopGracefully()
 }
 
 // IsEvicting reports whether a drain stops the attempt, or is about to.
@@ -73,9 +73,9 @@
 	return a.stopping && a.IsNeeded() && a.state.IsReported() && !isSaving
 }
 
-// TakeDirectStop reports whether the stop of the attempt is to be sent by a direct call, and
+// ClaimDirectStop reports whether the stop of the attempt is to be sent by a direct call, and
 // notes that it is. A late stop does no harm: attempts are never reused.
-func (a *Attempt) TakeDirectStop() bool {
+func (a *Attempt) ClaimDirectStop() bool {
 	needed := a.stopping && a.state.IsReported() && !a.stopSent
 	a.stopSent = a.stopSent || needed
 	return needed
--- a/internal/machines/attempt_test.go
+++ b/internal/machines/attempt_test.go
@@ -92,9 +92,9 @@
 	}{
 		"not stopped":                     {stop: func(*machines.Attempt) {}, reported: machines.Running},
 		"now":                             {checkpointIntervalS: 30, stop: (*machines.Attempt).StopNow, reported: machines.Running, needed: true},
-		"saving":                          {checkpointIntervalS: 30, stop: (*machines.Attempt).StopSaving, reported: machines.Running, graceS: 7, needed: true},
-		"saving already":                  {checkpointIntervalS: 30, stop: (*machines.Attempt).StopSaving, reported: machines.Saving, graceS: 7},
-		"saving, no checkpoints":          {stop: (*machines.Attempt).StopSaving, reported: machines.Running, needed: true},
+		"saving":                          {checkpointIntervalS: 30, stop: (*machines.Attempt).StopGracefully, reported: machines.Running, graceS: 7, needed: true},
+		"saving already":                  {checkpointIntervalS: 30, stop: (*machines.Attempt).StopGracefully, reported: machines.Saving, graceS: 7},
+		"saving, no checkpoints":          {stop: (*machines.Attempt).StopGracefully, reported: machines.Running, needed: true},
 		"evicted":                         {checkpointIntervalS: 30, stop: (*machines.Attempt).Evict, reported: machines.Running, graceS: 7, needed: true},
 		"taken back":                      {stop: func(a *machines.Attempt) { a.StopNow(); a.RevertStop() }, reported: machines.Running},
 		"now, while an earlier one saves": {checkpointIntervalS: 30, stop: (*machines.Attempt).StopNow, reported: machines.Saving, needed: true},
@@ -102,10 +102,10 @@
 		a := machines.NewAttempt(newMachine(), newActiveJob(c.checkpointIntervalS), 0, start)
 		a.ApplyReport(start, c.reported)
 		c.stop(a)
-		if a.NeedsStop() != c.needed || a.GracePeriodS() != c.graceS || a.IsWanted() == a.IsStopping() {
+		if a.NeedsStop() != c.needed || a.GracePeriodS() != c.graceS || a.ShouldRun() == a.IsStopping() {
 			t.Errorf("%s: needed: %v, %v s", name, a.NeedsStop(), a.GracePeriodS())
 		}
-		if first, second := a.TakeDirectStop(), a.TakeDirectStop(); first != a.IsStopping() || second {
+		if first, second := a.ClaimDirectStop(), a.ClaimDirectStop(); first != a.IsStopping() || second {
 			t.Errorf("%s: direct stops: %v, %v", name, first, second)
 		}
 	}
@@ -123,10 +123,10 @@
 		"saved when stopped": {intervalS: 10, saved: true, saves: 25},
 	} {
 		a := machines.NewAttempt(newMachine(), newActiveJob(c.intervalS), 0, start)
-		a.SaveProgress(end) // never ran
+		a.RecordProgress(end) // never ran
 		a.ApplyReport(start, machines.Running)
 		a.MarkExited(c.saved, false)
-		a.SaveProgress(end)
+		a.RecordProgress(end)
 		if lost, saved := a.LostProgressS(end), a.Job.Progress(0); lost != c.lost || saved != c.saves {
 			t.Errorf("%s: lost %v, saved %v", name, lost, saved)
 		}
--- a/internal/machines/delivery_test.go
+++ b/internal/machines/delivery_test.go
@@ -56,7 +56,7 @@
 	if a.NeedsStart() {
 		t.Error("to be sent although the machine lists the attempt")
 	}
-	a.StopSaving()
+	a.StopGracefully()
 	if c := a.StopCommand(); c.Op != wire.OpStop || c.Attempt != 8 || c.GracePeriodS == nil || *c.GracePeriodS != 7 {
 		t.Errorf("%+v", c)
 	}
@@ -69,7 +69,7 @@
 		t.Error("stopped before the charge is durable")
 	}
 	a.RevertEviction()
-	if a.IsEvicting() || !a.IsWanted() {
+	if a.IsEvicting() || !a.ShouldRun() {
 		t.Error("not taken back")
 	}
 }
@@ -164,11 +164,11 @@
 func TestFullMachineTakesNoWorkForAWhile(t *testing.T) {
 	m := newReportingMachine(start)
 	m.MarkFull(start.Add(time.Second))
-	if m.AcceptsWork(start, timing) || !m.AcceptsWork(start.Add(time.Second), timing) {
+	if m.IsSchedulable(start, timing) || !m.IsSchedulable(start.Add(time.Second), timing) {
 		t.Error("takes work at once, or not at all")
 	}
 	m.BeginRelease()
-	if m.AcceptsWork(start.Add(time.Second), timing) || !m.IsReleasing() {
+	if m.IsSchedulable(start.Add(time.Second), timing) || !m.IsReleasing() {
 		t.Error("takes work while it is being released")
 	}
 }
--- a/internal/machines/failures.go
+++ b/internal/machines/failures.go
@@ -18,16 +18,16 @@
 // must not be modified.
 func (f *failures) AvoidedJobs() map[string]bool { return f.avoidedJobs }
 
-// CountFailedJob counts a job whose failure seems to be the fault of the machine, and reports
+// AddFailedJob counts a job whose failure seems to be the fault of the machine, and reports
 // whether the machine is quarantined by it.
-func (f *failures) CountFailedJob(id string) (quarantined bool) {
+func (f *failures) AddFailedJob(id string) (quarantined bool) {
 	was := f.isFaulty()
 	f.failedJobs[id] = true
 	return f.isFaulty() && !was
 }
 
-// ForgiveFailedJob no longer counts a job that fails everywhere.
-func (f *failures) ForgiveFailedJob(id string) { delete(f.failedJobs, id) }
+// RemoveFailedJob no longer counts a job that fails everywhere.
+func (f *failures) RemoveFailedJob(id string) { delete(f.failedJobs, id) }
 
 // RecordTaskSuccess notes that a task has completed: unless the machine is quarantined already,
 // what has failed before was not its fault.
--- a/internal/machines/heartbeat.go
+++ b/internal/machines/heartbeat.go
@@ -88,7 +88,7 @@
 			m.releaseBy = time.Time{}
 		}
 		for _, a := range m.attempts {
-			a.MarkDirectCallOver()
+			a.ClearSentDirectly()
 		}
 	}
 	m.epoch, m.sequence = epoch, sequence
--- a/internal/machines/lease.go
+++ b/internal/machines/lease.go
@@ -16,9 +16,9 @@
 	LeaseExpiry time.Duration
 	// TermStart is when the term began.
 	TermStart time.Time
-	// InheritedUntil is when every task that a predecessor may have left on a
+	// InheritedTasksEnd is when every task that a predecessor may have left on a
 	// machine that has not reported in this term has ended.
-	InheritedUntil time.Time
+	InheritedTasksEnd time.Time
 }
 
 // HeartbeatOverdue reports whether no heartbeat has come for long.
@@ -34,16 +34,16 @@
 
 // LeaseExpired reports whether all that the machine may have run has provably ended.
 func (m *Machine) LeaseExpired(now time.Time, t *Timing) bool {
-	if m.CordonedFor(CordonReplaced) || !m.reconciled && now.Before(t.InheritedUntil) {
+	if m.CordonedFor(CordonReplaced) || !m.reconciled && now.Before(t.InheritedTasksEnd) {
 		return false
 	}
 	return m.leaseRenewedAt.IsZero() || now.Sub(m.leaseRenewedAt) > t.LeaseExpiry
 }
 
-// LeaseEnd is when the machine's lease will have expired without another heartbeat.
-func (m *Machine) LeaseEnd(t *Timing) time.Time {
+// LeaseExpiresAt is when the machine's lease will have expired without another heartbeat.
+func (m *Machine) LeaseExpiresAt(t *Timing) time.Time {
 	if !m.reconciled {
-		return t.InheritedUntil
+		return t.InheritedTasksEnd
 	}
 	return m.leaseRenewedAt.Add(t.LeaseExpiry)
 }
@@ -51,8 +51,8 @@
 // ExpireSession notes that the agent's session is over.
 func (m *Machine) ExpireSession() { m.expiredEpoch = m.epoch }
 
-// AcceptsWork reports whether a machine takes new tasks.
-func (m *Machine) AcceptsWork(now time.Time, t *Timing) bool {
+// IsSchedulable reports whether a machine takes new tasks.
+func (m *Machine) IsSchedulable(now time.Time, t *Timing) bool {
 	return m.joined && m.reconciled && !m.releasing && !m.Cordoned() &&
 		m.total.CPUs > 0 && !now.Before(m.fullUntil) && !m.HeartbeatOverdue(now, t)
 }
@@ -102,6 +102,6 @@
 // neverReconciled reports whether a machine has sent heartbeats for long in this term without
 // having learned of the term.
 func (m *Machine) neverReconciled(now time.Time, t *Timing) bool {
-	return !m.reconciled && !m.firstHeartbeatAt.IsZero() && now.After(t.InheritedUntil) &&
+	return !m.reconciled && !m.firstHeartbeatAt.IsZero() && now.After(t.InheritedTasksEnd) &&
 		now.Sub(m.firstHeartbeatAt) > t.LeaseExpiry+tuning.UnreachableReleaseDelay
 }
--- a/internal/machines/machine_test.go
+++ b/internal/machines/machine_test.go
@@ -17,7 +17,7 @@
 	Lease:            15 * time.Second,
 	LeaseExpiry:      20 * time.Second,
 	TermStart:        start,
-	InheritedUntil:   start.Add(30 * time.Second),
+	InheritedTasksEnd:   start.Add(30 * time.Second),
 }
 
 // newReportingMachine returns a machine that has reported once, knowing the term.
@@ -78,7 +78,7 @@
 	} {
 		m := newReportingMachine(start)
 		c.change(m)
-		if got := m.CordonReasons(); got != c.want || m.Cordoned() != (c.want != 0) || m.AcceptsWork(start, timing) != (c.want == 0) {
+		if got := m.CordonReasons(); got != c.want || m.Cordoned() != (c.want != 0) || m.IsSchedulable(start, timing) != (c.want == 0) {
 			t.Errorf("%s: reasons %b", name, got)
 		}
 	}
@@ -89,21 +89,21 @@
 	for i := range tuning.QuarantineJobs {
 		id := fmt.Sprintf("job-%d", i)
 		m.AvoidJob(id)
-		if quarantined := m.CountFailedJob(id); quarantined != (i == tuning.QuarantineJobs-1) {
+		if quarantined := m.AddFailedJob(id); quarantined != (i == tuning.QuarantineJobs-1) {
 			t.Errorf("after %d jobs: %v", i+1, quarantined)
 		}
 	}
 	m.RecordTaskSuccess()
-	if !m.CordonedFor(machines.CordonFaulty) || m.CountFailedJob("another") {
+	if !m.CordonedFor(machines.CordonFaulty) || m.AddFailedJob("another") {
 		t.Error("quarantined anew, or no longer")
 	}
-	m.ForgiveFailedJob("another")
-	m.ForgiveFailedJob("job-0")
+	m.RemoveFailedJob("another")
+	m.RemoveFailedJob("job-0")
 	if m.CordonedFor(machines.CordonFaulty) || !m.Avoids("job-0") {
 		t.Error("still quarantined, or the job is no longer avoided")
 	}
 	m.RecordTaskSuccess()
-	if m.CountFailedJob("job-0") {
+	if m.AddFailedJob("job-0") {
 		t.Error("failures before a success count")
 	}
 }
--- a/internal/preemption/pass.go
+++ b/internal/preemption/pass.go
@@ -48,7 +48,7 @@
 		switch {
 		case a.IsStopping(), a.State() == machines.Saving, p.endsSoon(a):
 			p.expectEnd(a, 1)
-		case a.IsAfterLongWait() && p.now.Sub(a.OrderedAt()) < tuning.AgedMinRunTime:
+		case a.PlacedWhileAged() && p.now.Sub(a.CreatedAt()) < tuning.AgedMinRunTime:
 			// Stopped at once, pass after pass, its job would never have begun.
 		case a.State() == machines.Running && a.Job.CheckpointIntervalS > 0:
 			p.addCandidate(a)
