--- a/internal/consolidation/consolidation.go
+++ b/internal/consolidation/consolidation.go
@@ -178,6 +178,6 @@
 func (p *pass) firstFit(j *jobs.Job, targets []*machines.Machine) int {
 	probe := j.Constraints()
 	return slices.IndexFunc(targets, func(m *machines.Machine) bool {
-		return p.free[m].Fits(j.Request()) && !m.Avoids(j.ID) && probe.Allowed(m.PlacementView())
+		return p.free[m].Fits(j.Request()) && !m.Avoids(j.ID) && probe.CanRunOn(m.PlacementView())
 	})
 }
--- a/internal/drainer/drainer_test.go
+++ b/internal/drainer/drainer_test.go
@@ -48,7 +48,7 @@
 		jobs:     map[string]*jobs.Job{},
 	}
 	catalogue := machines.NewCatalogue()
-	catalogue.Set([]wire.MachineType{{Name: "std-8", CPUs: 8, MemoryGB: 32, Price: 1, Zones: []string{"a"}}})
+	catalogue.Update([]wire.MachineType{{Name: "std-8", CPUs: 8, MemoryGB: 32, Price: 1, Zones: []string{"a"}}})
 	f.scaler = scaling.New(scaling.Config{Term: 5, CloudRPS: 5}, scaling.Cluster{
 		Machines:    f.registry,
 		Catalogue:   catalogue,
--- a/internal/drainer/evict.go
+++ b/internal/drainer/evict.go
@@ -129,14 +129,14 @@
 		// All of its tasks leave the zone.
 		probe.TasksInZone = without(probe.TasksInZone, zone)
 	}
-	has := slices.ContainsFunc(s.remainingPlaces(), probe.Allowed)
+	has := slices.ContainsFunc(s.remainingPlaces(), probe.CanRunOn)
 	s.places[j] = has
 	return has
 }
 
 // remainingPlaces are the kinds of machine that can be provisioned while the drain lasts.
 func (s *step) remainingPlaces() []*placement.Machine {
-	return s.d.cluster.Catalogue.Places(func(machineType, zone string) bool {
+	return s.d.cluster.Catalogue.Offerings(func(machineType, zone string) bool {
 		return !s.d.BlocksProvisioning(autoscale.Offer{Type: machineType, Zone: zone})
 	})
 }
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -63,7 +63,7 @@
 // its estimate.
 func (l *Leader) stageTime(j *jobs.Job) time.Duration {
 	rate := 0.0
-	for _, t := range l.catalogue.Offers() {
+	for _, t := range l.catalogue.OfferedTypes() {
 		rate = max(rate, t.FetchGBPerS)
 	}
 	takes := l.runTimes.Estimate(j)
--- a/internal/leader/direct_calls.go
+++ b/internal/leader/direct_calls.go
@@ -132,7 +132,7 @@
 		// it: a new agent has taken the place of the one known, and may have
 		// carried the starts out.
 		l.log.Info().Str("machine", m.ID).Msg("worker replaced, releasing machine")
-		m.Cordon(machines.CordonReplaced)
+		m.Cordon(machines.CordonAgentReplaced)
 		return
 	}
 	if r.FencingToken != l.term || m.IsStale(r) {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -101,7 +101,7 @@
 func (l *Leader) Term() uint64 { return l.term }
 
 // CatalogueKnown reports whether submissions can be decided: the machine types are known.
-func (l *Leader) CatalogueKnown() bool { return l.catalogue.Known() }
+func (l *Leader) CatalogueKnown() bool { return l.catalogue.HasTypes() }
 
 // nextAttempt returns the number of another attempt: the term keeps it from being one that
 // another leader has given.
--- a/internal/leader/machine_list.go
+++ b/internal/leader/machine_list.go
@@ -53,7 +53,7 @@
 	var gone []string
 	lag := l.longestListLag()
 	for _, m := range l.machines.All() {
-		if !listed[m.ID] && m.CountMissed(asked, lag) {
+		if !listed[m.ID] && m.CountMissingFromList(asked, lag) {
 			gone = append(gone, m.ID)
 		}
 	}
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -23,7 +23,7 @@
 
 // setCapacity sets the machine's capacity once its type is known.
 func (l *Leader) setCapacity(m *machines.Machine) {
-	if l.catalogue.Has(m.Type) {
+	if l.catalogue.HasType(m.Type) {
 		m.SetCapacity(placement.MachineCapacity(l.catalogue.Type(m.Type)))
 	}
 	m.MarkSnapshotOutdated()
@@ -37,7 +37,7 @@
 	if value := records.EncodeMachineTypes(types); len(value) <= l.valueLimit() && l.catalogue.SetStored(value) {
 		l.writes.Background.Put(records.MachineTypesKey, value, nil)
 	}
-	l.catalogue.Set(types)
+	l.catalogue.Update(types)
 	for _, m := range l.machines.All() {
 		l.setCapacity(m)
 	}
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -62,7 +62,7 @@
 			m.RecordStartObserved()
 		}
 		if a.WasSentDirectly() {
-			m.NeverForget(machines.ExitKey{Task: t.Task, Attempt: t.Attempt})
+			m.RetainExit(machines.ExitKey{Task: t.Task, Attempt: t.Attempt})
 		}
 		l.applyExit(now, a, t)
 	case t.ExitReason == wire.ExitDone:
--- a/internal/leader/submission.go
+++ b/internal/leader/submission.go
@@ -97,7 +97,7 @@
 	probe := placement.PendingJob{MachineTypes: spec.MachineTypes, Zone: spec.Zone, Spot: true, Request: request, TotalTasks: spec.Tasks}
 	for mt := range l.catalogue.All() {
 		for _, zone := range mt.Zones {
-			if probe.Allowed(&placement.Machine{Type: mt.Name, Zone: zone, Capacity: placement.MachineCapacity(mt)}) {
+			if probe.CanRunOn(&placement.Machine{Type: mt.Name, Zone: zone, Capacity: placement.MachineCapacity(mt)}) {
 				return ""
 			}
 		}
--- a/internal/machines/catalogue.go
+++ b/internal/machines/catalogue.go
@@ -21,14 +21,14 @@
 // NewCatalogue returns an empty catalogue.
 func NewCatalogue() *Catalogue { return &Catalogue{types: map[string]wire.MachineType{}} }
 
-// Known reports whether any type is known.
-func (c *Catalogue) Known() bool { return len(c.types) > 0 }
+// HasTypes reports whether any type is known.
+func (c *Catalogue) HasTypes() bool { return len(c.types) > 0 }
 
 // Type returns a type, the zero value if it is not known.
 func (c *Catalogue) Type(name string) wire.MachineType { return c.types[name] }
 
-// Has reports whether a type is known.
-func (c *Catalogue) Has(name string) bool {
+// HasType reports whether a type is known.
+func (c *Catalogue) HasType(name string) bool {
 	_, ok := c.types[name]
 	return ok
 }
@@ -39,13 +39,13 @@
 // Names returns the names of all types that were ever offered in this term, sorted.
 func (c *Catalogue) Names() []string { return slices.Sorted(maps.Keys(c.types)) }
 
-// Offers returns the types in the order of the cloud's last answer. The slice must not be
+// OfferedTypes returns the types in the order of the cloud's last answer. The slice must not be
 // modified.
-func (c *Catalogue) Offers() []wire.MachineType { return c.offers }
+func (c *Catalogue) OfferedTypes() []wire.MachineType { return c.offers }
 
-// Set applies the types of the cloud's last answer. Those that it no longer offers are kept
+// Update applies the types of the cloud's last answer. Those that it no longer offers are kept
 // for the machines that there are.
-func (c *Catalogue) Set(types []wire.MachineType) {
+func (c *Catalogue) Update(types []wire.MachineType) {
 	c.offers = types
 	for _, t := range types {
 		c.types[t.Name] = t
@@ -76,9 +76,9 @@
 	return zones
 }
 
-// Places returns the kinds of machine that the cloud offers and keep accepts, one for each
+// Offerings returns the kinds of machine that the cloud offers and keep accepts, one for each
 // type and zone.
-func (c *Catalogue) Places(keep func(machineType, zone string) bool) []*placement.Machine {
+func (c *Catalogue) Offerings(keep func(machineType, zone string) bool) []*placement.Machine {
 	var places []*placement.Machine
 	for _, t := range c.offers {
 		for _, zone := range t.Zones {
--- a/internal/machines/catalogue_test.go
+++ b/internal/machines/catalogue_test.go
@@ -13,18 +13,18 @@
 // TestCatalogueKeepsTypesThatAreNoLongerOffered: there may still be machines of them.
 func TestCatalogueKeepsTypesThatAreNoLongerOffered(t *testing.T) {
 	c := machines.NewCatalogue()
-	if c.Known() {
+	if c.HasTypes() {
 		t.Error("known without any type")
 	}
-	c.Set([]wire.MachineType{{Name: "std-8", CPUs: 8, Price: 1, SpotPrice: 0.4, Zones: []string{"a", "b"}}})
-	c.Set([]wire.MachineType{{Name: "big-32", CPUs: 32, Price: 3, Zones: []string{"b"}}})
-	if !c.Known() || !c.Has("std-8") || c.Type("std-8").CPUs != 8 || c.Has("other") {
+	c.Update([]wire.MachineType{{Name: "std-8", CPUs: 8, Price: 1, SpotPrice: 0.4, Zones: []string{"a", "b"}}})
+	c.Update([]wire.MachineType{{Name: "big-32", CPUs: 32, Price: 3, Zones: []string{"b"}}})
+	if !c.HasTypes() || !c.HasType("std-8") || c.Type("std-8").CPUs != 8 || c.HasType("other") {
 		t.Errorf("types %v", c.Names())
 	}
-	if len(c.Offers()) != 1 || !slices.Equal(c.Zones(), []string{"b"}) {
-		t.Errorf("offers %v in zones %v", c.Offers(), c.Zones())
+	if len(c.OfferedTypes()) != 1 || !slices.Equal(c.Zones(), []string{"b"}) {
+		t.Errorf("offers %v in zones %v", c.OfferedTypes(), c.Zones())
 	}
-	places := c.Places(func(string, string) bool { return true })
+	places := c.Offerings(func(string, string) bool { return true })
 	if len(places) != 1 || places[0].Type != "big-32" || places[0].Capacity.CPUs != 32 {
 		t.Errorf("places %v", places)
 	}
--- a/internal/machines/cordon.go
+++ b/internal/machines/cordon.go
@@ -14,9 +14,9 @@
 	CordonConsolidated
 	// CordonLateStart: a start of a task that is not to run any more may still come late.
 	CordonLateStart
-	// CordonReplaced: a new agent has taken the place of the one known, and counts sessions
+	// CordonAgentReplaced: a new agent has taken the place of the one known, and counts sessions
 	// anew. Only the release proves that what it may run has ended.
-	CordonReplaced
+	CordonAgentReplaced
 	// CordonFaulty: tasks of several jobs have failed there in a row.
 	CordonFaulty
 	// CordonReclaimed: the cloud is about to take it.
@@ -25,8 +25,8 @@
 	CordonUnresponsive
 )
 
-// RetiringReasons are the reasons for which a machine is released once nothing may be on it.
-const RetiringReasons = CordonDrained | CordonConsolidated | CordonLateStart | CordonFaulty | CordonReclaimed
+// ReleaseWhenEmptyReasons are the reasons for which a machine is released once nothing may be on it.
+const ReleaseWhenEmptyReasons = CordonDrained | CordonConsolidated | CordonLateStart | CordonFaulty | CordonReclaimed
 
 // Cordon adds a reason that does not follow from what is known of the machine.
 func (m *Machine) Cordon(r CordonReason) { m.cordons |= r }
--- a/internal/machines/exit.go
+++ b/internal/machines/exit.go
@@ -24,6 +24,6 @@
 // be modified.
 func (m *Machine) Exited() []Exit { return m.exited }
 
-// NeverForget notes that the start of an exited attempt may still come late in this session:
+// RetainExit notes that the start of an exited attempt may still come late in this session:
 // an agent that had forgotten the attempt would run it.
-func (m *Machine) NeverForget(key ExitKey) { m.unforgettable[key] = true }
+func (m *Machine) RetainExit(key ExitKey) { m.unforgettable[key] = true }
--- a/internal/machines/lease.go
+++ b/internal/machines/lease.go
@@ -34,7 +34,7 @@
 
 // LeaseExpired reports whether all that the machine may have run has provably ended.
 func (m *Machine) LeaseExpired(now time.Time, t *Timing) bool {
-	if m.CordonedFor(CordonReplaced) || !m.reconciled && now.Before(t.InheritedTasksEnd) {
+	if m.CordonedFor(CordonAgentReplaced) || !m.reconciled && now.Before(t.InheritedTasksEnd) {
 		return false
 	}
 	return m.leaseRenewedAt.IsZero() || now.Sub(m.leaseRenewedAt) > t.LeaseExpiry
@@ -71,7 +71,7 @@
 // type take to come up, 0 if that is not known.
 func (m *Machine) ShouldBeReleased(now time.Time, t *Timing, bootTimeS float64) bool {
 	switch {
-	case m.failed, m.CordonedFor(CordonReplaced), m.ReleaseRequired() && now.After(m.releaseBy):
+	case m.failed, m.CordonedFor(CordonAgentReplaced), m.ReleaseRequired() && now.After(m.releaseBy):
 		return true
 	case !m.joined:
 		return bootTimeS > 0 && now.Sub(m.provisionedAt).Seconds() > bootTimeS*tuning.BootTimeoutFactor
@@ -89,7 +89,7 @@
 		// began anew. It must not be taken for the old one, and can't be distinguished
 		// from copies, so the machine is replaced.
 		return true
-	case len(m.attempts) == 0 && m.CordonedFor(RetiringReasons):
+	case len(m.attempts) == 0 && m.CordonedFor(ReleaseWhenEmptyReasons):
 		return true
 	}
 	newest := m.heartbeatAt
--- a/internal/machines/lifecycle.go
+++ b/internal/machines/lifecycle.go
@@ -82,11 +82,11 @@
 	}
 }
 
-// CountMissed counts a list that lacks the machine, and reports whether the machine provably no
+// CountMissingFromList counts a list that lacks the machine, and reports whether the machine provably no
 // longer exists. A machine stays listed as long as it exists: a list that was asked for later
 // than the longest lag of lists after the machine was first listed describes a time at which it
 // had been listed.
-func (l *lifecycle) CountMissed(asked time.Time, longestLag time.Duration) (gone bool) {
+func (l *lifecycle) CountMissingFromList(asked time.Time, longestLag time.Duration) (gone bool) {
 	if !l.IsListed() && !l.recorded {
 		return false
 	}
--- a/internal/machines/machine_test.go
+++ b/internal/machines/machine_test.go
@@ -13,11 +13,11 @@
 
 // timing is that of a term that began at start.
 var timing = &machines.Timing{
-	HeartbeatTimeout: 9 * time.Second,
-	Lease:            15 * time.Second,
-	LeaseExpiry:      20 * time.Second,
-	TermStart:        start,
-	InheritedTasksEnd:   start.Add(30 * time.Second),
+	HeartbeatTimeout:  9 * time.Second,
+	Lease:             15 * time.Second,
+	LeaseExpiry:       20 * time.Second,
+	TermStart:         start,
+	InheritedTasksEnd: start.Add(30 * time.Second),
 }
 
 // newReportingMachine returns a machine that has reported once, knowing the term.
@@ -110,7 +110,7 @@
 
 func TestLeaseExpiry(t *testing.T) {
 	replaced := newReportingMachine(start)
-	replaced.Cordon(machines.CordonReplaced)
+	replaced.Cordon(machines.CordonAgentReplaced)
 	for name, c := range map[string]struct {
 		machine *machines.Machine
 		after   time.Duration
@@ -184,8 +184,8 @@
 	const bootTimeS = 10
 	missTwice := func(m *machines.Machine) {
 		m.ApplyListed(start, start, &wire.ListedMachine{})
-		m.CountMissed(start, time.Minute)
-		m.CountMissed(start, time.Minute)
+		m.CountMissingFromList(start, time.Minute)
+		m.CountMissingFromList(start, time.Minute)
 	}
 	for name, c := range map[string]struct {
 		change func(*machines.Machine)
@@ -196,7 +196,7 @@
 		"failed": {change: func(m *machines.Machine) {
 			m.ApplyListed(start, start, &wire.ListedMachine{State: wire.MachineFailed})
 		}, want: true},
-		"replaced":               {change: func(m *machines.Machine) { m.Cordon(machines.CordonReplaced) }, want: true},
+		"replaced":               {change: func(m *machines.Machine) { m.Cordon(machines.CordonAgentReplaced) }, want: true},
 		"release required later": {change: func(m *machines.Machine) { m.RequireRelease(start.Add(time.Second)) }},
 		"release required":       {change: func(m *machines.Machine) { m.RequireRelease(start.Add(-time.Second)) }, want: true},
 		"empty and drained":      {change: func(m *machines.Machine) { m.Cordon(machines.CordonDrained) }, want: true},
@@ -218,17 +218,17 @@
 func TestMachineMissingFromListsIsGone(t *testing.T) {
 	const lag = 8 * time.Second
 	m := newMachine()
-	if m.CountMissed(start.Add(time.Hour), lag) {
+	if m.CountMissingFromList(start.Add(time.Hour), lag) {
 		t.Error("gone although it was never listed")
 	}
 	m.ApplyListed(start, start, &wire.ListedMachine{AgeS: 60, Addr: "other:9"})
 	if !m.IsListed() || !m.ProvisionedAt().Equal(start.Add(-time.Minute)) || m.Addr != "m1:9" {
 		t.Errorf("listed: %v, provisioned at %v, address %s", m.IsListed(), m.ProvisionedAt(), m.Addr)
 	}
-	if m.CountMissed(start.Add(lag), lag) {
+	if m.CountMissingFromList(start.Add(lag), lag) {
 		t.Error("gone although the list may be older than the machine")
 	}
-	if !m.CountMissed(start.Add(lag+1), lag) {
+	if !m.CountMissingFromList(start.Add(lag+1), lag) {
 		t.Error("not gone although the list is newer than the machine")
 	}
 }
@@ -236,7 +236,7 @@
 func TestExitedAttemptIsForgottenUnlessItsStartMayComeLate(t *testing.T) {
 	m := newReportingMachine(start)
 	key := machines.ExitKey{Task: "job-1/0", Attempt: 1}
-	m.NeverForget(key)
+	m.RetainExit(key)
 	m.AddExited(key, true)
 	m.AddExited(machines.ExitKey{Task: "job-1/0", Attempt: 2}, true)
 	m.AddExited(machines.ExitKey{Task: "job-1/1", Attempt: 3}, false)
--- a/internal/machines/starts.go
+++ b/internal/machines/starts.go
@@ -4,7 +4,7 @@
 	"switchshore.example/switchshore/internal/records"
 )
 
-// RecordIdentity names the machine in a start record.
-func (m *Machine) RecordIdentity() records.MachineStarts {
+// NewStartsRecord names the machine in a start record.
+func (m *Machine) NewStartsRecord() records.MachineStarts {
 	return records.MachineStarts{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 }
--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -141,7 +141,7 @@
 	h := (*candidateHeap)(&j.candidates)
 	for len(j.candidates) > 0 {
 		top := &j.candidates[0]
-		if top.version == top.machine.version && (!zoneMatters || j.Allowed(top.machine)) {
+		if top.version == top.machine.version && (!zoneMatters || j.CanRunOn(top.machine)) {
 			return top
 		}
 		if c, ok := p.score(j, top.machine); ok {
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -283,7 +283,7 @@
 func (p *pass) fitsNow(j *PendingJob) bool {
 	found := false
 	p.eachOpenMachine(func(m *Machine) bool {
-		found = m.Free.Fits(j.Request) && j.Allowed(m) && !m.AvoidJobs[j.Job] && !m.isReservedFrom(j)
+		found = m.Free.Fits(j.Request) && j.CanRunOn(m) && !m.AvoidedJobs[j.Job] && !m.isReservedFrom(j)
 		return !found
 	})
 	return found
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -63,7 +63,7 @@
 	if m.isReservedFrom(j) && j.AgedS == 0 {
 		return false
 	}
-	return len(m.PlacedTasks) < tuning.MaxTasksPerMachine && !m.AvoidJobs[j.Job] && j.Allowed(m)
+	return len(m.PlacedTasks) < tuning.MaxTasksPerMachine && !m.AvoidedJobs[j.Job] && j.CanRunOn(m)
 }
 
 // score is S(t, vm) = Rs(t) - Rvm(t, vm) in microseconds, and the wait for
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -31,8 +31,8 @@
 	PlacedTasks []PlacedTask
 	// Images holds when each image's fetch ends; zero if it is cached.
 	Images map[string]float64
-	// AvoidJobs names jobs whose tasks failed here.
-	AvoidJobs map[string]bool
+	// AvoidedJobs names jobs whose tasks failed here.
+	AvoidedJobs map[string]bool
 	// HasReservation reserves the machine for jobs of ReservedRank or a higher priority.
 	HasReservation bool
 	ReservedRank   int
@@ -105,9 +105,9 @@
 	closed bool
 }
 
-// Allowed reports whether a machine may run tasks of the job at all, whatever
+// CanRunOn reports whether a machine may run tasks of the job at all, whatever
 // is free there: type, zone, spot, affinities and capacity.
-func (j *PendingJob) Allowed(m *Machine) bool {
+func (j *PendingJob) CanRunOn(m *Machine) bool {
 	if m.Spot && !j.Spot || j.Zone != "" && j.Zone != m.Zone {
 		return false
 	}
--- a/internal/preemption/pass.go
+++ b/internal/preemption/pass.go
@@ -183,7 +183,7 @@
 	least := math.Inf(1)
 	for _, m := range p.Machines.All() {
 		free, ok := p.expectedFree[m]
-		if !ok || m.Avoids(r.Job) || !r.Allowed(m.PlacementView()) {
+		if !ok || m.Avoids(r.Job) || !r.CanRunOn(m.PlacementView()) {
 			continue
 		}
 		if free.Fits(r.Request) {
--- a/internal/scaling/plan_input.go
+++ b/internal/scaling/plan_input.go
@@ -14,7 +14,7 @@
 // planInput is the snapshot that the planner decides on.
 func (s *Scaler) planInput(now time.Time) autoscale.Input {
 	return autoscale.Input{
-		MachineTypes:    s.cluster.Catalogue.Offers(),
+		MachineTypes:    s.cluster.Catalogue.OfferedTypes(),
 		ScaleInIdleTime: s.config.ScaleInIdleTime,
 		MaxMachines:     s.config.MaxMachines,
 		Unavailable:     func(o autoscale.Offer) bool { return !s.CanProvision(now, o) },
--- a/internal/startlog/record.go
+++ b/internal/startlog/record.go
@@ -82,7 +82,7 @@
 	}
 	starts := &records.Starts{}
 	for _, m := range order {
-		machine := m.RecordIdentity()
+		machine := m.NewStartsRecord()
 		for id, indexes := range byMachine[m] {
 			sort.Ints(indexes)
 			machine.SetTasks(id, indexes)
--- a/internal/startlog/startlog.go
+++ b/internal/startlog/startlog.go
@@ -36,7 +36,7 @@
 
 // Add puts an attempt into the record that is written next.
 func (l *Log) Add(a *machines.Attempt) {
-	machine, jobID := a.Machine.RecordIdentity(), a.Job.ID
+	machine, jobID := a.Machine.NewStartsRecord(), a.Job.ID
 	limit := float64(l.valueLimit) * tuning.RecordValueShare
 	if l.newest == nil || l.newest.closed || float64(l.newest.size.With(machine, jobID)) > limit {
 		l.addRecord()
