--- a/internal/machines/attempt.go
+++ b/internal/machines/attempt.go
@@ -11,90 +11,92 @@
 
 // Attempt is one run of a task on one machine.
 type Attempt struct {
-	// Machine, Job and Index say what runs where, and never change.
+	// Machine, Job and Index name the task and its machine. They never change.
 	Machine *Machine
 	Job     *jobs.Job
 	Index   int32
 
 	state           AttemptState
-	allocated       bool // counts on its machine
-	afterLongWait   bool // placed since its job had waited long
-	checkpointSaved bool // it saved its progress when it was stopped
-	failed          bool // it ended by an error of its own
+	allocated       bool // its resources are counted as used on its machine
+	placedWhileAged bool // placed while its job counted as aged
+	checkpointSaved bool // saved a checkpoint when it was stopped
+	failed          bool // ended with an error of the task itself
 
-	// Record is the start record that names the attempt, of the package that stores it.
+	// Record is the start record that contains the attempt. Its type belongs to the package that
+	// stores it.
 	Record any
 
 	number     uint64
-	listNumber uint64 // the last task list that showed it
-	orderedAt  time.Time
+	listNumber uint64 // number of the last task list that contained it
+	createdAt  time.Time
 	runningAt  time.Time // when it was first reported as running, or zero
 	startDelivery
 	stopRequest
 }
 
-// startDelivery is how the start of an attempt was sent.
+// startDelivery records how the start of an attempt was sent.
 type startDelivery struct {
-	// sentSequence is the heartbeat in whose response the start was sent last, 0 if none.
+	// sentSequence is the sequence number of the heartbeat in whose response the start was last
+	// sent, 0 if none.
 	sentSequence uint64
-	// sentDirectly: the start was sent by a direct call without an answer so far. It may
-	// then run at any later time within the session, so the attempt counts as
-	// there, is ordered again in responses to heartbeats, and is never forgotten.
+	// sentDirectly is set once the start was sent by a direct call that has had no reply. The agent
+	// may then run it at any later time in the session. So the attempt keeps its resources, its
+	// start is sent again in responses to heartbeats, and the agent isn't told to forget its exit.
 	sentDirectly bool
 }
 
-// stopRequest is whether and how an attempt is to be stopped.
+// stopRequest is the decision to stop an attempt.
 type stopRequest struct {
-	gracePeriodS float64
-	stopping     bool
-	stopSent     bool // by a direct call
-	// evicting: a drain is about to stop it, once the charge for that is durable.
+	gracePeriodS   float64
+	stopping       bool
+	directStopSent bool
+	// evicting: a drain stops the attempt once the charge against its budget is durable.
 	evicting bool
 }
 
-// NewAttempt returns an attempt that may have been started under an earlier leader, as far as
-// is known now.
+// NewAttempt returns an attempt that may have been started under an earlier leader.
 func NewAttempt(m *Machine, j *jobs.Job, index int32, now time.Time) *Attempt {
-	return &Attempt{Machine: m, Job: j, Index: index, state: PossiblyStarted, orderedAt: now}
+	return &Attempt{Machine: m, Job: j, Index: index, state: PossiblyStarted, createdAt: now}
 }
 
-// NewPendingAttempt returns an attempt to be started once the record of it is durable.
-func NewPendingAttempt(m *Machine, j *jobs.Job, index int32, now time.Time, number uint64, afterLongWait bool) *Attempt {
+// NewPendingAttempt returns an attempt that is started once its record is durable.
+func NewPendingAttempt(m *Machine, j *jobs.Job, index int32, now time.Time, number uint64, placedWhileAged bool) *Attempt {
 	return &Attempt{
 		Machine: m, Job: j, Index: index,
-		number: number, state: RecordPending, orderedAt: now, afterLongWait: afterLongWait,
+		number: number, state: RecordPending, createdAt: now, placedWhileAged: placedWhileAged,
 	}
 }
 
-// Number is the number of the attempt; that of a later attempt is larger.
+// Number returns the number of the attempt; later attempts have larger ones.
 func (a *Attempt) Number() uint64 { return a.number }
 
-// State is how far the attempt has come.
+// State returns the state of the attempt.
 func (a *Attempt) State() AttemptState { return a.state }
 
-// CreatedAt is when the start was decided, or, under an earlier leader, when the attempt came
-// to be known.
-func (a *Attempt) CreatedAt() time.Time { return a.orderedAt }
+// CreatedAt is when the start was decided. For an attempt of an earlier leader it is when this
+// leader learned of it.
+func (a *Attempt) CreatedAt() time.Time { return a.createdAt }
 
-// IsAllocated reports whether the attempt counts on its machine.
+// IsAllocated reports whether the attempt's resources are counted as used on its machine.
 func (a *Attempt) IsAllocated() bool { return a.allocated }
 
-// PlacedWhileAged reports whether the attempt was placed since its job had waited long.
-func (a *Attempt) PlacedWhileAged() bool { return a.afterLongWait }
+// PlacedWhileAged reports whether the attempt was placed while its job counted as aged.
+func (a *Attempt) PlacedWhileAged() bool { return a.placedWhileAged }
 
-// HasRun reports whether the attempt was ever reported as running.
+// HasRun reports whether the machine has reported the attempt as running.
 func (a *Attempt) HasRun() bool { return !a.runningAt.IsZero() }
 
-// RunTime is the time since the attempt was first reported as running.
+// RunTime returns the time since the attempt was first reported as running.
 func (a *Attempt) RunTime(now time.Time) time.Duration { return now.Sub(a.runningAt) }
 
-// ShouldRun reports whether the attempt is still to run.
+// ShouldRun reports whether the attempt's task is still needed and the attempt isn't being stopped.
 func (a *Attempt) ShouldRun() bool { return !a.stopping && a.IsNeeded() }
 
-// IsNeeded reports whether the task of the attempt is still to run somewhere.
+// IsNeeded reports whether the job still needs the attempt's task to run, on any machine.
 func (a *Attempt) IsNeeded() bool { return a.Job.NeedsTask(int(a.Index)) }
 
-// changeState changes to a legal next state; any other is a fault of the caller.
+// changeState changes to the next state. It panics on an illegal transition, which is a bug of the
+// caller.
 func (a *Attempt) changeState(next AttemptState) {
 	if !a.state.CanBecome(next) {
 		panic(fmt.Sprintf("machines: an attempt that is %v can't become %v", a.state, next))
@@ -102,24 +104,24 @@
 	a.state = next
 }
 
-// MarkRecorded notes that the record of the attempt is durable: the start may be sent.
+// MarkRecorded records that the start record is durable, so that the start may be sent.
 func (a *Attempt) MarkRecorded() { a.changeState(StartSent) }
 
-// MarkListed notes that a task list shows the task with the given attempt number. Another
-// attempt of a task that is to run here makes the agent refuse the newer one, so it is
-// the listed one that counts.
+// MarkListed records that a task list contains the task with the given attempt number. The agent
+// refuses a newer attempt while it has another one of the same task, so the listed number replaces
+// the attempt's own.
 func (a *Attempt) MarkListed(listNumber, number uint64) {
 	a.listNumber, a.number = listNumber, number
 }
 
-// MarkExitListed notes that a task list shows the attempt as exited.
+// MarkExitListed records that a task list contains the attempt as exited.
 func (a *Attempt) MarkExitListed(listNumber uint64) { a.listNumber = listNumber }
 
-// IsListed reports whether a task list has shown the attempt.
+// IsListed reports whether the last task list that contained the attempt has the given number.
 func (a *Attempt) IsListed(listNumber uint64) bool { return a.listNumber == listNumber }
 
-// ApplyReport applies the state that the machine reports. It returns whether the attempt
-// has begun to run with it.
+// ApplyReport applies the state that the machine reports, and reports whether the attempt has begun
+// to run.
 func (a *Attempt) ApplyReport(now time.Time, reported AttemptState) (began bool) {
 	before := a.state
 	if reported == before {
@@ -134,22 +136,22 @@
 	return true
 }
 
-// MarkExited notes how the attempt has ended.
+// MarkExited records how the attempt has ended.
 func (a *Attempt) MarkExited(checkpointSaved, failed bool) {
 	a.checkpointSaved, a.failed = checkpointSaved, failed
 }
 
-// HasFailed reports whether the attempt has ended by an error of its own.
+// HasFailed reports whether the attempt has ended with an error of the task itself.
 func (a *Attempt) HasFailed() bool { return a.failed }
 
-// RecordProgress hands the progress of an attempt that has ended to its job.
+// RecordProgress adds the progress of an ended attempt to its job.
 func (a *Attempt) RecordProgress(now time.Time) {
 	if a.HasRun() {
 		a.Job.RecordProgress(a.Index, a.RunTime(now).Seconds(), a.checkpointSaved)
 	}
 }
 
-// LostProgressS is the run time in seconds that is lost with an attempt that has ended.
+// LostProgressS returns the run time in seconds that is lost by the end of the attempt.
 func (a *Attempt) LostProgressS(now time.Time) float64 {
 	switch {
 	case a.checkpointSaved:
@@ -160,11 +162,11 @@
 	return a.RunTime(now).Seconds()
 }
 
-// UnsavedProgressS is the progress in seconds that stopping an attempt which saves
-// checkpoints throws away: all since the last one.
+// UnsavedProgressS returns the run time in seconds since the last periodic checkpoint. The job must
+// save checkpoints.
 func (a *Attempt) UnsavedProgressS(now time.Time) float64 {
 	return math.Mod(a.RunTime(now).Seconds(), a.Job.CheckpointIntervalS)
 }
 
-// Name is the name of the task on the wire.
+// Name returns the name of the task on the wire.
 func (a *Attempt) Name() string { return wire.TaskName(a.Job.ID, int(a.Index)) }
--- a/internal/machines/attempt_commands.go
+++ b/internal/machines/attempt_commands.go
@@ -2,42 +2,42 @@
 
 import "switchshore.example/switchshore/wire"
 
-// NeedsStart reports whether the start of the attempt is to be sent, as no task list has shown
-// it yet.
+// NeedsStart reports whether the start of the attempt has to be sent: it should run, and no task
+// list has contained it yet.
 func (a *Attempt) NeedsStart() bool { return a.state == StartSent && a.ShouldRun() }
 
-// StartCommand is the command that starts the attempt.
+// StartCommand returns the command that starts the attempt.
 func (a *Attempt) StartCommand() wire.Command {
 	return wire.Command{Op: wire.OpStart, Task: a.Name(), Attempt: a.number}
 }
 
-// MarkSentInResponse notes that the start was sent in the response to a heartbeat.
+// MarkSentInResponse records that the start was sent in the response to the given heartbeat.
 func (d *startDelivery) MarkSentInResponse(sequence uint64) { d.sentSequence = sequence }
 
-// WasSentInResponse reports whether the start was sent in the response to a heartbeat.
+// WasSentInResponse reports whether the start was sent in a response that isn't known to be ignored.
 func (d *startDelivery) WasSentInResponse() bool { return d.sentSequence != 0 }
 
-// MarkResponseIgnored notes that the start that was sent in a response has not run and never
-// will.
+// MarkResponseIgnored records that the start sent in a response had no effect and never will.
 func (d *startDelivery) MarkResponseIgnored() { d.sentSequence = 0 }
 
-// MarkSentDirectly notes that the start was sent by a direct call.
+// MarkSentDirectly records that the start was sent by a direct call.
 func (d *startDelivery) MarkSentDirectly() { d.sentDirectly = true }
 
-// ClearSentDirectly notes that the start can no longer come late by a direct call.
+// ClearSentDirectly records that a start sent by a direct call can no longer arrive late.
 func (d *startDelivery) ClearSentDirectly() { d.sentDirectly = false }
 
-// WasSentDirectly reports whether the start may still come late by a direct call.
+// WasSentDirectly reports whether a start sent by a direct call may still arrive late.
 func (d *startDelivery) WasSentDirectly() bool { return d.sentDirectly }
 
-// MayStartLate reports whether the machine has not reported the attempt, whose start may still
-// come late by a direct call.
+// MayStartLate reports whether the machine has not reported the attempt yet and a start sent by a
+// direct call may still arrive.
 func (a *Attempt) MayStartLate() bool { return a.state == StartSent && a.sentDirectly }
 
-// StopNow has the attempt stopped without time to save.
+// StopNow requests that the attempt is stopped without a grace period.
 func (a *Attempt) StopNow() { a.stopping, a.gracePeriodS = true, 0 }
 
-// StopGracefully has the attempt stopped, with time to save if its job saves checkpoints.
+// StopGracefully requests that the attempt is stopped. If its job saves checkpoints, it gets a grace
+// period to save one.
 func (a *Attempt) StopGracefully() {
 	a.StopNow()
 	if a.Job.CheckpointIntervalS > 0 {
@@ -45,46 +45,47 @@
 	}
 }
 
-// RevertStop takes back a stop that has not been sent.
+// RevertStop cancels a stop that has not been sent.
 func (a *Attempt) RevertStop() { a.stopping = false }
 
-// IsStopping reports whether the attempt is to be stopped.
+// IsStopping reports whether a stop of the attempt was requested.
 func (a *Attempt) IsStopping() bool { return a.stopping }
 
-// PlanEviction notes that a drain is about to stop the attempt.
+// PlanEviction records that a drain stops the attempt once the charge for that is durable.
 func (a *Attempt) PlanEviction() { a.evicting = true }
 
-// RevertEviction takes back an eviction that was planned.
+// RevertEviction cancels a planned eviction.
 func (a *Attempt) RevertEviction() { a.evicting = false }
 
-// Evict stops the attempt for a drain.
+// Evict requests that the attempt is stopped for a drain.
 func (a *Attempt) Evict() {
 	a.evicting = true
 	a.StopGracefully()
 }
 
-// IsEvicting reports whether a drain stops the attempt, or is about to.
+// IsEvicting reports whether an eviction of the attempt is planned or requested.
 func (a *Attempt) IsEvicting() bool { return a.evicting }
 
-// NeedsStop reports whether the stop of the attempt is to be sent in a response: the task runs
-// although it is to run elsewhere, and is not being saved yet.
+// NeedsStop reports whether the stop of the attempt has to be sent in a response: the machine has
+// reported the attempt, and it isn't saving its checkpoint already. Tasks that the job no longer
+// needs are left to the caller.
 func (a *Attempt) NeedsStop() bool {
 	isSaving := a.state == Saving && a.gracePeriodS > 0
 	return a.stopping && a.IsNeeded() && a.state.IsReported() && !isSaving
 }
 
-// ClaimDirectStop reports whether the stop of the attempt is to be sent by a direct call, and
-// notes that it is. A late stop does no harm: attempts are never reused.
+// ClaimDirectStop reports whether the stop has to be sent by a direct call, and then marks it as
+// sent. A stop that arrives late does no harm, as attempt numbers are never reused.
 func (a *Attempt) ClaimDirectStop() bool {
-	needed := a.stopping && a.state.IsReported() && !a.stopSent
-	a.stopSent = a.stopSent || needed
+	needed := a.stopping && a.state.IsReported() && !a.directStopSent
+	a.directStopSent = a.directStopSent || needed
 	return needed
 }
 
-// GracePeriodS is the time in seconds that an attempt which is to be stopped gets to save.
+// GracePeriodS returns the time in seconds that the attempt gets to save a checkpoint when stopped.
 func (a *Attempt) GracePeriodS() float64 { return a.gracePeriodS }
 
-// StopCommand is the command that stops the attempt.
+// StopCommand returns the command that stops the attempt.
 func (a *Attempt) StopCommand() wire.Command {
 	grace := a.gracePeriodS
 	return wire.Command{Op: wire.OpStop, Task: a.Name(), Attempt: a.number, GracePeriodS: &grace}
--- a/internal/machines/attempt_state.go
+++ b/internal/machines/attempt_state.go
@@ -7,32 +7,32 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// AttemptState is how far an attempt has come. The order counts: from Fetching on, the machine
-// has reported the attempt.
+// AttemptState is the state of an attempt. The order matters: from Fetching on, the machine has
+// reported the attempt.
 type AttemptState uint8
 
 // States of an attempt.
 const (
-	// PossiblyStarted: a predecessor recorded that the task may have been started here.
+	// PossiblyStarted: an earlier leader recorded that the task may have been started here.
 	PossiblyStarted AttemptState = iota
-	// RecordPending: the record is on its way to the key-value store.
+	// RecordPending: the start record is not durable yet.
 	RecordPending
-	// StartSent: the start is sent in every response until a heartbeat shows it.
+	// StartSent: the start is sent in every response until a heartbeat reports the task.
 	StartSent
 	// Fetching: the machine fetches the image.
 	Fetching
 	// Running: the task runs.
 	Running
-	// Saving: the task saves a checkpoint, as it is being stopped.
+	// Saving: the task saves a checkpoint while it is being stopped.
 	Saving
 )
 
-// reportedStates are those that a machine can report. It may report any of them first, as
-// states may pass between two heartbeats.
+// reportedStates are the states that a machine can report. Any of them may come first, as a task
+// may pass through states between two heartbeats.
 var reportedStates = []AttemptState{Fetching, Running, Saving}
 
-// attemptTransitions are the legal successors of each state. A reported state may follow any
-// other: the list of a machine counts, also when it shows an earlier attempt of the task.
+// attemptTransitions maps each state to its legal successors. A reported state may follow any other:
+// the machine's task list is authoritative, also if it contains an earlier attempt of the task.
 var attemptTransitions = map[AttemptState][]AttemptState{
 	PossiblyStarted: reportedStates,
 	RecordPending:   append([]AttemptState{StartSent}, reportedStates...),
@@ -42,7 +42,7 @@
 	Saving:          reportedStates,
 }
 
-// CanBecome reports whether an attempt in this state may change to the next one.
+// CanBecome reports whether an attempt may change from state s to next.
 func (s AttemptState) CanBecome(next AttemptState) bool {
 	return slices.Contains(attemptTransitions[s], next)
 }
@@ -53,7 +53,7 @@
 // IsReported reports whether the machine has reported the attempt.
 func (s AttemptState) IsReported() bool { return s >= Fetching }
 
-// String returns the name of the state.
+// String implements fmt.Stringer.
 func (s AttemptState) String() string {
 	switch s {
 	case PossiblyStarted:
@@ -72,7 +72,7 @@
 	return fmt.Sprintf("AttemptState(%d)", int(s))
 }
 
-// ReportedState is the state that a machine reports for a task that has not exited.
+// ReportedState returns the attempt state for a reported task state other than exited.
 func ReportedState(taskState string) AttemptState {
 	switch taskState {
 	case wire.TaskRunning:
--- a/internal/machines/capacity.go
+++ b/internal/machines/capacity.go
@@ -8,23 +8,22 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// capacity is what a machine has, what of it is free, and for whom.
+// capacity holds a machine's total, free and reserved resources.
 type capacity struct {
 	total, free placement.Resources
-	fullUntil   time.Time
-	// Until reservedUntil, free capacity is kept from work below reservedRank.
+	fullUntil   time.Time // no new tasks before this time
+	// Until reservedUntil, free resources are reserved for tasks of reservedRank or a higher priority.
 	reservedUntil time.Time
 	reservedRank  int
-	// snapshot is what the placement rule sees of the machine; outdated, it is made
-	// anew.
+	// snapshot is the machine as placement passes see it. It is rebuilt once outdated.
 	snapshot         *placement.Machine
 	snapshotOutdated bool
 }
 
-// Capacity is what the machine has, zero as long as its type is not known.
+// Capacity returns the machine's total resources, zero while its type is unknown.
 func (c *capacity) Capacity() placement.Resources { return c.total }
 
-// Free is what its attempts leave of the machine's capacity.
+// Free returns the resources that the machine's attempts leave free.
 func (c *capacity) Free() placement.Resources { return c.free }
 
 // SetCapacity sets the machine's capacity once its type is known.
@@ -35,14 +34,14 @@
 	}
 }
 
-// MarkFull lets the machine take no work before the given time: it has refused a task for
+// MarkFull makes the machine unschedulable until the given time, after it has refused a task for
 // lack of capacity.
 func (c *capacity) MarkFull(until time.Time) { c.fullUntil = until }
 
-// Reserve keeps the capacity that comes free on a machine, for a moment, from work of a lower
-// priority. The stopped tasks end one by one: the first capacity would otherwise be given to
-// what was stopped, which would have to be stopped again, and the task that needs all of it
-// would not start either.
+// Reserve reserves resources that become free on the machine, for tuning.PreemptReservation, from
+// tasks of a lower priority than rank. Preempted tasks end one by one. Without a reservation, they
+// would be placed again in the resources that become free first, would have to be preempted again,
+// and the task that needs all of the resources could not start.
 func (c *capacity) Reserve(now time.Time, rank int) {
 	if !now.Before(c.reservedUntil) || rank < c.reservedRank {
 		c.reservedRank = rank
@@ -50,12 +49,13 @@
 	c.reservedUntil = now.Add(tuning.PreemptReservation)
 }
 
-// Reservation is the lowest priority rank for which free capacity is kept now, false if it is not.
+// Reservation returns the lowest priority for which free resources are reserved now; reserved is
+// false if there is no reservation.
 func (c *capacity) Reservation(now time.Time) (rank int, reserved bool) {
 	return c.reservedRank, now.Before(c.reservedUntil)
 }
 
-// AddAttempt counts an attempt on the machine. Only package allocation calls it.
+// AddAttempt adds an attempt and counts its resources as used. Only package allocation calls it.
 func (m *Machine) AddAttempt(a *Attempt) {
 	a.allocated = true
 	m.attempts = append(m.attempts, a)
@@ -63,7 +63,7 @@
 	m.snapshotOutdated = true
 }
 
-// RemoveAttempt counts an attempt on the machine no more. Only package allocation calls it.
+// RemoveAttempt removes an attempt and frees its resources. Only package allocation calls it.
 func (m *Machine) RemoveAttempt(now time.Time, a *Attempt) {
 	a.allocated = false
 	i := slices.Index(m.attempts, a)
@@ -75,11 +75,11 @@
 	}
 }
 
-// MarkSnapshotOutdated has the snapshot made anew.
+// MarkSnapshotOutdated marks the cached snapshot as outdated, so that it is rebuilt.
 func (c *capacity) MarkSnapshotOutdated() { c.snapshotOutdated = true }
 
-// CachedSnapshot is what the placement rule sees of the machine, or nil if something has changed
-// there, or a pass has modified it.
+// CachedSnapshot returns the cached snapshot of the machine, or nil if the machine has changed
+// since or a placement pass has modified the snapshot.
 func (c *capacity) CachedSnapshot() *placement.Machine {
 	if c.snapshotOutdated || c.snapshot.Modified {
 		return nil
@@ -87,8 +87,8 @@
 	return c.snapshot
 }
 
-// NewSnapshot begins a new snapshot in the place of the last one: with the machine's capacity
-// and images, and without placed tasks.
+// NewSnapshot overwrites the cached snapshot by one with the machine's capacity and images, and
+// without placed tasks. The caller adds these.
 func (m *Machine) NewSnapshot() *placement.Machine {
 	s := m.snapshot
 	if s == nil {
@@ -100,7 +100,7 @@
 	s.Capacity, s.Free = m.total, m.free
 	s.PlacedTasks = s.PlacedTasks[:0]
 	clear(s.Images)
-	for image := range m.images {
+	for image := range m.imageSeenAt {
 		s.Images[image] = 0
 	}
 	return s
--- a/internal/machines/catalogue.go
+++ b/internal/machines/catalogue.go
@@ -11,55 +11,56 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// Catalogue holds the machine types that the cloud offers.
+// Catalogue holds the machine types that the cloud has offered in this term.
 type Catalogue struct {
-	types  map[string]wire.MachineType
-	offers []wire.MachineType // as the cloud listed them last
-	stored json.RawMessage
+	types   map[string]wire.MachineType
+	offered []wire.MachineType // in the order of the cloud's last response
+	stored  json.RawMessage    // as encoded in the key-value store
 }
 
 // NewCatalogue returns an empty catalogue.
 func NewCatalogue() *Catalogue { return &Catalogue{types: map[string]wire.MachineType{}} }
 
-// HasTypes reports whether any type is known.
+// HasTypes reports whether the catalogue contains any type.
 func (c *Catalogue) HasTypes() bool { return len(c.types) > 0 }
 
-// Type returns a type, the zero value if it is not known.
+// Type returns the type of that name, or the zero value if it is unknown.
 func (c *Catalogue) Type(name string) wire.MachineType { return c.types[name] }
 
-// HasType reports whether a type is known.
+// HasType reports whether the catalogue contains the type.
 func (c *Catalogue) HasType(name string) bool {
 	_, ok := c.types[name]
 	return ok
 }
 
-// All returns the types that were ever offered in this term, in no order.
+// All returns all types that the cloud has offered in this term, in no particular order.
 func (c *Catalogue) All() iter.Seq[wire.MachineType] { return maps.Values(c.types) }
 
-// Names returns the names of all types that were ever offered in this term, sorted.
+// Names returns the names of all types that the cloud has offered in this term, sorted.
 func (c *Catalogue) Names() []string { return slices.Sorted(maps.Keys(c.types)) }
 
-// OfferedTypes returns the types in the order of the cloud's last answer. The slice must not be
-// modified.
-func (c *Catalogue) OfferedTypes() []wire.MachineType { return c.offers }
+// OfferedTypes returns the types in the order of the cloud's last response. The caller must not
+// modify the slice.
+func (c *Catalogue) OfferedTypes() []wire.MachineType { return c.offered }
 
-// Update applies the types of the cloud's last answer. Those that it no longer offers are kept
-// for the machines that there are.
+// Update applies the types of the cloud's last response. Types that are no longer offered stay in
+// the catalogue, as there may be machines of them.
 func (c *Catalogue) Update(types []wire.MachineType) {
-	c.offers = types
+	c.offered = types
 	for _, t := range types {
 		c.types[t.Name] = t
 	}
 }
 
-// SetStored notes the stored form of the types; changed is false if it was known.
+// SetStored records the types as encoded in the key-value store, and reports whether they differ
+// from the last ones.
 func (c *Catalogue) SetStored(value json.RawMessage) (changed bool) {
 	changed = !bytes.Equal(value, c.stored)
 	c.stored = value
 	return changed
 }
 
-// Price is what the machine costs now.
+// Price returns the current price of the machine.
 func (c *Catalogue) Price(m *Machine) float64 {
 	if m.Spot {
 		return c.types[m.Type].SpotPrice
@@ -67,25 +68,24 @@
 	return c.types[m.Type].Price
 }
 
-// Zones returns the zones in which any type is offered, with repetitions.
+// Zones returns the zones in which any type is offered. Zones may be repeated.
 func (c *Catalogue) Zones() []string {
 	var zones []string
-	for _, t := range c.offers {
+	for _, t := range c.offered {
 		zones = append(zones, t.Zones...)
 	}
 	return zones
 }
 
-// Offerings returns the kinds of machine that the cloud offers and keep accepts, one for each
-// type and zone.
-func (c *Catalogue) Offerings(keep func(machineType, zone string) bool) []*placement.Machine {
-	var places []*placement.Machine
-	for _, t := range c.offers {
+// Offerings returns an empty machine for each offered type and zone for which include returns true.
+func (c *Catalogue) Offerings(include func(machineType, zone string) bool) []*placement.Machine {
+	var offerings []*placement.Machine
+	for _, t := range c.offered {
 		for _, zone := range t.Zones {
-			if keep(t.Name, zone) {
-				places = append(places, &placement.Machine{Type: t.Name, Zone: zone, Capacity: placement.MachineCapacity(t)})
+			if include(t.Name, zone) {
+				offerings = append(offerings, &placement.Machine{Type: t.Name, Zone: zone, Capacity: placement.MachineCapacity(t)})
 			}
 		}
 	}
-	return places
+	return offerings
 }
--- a/internal/machines/cordon.go
+++ b/internal/machines/cordon.go
@@ -2,39 +2,39 @@
 
 import "switchshore.example/switchshore/internal/tuning"
 
-// CordonReason is why a machine takes no new work.
+// CordonReason is a reason why no new tasks are assigned to a machine, or a set of such reasons.
 type CordonReason uint8
 
-// Reasons for a cordon; a machine may have several. The first ones are set by Cordon, the last
-// three follow from what is known of the machine.
+// Reasons for a cordon; a machine may have several. The first four are set by Cordon, the last three
+// are derived from the machine's state.
 const (
-	// CordonDrained: it is in a batch of an operators' drain.
+	// CordonDrained: the machine is in a batch of a drain.
 	CordonDrained CordonReason = 1 << iota
-	// CordonConsolidated: its tasks are moved, so that it can be released.
+	// CordonConsolidated: its tasks are moved to other machines, so that it can be released.
 	CordonConsolidated
-	// CordonLateStart: a start of a task that is not to run any more may still come late.
+	// CordonLateStart: the start of a task that should no longer run may still arrive late.
 	CordonLateStart
-	// CordonAgentReplaced: a new agent has taken the place of the one known, and counts sessions
-	// anew. Only the release proves that what it may run has ended.
+	// CordonAgentReplaced: a new agent has replaced the earlier one and counts its epochs from the
+	// start again. Only the release proves that the tasks on the machine have ended.
 	CordonAgentReplaced
-	// CordonFaulty: tasks of several jobs have failed there in a row.
+	// CordonFaulty: tasks of several jobs have failed on the machine in a row.
 	CordonFaulty
-	// CordonReclaimed: the cloud is about to take it.
+	// CordonReclaimed: the cloud has announced that it reclaims the machine.
 	CordonReclaimed
-	// CordonUnresponsive: what it is sent seems not to get there.
+	// CordonUnresponsive: responses seem not to reach the machine, or to have no effect.
 	CordonUnresponsive
 )
 
-// ReleaseWhenEmptyReasons are the reasons for which a machine is released once nothing may be on it.
+// ReleaseWhenEmptyReasons are the reasons for which a machine is released once it has no attempts.
 const ReleaseWhenEmptyReasons = CordonDrained | CordonConsolidated | CordonLateStart | CordonFaulty | CordonReclaimed
 
-// Cordon adds a reason that does not follow from what is known of the machine.
-func (m *Machine) Cordon(r CordonReason) { m.cordons |= r }
+// Cordon sets a reason. It is for those that aren't derived from the machine's state.
+func (m *Machine) Cordon(r CordonReason) { m.explicitCordons |= r }
 
-// Uncordon takes such a reason away.
-func (m *Machine) Uncordon(r CordonReason) { m.cordons &^= r }
+// Uncordon clears a reason that Cordon has set.
+func (m *Machine) Uncordon(r CordonReason) { m.explicitCordons &^= r }
 
-// SetCordon lets such a reason hold or not.
+// SetCordon sets or clears a reason.
 func (m *Machine) SetCordon(r CordonReason, holds bool) {
 	if holds {
 		m.Cordon(r)
@@ -43,9 +43,9 @@
 	}
 }
 
-// CordonReasons are all reasons that hold.
+// CordonReasons returns all reasons that hold, set and derived ones.
 func (m *Machine) CordonReasons() CordonReason {
-	reasons := m.cordons
+	reasons := m.explicitCordons
 	if m.isFaulty() {
 		reasons |= CordonFaulty
 	}
--- a/internal/machines/delivery.go
+++ b/internal/machines/delivery.go
@@ -2,33 +2,34 @@
 
 import "time"
 
-// responseDelivery is what shows whether responses reach a machine whose heartbeats arrive.
+// responseDelivery holds the evidence on whether responses reach a machine whose heartbeats arrive.
 type responseDelivery struct {
-	// steadySince is since when heartbeats have come without a gap, epochSince
-	// since when in the present session.
+	// steadySince is when the current series of heartbeats without a gap began, epochSince when
+	// the current session began.
 	steadySince time.Time
 	epochSince  time.Time
-	// ignoredResponses counts the responses with starts in a row that had no effect, the last
-	// at ignoredAt; responsesLostSince is when the machine is known not to get
-	// responses, zero while it does.
+	// ignoredResponses counts the responses in a row whose starts had no effect, ignoredAt is the
+	// time of the last one. responsesLostSince is when responses turned out not to reach the
+	// machine, zero while they do.
 	ignoredResponses   int
 	ignoredAt          time.Time
 	responsesLostSince time.Time
 }
 
-// DetectLostResponses judges by a new heartbeat of a session whether responses reach the
-// machine, and reports whether it has turned out now that they don't.
-// Its lease expires if they don't: a new session right after heartbeats without
-// a gap shows it. Such a machine would be given starts for ever that it never gets.
-// A session that lasts longer than the lease shows that responses arrive again.
+// DetectLostResponses updates, for a heartbeat with the given epoch, whether responses reach the
+// machine. It reports whether this heartbeat has revealed that they don't.
+//
+// An agent that gets no responses begins a new session when its lease expires. So a new session right
+// after heartbeats without a gap shows that responses are lost. Without this check, the machine would
+// be sent starts forever that it never gets. A session that outlasts the lease shows that responses
+// arrive again.
 func (m *Machine) DetectLostResponses(now time.Time, epoch uint64, t *Timing) (lost bool) {
 	m.staleHeartbeats = 0
 	if m.firstHeartbeatAt.IsZero() {
 		m.firstHeartbeatAt = now
 	}
 	if m.HeartbeatOverdue(now, t) {
-		// The time before the gap says nothing: a cut may have held heartbeats
-		// back and delivered them late.
+		// Heartbeats before the gap are no evidence: a network partition may have delayed them.
 		m.steadySince = now
 	}
 	if epoch != m.epoch {
@@ -47,11 +48,12 @@
 	return lost
 }
 
-// RecordIgnoredResponse notes that starts in an earlier response had no effect.
+// RecordIgnoredResponse records that the starts in an earlier response had no effect.
 func (d *responseDelivery) RecordIgnoredResponse(now time.Time) {
 	d.ignoredResponses++
 	d.ignoredAt = now
 }
 
-// RecordStartObserved notes that the machine has carried out a start that was sent in a response.
+// RecordStartObserved records that the machine has carried out a start, so that responses do have an
+// effect.
 func (d *responseDelivery) RecordStartObserved() { d.ignoredResponses = 0 }
--- a/internal/machines/direct.go
+++ b/internal/machines/direct.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// directCalls is the state of direct calls to a machine.
+// directCalls holds the state of direct calls to a machine.
 type directCalls struct {
-	calling   bool      // a call is under way
-	callAfter time.Time // no sooner, after a call without a reply
-	queued    bool      // among those to be called
+	calling   bool      // a call is in progress
+	callAfter time.Time // earliest time of the next call, after one without a reply
+	queued    bool      // in the queue of machines to call
 }
 
-// CanBeCalled reports whether a direct call to the machine makes sense now. What is not sent
-// by it is sent in the response to the next heartbeat.
+// CanBeCalled reports whether a direct call to the machine is likely to succeed now. Commands that
+// are not sent by a direct call are sent in the response to the next heartbeat.
 func (m *Machine) CanBeCalled(now time.Time, t *Timing) bool {
 	return !m.calling && m.Addr != "" && !now.Before(m.callAfter) && m.reconciled &&
 		!m.CordonedFor(CordonUnresponsive) && !m.HeartbeatOverdue(now, t)
 }
 
-// QueueCall notes that the machine is among those to be called, and reports whether it was not.
+// QueueCall marks the machine as queued for a call, and reports whether it was not queued before.
 func (d *directCalls) QueueCall() bool {
 	if d.queued {
 		return false
@@ -25,17 +25,17 @@
 	return true
 }
 
-// DequeueCall notes that the machine is no longer among those to be called.
+// DequeueCall marks the machine as no longer queued for a call.
 func (d *directCalls) DequeueCall() { d.queued = false }
 
-// BeginCall notes that a call is under way.
+// BeginCall records that a call has begun.
 func (d *directCalls) BeginCall() { d.calling = true }
 
-// EndCall notes that the call is over.
+// EndCall records that the call has ended.
 func (d *directCalls) EndCall() { d.calling = false }
 
-// PauseCalls lets no call be made before the given time.
+// PauseCalls suspends calls until the given time.
 func (d *directCalls) PauseCalls(until time.Time) { d.callAfter = until }
 
-// IsBeingCalled reports whether a call is under way.
+// IsBeingCalled reports whether a call is in progress.
 func (d *directCalls) IsBeingCalled() bool { return d.calling }
--- a/internal/machines/exit.go
+++ b/internal/machines/exit.go
@@ -1,29 +1,29 @@
 package machines
 
-// ExitKey names an attempt in a machine's list.
+// ExitKey identifies an attempt in a machine's task list.
 type ExitKey struct {
 	Task    string
 	Attempt uint64
 }
 
-// Exit is an exited attempt in a machine's list.
+// Exit is an exited attempt in a machine's task list.
 type Exit struct {
 	ExitKey
-	Forget bool // the agent may forget it
+	Forget bool // the agent is told to forget the attempt
 }
 
-// ClearExited forgets the exited attempts of the last list.
+// ClearExited removes all exited attempts, before the next task list is applied.
 func (m *Machine) ClearExited() { m.exited = m.exited[:0] }
 
-// AddExited notes an exited attempt of the list, which the agent is to forget if it is unneeded.
+// AddExited adds an exited attempt of the task list. The agent is told to forget the attempt if it
+// is unneeded, unless RetainExit forbids that.
 func (m *Machine) AddExited(key ExitKey, unneeded bool) {
-	m.exited = append(m.exited, Exit{ExitKey: key, Forget: unneeded && !m.unforgettable[key]})
+	m.exited = append(m.exited, Exit{ExitKey: key, Forget: unneeded && !m.retainedExits[key]})
 }
 
-// Exited are the exited attempts of the last list. The slice is the machine's own: it must not
-// be modified.
+// Exited returns the exited attempts of the last task list. The caller must not modify the slice.
 func (m *Machine) Exited() []Exit { return m.exited }
 
-// RetainExit notes that the start of an exited attempt may still come late in this session:
-// an agent that had forgotten the attempt would run it.
-func (m *Machine) RetainExit(key ExitKey) { m.unforgettable[key] = true }
+// RetainExit makes the agent remember the exited attempt for this session. The attempt's start may
+// still arrive late, and an agent that had forgotten the attempt would run it again.
+func (m *Machine) RetainExit(key ExitKey) { m.retainedExits[key] = true }
--- a/internal/machines/failures.go
+++ b/internal/machines/failures.go
@@ -2,40 +2,41 @@
 
 import "switchshore.example/switchshore/internal/tuning"
 
-// failures is what is known of the jobs whose tasks have failed on a machine.
+// failures holds the jobs whose tasks have failed on a machine.
 type failures struct {
-	avoidedJobs map[string]bool // a task has failed here at any time
-	failedJobs  map[string]bool // in a row, and not by a fault of the job
+	avoidedJobs map[string]bool // IDs of all jobs with a failed task
+	failedJobs  map[string]bool // IDs of jobs that failed in a row, probably because of the machine
 }
 
-// AvoidJob notes that a task of the job has failed here.
+// AvoidJob records that a task of the job has failed on the machine.
 func (f *failures) AvoidJob(id string) { f.avoidedJobs[id] = true }
 
-// Avoids reports whether a task of the job has failed here.
+// Avoids reports whether a task of the job has failed on the machine.
 func (f *failures) Avoids(id string) bool { return f.avoidedJobs[id] }
 
-// AvoidedJobs are the jobs of which a task has failed here. The map is the machine's own: it
-// must not be modified.
+// AvoidedJobs returns the IDs of the jobs with a failed task on the machine. The caller must not
+// modify the map.
 func (f *failures) AvoidedJobs() map[string]bool { return f.avoidedJobs }
 
-// AddFailedJob counts a job whose failure seems to be the fault of the machine, and reports
-// whether the machine is quarantined by it.
+// AddFailedJob adds a job whose failure the machine has probably caused, and reports whether the
+// machine becomes quarantined by it.
 func (f *failures) AddFailedJob(id string) (quarantined bool) {
-	was := f.isFaulty()
+	wasFaulty := f.isFaulty()
 	f.failedJobs[id] = true
-	return f.isFaulty() && !was
+	return f.isFaulty() && !wasFaulty
 }
 
-// RemoveFailedJob no longer counts a job that fails everywhere.
+// RemoveFailedJob removes a job that fails on other machines as well.
 func (f *failures) RemoveFailedJob(id string) { delete(f.failedJobs, id) }
 
-// RecordTaskSuccess notes that a task has completed: unless the machine is quarantined already,
-// what has failed before was not its fault.
+// RecordTaskSuccess records that a task has completed, which shows that the machine wasn't the cause
+// of earlier failures. A machine that is quarantined already stays so.
 func (f *failures) RecordTaskSuccess() {
 	if !f.isFaulty() {
 		clear(f.failedJobs)
 	}
 }
 
-// isFaulty reports whether tasks of several jobs have failed here in a row.
+// isFaulty reports whether tasks of so many jobs have failed in a row that the machine counts as
+// faulty.
 func (f *failures) isFaulty() bool { return len(f.failedJobs) >= tuning.QuarantineJobs }
--- a/internal/machines/heartbeat.go
+++ b/internal/machines/heartbeat.go
@@ -7,61 +7,60 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// agentSession is what is known of the agent's session and of its heartbeats.
+// agentSession holds the state of the agent's session and its heartbeats.
 type agentSession struct {
-	epoch, sequence uint64
-	lastPeriodic    uint64 // the newest heartbeat of the session that the agent sent by itself
-	// expiredEpoch is the last session known to be over; what still arrives
-	// of it is old.
+	epoch, sequence      uint64
+	lastPeriodicSequence uint64 // of the newest heartbeat that was not a reply to a direct call
+	// expiredEpoch is the last session known to have expired; messages of it are stale.
 	expiredEpoch     uint64
-	heartbeatAt      time.Time // newest heartbeat that was applied
-	leaseRenewedAt   time.Time // newest heartbeat that was answered
-	firstHeartbeatAt time.Time // in this term
-	reclaimAt        time.Time // by the cloud, zero without a notice
-	// staleHeartbeats counts the heartbeats older than the newest since that came,
-	// staleSince is when the first of them came.
+	heartbeatAt      time.Time // time of the newest applied heartbeat
+	leaseRenewedAt   time.Time // time of the newest heartbeat that renewed the lease
+	firstHeartbeatAt time.Time // time of the first heartbeat in this term
+	reclaimAt        time.Time // when the cloud reclaims the machine, zero without a notice
+	// staleHeartbeats counts the stale heartbeats since the newest one arrived, staleSince is when
+	// the first of them arrived.
 	staleHeartbeats int
 	staleSince      time.Time
 }
 
-// Epoch is the agent's present session.
+// Epoch returns the epoch of the agent's current session.
 func (s *agentSession) Epoch() uint64 { return s.epoch }
 
-// Sequence is the newest message of the session.
+// Sequence returns the sequence number of the session's newest message.
 func (s *agentSession) Sequence() uint64 { return s.sequence }
 
-// SinceHeartbeat is the time since the newest heartbeat that was applied.
+// SinceHeartbeat returns the time since the newest applied heartbeat.
 func (s *agentSession) SinceHeartbeat(now time.Time) time.Duration { return now.Sub(s.heartbeatAt) }
 
-// IsStale reports whether a heartbeat is of a session known to be over, or not newer
-// than the newest one that was applied.
+// IsStale reports whether a heartbeat belongs to an expired or earlier session, or is not newer than
+// the newest message.
 func (s *agentSession) IsStale(r *wire.Heartbeat) bool {
 	return r.AgentEpoch <= s.expiredEpoch || r.AgentEpoch < s.epoch || r.AgentEpoch == s.epoch && r.Sequence <= s.sequence
 }
 
-// IsOvertakenByDirectReply reports whether a heartbeat is older than the newest message only
-// because the reply to a direct call came before it, by a shorter way. Refused,
-// its agent would leave its node for nothing.
+// IsOvertakenByDirectReply reports whether a heartbeat is older than the newest message only because
+// the reply to a direct call arrived before it. If it were refused, the agent would needlessly switch
+// to another node.
 func (s *agentSession) IsOvertakenByDirectReply(r *wire.Heartbeat) bool {
-	return r.AgentEpoch > s.expiredEpoch && r.AgentEpoch == s.epoch && r.Sequence > s.lastPeriodic && r.Sequence <= s.sequence
+	return r.AgentEpoch > s.expiredEpoch && r.AgentEpoch == s.epoch && r.Sequence > s.lastPeriodicSequence && r.Sequence <= s.sequence
 }
 
-// RenewLease notes that a heartbeat which the agent sent by itself is answered.
+// RenewLease records that the response to a periodic heartbeat renews the lease.
 func (s *agentSession) RenewLease(now time.Time, sequence uint64) {
-	s.lastPeriodic = sequence
+	s.lastPeriodicSequence = sequence
 	s.heartbeatAt, s.leaseRenewedAt = now, now
 }
 
-// RecordStaleHeartbeat notes a heartbeat that proves nothing.
+// RecordStaleHeartbeat counts a stale heartbeat.
 func (s *agentSession) RecordStaleHeartbeat(now time.Time) {
 	if s.staleHeartbeats++; s.staleHeartbeats == 1 {
 		s.staleSince = now
 	}
 }
 
-// RecordHeartbeat notes what a heartbeat that is answered says of the machine itself. It
-// reports whether the machine has joined by it, and whether it brought a notice of the cloud's
-// reclaim.
+// RecordHeartbeat renews the lease and applies a heartbeat's fields on the machine itself. It reports
+// whether this is the machine's first heartbeat, and whether it contains the first notice that the
+// cloud reclaims the machine.
 func (m *Machine) RecordHeartbeat(now time.Time, r *wire.Heartbeat) (joined, reclaimed bool) {
 	m.RenewLease(now, r.Sequence)
 	m.Addr = r.Addr
@@ -74,16 +73,17 @@
 	return joined, reclaimed
 }
 
-// ReclaimIn is the time until the cloud takes the machine, false if it has not said so.
+// ReclaimIn returns the time until the cloud reclaims the machine, and false without a notice.
 func (m *Machine) ReclaimIn(now time.Time) (time.Duration, bool) {
 	return m.reclaimAt.Sub(now), !m.reclaimAt.IsZero()
 }
 
-// AdvanceSession notes the order of a message; a new session ends all that is late.
+// AdvanceSession records the epoch and sequence number of a message. In a new session, starts of an
+// earlier one can no longer arrive late, so the precautions against them end.
 func (m *Machine) AdvanceSession(epoch, sequence uint64) {
 	if epoch > m.epoch {
-		clear(m.unforgettable)
-		m.lastPeriodic = 0
+		clear(m.retainedExits)
+		m.lastPeriodicSequence = 0
 		if !m.CordonedFor(CordonConsolidated | CordonLateStart) {
 			m.releaseBy = time.Time{}
 		}
--- a/internal/machines/lease.go
+++ b/internal/machines/lease.go
@@ -6,33 +6,34 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Timing are the times by which the state of machines is judged.
+// Timing holds the timeouts and points in time by which the state of machines is determined.
 type Timing struct {
-	// HeartbeatTimeout is the time without a heartbeat after which a machine seems unreachable.
+	// HeartbeatTimeout is the time without a heartbeat after which a machine counts as unreachable.
 	HeartbeatTimeout time.Duration
-	// Lease is how long an agent keeps its tasks without a response to its heartbeats.
+	// Lease is how long an agent keeps running its tasks without a response to its heartbeats.
 	Lease time.Duration
-	// LeaseExpiry is the time after a response at which the agent's lease has provably expired.
+	// LeaseExpiry is the time after a response at which the agent's lease has expired for certain.
 	LeaseExpiry time.Duration
 	// TermStart is when the term began.
 	TermStart time.Time
-	// InheritedTasksEnd is when every task that a predecessor may have left on a
-	// machine that has not reported in this term has ended.
+	// InheritedTasksEnd is when every task that an earlier leader may have started has ended, on
+	// machines that have not reported in this term.
 	InheritedTasksEnd time.Time
 }
 
-// HeartbeatOverdue reports whether no heartbeat has come for long.
+// HeartbeatOverdue reports whether no heartbeat was applied within the heartbeat timeout.
 func (m *Machine) HeartbeatOverdue(now time.Time, t *Timing) bool {
 	return m.SinceHeartbeat(now) > t.HeartbeatTimeout
 }
 
-// IsUnreachable reports whether no heartbeat of a machine known to be up has come for
-// long, or not since this term began.
+// IsUnreachable reports whether a machine that has joined has sent no heartbeat within the
+// timeout. It is false until the term has lasted that long: machines may not have reported yet.
 func (m *Machine) IsUnreachable(now time.Time, t *Timing) bool {
 	return m.joined && m.HeartbeatOverdue(now, t) && now.Sub(t.TermStart) > t.HeartbeatTimeout
 }
 
-// LeaseExpired reports whether all that the machine may have run has provably ended.
+// LeaseExpired reports whether the lease has expired for certain, so that all tasks of the machine
+// have ended.
 func (m *Machine) LeaseExpired(now time.Time, t *Timing) bool {
 	if m.CordonedFor(CordonAgentReplaced) || !m.reconciled && now.Before(t.InheritedTasksEnd) {
 		return false
@@ -40,7 +41,7 @@
 	return m.leaseRenewedAt.IsZero() || now.Sub(m.leaseRenewedAt) > t.LeaseExpiry
 }
 
-// LeaseExpiresAt is when the machine's lease will have expired without another heartbeat.
+// LeaseExpiresAt is when the machine's lease has expired for certain if no heartbeat renews it.
 func (m *Machine) LeaseExpiresAt(t *Timing) time.Time {
 	if !m.reconciled {
 		return t.InheritedTasksEnd
@@ -48,46 +49,47 @@
 	return m.leaseRenewedAt.Add(t.LeaseExpiry)
 }
 
-// ExpireSession notes that the agent's session is over.
+// ExpireSession marks the agent's current session as expired: its messages are stale from now on.
 func (m *Machine) ExpireSession() { m.expiredEpoch = m.epoch }
 
-// IsSchedulable reports whether a machine takes new tasks.
+// IsSchedulable reports whether new tasks may be assigned to the machine.
 func (m *Machine) IsSchedulable(now time.Time, t *Timing) bool {
 	return m.joined && m.reconciled && !m.releasing && !m.Cordoned() &&
 		m.total.CPUs > 0 && !now.Before(m.fullUntil) && !m.HeartbeatOverdue(now, t)
 }
 
-// RequireRelease has the machine released by the given time.
+// RequireRelease sets the time by which the machine has to be released.
 func (m *Machine) RequireRelease(by time.Time) { m.releaseBy = by }
 
-// ReleaseRequired reports whether the machine has to be released by some time.
+// ReleaseRequired reports whether RequireRelease has set a time.
 func (m *Machine) ReleaseRequired() bool { return !m.releaseBy.IsZero() }
 
-// minMissedLists is how many lists in a row have to lack a machine that sends no heartbeats.
-const minMissedLists = 2
+// minMissingFromLists is the number of cloud lists in a row that have to lack an unreachable machine
+// before it is released.
+const minMissingFromLists = 2
 
-// ShouldBeReleased reports whether a machine will do no more work: failed, never up,
-// without heartbeats for long, or emptied for a drain. bootTimeS is how long machines of its
-// type take to come up, 0 if that is not known.
+// ShouldBeReleased reports whether the machine can't or shouldn't run tasks any more: it has failed,
+// has not booted in time, is unreachable or no longer gets responses, or is empty and cordoned for
+// release. bootTimeS is the usual boot time of its type, 0 if unknown.
 func (m *Machine) ShouldBeReleased(now time.Time, t *Timing, bootTimeS float64) bool {
 	switch {
 	case m.failed, m.CordonedFor(CordonAgentReplaced), m.ReleaseRequired() && now.After(m.releaseBy):
 		return true
 	case !m.joined:
 		return bootTimeS > 0 && now.Sub(m.provisionedAt).Seconds() > bootTimeS*tuning.BootTimeoutFactor
-	case m.HeartbeatOverdue(now, t) && m.missedLists >= minMissedLists:
+	case m.HeartbeatOverdue(now, t) && m.missingFromLists >= minMissingFromLists:
 		return true
 	case !m.responsesLostSince.IsZero() && now.Sub(m.responsesLostSince) > t.LeaseExpiry*3/2:
-		// It can't be sent anything; its tasks ended with its lease.
+		// Nothing can be sent to it, and its tasks ended with its lease.
 		return true
 	case m.neverReconciled(now, t):
-		// It reports, but never with this term's token: it doesn't get our responses. Whatever
-		// it may run waits for the release, which proves that it has ended.
+		// Its heartbeats never carry this term's token, so it doesn't get our responses. Only
+		// its release proves that the tasks it may run have ended.
 		return true
 	case m.staleHeartbeats >= tuning.MaxStaleHeartbeats && m.LeaseExpired(now, t) && now.Sub(m.staleSince) > t.HeartbeatTimeout:
-		// Only heartbeats older than the newest: late copies, or a new agent that
-		// began anew. It must not be taken for the old one, and can't be distinguished
-		// from copies, so the machine is replaced.
+		// Every heartbeat is older than the newest one. They are either late duplicates, or come
+		// from a new agent that counts its epochs from the start again. The two can't be told
+		// apart, and a new agent must not pass for the old one, so the machine is replaced.
 		return true
 	case len(m.attempts) == 0 && m.CordonedFor(ReleaseWhenEmptyReasons):
 		return true
@@ -99,8 +101,8 @@
 	return now.Sub(newest) > t.LeaseExpiry+tuning.UnreachableReleaseDelay
 }
 
-// neverReconciled reports whether a machine has sent heartbeats for long in this term without
-// having learned of the term.
+// neverReconciled reports whether the machine has sent heartbeats in this term for longer than the
+// lease expiry and the release delay together, none of them with the term's token.
 func (m *Machine) neverReconciled(now time.Time, t *Timing) bool {
 	return !m.reconciled && !m.firstHeartbeatAt.IsZero() && now.After(t.InheritedTasksEnd) &&
 		now.Sub(m.firstHeartbeatAt) > t.LeaseExpiry+tuning.UnreachableReleaseDelay
--- a/internal/machines/lifecycle.go
+++ b/internal/machines/lifecycle.go
@@ -7,37 +7,36 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// lifecycle is how far a machine has come between provisioning and release.
+// lifecycle holds the state of a machine from provisioning to release.
 type lifecycle struct {
-	provisionedAt time.Time
-	joined        bool // has reported to some term
-	reconciled    bool // has reported knowing this term: its list is complete
-	releasing     bool
-	failed        bool
-	recorded      bool      // named by a start record that was loaded
-	missedLists   int       // lists in a row without the machine
-	listedAt      time.Time // first seen in the cloud's list in this term
-	idleSince     time.Time
-	// releaseBy is when the machine has to be released, as a start of an ended
-	// job may still come late; zero for never.
+	provisionedAt    time.Time
+	joined           bool // has sent a heartbeat, in this term or under an earlier leader
+	reconciled       bool // has sent a heartbeat with this term's token: its task list is complete
+	releasing        bool
+	failed           bool
+	recorded         bool      // named in a stored start record
+	missingFromLists int       // cloud lists in a row that lack the machine
+	listedAt         time.Time // first seen in the cloud's list in this term
+	idleSince        time.Time
+	// releaseBy is when the machine has to be released, as the start of an ended job may still
+	// arrive late; zero if it doesn't have to be.
 	releaseBy time.Time
 }
 
-// ProvisionedAt is when the machine was provisioned, as far as is known.
+// ProvisionedAt returns when the machine was provisioned, to the best knowledge of this term.
 func (l *lifecycle) ProvisionedAt() time.Time { return l.provisionedAt }
 
-// SetProvisionedAt notes when the machine was provisioned.
 func (l *lifecycle) SetProvisionedAt(at time.Time) { l.provisionedAt = at }
 
-// HasJoined reports whether the machine has reported to some term.
+// HasJoined reports whether the machine has sent a heartbeat, in this term or under an earlier leader.
 func (l *lifecycle) HasJoined() bool { return l.joined }
 
-// IsReconciled reports whether the machine has reported knowing this term: what is known of its
-// tasks is complete.
+// IsReconciled reports whether a task list of the machine has been applied in this term: its attempts
+// are complete.
 func (l *lifecycle) IsReconciled() bool { return l.reconciled }
 
-// MarkReconciled notes that the machine's task list has been applied, and reports whether it is
-// the first one.
+// MarkReconciled records that a task list of the machine has been applied, and reports whether it is
+// the first one in this term.
 func (l *lifecycle) MarkReconciled(now time.Time) (first bool) {
 	if l.reconciled {
 		return false
@@ -47,27 +46,28 @@
 	return true
 }
 
-// MarkRecorded notes that a stored start record names the machine: it was up under an earlier
-// leader.
+// MarkRecorded records that a stored start record names the machine, so that it had joined under an
+// earlier leader.
 func (l *lifecycle) MarkRecorded() { l.recorded, l.joined = true, true }
 
 // IsReleasing reports whether the release of the machine has begun.
 func (l *lifecycle) IsReleasing() bool { return l.releasing }
 
-// BeginRelease notes that the release of the machine has begun.
+// BeginRelease records that the release of the machine has begun.
 func (l *lifecycle) BeginRelease() { l.releasing = true }
 
-// IdleFor is the time since the machine had an attempt, or since its attempts became known.
+// IdleFor returns the time since the machine lost its last attempt or was reconciled, whichever is
+// later.
 func (l *lifecycle) IdleFor(now time.Time) time.Duration { return now.Sub(l.idleSince) }
 
 // IsListed reports whether the cloud has listed the machine in this term.
 func (l *lifecycle) IsListed() bool { return !l.listedAt.IsZero() }
 
-// ApplyListed applies the machine's row of a list that was asked for at the given time.
-func (m *Machine) ApplyListed(asked, now time.Time, row *wire.ListedMachine) {
-	// What a predecessor provisioned is older than this term: a successor that
-	// took it for new kept idle machines through their minimum billing time again.
-	if at := asked.Add(-seconds.Duration(row.AgeS)); at.Before(m.provisionedAt) {
+// ApplyListed applies the machine's row of a cloud list that was requested at requestedAt.
+func (m *Machine) ApplyListed(requestedAt, now time.Time, row *wire.ListedMachine) {
+	// Machines that an earlier leader provisioned are older than this term. If they counted as new,
+	// idle ones would be kept for their minimum billing time once more.
+	if at := requestedAt.Add(-seconds.Duration(row.AgeS)); at.Before(m.provisionedAt) {
 		m.provisionedAt = at
 	}
 	if m.Addr == "" {
@@ -76,20 +76,20 @@
 	if m.listedAt.IsZero() {
 		m.listedAt = now
 	}
-	m.missedLists = 0
+	m.missingFromLists = 0
 	if row.State == wire.MachineFailed {
 		m.failed = true
 	}
 }
 
-// CountMissingFromList counts a list that lacks the machine, and reports whether the machine provably no
-// longer exists. A machine stays listed as long as it exists: a list that was asked for later
-// than the longest lag of lists after the machine was first listed describes a time at which it
-// had been listed.
-func (l *lifecycle) CountMissingFromList(asked time.Time, longestLag time.Duration) (gone bool) {
+// CountMissingFromList counts a cloud list that lacks the machine, and reports whether the machine has
+// been deleted for certain. A machine stays listed as long as it exists. So a list proves the deletion
+// if it was requested more than longestLag after the machine was first listed: it shows a state in
+// which the machine was listed already.
+func (l *lifecycle) CountMissingFromList(requestedAt time.Time, longestLag time.Duration) (deleted bool) {
 	if !l.IsListed() && !l.recorded {
 		return false
 	}
-	l.missedLists++
-	return l.IsListed() && asked.Sub(l.listedAt) > longestLag
+	l.missingFromLists++
+	return l.IsListed() && requestedAt.Sub(l.listedAt) > longestLag
 }
--- a/internal/machines/machine.go
+++ b/internal/machines/machine.go
@@ -1,5 +1,5 @@
-// Package machines holds what is known of the provisioned machines of a term and of the attempts
-// to run tasks on them. It reads no clock and does no I/O.
+// Package machines holds the state of the provisioned machines and of the attempts to run tasks on
+// them, for one term of the leader. It reads no clock and does no I/O.
 package machines
 
 import (
@@ -9,7 +9,7 @@
 	"switchshore.example/switchshore/internal/placement"
 )
 
-// Machine is a provisioned machine with all attempts that may be on it.
+// Machine is a provisioned machine with all attempts that may be running on it.
 type Machine struct {
 	ID, Type, Zone, Addr string
 	Spot                 bool
@@ -19,17 +19,17 @@
 	directCalls
 	failures
 	capacity
-	cordons CordonReason // those that do not follow from the other fields
+	explicitCordons CordonReason // set by Cordon; the other reasons are derived from the fields above
 
-	attempts []*Attempt // in the order in which they came to be known
-	exited   []Exit     // of the last list
-	// unforgettable names exited attempts whose start may still come late: forgetting
-	// them would let it run.
-	unforgettable map[ExitKey]bool
-	images        map[string]time.Time // when an attempt with the image was last seen
+	attempts []*Attempt // in the order in which they were added
+	exited   []Exit     // from the last task list
+	// retainedExits holds exited attempts whose start may still arrive late. The agent has to
+	// remember them, or it would run the late start.
+	retainedExits map[ExitKey]bool
+	imageSeenAt   map[string]time.Time // when an attempt with the image was last reported, by image
 }
 
-// New returns a machine that was provisioned at the given time, as far as is known.
+// New returns a machine that was provisioned at the given time; ApplyListed may set an earlier one.
 func New(provisionedAt time.Time, id, machineType, zone, addr string, spot bool) *Machine {
 	return &Machine{
 		ID:            id,
@@ -40,14 +40,13 @@
 		lifecycle:     lifecycle{provisionedAt: provisionedAt, idleSince: provisionedAt},
 		capacity:      capacity{snapshotOutdated: true},
 		failures:      failures{avoidedJobs: map[string]bool{}, failedJobs: map[string]bool{}},
-		unforgettable: map[ExitKey]bool{},
-		images:        map[string]time.Time{},
+		retainedExits: map[ExitKey]bool{},
+		imageSeenAt:   map[string]time.Time{},
 	}
 }
 
-// Attempts are the attempts that may be on the machine, in the order in which they came to be
-// known. The slice is the machine's own: it must not be modified, nor kept while attempts are
-// released.
+// Attempts returns the attempts that may be running on the machine, in the order in which they were
+// added. The caller must not modify the slice, nor keep it while attempts are released.
 func (m *Machine) Attempts() []*Attempt { return m.attempts }
 
 // Find returns the attempt of a task on the machine, or nil.
@@ -60,16 +59,16 @@
 	return nil
 }
 
-// HasImage reports whether the machine has an image.
+// HasImage reports whether the machine has the image.
 func (m *Machine) HasImage(image string) bool {
-	_, has := m.images[image]
+	_, has := m.imageSeenAt[image]
 	return has
 }
 
-// RecordImage notes that the machine has an image.
-func (m *Machine) RecordImage(now time.Time, image string) { m.images[image] = now }
+// RecordImage records that the machine has the image.
+func (m *Machine) RecordImage(now time.Time, image string) { m.imageSeenAt[image] = now }
 
-// PlacementView is the machine as far as the placement rule asks where a task may be at all.
+// PlacementView returns the properties of the machine that PendingJob.CanRunOn checks.
 func (m *Machine) PlacementView() *placement.Machine {
 	return &placement.Machine{Type: m.Type, Zone: m.Zone, Spot: m.Spot, Capacity: m.total}
 }
--- a/internal/machines/reachability.go
+++ b/internal/machines/reachability.go
@@ -6,26 +6,28 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Reachability is from which machines heartbeats arrive, by zone.
+// Reachability tracks which zones are probably partitioned from this node, by the heartbeats that
+// arrive.
 type Reachability struct {
-	// partitionedZones are those that seem to be partitioned, until then.
+	// partitionedZones maps each zone that is probably partitioned to the time until which it counts
+	// as such.
 	partitionedZones map[string]time.Time
-	// isolated: this node seems to have lost most machines.
+	// isolated: this node has probably lost contact with most machines.
 	isolated bool
 }
 
-// NewReachability returns one without partitions.
+// NewReachability returns a Reachability without partitions.
 func NewReachability() *Reachability {
 	return &Reachability{partitionedZones: map[string]time.Time{}}
 }
 
-// IsPartitioned reports whether a zone seems to be partitioned: what is provisioned there could
-// not report.
+// IsPartitioned reports whether the zone is probably partitioned, so that machines provisioned in it
+// could not send heartbeats.
 func (r *Reachability) IsPartitioned(now time.Time, zone string) bool {
 	return now.Before(r.partitionedZones[zone])
 }
 
-// AnyPartitioned reports whether any zone seems to be partitioned.
+// AnyPartitioned reports whether any zone is probably partitioned.
 func (r *Reachability) AnyPartitioned(now time.Time) bool {
 	for zone := range r.partitionedZones {
 		if r.IsPartitioned(now, zone) {
@@ -35,13 +37,13 @@
 	return false
 }
 
-// IsIsolated reports whether this node seems to have lost most machines, or
-// has not yet applied their heartbeats after a failover.
+// IsIsolated reports whether this node has probably lost contact with most machines, or has not yet
+// applied their heartbeats after a failover.
 func (r *Reachability) IsIsolated() bool { return r.isolated }
 
-// Update counts the machines known to be up whose heartbeats are missing. A zone seems to be
-// partitioned if most of its machines are unreachable, while those elsewhere are not. If
-// many others are unreachable, too, it is this node that is isolated.
+// Update determines the partitioned zones from the unreachable machines. A zone counts as partitioned
+// if most of its machines are unreachable while most machines elsewhere are reachable. If too many
+// machines outside the partitioned zones are unreachable, this node counts as isolated.
 func (r *Reachability) Update(now time.Time, list []*Machine, t *Timing) {
 	zones := map[string]*heartbeatCount{}
 	all := &heartbeatCount{}
@@ -52,42 +54,42 @@
 		if zones[m.Zone] == nil {
 			zones[m.Zone] = &heartbeatCount{}
 		}
-		missing := m.IsUnreachable(now, t)
-		zones[m.Zone].count(missing)
-		all.count(missing)
+		unreachable := m.IsUnreachable(now, t)
+		zones[m.Zone].count(unreachable)
+		all.count(unreachable)
 	}
 	rest := *all
 	for zone, z := range zones {
 		switch {
 		case z.isPartitioned(all):
-			// Its unreachable machines may be released before long.
+			// After that time its unreachable machines may have been released.
 			r.partitionedZones[zone] = now.Add(t.LeaseExpiry)
-			rest.known -= z.known
-			rest.missing -= z.missing
-		case z.known > z.missing:
+			rest.joined -= z.joined
+			rest.unreachable -= z.unreachable
+		case z.joined > z.unreachable:
 			delete(r.partitionedZones, zone)
 		}
 	}
-	r.isolated = rest.known > 0 && rest.share() < tuning.ReachableShare
+	r.isolated = rest.joined > 0 && rest.reachableShare() < tuning.ReachableShare
 }
 
-// heartbeatCount counts machines known to be up and those of them that are unreachable.
-type heartbeatCount struct{ known, missing int }
+// heartbeatCount counts the machines that have joined and those of them that are unreachable.
+type heartbeatCount struct{ joined, unreachable int }
 
-func (h *heartbeatCount) count(missing bool) {
-	h.known++
-	if missing {
-		h.missing++
+func (h *heartbeatCount) count(unreachable bool) {
+	h.joined++
+	if unreachable {
+		h.unreachable++
 	}
 }
 
-// isPartitioned reports whether a zone seems to be partitioned, given the count of all zones.
+// isPartitioned reports whether a zone is probably partitioned, given the count of all zones.
 func (h *heartbeatCount) isPartitioned(all *heartbeatCount) bool {
-	others := heartbeatCount{known: all.known - h.known, missing: all.missing - h.missing}
-	return h.missing >= tuning.PartitionedMachines && h.share() <= tuning.PartitionedShare && others.share() >= tuning.ReachableShare
+	others := heartbeatCount{joined: all.joined - h.joined, unreachable: all.unreachable - h.unreachable}
+	return h.unreachable >= tuning.PartitionedMachines && h.reachableShare() <= tuning.PartitionedShare && others.reachableShare() >= tuning.ReachableShare
 }
 
-// share is the part that is reachable, 0 of none.
-func (h *heartbeatCount) share() float64 {
-	return float64(h.known-h.missing) / float64(max(h.known, 1))
+// reachableShare returns the share of the joined machines that is reachable, 0 if none has joined.
+func (h *heartbeatCount) reachableShare() float64 {
+	return float64(h.joined-h.unreachable) / float64(max(h.joined, 1))
 }
--- a/internal/machines/registry.go
+++ b/internal/machines/registry.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// Registry owns the machines that are known, and the names of those that were released.
+// Registry holds the provisioned machines and the IDs of those that were released.
 type Registry struct {
 	byID     map[string]*Machine
-	sorted   []*Machine // by their IDs
+	sorted   []*Machine // by ID
 	released map[string]bool
 }
 
@@ -17,24 +17,24 @@
 	return &Registry{byID: map[string]*Machine{}, released: map[string]bool{}}
 }
 
-// Get returns a machine that is known, or nil.
+// Get returns the machine with the ID, or nil.
 func (r *Registry) Get(id string) *Machine { return r.byID[id] }
 
-// All returns the machines in the order of their IDs. The slice is the registry's own:
-// it must not be modified, nor kept while machines are added or removed.
+// All returns the machines in the order of their IDs. The caller must not modify the slice, nor
+// keep it while machines are added or removed.
 func (r *Registry) All() []*Machine { return r.sorted }
 
 // Len returns the number of machines.
 func (r *Registry) Len() int { return len(r.sorted) }
 
-// Add adds a machine that is not known.
+// Add adds a machine. The registry must not hold one with the same ID.
 func (r *Registry) Add(m *Machine) {
 	r.byID[m.ID] = m
 	i, _ := slices.BinarySearchFunc(r.sorted, m.ID, func(o *Machine, id string) int { return strings.Compare(o.ID, id) })
 	r.sorted = slices.Insert(r.sorted, i, m)
 }
 
-// Remove forgets a machine.
+// Remove removes a machine.
 func (r *Registry) Remove(m *Machine) {
 	delete(r.byID, m.ID)
 	if i := slices.Index(r.sorted, m); i >= 0 {
@@ -42,8 +42,8 @@
 	}
 }
 
-// MarkReleased notes that a name is never to be taken in again.
+// MarkReleased records that the machine with the ID was released, so that it isn't added again.
 func (r *Registry) MarkReleased(id string) { r.released[id] = true }
 
-// WasReleased reports whether a machine of that name has been released.
+// WasReleased reports whether the machine with the ID was released.
 func (r *Registry) WasReleased(id string) bool { return r.released[id] }
--- a/internal/machines/starts.go
+++ b/internal/machines/starts.go
@@ -4,7 +4,7 @@
 	"switchshore.example/switchshore/internal/records"
 )
 
-// NewStartsRecord names the machine in a start record.
+// NewStartsRecord returns an empty start record of the machine.
 func (m *Machine) NewStartsRecord() records.MachineStarts {
 	return records.MachineStarts{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 }
