--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -6,17 +6,17 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// candidate is a machine scored for a job.
+// candidate is a machine with its score for a job.
 type candidate struct {
 	machine *Machine
-	version int // of the machine when it was scored
+	version int // version of the machine when it was scored
 	score   int64
-	wait    float64
+	wait    float64 // seconds until the task could start
 }
 
-// better orders candidates: the larger speedup, then the cheaper machine, then
-// the fuller one.
-func (c *candidate) better(other *candidate) bool {
+// better orders candidates: larger speedup first, then the cheaper machine,
+// then the one with fewer free CPUs.
+func (c *candidate) betterThan(other *candidate) bool {
 	a, b := c.machine, other.machine
 	if c.score != other.score {
 		return c.score > other.score
@@ -30,44 +30,44 @@
 	return a.ID < b.ID
 }
 
-// candidateHeap implements heap.Interface on the jobs' own slices, so that a
-// pass allocates little.
+// candidateHeap implements heap.Interface on the slice of a job, so that a pass
+// allocates little.
 type candidateHeap []candidate
 
 func (h candidateHeap) Len() int { return len(h) }
 
-func (h candidateHeap) Less(i, j int) bool { return h[i].better(&h[j]) }
+func (h candidateHeap) Less(i, j int) bool { return h[i].betterThan(&h[j]) }
 
 func (h candidateHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
 // Push appends an entry.
 func (h *candidateHeap) Push(x any) { *h = append(*h, x.(candidate)) }
 
-// Pop removes the last entry. It returns nil in its place, as nobody needs the
-// entry and boxing it would allocate.
+// Pop removes the last entry. It returns nil instead of the entry, as no
+// caller needs it and boxing it would allocate.
 func (h *candidateHeap) Pop() any {
 	*h = (*h)[:len(*h)-1]
 	return nil
 }
 
-// scoreAll builds the job's heap: the machines where its tasks fit now and, if
-// one of them can win, the busy ones.
-func (p *pass) scoreAll(j *PendingJob) {
+// scoreMachines builds the job's heap from the machines on which its tasks fit
+// now and the busy machines that could have a better score.
+func (p *pass) scoreMachines(j *PendingJob) {
 	j.scored = true
 	j.candidates = j.candidates[:0]
 	cached := false
-	p.eachOpenMachine(func(m *Machine) bool {
+	p.eachAvailableMachine(func(m *Machine) bool {
 		if !m.Free.Fits(j.Request) {
 			return true
 		}
 		if c, ok := p.score(j, m); ok {
 			j.candidates = append(j.candidates, c)
-			at, here := m.Images[j.Image]
-			cached = cached || here && at <= p.now
+			readyAt, listed := m.Images[j.Image]
+			cached = cached || listed && readyAt <= p.now
 		}
 		return true
 	})
-	for _, m := range p.busyMachines(j, cached) {
+	for _, m := range p.busyCandidates(j, cached) {
 		if m.Free.Fits(j.Request) {
 			continue
 		}
@@ -78,15 +78,16 @@
 	heap.Init((*candidateHeap)(&j.candidates))
 }
 
-// busyMachines are the machines to be scored after those where the job's tasks
-// fit now; cached reports whether one of these has the image. A busy machine
-// can win only if it has the image and none of these has, or if the tasks fit
-// nowhere now: they are queued then, so that smaller tasks don't take the
-// capacity that they need. Once the queues behind busy machines are full, or
-// half of the pass is used up, there are none: at 2,000 full machines each aged
-// job would otherwise score them all in vain, and leave nothing for the jobs
-// that fit.
-func (p *pass) busyMachines(j *PendingJob, cached bool) []*Machine {
+// busyCandidates returns the machines to score after those on which the job's
+// tasks fit now. cached says whether one of the latter has the image. A busy
+// machine can have the best score only if it has the image and none of the
+// latter has, or if the tasks fit nowhere now. In that case they are queued, so
+// that smaller tasks don't use the resources that they need.
+//
+// It returns none if the pass has queued its maximum of tasks or used half of
+// its scores. Otherwise, with 2,000 full machines, each aged job would score all
+// of them without result and leave no scores for the jobs that fit.
+func (p *pass) busyCandidates(j *PendingJob, cached bool) []*Machine {
 	if p.startOnly || p.queuedTasks >= tuning.PassMaxQueuedTasks || p.stats.ScoredPairs >= tuning.PassMaxScoredPairs/2 {
 		return nil
 	}
@@ -99,30 +100,30 @@
 	return nil
 }
 
-// eachOpenMachine calls f for the machines on which the smallest request fits,
-// until it returns false.
-func (p *pass) eachOpenMachine(f func(*Machine) bool) {
+// eachAvailableMachine calls f for the machines on which the smallest request
+// fits, until f returns false. It removes machines that have become too full.
+func (p *pass) eachAvailableMachine(f func(*Machine) bool) {
 	kept := 0
-	for i, m := range p.openMachines {
+	for i, m := range p.availableMachines {
 		if !m.Free.Fits(p.smallestRequest) {
-			continue // what is free only shrinks within a pass
+			continue // free resources only decrease within a pass
 		}
-		p.openMachines[kept] = m
+		p.availableMachines[kept] = m
 		kept++
 		if !f(m) {
-			kept += copy(p.openMachines[kept:], p.openMachines[i+1:])
+			kept += copy(p.availableMachines[kept:], p.availableMachines[i+1:])
 			break
 		}
 	}
-	p.openMachines = p.openMachines[:kept]
+	p.availableMachines = p.availableMachines[:kept]
 }
 
-// machinesWithImage lists the machines that have the image or fetch it.
+// machinesWithImage returns the machines that have the image or are fetching it.
 func (p *pass) machinesWithImage(image string) []*Machine {
 	list, ok := p.machinesByImage[image]
 	if !ok {
 		for _, m := range p.machines {
-			if _, here := m.Images[image]; here {
+			if _, listed := m.Images[image]; listed {
 				list = append(list, m)
 			}
 		}
@@ -131,11 +132,12 @@
 	return list
 }
 
-// bestMachine brings the best machine to the top of the job's heap: entries
-// scored before their machine changed are scored again. It is nil if there is none.
+// bestMachine returns the best candidate of the job, which is the top of its
+// heap, or nil if there is none. It scores entries again whose machine has
+// changed since.
 func (p *pass) bestMachine(j *PendingJob) *candidate {
 	if !j.scored {
-		p.scoreAll(j)
+		p.scoreMachines(j)
 	}
 	zoneMatters := j.OneZone || j.SpreadZones
 	h := (*candidateHeap)(&j.candidates)
--- a/internal/placement/order.go
+++ b/internal/placement/order.go
@@ -7,23 +7,23 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// urgencyStep is the urgency in the steps that divide queues.
-func (j *PendingJob) urgencyStep() float64 { return math.Floor(j.Urgency / tuning.UrgencyStepS) }
+// urgencyBucket returns the urgency in whole units of tuning.UrgencyStepS.
+func (j *PendingJob) urgencyBucket() float64 { return math.Floor(j.Urgency / tuning.UrgencyStepS) }
 
-// compareQueues orders the queues of jobs: aged ones, then by priority, those
-// within their team's guarantee before borrowers, then by urgency. Among the
-// jobs of one queue, for which it is 0, the speedup decides.
-func compareQueues(a, b *PendingJob) int {
+// comparePrecedence orders jobs: aged jobs first, by their waits, then by priority,
+// then jobs within their team's guarantee, then by urgency. Jobs that compare as
+// equal form a group, within which the speedup decides.
+func comparePrecedence(a, b *PendingJob) int {
 	return cmp.Or(
 		cmp.Compare(b.AgedS, a.AgedS),
 		cmp.Compare(a.PriorityRank, b.PriorityRank),
-		boolRank(b.WithinGuarantee)-boolRank(a.WithinGuarantee),
-		cmp.Compare(a.urgencyStep(), b.urgencyStep()),
+		boolToInt(b.WithinGuarantee)-boolToInt(a.WithinGuarantee),
+		cmp.Compare(a.urgencyBucket(), b.urgencyBucket()),
 	)
 }
 
-// boolRank orders false before true.
-func boolRank(b bool) int {
+// boolToInt returns 1 for true and 0 for false.
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -9,55 +9,58 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// PassStats counts what a pass has done, so that its cost can be bounded.
+// PassStats counts the work of a pass.
 type PassStats struct {
-	// ScoredPairs is the number of pairs of job and machine that were scored.
+	// ScoredPairs is the number of scored pairs of job and machine. Other checks
+	// of similar cost count as well.
 	ScoredPairs int
-	// Truncated: the bounds were reached before the work was done.
+	// Truncated: the pass reached its limits before it had tried all jobs.
 	Truncated bool
 }
 
-// pass is one placement pass.
+// pass is the state of one placement pass.
 type pass struct {
 	now      float64
 	machines []*Machine
-	// openMachines are those on which the smallest request may fit, in the order
-	// of machines; those that fill up are removed as they are met.
-	openMachines    []*Machine
-	smallestRequest Resources
-	// machinesByImage lists the machines with an image, or with a fetch of it in
-	// progress when the pass began, by the images asked for so far.
+	// availableMachines are those on which the smallest request may fit, in the
+	// order of machines. Machines that have become full are removed when
+	// eachAvailableMachine reaches them.
+	availableMachines []*Machine
+	smallestRequest   Resources
+	// machinesByImage caches the results of machinesWithImage. Fetches that begin
+	// later in the pass are not included.
 	machinesByImage map[string][]*Machine
 	teams           map[string]*Team
 	maxStarts       int
 	starts          []Assignment
 	queuedTasks     int
-	// blockedRank is the priority for whose jobs no machine has free capacity, or noRank.
+	// blockedRank is the priority whose remaining jobs fit on no machine now, or noRank.
 	blockedRank int
 	stats       PassStats
-	// startOnly: nothing is queued or reserved.
+	// startOnly: tasks are only started; none is queued and no resources are reserved.
 	startOnly bool
 }
 
-// Run places ready tasks of the highest priority first, queues them behind
-// busy machines where they finish earlier, and goes on with lower priorities
-// on what is left. now is the time on the clock of the machines. It ends after
-// maxStarts starts, or after a bounded number of scores.
+// Run places the ready tasks in the order of comparePrecedence: aged jobs, then
+// the highest priority. It queues a task on a busy machine if the task would
+// finish earlier there than on an idle one; lower priorities get the remaining
+// resources. now is the time on the clock that the times of the machines refer
+// to. The pass ends after maxStarts starts or a bounded number of scores.
 func Run(now float64, ready []*PendingJob, machines []*Machine, teams map[string]*Team, maxStarts int) ([]Assignment, PassStats) {
 	p := &pass{
 		now: now, machines: machines, teams: teams, maxStarts: maxStarts,
 		blockedRank: noRank, machinesByImage: map[string][]*Machine{},
 	}
-	jobs := p.appendQueued(make([]*PendingJob, 0, len(ready)), ready)
-	p.openAll()
+	jobs := p.sortedJobs(make([]*PendingJob, 0, len(ready)), ready)
+	p.initMachines()
 	p.startAgedJobs(jobs)
 	for from := 0; from < len(jobs) && !p.stats.Truncated; {
 		to := from + 1
-		for to < len(jobs) && compareQueues(jobs[to], jobs[from]) == 0 {
+		for to < len(jobs) && comparePrecedence(jobs[to], jobs[from]) == 0 {
 			to++
 		}
 		blocked := jobs[from].PriorityRank == p.blockedRank && jobs[from].AgedS == 0
-		if !blocked && !p.placeQueue(jobs[from:to], jobs[to:]) {
+		if !blocked && !p.placeGroup(jobs[from:to], jobs[to:]) {
 			p.stats.Truncated = true
 		}
 		from = to
@@ -65,9 +68,9 @@
 	return p.starts, p.stats
 }
 
-// appendQueued appends the jobs with ready tasks to an empty slice, in the order
-// of their queues, and sets the smallest request.
-func (p *pass) appendQueued(jobs, ready []*PendingJob) []*PendingJob {
+// sortedJobs returns the jobs with ready tasks, sorted by precedence, in the given
+// empty slice. It also sets the smallest request.
+func (p *pass) sortedJobs(jobs, ready []*PendingJob) []*PendingJob {
 	for _, j := range ready {
 		if j.ReadyTasks <= 0 {
 			continue
@@ -79,28 +82,29 @@
 		jobs = append(jobs, j)
 	}
 	slices.SortStableFunc(jobs, func(a, b *PendingJob) int {
-		return cmp.Or(compareQueues(a, b), strings.Compare(a.Job, b.Job))
+		return cmp.Or(comparePrecedence(a, b), strings.Compare(a.Job, b.Job))
 	})
 	return jobs
 }
 
-// openAll resets the machines' queues and collects those on which something may fit.
-func (p *pass) openAll() {
+// initMachines sets each machine's queued rank to its reservation, and collects
+// the machines on which the smallest request fits.
+func (p *pass) initMachines() {
 	for _, m := range p.machines {
 		m.queuedRank = noRank
 		if m.HasReservation {
 			m.queuedRank = m.ReservedRank
 		}
 		if m.Free.Fits(p.smallestRequest) {
-			p.openMachines = append(p.openMachines, m)
+			p.availableMachines = append(p.availableMachines, m)
 		}
 	}
 }
 
-// startAgedJobs lets every aged job start what it can now, before capacity is
-// reserved for those that can't start: the first of them, if nothing comes free
-// for it, would otherwise block the others for as long. Only a few tasks of an
-// aged job are ready in a pass, so the first ones still get their reservation
+// startAgedJobs starts the tasks of aged jobs that fit now, before resources are
+// reserved for those that don't. Otherwise the first aged job would block the
+// others for as long as no machine has room for it. Only a few tasks of an aged
+// job are ready in a pass, so the first aged jobs still get their reservations
 // before all jobs that have not aged.
 func (p *pass) startAgedJobs(jobs []*PendingJob) {
 	aged := 0
@@ -112,20 +116,21 @@
 	}
 	p.startOnly = true
 	for i := range aged {
-		if jobs[i].ReadyTasks > 0 && !p.placeQueue(jobs[i:i+1], jobs[i+1:]) {
+		if jobs[i].ReadyTasks > 0 && !p.placeGroup(jobs[i:i+1], jobs[i+1:]) {
 			p.stats.Truncated = true
 			break
 		}
 	}
 	p.startOnly = false
 	for _, j := range jobs[:aged] {
-		j.closed, j.scored = false, false
+		j.unplaceable, j.scored = false, false
 	}
 }
 
-// placeQueue places the tasks of jobs among which the speedup decides; later
-// are the jobs of the queues behind. It is false if the pass has to end.
-func (p *pass) placeQueue(jobs, later []*PendingJob) bool {
+// placeGroup places the tasks of a group of jobs in the order of their speedup.
+// later are the jobs of the following groups. It returns false if the pass has to
+// end.
+func (p *pass) placeGroup(jobs, later []*PendingJob) bool {
 	for {
 		if len(p.starts) >= p.maxStarts || p.stats.ScoredPairs > 2*tuning.PassMaxScoredPairs {
 			return false
@@ -135,12 +140,13 @@
 			return !p.stats.Truncated
 		}
 		if best.wait > 0 {
-			// The paper waits for an idle machine before it queues anything, so
-			// as not to become a static schedule.
+			// As in the paper, a task is queued only while some machine can start a
+			// task of the same priority. Otherwise the pass would compute a static
+			// schedule. Aged jobs are exempt.
 			if p.queuedTasks >= tuning.PassMaxQueuedTasks {
 				return true
 			}
-			if next.AgedS == 0 && !p.fitsAny(jobs, later) {
+			if next.AgedS == 0 && !p.anyJobFitsNow(jobs, later) {
 				p.blockedRank = next.PriorityRank
 				return true
 			}
@@ -150,25 +156,26 @@
 }
 
 // bestPair returns the pair of job and machine with the largest speedup, nil if
-// there is none. Jobs that can't be placed are closed.
+// there is none. It marks jobs that can't be placed as unplaceable.
 func (p *pass) bestPair(jobs []*PendingJob) (next *PendingJob, best *candidate) {
 	for _, j := range jobs {
-		if j.closed || j.ReadyTasks == 0 {
+		if j.unplaceable || j.ReadyTasks == 0 {
 			continue
 		}
 		if !p.fitsTeamLimit(j) {
-			j.closed = true
+			j.unplaceable = true
 			continue
 		}
 		if !j.scored && p.stats.ScoredPairs > tuning.PassMaxScoredPairs {
-			// The jobs scored so far get their places first: a pass that only
-			// scored would start nothing, and the next one would do the same.
+			// The jobs scored so far are placed first. A pass that spent all its
+			// scores before it started a task would start none, and so would
+			// every following pass.
 			p.stats.Truncated = true
 			continue
 		}
 		c := p.bestMachine(j)
 		if c == nil {
-			j.closed = true
+			j.unplaceable = true
 			continue
 		}
 		if next == nil || c.score > best.score {
@@ -178,9 +185,10 @@
 	return next, best
 }
 
-// fitsTeamLimit reports whether a task of the job fits into its team's limit.
-// If not, an aged job reserves what it needs of the limit, or its team's smaller
-// tasks would take every bit of it that comes free.
+// fitsTeamLimit reports whether a task of the job fits into its team's limit. If
+// the task of an aged job doesn't, it counts against the limit nevertheless, which
+// reserves that part of the limit. Otherwise smaller tasks of the team would use
+// every part of the limit that becomes free.
 func (p *pass) fitsTeamLimit(j *PendingJob) bool {
 	team := p.teams[j.Team]
 	if team == nil {
@@ -196,33 +204,33 @@
 	return false
 }
 
-// assign gives one task of the job to the machine: to start now, or to its
-// queue, which exists for the pass only. jobs are those of the same queue.
+// assign assigns one task of the job to the machine, to start now or to be queued
+// there; the queue exists during the pass only. jobs is the job's group.
 func (p *pass) assign(j *PendingJob, c candidate, jobs []*PendingJob) {
 	m := c.machine
-	_, known := m.Images[j.Image]
+	_, listed := m.Images[j.Image]
 	fetch := m.fetchDelay(p.now, j.Image, j.ImageGB)
 	j.ReadyTasks--
 	m.Modified = true
 	m.version++
-	fetches := !known && c.wait == 0
+	startsFetch := !listed && c.wait == 0
 	if c.wait == 0 {
-		p.start(j, m)
+		p.recordStart(j, m)
 	} else {
-		p.queue(j, m)
+		p.recordQueued(j, m)
 	}
-	if fetches {
+	if startsFetch {
 		m.addImage(j.Image, p.now+fetch)
 	}
 	m.Free = m.Free.Add(j.Request, -1)
 	m.addPlacedTask(PlacedTask{Request: j.Request, EndS: p.now + c.wait + fetch + j.EstimateS})
-	if fetches {
+	if startsFetch {
 		p.addCandidate(j, m, jobs)
 	}
 }
 
-// start records the start of a task.
-func (p *pass) start(j *PendingJob, m *Machine) {
+// recordStart records the start of a task.
+func (p *pass) recordStart(j *PendingJob, m *Machine) {
 	p.starts = append(p.starts, Assignment{Job: j.Job, Machine: m.ID})
 	if j.TasksInZone == nil {
 		j.TasksInZone = map[string]int{}
@@ -232,20 +240,20 @@
 	team.Used = team.Used.Add(j.Request, 1)
 }
 
-// queue records that a task waits for the machine.
-func (p *pass) queue(j *PendingJob, m *Machine) {
+// recordQueued records that a task waits for the machine.
+func (p *pass) recordQueued(j *PendingJob, m *Machine) {
 	p.queuedTasks++
 	if m.queuedRank == noRank || j.PriorityRank < m.queuedRank {
 		m.queuedRank = j.PriorityRank
 	}
 }
 
-// addCandidate scores a machine again for the other jobs that need the image
-// whose fetch has begun there: it has become better for them. All other changes
-// make machines worse, which bestMachine finds out.
+// addCandidate scores the machine, which has begun to fetch an image, again for
+// the other jobs that need the image, as their scores there have increased. All
+// other changes decrease scores, which bestMachine detects.
 func (p *pass) addCandidate(started *PendingJob, m *Machine, jobs []*PendingJob) {
 	for _, other := range jobs {
-		if other == started || !other.scored || other.closed || other.Image != started.Image {
+		if other == started || !other.scored || other.unplaceable || other.Image != started.Image {
 			continue
 		}
 		if c, ok := p.score(other, m); ok {
@@ -254,36 +262,36 @@
 	}
 }
 
-// fitsAnyFraction is the number of open machines whose check by fitsAny costs
-// about as much as a score.
-const fitsAnyFraction = 8
+// fitChecksPerScore is the number of machines that anyJobFitsNow checks at about the
+// cost of one score.
+const fitChecksPerScore = 8
 
-// fitsAny reports whether some machine could start a task now, of the jobs or
-// of the later ones of the same priority.
-func (p *pass) fitsAny(jobs, later []*PendingJob) bool {
+// anyJobFitsNow reports whether any machine could start a task now of the jobs in
+// the group or the later jobs of the same priority.
+func (p *pass) anyJobFitsNow(jobs, later []*PendingJob) bool {
 	rank := jobs[0].PriorityRank
 	for _, list := range [][]*PendingJob{jobs, later} {
 		for _, j := range list {
 			if j.PriorityRank != rank {
 				return false
 			}
-			if j.ReadyTasks == 0 || j.closed {
+			if j.ReadyTasks == 0 || j.unplaceable {
 				continue
 			}
 			if p.fitsNow(j) {
 				return true
 			}
-			p.stats.ScoredPairs += len(p.openMachines) / fitsAnyFraction
+			p.stats.ScoredPairs += len(p.availableMachines) / fitChecksPerScore
 		}
 	}
 	return false
 }
 
-// fitsNow reports whether some machine could start a task of the job now.
+// fitsNow reports whether any machine could start a task of the job now.
 func (p *pass) fitsNow(j *PendingJob) bool {
 	found := false
-	p.eachOpenMachine(func(m *Machine) bool {
-		found = m.Free.Fits(j.Request) && j.CanRunOn(m) && !m.AvoidedJobs[j.Job] && !m.isReservedFrom(j)
+	p.eachAvailableMachine(func(m *Machine) bool {
+		found = m.Free.Fits(j.Request) && j.CanRunOn(m) && !m.AvoidedJobs[j.Job] && !m.isReservedAbove(j)
 		return !found
 	})
 	return found
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -6,8 +6,8 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// FetchTime is T(f) of the paper: an image's size over the fetch bandwidth, or
-// zero if the bandwidth is not known.
+// FetchTime returns T(f) of the paper, an image's size divided by the fetch
+// bandwidth, or zero if the bandwidth is unknown.
 func FetchTime(gb, gbPerS float64) float64 {
 	if gbPerS <= 0 {
 		return 0
@@ -15,29 +15,30 @@
 	return gb / gbPerS
 }
 
-// fetchDelay is the time until the machine has the image: T(f) counted only for
-// what the cache lacks; other fetches in progress share the bandwidth.
+// fetchDelay returns the time until the machine has the image: zero if it is cached,
+// the rest of its fetch if that is in progress, or else T(f) plus the time of the
+// other fetches in progress, which share the bandwidth.
 func (m *Machine) fetchDelay(now float64, image string, gb float64) float64 {
-	if at, ok := m.Images[image]; ok {
-		return max(0, at-now)
+	if readyAt, ok := m.Images[image]; ok {
+		return max(0, readyAt-now)
 	}
 	if m.FetchGBPerS <= 0 {
 		return 0
 	}
-	// Whole milliseconds, so that the order of the sum doesn't matter.
+	// Whole milliseconds make the sum independent of the iteration order.
 	var othersMS float64
-	for _, at := range m.Images {
-		if at > now {
-			othersMS += math.Round((at - now) * 1000)
+	for _, readyAt := range m.Images {
+		if readyAt > now {
+			othersMS += math.Round((readyAt - now) * 1000)
 		}
 	}
 	return FetchTime(gb, m.FetchGBPerS) + othersMS/1000
 }
 
-// waitFor is the time until the request fits, given what runs and is queued on
-// the machine; zero only if it fits now. A task beyond its estimate has no time
-// left by MinRemainingS alone, but it is still there: counting its resources as
-// free made machines refuse starts.
+// waitFor returns the time until the request fits, given the tasks that run or are
+// queued on the machine. It is zero only if the request fits now: a task that has
+// exceeded its estimate counts as running for another MinRemainingS, as starting
+// another task in its resources would make the machine refuse the start.
 func (m *Machine) waitFor(now float64, request Resources) float64 {
 	if m.Free.Fits(request) {
 		return 0
@@ -52,23 +53,24 @@
 	return math.Inf(1)
 }
 
-// isReservedFrom reports whether the machine is reserved, or has a queue, for a
-// priority above the job's.
-func (m *Machine) isReservedFrom(j *PendingJob) bool {
+// isReservedAbove reports whether the machine has a reservation or a queued task of
+// a higher priority than the job's.
+func (m *Machine) isReservedAbove(j *PendingJob) bool {
 	return m.queuedRank != noRank && m.queuedRank < j.PriorityRank
 }
 
-// isEligible reports whether the machine may take a task of the job.
+// isEligible reports whether a task of the job may be assigned to the machine.
 func (m *Machine) isEligible(j *PendingJob) bool {
-	if m.isReservedFrom(j) && j.AgedS == 0 {
+	if m.isReservedAbove(j) && j.AgedS == 0 {
 		return false
 	}
 	return len(m.PlacedTasks) < tuning.MaxTasksPerMachine && !m.AvoidedJobs[j.Job] && j.CanRunOn(m)
 }
 
-// score is S(t, vm) = Rs(t) - Rvm(t, vm) in microseconds, and the wait for
-// capacity in it; false if the machine can't take the task. R(t) cancels out:
-// what is left is the fetch on an empty machine less the fetch and the wait here.
+// score returns the machine as a candidate for the job, or false if the machine
+// can't run its tasks. The score is S(t, vm) = Rs(t) - Rvm(t, vm) of the paper, in
+// microseconds. R(t) cancels out, which leaves the fetch time on an empty machine
+// minus the wait and the fetch delay on this one.
 func (p *pass) score(j *PendingJob, m *Machine) (candidate, bool) {
 	p.stats.ScoredPairs++
 	if !m.isEligible(j) {
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -5,17 +5,17 @@
 	"sort"
 )
 
-// PlacedTask is a task that runs on, is being started on or is queued for a machine.
+// PlacedTask is a task that runs on a machine, is being started there or is queued.
 type PlacedTask struct {
 	Request Resources
-	// EndS is when the task is estimated to end, the image fetch included: in
-	// seconds on the clock of the pass.
+	// EndS is the estimated end of the task, including the image fetch, in seconds on
+	// the clock of the pass.
 	EndS float64
 }
 
-// Machine is a schedulable machine as the pass sees it. Its times are points
-// on the clock of the pass, so that a machine on which nothing has changed can
-// be handed to the next pass as it is.
+// Machine is the snapshot of a schedulable machine. Its times are points in time
+// on the clock of the pass, not durations, so that the next pass can reuse the
+// snapshot if nothing has changed on the machine.
 type Machine struct {
 	ID          string
 	Type        string
@@ -24,60 +24,62 @@
 	Capacity    Resources
 	Free        Resources
 	FetchGBPerS float64
-	// Price orders machines with the same speedup: work gathers on the cheap
-	// ones, so that expensive ones become idle and can be released.
+	// Price orders machines with the same speedup: cheaper ones are preferred, so
+	// that expensive ones become idle and can be released.
 	Price float64
-	// PlacedTasks are in the order of their ends.
+	// PlacedTasks are sorted by EndS.
 	PlacedTasks []PlacedTask
-	// Images holds when each image's fetch ends; zero if it is cached.
+	// Images maps each image to the time at which its fetch ends, or to zero if it is
+	// cached.
 	Images map[string]float64
-	// AvoidedJobs names jobs whose tasks failed here.
+	// AvoidedJobs holds the IDs of jobs whose tasks failed on the machine.
 	AvoidedJobs map[string]bool
 	// HasReservation reserves the machine for jobs of ReservedRank or a higher priority.
 	HasReservation bool
 	ReservedRank   int
-	// Modified is set by a pass that has changed the machine's state: it has
-	// to be built anew before the next pass.
+	// Modified is set by a pass that has changed the snapshot, which then has to be
+	// rebuilt before the next pass.
 	Modified bool
 
 	// queuedRank is the highest priority with a queued task or a reservation, or noRank.
 	queuedRank int
-	// version is raised by every change within a pass.
+	// version is incremented by every change within a pass.
 	version int
 }
 
-// noRank stands for no priority where a rank is expected; ranks begin at 0.
+// noRank means that there is no priority; valid ranks begin at 0.
 const noRank = -1
 
-// addPlacedTask inserts a task in the order of the ends.
+// addPlacedTask inserts a task into PlacedTasks, which stays sorted.
 func (m *Machine) addPlacedTask(task PlacedTask) {
 	i := sort.Search(len(m.PlacedTasks), func(i int) bool { return m.PlacedTasks[i].EndS > task.EndS })
 	m.PlacedTasks = slices.Insert(m.PlacedTasks, i, task)
 }
 
 // addImage records an image whose fetch ends at the given time.
-func (m *Machine) addImage(image string, at float64) {
+func (m *Machine) addImage(image string, readyAt float64) {
 	if m.Images == nil {
 		m.Images = map[string]float64{}
 	}
-	m.Images[image] = at
+	m.Images[image] = readyAt
 }
 
-// PendingJob is a job with ready tasks, which are alike.
+// PendingJob is a job with ready tasks, all with the same request.
 type PendingJob struct {
 	Job  string
 	Team string
 	// PriorityRank is the job's priority, 0 being the highest.
 	PriorityRank int
-	// WithinGuarantee: the job fits into its team's guaranteed quota.
+	// WithinGuarantee: the job's tasks fit into its team's guaranteed quota.
 	WithinGuarantee bool
-	// AgedS is for how many seconds the job has waited without a start, or zero
-	// if that is not long. Aged jobs go before all others, whatever their priority,
-	// and among themselves in the order of their waits: an order by priority would
-	// starve the lowest again once many have aged.
+	// AgedS is the time in seconds that an aged job has waited since its last start,
+	// zero if the job doesn't count as aged. Aged jobs precede all others, whatever
+	// their priority, and the one that has waited longest comes first: ordered by
+	// priority, the lowest would starve again once many jobs have aged.
 	AgedS float64
-	// Urgency orders jobs of one priority, lower first, in steps within which
-	// the speedup decides: the seconds that may pass before the job is late.
+	// Urgency is the time in seconds that may pass before the job is late. It orders
+	// jobs of one priority, lower values first, in steps of tuning.UrgencyStepS;
+	// within a step, the speedup decides.
 	Urgency    float64
 	ReadyTasks int
 	Request    Resources
@@ -95,18 +97,19 @@
 	Spot        bool
 	// TotalTasks is the number of tasks of the job, for SpreadZones.
 	TotalTasks int
-	// TasksInZone counts the job's tasks that may be on machines, by zone.
+	// TasksInZone counts the job's tasks that may be running, by zone.
 	TasksInZone map[string]int
 
 	// candidates is a heap, the best machine first; it is valid once scored is set.
 	candidates []candidate
 	scored     bool
-	// closed: the job gets no further place in this queue.
-	closed bool
+	// unplaceable: no further task of the job can be placed with its group.
+	unplaceable bool
 }
 
-// CanRunOn reports whether a machine may run tasks of the job at all, whatever
-// is free there: type, zone, spot, affinities and capacity.
+// CanRunOn reports whether the machine's type, zone, spot status and total capacity
+// allow tasks of the job, and whether the job's zone constraints do. It ignores
+// what is free on the machine.
 func (j *PendingJob) CanRunOn(m *Machine) bool {
 	if m.Spot && !j.Spot || j.Zone != "" && j.Zone != m.Zone {
 		return false
@@ -123,7 +126,7 @@
 	return m.Capacity.Fits(j.Request)
 }
 
-// hasTasksOutside reports whether tasks of the job may be in other zones.
+// hasTasksOutside reports whether tasks of the job may be running in other zones.
 func (j *PendingJob) hasTasksOutside(zone string) bool {
 	for other, tasks := range j.TasksInZone {
 		if tasks > 0 && other != zone {
@@ -133,12 +136,12 @@
 	return false
 }
 
-// Team is a team's use of its quota.
+// Team is the resource usage and limit of a team.
 type Team struct {
 	Used, Limit Resources
 }
 
-// Assignment is a decision: one task of the job starts on the machine now.
+// Assignment is the decision to start one task of the job on the machine now.
 type Assignment struct {
 	Job     string
 	Machine string
