--- a/internal/machines/attempt_test.go
+++ b/internal/machines/attempt_test.go
@@ -24,7 +24,7 @@
 	return j
 }
 
-func TestLegalTransitionsOfAttempts(t *testing.T) {
+func TestAttemptTransitions(t *testing.T) {
 	all := []machines.AttemptState{
 		machines.PossiblyStarted, machines.RecordPending, machines.StartSent,
 		machines.Fetching, machines.Running, machines.Saving,
@@ -40,24 +40,24 @@
 	}
 }
 
-func TestStartIsNotSentTwiceToTheRecord(t *testing.T) {
+func TestStartIsSentOnlyAfterItsRecord(t *testing.T) {
 	a := machines.NewPendingAttempt(newMachine(), newActiveJob(0), 0, start, 1, false)
 	if a.NeedsStart() {
-		t.Error("sent before the record is durable")
+		t.Error("start needed before the record is durable")
 	}
 	a.MarkRecorded()
 	if !a.NeedsStart() {
-		t.Error("not sent though the record is durable")
+		t.Error("start not needed although the record is durable")
 	}
 	defer func() {
 		if recover() == nil {
-			t.Error("recorded twice")
+			t.Error("no panic when marked as recorded twice")
 		}
 	}()
 	a.MarkRecorded()
 }
 
-func TestReportedStateIsTakenOver(t *testing.T) {
+func TestApplyReport(t *testing.T) {
 	m := newMachine()
 	a := machines.NewPendingAttempt(m, newActiveJob(0), 0, start, 1, false)
 	a.MarkRecorded()
@@ -74,15 +74,15 @@
 	for i, s := range steps {
 		now := start.Add(time.Duration(i) * time.Second)
 		if began := a.ApplyReport(now, machines.ReportedState(s.reported)); began != s.began || a.State() != s.state {
-			t.Errorf("%s: %v, began: %v", s.reported, a.State(), began)
+			t.Errorf("%s: state %v, began: %v", s.reported, a.State(), began)
 		}
 	}
 	if got := a.RunTime(start.Add(11 * time.Second)); got != 10*time.Second {
-		t.Errorf("has run for %v", got)
+		t.Errorf("run time %v", got)
 	}
 }
 
-func TestStopsAreSentAsLongAsTheyMatter(t *testing.T) {
+func TestNeedsStop(t *testing.T) {
 	for name, c := range map[string]struct {
 		checkpointIntervalS float64
 		stop                func(*machines.Attempt)
@@ -90,20 +90,20 @@
 		graceS              float64
 		needed              bool
 	}{
-		"not stopped":                     {stop: func(*machines.Attempt) {}, reported: machines.Running},
-		"now":                             {checkpointIntervalS: 30, stop: (*machines.Attempt).StopNow, reported: machines.Running, needed: true},
-		"saving":                          {checkpointIntervalS: 30, stop: (*machines.Attempt).StopGracefully, reported: machines.Running, graceS: 7, needed: true},
-		"saving already":                  {checkpointIntervalS: 30, stop: (*machines.Attempt).StopGracefully, reported: machines.Saving, graceS: 7},
-		"saving, no checkpoints":          {stop: (*machines.Attempt).StopGracefully, reported: machines.Running, needed: true},
-		"evicted":                         {checkpointIntervalS: 30, stop: (*machines.Attempt).Evict, reported: machines.Running, graceS: 7, needed: true},
-		"taken back":                      {stop: func(a *machines.Attempt) { a.StopNow(); a.RevertStop() }, reported: machines.Running},
-		"now, while an earlier one saves": {checkpointIntervalS: 30, stop: (*machines.Attempt).StopNow, reported: machines.Saving, needed: true},
+		"not stopped":            {stop: func(*machines.Attempt) {}, reported: machines.Running},
+		"now":                    {checkpointIntervalS: 30, stop: (*machines.Attempt).StopNow, reported: machines.Running, needed: true},
+		"saving":                 {checkpointIntervalS: 30, stop: (*machines.Attempt).StopGracefully, reported: machines.Running, graceS: 7, needed: true},
+		"saving already":         {checkpointIntervalS: 30, stop: (*machines.Attempt).StopGracefully, reported: machines.Saving, graceS: 7},
+		"saving, no checkpoints": {stop: (*machines.Attempt).StopGracefully, reported: machines.Running, needed: true},
+		"evicted":                {checkpointIntervalS: 30, stop: (*machines.Attempt).Evict, reported: machines.Running, graceS: 7, needed: true},
+		"reverted":               {stop: func(a *machines.Attempt) { a.StopNow(); a.RevertStop() }, reported: machines.Running},
+		"now, while saving":      {checkpointIntervalS: 30, stop: (*machines.Attempt).StopNow, reported: machines.Saving, needed: true},
 	} {
 		a := machines.NewAttempt(newMachine(), newActiveJob(c.checkpointIntervalS), 0, start)
 		a.ApplyReport(start, c.reported)
 		c.stop(a)
 		if a.NeedsStop() != c.needed || a.GracePeriodS() != c.graceS || a.ShouldRun() == a.IsStopping() {
-			t.Errorf("%s: needed: %v, %v s", name, a.NeedsStop(), a.GracePeriodS())
+			t.Errorf("%s: needed: %v, grace period %v s", name, a.NeedsStop(), a.GracePeriodS())
 		}
 		if first, second := a.ClaimDirectStop(), a.ClaimDirectStop(); first != a.IsStopping() || second {
 			t.Errorf("%s: direct stops: %v, %v", name, first, second)
@@ -111,19 +111,19 @@
 	}
 }
 
-func TestProgressOfAnEndedAttempt(t *testing.T) {
+func TestProgressOfEndedAttempt(t *testing.T) {
 	end := start.Add(25 * time.Second)
 	for name, c := range map[string]struct {
 		intervalS   float64
 		saved       bool
 		lost, saves float64
 	}{
-		"no checkpoints":     {lost: 25},
-		"since the last":     {intervalS: 10, lost: 5, saves: 20},
-		"saved when stopped": {intervalS: 10, saved: true, saves: 25},
+		"no checkpoints":       {lost: 25},
+		"periodic checkpoints": {intervalS: 10, lost: 5, saves: 20},
+		"saved when stopped":   {intervalS: 10, saved: true, saves: 25},
 	} {
 		a := machines.NewAttempt(newMachine(), newActiveJob(c.intervalS), 0, start)
-		a.RecordProgress(end) // never ran
+		a.RecordProgress(end) // has not run yet
 		a.ApplyReport(start, machines.Running)
 		a.MarkExited(c.saved, false)
 		a.RecordProgress(end)
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestMachinesAreSortedByID(t *testing.T) {
+func TestRegistry(t *testing.T) {
 	r := machines.NewRegistry()
 	for _, id := range []string{"m2", "m3", "m1"} {
 		r.Add(machines.New(start, id, "std-8", "a", "", false))
@@ -146,11 +146,11 @@
 		return list
 	}
 	if got := names(); !slices.Equal(got, []string{"m1", "m2", "m3"}) {
-		t.Errorf("%v", got)
+		t.Errorf("machines %v", got)
 	}
 	r.Remove(r.Get("m2"))
 	r.MarkReleased("m2")
 	if got := names(); !slices.Equal(got, []string{"m1", "m3"}) || r.Len() != 2 || r.Get("m2") != nil || !r.WasReleased("m2") || r.WasReleased("m1") {
-		t.Errorf("after a release: %v", got)
+		t.Errorf("after a release: machines %v", got)
 	}
 }
--- a/internal/machines/catalogue_test.go
+++ b/internal/machines/catalogue_test.go
@@ -10,11 +10,12 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// TestCatalogueKeepsTypesThatAreNoLongerOffered: there may still be machines of them.
-func TestCatalogueKeepsTypesThatAreNoLongerOffered(t *testing.T) {
+// TestCatalogueKeepsTypesNoLongerOffered: types that the cloud no longer offers are
+// needed for the machines of these types that still exist.
+func TestCatalogueKeepsTypesNoLongerOffered(t *testing.T) {
 	c := machines.NewCatalogue()
 	if c.HasTypes() {
-		t.Error("known without any type")
+		t.Error("new catalogue has types")
 	}
 	c.Update([]wire.MachineType{{Name: "std-8", CPUs: 8, Price: 1, SpotPrice: 0.4, Zones: []string{"a", "b"}}})
 	c.Update([]wire.MachineType{{Name: "big-32", CPUs: 32, Price: 3, Zones: []string{"b"}}})
@@ -22,11 +23,11 @@
 		t.Errorf("types %v", c.Names())
 	}
 	if len(c.OfferedTypes()) != 1 || !slices.Equal(c.Zones(), []string{"b"}) {
-		t.Errorf("offers %v in zones %v", c.OfferedTypes(), c.Zones())
+		t.Errorf("offered types %v in zones %v", c.OfferedTypes(), c.Zones())
 	}
-	places := c.Offerings(func(string, string) bool { return true })
-	if len(places) != 1 || places[0].Type != "big-32" || places[0].Capacity.CPUs != 32 {
-		t.Errorf("places %v", places)
+	offerings := c.Offerings(func(string, string) bool { return true })
+	if len(offerings) != 1 || offerings[0].Type != "big-32" || offerings[0].Capacity.CPUs != 32 {
+		t.Errorf("offerings %v", offerings)
 	}
 	spot := machines.New(time.Time{}, "m1", "std-8", "a", "", true)
 	onDemand := machines.New(time.Time{}, "m2", "std-8", "a", "", false)
@@ -35,12 +36,13 @@
 	}
 }
 
-// TestStoredCatalogueIsWrittenOnlyWhenItChanges: the cloud is asked again and again.
-func TestStoredCatalogueIsWrittenOnlyWhenItChanges(t *testing.T) {
+// TestSetStoredReportsChanges: unchanged types must not be written to the key-value store
+// after each of the repeated requests to the cloud.
+func TestSetStoredReportsChanges(t *testing.T) {
 	c := machines.NewCatalogue()
 	for i, want := range []bool{true, false} {
 		if got := c.SetStored(json.RawMessage(`[]`)); got != want {
-			t.Errorf("answer %d: changed is %v", i, got)
+			t.Errorf("response %d: changed: %v", i, got)
 		}
 	}
 }
--- a/internal/machines/delivery_test.go
+++ b/internal/machines/delivery_test.go
@@ -9,7 +9,7 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// newRecordedAttempt returns an attempt on the machine whose start may be sent.
+// newRecordedAttempt adds an attempt whose start may be sent to the machine.
 func newRecordedAttempt(m *machines.Machine) *machines.Attempt {
 	a := machines.NewPendingAttempt(m, newActiveJob(30), 1, start, 7, false)
 	m.AddAttempt(a)
@@ -17,7 +17,7 @@
 	return a
 }
 
-func TestStartSentDirectlyMayComeLateWithinTheSession(t *testing.T) {
+func TestDirectStartMayArriveLateWithinSession(t *testing.T) {
 	m := newReportingMachine(start)
 	a := newRecordedAttempt(m)
 	if c := a.StartCommand(); c.Op != wire.OpStart || c.Task != "job-1/1" || c.Attempt != 7 {
@@ -25,36 +25,36 @@
 	}
 	a.MarkSentDirectly()
 	if !a.WasSentDirectly() || !a.MayStartLate() || !a.NeedsStart() {
-		t.Error("a start sent by a direct call is taken for delivered")
+		t.Error("a start sent by a direct call counts as delivered")
 	}
 	m.AdvanceSession(m.Epoch(), m.Sequence()+1)
 	if !a.MayStartLate() {
-		t.Error("the start can't come late in the same session")
+		t.Error("the start can't arrive late in the same session")
 	}
 	m.AdvanceSession(m.Epoch()+1, 1)
 	if a.MayStartLate() || a.WasSentDirectly() || !a.NeedsStart() {
-		t.Error("the start comes late in a new session, or is not needed any more")
+		t.Error("the start may arrive late in a new session, or is no longer needed")
 	}
 }
 
-func TestStartSentInAResponseIsObservedOrIgnored(t *testing.T) {
+func TestStartSentInResponse(t *testing.T) {
 	m := newReportingMachine(start)
 	a := newRecordedAttempt(m)
 	a.MarkSentInResponse(3)
 	if !a.WasSentInResponse() || a.MayStartLate() {
-		t.Error("not sent in a response")
+		t.Error("start doesn't count as sent in a response only")
 	}
 	a.MarkResponseIgnored()
 	if a.WasSentInResponse() || !a.NeedsStart() {
-		t.Error("not to be sent again")
+		t.Error("start isn't sent again after an ignored response")
 	}
 	a.MarkListed(5, 8)
 	if !a.IsListed(5) || a.IsListed(6) || a.Number() != 8 {
-		t.Errorf("listed as %d", a.Number())
+		t.Errorf("listed with number %d", a.Number())
 	}
 	a.ApplyReport(start, machines.Fetching)
 	if a.NeedsStart() {
-		t.Error("to be sent although the machine lists the attempt")
+		t.Error("start needed although the machine has reported the attempt")
 	}
 	a.StopGracefully()
 	if c := a.StopCommand(); c.Op != wire.OpStop || c.Attempt != 8 || c.GracePeriodS == nil || *c.GracePeriodS != 7 {
@@ -62,38 +62,38 @@
 	}
 }
 
-func TestPlannedEvictionCanBeTakenBack(t *testing.T) {
+func TestRevertEviction(t *testing.T) {
 	a := newRecordedAttempt(newReportingMachine(start))
 	a.PlanEviction()
 	if !a.IsEvicting() || a.IsStopping() {
-		t.Error("stopped before the charge is durable")
+		t.Error("eviction not planned, or stopped before the charge is durable")
 	}
 	a.RevertEviction()
 	if a.IsEvicting() || !a.ShouldRun() {
-		t.Error("not taken back")
+		t.Error("eviction not reverted")
 	}
 }
 
-func TestDirectCallsToOneMachineDoNotOverlap(t *testing.T) {
+func TestDirectCallsDoNotOverlap(t *testing.T) {
 	m := newReportingMachine(start)
 	if !m.QueueCall() || m.QueueCall() {
-		t.Error("queued twice, or not at all")
+		t.Error("not queued, or queued twice")
 	}
 	m.DequeueCall()
 	if !m.QueueCall() {
-		t.Error("not queued anew")
+		t.Error("not queued again")
 	}
 	m.BeginCall()
 	if m.CanBeCalled(start, timing) || !m.IsBeingCalled() {
-		t.Error("called while a call is under way")
+		t.Error("can be called while a call is in progress")
 	}
 	m.EndCall()
 	m.PauseCalls(start.Add(time.Second))
 	if m.CanBeCalled(start, timing) || !m.CanBeCalled(start.Add(time.Second), timing) {
-		t.Error("not paused, or for too long")
+		t.Error("calls not paused, or paused for too long")
 	}
 	if newInheritedMachine(start).CanBeCalled(start, timing) {
-		t.Error("called before its tasks are known")
+		t.Error("can be called before its tasks are known")
 	}
 }
 
@@ -106,21 +106,21 @@
 	}
 	expired := start.Add(timing.LeaseExpiry + 1)
 	if m.ShouldBeReleased(expired.Add(-2), timing, 0) {
-		t.Error("released before its lease has expired")
+		t.Error("should be released before its lease has expired")
 	}
 	if late := expired.Add(timing.HeartbeatTimeout); !m.ShouldBeReleased(late, timing, 0) {
-		t.Error("not released")
+		t.Error("should not be released after the lease has expired")
 	}
 	heartbeat(m, expired, 1, 9)
 	if m.ShouldBeReleased(expired.Add(timing.HeartbeatTimeout), timing, 0) {
-		t.Error("released although a newer heartbeat has come")
+		t.Error("should be released although a newer heartbeat has arrived")
 	}
 }
 
-func TestSnapshotIsMadeAnewOnceOutdated(t *testing.T) {
+func TestOutdatedSnapshotIsRebuilt(t *testing.T) {
 	m := newReportingMachine(start)
 	if m.CachedSnapshot() != nil {
-		t.Error("a snapshot before the first one")
+		t.Error("cached snapshot before the first one was built")
 	}
 	m.RecordImage(start, "img")
 	s := m.NewSnapshot()
@@ -129,31 +129,31 @@
 	}
 	a := newRecordedAttempt(m)
 	if m.CachedSnapshot() != nil {
-		t.Error("an attempt more, and still the old snapshot")
+		t.Error("cached snapshot still valid after an attempt was added")
 	}
 	if s = m.NewSnapshot(); s.Free != m.Free() || m.CachedSnapshot() != s {
 		t.Errorf("free %+v", s.Free)
 	}
 	a.ApplyReport(start, machines.Running)
 	if m.CachedSnapshot() != nil {
-		t.Error("an attempt has begun to run, and still the old snapshot")
+		t.Error("cached snapshot still valid after an attempt has begun to run")
 	}
-	m.NewSnapshot().Modified = true // by a pass
+	m.NewSnapshot().Modified = true
 	if m.CachedSnapshot() != nil {
-		t.Error("a snapshot that a pass has modified")
+		t.Error("cached snapshot still valid after a pass has modified it")
 	}
 }
 
-func TestReclaimNoticeCountsDown(t *testing.T) {
+func TestReclaimNotice(t *testing.T) {
 	m := newReportingMachine(start)
 	if _, reclaimed := m.ReclaimIn(start); reclaimed {
-		t.Error("reclaimed without a notice")
+		t.Error("reclaim time without a notice")
 	}
 	first, second := 30.0, 60.0
 	for _, notice := range []*float64{&first, &second} {
 		_, reclaimed := m.RecordHeartbeat(start, &wire.Heartbeat{ReclaimNoticeS: notice})
 		if reclaimed != (notice == &first) {
-			t.Errorf("notice of %v s: new: %v", *notice, reclaimed)
+			t.Errorf("notice of %v s: first notice: %v", *notice, reclaimed)
 		}
 	}
 	if left, reclaimed := m.ReclaimIn(start.Add(10 * time.Second)); left != 20*time.Second || !reclaimed {
@@ -161,14 +161,14 @@
 	}
 }
 
-func TestFullMachineTakesNoWorkForAWhile(t *testing.T) {
+func TestFullMachineIsUnschedulable(t *testing.T) {
 	m := newReportingMachine(start)
 	m.MarkFull(start.Add(time.Second))
 	if m.IsSchedulable(start, timing) || !m.IsSchedulable(start.Add(time.Second), timing) {
-		t.Error("takes work at once, or not at all")
+		t.Error("full machine is schedulable, or stays unschedulable after the time")
 	}
 	m.BeginRelease()
 	if m.IsSchedulable(start.Add(time.Second), timing) || !m.IsReleasing() {
-		t.Error("takes work while it is being released")
+		t.Error("schedulable while it is being released")
 	}
 }
--- a/internal/machines/machine_test.go
+++ b/internal/machines/machine_test.go
@@ -11,7 +11,7 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// timing is that of a term that began at start.
+// timing is the timing of a term that began at start.
 var timing = &machines.Timing{
 	HeartbeatTimeout:  9 * time.Second,
 	Lease:             15 * time.Second,
@@ -20,14 +20,14 @@
 	InheritedTasksEnd: start.Add(30 * time.Second),
 }
 
-// newReportingMachine returns a machine that has reported once, knowing the term.
+// newReportingMachine returns a machine that has sent one heartbeat, with the token of the term.
 func newReportingMachine(now time.Time) *machines.Machine {
 	m := newInheritedMachine(now)
 	m.MarkReconciled(now)
 	return m
 }
 
-// newInheritedMachine returns a machine that has reported once, not knowing the term.
+// newInheritedMachine returns a machine that has sent one heartbeat, without the token of the term.
 func newInheritedMachine(now time.Time) *machines.Machine {
 	m := newMachine()
 	m.SetCapacity(placement.Resources{CPUs: 8})
@@ -35,7 +35,7 @@
 	return m
 }
 
-// heartbeat lets a heartbeat of the agent be answered.
+// heartbeat applies a heartbeat and renews the lease.
 func heartbeat(m *machines.Machine, now time.Time, epoch, sequence uint64) (lost bool) {
 	lost = m.DetectLostResponses(now, epoch, timing)
 	m.AdvanceSession(epoch, sequence)
@@ -43,7 +43,7 @@
 	return lost
 }
 
-func TestCordonsFollowFromWhatIsKnown(t *testing.T) {
+func TestCordonReasons(t *testing.T) {
 	notice := 30.0
 	for name, c := range map[string]struct {
 		change func(*machines.Machine)
@@ -95,7 +95,7 @@
 	}
 	m.RecordTaskSuccess()
 	if !m.CordonedFor(machines.CordonFaulty) || m.AddFailedJob("another") {
-		t.Error("quarantined anew, or no longer")
+		t.Error("no longer quarantined, or quarantined again")
 	}
 	m.RemoveFailedJob("another")
 	m.RemoveFailedJob("job-0")
@@ -104,7 +104,7 @@
 	}
 	m.RecordTaskSuccess()
 	if m.AddFailedJob("job-0") {
-		t.Error("failures before a success count")
+		t.Error("failures before a success are still counted")
 	}
 }
 
@@ -116,19 +116,19 @@
 		after   time.Duration
 		want    bool
 	}{
-		"renewed":                     {machine: newReportingMachine(start), after: timing.LeaseExpiry},
-		"expired":                     {machine: newReportingMachine(start), after: timing.LeaseExpiry + 1, want: true},
-		"agent replaced":              {machine: replaced, after: time.Hour},
-		"inherited, within the bound": {machine: newInheritedMachine(start), after: timing.LeaseExpiry + 1},
-		"inherited, after the bound":  {machine: newInheritedMachine(start), after: 30 * time.Second, want: true},
+		"renewed":                      {machine: newReportingMachine(start), after: timing.LeaseExpiry},
+		"expired":                      {machine: newReportingMachine(start), after: timing.LeaseExpiry + 1, want: true},
+		"agent replaced":               {machine: replaced, after: time.Hour},
+		"inherited, tasks may be left": {machine: newInheritedMachine(start), after: timing.LeaseExpiry + 1},
+		"inherited, tasks have ended":  {machine: newInheritedMachine(start), after: 30 * time.Second, want: true},
 	} {
 		if got := c.machine.LeaseExpired(start.Add(c.after), timing); got != c.want {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: expired: %v", name, got)
 		}
 	}
 }
 
-func TestHeartbeatsOfAnExpiredSessionAreStale(t *testing.T) {
+func TestStaleHeartbeats(t *testing.T) {
 	m := newReportingMachine(start)
 	heartbeat(m, start, 2, 5)
 	for name, c := range map[string]struct {
@@ -147,7 +147,7 @@
 	}
 	m.AdvanceSession(2, 8) // the reply to a direct call
 	if r := (&wire.Heartbeat{AgentEpoch: 2, Sequence: 7}); !m.IsOvertakenByDirectReply(r) {
-		t.Error("a heartbeat overtaken by a reply is refused")
+		t.Error("a heartbeat that a direct reply overtook isn't recognized")
 	}
 	m.ExpireSession()
 	if r := (&wire.Heartbeat{AgentEpoch: 2, Sequence: 9}); !m.IsStale(r) || m.IsOvertakenByDirectReply(r) {
@@ -155,7 +155,7 @@
 	}
 }
 
-func TestNewSessionAfterSteadyHeartbeatsShowsLostResponses(t *testing.T) {
+func TestDetectLostResponses(t *testing.T) {
 	m := newReportingMachine(start)
 	now, sequence := start, uint64(1)
 	steady := func(epoch uint64, d time.Duration) (lost bool) {
@@ -166,21 +166,21 @@
 		return lost
 	}
 	if steady(1, 18*time.Second) {
-		t.Fatal("lost within a session")
+		t.Fatal("responses lost within one session")
 	}
 	if !steady(2, 3*time.Second) || !m.CordonedFor(machines.CordonUnresponsive) || m.CanBeCalled(now, timing) {
-		t.Error("a new session right after steady heartbeats shows nothing")
+		t.Error("responses not lost after a new session without a heartbeat gap")
 	}
 	if steady(2, timing.LeaseExpiry+3*time.Second) || m.CordonedFor(machines.CordonUnresponsive) || !m.CanBeCalled(now, timing) {
-		t.Error("a session longer than the lease does not show that responses arrive")
+		t.Error("responses still lost in a session longer than the lease")
 	}
-	now = now.Add(time.Minute) // a gap
+	now = now.Add(time.Minute) // heartbeat gap
 	if steady(3, 3*time.Second) {
-		t.Error("a new session after a gap counts")
+		t.Error("responses lost after a new session that follows a heartbeat gap")
 	}
 }
 
-func TestMachinesThatWillDoNoMoreWorkAreReleased(t *testing.T) {
+func TestShouldBeReleased(t *testing.T) {
 	const bootTimeS = 10
 	missTwice := func(m *machines.Machine) {
 		m.ApplyListed(start, start, &wire.ListedMachine{})
@@ -192,48 +192,48 @@
 		after  time.Duration
 		want   bool
 	}{
-		"reports": {change: func(*machines.Machine) {}},
+		"sends heartbeats": {change: func(*machines.Machine) {}},
 		"failed": {change: func(m *machines.Machine) {
 			m.ApplyListed(start, start, &wire.ListedMachine{State: wire.MachineFailed})
 		}, want: true},
-		"replaced":               {change: func(m *machines.Machine) { m.Cordon(machines.CordonAgentReplaced) }, want: true},
-		"release required later": {change: func(m *machines.Machine) { m.RequireRelease(start.Add(time.Second)) }},
-		"release required":       {change: func(m *machines.Machine) { m.RequireRelease(start.Add(-time.Second)) }, want: true},
-		"empty and drained":      {change: func(m *machines.Machine) { m.Cordon(machines.CordonDrained) }, want: true},
-		"not listed, reports":    {change: missTwice},
-		"not listed, silent":     {change: missTwice, after: 10 * time.Second, want: true},
-		"silent for long":        {change: func(*machines.Machine) {}, after: timing.LeaseExpiry + tuning.UnreachableReleaseDelay + 1, want: true},
+		"replaced":                {change: func(m *machines.Machine) { m.Cordon(machines.CordonAgentReplaced) }, want: true},
+		"release required later":  {change: func(m *machines.Machine) { m.RequireRelease(start.Add(time.Second)) }},
+		"release required":        {change: func(m *machines.Machine) { m.RequireRelease(start.Add(-time.Second)) }, want: true},
+		"empty and drained":       {change: func(m *machines.Machine) { m.Cordon(machines.CordonDrained) }, want: true},
+		"not listed, reachable":   {change: missTwice},
+		"not listed, unreachable": {change: missTwice, after: 10 * time.Second, want: true},
+		"unreachable for long":    {change: func(*machines.Machine) {}, after: timing.LeaseExpiry + tuning.UnreachableReleaseDelay + 1, want: true},
 	} {
 		m := newReportingMachine(start)
 		c.change(m)
 		if got := m.ShouldBeReleased(start.Add(c.after), timing, bootTimeS); got != c.want {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: should be released: %v", name, got)
 		}
 	}
 	if m := newMachine(); m.ShouldBeReleased(start.Add(time.Second), timing, bootTimeS) || !m.ShouldBeReleased(start.Add(time.Hour), timing, bootTimeS) {
-		t.Error("a machine that never comes up is not released in time")
+		t.Error("a machine that never boots is released too early, or not at all")
 	}
 }
 
-func TestMachineMissingFromListsIsGone(t *testing.T) {
+func TestCountMissingFromList(t *testing.T) {
 	const lag = 8 * time.Second
 	m := newMachine()
 	if m.CountMissingFromList(start.Add(time.Hour), lag) {
-		t.Error("gone although it was never listed")
+		t.Error("deleted although it was never listed")
 	}
 	m.ApplyListed(start, start, &wire.ListedMachine{AgeS: 60, Addr: "other:9"})
 	if !m.IsListed() || !m.ProvisionedAt().Equal(start.Add(-time.Minute)) || m.Addr != "m1:9" {
 		t.Errorf("listed: %v, provisioned at %v, address %s", m.IsListed(), m.ProvisionedAt(), m.Addr)
 	}
 	if m.CountMissingFromList(start.Add(lag), lag) {
-		t.Error("gone although the list may be older than the machine")
+		t.Error("deleted although the list may be older than the machine's first listing")
 	}
 	if !m.CountMissingFromList(start.Add(lag+1), lag) {
-		t.Error("not gone although the list is newer than the machine")
+		t.Error("not deleted although the list is newer than the machine's first listing")
 	}
 }
 
-func TestExitedAttemptIsForgottenUnlessItsStartMayComeLate(t *testing.T) {
+func TestRetainExit(t *testing.T) {
 	m := newReportingMachine(start)
 	key := machines.ExitKey{Task: "job-1/0", Attempt: 1}
 	m.RetainExit(key)
@@ -242,30 +242,30 @@
 	m.AddExited(machines.ExitKey{Task: "job-1/1", Attempt: 3}, false)
 	for i, want := range []bool{false, true, false} {
 		if got := m.Exited()[i].Forget; got != want {
-			t.Errorf("%v: forgotten: %v", m.Exited()[i].ExitKey, got)
+			t.Errorf("%v: forget: %v", m.Exited()[i].ExitKey, got)
 		}
 	}
 	m.ClearExited()
 	m.AdvanceSession(2, 1)
 	m.AddExited(key, true)
 	if !m.Exited()[0].Forget {
-		t.Error("not forgotten in a new session")
+		t.Error("exit still retained in a new session")
 	}
 }
 
-func TestReservationKeepsTheHighestPriority(t *testing.T) {
+func TestReserveKeepsHighestPriority(t *testing.T) {
 	m := newReportingMachine(start)
 	if _, reserved := m.Reservation(start); reserved {
-		t.Error("reserved without need")
+		t.Error("reservation on a new machine")
 	}
 	m.Reserve(start, 1)
 	m.Reserve(start, 2)
 	if rank, reserved := m.Reservation(start); rank != 1 || !reserved {
-		t.Errorf("rank %d, %v", rank, reserved)
+		t.Errorf("rank %d, reserved: %v", rank, reserved)
 	}
 	later := start.Add(tuning.PreemptReservation)
 	m.Reserve(later, 2)
 	if rank, reserved := m.Reservation(later); rank != 2 || !reserved {
-		t.Errorf("after the reservation: rank %d, %v", rank, reserved)
+		t.Errorf("after the first reservation: rank %d, reserved: %v", rank, reserved)
 	}
 }
--- a/internal/machines/reachability_test.go
+++ b/internal/machines/reachability_test.go
@@ -8,7 +8,7 @@
 	"switchshore.example/switchshore/internal/machines"
 )
 
-// newZones returns machines in zones a and b that have reported at the given times.
+// newZones returns machines in zones a and b that sent their last heartbeat at the given times.
 func newZones(perZone int, reportedA, reportedB time.Time) []*machines.Machine {
 	var list []*machines.Machine
 	for zone, at := range map[string]time.Time{"a": reportedA, "b": reportedB} {
@@ -21,16 +21,16 @@
 	return list
 }
 
-func TestPartitionOfAZoneAndIsolationOfTheNode(t *testing.T) {
+func TestReachability(t *testing.T) {
 	now := start.Add(time.Minute)
 	late := now.Add(-timing.HeartbeatTimeout - 1)
 	for name, c := range map[string]struct {
 		reportedA, reportedB  time.Time
 		partitioned, isolated bool
 	}{
-		"all reachable": {reportedA: now, reportedB: now},
-		"one zone":      {reportedA: late, reportedB: now, partitioned: true},
-		"everything":    {reportedA: late, reportedB: late, isolated: true},
+		"all reachable":        {reportedA: now, reportedB: now},
+		"one zone unreachable": {reportedA: late, reportedB: now, partitioned: true},
+		"all unreachable":      {reportedA: late, reportedB: late, isolated: true},
 	} {
 		r := machines.NewReachability()
 		r.Update(now, newZones(10, c.reportedA, c.reportedB), timing)
@@ -39,12 +39,12 @@
 		}
 		r.Update(now, newZones(10, now, now), timing)
 		if r.AnyPartitioned(now) || r.IsIsolated() {
-			t.Errorf("%s: not over once all machines report", name)
+			t.Errorf("%s: still partitioned or isolated after all machines have reported", name)
 		}
 	}
 	r := machines.NewReachability()
 	r.Update(now, newZones(10, late, now), timing)
 	if after := now.Add(timing.LeaseExpiry); r.AnyPartitioned(after) {
-		t.Error("a partition counts although its machines may have been released")
+		t.Error("zone still partitioned although its machines may have been released")
 	}
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -25,14 +25,14 @@
 	}
 }
 
-// unlimited returns teams without limits.
+// unlimited returns team blue with a limit that is never reached.
 func unlimited() map[string]*placement.Team {
 	return map[string]*placement.Team{"blue": {Limit: placement.Resources{CPUs: 1e9, GPUs: 1e9, MemoryGB: 1e9}}}
 }
 
-// TestQueuesBehindCache is the paper's example: with the image cached on a
-// busy machine that frees soon, the task waits there rather than fetch.
-func TestQueuesBehindCache(t *testing.T) {
+// TestQueuesOnMachineWithImage is the paper's example: a task waits for a busy
+// machine with its image if that takes less time than a fetch.
+func TestQueuesOnMachineWithImage(t *testing.T) {
 	for _, c := range []struct {
 		remaining float64
 		want      string
@@ -43,7 +43,7 @@
 		busy.PlacedTasks = []placement.PlacedTask{{Request: placement.Resources{CPUs: 1, MemoryGB: 1}, EndS: 100 + c.remaining}}
 		got, _ := placement.Run(100, []*placement.PendingJob{newJob("j", 0, 1)}, []*placement.Machine{busy, idle}, unlimited(), 10)
 		if fmt.Sprint(got) != c.want {
-			t.Errorf("remaining %v: %v, want %v", c.remaining, got, c.want)
+			t.Errorf("%v s remaining: started %v, want %v", c.remaining, got, c.want)
 		}
 	}
 }
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestBacklogOfAgedJobs: many aged jobs that fit nowhere cost little, and free
-// capacity goes to the jobs that fit into it.
+// TestBacklogOfAgedJobs: many aged jobs that fit nowhere must not use up the scores
+// of a pass, so that jobs that fit into the free resources still start.
 func TestBacklogOfAgedJobs(t *testing.T) {
 	var machines []*placement.Machine
 	for i := range 2000 {
@@ -90,9 +90,9 @@
 	}
 }
 
-// TestLongQueueIsPlacedInParts: more jobs of one queue than a pass can score are
-// still placed, some in each pass.
-func TestLongQueueIsPlacedInParts(t *testing.T) {
+// TestLargeGroupIsPlacedOverSeveralPasses: a group with more jobs than a pass can
+// score must not prevent all starts; each pass starts some of its tasks.
+func TestLargeGroupIsPlacedOverSeveralPasses(t *testing.T) {
 	var machines []*placement.Machine
 	for i := range 2000 {
 		machines = append(machines, newMachine(fmt.Sprintf("m%04d", i), 1))
@@ -103,11 +103,11 @@
 	}
 	got, stats := placement.Run(0, ready, machines, unlimited(), 200)
 	if len(got) == 0 || !stats.Truncated || stats.ScoredPairs > 2*tuning.PassMaxScoredPairs {
-		t.Errorf("%d starts, %+v", len(got), stats)
+		t.Errorf("%d starts, stats %+v", len(got), stats)
 	}
 }
 
-// randomMachines returns machines with running tasks, some of them beyond their estimate.
+// randomMachines returns machines with running tasks, some of which have exceeded their estimates.
 func randomMachines(rng *rand.Rand) []*placement.Machine {
 	var machines []*placement.Machine
 	for i := range 1 + rng.IntN(6) {
@@ -142,7 +142,7 @@
 	return jobs
 }
 
-// startChecker replays the starts of a pass and checks each against the state that the pass began with.
+// startChecker applies the starts of a pass one by one to the state before the pass, and checks each.
 type startChecker struct {
 	jobs     map[string]*placement.PendingJob
 	machines map[string]*placement.Machine
@@ -165,11 +165,11 @@
 	return c
 }
 
-// add returns what is wrong with a start, empty if nothing is.
+// add applies a start. It returns the constraint that the start violates, or an empty string.
 func (c *startChecker) add(s placement.Assignment) string {
 	j, m := c.jobs[s.Job], c.machines[s.Machine]
 	if !c.free[m.ID].Fits(j.Request) {
-		return "no capacity"
+		return "exceeds the free resources"
 	}
 	c.free[m.ID] = c.free[m.ID].Add(j.Request, -1)
 	c.usedCPUs += j.Request.CPUs
@@ -180,17 +180,17 @@
 	zones[m.Zone]++
 	for zone, tasks := range zones {
 		if j.OneZone && len(zones) > 1 || j.SpreadZones && tasks > (j.TotalTasks+1)/2 {
-			return fmt.Sprintf("in zone %s: %v", zone, zones)
+			return fmt.Sprintf("zone constraint violated in zone %s: tasks by zone %v", zone, zones)
 		}
 	}
 	if m.Spot && !j.Spot {
-		return "on a spot machine"
+		return "spot machine not allowed"
 	}
 	return ""
 }
 
-// TestRandomPasses: whatever the snapshot, no start exceeds capacity or limits, or
-// violates the constraints on zones and spot machines.
+// TestRandomPasses: on random snapshots, no start exceeds the free resources or the
+// team's limit, or violates the constraints on zones and spot machines.
 func TestRandomPasses(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 4))
@@ -201,18 +201,19 @@
 		checker := newStartChecker(jobs, machines)
 		starts, _ := placement.Run(0, jobs, machines, teams, 100)
 		for _, s := range starts {
-			if wrong := checker.add(s); wrong != "" {
-				t.Fatalf("seed %d: %v: %s", seed, s, wrong)
+			if violation := checker.add(s); violation != "" {
+				t.Fatalf("seed %d: %v: %s", seed, s, violation)
 			}
 		}
 		if checker.usedCPUs > limit {
-			t.Fatalf("seed %d: %v CPUs of %v", seed, checker.usedCPUs, limit)
+			t.Fatalf("seed %d: %v CPUs used, limit %v", seed, checker.usedCPUs, limit)
 		}
 	}
 }
 
-// TestAgedJobReservesTeamLimit: while a task of an aged job doesn't fit into its
-// team's limit, the team's smaller tasks don't take what is left; other teams' do.
+// TestAgedJobReservesTeamLimit: if a task of an aged job doesn't fit into its team's
+// limit, smaller tasks of the team must not start, or they would delay it further.
+// Tasks of other teams may start.
 func TestAgedJobReservesTeamLimit(t *testing.T) {
 	teams := unlimited()
 	teams["red"] = &placement.Team{Used: placement.Resources{CPUs: 6}, Limit: placement.Resources{CPUs: 8, MemoryGB: 1000}}
@@ -225,8 +226,8 @@
 	}
 }
 
-// TestPassIsBounded: a pass over many machines and jobs ends in time for other
-// work and reports that there is more to do; its decisions are kept.
+// TestPassIsBounded: a pass over many machines and jobs stops at its limit of scores,
+// returns the starts decided so far and reports that it was truncated.
 func TestPassIsBounded(t *testing.T) {
 	const machines = 500
 	var vms []*placement.Machine
@@ -241,18 +242,18 @@
 	}
 	starts, stats := placement.Run(0, ready, vms, unlimited(), 1000)
 	if !stats.Truncated || stats.ScoredPairs > tuning.PassMaxScoredPairs+2*machines {
-		t.Errorf("%+v", stats)
+		t.Errorf("stats %+v", stats)
 	}
 	if len(starts) == 0 || starts[0].Job != "j000" {
 		t.Errorf("started %v", starts)
 	}
 }
 
-// TestAgedJobsStartWhereTheyFit: what is reserved for an aged job, of its team's
-// limit or of a machine, is open to other aged jobs that fit into it, and not to
-// jobs that have not aged.
+// TestAgedJobsStartWhereTheyFit: a reservation for an aged job, of its team's limit
+// or of a machine, must not block other aged jobs that fit, but must block jobs that
+// have not aged.
 func TestAgedJobsStartWhereTheyFit(t *testing.T) {
-	for name, max := range map[string]float64{"the limit": 12, "the machine": 100} {
+	for name, max := range map[string]float64{"the team limit": 12, "the machine": 100} {
 		m := newMachine("m", 12)
 		m.Free = placement.Resources{CPUs: 2, MemoryGB: 50}
 		m.PlacedTasks = []placement.PlacedTask{{Request: placement.Resources{CPUs: 10, MemoryGB: 50}, EndS: 500}}
@@ -261,7 +262,7 @@
 		teams := map[string]*placement.Team{"blue": {Used: placement.Resources{CPUs: 10}, Limit: placement.Resources{CPUs: max, MemoryGB: 1e9}}}
 		got, _ := placement.Run(100, []*placement.PendingJob{fresh, big, small}, []*placement.Machine{m}, teams, 10)
 		if fmt.Sprint(got) != "[{small m}]" {
-			t.Errorf("reserved of %s: %v", name, got)
+			t.Errorf("reservation of %s: started %v", name, got)
 		}
 	}
 }
