--- a/internal/machines/attempt.go
+++ b/internal/machines/attempt.go
@@ -39,9 +39,10 @@
 	// sentSequence is the sequence number of the heartbeat in whose response the start was last
 	// sent, 0 if none.
 	sentSequence uint64
-	// sentDirectly is set once the start was sent by a direct call that has had no reply. The agent
-	// may then run it at any later time in the session. So the attempt keeps its resources, its
-	// start is sent again in responses to heartbeats, and the agent isn't told to forget its exit.
+	// sentDirectly is set once the start was sent by a direct call that has had no reply. The
+	// agent may then run it at any later time in the session. So the attempt keeps its
+	// resources, its start is sent again in responses to heartbeats, and the agent isn't told to
+	// forget its exit.
 	sentDirectly bool
 }
 
@@ -89,14 +90,15 @@
 // RunTime returns the time since the attempt was first reported as running.
 func (a *Attempt) RunTime(now time.Time) time.Duration { return now.Sub(a.runningAt) }
 
-// ShouldRun reports whether the attempt's task is still needed and the attempt isn't being stopped.
+// ShouldRun reports whether the attempt's task is still needed and the attempt isn't being
+// stopped.
 func (a *Attempt) ShouldRun() bool { return !a.stopping && a.IsNeeded() }
 
 // IsNeeded reports whether the job still needs the attempt's task to run, on any machine.
 func (a *Attempt) IsNeeded() bool { return a.Job.NeedsTask(int(a.Index)) }
 
-// changeState changes to the next state. It panics on an illegal transition, which is a bug of the
-// caller.
+// changeState changes to the next state. It panics on an illegal transition, which is a bug of
+// the caller.
 func (a *Attempt) changeState(next AttemptState) {
 	if !a.state.CanBecome(next) {
 		panic(fmt.Sprintf("machines: an attempt that is %v can't become %v", a.state, next))
@@ -108,8 +110,8 @@
 func (a *Attempt) MarkRecorded() { a.changeState(StartSent) }
 
 // MarkListed records that a task list contains the task with the given attempt number. The agent
-// refuses a newer attempt while it has another one of the same task, so the listed number replaces
-// the attempt's own.
+// refuses a newer attempt while it has another one of the same task, so the listed number
+// replaces the attempt's own.
 func (a *Attempt) MarkListed(listNumber, number uint64) {
 	a.listNumber, a.number = listNumber, number
 }
@@ -120,8 +122,8 @@
 // IsListed reports whether the last task list that contained the attempt has the given number.
 func (a *Attempt) IsListed(listNumber uint64) bool { return a.listNumber == listNumber }
 
-// ApplyReport applies the state that the machine reports, and reports whether the attempt has begun
-// to run.
+// ApplyReport applies the state that the machine reports, and reports whether the attempt has
+// begun to run.
 func (a *Attempt) ApplyReport(now time.Time, reported AttemptState) (began bool) {
 	before := a.state
 	if reported == before {
@@ -162,8 +164,8 @@
 	return a.RunTime(now).Seconds()
 }
 
-// UnsavedProgressS returns the run time in seconds since the last periodic checkpoint. The job must
-// save checkpoints.
+// UnsavedProgressS returns the run time in seconds since the last periodic checkpoint. The job
+// must save checkpoints.
 func (a *Attempt) UnsavedProgressS(now time.Time) float64 {
 	return math.Mod(a.RunTime(now).Seconds(), a.Job.CheckpointIntervalS)
 }
--- a/internal/machines/attempt_commands.go
+++ b/internal/machines/attempt_commands.go
@@ -14,7 +14,8 @@
 // MarkSentInResponse records that the start was sent in the response to the given heartbeat.
 func (d *startDelivery) MarkSentInResponse(sequence uint64) { d.sentSequence = sequence }
 
-// WasSentInResponse reports whether the start was sent in a response that isn't known to be ignored.
+// WasSentInResponse reports whether the start was sent in a response that isn't known to be
+// ignored.
 func (d *startDelivery) WasSentInResponse() bool { return d.sentSequence != 0 }
 
 // MarkResponseIgnored records that the start sent in a response had no effect and never will.
@@ -36,8 +37,8 @@
 // StopNow requests that the attempt is stopped without a grace period.
 func (a *Attempt) StopNow() { a.stopping, a.gracePeriodS = true, 0 }
 
-// StopGracefully requests that the attempt is stopped. If its job saves checkpoints, it gets a grace
-// period to save one.
+// StopGracefully requests that the attempt is stopped. If its job saves checkpoints, it gets a
+// grace period to save one.
 func (a *Attempt) StopGracefully() {
 	a.StopNow()
 	if a.Job.CheckpointIntervalS > 0 {
@@ -67,8 +68,8 @@
 func (a *Attempt) IsEvicting() bool { return a.evicting }
 
 // NeedsStop reports whether the stop of the attempt has to be sent in a response: the machine has
-// reported the attempt, and it isn't saving its checkpoint already. Tasks that the job no longer
-// needs are left to the caller.
+// reported the attempt, and it isn't saving its checkpoint already. The caller has to stop tasks
+// that the job no longer needs.
 func (a *Attempt) NeedsStop() bool {
 	isSaving := a.state == Saving && a.gracePeriodS > 0
 	return a.stopping && a.IsNeeded() && a.state.IsReported() && !isSaving
@@ -82,7 +83,8 @@
 	return needed
 }
 
-// GracePeriodS returns the time in seconds that the attempt gets to save a checkpoint when stopped.
+// GracePeriodS returns the time in seconds that the attempt gets to save a checkpoint when
+// stopped.
 func (a *Attempt) GracePeriodS() float64 { return a.gracePeriodS }
 
 // StopCommand returns the command that stops the attempt.
--- a/internal/machines/attempt_state.go
+++ b/internal/machines/attempt_state.go
@@ -31,8 +31,9 @@
 // may pass through states between two heartbeats.
 var reportedStates = []AttemptState{Fetching, Running, Saving}
 
-// attemptTransitions maps each state to its legal successors. A reported state may follow any other:
-// the machine's task list is authoritative, also if it contains an earlier attempt of the task.
+// attemptTransitions maps each state to its legal successors. A reported state may follow any
+// other: the machine's task list is authoritative, also if it contains an earlier attempt of the
+// task.
 var attemptTransitions = map[AttemptState][]AttemptState{
 	PossiblyStarted: reportedStates,
 	RecordPending:   append([]AttemptState{StartSent}, reportedStates...),
--- a/internal/machines/capacity.go
+++ b/internal/machines/capacity.go
@@ -12,7 +12,8 @@
 type capacity struct {
 	total, free placement.Resources
 	fullUntil   time.Time // no new tasks before this time
-	// Until reservedUntil, free resources are reserved for tasks of reservedRank or a higher priority.
+	// Until reservedUntil, free resources are reserved for tasks of reservedRank or a higher
+	// priority.
 	reservedUntil time.Time
 	reservedRank  int
 	// snapshot is the machine as placement passes see it. It is rebuilt once outdated.
@@ -38,10 +39,10 @@
 // lack of capacity.
 func (c *capacity) MarkFull(until time.Time) { c.fullUntil = until }
 
-// Reserve reserves resources that become free on the machine, for tuning.PreemptReservation, from
-// tasks of a lower priority than rank. Preempted tasks end one by one. Without a reservation, they
-// would be placed again in the resources that become free first, would have to be preempted again,
-// and the task that needs all of the resources could not start.
+// Reserve reserves resources that become free on the machine, for tuning.PreemptReservation,
+// from tasks of a lower priority than rank. Preempted tasks end one by one. Without a
+// reservation, they would be placed again in the resources that become free first, would have to
+// be preempted again, and the task that needs all of the resources could not start.
 func (c *capacity) Reserve(now time.Time, rank int) {
 	if !now.Before(c.reservedUntil) || rank < c.reservedRank {
 		c.reservedRank = rank
--- a/internal/machines/catalogue.go
+++ b/internal/machines/catalogue.go
@@ -77,7 +77,8 @@
 	return zones
 }
 
-// Offerings returns an empty machine for each offered type and zone for which include returns true.
+// Offerings returns an empty machine for each offered type and zone for which include returns
+// true.
 func (c *Catalogue) Offerings(include func(machineType, zone string) bool) []*placement.Machine {
 	var offerings []*placement.Machine
 	for _, t := range c.offered {
--- a/internal/machines/cordon.go
+++ b/internal/machines/cordon.go
@@ -5,8 +5,8 @@
 // CordonReason is a reason why no new tasks are assigned to a machine, or a set of such reasons.
 type CordonReason uint8
 
-// Reasons for a cordon; a machine may have several. The first four are set by Cordon, the last three
-// are derived from the machine's state.
+// Reasons for a cordon; a machine may have several. The first four are set by Cordon, the last
+// three are derived from the machine's state.
 const (
 	// CordonDrained: the machine is in a batch of a drain.
 	CordonDrained CordonReason = 1 << iota
@@ -14,8 +14,8 @@
 	CordonConsolidated
 	// CordonLateStart: the start of a task that should no longer run may still arrive late.
 	CordonLateStart
-	// CordonAgentReplaced: a new agent has replaced the earlier one and counts its epochs from the
-	// start again. Only the release proves that the tasks on the machine have ended.
+	// CordonAgentReplaced: a new agent has replaced the earlier one and counts its epochs from
+	// the start again. Only the release proves that the tasks on the machine have ended.
 	CordonAgentReplaced
 	// CordonFaulty: tasks of several jobs have failed on the machine in a row.
 	CordonFaulty
@@ -25,7 +25,8 @@
 	CordonUnresponsive
 )
 
-// ReleaseWhenEmptyReasons are the reasons for which a machine is released once it has no attempts.
+// ReleaseWhenEmptyReasons are the reasons for which a machine is released once it has no
+// attempts.
 const ReleaseWhenEmptyReasons = CordonDrained | CordonConsolidated | CordonLateStart | CordonFaulty | CordonReclaimed
 
 // Cordon sets a reason. It is for those that aren't derived from the machine's state.
--- a/internal/machines/delivery.go
+++ b/internal/machines/delivery.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// responseDelivery holds the evidence on whether responses reach a machine whose heartbeats arrive.
+// responseDelivery holds the evidence on whether responses reach a machine whose heartbeats
+// arrive.
 type responseDelivery struct {
 	// steadySince is when the current series of heartbeats without a gap began, epochSince when
 	// the current session began.
@@ -19,10 +20,10 @@
 // DetectLostResponses updates, for a heartbeat with the given epoch, whether responses reach the
 // machine. It reports whether this heartbeat has revealed that they don't.
 //
-// An agent that gets no responses begins a new session when its lease expires. So a new session right
-// after heartbeats without a gap shows that responses are lost. Without this check, the machine would
-// be sent starts forever that it never gets. A session that outlasts the lease shows that responses
-// arrive again.
+// An agent that gets no responses begins a new session when its lease expires. So a new session
+// right after heartbeats without a gap shows that responses are lost. Without this check, the
+// machine would be sent starts forever that it never gets. A session that outlasts the lease
+// shows that responses arrive again.
 func (m *Machine) DetectLostResponses(now time.Time, epoch uint64, t *Timing) (lost bool) {
 	m.staleHeartbeats = 0
 	if m.firstHeartbeatAt.IsZero() {
@@ -54,6 +55,6 @@
 	d.ignoredAt = now
 }
 
-// RecordStartObserved records that the machine has carried out a start, so that responses do have an
-// effect.
+// RecordStartObserved records that the machine has carried out a start, so that responses do
+// have an effect.
 func (d *responseDelivery) RecordStartObserved() { d.ignoredResponses = 0 }
--- a/internal/machines/direct.go
+++ b/internal/machines/direct.go
@@ -9,8 +9,8 @@
 	queued    bool      // in the queue of machines to call
 }
 
-// CanBeCalled reports whether a direct call to the machine is likely to succeed now. Commands that
-// are not sent by a direct call are sent in the response to the next heartbeat.
+// CanBeCalled reports whether a direct call to the machine is likely to succeed now. Commands
+// that are not sent by a direct call are sent in the response to the next heartbeat.
 func (m *Machine) CanBeCalled(now time.Time, t *Timing) bool {
 	return !m.calling && m.Addr != "" && !now.Before(m.callAfter) && m.reconciled &&
 		!m.CordonedFor(CordonUnresponsive) && !m.HeartbeatOverdue(now, t)
--- a/internal/machines/exit.go
+++ b/internal/machines/exit.go
@@ -15,8 +15,8 @@
 // ClearExited removes all exited attempts, before the next task list is applied.
 func (m *Machine) ClearExited() { m.exited = m.exited[:0] }
 
-// AddExited adds an exited attempt of the task list. The agent is told to forget the attempt if it
-// is unneeded, unless RetainExit forbids that.
+// AddExited adds an exited attempt of the task list. The agent is told to forget the attempt if
+// it is unneeded, unless RetainExit forbids that.
 func (m *Machine) AddExited(key ExitKey, unneeded bool) {
 	m.exited = append(m.exited, Exit{ExitKey: key, Forget: unneeded && !m.retainedExits[key]})
 }
@@ -24,6 +24,6 @@
 // Exited returns the exited attempts of the last task list. The caller must not modify the slice.
 func (m *Machine) Exited() []Exit { return m.exited }
 
-// RetainExit makes the agent remember the exited attempt for this session. The attempt's start may
-// still arrive late, and an agent that had forgotten the attempt would run it again.
+// RetainExit makes the agent remember the exited attempt for this session. The attempt's start
+// may still arrive late, and an agent that had forgotten the attempt would run it again.
 func (m *Machine) RetainExit(key ExitKey) { m.retainedExits[key] = true }
--- a/internal/machines/failures.go
+++ b/internal/machines/failures.go
@@ -29,8 +29,8 @@
 // RemoveFailedJob removes a job that fails on other machines as well.
 func (f *failures) RemoveFailedJob(id string) { delete(f.failedJobs, id) }
 
-// RecordTaskSuccess records that a task has completed, which shows that the machine wasn't the cause
-// of earlier failures. A machine that is quarantined already stays so.
+// RecordTaskSuccess records that a task has completed, which shows that the machine wasn't the
+// cause of earlier failures. A machine that is quarantined already stays so.
 func (f *failures) RecordTaskSuccess() {
 	if !f.isFaulty() {
 		clear(f.failedJobs)
--- a/internal/machines/heartbeat.go
+++ b/internal/machines/heartbeat.go
@@ -17,8 +17,8 @@
 	leaseRenewedAt   time.Time // time of the newest heartbeat that renewed the lease
 	firstHeartbeatAt time.Time // time of the first heartbeat in this term
 	reclaimAt        time.Time // when the cloud reclaims the machine, zero without a notice
-	// staleHeartbeats counts the stale heartbeats since the newest one arrived, staleSince is when
-	// the first of them arrived.
+	// staleHeartbeats counts the stale heartbeats since the newest one arrived, staleSince is
+	// when the first of them arrived.
 	staleHeartbeats int
 	staleSince      time.Time
 }
@@ -32,15 +32,15 @@
 // SinceHeartbeat returns the time since the newest applied heartbeat.
 func (s *agentSession) SinceHeartbeat(now time.Time) time.Duration { return now.Sub(s.heartbeatAt) }
 
-// IsStale reports whether a heartbeat belongs to an expired or earlier session, or is not newer than
-// the newest message.
+// IsStale reports whether a heartbeat belongs to an expired or earlier session, or is not newer
+// than the newest message.
 func (s *agentSession) IsStale(r *wire.Heartbeat) bool {
 	return r.AgentEpoch <= s.expiredEpoch || r.AgentEpoch < s.epoch || r.AgentEpoch == s.epoch && r.Sequence <= s.sequence
 }
 
-// IsOvertakenByDirectReply reports whether a heartbeat is older than the newest message only because
-// the reply to a direct call arrived before it. If it were refused, the agent would needlessly switch
-// to another node.
+// IsOvertakenByDirectReply reports whether a heartbeat is older than the newest message only
+// because the reply to a direct call arrived before it. If it were refused, the agent would
+// needlessly switch to another node.
 func (s *agentSession) IsOvertakenByDirectReply(r *wire.Heartbeat) bool {
 	return r.AgentEpoch > s.expiredEpoch && r.AgentEpoch == s.epoch && r.Sequence > s.lastPeriodicSequence && r.Sequence <= s.sequence
 }
@@ -58,9 +58,9 @@
 	}
 }
 
-// RecordHeartbeat renews the lease and applies a heartbeat's fields on the machine itself. It reports
-// whether this is the machine's first heartbeat, and whether it contains the first notice that the
-// cloud reclaims the machine.
+// RecordHeartbeat renews the lease and applies a heartbeat's fields on the machine itself. It
+// reports whether this is the machine's first heartbeat, and whether it contains the first
+// notice that the cloud reclaims the machine.
 func (m *Machine) RecordHeartbeat(now time.Time, r *wire.Heartbeat) (joined, reclaimed bool) {
 	m.RenewLease(now, r.Sequence)
 	m.Addr = r.Addr
@@ -78,8 +78,8 @@
 	return m.reclaimAt.Sub(now), !m.reclaimAt.IsZero()
 }
 
-// AdvanceSession records the epoch and sequence number of a message. In a new session, starts of an
-// earlier one can no longer arrive late, so the precautions against them end.
+// AdvanceSession records the epoch and sequence number of a message. In a new session, starts of
+// an earlier one can no longer arrive late, so the precautions against them end.
 func (m *Machine) AdvanceSession(epoch, sequence uint64) {
 	if epoch > m.epoch {
 		clear(m.retainedExits)
--- a/internal/machines/lease.go
+++ b/internal/machines/lease.go
@@ -8,11 +8,13 @@
 
 // Timing holds the timeouts and points in time by which the state of machines is determined.
 type Timing struct {
-	// HeartbeatTimeout is the time without a heartbeat after which a machine counts as unreachable.
+	// HeartbeatTimeout is the time without a heartbeat after which a machine counts as
+	// unreachable.
 	HeartbeatTimeout time.Duration
 	// Lease is how long an agent keeps running its tasks without a response to its heartbeats.
 	Lease time.Duration
-	// LeaseExpiry is the time after a response at which the agent's lease has expired for certain.
+	// LeaseExpiry is the time after a response at which the agent's lease has expired for
+	// certain.
 	LeaseExpiry time.Duration
 	// TermStart is when the term began.
 	TermStart time.Time
@@ -32,8 +34,8 @@
 	return m.joined && m.HeartbeatOverdue(now, t) && now.Sub(t.TermStart) > t.HeartbeatTimeout
 }
 
-// LeaseExpired reports whether the lease has expired for certain, so that all tasks of the machine
-// have ended.
+// LeaseExpired reports whether the lease has expired for certain, so that all tasks of the
+// machine have ended.
 func (m *Machine) LeaseExpired(now time.Time, t *Timing) bool {
 	if m.CordonedFor(CordonAgentReplaced) || !m.reconciled && now.Before(t.InheritedTasksEnd) {
 		return false
@@ -64,13 +66,13 @@
 // ReleaseRequired reports whether RequireRelease has set a time.
 func (m *Machine) ReleaseRequired() bool { return !m.releaseBy.IsZero() }
 
-// minMissingFromLists is the number of cloud lists in a row that have to lack an unreachable machine
-// before it is released.
+// minMissingFromLists is the number of cloud lists in a row that have to lack an unreachable
+// machine before it is released.
 const minMissingFromLists = 2
 
-// ShouldBeReleased reports whether the machine can't or shouldn't run tasks any more: it has failed,
-// has not booted in time, is unreachable or no longer gets responses, or is empty and cordoned for
-// release. bootTimeS is the usual boot time of its type, 0 if unknown.
+// ShouldBeReleased reports whether the machine can't or shouldn't run tasks any more: it has
+// failed, has not booted in time, is unreachable or no longer gets responses, or is empty and
+// cordoned for release. bootTimeS is the usual boot time of its type, 0 if unknown.
 func (m *Machine) ShouldBeReleased(now time.Time, t *Timing, bootTimeS float64) bool {
 	switch {
 	case m.failed, m.CordonedFor(CordonAgentReplaced), m.ReleaseRequired() && now.After(m.releaseBy):
@@ -101,8 +103,8 @@
 	return now.Sub(newest) > t.LeaseExpiry+tuning.UnreachableReleaseDelay
 }
 
-// neverReconciled reports whether the machine has sent heartbeats in this term for longer than the
-// lease expiry and the release delay together, none of them with the term's token.
+// neverReconciled reports whether the machine has sent heartbeats in this term for longer than
+// the lease expiry and the release delay together, none of them with the term's token.
 func (m *Machine) neverReconciled(now time.Time, t *Timing) bool {
 	return !m.reconciled && !m.firstHeartbeatAt.IsZero() && now.After(t.InheritedTasksEnd) &&
 		now.Sub(m.firstHeartbeatAt) > t.LeaseExpiry+tuning.UnreachableReleaseDelay
--- a/internal/machines/lifecycle.go
+++ b/internal/machines/lifecycle.go
@@ -26,17 +26,19 @@
 // ProvisionedAt returns when the machine was provisioned, to the best knowledge of this term.
 func (l *lifecycle) ProvisionedAt() time.Time { return l.provisionedAt }
 
+// SetProvisionedAt sets when the machine was provisioned.
 func (l *lifecycle) SetProvisionedAt(at time.Time) { l.provisionedAt = at }
 
-// HasJoined reports whether the machine has sent a heartbeat, in this term or under an earlier leader.
+// HasJoined reports whether the machine has sent a heartbeat, in this term or under an earlier
+// leader.
 func (l *lifecycle) HasJoined() bool { return l.joined }
 
-// IsReconciled reports whether a task list of the machine has been applied in this term: its attempts
-// are complete.
+// IsReconciled reports whether a task list of the machine has been applied in this term: its
+// attempts are complete.
 func (l *lifecycle) IsReconciled() bool { return l.reconciled }
 
-// MarkReconciled records that a task list of the machine has been applied, and reports whether it is
-// the first one in this term.
+// MarkReconciled records that a task list of the machine has been applied, and reports whether
+// it is the first one in this term.
 func (l *lifecycle) MarkReconciled(now time.Time) (first bool) {
 	if l.reconciled {
 		return false
@@ -46,8 +48,8 @@
 	return true
 }
 
-// MarkRecorded records that a stored start record names the machine, so that it had joined under an
-// earlier leader.
+// MarkRecorded records that a stored start record names the machine, so that it had joined under
+// an earlier leader.
 func (l *lifecycle) MarkRecorded() { l.recorded, l.joined = true, true }
 
 // IsReleasing reports whether the release of the machine has begun.
@@ -56,8 +58,8 @@
 // BeginRelease records that the release of the machine has begun.
 func (l *lifecycle) BeginRelease() { l.releasing = true }
 
-// IdleFor returns the time since the machine lost its last attempt or was reconciled, whichever is
-// later.
+// IdleFor returns the time since the machine lost its last attempt or was reconciled, whichever
+// is later.
 func (l *lifecycle) IdleFor(now time.Time) time.Duration { return now.Sub(l.idleSince) }
 
 // IsListed reports whether the cloud has listed the machine in this term.
@@ -65,8 +67,8 @@
 
 // ApplyListed applies the machine's row of a cloud list that was requested at requestedAt.
 func (m *Machine) ApplyListed(requestedAt, now time.Time, row *wire.ListedMachine) {
-	// Machines that an earlier leader provisioned are older than this term. If they counted as new,
-	// idle ones would be kept for their minimum billing time once more.
+	// Machines that an earlier leader provisioned are older than this term. If they counted as
+	// new, idle ones would be kept for their minimum billing time once more.
 	if at := requestedAt.Add(-seconds.Duration(row.AgeS)); at.Before(m.provisionedAt) {
 		m.provisionedAt = at
 	}
@@ -82,10 +84,10 @@
 	}
 }
 
-// CountMissingFromList counts a cloud list that lacks the machine, and reports whether the machine has
-// been deleted for certain. A machine stays listed as long as it exists. So a list proves the deletion
-// if it was requested more than longestLag after the machine was first listed: it shows a state in
-// which the machine was listed already.
+// CountMissingFromList counts a cloud list that lacks the machine, and reports whether the
+// machine has been deleted for certain. A machine stays listed as long as it exists. So a list
+// proves the deletion if it was requested more than longestLag after the machine was first
+// listed: it shows a state in which the machine was listed already.
 func (l *lifecycle) CountMissingFromList(requestedAt time.Time, longestLag time.Duration) (deleted bool) {
 	if !l.IsListed() && !l.recorded {
 		return false
--- a/internal/machines/machine.go
+++ b/internal/machines/machine.go
@@ -1,5 +1,5 @@
-// Package machines holds the state of the provisioned machines and of the attempts to run tasks on
-// them, for one term of the leader. It reads no clock and does no I/O.
+// Package machines holds the state of the provisioned machines and of the attempts to run tasks
+// on them, for one term of the leader. It reads no clock and does no I/O.
 package machines
 
 import (
@@ -29,7 +29,8 @@
 	imageSeenAt   map[string]time.Time // when an attempt with the image was last reported, by image
 }
 
-// New returns a machine that was provisioned at the given time; ApplyListed may set an earlier one.
+// New returns a machine that was provisioned at the given time; ApplyListed may set an earlier
+// one.
 func New(provisionedAt time.Time, id, machineType, zone, addr string, spot bool) *Machine {
 	return &Machine{
 		ID:            id,
@@ -45,8 +46,8 @@
 	}
 }
 
-// Attempts returns the attempts that may be running on the machine, in the order in which they were
-// added. The caller must not modify the slice, nor keep it while attempts are released.
+// Attempts returns the attempts that may be running on the machine, in the order in which they
+// were added. The caller must not modify the slice, nor keep it while attempts are released.
 func (m *Machine) Attempts() []*Attempt { return m.attempts }
 
 // Find returns the attempt of a task on the machine, or nil.
--- a/internal/machines/machine_test.go
+++ b/internal/machines/machine_test.go
@@ -27,7 +27,8 @@
 	return m
 }
 
-// newInheritedMachine returns a machine that has sent one heartbeat, without the token of the term.
+// newInheritedMachine returns a machine that has sent one heartbeat, without the token of the
+// term.
 func newInheritedMachine(now time.Time) *machines.Machine {
 	m := newMachine()
 	m.SetCapacity(placement.Resources{CPUs: 8})
--- a/internal/machines/reachability.go
+++ b/internal/machines/reachability.go
@@ -9,8 +9,8 @@
 // Reachability tracks which zones are probably partitioned from this node, by the heartbeats that
 // arrive.
 type Reachability struct {
-	// partitionedZones maps each zone that is probably partitioned to the time until which it counts
-	// as such.
+	// partitionedZones maps each zone that is probably partitioned to the time until which it
+	// counts as such.
 	partitionedZones map[string]time.Time
 	// isolated: this node has probably lost contact with most machines.
 	isolated bool
@@ -21,8 +21,8 @@
 	return &Reachability{partitionedZones: map[string]time.Time{}}
 }
 
-// IsPartitioned reports whether the zone is probably partitioned, so that machines provisioned in it
-// could not send heartbeats.
+// IsPartitioned reports whether the zone is probably partitioned, so that machines provisioned
+// in it could not send heartbeats.
 func (r *Reachability) IsPartitioned(now time.Time, zone string) bool {
 	return now.Before(r.partitionedZones[zone])
 }
@@ -37,13 +37,14 @@
 	return false
 }
 
-// IsIsolated reports whether this node has probably lost contact with most machines, or has not yet
-// applied their heartbeats after a failover.
+// IsIsolated reports whether this node has probably lost contact with most machines, or has not
+// yet applied their heartbeats after a failover.
 func (r *Reachability) IsIsolated() bool { return r.isolated }
 
-// Update determines the partitioned zones from the unreachable machines. A zone counts as partitioned
-// if most of its machines are unreachable while most machines elsewhere are reachable. If too many
-// machines outside the partitioned zones are unreachable, this node counts as isolated.
+// Update determines the partitioned zones from the unreachable machines. A zone counts as
+// partitioned if most of its machines are unreachable while most machines elsewhere are
+// reachable. If too many machines outside the partitioned zones are unreachable, this node
+// counts as isolated.
 func (r *Reachability) Update(now time.Time, list []*Machine, t *Timing) {
 	zones := map[string]*heartbeatCount{}
 	all := &heartbeatCount{}
@@ -89,7 +90,8 @@
 	return h.unreachable >= tuning.PartitionedMachines && h.reachableShare() <= tuning.PartitionedShare && others.reachableShare() >= tuning.ReachableShare
 }
 
-// reachableShare returns the share of the joined machines that is reachable, 0 if none has joined.
+// reachableShare returns the share of the joined machines that is reachable, 0 if none has
+// joined.
 func (h *heartbeatCount) reachableShare() float64 {
 	return float64(h.joined-h.unreachable) / float64(max(h.joined, 1))
 }
--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -14,8 +14,8 @@
 	wait    float64 // seconds until the task could start
 }
 
-// better orders candidates: larger speedup first, then the cheaper machine,
-// then the one with fewer free CPUs.
+// betterThan reports whether c precedes other: the larger speedup first, then the
+// cheaper machine, then the one with fewer free CPUs.
 func (c *candidate) betterThan(other *candidate) bool {
 	a, b := c.machine, other.machine
 	if c.score != other.score {
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -291,7 +291,7 @@
 func (p *pass) fitsNow(j *PendingJob) bool {
 	found := false
 	p.eachAvailableMachine(func(m *Machine) bool {
-		found = m.Free.Fits(j.Request) && j.CanRunOn(m) && !m.AvoidedJobs[j.Job] && !m.isReservedAbove(j)
+		found = m.Free.Fits(j.Request) && j.CanRunOn(m) && !m.AvoidedJobs[j.Job] && !m.isReservedForHigherPriority(j)
 		return !found
 	})
 	return found
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -142,7 +142,8 @@
 	return jobs
 }
 
-// startChecker applies the starts of a pass one by one to the state before the pass, and checks each.
+// startChecker applies the starts of a pass one by one to the state before the pass,
+// and checks each.
 type startChecker struct {
 	jobs     map[string]*placement.PendingJob
 	machines map[string]*placement.Machine
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -37,8 +37,8 @@
 
 // waitFor returns the time until the request fits, given the tasks that run or are
 // queued on the machine. It is zero only if the request fits now: a task that has
-// exceeded its estimate counts as running for another MinRemainingS, as starting
-// another task in its resources would make the machine refuse the start.
+// exceeded its estimate counts as running for another MinRemainingS. If its
+// resources counted as free, the machine would refuse starts.
 func (m *Machine) waitFor(now float64, request Resources) float64 {
 	if m.Free.Fits(request) {
 		return 0
@@ -53,15 +53,15 @@
 	return math.Inf(1)
 }
 
-// isReservedAbove reports whether the machine has a reservation or a queued task of
+// isReservedForHigherPriority reports whether the machine has a reservation or a queued task of
 // a higher priority than the job's.
-func (m *Machine) isReservedAbove(j *PendingJob) bool {
+func (m *Machine) isReservedForHigherPriority(j *PendingJob) bool {
 	return m.queuedRank != noRank && m.queuedRank < j.PriorityRank
 }
 
 // isEligible reports whether a task of the job may be assigned to the machine.
 func (m *Machine) isEligible(j *PendingJob) bool {
-	if m.isReservedAbove(j) && j.AgedS == 0 {
+	if m.isReservedForHigherPriority(j) && j.AgedS == 0 {
 		return false
 	}
 	return len(m.PlacedTasks) < tuning.MaxTasksPerMachine && !m.AvoidedJobs[j.Job] && j.CanRunOn(m)
