--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -23,7 +23,7 @@
 
 // setCapacity sets the machine's capacity once its type is known.
 func (l *Leader) setCapacity(m *machines.Machine) {
-	if l.catalogue.Has(m.Type) {
+	if l.catalogue.HasType(m.Type) {
 		m.SetCapacity(placement.MachineCapacity(l.catalogue.Type(m.Type)))
 	}
 	m.MarkSnapshotOutdated()
@@ -37,7 +37,7 @@
 	if value := records.EncodeMachineTypes(types); len(value) <= l.valueLimit() && l.catalogue.SetStored(value) {
 		l.writes.Background.Put(records.MachineTypesKey, value, nil)
 	}
-	l.catalogue.Set(types)
+	l.catalogue.Update(types)
 	for _, m := range l.machines.All() {
 		l.setCapacity(m)
 	}
@@ -49,7 +49,7 @@
 	if !a.IsAllocated() {
 		return
 	}
-	a.SaveProgress(now)
+	a.RecordProgress(now)
 	l.drainer.CountInterruption(now, a)
 	last := l.ledger.Release(now, a)
 	l.starts.Remove(a)
@@ -69,5 +69,5 @@
 
 // acceptsWork reports whether a machine takes new tasks.
 func (l *Leader) acceptsWork(now time.Time, m *machines.Machine) bool {
-	return m.AcceptsWork(now, &l.timing)
+	return m.IsSchedulable(now, &l.timing)
 }
--- a/internal/preemption/pass.go
+++ b/internal/preemption/pass.go
@@ -48,7 +48,7 @@
 		switch {
 		case a.IsStopping(), a.State() == machines.Saving, p.endsSoon(a):
 			p.expectEnd(a, 1)
-		case a.IsAfterLongWait() && p.now.Sub(a.OrderedAt()) < tuning.AgedMinRunTime:
+		case a.PlacedWhileAged() && p.now.Sub(a.CreatedAt()) < tuning.AgedMinRunTime:
 			// Stopped at once, pass after pass, its job would never have begun.
 		case a.State() == machines.Running && a.Job.CheckpointIntervalS > 0:
 			p.addCandidate(a)
@@ -183,7 +183,7 @@
 	least := math.Inf(1)
 	for _, m := range p.Machines.All() {
 		free, ok := p.expectedFree[m]
-		if !ok || m.Avoids(r.Job) || !r.Allowed(m.PlacementView()) {
+		if !ok || m.Avoids(r.Job) || !r.CanRunOn(m.PlacementView()) {
 			continue
 		}
 		if free.Fits(r.Request) {
--- a/internal/startlog/startlog.go
+++ b/internal/startlog/startlog.go
@@ -36,7 +36,7 @@
 
 // Add adds an attempt to the next record to be written.
 func (l *Log) Add(a *machines.Attempt) {
-	machine, jobID := a.Machine.RecordIdentity(), a.Job.ID
+	machine, jobID := a.Machine.NewStartsRecord(), a.Job.ID
 	limit := float64(l.valueLimit) * tuning.RecordValueShare
 	if l.current == nil || l.current.closed || float64(l.current.size.BytesWith(machine, jobID)) > limit {
 		l.addRecord()
