--- a/internal/autoscale/bins.go
+++ b/internal/autoscale/bins.go
@@ -23,7 +23,7 @@
 func newBin(m *Machine) bin {
 	return bin{
 		machine: m.ID, offer: m.Offer, capacity: m.Capacity, free: m.Free,
-		busyS: m.BusyS, readyS: m.BootRemainingS, schedulable: m.Schedulable,
+		busyS: m.RemainingCPUSeconds, readyS: m.BootRemainingS, schedulable: m.Schedulable,
 	}
 }
 
--- a/internal/autoscale/plan.go
+++ b/internal/autoscale/plan.go
@@ -42,8 +42,8 @@
 	Offer    Offer
 	Capacity placement.Resources
 	Free     placement.Resources
-	// BusyS is the work still to be done there, in CPU seconds.
-	BusyS float64
+	// RemainingCPUSeconds is the work still to be done there, in CPU seconds.
+	RemainingCPUSeconds float64
 	// BootRemainingS is the expected time until a booting machine is up.
 	BootRemainingS float64
 	// Schedulable: it takes new tasks, now or once it has booted.
--- a/internal/consolidation/consolidation.go
+++ b/internal/consolidation/consolidation.go
@@ -18,8 +18,8 @@
 // it.
 type Cluster struct {
 	Machines *machines.Registry
-	// AcceptsWork reports whether a machine takes new tasks.
-	AcceptsWork func(now time.Time, m *machines.Machine) bool
+	// IsSchedulable reports whether a machine takes new tasks.
+	IsSchedulable func(now time.Time, m *machines.Machine) bool
 	// ActiveJobs returns the unfinished jobs that wait for no others, oldest first.
 	ActiveJobs func() []*jobs.Job
 	// Price is what a machine costs now.
@@ -27,8 +27,8 @@
 	// RemainingS estimates the rest of an attempt's run time in seconds, 0 if it is over its
 	// estimate.
 	RemainingS func(now time.Time, a *machines.Attempt) float64
-	// Emptied is called with each machine whose attempts are to be stopped.
-	Emptied func(*machines.Machine)
+	// OnEmptied is called with each machine whose attempts are to be stopped.
+	OnEmptied func(*machines.Machine)
 }
 
 // Consolidator empties machines now and then.
@@ -70,7 +70,7 @@
 func (p *pass) divide() {
 	for _, m := range p.Machines.All() {
 		switch {
-		case !p.AcceptsWork(p.now, m):
+		case !p.IsSchedulable(p.now, m):
 		case p.isMovable(m):
 			p.movable = append(p.movable, m)
 		default:
@@ -151,7 +151,7 @@
 	for _, a := range m.Attempts() {
 		a.StopSaving()
 	}
-	p.Emptied(m)
+	p.OnEmptied(m)
 }
 
 // isMovable reports whether all tasks of the machine can take their progress
--- a/internal/drainer/batch.go
+++ b/internal/drainer/batch.go
@@ -66,7 +66,7 @@
 // provisioningSelected reports whether a provisioning call under way may bring machines that
 // are selected.
 func (s *step) provisioningSelected() bool {
-	return s.d.cluster.Scaler.AnyPending(func(p *scaling.Provision) bool {
+	return s.d.cluster.Scaler.AnyPending(func(p *scaling.PendingProvision) bool {
 		return s.record.Spec.Selector.SelectsAllOf(p.Offer.Type, p.Offer.Zone)
 	})
 }
--- a/internal/drainer/drainer_test.go
+++ b/internal/drainer/drainer_test.go
@@ -50,10 +50,10 @@
 	catalogue := machines.NewCatalogue()
 	catalogue.Set([]wire.MachineType{{Name: "std-8", CPUs: 8, MemoryGB: 32, Price: 1, Zones: []string{"a"}}})
 	f.scaler = scaling.New(scaling.Config{Term: 5, CloudRPS: 5}, scaling.Cluster{
-		Machines:    f.registry,
-		Catalogue:   catalogue,
-		Drained:     func(o autoscale.Offer) bool { return f.BlocksProvisioning(o) },
-		Partitioned: func(time.Time, string) bool { return false },
+		Machines:       f.registry,
+		Catalogue:      catalogue,
+		BlockedByDrain: func(o autoscale.Offer) bool { return f.BlocksProvisioning(o) },
+		Partitioned:    func(time.Time, string) bool { return false },
 	})
 	f.Drainer = drainer.New(zerolog.Nop(), drainer.Config{
 		Term:       5,
@@ -236,7 +236,7 @@
 	if again := f.ReplacementCalls(f.now); len(again) != 0 {
 		t.Fatalf("provisioned again: %+v", again)
 	}
-	p := f.scaler.ProvisionAnswered(f.now, calls[0].Provision, 1)
+	p := f.scaler.FinishProvision(f.now, calls[0].Provision, 1)
 	f.Provisioned(p.ReplacementFor, []string{"m2"})
 	f.step(tuning.DrainStepInterval)
 	if m.Cordoned() || !f.IsReplacement("m2") {
--- a/internal/drainer/replacements.go
+++ b/internal/drainer/replacements.go
@@ -95,7 +95,7 @@
 		// shown yet.
 		return nil
 	}
-	if d.cluster.Scaler.AnyPending(func(p *scaling.Provision) bool { return p.ReplacementFor != "" }) {
+	if d.cluster.Scaler.AnyPending(func(p *scaling.PendingProvision) bool { return p.ReplacementFor != "" }) {
 		return nil
 	}
 	n := d.countReplacements(now, r.Batch)
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -54,7 +54,7 @@
 	case !j.IsBlocked():
 		l.jobs.MarkRunnable(j)
 		j.FillReady()
-		l.scaler.History.CountInflow(now, j.WaitingSince(), float64(j.Tasks)*j.CPUs*l.runTimes.Estimate(j))
+		l.scaler.History.AddInflow(now, j.WaitingSince(), float64(j.Tasks)*j.CPUs*l.runTimes.Estimate(j))
 		l.changed = true
 	}
 }
--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -11,13 +11,13 @@
 // newPreemptor returns the term's preemptor.
 func (l *Leader) newPreemptor() *preemption.Preemptor {
 	return preemption.New(preemption.Cluster{
-		Machines:     l.machines,
-		AcceptsWork:  l.acceptsWork,
-		RemainingS:   l.remaining,
-		Unfinished:   l.jobs.Runnable,
-		FetchGBPerS:  func(machineType string) float64 { return l.catalogue.Type(machineType).FetchGBPerS },
-		TeamFreeCPUs: l.ledger.FreeCPUs,
-		Stopped:      l.calls.schedule,
+		Machines:       l.machines,
+		IsSchedulable:  l.acceptsWork,
+		RemainingS:     l.remaining,
+		UnfinishedJobs: l.jobs.Runnable,
+		FetchGBPerS:    func(machineType string) float64 { return l.catalogue.Type(machineType).FetchGBPerS },
+		TeamFreeCPUs:   l.ledger.FreeCPUs,
+		OnStop:         l.calls.schedule,
 	})
 }
 
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -30,7 +30,7 @@
 		HeartbeatOverdue: func(now time.Time, m *machines.Machine) bool { return m.HeartbeatOverdue(now, &l.timing) },
 		RemainingS:       l.remaining,
 		IsReplacement:    func(id string) bool { return l.drainer.IsReplacement(id) },
-		Drained:          func(o autoscale.Offer) bool { return l.drainer.BlocksProvisioning(o) },
+		BlockedByDrain:   func(o autoscale.Offer) bool { return l.drainer.BlocksProvisioning(o) },
 		Partitioned:      l.reachability.IsPartitioned,
 	})
 }
@@ -44,7 +44,7 @@
 	l.reachability.Update(now, l.machines.All(), &l.timing)
 	plan := l.scaler.Plan(now)
 	calls := append(l.scaler.ScaleOut(now, plan.ScaleOut), l.drainer.ReplacementCalls(now)...)
-	if l.scaler.Releasing() {
+	if l.scaler.ReleaseInFlight() {
 		return calls
 	}
 	return append(calls, l.scaler.ScaleIn(l.machinesToRelease(now, plan.ScaleIn))...)
@@ -99,7 +99,7 @@
 
 // ProvisionDone applies the answer of a provisioning call: names, or none if it was rejected.
 func (l *Leader) ProvisionDone(now time.Time, r wire.ProvisionRequest, names []string) {
-	call := l.scaler.ProvisionAnswered(now, r, len(names))
+	call := l.scaler.FinishProvision(now, r, len(names))
 	if call == nil {
 		return
 	}
@@ -108,7 +108,7 @@
 			continue
 		}
 		m := l.addMachine(now, id, r.Type, r.Zone, "", r.Spot)
-		m.SetProvisionedAt(call.At)
+		m.SetProvisionedAt(call.RequestedAt)
 	}
 	l.drainer.Provisioned(call.ReplacementFor, names)
 	l.log.Debug().Str("request", r.RequestID).Str("zone", r.Zone).Bool("spot", r.Spot).Int("requested", r.Count).Int("received", len(names)).Msg("machines provisioned")
@@ -116,6 +116,6 @@
 
 // ReleaseDone records that machines, and all on them, no longer exist.
 func (l *Leader) ReleaseDone(now time.Time, names []string) {
-	l.scaler.ReleaseAnswered()
+	l.scaler.FinishRelease()
 	l.remove(now, names)
 }
--- a/internal/preemption/pass.go
+++ b/internal/preemption/pass.go
@@ -35,7 +35,7 @@
 		candidates:       map[*machines.Machine][]candidate{},
 	}
 	for _, m := range p.Machines.All() {
-		if p.AcceptsWork(now, m) {
+		if p.IsSchedulable(now, m) {
 			p.addMachine(m)
 		}
 	}
@@ -87,7 +87,7 @@
 	c.StopNow()
 	p.expectEnd(c.Attempt, 1)
 	p.stops++
-	p.Stopped(c.Machine)
+	p.OnStop(c.Machine)
 }
 
 func (p *pass) undoStops(stopped []candidate) {
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -16,20 +16,20 @@
 // Cluster is what preemption has to know of the cluster, and the one thing that it does to it.
 type Cluster struct {
 	Machines *machines.Registry
-	// AcceptsWork reports whether a machine takes new tasks.
-	AcceptsWork func(now time.Time, m *machines.Machine) bool
+	// IsSchedulable reports whether a machine takes new tasks.
+	IsSchedulable func(now time.Time, m *machines.Machine) bool
 	// RemainingS estimates the rest of an attempt's run time in seconds, 0 if it is over its
 	// estimate.
 	RemainingS func(now time.Time, a *machines.Attempt) float64
-	// Unfinished returns the jobs whose tasks may run.
-	Unfinished func() iter.Seq[*jobs.Job]
+	// UnfinishedJobs returns the jobs whose tasks may run.
+	UnfinishedJobs func() iter.Seq[*jobs.Job]
 	// FetchGBPerS is the rate at which machines of a type fetch images.
 	FetchGBPerS func(machineType string) float64
 	// TeamFreeCPUs are the CPUs that a team may use beyond those that it uses; known is false
 	// for teams that are not in the settings.
 	TeamFreeCPUs func(team string) (cpus float64, known bool)
-	// Stopped is called with each machine on which an attempt is to be stopped.
-	Stopped func(*machines.Machine)
+	// OnStop is called with each machine on which an attempt is to be stopped.
+	OnStop func(*machines.Machine)
 }
 
 // Preemptor makes capacity now and then.
@@ -51,7 +51,7 @@
 	}
 	s.lastRun = now
 	waiting := waitingByPriority(ready, byID)
-	lowest := lowestPriority(s.cluster.Unfinished())
+	lowest := lowestPriority(s.cluster.UnfinishedJobs())
 	if len(waiting) == 0 || waiting[0].PriorityRank >= lowest {
 		return 0
 	}
--- a/internal/preemption/preemption_test.go
+++ b/internal/preemption/preemption_test.go
@@ -58,13 +58,13 @@
 	r := j.Constraints()
 	r.Job, r.Team, r.PriorityRank = j.ID, j.Team, j.PriorityRank()
 	p := preemption.New(preemption.Cluster{
-		Machines:     c.registry,
-		AcceptsWork:  func(time.Time, *machines.Machine) bool { return true },
-		RemainingS:   func(time.Time, *machines.Attempt) float64 { return 600 },
-		Unfinished:   func() iter.Seq[*jobs.Job] { return slices.Values(c.running) },
-		FetchGBPerS:  func(string) float64 { return 1 },
-		TeamFreeCPUs: func(string) (float64, bool) { return c.teamFree, true },
-		Stopped:      func(*machines.Machine) { c.called++ },
+		Machines:       c.registry,
+		IsSchedulable:  func(time.Time, *machines.Machine) bool { return true },
+		RemainingS:     func(time.Time, *machines.Attempt) float64 { return 600 },
+		UnfinishedJobs: func() iter.Seq[*jobs.Job] { return slices.Values(c.running) },
+		FetchGBPerS:    func(string) float64 { return 1 },
+		TeamFreeCPUs:   func(string) (float64, bool) { return c.teamFree, true },
+		OnStop:         func(*machines.Machine) { c.called++ },
 	})
 	return p.Run(now, []*placement.PendingJob{r}, map[string]*jobs.Job{j.ID: j})
 }
--- a/internal/scaling/history.go
+++ b/internal/scaling/history.go
@@ -30,8 +30,8 @@
 	return h.smoothedCPUs
 }
 
-// CountInflow counts work, in CPU seconds, that arrived at the given time into the inflow.
-func (h *DemandHistory) CountInflow(now, arrived time.Time, work float64) {
+// AddInflow counts work, in CPU seconds, that arrived at the given time into the inflow.
+func (h *DemandHistory) AddInflow(now, arrived time.Time, work float64) {
 	rate := work / tuning.InflowDecay.Seconds()
 	h.inflow, h.inflowAt = h.InflowCPUs(now)+rate*decayFactor(now.Sub(arrived), tuning.InflowDecay), now
 }
--- a/internal/scaling/plan_input.go
+++ b/internal/scaling/plan_input.go
@@ -68,7 +68,7 @@
 		planned.BootRemainingS = max(0, s.cluster.Catalogue.Type(m.Type).BootTimeS-now.Sub(m.ProvisionedAt()).Seconds())
 	}
 	for _, a := range m.Attempts() {
-		planned.BusyS += s.cluster.RemainingS(now, a) * a.Job.CPUs
+		planned.RemainingCPUSeconds += s.cluster.RemainingS(now, a) * a.Job.CPUs
 	}
 	return planned
 }
--- a/internal/scaling/scale_in.go
+++ b/internal/scaling/scale_in.go
@@ -6,10 +6,10 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Releasing reports whether calls to release machines have not been answered. The next
+// ReleaseInFlight reports whether calls to release machines have not been answered. The next
 // releases then take all that has gathered meanwhile: the budget of calls is better spent on
 // provisioning.
-func (s *Scaler) Releasing() bool { return s.releasesUnanswered > 0 }
+func (s *Scaler) ReleaseInFlight() bool { return s.releasesUnanswered > 0 }
 
 // ScaleIn marks the named machines, the most urgent first, as being released, and returns the
 // calls for that, as many as may be under way.
@@ -30,5 +30,5 @@
 	return calls
 }
 
-// ReleaseAnswered ends a call to release machines.
-func (s *Scaler) ReleaseAnswered() { s.releasesUnanswered = max(0, s.releasesUnanswered-1) }
+// FinishRelease ends a call to release machines.
+func (s *Scaler) FinishRelease() { s.releasesUnanswered = max(0, s.releasesUnanswered-1) }
--- a/internal/scaling/scale_out.go
+++ b/internal/scaling/scale_out.go
@@ -36,7 +36,7 @@
 		Spot:      o.Spot,
 		Count:     min(count, tuning.MaxProvisionCount),
 	}
-	s.pending[r.RequestID] = &Provision{Offer: o, Count: r.Count, At: now, ReplacementFor: replacementFor}
+	s.pending[r.RequestID] = &PendingProvision{Offer: o, Count: r.Count, RequestedAt: now, ReplacementFor: replacementFor}
 	return CloudCall{Op: CloudProvision, Provision: r}
 }
 
@@ -54,12 +54,12 @@
 // CanProvision reports whether machines of an offer may be provisioned now: the cloud has not
 // lacked capacity for them lately, their zone is not cut off, and none is drained.
 func (s *Scaler) CanProvision(now time.Time, o autoscale.Offer) bool {
-	return !now.Before(s.unavailable[o]) && !s.cluster.Partitioned(now, o.Zone) && !s.cluster.Drained(o)
+	return !now.Before(s.unavailable[o]) && !s.cluster.Partitioned(now, o.Zone) && !s.cluster.BlockedByDrain(o)
 }
 
-// ProvisionAnswered ends a call, with the number of machines received; nil if the call is not
+// FinishProvision ends a call, with the number of machines received; nil if the call is not
 // known. An offer of which fewer came than were requested is without capacity for a while.
-func (s *Scaler) ProvisionAnswered(now time.Time, r wire.ProvisionRequest, received int) *Provision {
+func (s *Scaler) FinishProvision(now time.Time, r wire.ProvisionRequest, received int) *PendingProvision {
 	p := s.pending[r.RequestID]
 	delete(s.pending, r.RequestID)
 	if p != nil && received < r.Count {
@@ -69,7 +69,7 @@
 }
 
 // AnyPending reports whether a provisioning call without an answer is such as is asked for.
-func (s *Scaler) AnyPending(is func(*Provision) bool) bool {
+func (s *Scaler) AnyPending(is func(*PendingProvision) bool) bool {
 	for _, p := range s.pending {
 		if is(p) {
 			return true
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -50,8 +50,8 @@
 	RemainingS func(now time.Time, a *machines.Attempt) float64
 	// IsReplacement reports whether a machine was provisioned for a drain that still runs.
 	IsReplacement func(id string) bool
-	// Drained reports whether a drain keeps machines of an offer from being provisioned.
-	Drained func(autoscale.Offer) bool
+	// BlockedByDrain reports whether a drain keeps machines of an offer from being provisioned.
+	BlockedByDrain func(autoscale.Offer) bool
 	// Partitioned reports whether a zone seems to be cut off.
 	Partitioned func(now time.Time, zone string) bool
 }
@@ -63,16 +63,16 @@
 	History            DemandHistory
 	unavailable        map[autoscale.Offer]time.Time // without capacity, until then
 	provisionsNamed    uint64
-	pending            map[string]*Provision // by request
+	pending            map[string]*PendingProvision // by request
 	releasesUnanswered int
 	nextPlan           time.Time
 }
 
-// Provision is a request for machines without an answer.
-type Provision struct {
-	Offer autoscale.Offer
-	Count int
-	At    time.Time
+// PendingProvision is a request for machines without an answer.
+type PendingProvision struct {
+	Offer       autoscale.Offer
+	Count       int
+	RequestedAt time.Time
 	// ReplacementFor is the drain that the machines are replacements for, "" for none.
 	ReplacementFor string
 }
@@ -83,7 +83,7 @@
 		config:      config,
 		cluster:     cluster,
 		unavailable: map[autoscale.Offer]time.Time{},
-		pending:     map[string]*Provision{},
+		pending:     map[string]*PendingProvision{},
 	}
 }
 
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -30,7 +30,7 @@
 		HeartbeatOverdue: func(time.Time, *machines.Machine) bool { return false },
 		RemainingS:       func(time.Time, *machines.Attempt) float64 { return 0 },
 		IsReplacement:    func(string) bool { return false },
-		Drained:          func(o autoscale.Offer) bool { return o.Zone == "drained" },
+		BlockedByDrain:   func(o autoscale.Offer) bool { return o.Zone == "drained" },
 		Partitioned:      func(_ time.Time, zone string) bool { return zone == "partitioned" },
 	}
 	cluster.Catalogue.Set([]wire.MachineType{{Name: "std-8", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.4, BootTimeS: 10, Zones: []string{"a"}}})
@@ -49,10 +49,10 @@
 	if more := s.ScaleOut(start, wanted); len(more) != 0 {
 		t.Fatalf("%+v", more)
 	}
-	if p := s.ProvisionAnswered(start, calls[0].Provision, 2); p == nil || p.Offer != spot || p.Count != 2 {
+	if p := s.FinishProvision(start, calls[0].Provision, 2); p == nil || p.Offer != spot || p.Count != 2 {
 		t.Fatalf("%+v", p)
 	}
-	if p := s.ProvisionAnswered(start, calls[0].Provision, 2); p != nil {
+	if p := s.FinishProvision(start, calls[0].Provision, 2); p != nil {
 		t.Errorf("an answer that came twice is taken for another call: %+v", p)
 	}
 	if more := s.ScaleOut(start, wanted); len(more) != 1 || more[0].Provision.RequestID != "r-5-2" {
@@ -65,7 +65,7 @@
 func TestOfferWithoutCapacityIsAvoidedForAWhile(t *testing.T) {
 	s, _ := newScaler()
 	call := s.Provision(start, spot, 3, "")
-	s.ProvisionAnswered(start, call.Provision, 2)
+	s.FinishProvision(start, call.Provision, 2)
 	over := start.Add(tuning.UnavailableOfferBackoff)
 	for name, test := range map[string]struct {
 		now   time.Time
@@ -101,13 +101,13 @@
 	if released != tuning.MaxReleaseCount || !registry.Get(names[0]).IsReleasing() || registry.Get(names[len(names)-1]).IsReleasing() {
 		t.Errorf("%d released", released)
 	}
-	if !s.Releasing() {
+	if !s.ReleaseInFlight() {
 		t.Error("calls without an answer are not known")
 	}
 	for range calls {
-		s.ReleaseAnswered()
+		s.FinishRelease()
 	}
-	if s.Releasing() {
+	if s.ReleaseInFlight() {
 		t.Error("calls with an answer are still waited for")
 	}
 }
@@ -147,7 +147,7 @@
 	if want := 100 / math.E; math.Abs(later-want) > 0.01 {
 		t.Errorf("%v after one decay time, want %v", later, want)
 	}
-	h.CountInflow(start, start, 60)
+	h.AddInflow(start, start, 60)
 	now, then := h.InflowCPUs(start), h.InflowCPUs(start.Add(tuning.InflowDecay))
 	if want := 60 / tuning.InflowDecay.Seconds(); math.Abs(now-want) > 1e-9 || math.Abs(then-want/math.E) > 1e-9 {
 		t.Errorf("%v, then %v, want %v at first", now, then, want)
