--- a/internal/autoscale/bins.go
+++ b/internal/autoscale/bins.go
@@ -8,53 +8,53 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// bin is a machine, existing or to be provisioned, into which demand is packed.
+// bin is an existing or requested machine to which the planner assigns demand.
 type bin struct {
-	machine     string // its ID; empty if it is to be provisioned
-	offer       Offer
-	capacity    placement.Resources
-	free        placement.Resources
-	busyS       float64 // CPU seconds of the work given to it
-	readyS      float64 // until it is up
-	schedulable bool
-	used        bool // demand was given to it
+	machine             string // the machine's ID, or empty if it is to be provisioned
+	offer               Offer
+	capacity            placement.Resources
+	free                placement.Resources
+	remainingCPUSeconds float64 // of running and assigned tasks
+	bootRemainingS      float64
+	schedulable         bool
+	used                bool // whether demand was assigned to it
 }
 
 func newBin(m *Machine) bin {
 	return bin{
 		machine: m.ID, offer: m.Offer, capacity: m.Capacity, free: m.Free,
-		busyS: m.RemainingCPUSeconds, readyS: m.BootRemainingS, schedulable: m.Schedulable,
+		remainingCPUSeconds: m.RemainingCPUSeconds, bootRemainingS: m.BootRemainingS, schedulable: m.Schedulable,
 	}
 }
 
-// add gives the bin as many of the tasks as fit at once or can start within a
-// time, and returns how many.
-func (b *bin) add(d *Demand, tasks int, withinS float64) int {
-	taskS := max(d.EstimateS, tuning.MinimumEstimateS) * d.Request.CPUs
-	leftS := b.capacity.CPUs*usableShare(b.capacity, d.Request)*(withinS-min(b.readyS, withinS/2)) - b.busyS
-	n := max(parallelTasks(b.free, d.Request), int(leftS/taskS))
+// assign assigns up to the given number of tasks to the bin: as many as fit into its free
+// resources now or, if that is more, as it can run within withinS. It returns their number.
+func (b *bin) assign(d *Demand, tasks int, withinS float64) int {
+	taskCPUSeconds := max(d.EstimateS, tuning.MinimumEstimateS) * d.Request.CPUs
+	availableCPUSeconds := b.capacity.CPUs*usableShare(b.capacity, d.Request)*(withinS-min(b.bootRemainingS, withinS/2)) - b.remainingCPUSeconds
+	n := max(parallelTasks(b.free, d.Request), int(availableCPUSeconds/taskCPUSeconds))
 	n = max(0, min(n, tasks))
 	b.used = b.used || n > 0
-	b.busyS += float64(n) * taskS
+	b.remainingCPUSeconds += float64(n) * taskCPUSeconds
 	b.free = b.free.Add(d.Request, -float64(n))
 	return n
 }
 
-// epsilon absorbs rounding of divided decimal amounts.
-const epsilon = 1e-6
+// roundingTolerance compensates for rounding errors when amounts of resources are divided.
+const roundingTolerance = 1e-6
 
-// parallelTasks is how many tasks with the request fit into the free resources.
+// parallelTasks returns how many tasks with the request fit into the free resources.
 func parallelTasks(free, request placement.Resources) int {
 	n := math.Inf(1)
 	for _, amount := range [][2]float64{{free.CPUs, request.CPUs}, {free.MemoryGB, request.MemoryGB}, {free.GPUs, request.GPUs}} {
-		if available, each := amount[0], amount[1]; each > 0 {
-			n = min(n, math.Floor(available/each+epsilon))
+		if available, requested := amount[0], amount[1]; requested > 0 {
+			n = min(n, math.Floor(available/requested+roundingTolerance))
 		}
 	}
 	return int(max(0, min(n, wire.MaxTasks)))
 }
 
-// usableShare is the share of a machine's CPUs that tasks with the request can use.
+// usableShare returns the share of a machine's CPUs that tasks with the request can use.
 func usableShare(capacity, request placement.Resources) float64 {
 	if capacity.CPUs <= 0 {
 		return 0
--- a/internal/autoscale/doc.go
+++ b/internal/autoscale/doc.go
@@ -1,3 +1,3 @@
 // Package autoscale decides which machines to provision and which to release.
-// It is pure: it works on a snapshot of demand and machines, and reads no clock.
+// It works on a snapshot of demand and machines, reads no clock and does no I/O.
 package autoscale
--- a/internal/autoscale/offers.go
+++ b/internal/autoscale/offers.go
@@ -7,21 +7,19 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// Offer is what can be provisioned: a machine type in a zone, as a spot
-// instance or on demand.
+// Offer is a machine type in a zone, either as a spot instance or on demand.
 type Offer struct {
 	Type string
 	Zone string
 	Spot bool
 }
 
-// pricedOffer is an offer with its price per CPU.
 type pricedOffer struct {
 	Offer
-	price float64
+	pricePerCPU float64
 }
 
-// offersByPrice lists all offers, the cheapest first.
+// offersByPrice returns all offers, sorted by ascending price per CPU.
 func offersByPrice(types []wire.MachineType) []pricedOffer {
 	var offers []pricedOffer
 	for _, t := range types {
@@ -33,24 +31,25 @@
 			offers = append(offers, pricedOffer{Offer{t.Name, zone, false}, t.Price / cpus})
 		}
 	}
-	sort.SliceStable(offers, func(i, k int) bool { return offers[i].price < offers[k].price })
+	sort.SliceStable(offers, func(i, k int) bool { return offers[i].pricePerCPU < offers[k].pricePerCPU })
 	return offers
 }
 
-// cheapest returns the cheapest offer that the demand allows and that has
-// capacity; among equals the one that the plan has the fewest of, to spread
-// machines over zones.
-func (p *planner) cheapest(d *Demand) (pricedOffer, bool) {
+// cheapestOffer returns the cheapest available offer that the demand allows and
+// whose machines are large enough for a task. Among equally cheap offers it
+// chooses the one with the fewest machines in the plan, to spread machines over
+// zones.
+func (p *planner) cheapestOffer(d *Demand) (pricedOffer, bool) {
 	var best *pricedOffer
 	for i := range p.offers {
 		o := &p.offers[i]
 		if !d.allows(o.Offer) || p.in.Unavailable(o.Offer) || !placement.MachineCapacity(p.types[o.Type]).Fits(d.Request) {
 			continue
 		}
-		if best == nil || o.price == best.price && p.plan.ScaleOut[o.Offer] < p.plan.ScaleOut[best.Offer] {
+		if best == nil || o.pricePerCPU == best.pricePerCPU && p.plan.ScaleOut[o.Offer] < p.plan.ScaleOut[best.Offer] {
 			best = o
 		}
-		if o.price > best.price {
+		if o.pricePerCPU > best.pricePerCPU {
 			break
 		}
 	}
--- a/internal/autoscale/plan.go
+++ b/internal/autoscale/plan.go
@@ -10,25 +10,26 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// Demand is the work of one job that waits for capacity.
+// Demand describes the tasks of one job that are waiting for capacity.
 type Demand struct {
 	Tasks     int
-	Request   placement.Resources
-	EstimateS float64
-	// MachineTypes lists the allowed types; empty allows all.
+	Request   placement.Resources // per task
+	EstimateS float64             // estimated run time of a task
+	// MachineTypes lists the allowed machine types; empty allows all.
 	MachineTypes []string
 	// Zone is the only allowed zone; empty allows all.
 	Zone string
 	// Spot allows spot instances.
 	Spot bool
-	// StartWithinS is the time within which the tasks should start.
+	// StartWithinS is the time in seconds within which the tasks should start.
 	StartWithinS float64
-	// AvoidMachines names machines where the job has failed. They are no capacity
-	// to it: otherwise a single faulty machine would keep it waiting forever.
+	// AvoidMachines contains the machines on which the job has failed. The planner
+	// does not count them as capacity for the job; otherwise, with a faulty machine
+	// as the only one, the job would wait forever.
 	AvoidMachines map[string]bool
 }
 
-// allows reports whether the work may run on a machine of the offer.
+// allows reports whether the tasks may run on a machine of the offer.
 func (d *Demand) allows(o Offer) bool {
 	if o.Spot && !d.Spot || d.Zone != "" && d.Zone != o.Zone {
 		return false
@@ -36,74 +37,76 @@
 	return len(d.MachineTypes) == 0 || slices.Contains(d.MachineTypes, o.Type)
 }
 
-// Machine is a machine as the planner sees it.
+// Machine describes an existing or requested machine.
 type Machine struct {
 	ID       string
 	Offer    Offer
 	Capacity placement.Resources
 	Free     placement.Resources
-	// RemainingCPUSeconds is the work still to be done there, in CPU seconds.
+	// RemainingCPUSeconds is the estimated remaining work of the machine's tasks.
 	RemainingCPUSeconds float64
-	// BootRemainingS is the expected time until a booting machine is up.
+	// BootRemainingS is the expected time in seconds until a booting machine is up.
 	BootRemainingS float64
-	// Schedulable: it takes new tasks, now or once it has booted.
+	// Schedulable reports whether new tasks may be assigned to the machine, now or
+	// once it has booted.
 	Schedulable bool
-	// Idle: no task may be there.
+	// Idle reports whether the machine has no tasks and may be released.
 	Idle    bool
 	IdleFor time.Duration
 	Price   float64
 }
 
-// Input is a snapshot.
+// Input is the snapshot of the cluster that a plan is based on.
 type Input struct {
-	// Demand is sorted by NewPlan.
+	// Demand is sorted in place by NewPlan.
 	Demand       []Demand
 	Machines     []Machine
 	MachineTypes []wire.MachineType
-	// Unavailable reports which offers had no capacity recently.
+	// Unavailable reports whether an offer cannot be provisioned now.
 	Unavailable func(Offer) bool
-	// ReserveCPUs is the number of CPUs to be kept, by the smoothed demand.
+	// ReserveCPUs is the number of CPUs that scale-in must keep. It is the smoothed
+	// number of CPUs in use.
 	ReserveCPUs float64
-	// InflowCPUs is the number of CPUs that new work keeps busy, by its recent rate.
+	// InflowCPUs is the number of CPUs that jobs arriving at the recent rate keep busy.
 	InflowCPUs float64
-	// ScaleInIdleTime is how long an idle machine is kept.
+	// ScaleInIdleTime is how long a machine must be idle before it is released.
 	ScaleInIdleTime time.Duration
-	// MaxMachines bounds the machines, 0 for no bound.
+	// MaxMachines limits the number of machines; 0 means no limit.
 	MaxMachines int
 }
 
-// Plan is the number of machines to provision of each offer, and the IDs of
-// those to release.
+// Plan is the number of machines to provision of each offer, and the IDs of the
+// machines to release.
 type Plan struct {
 	ScaleOut map[Offer]int
 	ScaleIn  []string
 }
 
-// planner is a plan in the making.
+// planner holds the state of one call of NewPlan.
 type planner struct {
 	in     Input
 	plan   Plan
 	types  map[string]wire.MachineType
 	offers []pricedOffer
 	bins   []bin
-	// machineCount includes the machines to be provisioned.
+	// machineCount includes the machines that the plan provisions.
 	machineCount int
 }
 
-// NewPlan plans. It packs the demand, the most urgent first, into the existing
-// machines, up to what they can start in time, and provisions the cheapest
-// offer for the rest.
+// NewPlan assigns demand, the most urgent first, to the existing machines as far
+// as they can start it in time. For the rest it provisions machines of the
+// cheapest offers. It releases idle machines that got no demand.
 func NewPlan(in Input) Plan {
 	p := newPlanner(in)
-	openCPUs, freeCPUs := p.schedulableCPUs()
+	schedulableCPUs, freeCPUs := p.schedulableCPUs()
 	sort.SliceStable(in.Demand, func(i, k int) bool { return in.Demand[i].StartWithinS < in.Demand[k].StartWithinS })
 	for i := range in.Demand {
-		p.place(&in.Demand[i])
+		p.planDemand(&in.Demand[i])
 	}
-	p.scaleOutForInflow(openCPUs, freeCPUs)
-	// With several hundred machines something is provisioned nearly always:
-	// machines without demand are released all the same.
-	p.plan.ScaleIn = scaleIn(&in, p.bins, openCPUs)
+	p.scaleOutForInflow(schedulableCPUs, freeCPUs)
+	// Scale-in does not wait for a plan without scale-out: with several hundred
+	// machines, nearly every plan provisions some.
+	p.plan.ScaleIn = scaleIn(&in, p.bins, schedulableCPUs)
 	return p.plan
 }
 
@@ -121,92 +124,95 @@
 	return p
 }
 
-// schedulableCPUs returns the CPUs of the schedulable machines, and those free now.
-func (p *planner) schedulableCPUs() (open, free float64) {
+// schedulableCPUs returns the total CPUs of the schedulable machines, and the free
+// CPUs of those that have booted.
+func (p *planner) schedulableCPUs() (total, free float64) {
 	for _, m := range p.in.Machines {
 		if !m.Schedulable {
 			continue
 		}
-		open += m.Capacity.CPUs
+		total += m.Capacity.CPUs
 		if m.BootRemainingS == 0 {
 			free += m.Free.CPUs
 		}
 	}
-	return open, free
+	return total, free
 }
 
-// mayScaleOut reports whether another machine is within the bound.
+// mayScaleOut reports whether another machine is within MaxMachines.
 func (p *planner) mayScaleOut() bool {
 	return p.in.MaxMachines == 0 || p.machineCount < p.in.MaxMachines
 }
 
-// place gives the machines what they can start of the demand in time, and
-// provisions others for the rest.
-func (p *planner) place(d *Demand) {
-	tasks := p.fill(d, d.Tasks, d.StartWithinS)
-	waited := false
+// planDemand assigns to the bins the tasks that they can start in time, and
+// provisions machines for the rest.
+func (p *planner) planDemand(d *Demand) {
+	tasks := p.assignToBins(d, d.Tasks, d.StartWithinS)
+	extended := false
 	for tasks > 0 && p.mayScaleOut() {
-		offer, ok := p.cheapest(d)
+		offer, ok := p.cheapestOffer(d)
 		if !ok {
 			return
 		}
-		if lowest := p.offers[0].price; offer.price > lowest && !waited {
-			// The more expensive the offer, the longer the work waits for the
-			// existing machines.
-			waited = true
-			tasks = p.fill(d, tasks, d.StartWithinS*math.Sqrt(offer.price/lowest))
+		if lowest := p.offers[0].pricePerCPU; offer.pricePerCPU > lowest && !extended {
+			// Before it provisions an expensive offer, the planner lets the tasks wait
+			// longer for existing machines: the more expensive the offer, the longer.
+			extended = true
+			tasks = p.assignToBins(d, tasks, d.StartWithinS*math.Sqrt(offer.pricePerCPU/lowest))
 			continue
 		}
 		tasks -= p.scaleOut(offer.Offer, d, tasks)
 	}
 }
 
-// fill gives the machines as many of the tasks as they can start within a time,
-// and returns how many are left.
-func (p *planner) fill(d *Demand, tasks int, withinS float64) int {
+// assignToBins assigns as many of the tasks as the bins can start within withinS,
+// and returns the number of tasks left.
+func (p *planner) assignToBins(d *Demand, tasks int, withinS float64) int {
 	for i := range p.bins {
 		b := &p.bins[i]
 		if tasks > 0 && b.schedulable && !d.AvoidMachines[b.machine] && d.allows(b.offer) && b.capacity.Fits(d.Request) {
-			tasks -= b.add(d, tasks, withinS)
+			tasks -= b.assign(d, tasks, withinS)
 		}
 	}
 	return tasks
 }
 
-// scaleOut provisions one machine, and returns for how many of the tasks it is.
+// scaleOut adds one machine of the offer to the plan, assigns tasks to it, and
+// returns their number.
 func (p *planner) scaleOut(o Offer, d *Demand, tasks int) int {
-	size := placement.MachineCapacity(p.types[o.Type])
-	b := bin{offer: o, capacity: size, free: size, schedulable: true}
-	added := max(1, b.add(d, tasks, d.StartWithinS))
+	capacity := placement.MachineCapacity(p.types[o.Type])
+	b := bin{offer: o, capacity: capacity, free: capacity, schedulable: true}
+	assigned := max(1, b.assign(d, tasks, d.StartWithinS))
 	p.bins = append(p.bins, b)
 	p.plan.ScaleOut[o]++
 	p.machineCount++
-	return added
+	return assigned
 }
 
-// scaleOutForInflow provisions for the work that keeps coming. While work waits
-// that fits nowhere, fewer CPUs than it needs on average would let the backlog
-// grow until all of it is urgent at once: a boot too late, and with more and
-// more expensive machines than needed. Only the cheapest offers are provisioned
-// this way; expensive ones are for urgent work.
-func (p *planner) scaleOutForInflow(openCPUs, freeCPUs float64) {
+// scaleOutForInflow provisions machines until the schedulable CPUs cover the
+// inflow, as long as tasks are waiting that do not fit into free CPUs. With
+// fewer CPUs, the backlog would grow until all of it is urgent at once; machines
+// would then be up one boot time too late, and more of them, at higher prices,
+// would be needed. It uses only the cheapest offers; expensive offers are
+// reserved for urgent work.
+func (p *planner) scaleOutForInflow(schedulableCPUs, freeCPUs float64) {
 	for o, n := range p.plan.ScaleOut {
-		openCPUs += float64(n) * p.types[o.Type].CPUs
+		schedulableCPUs += float64(n) * p.types[o.Type].CPUs
 	}
 	for i := range p.in.Demand {
 		d := &p.in.Demand[i]
-		waiting := float64(d.Tasks)*d.Request.CPUs - freeCPUs
-		freeCPUs = max(0, -waiting)
-		for waiting > 0 && openCPUs < p.in.InflowCPUs && p.mayScaleOut() {
-			offer, ok := p.cheapest(d)
-			if !ok || offer.price > p.offers[0].price {
+		waitingCPUs := float64(d.Tasks)*d.Request.CPUs - freeCPUs
+		freeCPUs = max(0, -waitingCPUs)
+		for waitingCPUs > 0 && schedulableCPUs < p.in.InflowCPUs && p.mayScaleOut() {
+			offer, ok := p.cheapestOffer(d)
+			if !ok || offer.pricePerCPU > p.offers[0].pricePerCPU {
 				break
 			}
 			p.plan.ScaleOut[offer.Offer]++
 			p.machineCount++
 			cpus := p.types[offer.Type].CPUs
-			waiting -= cpus
-			openCPUs += cpus
+			waitingCPUs -= cpus
+			schedulableCPUs += cpus
 		}
 	}
 }
--- a/internal/autoscale/scalein.go
+++ b/internal/autoscale/scalein.go
@@ -2,14 +2,16 @@
 
 import "sort"
 
-// smallestDemandCPUs is the smoothed demand below which there is none, as it
-// never quite reaches zero.
-const smallestDemandCPUs = 1
+// negligibleCPUs is the smoothed demand that scale-in ignores: the smoothed value
+// decays exponentially and never reaches zero.
+const negligibleCPUs = 1
 
-// scaleIn selects idle machines to release that no demand was given to, the
-// most expensive first, as long as the rest covers the smoothed demand. bins
-// begins with those of the input's machines, in their order.
-func scaleIn(in *Input, bins []bin, openCPUs float64) []string {
+// scaleIn returns the idle machines to release, the most expensive first.
+// Schedulable machines must have been idle for ScaleInIdleTime, and without them
+// the schedulable CPUs must still cover the smoothed demand. Machines to which
+// demand was assigned are kept. The first len(in.Machines) bins must be those of
+// in.Machines, in the same order.
+func scaleIn(in *Input, bins []bin, schedulableCPUs float64) []string {
 	idle := make([]Machine, 0)
 	for i, m := range in.Machines {
 		if m.Idle && !bins[i].used && (m.IdleFor >= in.ScaleInIdleTime || !m.Schedulable) {
@@ -20,10 +22,10 @@
 	var released []string
 	for _, m := range idle {
 		if m.Schedulable {
-			if openCPUs-m.Capacity.CPUs < in.ReserveCPUs-smallestDemandCPUs {
+			if schedulableCPUs-m.Capacity.CPUs < in.ReserveCPUs-negligibleCPUs {
 				continue
 			}
-			openCPUs -= m.Capacity.CPUs
+			schedulableCPUs -= m.Capacity.CPUs
 		}
 		released = append(released, m.ID)
 	}
--- a/internal/consolidation/consolidation.go
+++ b/internal/consolidation/consolidation.go
@@ -27,8 +27,8 @@
 	// RemainingS estimates the rest of an attempt's run time in seconds, 0 if it is over its
 	// estimate.
 	RemainingS func(now time.Time, a *machines.Attempt) float64
-	// OnEmptied is called with each machine whose attempts are to be stopped.
-	OnEmptied func(*machines.Machine)
+	// OnConsolidated is called with each machine whose attempts are to be stopped.
+	OnConsolidated func(*machines.Machine)
 }
 
 // Consolidator empties machines now and then.
@@ -151,7 +151,7 @@
 	for _, a := range m.Attempts() {
 		a.StopSaving()
 	}
-	p.OnEmptied(m)
+	p.OnConsolidated(m)
 }
 
 // isMovable reports whether all tasks of the machine can take their progress
--- a/internal/consolidation/consolidation_test.go
+++ b/internal/consolidation/consolidation_test.go
@@ -44,12 +44,12 @@
 		registry.Add(m)
 	}
 	return consolidation.New(consolidation.Cluster{
-		Machines:      registry,
-		IsSchedulable: func(time.Time, *machines.Machine) bool { return true },
-		ActiveJobs:    func() []*jobs.Job { return c.waiting },
-		Price:         func(m *machines.Machine) float64 { return map[string]float64{"dear": 2}[m.ID] },
-		RemainingS:    func(time.Time, *machines.Attempt) float64 { return 3600 },
-		OnEmptied:     func(m *machines.Machine) { c.emptied = append(c.emptied, m.ID) },
+		Machines:       registry,
+		IsSchedulable:  func(time.Time, *machines.Machine) bool { return true },
+		ActiveJobs:     func() []*jobs.Job { return c.waiting },
+		Price:          func(m *machines.Machine) float64 { return map[string]float64{"dear": 2}[m.ID] },
+		RemainingS:     func(time.Time, *machines.Attempt) float64 { return 3600 },
+		OnConsolidated: func(m *machines.Machine) { c.emptied = append(c.emptied, m.ID) },
 	})
 }
 
--- a/internal/leader/consolidation.go
+++ b/internal/leader/consolidation.go
@@ -9,12 +9,12 @@
 // newConsolidator returns the term's consolidator.
 func (l *Leader) newConsolidator() *consolidation.Consolidator {
 	return consolidation.New(consolidation.Cluster{
-		Machines:      l.machines,
-		IsSchedulable: l.acceptsWork,
-		ActiveJobs:    l.jobs.RunnableByAge,
-		Price:         l.catalogue.Price,
-		RemainingS:    l.remaining,
-		OnEmptied:     l.calls.schedule,
+		Machines:       l.machines,
+		IsSchedulable:  l.acceptsWork,
+		ActiveJobs:     l.jobs.RunnableByAge,
+		Price:          l.catalogue.Price,
+		RemainingS:     l.remaining,
+		OnConsolidated: l.calls.schedule,
 	})
 }
 
--- a/internal/scaling/history.go
+++ b/internal/scaling/history.go
@@ -7,18 +7,18 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// DemandHistory smooths what work has asked for lately, so that machines are neither
-// released in a short lull nor provisioned only when a backlog presses.
+// DemandHistory smooths recent demand. With it, machines survive a short lull, and new ones are
+// provisioned before a backlog becomes urgent.
 type DemandHistory struct {
 	smoothedCPUs float64
 	smoothedAt   time.Time
-	// inflow is the smoothed work of new jobs, in CPU seconds a second, as of
-	// inflowAt.
+	// inflow is the smoothed work of arriving jobs at inflowAt, in CPU seconds per second.
 	inflow   float64
 	inflowAt time.Time
 }
 
-// UpdateCPUs keeps an exponentially weighted mean of the CPUs in use, and returns it.
+// UpdateCPUs adds a sample of the CPUs in use to the exponentially weighted mean and returns
+// the new mean.
 func (h *DemandHistory) UpdateCPUs(now time.Time, cpus float64) float64 {
 	if h.smoothedAt.IsZero() {
 		h.smoothedCPUs = cpus
@@ -30,18 +30,18 @@
 	return h.smoothedCPUs
 }
 
-// AddInflow counts work, in CPU seconds, that arrived at the given time into the inflow.
-func (h *DemandHistory) AddInflow(now, arrived time.Time, work float64) {
-	rate := work / tuning.InflowDecay.Seconds()
-	h.inflow, h.inflowAt = h.InflowCPUs(now)+rate*decayFactor(now.Sub(arrived), tuning.InflowDecay), now
+// AddInflow adds work that arrived at the given time, in CPU seconds, to the inflow.
+func (h *DemandHistory) AddInflow(now, arrivedAt time.Time, cpuSeconds float64) {
+	rate := cpuSeconds / tuning.InflowDecay.Seconds()
+	h.inflow, h.inflowAt = h.InflowCPUs(now)+rate*decayFactor(now.Sub(arrivedAt), tuning.InflowDecay), now
 }
 
-// InflowCPUs is the CPUs that the work that keeps arriving needs.
+// InflowCPUs returns the number of CPUs that jobs arriving at the recent rate keep busy.
 func (h *DemandHistory) InflowCPUs(now time.Time) float64 {
 	return h.inflow * decayFactor(now.Sub(h.inflowAt), tuning.InflowDecay)
 }
 
-// decayFactor is the weight that a smoothed value has after a time.
-func decayFactor(d, decay time.Duration) float64 {
-	return math.Exp(-max(0, d.Seconds()) / decay.Seconds())
+// decayFactor returns the remaining weight of a smoothed value of the given age.
+func decayFactor(age, timeConstant time.Duration) float64 {
+	return math.Exp(-max(0, age.Seconds()) / timeConstant.Seconds())
 }
--- a/internal/scaling/plan_input.go
+++ b/internal/scaling/plan_input.go
@@ -11,21 +11,21 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// planInput is the snapshot that the planner decides on.
+// planInput returns the snapshot of demand and machines from which the planner decides.
 func (s *Scaler) planInput(now time.Time) autoscale.Input {
 	return autoscale.Input{
 		MachineTypes:    s.cluster.Catalogue.Offers(),
 		ScaleInIdleTime: s.config.ScaleInIdleTime,
 		MaxMachines:     s.config.MaxMachines,
 		Unavailable:     func(o autoscale.Offer) bool { return !s.CanProvision(now, o) },
-		Machines:        slices.Concat(s.plannedMachines(now), s.machinesBeingProvisioned()),
+		Machines:        slices.Concat(s.existingMachines(now), s.pendingMachines()),
 		Demand:          s.cluster.Demand(now),
 		ReserveCPUs:     s.History.UpdateCPUs(now, s.busyCPUs()),
 		InflowCPUs:      s.History.InflowCPUs(now),
 	}
 }
 
-// busyCPUs are those of all tasks that may be on machines which are not being released.
+// busyCPUs returns the CPUs allocated to attempts on machines that are not being released.
 func (s *Scaler) busyCPUs() float64 {
 	busy := 0.0
 	for _, m := range s.cluster.Machines.All() {
@@ -39,20 +39,20 @@
 	return busy
 }
 
-// plannedMachines are the machines as the planner sees them.
-func (s *Scaler) plannedMachines(now time.Time) []autoscale.Machine {
+// existingMachines returns all machines that are not being released, in the form the planner uses.
+func (s *Scaler) existingMachines(now time.Time) []autoscale.Machine {
 	list := make([]autoscale.Machine, 0, s.cluster.Machines.Len())
 	for _, m := range s.cluster.Machines.All() {
 		if !m.IsReleasing() {
-			list = append(list, s.plannedMachine(now, m))
+			list = append(list, s.toPlannerMachine(now, m))
 		}
 	}
 	return list
 }
 
-// plannedMachine is a machine as the planner sees it.
-func (s *Scaler) plannedMachine(now time.Time, m *machines.Machine) autoscale.Machine {
-	planned := autoscale.Machine{
+// toPlannerMachine converts a machine to the form the planner uses.
+func (s *Scaler) toPlannerMachine(now time.Time, m *machines.Machine) autoscale.Machine {
+	converted := autoscale.Machine{
 		ID:          m.ID,
 		Offer:       autoscale.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot},
 		Capacity:    m.Capacity(),
@@ -64,25 +64,26 @@
 		IdleFor: m.IdleFor(now),
 	}
 	if !m.HasJoined() {
-		planned.Schedulable = planned.Schedulable && !s.cluster.Partitioned(now, m.Zone)
-		planned.BootRemainingS = max(0, s.cluster.Catalogue.Type(m.Type).BootTimeS-now.Sub(m.ProvisionedAt()).Seconds())
+		converted.Schedulable = converted.Schedulable && !s.cluster.Partitioned(now, m.Zone)
+		converted.BootRemainingS = max(0, s.cluster.Catalogue.Type(m.Type).BootTimeS-now.Sub(m.ProvisionedAt()).Seconds())
 	}
 	for _, a := range m.Attempts() {
-		planned.RemainingCPUSeconds += s.cluster.RemainingS(now, a) * a.Job.CPUs
+		converted.RemainingCPUSeconds += s.cluster.RemainingS(now, a) * a.Job.CPUs
 	}
-	return planned
+	return converted
 }
 
-// machinesBeingProvisioned stand for what provisioning calls without an answer will bring.
-func (s *Scaler) machinesBeingProvisioned() []autoscale.Machine {
+// pendingMachines returns one machine for each that is requested in a provision call in flight, so
+// that the planner does not provision for the same demand twice.
+func (s *Scaler) pendingMachines() []autoscale.Machine {
 	var list []autoscale.Machine
-	for _, name := range slices.Sorted(maps.Keys(s.pending)) {
-		p := s.pending[name]
+	for _, requestID := range slices.Sorted(maps.Keys(s.pending)) {
+		p := s.pending[requestID]
 		t := s.cluster.Catalogue.Type(p.Offer.Type)
-		total := placement.MachineCapacity(t)
+		capacity := placement.MachineCapacity(t)
 		for range p.Count {
 			list = append(list, autoscale.Machine{
-				Offer: p.Offer, Capacity: total, Free: total, Schedulable: true, BootRemainingS: t.BootTimeS,
+				Offer: p.Offer, Capacity: capacity, Free: capacity, Schedulable: true, BootRemainingS: t.BootTimeS,
 			})
 		}
 	}
--- a/internal/scaling/scale_out.go
+++ b/internal/scaling/scale_out.go
@@ -12,12 +12,13 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// ScaleOut returns the calls for the wanted machines, as many as may be under way.
+// ScaleOut returns the provision calls for the wanted machines, up to the limit of calls in
+// flight.
 func (s *Scaler) ScaleOut(now time.Time, wanted map[autoscale.Offer]int) []CloudCall {
-	most := max(1, int(s.config.CloudRPS*tuning.CloudShare*tuning.ProvisionsInFlight))
+	limit := max(1, int(s.config.CloudRPS*tuning.CloudShare*tuning.ProvisionsInFlight))
 	var calls []CloudCall
 	for _, o := range slices.SortedFunc(maps.Keys(wanted), compareOffers) {
-		if len(s.pending) >= most {
+		if len(s.pending) >= limit {
 			break
 		}
 		calls = append(calls, s.Provision(now, o, wanted[o], ""))
@@ -25,12 +26,12 @@
 	return calls
 }
 
-// Provision returns the call for machines of an offer; replacementFor is the drain that they
-// are for, or "".
+// Provision returns the call that provisions machines of an offer and records it as in flight.
+// replacementFor is the name of the drain whose machines they replace, or "".
 func (s *Scaler) Provision(now time.Time, o autoscale.Offer, count int, replacementFor string) CloudCall {
-	s.provisionsNamed++
+	s.lastRequest++
 	r := wire.ProvisionRequest{
-		RequestID: fmt.Sprintf("r-%d-%d", s.config.Term, s.provisionsNamed),
+		RequestID: fmt.Sprintf("r-%d-%d", s.config.Term, s.lastRequest),
 		Type:      o.Type,
 		Zone:      o.Zone,
 		Spot:      o.Spot,
@@ -52,13 +53,15 @@
 }
 
 // CanProvision reports whether machines of an offer may be provisioned now: the cloud has not
-// lacked capacity for them lately, their zone is not cut off, and none is drained.
+// recently run out of capacity for the offer, the zone is not partitioned, and no drain blocks
+// the offer.
 func (s *Scaler) CanProvision(now time.Time, o autoscale.Offer) bool {
 	return !now.Before(s.unavailable[o]) && !s.cluster.Partitioned(now, o.Zone) && !s.cluster.BlockedByDrain(o)
 }
 
-// FinishProvision ends a call, with the number of machines received; nil if the call is not
-// known. An offer of which fewer came than were requested is without capacity for a while.
+// FinishProvision records the number of machines that a provision call returned, and returns the
+// call, or nil if it is not in flight. If the cloud returned fewer machines than requested, the
+// offer counts as unavailable for tuning.UnavailableOfferBackoff.
 func (s *Scaler) FinishProvision(now time.Time, r wire.ProvisionRequest, received int) *PendingProvision {
 	p := s.pending[r.RequestID]
 	delete(s.pending, r.RequestID)
@@ -68,10 +71,10 @@
 	return p
 }
 
-// AnyPending reports whether a provisioning call without an answer is such as is asked for.
-func (s *Scaler) AnyPending(is func(*PendingProvision) bool) bool {
+// AnyPending reports whether any provision call in flight matches.
+func (s *Scaler) AnyPending(matches func(*PendingProvision) bool) bool {
 	for _, p := range s.pending {
-		if is(p) {
+		if matches(p) {
 			return true
 		}
 	}
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -1,6 +1,6 @@
-// Package scaling decides when machines are provisioned and released, and keeps track of the
-// calls to the cloud that have not been answered. It reads no clock and does no I/O: the calls
-// to be made are returned, and their outcomes are passed in.
+// Package scaling decides when to provision and release machines, and tracks the cloud calls in
+// flight. It reads no clock and does no I/O: it returns the calls for the caller to make, and the
+// caller passes in their results.
 package scaling
 
 import (
@@ -15,69 +15,69 @@
 // CloudOp is the kind of a cloud call.
 type CloudOp int
 
-// Cloud calls.
+// The kinds of cloud calls.
 const (
 	CloudProvision CloudOp = iota
 	CloudRelease
 )
 
-// CloudCall is a call to be made.
+// CloudCall is a call that the caller is to make to the cloud.
 type CloudCall struct {
 	Op        CloudOp
-	Provision wire.ProvisionRequest
-	Release   []string
+	Provision wire.ProvisionRequest // for CloudProvision
+	Release   []string              // names of machines, for CloudRelease
 }
 
-// Config is what the settings and the term say about scaling.
+// Config holds the leader's term and the settings for scaling.
 type Config struct {
 	Term     uint64
-	CloudRPS float64 // requests per second that the cloud takes
-	// MaxMachines bounds the number of machines, 0 for no bound.
+	CloudRPS float64 // the cloud's rate limit, in requests per second
+	// MaxMachines limits the number of machines; 0 means no limit.
 	MaxMachines int
-	// ScaleInIdleTime is how long a machine without work is kept.
+	// ScaleInIdleTime is how long a machine must be idle before it is released.
 	ScaleInIdleTime time.Duration
 }
 
-// Cluster is what scaling has to know of the cluster.
+// Cluster gives the scaler access to the state of the cluster.
 type Cluster struct {
 	Machines  *machines.Registry
 	Catalogue *machines.Catalogue
-	// Demand returns the work that waits for capacity.
+	// Demand returns the work that is waiting for capacity.
 	Demand func(now time.Time) []autoscale.Demand
-	// HeartbeatOverdue reports whether a machine has not reported for long.
+	// HeartbeatOverdue reports whether a machine's heartbeat is overdue.
 	HeartbeatOverdue func(now time.Time, m *machines.Machine) bool
-	// RemainingS estimates the rest of an attempt's run time in seconds.
+	// RemainingS returns the estimated remaining run time of an attempt, in seconds.
 	RemainingS func(now time.Time, a *machines.Attempt) float64
-	// IsReplacement reports whether a machine was provisioned for a drain that still runs.
+	// IsReplacement reports whether a machine was provisioned as a replacement for an active drain.
 	IsReplacement func(id string) bool
-	// BlockedByDrain reports whether a drain keeps machines of an offer from being provisioned.
+	// BlockedByDrain reports whether an active drain forbids provisioning machines of an offer.
 	BlockedByDrain func(autoscale.Offer) bool
-	// Partitioned reports whether a zone seems to be cut off.
+	// Partitioned reports whether a zone appears to be unreachable over the network.
 	Partitioned func(now time.Time, zone string) bool
 }
 
-// Scaler owns what is known of the cloud's capacity and of the calls to it under way.
+// Scaler plans scaling, and tracks cloud calls in flight and offers without capacity.
 type Scaler struct {
-	config             Config
-	cluster            Cluster
-	History            DemandHistory
-	unavailable        map[autoscale.Offer]time.Time // without capacity, until then
-	provisionsNamed    uint64
-	pending            map[string]*PendingProvision // by request
-	releasesUnanswered int
-	nextPlan           time.Time
+	config           Config
+	cluster          Cluster
+	History          DemandHistory
+	unavailable      map[autoscale.Offer]time.Time // when the offer may be requested again
+	lastRequest      uint64                        // number of the last provision request in this term
+	pending          map[string]*PendingProvision  // provision calls in flight, by request ID
+	releasesInFlight int
+	nextPlan         time.Time
 }
 
-// PendingProvision is a request for machines without an answer.
+// PendingProvision is a provision call in flight.
 type PendingProvision struct {
 	Offer       autoscale.Offer
 	Count       int
 	RequestedAt time.Time
-	// ReplacementFor is the drain that the machines are replacements for, "" for none.
+	// ReplacementFor is the name of the drain whose machines these replace, or "".
 	ReplacementFor string
 }
 
-// New returns a scaler without calls under way.
+// New returns a scaler with no calls in flight.
 func New(config Config, cluster Cluster) *Scaler {
 	return &Scaler{
 		config:      config,
@@ -87,7 +87,8 @@
 	}
 }
 
-// Due reports whether it is time for a plan, and if so counts the next period from now.
+// Due reports whether the next plan is due. If so, it schedules the following one after
+// tuning.ScalingInterval.
 func (s *Scaler) Due(now time.Time) bool {
 	if now.Before(s.nextPlan) {
 		return false
@@ -96,8 +97,8 @@
 	return true
 }
 
-// Plan decides how many machines of each offer are needed beyond those that there are or that
-// are being provisioned, and which ones are not needed.
+// Plan returns how many machines of each offer to provision, beyond existing and requested ones,
+// and which machines to release.
 func (s *Scaler) Plan(now time.Time) autoscale.Plan {
 	return autoscale.NewPlan(s.planInput(now))
 }
