--- a/internal/consolidation/consolidation.go
+++ b/internal/consolidation/consolidation.go
@@ -1,6 +1,7 @@
-// Package consolidation empties machines whose tasks fit elsewhere and can take their
-// progress along, so that the machines can be released: in a lull each would
-// otherwise stay for its longest task, mostly empty. It reads no clock and does no I/O.
+// Package consolidation moves tasks off underused machines, so that the machines can be released.
+// Without it, when demand falls, every machine would be kept, mostly idle, until its longest task
+// ends. Only tasks that save checkpoints are moved, as they keep their progress. The package reads
+// no clock and does no I/O.
 package consolidation
 
 import (
@@ -14,24 +15,23 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Cluster is what consolidation has to know of the cluster, and the one thing that it does to
-// it.
+// Cluster gives the consolidator access to the state of the cluster.
 type Cluster struct {
 	Machines *machines.Registry
-	// IsSchedulable reports whether a machine takes new tasks.
+	// IsSchedulable reports whether new tasks may be assigned to a machine.
 	IsSchedulable func(now time.Time, m *machines.Machine) bool
-	// ActiveJobs returns the unfinished jobs that wait for no others, oldest first.
+	// ActiveJobs returns the unfinished jobs that do not wait for other jobs, oldest first.
 	ActiveJobs func() []*jobs.Job
-	// Price is what a machine costs now.
+	// Price returns the current price of a machine.
 	Price func(*machines.Machine) float64
-	// RemainingS estimates the rest of an attempt's run time in seconds, 0 if it is over its
-	// estimate.
+	// RemainingS returns the estimated remaining run time of an attempt in seconds, or 0 if the
+	// attempt has exceeded its estimate.
 	RemainingS func(now time.Time, a *machines.Attempt) float64
-	// OnConsolidated is called with each machine whose attempts are to be stopped.
+	// OnConsolidated is called for each cordoned machine whose attempts are marked to be stopped.
 	OnConsolidated func(*machines.Machine)
 }
 
-// Consolidator empties machines now and then.
+// Consolidator periodically moves tasks off underused machines.
 type Consolidator struct {
 	cluster Cluster
 	lastRun time.Time
@@ -40,113 +40,120 @@
 // New returns a consolidator for a cluster.
 func New(cluster Cluster) *Consolidator { return &Consolidator{cluster: cluster} }
 
-// Run cordons machines that can be emptied and marks their attempts as to be stopped with time
-// to save: they are placed again by the rule. It does so at most once per
-// tuning.ConsolidateInterval, and returns the number of machines.
+// Run cordons machines whose tasks fit on others, and marks their attempts to be stopped after they
+// have saved a checkpoint. The scheduler then places the tasks again like any other. Run does this
+// at most once per tuning.ConsolidateInterval, and returns the number of machines.
 func (c *Consolidator) Run(now time.Time) int {
 	if now.Sub(c.lastRun) < tuning.ConsolidateInterval {
 		return 0
 	}
 	c.lastRun = now
 	p := &pass{Cluster: &c.cluster, now: now}
-	p.divide()
+	p.classifyMachines()
 	if len(p.movable) < 2 {
 		return 0
 	}
 	return p.run()
 }
 
-// pass is one search for machines to be emptied.
+// pass holds the state of one run of the consolidator.
 type pass struct {
 	*Cluster
 	now time.Time
-	// movable are the machines that may be emptied, others those that only take work.
-	movable, others []*machines.Machine
-	// free is the capacity that is left for tasks that are moved.
+	// movable contains the machines whose tasks may be moved, targetsOnly the other schedulable
+	// machines. Tasks may be moved to both.
+	movable, targetsOnly []*machines.Machine
+	// free contains the capacity of each machine that is not yet allocated in this pass.
 	free map[*machines.Machine]placement.Resources
 }
 
-// divide finds out which of the machines that take work may be emptied.
-func (p *pass) divide() {
+// classifyMachines sorts the schedulable machines into movable and targetsOnly.
+func (p *pass) classifyMachines() {
 	for _, m := range p.Machines.All() {
 		switch {
 		case !p.IsSchedulable(p.now, m):
 		case p.isMovable(m):
 			p.movable = append(p.movable, m)
 		default:
-			p.others = append(p.others, m)
+			p.targetsOnly = append(p.targetsOnly, m)
 		}
 	}
 }
 
-// run empties the dearest and emptiest machines first, into the fullest of the others.
+// run moves tasks off the most expensive machines first, and among equally expensive ones off those
+// with the largest share of free CPUs.
 func (p *pass) run() int {
 	slices.SortStableFunc(p.movable, func(a, b *machines.Machine) int {
 		return cmp.Or(-cmp.Compare(p.Price(a), p.Price(b)), -cmp.Compare(a.Free().CPUs/a.Capacity().CPUs, b.Free().CPUs/b.Capacity().CPUs))
 	})
-	targets := slices.Concat(p.movable, p.others)
+	targets := slices.Concat(p.movable, p.targetsOnly)
 	p.free = map[*machines.Machine]placement.Resources{}
 	for _, m := range targets {
 		p.free[m] = m.Free()
 	}
 	p.reserveForWaiting(targets)
-	emptied := 0
+	consolidated := 0
 	for i, m := range p.movable {
-		if emptied >= max(1, p.Machines.Len()/tuning.ConsolidateDivisor) {
+		if consolidated >= max(1, p.Machines.Len()/tuning.ConsolidateDivisor) {
 			break
 		}
 		if p.free[m] != m.Free() {
-			continue // it has got or will get work
+			continue // capacity on it is allocated to waiting or moved tasks
 		}
-		if p.moveAll(m, slices.Concat(p.others, p.movable[i+1:])) {
-			emptied++
-			p.empty(m)
+		if p.allocateElsewhere(m, slices.Concat(p.targetsOnly, p.movable[i+1:])) {
+			consolidated++
+			p.cordonAndStop(m)
 		}
 	}
-	return emptied
+	return consolidated
 }
 
-// reserveForWaiting takes the capacity for the work that waits: it goes before tasks that run
-// already.
+// reserveForWaiting allocates capacity to waiting tasks, which take precedence over tasks that are
+// moved.
 func (p *pass) reserveForWaiting(targets []*machines.Machine) {
 	for _, j := range p.ActiveJobs() {
-		rest := targets // capacity only shrinks here: what has none for one has none for the next
+		// Free capacity only shrinks here: a machine without capacity for one task of the job
+		// has none for the next either.
+		rest := targets
 		for range j.ReadyTasks() {
 			i := p.firstFit(j, rest)
 			if i < 0 {
 				break
 			}
 			rest = rest[i:]
-			p.take(rest[0], j)
+			p.allocate(rest[0], j)
 		}
 	}
 }
 
-// moveAll takes capacity for all tasks of a machine on others, the fullest first, or none.
-func (p *pass) moveAll(m *machines.Machine, targets []*machines.Machine) bool {
+// allocateElsewhere allocates capacity on the target machines, those with the fewest free CPUs
+// first, to all tasks of a machine. If one of them fits nowhere, it allocates nothing and returns
+// false.
+func (p *pass) allocateElsewhere(m *machines.Machine, targets []*machines.Machine) bool {
 	slices.SortStableFunc(targets, func(a, b *machines.Machine) int { return cmp.Compare(p.free[a].CPUs, p.free[b].CPUs) })
-	to := make([]*machines.Machine, 0, len(m.Attempts()))
+	allocated := make([]*machines.Machine, 0, len(m.Attempts()))
 	for _, a := range m.Attempts() {
 		i := p.firstFit(a.Job, targets)
 		if i < 0 {
-			for k, t := range to {
+			for k, t := range allocated {
 				p.free[t] = p.free[t].Add(m.Attempts()[k].Job.Request(), 1)
 			}
 			return false
 		}
-		p.take(targets[i], a.Job)
-		to = append(to, targets[i])
+		p.allocate(targets[i], a.Job)
+		allocated = append(allocated, targets[i])
 	}
 	return true
 }
 
-// take takes the capacity for a task of the job.
-func (p *pass) take(m *machines.Machine, j *jobs.Job) {
+// allocate subtracts the request of a task of the job from the machine's free capacity.
+func (p *pass) allocate(m *machines.Machine, j *jobs.Job) {
 	p.free[m] = p.free[m].Add(j.Request(), -1)
 }
 
-// empty lets the tasks of a machine save and stop; it takes no more work.
-func (p *pass) empty(m *machines.Machine) {
+// cordonAndStop cordons a machine and marks its attempts to be stopped after they have saved a
+// checkpoint.
+func (p *pass) cordonAndStop(m *machines.Machine) {
 	m.Cordon(machines.CordonConsolidated)
 	for _, a := range m.Attempts() {
 		a.StopSaving()
@@ -154,30 +161,31 @@
 	p.OnConsolidated(m)
 }
 
-// isMovable reports whether all tasks of the machine can take their progress
-// along, and whether moving them is worth it: the machine is at most half used
-// and would stay for long, and none of the tasks has just begun.
+// isMovable reports whether all tasks of the machine may be moved: each saves checkpoints and has
+// run for tuning.ConsolidateMinRunTime. At most half of the machine's CPUs may be in use, its minimum
+// billing time must be over, and its longest task must be expected to run for at least
+// tuning.ConsolidateMinLifetime. Otherwise a move would not pay off.
 func (p *pass) isMovable(m *machines.Machine) bool {
 	if len(m.Attempts()) == 0 || m.Free().CPUs < m.Capacity().CPUs/2 || p.now.Sub(m.ProvisionedAt()) < tuning.MinimumBillingTime {
 		return false
 	}
-	staysS := 0.0
+	remainingS := 0.0
 	for _, a := range m.Attempts() {
 		if a.State() != machines.Running || a.IsStopping() || a.Job.CheckpointIntervalS <= 0 || a.RunTime(p.now) < tuning.ConsolidateMinRunTime {
 			return false
 		}
-		// A task over its estimate goes on for about as long again as it is old,
-		// as far as anyone can tell; a quarter is taken.
-		staysS = max(staysS, p.RemainingS(p.now, a), a.RunTime(p.now).Seconds()/4)
+		// A task that has exceeded its estimate will run, as a rule of thumb, for as long
+		// again as it has run so far. Only a quarter of that is assumed.
+		remainingS = max(remainingS, p.RemainingS(p.now, a), a.RunTime(p.now).Seconds()/4)
 	}
-	return staysS >= tuning.ConsolidateMinLifetime.Seconds()
+	return remainingS >= tuning.ConsolidateMinLifetime.Seconds()
 }
 
-// firstFit finds the first machine that may take a task of the job and has
-// capacity for it, or returns -1.
+// firstFit returns the index of the first machine that has capacity for a task of the job and on
+// which the task may run, or -1.
 func (p *pass) firstFit(j *jobs.Job, targets []*machines.Machine) int {
-	probe := j.Constraints()
+	constraints := j.Constraints()
 	return slices.IndexFunc(targets, func(m *machines.Machine) bool {
-		return p.free[m].Fits(j.Request()) && !m.Avoids(j.ID) && probe.Allowed(m.PlacementView())
+		return p.free[m].Fits(j.Request()) && !m.Avoids(j.ID) && constraints.Allowed(m.PlacementView())
 	})
 }
--- a/internal/preemption/pass.go
+++ b/internal/preemption/pass.go
@@ -11,28 +11,29 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// pass is one search for capacity that stopping attempts could make.
+// pass holds the state of one run of the preemptor.
 type pass struct {
 	*Cluster
 	now time.Time
-	// expectedFree is the capacity, of each machine that takes work, once stopping and
-	// soon-ending attempts have ended.
+	// expectedFree contains, for each schedulable machine, its free capacity after the end of
+	// the attempts that are stopping or about to end.
 	expectedFree map[*machines.Machine]placement.Resources
-	// expectedFreeCPUs are the CPUs of these attempts, by team.
-	expectedFreeCPUs map[string]float64
-	// candidates are the attempts that may be stopped, those that lose least first.
+	// teamFreedCPUs contains the CPUs that these attempts free, by team.
+	teamFreedCPUs map[string]float64
+	// candidates contains the attempts that may be stopped on each machine, in ascending order
+	// of loss.
 	candidates map[*machines.Machine][]candidate
-	stops      int
-	searches   int
+	stops      int // attempts marked to be stopped
+	searches   int // waiting tasks for which machines were searched
 }
 
 func newPass(now time.Time, cluster *Cluster) *pass {
 	p := &pass{
-		Cluster:          cluster,
-		now:              now,
-		expectedFree:     map[*machines.Machine]placement.Resources{},
-		expectedFreeCPUs: map[string]float64{},
-		candidates:       map[*machines.Machine][]candidate{},
+		Cluster:       cluster,
+		now:           now,
+		expectedFree:  map[*machines.Machine]placement.Resources{},
+		teamFreedCPUs: map[string]float64{},
+		candidates:    map[*machines.Machine][]candidate{},
 	}
 	for _, m := range p.Machines.All() {
 		if p.IsSchedulable(now, m) {
@@ -42,6 +43,7 @@
 	return p
 }
 
+// addMachine records the expected free capacity of a machine and its candidates.
 func (p *pass) addMachine(m *machines.Machine) {
 	p.expectedFree[m] = m.Free()
 	for _, a := range m.Attempts() {
@@ -49,38 +51,42 @@
 		case a.IsStopping(), a.State() == machines.Saving, p.endsSoon(a):
 			p.expectEnd(a, 1)
 		case a.IsAfterLongWait() && p.now.Sub(a.OrderedAt()) < tuning.AgedMinRunTime:
-			// Stopped at once, pass after pass, its job would never have begun.
+			// Such an attempt runs for a minimum time. Otherwise every pass could stop it right
+			// after its start, and its job would never make progress.
 		case a.State() == machines.Running && a.Job.CheckpointIntervalS > 0:
 			p.addCandidate(a)
 		}
 	}
 	list := p.candidates[m]
-	sort.SliceStable(list, func(i, k int) bool { return list[i].lostS < list[k].lostS })
+	sort.SliceStable(list, func(i, k int) bool { return list[i].lossS < list[k].lossS })
 }
 
-// endsSoon reports whether an attempt is about to end by its estimate. One
-// that is over its estimate may go on for long: waiting for it is no plan.
+// endsSoon reports whether an attempt is about to end according to its estimate. It is false for
+// an attempt that has exceeded its estimate, which may run for a long time yet.
 func (p *pass) endsSoon(a *machines.Attempt) bool {
-	left := p.RemainingS(p.now, a)
-	return a.State() == machines.Running && left > 0 && left < tuning.PreemptExitWait.Seconds()
+	remainingS := p.RemainingS(p.now, a)
+	return a.State() == machines.Running && remainingS > 0 && remainingS < tuning.PreemptExitWait.Seconds()
 }
 
+// addCandidate makes an attempt a candidate unless it would lose more progress than
+// tuning.PreemptMaxLoss.
 func (p *pass) addCandidate(a *machines.Attempt) {
-	loss := a.UnsavedProgressS(p.now)
-	if loss > tuning.PreemptMaxLoss.Seconds() {
+	lossS := a.UnsavedProgressS(p.now)
+	if lossS > tuning.PreemptMaxLoss.Seconds() {
 		return
 	}
 	if a.Job.ReadyTasks() == 0 {
-		// Others of its job don't wait: the job would end later.
-		loss += tuning.PreemptDelayCost.Seconds()
+		// No other task of the job is waiting, so that the stop would delay the job's end.
+		lossS += tuning.PreemptDelayCost.Seconds()
 	}
-	p.candidates[a.Machine] = append(p.candidates[a.Machine], candidate{a, loss})
+	p.candidates[a.Machine] = append(p.candidates[a.Machine], candidate{a, lossS})
 }
 
-// expectEnd counts an attempt as about to end, or, with -1, no more.
+// expectEnd adds the resources of an attempt that is about to end to the expected free capacity;
+// with sign -1 it subtracts them again.
 func (p *pass) expectEnd(a *machines.Attempt, sign float64) {
 	p.expectedFree[a.Machine] = p.expectedFree[a.Machine].Add(a.Job.Request(), sign)
-	p.expectedFreeCPUs[a.Job.Team] += a.Job.CPUs * sign
+	p.teamFreedCPUs[a.Job.Team] += a.Job.CPUs * sign
 }
 
 func (p *pass) stop(c candidate) {
@@ -90,6 +96,7 @@
 	p.OnStop(c.Machine)
 }
 
+// undoStops reverts stops that this pass has decided.
 func (p *pass) undoStops(stopped []candidate) {
 	for _, c := range stopped {
 		c.RevertStop()
@@ -98,8 +105,8 @@
 	}
 }
 
-// makeCapacityForJob stops attempts for as many waiting tasks of the job as it finds capacity
-// for.
+// makeCapacityForJob makes capacity for the waiting tasks of a job, one after the other, until it
+// fails for one of them or reaches a limit of the pass.
 func (p *pass) makeCapacityForJob(r *placement.PendingJob, j *jobs.Job) {
 	teamFree, known := p.TeamFreeCPUs(r.Team)
 	if !known {
@@ -113,17 +120,18 @@
 	}
 }
 
-// makeCapacityForTask is false if no capacity can be made for a task of the job.
+// makeCapacityForTask stops attempts so that one more task of the job can start. If that is
+// impossible, it leaves no attempt stopped and returns false.
 func (p *pass) makeCapacityForTask(r *placement.PendingJob, teamFree float64) bool {
-	own, ok := p.stopWithinLimit(r, teamFree)
+	stopped, ok := p.stopWithinTeam(r, teamFree)
 	if !ok {
 		return false
 	}
 	best, chosen := p.cheapestMachine(r)
 	if best == nil {
-		// No machine would have it even then: stopping for nothing, pass
-		// after pass, would keep the team's other work from ever ending.
-		p.undoStops(own)
+		// The task fits on no machine even after these stops. To repeat them in every pass
+		// would keep the team's other work from ever ending.
+		p.undoStops(stopped)
 		return false
 	}
 	for _, c := range chosen {
@@ -133,35 +141,36 @@
 		best.Reserve(p.now, r.PriorityRank)
 	}
 	p.expectedFree[best] = p.expectedFree[best].Add(r.Request, -1)
-	p.expectedFreeCPUs[r.Team] -= r.Request.CPUs
+	p.teamFreedCPUs[r.Team] -= r.Request.CPUs
 	return true
 }
 
-// stopWithinLimit stops attempts of the job's own team, as only they can make way where
-// the team is at its limit, until another task of the job fits: all that it takes or none.
-// One that is too small, stopped pass after pass, would never end, and the larger one
-// would not begin either.
-func (p *pass) stopWithinLimit(r *placement.PendingJob, teamFree float64) ([]candidate, bool) {
-	var own []candidate
-	for teamFree+p.expectedFreeCPUs[r.Team] < r.Request.CPUs {
+// stopWithinTeam stops attempts of the job's team until another task of the job is within the
+// team's limit. If not enough of them can be stopped, it stops none and returns false: a partial
+// stop, repeated in every pass, would keep smaller tasks from ending without letting the larger
+// one start.
+func (p *pass) stopWithinTeam(r *placement.PendingJob, teamFree float64) ([]candidate, bool) {
+	var stopped []candidate
+	for teamFree+p.teamFreedCPUs[r.Team] < r.Request.CPUs {
 		c, ok := p.cheapestOfTeam(r)
 		if !ok {
-			p.undoStops(own)
+			p.undoStops(stopped)
 			return nil, false
 		}
 		p.stop(c)
-		own = append(own, c)
+		stopped = append(stopped, c)
 	}
-	return own, true
+	return stopped, true
 }
 
-// cheapestOfTeam finds the attempt of the job's own team that loses least.
+// cheapestOfTeam finds the candidate with the least loss among the attempts of the job's team that
+// have a lower priority than the job.
 func (p *pass) cheapestOfTeam(r *placement.PendingJob) (candidate, bool) {
 	var best candidate
 	found := false
 	for _, m := range p.Machines.All() {
 		for _, c := range p.candidates[m] {
-			if c.Job.Team == r.Team && c.Job.PriorityRank() > r.PriorityRank && !c.IsStopping() && (!found || c.lostS < best.lostS) {
+			if c.Job.Team == r.Team && c.Job.PriorityRank() > r.PriorityRank && !c.IsStopping() && (!found || c.lossS < best.lossS) {
 				best, found = c, true
 			}
 		}
@@ -169,7 +178,7 @@
 	return best, found
 }
 
-// fetchTimeS is the time that a machine takes to fetch the job's image, in seconds.
+// fetchTimeS returns the time in seconds that a machine needs to fetch the job's image.
 func (p *pass) fetchTimeS(m *machines.Machine, r *placement.PendingJob) float64 {
 	if m.HasImage(r.Image) {
 		return 0
@@ -177,10 +186,11 @@
 	return placement.FetchTime(r.ImageGB, p.FetchGBPerS(m.Type))
 }
 
-// cheapestMachine finds the machine that can make capacity for one task at the least
-// loss, and what to stop there; nothing, if capacity is coming anyway.
+// cheapestMachine finds the machine on which capacity for one task costs the least, and the
+// attempts to stop there. If a task fits into the expected free capacity of a machine, it returns
+// that machine and no attempts.
 func (p *pass) cheapestMachine(r *placement.PendingJob) (best *machines.Machine, stops []candidate) {
-	least := math.Inf(1)
+	leastCost := math.Inf(1)
 	for _, m := range p.Machines.All() {
 		free, ok := p.expectedFree[m]
 		if !ok || m.Avoids(r.Job) || !r.Allowed(m.PlacementView()) {
@@ -189,26 +199,27 @@
 		if free.Fits(r.Request) {
 			return m, nil
 		}
-		if chosen, loss := p.cheapestStops(m, r, free); chosen != nil && loss < least {
-			best, stops, least = m, chosen, loss
+		if chosen, cost := p.cheapestStops(m, r, free); chosen != nil && cost < leastCost {
+			best, stops, leastCost = m, chosen, cost
 		}
 	}
 	return best, stops
 }
 
-// cheapestStops are the attempts to be stopped on a machine with some free capacity until a
-// task fits, nil if it never does, and the CPU seconds lost by it.
-func (p *pass) cheapestStops(m *machines.Machine, r *placement.PendingJob, free placement.Resources) (chosen []candidate, loss float64) {
-	// A start on a machine without the image is late all the same.
-	loss = p.fetchTimeS(m, r) * r.Request.CPUs * tuning.PreemptFetchWeight
+// cheapestStops returns the attempts to stop on a machine, in ascending order of loss, so that a
+// task fits in addition to the free capacity, and their cost in CPU seconds. It returns nil if the
+// task does not fit even after all possible stops.
+func (p *pass) cheapestStops(m *machines.Machine, r *placement.PendingJob, free placement.Resources) (chosen []candidate, cost float64) {
+	// Without the image on the machine, the task starts late despite the stops.
+	cost = p.fetchTimeS(m, r) * r.Request.CPUs * tuning.PreemptFetchWeight
 	for _, c := range p.candidates[m] {
 		if c.IsStopping() || c.Job.PriorityRank() <= r.PriorityRank {
 			continue
 		}
 		chosen = append(chosen, c)
-		loss += c.lostS * c.Job.CPUs
+		cost += c.lossS * c.Job.CPUs
 		if free = free.Add(c.Job.Request(), 1); free.Fits(r.Request) {
-			return chosen, loss
+			return chosen, cost
 		}
 	}
 	return nil, 0
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -13,26 +13,26 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Cluster is what preemption has to know of the cluster, and the one thing that it does to it.
+// Cluster gives the preemptor access to the state of the cluster.
 type Cluster struct {
 	Machines *machines.Registry
-	// IsSchedulable reports whether a machine takes new tasks.
+	// IsSchedulable reports whether new tasks may be assigned to a machine.
 	IsSchedulable func(now time.Time, m *machines.Machine) bool
-	// RemainingS estimates the rest of an attempt's run time in seconds, 0 if it is over its
-	// estimate.
+	// RemainingS returns the estimated remaining run time of an attempt in seconds, or 0 if the
+	// attempt has exceeded its estimate.
 	RemainingS func(now time.Time, a *machines.Attempt) float64
-	// UnfinishedJobs returns the jobs whose tasks may run.
+	// UnfinishedJobs returns the jobs whose tasks may be running.
 	UnfinishedJobs func() iter.Seq[*jobs.Job]
-	// FetchGBPerS is the rate at which machines of a type fetch images.
+	// FetchGBPerS returns the rate at which machines of a type fetch images.
 	FetchGBPerS func(machineType string) float64
-	// TeamFreeCPUs are the CPUs that a team may use beyond those that it uses; known is false
-	// for teams that are not in the settings.
+	// TeamFreeCPUs returns the CPUs that a team may use in addition to those in use; known is
+	// false if the team is not in the settings.
 	TeamFreeCPUs func(team string) (cpus float64, known bool)
-	// OnStop is called with each machine on which an attempt is to be stopped.
+	// OnStop is called for each attempt that is marked to be stopped, with its machine.
 	OnStop func(*machines.Machine)
 }
 
-// Preemptor makes capacity now and then.
+// Preemptor periodically preempts running tasks to make capacity for waiting tasks of a higher priority.
 type Preemptor struct {
 	cluster Cluster
 	lastRun time.Time
@@ -41,17 +41,16 @@
 // New returns a preemptor for a cluster.
 func New(cluster Cluster) *Preemptor { return &Preemptor{cluster: cluster} }
 
-// Run makes capacity for those of the ready jobs with tasks that were not placed, highest
-// priority first: it marks attempts of a lower priority that lose little by it as to be
-// stopped. It does so at most once per tuning.PreemptInterval, and returns the number of
-// attempts to be stopped.
+// Run makes capacity for ready tasks that were not placed, the highest priority first: it marks
+// running attempts of a lower priority that lose little progress to be stopped. It runs at most
+// once per tuning.PreemptInterval, and returns the number of attempts marked.
 func (s *Preemptor) Run(now time.Time, ready []*placement.PendingJob, byID map[string]*jobs.Job) int {
 	if now.Sub(s.lastRun) < tuning.PreemptInterval {
 		return 0
 	}
 	s.lastRun = now
 	waiting := waitingByPriority(ready, byID)
-	lowest := lowestPriority(s.cluster.UnfinishedJobs())
+	lowest := lowestPreemptibleRank(s.cluster.UnfinishedJobs())
 	if len(waiting) == 0 || waiting[0].PriorityRank >= lowest {
 		return 0
 	}
@@ -65,9 +64,9 @@
 	return p.stops
 }
 
-// lowestPriority is the rank of the lowest priority among the running jobs that save
-// checkpoints; only these can be stopped.
-func lowestPriority(unfinished iter.Seq[*jobs.Job]) int {
+// lowestPreemptibleRank returns the rank of the lowest priority among the running jobs that save
+// checkpoints; only their tasks may be preempted.
+func lowestPreemptibleRank(unfinished iter.Seq[*jobs.Job]) int {
 	lowest := 0
 	for j := range unfinished {
 		if j.RunningTasks() > 0 && j.CheckpointIntervalS > 0 {
@@ -77,7 +76,7 @@
 	return lowest
 }
 
-// waitingByPriority returns the jobs with tasks that found no capacity, highest priority first.
+// waitingByPriority returns the jobs with ready tasks and no failures, the highest priority first.
 func waitingByPriority(ready []*placement.PendingJob, byID map[string]*jobs.Job) []*placement.PendingJob {
 	var waiting []*placement.PendingJob
 	for _, r := range ready {
@@ -89,8 +88,8 @@
 	return waiting
 }
 
-// candidate is an attempt that could be stopped.
+// candidate is an attempt that may be stopped.
 type candidate struct {
 	*machines.Attempt
-	lostS float64 // progress lost, and what its job loses by the wait
+	lossS float64 // lost progress, plus the cost of the delay to its job, in seconds
 }
