--- a/internal/consolidation/consolidation_test.go
+++ b/internal/consolidation/consolidation_test.go
@@ -15,11 +15,13 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// now is late enough for all machines and attempts to be moved.
+// now is a time at which every machine is past its minimum billing time, and every attempt past the
+// minimum run time.
 var now = start.Add(tuning.MinimumBillingTime + tuning.ConsolidateMinRunTime + time.Hour)
 
-// addMachine returns a machine of eight CPUs with attempts of so many CPUs each.
-func addMachine(id string, checkpointIntervalS float64, cpus ...float64) *machines.Machine {
+// newMachine returns a machine with eight CPUs and one running attempt for each given number of
+// CPUs.
+func newMachine(id string, checkpointIntervalS float64, cpus ...float64) *machines.Machine {
 	m := machines.New(start, id, "std-8", "a", "", false)
 	m.SetCapacity(placement.Resources{CPUs: 8, MemoryGB: 32})
 	for _, c := range cpus {
@@ -31,11 +33,11 @@
 	return m
 }
 
-// cluster is one whose machines all take work, and which of them were emptied.
+// cluster consists of schedulable machines.
 type cluster struct {
-	machines []*machines.Machine
-	waiting  []*jobs.Job
-	emptied  []string
+	machines     []*machines.Machine
+	waiting      []*jobs.Job
+	consolidated []string // IDs passed to OnConsolidated
 }
 
 func (c *cluster) consolidator() *consolidation.Consolidator {
@@ -47,50 +49,51 @@
 		Machines:       registry,
 		IsSchedulable:  func(time.Time, *machines.Machine) bool { return true },
 		ActiveJobs:     func() []*jobs.Job { return c.waiting },
-		Price:          func(m *machines.Machine) float64 { return map[string]float64{"dear": 2}[m.ID] },
+		Price:          func(m *machines.Machine) float64 { return map[string]float64{"expensive": 2}[m.ID] },
 		RemainingS:     func(time.Time, *machines.Attempt) float64 { return 3600 },
-		OnConsolidated: func(m *machines.Machine) { c.emptied = append(c.emptied, m.ID) },
+		OnConsolidated: func(m *machines.Machine) { c.consolidated = append(c.consolidated, m.ID) },
 	})
 }
 
-// TestDearestMachineIsEmptiedIntoOthers: it is cordoned, and its tasks get time to save.
-func TestDearestMachineIsEmptiedIntoOthers(t *testing.T) {
-	cheap, dear := addMachine("cheap", 30, 2), addMachine("dear", 30, 2)
-	c := &cluster{machines: []*machines.Machine{cheap, dear}}
+// TestMostExpensiveMachineIsConsolidated: the most expensive machine is cordoned, and its tasks are
+// stopped with time to save a checkpoint, at most once per interval.
+func TestMostExpensiveMachineIsConsolidated(t *testing.T) {
+	cheap, expensive := newMachine("cheap", 30, 2), newMachine("expensive", 30, 2)
+	c := &cluster{machines: []*machines.Machine{cheap, expensive}}
 	consolidator := c.consolidator()
-	if n := consolidator.Run(now); n != 1 || !slices.Equal(c.emptied, []string{"dear"}) {
-		t.Fatalf("%d: %v", n, c.emptied)
+	if n := consolidator.Run(now); n != 1 || !slices.Equal(c.consolidated, []string{"expensive"}) {
+		t.Fatalf("%d consolidated, want only the expensive one: %v", n, c.consolidated)
 	}
-	a := dear.Attempts()[0]
-	if !dear.CordonedFor(machines.CordonConsolidated) || !a.IsStopping() || a.GracePeriodS() != 7 {
-		t.Errorf("%+v", a)
+	a := expensive.Attempts()[0]
+	if !expensive.CordonedFor(machines.CordonConsolidated) || !a.IsStopping() || a.GracePeriodS() != 7 {
+		t.Errorf("machine not cordoned, or attempt not stopped with time to save: %+v", a)
 	}
-	dear.Uncordon(machines.CordonConsolidated)
+	expensive.Uncordon(machines.CordonConsolidated)
 	a.RevertStop()
 	if n := consolidator.Run(now.Add(tuning.ConsolidateInterval / 2)); n != 0 {
-		t.Error("again before the interval is over")
+		t.Error("consolidated again before the interval was over")
 	}
 	if n := consolidator.Run(now.Add(tuning.ConsolidateInterval)); n != 1 {
-		t.Errorf("%d afterwards", n)
+		t.Errorf("%d consolidated after the interval, want 1", n)
 	}
 }
 
-// TestNothingIsMovedWithoutNeed: tasks that would lose progress, find no other place, or would
-// take it from waiting work stay where they are.
-func TestNothingIsMovedWithoutNeed(t *testing.T) {
+// TestTasksAreNotMoved: tasks are not moved if they save no checkpoints, if they fit on no other
+// machine, or if waiting tasks need the capacity there.
+func TestTasksAreNotMoved(t *testing.T) {
 	waiting := jobs.New(wire.Job{ID: "job-9", Tasks: 2, CPUs: 6}, 0, start)
 	waiting.FillReady()
 	for name, test := range map[string]struct {
 		all     []*machines.Machine
 		waiting []*jobs.Job
 	}{
-		"no checkpoints": {all: []*machines.Machine{addMachine("cheap", 0, 2), addMachine("dear", 0, 2)}},
-		"no capacity":    {all: []*machines.Machine{addMachine("cheap", 30, 7), addMachine("dear", 30, 2)}},
-		"waiting work":   {all: []*machines.Machine{addMachine("cheap", 30, 2), addMachine("dear", 30, 2)}, waiting: []*jobs.Job{waiting}},
+		"no checkpoints": {all: []*machines.Machine{newMachine("cheap", 0, 2), newMachine("expensive", 0, 2)}},
+		"no capacity":    {all: []*machines.Machine{newMachine("cheap", 30, 7), newMachine("expensive", 30, 2)}},
+		"waiting work":   {all: []*machines.Machine{newMachine("cheap", 30, 2), newMachine("expensive", 30, 2)}, waiting: []*jobs.Job{waiting}},
 	} {
 		c := &cluster{machines: test.all, waiting: test.waiting}
 		if n := c.consolidator().Run(now); n != 0 {
-			t.Errorf("%s: emptied %v", name, c.emptied)
+			t.Errorf("%s: consolidated %v", name, c.consolidated)
 		}
 	}
 }
--- a/internal/preemption/preemption_test.go
+++ b/internal/preemption/preemption_test.go
@@ -16,19 +16,19 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// cluster is one with a full machine of eight CPUs, and what was done to it.
+// cluster consists of one machine with eight CPUs.
 type cluster struct {
-	registry *machines.Registry
-	machine  *machines.Machine
-	teamFree float64 // CPUs
-	called   int
-	running  []*jobs.Job
+	registry     *machines.Registry
+	machine      *machines.Machine
+	teamFreeCPUs float64
+	onStopCalls  int
+	running      []*jobs.Job
 }
 
 func newCluster() *cluster {
 	m := machines.New(start, "m1", "std-8", "a", "", false)
 	m.SetCapacity(placement.Resources{CPUs: 8, MemoryGB: 32})
-	c := &cluster{registry: machines.NewRegistry(), machine: m, teamFree: 100}
+	c := &cluster{registry: machines.NewRegistry(), machine: m, teamFreeCPUs: 100}
 	c.registry.Add(m)
 	return c
 }
@@ -37,13 +37,14 @@
 	return jobs.New(wire.Job{ID: id, Team: "blue", Priority: priority, Tasks: 1, CPUs: cpus, CheckpointIntervalS: 30}, 0, start)
 }
 
-// runs puts a running attempt on the machine.
-func (c *cluster) runs(j *jobs.Job, since time.Time) *machines.Attempt {
-	return c.runsAfterWait(j, since, false)
+// addRunning adds an attempt to the machine that has been running since the given time.
+func (c *cluster) addRunning(j *jobs.Job, since time.Time) *machines.Attempt {
+	return c.addRunningAfterWait(j, since, false)
 }
 
-// runsAfterWait puts a running attempt on the machine, placed since its job had waited long or not.
-func (c *cluster) runsAfterWait(j *jobs.Job, since time.Time, afterLongWait bool) *machines.Attempt {
+// addRunningAfterWait is like addRunning, and sets whether the attempt was placed because its job
+// had waited long.
+func (c *cluster) addRunningAfterWait(j *jobs.Job, since time.Time, afterLongWait bool) *machines.Attempt {
 	a := machines.NewPendingAttempt(c.machine, j, 0, since, 1, afterLongWait)
 	a.ApplyReport(since, machines.Running)
 	c.machine.AddAttempt(a)
@@ -52,7 +53,7 @@
 	return a
 }
 
-// preempt makes capacity for a job with one waiting task.
+// preempt runs the preemptor for a job with one waiting task, and returns the number of stops.
 func (c *cluster) preempt(now time.Time, j *jobs.Job) int {
 	j.FillReady()
 	r := j.Constraints()
@@ -63,39 +64,40 @@
 		RemainingS:     func(time.Time, *machines.Attempt) float64 { return 600 },
 		UnfinishedJobs: func() iter.Seq[*jobs.Job] { return slices.Values(c.running) },
 		FetchGBPerS:    func(string) float64 { return 1 },
-		TeamFreeCPUs:   func(string) (float64, bool) { return c.teamFree, true },
-		OnStop:         func(*machines.Machine) { c.called++ },
+		TeamFreeCPUs:   func(string) (float64, bool) { return c.teamFreeCPUs, true },
+		OnStop:         func(*machines.Machine) { c.onStopCalls++ },
 	})
 	return p.Run(now, []*placement.PendingJob{r}, map[string]*jobs.Job{j.ID: j})
 }
 
-// TestPreemptionStopsWhatLosesLeast: of the attempts of a lower priority the one whose last
-// checkpoint is newest.
-func TestPreemptionStopsWhatLosesLeast(t *testing.T) {
+// TestPreemptionStopsAttemptWithLeastLoss: of two attempts with a lower priority, the one with the
+// more recent checkpoint is stopped, and the capacity is reserved.
+func TestPreemptionStopsAttemptWithLeastLoss(t *testing.T) {
 	c := newCluster()
 	now := start.Add(tuning.AgedMinRunTime + 600*time.Second)
-	more := c.runs(newJob("job-1", wire.PriorityIdle, 4), now.Add(-620*time.Second))
-	less := c.runs(newJob("job-2", wire.PriorityIdle, 4), now.Add(-605*time.Second))
-	if n := c.preempt(now, newJob("job-3", wire.PriorityHigh, 4)); n != 1 || c.called != 1 {
-		t.Fatalf("%d stopped, %d calls", n, c.called)
+	moreLoss := c.addRunning(newJob("job-1", wire.PriorityIdle, 4), now.Add(-620*time.Second))
+	lessLoss := c.addRunning(newJob("job-2", wire.PriorityIdle, 4), now.Add(-605*time.Second))
+	if n := c.preempt(now, newJob("job-3", wire.PriorityHigh, 4)); n != 1 || c.onStopCalls != 1 {
+		t.Fatalf("%d stopped, %d calls of OnStop, want 1 of each", n, c.onStopCalls)
 	}
-	if more.IsStopping() || !less.IsStopping() {
-		t.Error("the one that loses more was stopped")
+	if moreLoss.IsStopping() || !lessLoss.IsStopping() {
+		t.Error("stopped the attempt that loses more progress")
 	}
 	if _, reserved := c.machine.Reservation(now); !reserved {
-		t.Error("the capacity is not reserved")
+		t.Error("the machine has no reservation for the waiting task")
 	}
 }
 
-// TestPreemptionStopsNothingInVain: where it would not help, or is not allowed, all goes on.
-func TestPreemptionStopsNothingInVain(t *testing.T) {
+// TestPreemptionStopsNothingWithoutBenefit: no attempt is stopped if the waiting task could not
+// start even then, or if the running attempts have the same priority.
+func TestPreemptionStopsNothingWithoutBenefit(t *testing.T) {
 	now := start.Add(tuning.AgedMinRunTime + 600*time.Second)
 	for name, test := range map[string]struct {
-		priority string
-		running  string
-		cpus     float64
-		teamFree float64
-		since    time.Duration
+		waitingPriority string
+		runningPriority string
+		waitingCPUs     float64
+		teamFreeCPUs    float64
+		runTime         time.Duration
 	}{
 		"equal priority":       {wire.PriorityIdle, wire.PriorityIdle, 4, 100, 600 * time.Second},
 		"too large":            {wire.PriorityHigh, wire.PriorityIdle, 16, 100, 600 * time.Second},
@@ -103,27 +105,27 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newCluster()
-			c.teamFree = test.teamFree
-			a := c.runs(newJob("job-1", test.running, 4), now.Add(-test.since))
-			b := c.runs(newJob("job-2", test.running, 4), now.Add(-test.since))
-			if n := c.preempt(now, newJob("job-3", test.priority, test.cpus)); n != 0 || a.IsStopping() || b.IsStopping() {
-				t.Errorf("%d stopped: %v, %v", n, a.IsStopping(), b.IsStopping())
+			c.teamFreeCPUs = test.teamFreeCPUs
+			a := c.addRunning(newJob("job-1", test.runningPriority, 4), now.Add(-test.runTime))
+			b := c.addRunning(newJob("job-2", test.runningPriority, 4), now.Add(-test.runTime))
+			if n := c.preempt(now, newJob("job-3", test.waitingPriority, test.waitingCPUs)); n != 0 || a.IsStopping() || b.IsStopping() {
+				t.Errorf("%d stopped, want 0; attempts stopping: %v, %v", n, a.IsStopping(), b.IsStopping())
 			}
 		})
 	}
 }
 
-// TestPreemptionSparesJobsThatWaitedLong: an attempt placed since its job had waited long runs
-// for some time before it may be stopped.
-func TestPreemptionSparesJobsThatWaitedLong(t *testing.T) {
+// TestPreemptionDelayedAfterLongWait: an attempt that was placed because its job had waited long
+// may be stopped only after tuning.AgedMinRunTime.
+func TestPreemptionDelayedAfterLongWait(t *testing.T) {
 	c := newCluster()
-	c.runsAfterWait(newJob("job-1", wire.PriorityIdle, 8), start, true)
+	c.addRunningAfterWait(newJob("job-1", wire.PriorityIdle, 8), start, true)
 	early := start.Add(tuning.AgedMinRunTime - time.Second)
 	if n := c.preempt(early, newJob("job-2", wire.PriorityHigh, 4)); n != 0 {
-		t.Fatalf("%d stopped too early", n)
+		t.Fatalf("%d stopped before the minimum run time, want 0", n)
 	}
 	late := start.Add(tuning.AgedMinRunTime.Truncate(30*time.Second) + 60*time.Second)
 	if n := c.preempt(late, newJob("job-2", wire.PriorityHigh, 4)); n != 1 {
-		t.Fatalf("%d stopped afterwards", n)
+		t.Fatalf("%d stopped after the minimum run time, want 1", n)
 	}
 }
