--- a/internal/autoscale/plan_test.go
+++ b/internal/autoscale/plan_test.go
@@ -9,34 +9,35 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// TestScaleInWhileScalingOut: work for one zone makes the planner provision
-// there; idle machines of another zone, for which there is no demand, are
-// released by the same plan, and one that the work can use is kept.
+// TestScaleInWhileScalingOut: one plan provisions a machine in the zone that the
+// demand requires, keeps the idle machine there, and releases the idle machines
+// of the other zone.
 func TestScaleInWhileScalingOut(t *testing.T) {
-	size := placement.Resources{CPUs: 8, MemoryGB: 32}
+	capacity := placement.Resources{CPUs: 8, MemoryGB: 32}
 	idle := func(id, zone string) Machine {
-		return Machine{ID: id, Offer: Offer{Type: "t", Zone: zone}, Capacity: size, Free: size, Schedulable: true, Idle: true, IdleFor: time.Minute, Price: 1}
+		return Machine{ID: id, Offer: Offer{Type: "t", Zone: zone}, Capacity: capacity, Free: capacity, Schedulable: true, Idle: true, IdleFor: time.Minute, Price: 1}
 	}
 	plan := NewPlan(Input{
 		MachineTypes:    []wire.MachineType{{Name: "t", CPUs: 8, MemoryGB: 32, Price: 1, Zones: []string{"a", "b"}}},
-		Demand:          []Demand{{Tasks: 2, Request: size, EstimateS: 100, Zone: "a", StartWithinS: 20}},
+		Demand:          []Demand{{Tasks: 2, Request: capacity, EstimateS: 100, Zone: "a", StartWithinS: 20}},
 		Machines:        []Machine{idle("a1", "a"), idle("b1", "b"), idle("b2", "b")},
 		Unavailable:     func(Offer) bool { return false },
 		ScaleInIdleTime: time.Second,
 	})
 	if n := plan.ScaleOut[Offer{Type: "t", Zone: "a"}]; n != 1 {
-		t.Errorf("scale out %d", n)
+		t.Errorf("%d machines provisioned, want 1", n)
 	}
 	slices.Sort(plan.ScaleIn)
 	if !slices.Equal(plan.ScaleIn, []string{"b1", "b2"}) {
-		t.Errorf("scale in %v", plan.ScaleIn)
+		t.Errorf("released %v, want b1 and b2", plan.ScaleIn)
 	}
 }
 
-// TestAvoidedMachineIsNoCapacity: a machine where a job has failed is no capacity
-// to it; as the only one it would keep the job waiting forever.
-func TestAvoidedMachineIsNoCapacity(t *testing.T) {
-	size := placement.Resources{CPUs: 8, MemoryGB: 32}
+// TestAvoidedMachineIsNotCapacity: the planner does not count a machine on which a
+// job has failed as capacity for the job. Otherwise, if it were the only machine,
+// the job would wait forever.
+func TestAvoidedMachineIsNotCapacity(t *testing.T) {
+	capacity := placement.Resources{CPUs: 8, MemoryGB: 32}
 	for _, c := range []struct {
 		avoid    map[string]bool
 		scaleOut int
@@ -44,20 +45,21 @@
 		plan := NewPlan(Input{
 			MachineTypes: []wire.MachineType{{Name: "t", CPUs: 8, MemoryGB: 32, Price: 1, Zones: []string{"a"}}},
 			Demand:       []Demand{{Tasks: 1, Request: placement.Resources{CPUs: 1}, EstimateS: 10, StartWithinS: 20, AvoidMachines: c.avoid}},
-			Machines:     []Machine{{ID: "a1", Offer: Offer{Type: "t", Zone: "a"}, Capacity: size, Free: size, Schedulable: true, Price: 1}},
+			Machines:     []Machine{{ID: "a1", Offer: Offer{Type: "t", Zone: "a"}, Capacity: capacity, Free: capacity, Schedulable: true, Price: 1}},
 			Unavailable:  func(Offer) bool { return false },
 		})
 		if n := plan.ScaleOut[Offer{Type: "t", Zone: "a"}]; n != c.scaleOut {
-			t.Errorf("avoiding %v: scale out %d", c.avoid, n)
+			t.Errorf("avoiding %v: %d machines provisioned", c.avoid, n)
 		}
 	}
 }
 
-// TestScaleOutFollowsInflow: while work waits that could start in time on the
-// existing machines, machines of the cheapest offer are provisioned up to the
-// inflow; none of more expensive ones, and none while everything fits.
+// TestScaleOutFollowsInflow: while tasks wait that the existing machines could
+// start in time, machines of the cheapest offer are provisioned until the CPUs
+// cover the inflow. No machines of more expensive offers are provisioned, and none
+// at all while the tasks fit into free CPUs.
 func TestScaleOutFollowsInflow(t *testing.T) {
-	size := placement.Resources{CPUs: 8, MemoryGB: 32}
+	capacity := placement.Resources{CPUs: 8, MemoryGB: 32}
 	scaleOut := func(inflow float64, tasks int, unavailable bool) map[Offer]int {
 		in := Input{
 			MachineTypes: []wire.MachineType{{Name: "t", CPUs: 8, MemoryGB: 32, Price: 3, SpotPrice: 1, Zones: []string{"a"}}},
@@ -65,7 +67,7 @@
 			Unavailable:  func(o Offer) bool { return o.Spot && unavailable },
 		}
 		for range 10 {
-			in.Machines = append(in.Machines, Machine{Offer: Offer{Type: "t", Zone: "a"}, Capacity: size, Free: placement.Resources{CPUs: 1, MemoryGB: 9}, Schedulable: true, Price: 3})
+			in.Machines = append(in.Machines, Machine{Offer: Offer{Type: "t", Zone: "a"}, Capacity: capacity, Free: placement.Resources{CPUs: 1, MemoryGB: 9}, Schedulable: true, Price: 3})
 		}
 		in.InflowCPUs = inflow
 		return NewPlan(in).ScaleOut
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -20,8 +20,8 @@
 	onDemand = autoscale.Offer{Type: "std-8", Zone: "a"}
 )
 
-// newScaler returns a scaler for an empty cluster with one machine type in one zone, where a
-// single call of each kind is allowed at a time.
+// newScaler returns a scaler for an empty cluster with one machine type in one zone. Its call
+// budget allows a single call of each kind in flight.
 func newScaler() (*scaling.Scaler, *scaling.Cluster) {
 	cluster := scaling.Cluster{
 		Machines:         machines.NewRegistry(),
@@ -37,36 +37,37 @@
 	return scaling.New(scaling.Config{Term: 5, ScaleInIdleTime: time.Minute}, cluster), &cluster
 }
 
-// TestProvisioningCallsAreBounded: no more are under way than the cloud's budget allows, spot
-// machines are asked for first, and an answer makes way for the next call.
-func TestProvisioningCallsAreBounded(t *testing.T) {
+// TestProvisionCallsInFlightAreLimited: the call budget limits the provision calls in flight, spot
+// offers are requested first, and the next call may be made once one has returned.
+func TestProvisionCallsInFlightAreLimited(t *testing.T) {
 	s, _ := newScaler()
 	wanted := map[autoscale.Offer]int{onDemand: 3, spot: 2}
 	calls := s.ScaleOut(start, wanted)
 	if len(calls) != 1 || !calls[0].Provision.Spot || calls[0].Provision.RequestID != "r-5-1" || calls[0].Provision.Count != 2 {
-		t.Fatalf("%+v", calls)
+		t.Fatalf("calls %+v, want one for 2 spot machines", calls)
 	}
 	if more := s.ScaleOut(start, wanted); len(more) != 0 {
-		t.Fatalf("%+v", more)
+		t.Fatalf("calls beyond the limit: %+v", more)
 	}
 	if p := s.FinishProvision(start, calls[0].Provision, 2); p == nil || p.Offer != spot || p.Count != 2 {
-		t.Fatalf("%+v", p)
+		t.Fatalf("finished call %+v, want the one for 2 spot machines", p)
 	}
 	if p := s.FinishProvision(start, calls[0].Provision, 2); p != nil {
-		t.Errorf("an answer that came twice is taken for another call: %+v", p)
+		t.Errorf("a repeated result finished another call: %+v", p)
 	}
 	if more := s.ScaleOut(start, wanted); len(more) != 1 || more[0].Provision.RequestID != "r-5-2" {
-		t.Errorf("%+v", more)
+		t.Errorf("calls after a result: %+v, want the request r-5-2", more)
 	}
 }
 
-// TestOfferWithoutCapacityIsAvoidedForAWhile: until the time is over, and only that offer.
-// Drained and partitioned zones are avoided all the time.
-func TestOfferWithoutCapacityIsAvoidedForAWhile(t *testing.T) {
+// TestOfferWithoutCapacityIsNotRequested: after a call that returned too few machines, its offer,
+// and no other, cannot be provisioned until the backoff is over. Offers in drained and partitioned
+// zones cannot be provisioned either.
+func TestOfferWithoutCapacityIsNotRequested(t *testing.T) {
 	s, _ := newScaler()
 	call := s.Provision(start, spot, 3, "")
 	s.FinishProvision(start, call.Provision, 2)
-	over := start.Add(tuning.UnavailableOfferBackoff)
+	backoffEnd := start.Add(tuning.UnavailableOfferBackoff)
 	for name, test := range map[string]struct {
 		now   time.Time
 		offer autoscale.Offer
@@ -74,18 +75,19 @@
 	}{
 		"at once":          {start, spot, false},
 		"other offer":      {start, onDemand, true},
-		"afterwards":       {over, spot, true},
+		"afterwards":       {backoffEnd, spot, true},
 		"drained zone":     {start, autoscale.Offer{Type: "std-8", Zone: "drained"}, false},
 		"partitioned zone": {start, autoscale.Offer{Type: "std-8", Zone: "partitioned"}, false},
 	} {
 		if got := s.CanProvision(test.now, test.offer); got != test.want {
-			t.Errorf("%s: %v", name, got)
+			t.Errorf("%s: CanProvision %v", name, got)
 		}
 	}
 }
 
-// TestReleaseCallsAreBounded: a machine is released once, and the rest waits for answers.
-func TestReleaseCallsAreBounded(t *testing.T) {
+// TestReleaseCallsInFlightAreLimited: each machine is released once, machines beyond the limit of
+// calls in flight are not released, and ReleaseInFlight is true until the calls have returned.
+func TestReleaseCallsInFlightAreLimited(t *testing.T) {
 	s, cluster := newScaler()
 	registry := cluster.Machines
 	var names []string
@@ -99,21 +101,22 @@
 		released += len(call.Release)
 	}
 	if released != tuning.MaxReleaseCount || !registry.Get(names[0]).IsReleasing() || registry.Get(names[len(names)-1]).IsReleasing() {
-		t.Errorf("%d released", released)
+		t.Errorf("%d released, want one full call, in the given order", released)
 	}
 	if !s.ReleaseInFlight() {
-		t.Error("calls without an answer are not known")
+		t.Error("no release call in flight before the result")
 	}
 	for range calls {
 		s.FinishRelease()
 	}
 	if s.ReleaseInFlight() {
-		t.Error("calls with an answer are still waited for")
+		t.Error("a release call is in flight after the result")
 	}
 }
 
-// TestPlanCountsMachinesBeingProvisioned: work is not provisioned for twice.
-func TestPlanCountsMachinesBeingProvisioned(t *testing.T) {
+// TestPlanCountsPendingMachines: a plan counts the machines of provision calls in flight, so that it
+// does not provision for the same demand again.
+func TestPlanCountsPendingMachines(t *testing.T) {
 	_, cluster := newScaler()
 	cluster.Demand = func(time.Time) []autoscale.Demand {
 		return []autoscale.Demand{{Tasks: 4, Request: placement.Resources{CPUs: 2, MemoryGB: 1}, EstimateS: 600, StartWithinS: 10}}
@@ -121,7 +124,7 @@
 	s := scaling.New(scaling.Config{Term: 5, CloudRPS: 5}, *cluster)
 	plan := s.Plan(start)
 	if len(plan.ScaleOut) == 0 {
-		t.Fatal("nothing is provisioned for waiting work")
+		t.Fatal("no machines are provisioned for waiting tasks")
 	}
 	s.ScaleOut(start, plan.ScaleOut)
 	if again := s.Plan(start); len(again.ScaleOut) != 0 {
@@ -129,27 +132,27 @@
 	}
 }
 
-// TestPlansComeAtIntervals: a plan that is due counts the next period.
-func TestPlansComeAtIntervals(t *testing.T) {
+// TestPlanIsDueOncePerInterval: Due is true once and then again after an interval.
+func TestPlanIsDueOncePerInterval(t *testing.T) {
 	s, _ := newScaler()
 	if !s.Due(start) || s.Due(start) || !s.Due(start.Add(tuning.ScalingInterval)) {
-		t.Error("not once per interval")
+		t.Error("Due is not true exactly once per interval")
 	}
 }
 
-// TestDemandHistoryForgets: what was in use and what arrived count less and less.
-func TestDemandHistoryForgets(t *testing.T) {
+// TestDemandHistoryDecays: the smoothed CPUs in use and the inflow decay exponentially.
+func TestDemandHistoryDecays(t *testing.T) {
 	var h scaling.DemandHistory
 	if first := h.UpdateCPUs(start, 100); first != 100 {
-		t.Errorf("%v at first", first)
+		t.Errorf("first value %v, want 100", first)
 	}
 	later := h.UpdateCPUs(start.Add(tuning.DemandDecay), 0)
 	if want := 100 / math.E; math.Abs(later-want) > 0.01 {
 		t.Errorf("%v after one decay time, want %v", later, want)
 	}
 	h.AddInflow(start, start, 60)
-	now, then := h.InflowCPUs(start), h.InflowCPUs(start.Add(tuning.InflowDecay))
-	if want := 60 / tuning.InflowDecay.Seconds(); math.Abs(now-want) > 1e-9 || math.Abs(then-want/math.E) > 1e-9 {
-		t.Errorf("%v, then %v, want %v at first", now, then, want)
+	initial, decayed := h.InflowCPUs(start), h.InflowCPUs(start.Add(tuning.InflowDecay))
+	if want := 60 / tuning.InflowDecay.Seconds(); math.Abs(initial-want) > 1e-9 || math.Abs(decayed-want/math.E) > 1e-9 {
+		t.Errorf("inflow %v, then %v, want %v at first", initial, decayed, want)
 	}
 }
