--- a/internal/autoscale/plan.go
+++ b/internal/autoscale/plan.go
@@ -24,8 +24,8 @@
 	// StartWithinS is the time in seconds within which the tasks should start.
 	StartWithinS float64
 	// AvoidMachines contains the machines on which the job has failed. The planner
-	// does not count them as capacity for the job; otherwise, with a faulty machine
-	// as the only one, the job would wait forever.
+	// does not count them as capacity for the job: otherwise a single faulty machine
+	// could keep the job waiting forever.
 	AvoidMachines map[string]bool
 }
 
@@ -95,7 +95,7 @@
 
 // NewPlan assigns demand, the most urgent first, to the existing machines as far
 // as they can start it in time. For the rest it provisions machines of the
-// cheapest offers. It releases idle machines that got no demand.
+// cheapest offers. It releases idle machines to which no demand was assigned.
 func NewPlan(in Input) Plan {
 	p := newPlanner(in)
 	schedulableCPUs, freeCPUs := p.schedulableCPUs()
--- a/internal/consolidation/consolidation.go
+++ b/internal/consolidation/consolidation.go
@@ -113,7 +113,7 @@
 func (p *pass) reserveForWaiting(targets []*machines.Machine) {
 	for _, j := range p.ActiveJobs() {
 		// Free capacity only shrinks here: a machine without capacity for one task of the job
-		// has none for the next either.
+		// has none for the job's next task either.
 		rest := targets
 		for range j.ReadyTasks() {
 			i := p.firstFit(j, rest)
@@ -126,9 +126,8 @@
 	}
 }
 
-// allocateElsewhere allocates capacity on the target machines, those with the fewest free CPUs
-// first, to all tasks of a machine. If one of them fits nowhere, it allocates nothing and returns
-// false.
+// allocateElsewhere allocates capacity for all tasks of a machine on the targets, trying those with
+// the fewest free CPUs first. If a task fits on none of them, it allocates nothing and returns false.
 func (p *pass) allocateElsewhere(m *machines.Machine, targets []*machines.Machine) bool {
 	slices.SortStableFunc(targets, func(a, b *machines.Machine) int { return cmp.Compare(p.free[a].CPUs, p.free[b].CPUs) })
 	allocated := make([]*machines.Machine, 0, len(m.Attempts()))
@@ -161,10 +160,10 @@
 	p.OnConsolidated(m)
 }
 
-// isMovable reports whether all tasks of the machine may be moved: each saves checkpoints and has
-// run for tuning.ConsolidateMinRunTime. At most half of the machine's CPUs may be in use, its minimum
+// isMovable reports whether all tasks of the machine may be moved, and whether that pays off. Each
+// task must save checkpoints and have run for tuning.ConsolidateMinRunTime. At most half of the machine's CPUs may be in use, its minimum
 // billing time must be over, and its longest task must be expected to run for at least
-// tuning.ConsolidateMinLifetime. Otherwise a move would not pay off.
+// tuning.ConsolidateMinLifetime.
 func (p *pass) isMovable(m *machines.Machine) bool {
 	if len(m.Attempts()) == 0 || m.Free().CPUs < m.Capacity().CPUs/2 || p.now.Sub(m.ProvisionedAt()) < tuning.MinimumBillingTime {
 		return false
@@ -174,8 +173,8 @@
 		if a.State() != machines.Running || a.IsStopping() || a.Job.CheckpointIntervalS <= 0 || a.RunTime(p.now) < tuning.ConsolidateMinRunTime {
 			return false
 		}
-		// A task that has exceeded its estimate will run, as a rule of thumb, for as long
-		// again as it has run so far. Only a quarter of that is assumed.
+		// A task that has exceeded its estimate is most likely to run for about as long again
+		// as it has run so far. Only a quarter of that is assumed.
 		remainingS = max(remainingS, p.RemainingS(p.now, a), a.RunTime(p.now).Seconds()/4)
 	}
 	return remainingS >= tuning.ConsolidateMinLifetime.Seconds()
--- a/internal/preemption/pass.go
+++ b/internal/preemption/pass.go
@@ -210,7 +210,7 @@
 // task fits in addition to the free capacity, and their cost in CPU seconds. It returns nil if the
 // task does not fit even after all possible stops.
 func (p *pass) cheapestStops(m *machines.Machine, r *placement.PendingJob, free placement.Resources) (chosen []candidate, cost float64) {
-	// Without the image on the machine, the task starts late despite the stops.
+	// If the machine must fetch the image first, the task starts late despite the stops.
 	cost = p.fetchTimeS(m, r) * r.Request.CPUs * tuning.PreemptFetchWeight
 	for _, c := range p.candidates[m] {
 		if c.IsStopping() || c.Job.PriorityRank() <= r.PriorityRank {
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -101,7 +101,7 @@
 		released += len(call.Release)
 	}
 	if released != tuning.MaxReleaseCount || !registry.Get(names[0]).IsReleasing() || registry.Get(names[len(names)-1]).IsReleasing() {
-		t.Errorf("%d released, want one full call, in the given order", released)
+		t.Errorf("%d released, want as many as one call allows, the first ones of the list", released)
 	}
 	if !s.ReleaseInFlight() {
 		t.Error("no release call in flight before the result")
