--- a/internal/consolidation/consolidation.go
+++ b/internal/consolidation/consolidation.go
@@ -161,9 +161,9 @@
 }
 
 // isMovable reports whether all tasks of the machine may be moved, and whether that pays off. Each
-// task must save checkpoints and have run for tuning.ConsolidateMinRunTime. At most half of the machine's CPUs may be in use, its minimum
-// billing time must be over, and its longest task must be expected to run for at least
-// tuning.ConsolidateMinLifetime.
+// task must save checkpoints and have run for tuning.ConsolidateMinRunTime. At most half of the
+// machine's CPUs may be in use, its minimum billing time must be over, and its longest task must be
+// expected to run for at least tuning.ConsolidateMinLifetime.
 func (p *pass) isMovable(m *machines.Machine) bool {
 	if len(m.Attempts()) == 0 || m.Free().CPUs < m.Capacity().CPUs/2 || p.now.Sub(m.ProvisionedAt()) < tuning.MinimumBillingTime {
 		return false
@@ -173,7 +173,7 @@
 		if a.State() != machines.Running || a.IsStopping() || a.Job.CheckpointIntervalS <= 0 || a.RunTime(p.now) < tuning.ConsolidateMinRunTime {
 			return false
 		}
-		// A task that has exceeded its estimate is most likely to run for about as long again
+		// A task that has exceeded its estimate is expected to run for about as long again
 		// as it has run so far. Only a quarter of that is assumed.
 		remainingS = max(remainingS, p.RemainingS(p.now, a), a.RunTime(p.now).Seconds()/4)
 	}
