--- a/cmd/switchshore/drain.go
+++ b/cmd/switchshore/drain.go
@@ -35,7 +35,7 @@
 
 // client returns a client of the controller that the flags name.
 func (d *drainCommand) client(out *streams) *operatorcli.Client {
-	return &operatorcli.Client{Node: d.Node, JSON: d.JSON, Out: out.stdout}
+	return &operatorcli.Client{Addr: d.Node, JSON: d.JSON, Out: out.stdout}
 }
 
 // send sends one request and waits for the answer, unless it is interrupted.
--- a/internal/drain/eviction.go
+++ b/internal/drain/eviction.go
@@ -40,7 +40,7 @@
 		if cause == "" && !charge.Add(candidate, e.MaxChargeBytes) {
 			return waits
 		}
-		if cause != "" && (waits.Cause == "" || waits.Cause == WaitTasks) {
+		if cause != "" && (waits.Cause == "" || waits.Cause == WaitTaskEnd) {
 			waits = Reason{Cause: cause, Team: candidate.Team}
 		}
 	}
@@ -53,7 +53,7 @@
 	charged := charge.Teams[c.Team]
 	switch {
 	case c.EndsSoon:
-		return WaitTasks
+		return WaitTaskEnd
 	case c.NoAlternative && !e.Force:
 		return WaitNoAlternative
 	case e.Ledger.Unavailable(c.Team)+charged.Evictions+1 > budget.MaxUnavailable:
--- a/internal/drain/eviction_test.go
+++ b/internal/drain/eviction_test.go
@@ -25,7 +25,7 @@
 		"lost time":         {func(b *Budgets, _ []Candidate) { b.Default = Budget{MaxUnavailable: 9, Evictions: 9, LostS: 99} }, false, 2, WaitLostTime},
 		"budget 0":          {func(b *Budgets, _ []Candidate) { b.Default.MaxUnavailable = 0 }, true, 0, WaitUnavailable},
 		"team's own budget": {func(b *Budgets, _ []Candidate) { b.Teams = map[string]Budget{"blue": {}} }, false, 0, WaitUnavailable},
-		"ends by itself":    {func(_ *Budgets, l []Candidate) { l[2].EndsSoon = true }, false, 2, WaitTasks},
+		"ends by itself":    {func(_ *Budgets, l []Candidate) { l[2].EndsSoon = true }, false, 2, WaitTaskEnd},
 		"no other place":    {func(_ *Budgets, l []Candidate) { l[1].NoAlternative, l[0].NoAlternative = true, true }, false, 1, WaitNoAlternative},
 		"forced":            {func(_ *Budgets, l []Candidate) { l[1].NoAlternative, l[0].NoAlternative = true, true }, true, 2, WaitUnavailable},
 	} {
--- a/internal/drain/ledger.go
+++ b/internal/drain/ledger.go
@@ -86,8 +86,8 @@
 	l.addUnavailable(team, job, index)
 }
 
-// RecordUnknown counts a task as unavailable that may have run on a machine where it isn't now.
-func (l *Ledger) RecordUnknown(team, job string, index int32) { l.addUnavailable(team, job, index) }
+// RecordUnavailable counts a task as unavailable that may have run on a machine where it isn't now.
+func (l *Ledger) RecordUnavailable(team, job string, index int32) { l.addUnavailable(team, job, index) }
 
 // addUnavailable counts a task as unavailable, once.
 func (l *Ledger) addUnavailable(team, job string, index int32) {
--- a/internal/drain/lifecycle.go
+++ b/internal/drain/lifecycle.go
@@ -14,9 +14,9 @@
 // Forced reports whether tasks that can run nowhere else are evicted.
 func (r *Record) Forced(now time.Time) bool { return r.Spec.Force && r.pastDeadline(now) }
 
-// Wait records why the drain makes no progress. Past its deadline it is paused, unless it is
+// SetWaitReason records why the drain makes no progress. Past its deadline it is paused, unless it is
 // forced or the wait is part of its progress. It reports whether the drain was paused.
-func (r *Record) Wait(now time.Time, reason Reason) bool {
+func (r *Record) SetWaitReason(now time.Time, reason Reason) bool {
 	if r.pastDeadline(now) && !r.Spec.Force && !reason.Cause.isProgress() {
 		reason.Deadline = true
 		return r.Pause(reason)
--- a/internal/drain/lifecycle_test.go
+++ b/internal/drain/lifecycle_test.go
@@ -44,15 +44,15 @@
 		r := NewRecord(Spec{Name: "a", Deadline: &deadline, Force: force}, now)
 		r.State = Running
 		reason := Reason{Cause: WaitNoAlternative, Team: "blue"}
-		r.Wait(now, reason)
+		r.SetWaitReason(now, reason)
 		if r.State != Running {
 			t.Fatal("paused before the deadline")
 		}
-		r.Wait(now.Add(2*time.Minute), Reason{Cause: WaitMachines})
+		r.SetWaitReason(now.Add(2*time.Minute), Reason{Cause: WaitMachineRelease})
 		if r.State != Running {
 			t.Fatal("paused while its machines are being released")
 		}
-		r.Wait(now.Add(2*time.Minute), reason)
+		r.SetWaitReason(now.Add(2*time.Minute), reason)
 		if (r.State == Paused) == force || r.Forced(now.Add(2*time.Minute)) != force || !strings.Contains(r.Reason.String(), "(team blue)") {
 			t.Errorf("force %v: %s, %s", force, r.State, r.Reason)
 		}
--- a/internal/drain/reason.go
+++ b/internal/drain/reason.go
@@ -20,13 +20,13 @@
 
 // Causes; operators read them.
 const (
-	WaitTasks           Cause = "waits for tasks to end"
+	WaitTaskEnd         Cause = "waits for tasks to end"
 	WaitUnavailable     Cause = "budget of unavailable tasks is used up"
 	WaitEvictions       Cause = "budget of evictions is used up"
 	WaitLostTime        Cause = "budget of lost run time is used up"
 	WaitNoAlternative   Cause = "tasks have no place outside the drained machines"
 	WaitReplacement     Cause = "waits for replacement machines"
-	WaitMachines        Cause = "waits for machines to be gone"
+	WaitMachineRelease  Cause = "waits for machines to be gone"
 	BlockedByGuarantee  Cause = "the guarantee of a team with waiting work would not fit"
 	BlockedByOverload   Cause = "new jobs are being shed"
 	BlockedByPartition  Cause = "machines are cut off"
@@ -56,4 +56,4 @@
 }
 
 // isProgress reports whether a wait is part of the drain's progress.
-func (c Cause) isProgress() bool { return c == WaitTasks || c == WaitMachines }
+func (c Cause) isProgress() bool { return c == WaitTaskEnd || c == WaitMachineRelease }
--- a/internal/drainer/batch.go
+++ b/internal/drainer/batch.go
@@ -13,7 +13,7 @@
 
 // beginBatch chooses the machines to be drained next, those with the fewest tasks first.
 func (s *step) beginBatch() {
-	if cause := s.d.cluster.Blocked(s.now); cause != "" {
+	if cause := s.d.cluster.BlockedCause(s.now); cause != "" {
 		s.wait(cause, "")
 		return
 	}
@@ -55,7 +55,7 @@
 // longer exist.
 func (s *step) finish(leaving int) {
 	if leaving > 0 || s.provisioningSelected() {
-		s.wait(drain.WaitMachines, "")
+		s.wait(drain.WaitMachineRelease, "")
 		return
 	}
 	s.record.State, s.record.Reason = drain.Done, drain.Reason{}
--- a/internal/drainer/drainer.go
+++ b/internal/drainer/drainer.go
@@ -31,8 +31,8 @@
 	// MaxMachines bounds the number of machines, 0 for no bound.
 	MaxMachines int
 	ValueLimit  int // bytes of a stored value
-	// LeaseTime is the time after which an agent's lease has provably expired.
-	LeaseTime time.Duration
+	// LeaseExpiry is the time after which an agent's lease has provably expired.
+	LeaseExpiry time.Duration
 	// LeaseS is the length of an agent's lease in seconds.
 	LeaseS float64
 }
@@ -58,12 +58,12 @@
 	// ListsComplete reports whether a machine list describes a time after this term began, so
 	// that a machine named by a record and not known no longer exists.
 	ListsComplete func() bool
-	// Blocked is why no batch may begin now whatever machines there are, "" if one may.
-	Blocked func(time.Time) drain.Cause
+	// BlockedCause is why no batch may begin now whatever machines there are, "" if one may.
+	BlockedCause func(time.Time) drain.Cause
 	// ScheduleCall schedules a direct call to a machine where something is to be stopped.
 	ScheduleCall func(*machines.Machine)
-	// RequestPass asks for a scheduling pass, as machines take work again.
-	RequestPass func()
+	// RequestSchedulingPass asks for a scheduling pass, as machines take work again.
+	RequestSchedulingPass func()
 }
 
 // Drainer owns the drains and the account of the disruption of the teams' work. All
@@ -101,8 +101,8 @@
 	return d
 }
 
-// Examined is the number of machines and attempts that drains have examined so far.
-func (d *Drainer) Examined() int { return d.examined }
+// ExaminedCount is the number of machines and attempts that drains have examined so far.
+func (d *Drainer) ExaminedCount() int { return d.examined }
 
 // ApplyCordon cordons a machine as long as a drain keeps it from taking new work.
 func (d *Drainer) ApplyCordon(m *machines.Machine) {
--- a/internal/drainer/drainer_test.go
+++ b/internal/drainer/drainer_test.go
@@ -56,27 +56,27 @@
 		Partitioned: func(time.Time, string) bool { return false },
 	})
 	f.Drainer = drainer.New(zerolog.Nop(), drainer.Config{
-		Term:       5,
-		Budgets:    &drain.Budgets{Window: 10 * time.Minute, Default: drain.Budget{MaxUnavailable: 1, Evictions: 1, LostS: 1000}},
-		Teams:      []config.Team{{Name: "blue", CPUs: 4}},
-		ValueLimit: 16 << 10,
-		LeaseTime:  15 * time.Second,
-		LeaseS:     15,
+		Term:        5,
+		Budgets:     &drain.Budgets{Window: 10 * time.Minute, Default: drain.Budget{MaxUnavailable: 1, Evictions: 1, LostS: 1000}},
+		Teams:       []config.Team{{Name: "blue", CPUs: 4}},
+		ValueLimit:  16 << 10,
+		LeaseExpiry: 15 * time.Second,
+		LeaseS:      15,
 	}, drainer.Cluster{
-		Machines:      f.registry,
-		Catalogue:     catalogue,
-		Writes:        f.writes,
-		Scaler:        f.scaler,
-		Job:           func(id string) *jobs.Job { return f.jobs[id] },
-		RunnableJobs:  func() iter.Seq[*jobs.Job] { return func(func(*jobs.Job) bool) {} },
-		TeamUsedCPUs:  func(string) float64 { return 0 },
-		AcceptsWork:   func(_ time.Time, m *machines.Machine) bool { return m.IsReconciled() && !m.Cordoned() },
-		RemainingS:    func(time.Time, *machines.Attempt) float64 { return 3600 },
-		MachinesKnown: func() bool { return true },
-		ListsComplete: func() bool { return true },
-		Blocked:       func(time.Time) drain.Cause { return f.blocked },
-		ScheduleCall:  func(m *machines.Machine) { f.stopped = append(f.stopped, m.ID) },
-		RequestPass:   func() {},
+		Machines:              f.registry,
+		Catalogue:             catalogue,
+		Writes:                f.writes,
+		Scaler:                f.scaler,
+		Job:                   func(id string) *jobs.Job { return f.jobs[id] },
+		RunnableJobs:          func() iter.Seq[*jobs.Job] { return func(func(*jobs.Job) bool) {} },
+		TeamUsedCPUs:          func(string) float64 { return 0 },
+		AcceptsWork:           func(_ time.Time, m *machines.Machine) bool { return m.IsReconciled() && !m.Cordoned() },
+		RemainingS:            func(time.Time, *machines.Attempt) float64 { return 3600 },
+		MachinesKnown:         func() bool { return true },
+		ListsComplete:         func() bool { return true },
+		BlockedCause:          func(time.Time) drain.Cause { return f.blocked },
+		ScheduleCall:          func(m *machines.Machine) { f.stopped = append(f.stopped, m.ID) },
+		RequestSchedulingPass: func() {},
 	})
 	return f
 }
@@ -237,7 +237,7 @@
 		t.Fatalf("provisioned again: %+v", again)
 	}
 	p := f.scaler.ProvisionAnswered(f.now, calls[0].Provision, 1)
-	f.Provisioned(p.ReplacementFor, []string{"m2"})
+	f.AddReplacements(p.ReplacementFor, []string{"m2"})
 	f.step(tuning.DrainStepInterval)
 	if m.Cordoned() || !f.IsReplacement("m2") {
 		t.Fatal("cordoned before the replacement is ready")
--- a/internal/drainer/evict.go
+++ b/internal/drainer/evict.go
@@ -24,7 +24,7 @@
 	reason := evictor.Choose(charge, candidates)
 	s.stopCharged(charge, attempts)
 	if reason.Cause == "" {
-		reason.Cause = drain.WaitMachines
+		reason.Cause = drain.WaitMachineRelease
 	}
 	s.wait(reason.Cause, reason.Team)
 }
@@ -116,7 +116,7 @@
 			began = a.Machine.ProvisionedAt()
 		}
 	}
-	return (s.now.Sub(began) + s.d.config.LeaseTime).Seconds()
+	return (s.now.Sub(began) + s.d.config.LeaseExpiry).Seconds()
 }
 
 // hasAlternative reports whether a task of the job could run on machines that are not drained.
--- a/internal/drainer/replacements.go
+++ b/internal/drainer/replacements.go
@@ -132,8 +132,8 @@
 	return autoscale.Offer{}, false
 }
 
-// Provisioned adds machines that were provisioned for a drain to its batch.
-func (d *Drainer) Provisioned(drainName string, replacements []string) {
+// AddReplacements adds machines that were provisioned for a drain to its batch.
+func (d *Drainer) AddReplacements(drainName string, replacements []string) {
 	r := d.drains[drainName]
 	if r == nil || r.Batch == nil || len(replacements) == 0 {
 		return
--- a/internal/drainer/requests.go
+++ b/internal/drainer/requests.go
@@ -152,7 +152,7 @@
 			}
 		}
 	}
-	d.cluster.RequestPass()
+	d.cluster.RequestSchedulingPass()
 }
 
 // statuses are those of all drains, oldest first.
--- a/internal/drainer/step.go
+++ b/internal/drainer/step.go
@@ -56,7 +56,7 @@
 
 // wait notes why there is no progress; past its deadline the drain is paused.
 func (s *step) wait(cause drain.Cause, team string) {
-	if s.record.Wait(s.wall, drain.Reason{Cause: cause, Team: team}) {
+	if s.record.SetWaitReason(s.wall, drain.Reason{Cause: cause, Team: team}) {
 		s.reportPaused()
 	}
 }
--- a/internal/leader/completion.go
+++ b/internal/leader/completion.go
@@ -13,7 +13,7 @@
 	f := j.End(now, state)
 	l.unsavedCompletions.Remove(j)
 	l.jobs.MarkEnded(j)
-	l.drainer.CountEnded(j)
+	l.drainer.RecordJobEnd(j)
 	if state == jobs.Cancelled {
 		l.graph.SchedulePathsOfDependencies(j)
 	}
@@ -47,7 +47,7 @@
 		return
 	}
 	l.changed = true
-	l.drainer.CountDone(j, index)
+	l.drainer.RecordDone(j, index)
 	if !j.IsActive() {
 		return
 	}
--- a/internal/leader/counts.go
+++ b/internal/leader/counts.go
@@ -21,7 +21,7 @@
 
 // Counts returns the sums.
 func (l *Leader) Counts() Counts {
-	n := Counts{Jobs: l.jobs.Len(), Machines: l.machines.Len(), Writes: l.writes.Len(), ScoredPairs: l.scores, DrainSteps: l.drainer.Examined()}
+	n := Counts{Jobs: l.jobs.Len(), Machines: l.machines.Len(), Writes: l.writes.Len(), ScoredPairs: l.scores, DrainSteps: l.drainer.ExaminedCount()}
 	n.DependencySteps = l.graph.OpenSteps()
 	l.jobs.Each(func(j *jobs.Job) {
 		n.Ready += j.ReadyTasks()
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -50,7 +50,7 @@
 		return
 	}
 	a.SaveProgress(now)
-	l.drainer.CountInterruption(now, a)
+	l.drainer.RecordInterruption(now, a)
 	last := l.ledger.Release(now, a)
 	l.starts.Remove(a)
 	if last {
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -105,7 +105,7 @@
 	}
 	m.RecordImage(now, j.Image)
 	l.changed = true
-	l.drainer.CountRunning(a)
+	l.drainer.RecordRunning(a)
 }
 
 // countIgnoredStarts notes that starts in an earlier response had no effect.
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -110,7 +110,7 @@
 		m := l.addMachine(now, id, r.Type, r.Zone, "", r.Spot)
 		m.SetProvisionedAt(call.At)
 	}
-	l.drainer.Provisioned(call.ReplacementFor, names)
+	l.drainer.AddReplacements(call.ReplacementFor, names)
 	l.log.Debug().Str("request", r.RequestID).Str("zone", r.Zone).Bool("spot", r.Spot).Int("requested", r.Count).Int("received", len(names)).Msg("machines provisioned")
 }
 
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -33,7 +33,7 @@
 // showState asks a node for a drain's state, "" if it can't tell.
 func showState(node string) drain.State {
 	var out bytes.Buffer
-	client := &operatorcli.Client{Node: node, JSON: true, Out: &out}
+	client := &operatorcli.Client{Addr: node, JSON: true, Out: &out}
 	var status drain.Status
 	if client.Do(context.Background(), drain.Show, "maintenance") != nil || json.Unmarshal(out.Bytes(), &status) != nil {
 		return ""
@@ -50,7 +50,7 @@
 	c.until(c.addrs[0], "POST", wire.PathJobs, fmt.Sprintf(submission, "job-000001"), 201, "")
 	c.until(c.addrs[0], "GET", wire.PathJobs+"/job-000001", "", 200, wire.JobDone)
 	var out bytes.Buffer
-	client := &operatorcli.Client{Node: c.peers[1], Out: &out}
+	client := &operatorcli.Client{Addr: c.peers[1], Out: &out}
 	for range 2 {
 		if err := client.Apply(ctx, writeDrain(t, "a")); err != nil {
 			t.Fatal(err)
@@ -76,7 +76,7 @@
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	client.Node = c.peers[2]
+	client.Addr = c.peers[2]
 	if err := client.Do(ctx, drain.Pause, "maintenance"); !errors.Is(err, operatorcli.ErrRefused) {
 		t.Errorf("a drain that is done was paused: %v", err)
 	}
--- a/internal/operatorcli/client.go
+++ b/internal/operatorcli/client.go
@@ -24,8 +24,8 @@
 
 // Client sends requests to one controller, which forwards them to the leader.
 type Client struct {
-	// Node is the controller's peer address.
-	Node string
+	// Addr is the controller's peer address.
+	Addr string
 	// JSON prints a line of JSON for each drain instead of a table.
 	JSON bool
 	// Out is where responses are printed.
@@ -57,7 +57,7 @@
 func (c *Client) send(ctx context.Context, request drain.Request) error {
 	ctx, cancel := context.WithTimeout(ctx, tuning.OperatorTimeout)
 	defer cancel()
-	response, err := peer.Request(ctx, c.Node, peer.Call{Op: peer.OpDrain, Drain: &request})
+	response, err := peer.Request(ctx, c.Addr, peer.Call{Op: peer.OpDrain, Drain: &request})
 	if err != nil {
 		return err
 	}
--- a/internal/operatorcli/client_test.go
+++ b/internal/operatorcli/client_test.go
@@ -75,7 +75,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			server := peertest.Start(t, respond(http.StatusOK, "", c.drains))
 			var out bytes.Buffer
-			client := operatorcli.Client{Node: server.Addr, JSON: c.json, Out: &out}
+			client := operatorcli.Client{Addr: server.Addr, JSON: c.json, Out: &out}
 			if err := client.Do(context.Background(), drain.List, ""); err != nil {
 				t.Fatal(err)
 			}
@@ -96,7 +96,7 @@
 	} {
 		t.Run(string(c.action), func(t *testing.T) {
 			server := peertest.Start(t, respond(http.StatusOK, "", nil))
-			client := operatorcli.Client{Node: server.Addr, Out: &bytes.Buffer{}}
+			client := operatorcli.Client{Addr: server.Addr, Out: &bytes.Buffer{}}
 			if err := client.Do(context.Background(), c.action, c.name); err != nil {
 				t.Fatal(err)
 			}
@@ -127,7 +127,7 @@
 func TestApplySendsTheFile(t *testing.T) {
 	server := peertest.Start(t, respond(http.StatusCreated, "", drains()[:1]))
 	var out bytes.Buffer
-	client := operatorcli.Client{Node: server.Addr, Out: &out}
+	client := operatorcli.Client{Addr: server.Addr, Out: &out}
 	if err := client.Apply(context.Background(), writeFile(t, zoneDrain)); err != nil {
 		t.Fatal(err)
 	}
@@ -148,7 +148,7 @@
 // the error names the file, and the field if there is one.
 func TestApplyRefusesBadFiles(t *testing.T) {
 	server := peertest.Start(t, respond(http.StatusOK, "", nil))
-	client := operatorcli.Client{Node: server.Addr, Out: &bytes.Buffer{}}
+	client := operatorcli.Client{Addr: server.Addr, Out: &bytes.Buffer{}}
 	for text, field := range map[string]string{
 		`<drain name="zone-a"><selector/><batchSize>2</batchSize></drain>`:                                    "selector",
 		`<drain name="zone-a"><selector><zone>a</zone></selector><batchSize>two</batchSize></drain>`:          "batchSize",
@@ -179,7 +179,7 @@
 func TestRefusal(t *testing.T) {
 	server := peertest.Start(t, respond(http.StatusNotFound, "no such drain", nil))
 	var out bytes.Buffer
-	client := operatorcli.Client{Node: server.Addr, Out: &out}
+	client := operatorcli.Client{Addr: server.Addr, Out: &out}
 	err := client.Do(context.Background(), drain.Show, "zone-a")
 	if !errors.Is(err, operatorcli.ErrRefused) || err.Error() != "refused: no such drain (404)" {
 		t.Errorf("%v", err)
@@ -197,7 +197,7 @@
 // TestNoAnswer: a controller that can't be reached, or ends the connection, is no refusal.
 func TestNoAnswer(t *testing.T) {
 	closing := peertest.Start(t, func(peer.Call) *peer.Response { return nil })
-	client := operatorcli.Client{Node: closing.Addr, Out: &bytes.Buffer{}}
+	client := operatorcli.Client{Addr: closing.Addr, Out: &bytes.Buffer{}}
 	err := client.Do(context.Background(), drain.List, "")
 	if !errors.Is(err, net.ErrClosed) || errors.Is(err, operatorcli.ErrRefused) || !strings.Contains(err.Error(), closing.Addr) {
 		t.Errorf("closed: %v", err)
@@ -206,7 +206,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	client.Node = listener.Addr().String()
+	client.Addr = listener.Addr().String()
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -219,7 +219,7 @@
 // TestCancellation: a request that is interrupted is not sent.
 func TestCancellation(t *testing.T) {
 	server := peertest.Start(t, respond(http.StatusOK, "", nil))
-	client := operatorcli.Client{Node: server.Addr, Out: &bytes.Buffer{}}
+	client := operatorcli.Client{Addr: server.Addr, Out: &bytes.Buffer{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if err := client.Do(ctx, drain.List, ""); err == nil || errors.Is(err, operatorcli.ErrRefused) {
