--- a/internal/drainer/batch.go
+++ b/internal/drainer/batch.go
@@ -11,25 +11,26 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// beginBatch chooses the machines to be drained next, those with the fewest tasks first.
+// beginBatch selects the next machines to drain, those with the fewest attempts first. It doesn't
+// start a batch without which a team's guarantee could not be met.
 func (s *step) beginBatch() {
 	if cause := s.d.cluster.BlockedCause(s.now); cause != "" {
-		s.wait(cause, "")
+		s.setWaitReason(cause, "")
 		return
 	}
 	if s.now.Before(s.d.nextBatch) {
 		return
 	}
 	s.d.nextBatch = s.now.Add(tuning.DrainBatchInterval)
-	selected, leaving := s.selectedMachines()
+	selected, outstanding := s.selectedMachines()
 	if len(selected) == 0 {
-		s.finish(leaving)
+		s.finish(outstanding)
 		return
 	}
 	slices.SortStableFunc(selected, func(a, b *machines.Machine) int { return cmp.Compare(len(a.Attempts()), len(b.Attempts())) })
 	batch := selected[:min(s.record.Spec.BatchSize, len(selected))]
 	if team := s.unmetGuarantee(batch); team != "" {
-		s.wait(drain.BlockedByGuarantee, team)
+		s.setWaitReason(drain.BlockedByGuarantee, team)
 		return
 	}
 	s.record.Batch = &drain.Batch{SinceMS: s.wall.UnixMilli(), Cordoned: !s.record.Spec.Replace}
@@ -42,7 +43,7 @@
 	s.d.storeDrain(s.record, nil)
 }
 
-// applyBatchCordon cordons the machines of the batch if the record says so.
+// applyBatchCordon applies the cordon of the record to the machines of the batch.
 func (s *step) applyBatchCordon() {
 	for _, name := range s.record.Batch.Machines {
 		if m := s.d.cluster.Machines.Get(name); m != nil {
@@ -51,11 +52,11 @@
 	}
 }
 
-// finish ends a drain that finds no machine any more, once those that are being released no
-// longer exist.
-func (s *step) finish(leaving int) {
-	if leaving > 0 || s.provisioningSelected() {
-		s.wait(drain.WaitMachineRelease, "")
+// finish ends a drain without further machines to drain, once no selected machine is being
+// released, not listed yet or being provisioned.
+func (s *step) finish(outstanding int) {
+	if outstanding > 0 || s.provisioningSelected() {
+		s.setWaitReason(drain.WaitMachineRelease, "")
 		return
 	}
 	s.record.State, s.record.Reason = drain.Done, drain.Reason{}
@@ -63,44 +64,46 @@
 	s.d.storeDrain(s.record, nil)
 }
 
-// provisioningSelected reports whether a provisioning call under way may bring machines that
-// are selected.
+// provisioningSelected reports whether a pending provisioning call will add machines that the
+// drain selects.
 func (s *step) provisioningSelected() bool {
 	return s.d.cluster.Scaler.AnyPending(func(p *scaling.Provision) bool {
 		return s.record.Spec.Selector.SelectsAllOf(p.Offer.Type, p.Offer.Zone)
 	})
 }
 
-// selectedMachines are those to be drained that the cloud has listed, and how many of the
-// selected ones are being released or are not listed yet.
-func (s *step) selectedMachines() (selected []*machines.Machine, leaving int) {
+// selectedMachines returns the selected machines that can be drained now, and the number of
+// selected machines that are being released or not listed by the cloud yet.
+func (s *step) selectedMachines() (selected []*machines.Machine, outstanding int) {
 	for _, m := range s.d.cluster.Machines.All() {
 		s.d.examined++
 		switch {
 		case !selects(s.record.Record, s.now, s.wall, m):
 		case m.IsReleasing() || !m.IsListed():
-			leaving++
+			outstanding++
 		default:
 			selected = append(selected, m)
 		}
 	}
-	return selected, leaving
+	return selected, outstanding
 }
 
-// selects reports whether a machine is to be drained.
+// selects reports whether a drain selects a machine.
 func selects(r *drain.Record, now, wall time.Time, m *machines.Machine) bool {
 	provisionedAt := wall.Add(m.ProvisionedAt().Sub(now))
 	return r.Spec.Selector.Selects(drain.Machine{Name: m.ID, Type: m.Type, Zone: m.Zone, ProvisionedAt: provisionedAt})
 }
 
-// unmetGuarantee is a team with waiting work whose guarantee would not fit, together with those
-// of the other such teams, into what takes work without the given machines, "" if there is none.
+// unmetGuarantee returns the first team whose guarantee could not be met without the machines of
+// the batch, "" if there is none. For the teams with waiting tasks, it adds up the
+// guarantee or the CPUs in use and waiting, whichever is less, and compares the sum with the CPUs
+// of the schedulable machines that remain.
 func (s *step) unmetGuarantee(batch []*machines.Machine) string {
 	waiting := map[string]float64{}
 	for j := range s.d.cluster.RunnableJobs() {
 		waiting[j.Team] += float64(j.ReadyTasks()) * j.CPUs
 	}
-	capacity := s.openCPUs(batch)
+	capacity := s.schedulableCPUs(batch)
 	for _, t := range s.d.config.Teams {
 		if waiting[t.Name] == 0 {
 			continue
@@ -113,9 +116,9 @@
 	return ""
 }
 
-// openCPUs are those of the machines that take work, without the batch unless its machines are
-// replaced.
-func (s *step) openCPUs(batch []*machines.Machine) float64 {
+// schedulableCPUs returns the CPUs of the schedulable machines. It leaves out the batch unless the
+// machines of the batch are replaced.
+func (s *step) schedulableCPUs(batch []*machines.Machine) float64 {
 	cpus := 0.0
 	for _, m := range s.d.cluster.Machines.All() {
 		s.d.examined++
@@ -134,17 +137,17 @@
 	return cpus
 }
 
-// removeGone takes the machines that provably no longer exist out of the batch; without any
-// left it is over.
-func (s *step) removeGone() {
-	left := slices.DeleteFunc(slices.Clone(s.record.Batch.Machines), s.d.provablyGone)
-	removed := len(s.record.Batch.Machines) - len(left)
+// removeReleased removes the machines that no longer exist from the batch. A batch without
+// machines ends.
+func (s *step) removeReleased() {
+	remaining := slices.DeleteFunc(slices.Clone(s.record.Batch.Machines), s.d.confirmedReleased)
+	removed := len(s.record.Batch.Machines) - len(remaining)
 	if removed == 0 {
 		return
 	}
 	s.record.Counts.Machines += removed
-	s.record.Batch.Machines = left
-	if len(left) == 0 {
+	s.record.Batch.Machines = remaining
+	if len(remaining) == 0 {
 		s.record.Batch = nil
 		s.record.Counts.Batches++
 		s.d.nextBatch = time.Time{}
--- a/internal/drainer/drainer.go
+++ b/internal/drainer/drainer.go
@@ -1,7 +1,7 @@
-// Package drainer carries out the operators' drains: it accepts and changes them, empties the
-// selected machines batch by batch within the teams' budgets, and counts what that and
-// other interruptions cost the teams. The rules are those of package drain. It reads no clock
-// and does no I/O.
+// Package drainer carries out the operators' drains: it handles their requests, evicts the tasks
+// of the selected machines batch by batch within the teams' budgets, and counts the disruption
+// of each team's work by drains and by other interruptions. Package drain has the rules. The
+// package reads no clock and does no I/O.
 package drainer
 
 import (
@@ -22,52 +22,52 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Config is what the settings and the term say about drains.
+// Config has the settings of a drainer.
 type Config struct {
 	Term    uint64
 	Budgets *drain.Budgets // nil: drains are off
 	Teams   []config.Team
 	Zones   []string
-	// MaxMachines bounds the number of machines, 0 for no bound.
+	// MaxMachines is the maximum number of machines, 0 for no maximum.
 	MaxMachines int
-	ValueLimit  int // bytes of a stored value
-	// LeaseExpiry is the time after which an agent's lease has provably expired.
+	ValueLimit  int // maximum size of a stored value in bytes
+	// LeaseExpiry is the time after a response at which the agent's lease has surely expired.
 	LeaseExpiry time.Duration
-	// LeaseS is the length of an agent's lease in seconds.
+	// LeaseS is the duration of an agent's lease in seconds.
 	LeaseS float64
 }
 
-// Cluster is what drains have to know of the cluster, and what they do to it.
+// Cluster is a drainer's access to the state of the cluster.
 type Cluster struct {
 	Machines  *machines.Registry
 	Catalogue *machines.Catalogue
 	Writes    *records.WriteQueues
 	Scaler    *scaling.Scaler
-	// Job returns a job by its id, nil if it is not known.
+	// Job returns the job with an ID, nil if it is unknown.
 	Job func(id string) *jobs.Job
-	// RunnableJobs returns the unfinished jobs that wait for no others.
+	// RunnableJobs returns the jobs that have not ended and wait for no other job.
 	RunnableJobs func() iter.Seq[*jobs.Job]
-	// TeamUsedCPUs are those of all tasks of a team that may be on machines.
+	// TeamUsedCPUs returns the CPUs of all tasks of a team that may be on machines.
 	TeamUsedCPUs func(team string) float64
-	// AcceptsWork reports whether a machine takes new tasks.
+	// AcceptsWork reports whether a machine is schedulable.
 	AcceptsWork func(time.Time, *machines.Machine) bool
-	// RemainingS estimates the rest of an attempt's run time in seconds.
+	// RemainingS estimates the remaining run time of an attempt in seconds.
 	RemainingS func(time.Time, *machines.Attempt) float64
-	// MachinesKnown reports whether the cloud's machine types and a machine list are known.
+	// MachinesKnown reports whether the cloud's machine types and a machine list have been received.
 	MachinesKnown func() bool
-	// ListsComplete reports whether a machine list describes a time after this term began, so
-	// that a machine named by a record and not known no longer exists.
+	// ListsComplete reports whether a machine list shows the state after this term began. From
+	// then on, an unknown machine that a record names no longer exists.
 	ListsComplete func() bool
-	// BlockedCause is why no batch may begin now whatever machines there are, "" if one may.
+	// BlockedCause returns why no batch of any drain may start now, "" if one may.
 	BlockedCause func(time.Time) drain.Cause
-	// ScheduleCall schedules a direct call to a machine where something is to be stopped.
+	// ScheduleCall schedules a direct call to a machine on which attempts are to be stopped.
 	ScheduleCall func(*machines.Machine)
-	// RequestSchedulingPass asks for a scheduling pass, as machines take work again.
+	// RequestSchedulingPass requests a scheduling pass after machines became schedulable again.
 	RequestSchedulingPass func()
 }
 
-// Drainer owns the drains and the account of the disruption of the teams' work. All
-// of it is empty while drains are off.
+// Drainer owns the drains and the ledger of the disruption of the teams' work. Without budgets,
+// drains are off: it has no drains and no ledger.
 type Drainer struct {
 	log     zerolog.Logger
 	config  Config
@@ -75,16 +75,17 @@
 
 	ledger *drain.Ledger // nil: drains are off
 	drains map[string]*storedDrain
-	// unreadable are the names of stored drains that are corrupt or of a later version.
-	unreadable    map[string]bool
-	loadedCharges []loadedCharge
-	chargesNamed  uint64
-	nextStep      time.Time
-	nextBatch     time.Time
-	examined      int
+	// unreadable has the names of stored drains that are corrupt or of a later version.
+	unreadable       map[string]bool
+	loadedCharges    []loadedCharge
+	lastChargeNumber uint64
+	nextStep         time.Time
+	nextBatch        time.Time
+	examined         int
 }
 
-// storedDrain is a drain's record; durable once it has been stored for the first time.
+// storedDrain is a drain's record; durable is set once the record has been persisted for the
+// first time.
 type storedDrain struct {
 	*drain.Record
 	durable bool
@@ -94,43 +95,45 @@
 func New(log zerolog.Logger, c Config, cluster Cluster) *Drainer {
 	d := &Drainer{log: log, config: c, cluster: cluster, drains: map[string]*storedDrain{}, unreadable: map[string]bool{}}
 	if c.Budgets != nil {
-		// What is charged may come into effect later than what is charged after it.
-		late := seconds.Duration(c.LeaseS * tuning.DrainDeliveryLeases)
-		d.ledger = drain.NewLedger(c.Budgets.Window + late)
+		// A stop may take effect after a stop that was charged later. The longer window still
+		// counts its charge then.
+		maxDelay := seconds.Duration(c.LeaseS * tuning.DrainDeliveryLeases)
+		d.ledger = drain.NewLedger(c.Budgets.Window + maxDelay)
 	}
 	return d
 }
 
-// ExaminedCount is the number of machines and attempts that drains have examined so far.
+// ExaminedCount returns the number of machines and attempts that drains have examined so far.
 func (d *Drainer) ExaminedCount() int { return d.examined }
 
-// ApplyCordon cordons a machine as long as a drain keeps it from taking new work.
+// ApplyCordon cordons a machine if a drain requires it, and otherwise lifts the drain cordon.
 func (d *Drainer) ApplyCordon(m *machines.Machine) {
-	m.SetCordon(machines.CordonDrained, d.any(func(r *drain.Record) bool { return r.Cordons(m.ID) }))
+	m.SetCordon(machines.CordonDrained, d.anyDrain(func(r *drain.Record) bool { return r.Cordons(m.ID) }))
 }
 
-// BlocksProvisioning reports whether a drain keeps machines of an offer from being provisioned.
+// BlocksProvisioning reports whether a drain forbids provisioning machines of an offer.
 func (d *Drainer) BlocksProvisioning(o autoscale.Offer) bool {
-	return d.any(func(r *drain.Record) bool { return r.BlocksProvisioning(o.Type, o.Zone) })
+	return d.anyDrain(func(r *drain.Record) bool { return r.BlocksProvisioning(o.Type, o.Zone) })
 }
 
-// IsReplacement reports whether a machine was provisioned in the place of those that are
-// drained now.
+// IsReplacement reports whether a machine was provisioned as a replacement for the current batch
+// of the running drain.
 func (d *Drainer) IsReplacement(machine string) bool {
-	return d.any(func(r *drain.Record) bool { return r.State == drain.Running && r.Replaces(machine) })
+	return d.anyDrain(func(r *drain.Record) bool { return r.State == drain.Running && r.Replaces(machine) })
 }
 
-func (d *Drainer) any(holds func(*drain.Record) bool) bool {
+// anyDrain reports whether the predicate holds for the record of any drain.
+func (d *Drainer) anyDrain(predicate func(*drain.Record) bool) bool {
 	for _, r := range d.drains {
-		if holds(r.Record) {
+		if predicate(r.Record) {
 			return true
 		}
 	}
 	return false
 }
 
-// records are those of all drains, oldest first.
-func (d *Drainer) records() []*drain.Record {
+// sortedRecords returns the records of all drains, oldest first.
+func (d *Drainer) sortedRecords() []*drain.Record {
 	list := make([]*drain.Record, 0, len(d.drains))
 	for _, r := range d.drains {
 		list = append(list, r.Record)
@@ -139,8 +142,8 @@
 	return list
 }
 
-// provablyGone reports whether a machine named by a record provably no longer exists: released
-// with a 200, or missing from a list that would have it.
-func (d *Drainer) provablyGone(name string) bool {
+// confirmedReleased reports whether a machine named by a record no longer exists: the cloud
+// answered its release with status 200, or it is missing from a machine list that would have it.
+func (d *Drainer) confirmedReleased(name string) bool {
 	return d.cluster.Machines.Get(name) == nil && (d.cluster.Machines.WasReleased(name) || d.cluster.ListsComplete())
 }
--- a/internal/drainer/drainer_test.go
+++ b/internal/drainer/drainer_test.go
@@ -25,7 +25,7 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// fixture is a drainer of a cluster with one machine type in one zone.
+// fixture has a drainer in a cluster with one machine type in one zone.
 type fixture struct {
 	*drainer.Drainer
 	t        *testing.T
@@ -35,7 +35,7 @@
 	scaler   *scaling.Scaler
 	jobs     map[string]*jobs.Job
 	blocked  drain.Cause
-	stopped  []string // machines where something is to be stopped
+	stopped  []string // machines for which a call was scheduled
 }
 
 func newFixture(t *testing.T) *fixture {
@@ -81,7 +81,7 @@
 	return f
 }
 
-// addMachine adds a machine that has reported.
+// addMachine adds a machine that is listed and reconciled.
 func (f *fixture) addMachine(id string) *machines.Machine {
 	m := machines.New(start, id, "std-8", "a", "", false)
 	m.SetCapacity(placement.Resources{CPUs: 8, MemoryGB: 32})
@@ -92,7 +92,7 @@
 	return m
 }
 
-// request carries out a request and commits what it changes.
+// request handles a request, commits its writes and returns the response.
 func (f *fixture) request(q *drain.Request) drain.Response {
 	f.t.Helper()
 	var got drain.Response
@@ -101,7 +101,7 @@
 	return got
 }
 
-// apply accepts a drain of the given machines.
+// apply requests a drain of the given machines, with a batch size of 1.
 func (f *fixture) apply(replace bool, names ...string) {
 	f.t.Helper()
 	r := f.request(&drain.Request{Action: drain.Apply, Spec: &drain.Spec{
@@ -112,7 +112,7 @@
 	}
 }
 
-// show is the state of the drain.
+// show returns the status of the drain.
 func (f *fixture) show() drain.Status {
 	f.t.Helper()
 	r := f.request(&drain.Request{Action: drain.Show, Name: "maintenance"})
@@ -122,7 +122,7 @@
 	return r.Drains[0]
 }
 
-// commit makes all changes durable and returns the keys that were written.
+// commit commits all queued writes and returns their keys.
 func (f *fixture) commit() []string {
 	var keys []string
 	for b := f.writes.NextBatch(10, 10, false); b != nil; b = f.writes.NextBatch(10, 10, false) {
@@ -134,21 +134,21 @@
 	return keys
 }
 
-// step lets time pass and takes a step.
+// step advances the time and then the drain.
 func (f *fixture) step(d time.Duration) {
 	f.now = f.now.Add(d)
 	f.Advance(f.now, f.now)
 }
 
-// release removes a machine that the cloud has released.
+// release removes a machine as if the cloud had confirmed its release.
 func (f *fixture) release(id string) {
 	f.registry.MarkReleased(id)
 	f.registry.Remove(f.registry.Get(id))
 }
 
-// TestBatchesFollowOneAnother: a batch is cordoned until its machines no longer exist, then the
-// next one is, and after the last one the drain is done.
-func TestBatchesFollowOneAnother(t *testing.T) {
+// TestBatchesRunInSequence checks that a batch stays cordoned until its machines no longer exist,
+// that the next batch is cordoned only then, and that the drain is done after the last one.
+func TestBatchesRunInSequence(t *testing.T) {
 	f := newFixture(t)
 	for _, id := range []string{"m1", "m2", "m3"} {
 		f.addMachine(id)
@@ -156,9 +156,9 @@
 	f.apply(false, "m1", "m2")
 	for _, id := range []string{"m1", "m2"} {
 		f.step(tuning.DrainBatchInterval)
-		s := f.show()
-		if s.State != drain.Running || s.Batch == nil || !slices.Equal(s.Batch.Machines, []string{id}) {
-			t.Fatalf("%+v, batch %+v", s, s.Batch)
+		status := f.show()
+		if status.State != drain.Running || status.Batch == nil || !slices.Equal(status.Batch.Machines, []string{id}) {
+			t.Fatalf("%+v, batch %+v", status, status.Batch)
 		}
 		for _, m := range f.registry.All() {
 			if m.CordonedFor(machines.CordonDrained) != (m.ID == id) {
@@ -169,31 +169,31 @@
 		f.step(tuning.DrainStepInterval)
 	}
 	f.step(tuning.DrainBatchInterval)
-	if s := f.show(); s.State != drain.Done || s.Counts.Machines != 2 || s.Counts.Batches != 2 {
-		t.Errorf("%+v", s)
+	if status := f.show(); status.State != drain.Done || status.Counts.Machines != 2 || status.Counts.Batches != 2 {
+		t.Errorf("%+v", status)
 	}
 }
 
-// TestNoBatchBeginsWhileBlocked: the reason is shown.
-func TestNoBatchBeginsWhileBlocked(t *testing.T) {
+// TestNoBatchStartsWhileBlocked checks that a blocked drain starts no batch and shows the cause.
+func TestNoBatchStartsWhileBlocked(t *testing.T) {
 	f := newFixture(t)
 	m := f.addMachine("m1")
 	f.apply(false, "m1")
 	f.blocked = drain.BlockedByOverload
 	f.step(tuning.DrainBatchInterval)
-	if s := f.show(); s.Batch != nil || m.Cordoned() || s.Reason != string(drain.BlockedByOverload) {
-		t.Errorf("%+v", s)
+	if status := f.show(); status.Batch != nil || m.Cordoned() || status.Reason != string(drain.BlockedByOverload) {
+		t.Errorf("%+v", status)
 	}
 	f.blocked = ""
 	f.step(tuning.DrainBatchInterval)
-	if s := f.show(); s.Batch == nil || !m.Cordoned() {
-		t.Errorf("%+v", s)
+	if status := f.show(); status.Batch == nil || !m.Cordoned() {
+		t.Errorf("%+v", status)
 	}
 }
 
-// TestEvictionsStayWithinTheBudget: one task at a time is stopped, after its charge is durable,
-// and the next one only when the first runs again and the window is over.
-func TestEvictionsStayWithinTheBudget(t *testing.T) {
+// TestEvictionsStayWithinBudget checks that no stop is sent before its charge is durable, and that
+// no second task is stopped while the first one uses up the budget.
+func TestEvictionsStayWithinBudget(t *testing.T) {
 	f := newFixture(t)
 	m := f.addMachine("m1")
 	j := jobs.New(wire.Job{ID: "job-1", Team: "blue", Tasks: 2, CPUs: 2, CheckpointIntervalS: 30, CheckpointSaveS: 5}, 0, start)
@@ -222,8 +222,8 @@
 	}
 }
 
-// TestBatchWaitsForReplacements: one is provisioned for each machine, and only once it takes work
-// the batch is cordoned.
+// TestBatchWaitsForReplacements checks that one replacement is provisioned for each machine, only
+// once, and that the batch is cordoned only when the replacement is schedulable.
 func TestBatchWaitsForReplacements(t *testing.T) {
 	f := newFixture(t)
 	m := f.addMachine("m1")
--- a/internal/drainer/evict.go
+++ b/internal/drainer/evict.go
@@ -12,8 +12,8 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// evict stops tasks of the batch within the budgets. The charge is durable before the first
-// stop goes out; stops that an earlier leader has been charged for go out at once.
+// evict stops tasks of the batch within the budgets. Their charge is durable before the first
+// stop is sent. Stops that an earlier leader charged are sent at once.
 func (s *step) evict() {
 	candidates, attempts := s.candidates()
 	charge := drain.NewCharge(s.record.Spec.Name, s.wall)
@@ -22,15 +22,15 @@
 		MaxChargeBytes: int(float64(s.d.config.ValueLimit) * tuning.RecordValueShare),
 	}
 	reason := evictor.Choose(charge, candidates)
-	s.stopCharged(charge, attempts)
+	s.chargeAndStop(charge, attempts)
 	if reason.Cause == "" {
 		reason.Cause = drain.WaitMachineRelease
 	}
-	s.wait(reason.Cause, reason.Team)
+	s.setWaitReason(reason.Cause, reason.Team)
 }
 
-// candidates are the attempts of the batch that could be evicted, also by their numbers; it
-// stops those that have been charged for.
+// candidates returns the attempts of the batch that could be evicted, as candidates and by
+// attempt number. It stops the attempts whose stops have been charged.
 func (s *step) candidates() (candidates []drain.Candidate, attempts map[uint64]*machines.Attempt) {
 	attempts = map[uint64]*machines.Attempt{}
 	for _, name := range s.record.Batch.Machines {
@@ -53,8 +53,8 @@
 	return candidates, attempts
 }
 
-// stopCharged stores a charge, and stops its attempts once it is durable.
-func (s *step) stopCharged(charge *drain.Charge, attempts map[uint64]*machines.Attempt) {
+// chargeAndStop stores a charge and stops its attempts once it is durable.
+func (s *step) chargeAndStop(charge *drain.Charge, attempts map[uint64]*machines.Attempt) {
 	if len(charge.Attempts) == 0 {
 		return
 	}
@@ -80,13 +80,15 @@
 	d.log.Info().Str("drain", s.record.Spec.Name).Int("tasks", len(evicted)).Msg("drain evicting tasks")
 }
 
-// stopEvicted stops an attempt that has been charged for; it saves what it can.
+// stopEvicted stops an attempt whose stop has been charged. The attempt has a grace period to
+// save a checkpoint.
 func (d *Drainer) stopEvicted(a *machines.Attempt) {
 	a.Evict()
 	d.cluster.ScheduleCall(a.Machine)
 }
 
-// candidate describes a running task to the choice of evictions.
+// candidate returns the candidate for a running attempt. The batch waits longer for the end of a
+// task without checkpoints, as an eviction loses all of its run time.
 func (s *step) candidate(a *machines.Attempt) drain.Candidate {
 	j := a.Job
 	c := drain.Candidate{
@@ -94,60 +96,62 @@
 		Attempt:       drain.Attempt{Job: j.ID, Index: a.Index, Number: a.Number()},
 		NoAlternative: !s.hasAlternative(j),
 	}
-	patience := tuning.DrainCheckpointWait
+	maxWait := tuning.DrainCheckpointWait
 	if j.CheckpointIntervalS <= 0 {
-		patience = tuning.DrainCompletionWait
+		maxWait = tuning.DrainCompletionWait
 		c.LossS = s.maxLossS(a)
 	}
-	patience -= s.wall.Sub(time.UnixMilli(s.record.Batch.SinceMS))
-	c.EndsSoon = patience > 0 && s.d.cluster.RemainingS(s.now, a) <= patience.Seconds()
+	maxWait -= s.wall.Sub(time.UnixMilli(s.record.Batch.SinceMS))
+	c.EndsSoon = maxWait > 0 && s.d.cluster.RemainingS(s.now, a) <= maxWait.Seconds()
 	return c
 }
 
-// maxLossS is the run time in seconds that a task without checkpoints can lose at most when it
-// is stopped: until the stop comes into effect or its session ends, it goes on.
+// maxLossS returns the maximum run time in seconds that stopping a task without checkpoints can
+// lose. It includes the lease, as the task runs on until the stop takes effect or the agent's
+// lease expires.
 func (s *step) maxLossS(a *machines.Attempt) float64 {
-	began := a.OrderedAt()
+	earliestStart := a.OrderedAt()
 	if a.Number()>>32 != s.d.config.Term {
-		// Started under an earlier leader: not before its job was submitted and its machine
-		// was provisioned.
-		began = a.Job.SubmittedAt()
-		if a.Machine.ProvisionedAt().After(began) {
-			began = a.Machine.ProvisionedAt()
+		// An earlier leader started it at an unknown time after its job was submitted and its
+		// machine was provisioned.
+		earliestStart = a.Job.SubmittedAt()
+		if a.Machine.ProvisionedAt().After(earliestStart) {
+			earliestStart = a.Machine.ProvisionedAt()
 		}
 	}
-	return (s.now.Sub(began) + s.d.config.LeaseExpiry).Seconds()
+	return (s.now.Sub(earliestStart) + s.d.config.LeaseExpiry).Seconds()
 }
 
-// hasAlternative reports whether a task of the job could run on machines that are not drained.
+// hasAlternative reports whether a task of the job could run on a machine that can be
+// provisioned while the drain lasts.
 func (s *step) hasAlternative(j *jobs.Job) bool {
-	if has, known := s.places[j]; known {
+	if has, known := s.alternatives[j]; known {
 		return has
 	}
-	probe := j.Constraints()
+	constraints := j.Constraints()
 	if zone := s.record.Spec.Selector.Zone; j.OneZone && s.record.Spec.Selector.SelectsAllOf("", zone) {
-		// All of its tasks leave the zone.
-		probe.TasksInZone = without(probe.TasksInZone, zone)
+		// All tasks of the job leave the zone, so those counted there don't bind it to the zone.
+		constraints.TasksInZone = withoutZone(constraints.TasksInZone, zone)
 	}
-	has := slices.ContainsFunc(s.remainingPlaces(), probe.Allowed)
-	s.places[j] = has
+	has := slices.ContainsFunc(s.provisionableMachines(), constraints.Allowed)
+	s.alternatives[j] = has
 	return has
 }
 
-// remainingPlaces are the kinds of machine that can be provisioned while the drain lasts.
-func (s *step) remainingPlaces() []*placement.Machine {
+// provisionableMachines returns the machine types, by zone, that no drain forbids to provision.
+func (s *step) provisionableMachines() []*placement.Machine {
 	return s.d.cluster.Catalogue.Places(func(machineType, zone string) bool {
 		return !s.d.BlocksProvisioning(autoscale.Offer{Type: machineType, Zone: zone})
 	})
 }
 
-// without is a copy of counts by zone that leaves one out.
-func without(counts map[string]int, zone string) map[string]int {
-	left := map[string]int{}
+// withoutZone returns a copy of counts by zone that leaves out one zone.
+func withoutZone(counts map[string]int, zone string) map[string]int {
+	remaining := map[string]int{}
 	for name, n := range counts {
 		if name != zone {
-			left[name] = n
+			remaining[name] = n
 		}
 	}
-	return left
+	return remaining
 }
--- a/internal/drainer/interruptions.go
+++ b/internal/drainer/interruptions.go
@@ -7,7 +7,9 @@
 	"switchshore.example/switchshore/internal/machines"
 )
 
-// RecordInterruption counts an attempt that is about to be removed, if it may have run.
+// RecordInterruption counts the task of an attempt that is about to be removed as interrupted, if
+// the attempt may have run and has not failed, and the task has no other attempt. An attempt that
+// a drain has charged, or that may not have started, adds no usage to the team's window.
 func (d *Drainer) RecordInterruption(now time.Time, a *machines.Attempt) {
 	j := a.Job
 	if d.ledger == nil || !j.NeedsTask(int(a.Index)) || j.AllocationsOf(a.Index) > 1 || a.HasFailed() {
@@ -21,8 +23,8 @@
 	}
 }
 
-// RecordRunning counts a task that was interrupted as running again, unless it is the very
-// attempt that a drain is about to stop.
+// RecordRunning counts an interrupted task as running again, unless the attempt is one that a
+// drain is about to stop.
 func (d *Drainer) RecordRunning(a *machines.Attempt) {
 	if d.ledger == nil || a.IsEvicting() || d.ledger.IsCharged(a.Number()) && a.Machine.CordonedFor(machines.CordonDrained) {
 		return
@@ -30,14 +32,14 @@
 	d.ledger.RecordAvailable(a.Job.ID, a.Index)
 }
 
-// RecordDone counts a task that was interrupted as done.
+// RecordDone counts an interrupted task as done: it is no longer unavailable.
 func (d *Drainer) RecordDone(j *jobs.Job, index int32) {
 	if d.ledger != nil {
 		d.ledger.RecordAvailable(j.ID, index)
 	}
 }
 
-// RecordJobEnd counts no task of a job any more.
+// RecordJobEnd removes the tasks of an ended job from the unavailable ones.
 func (d *Drainer) RecordJobEnd(j *jobs.Job) {
 	if d.ledger != nil {
 		d.ledger.RecordJobEnd(j.ID)
--- a/internal/drainer/replacements.go
+++ b/internal/drainer/replacements.go
@@ -12,13 +12,14 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// replacementCount counts, by machine type, what a batch needs and what there is for it.
+// replacementCount counts the replacements of a batch by machine type: those needed, those ready,
+// and those provisioned that are not ready yet.
 type replacementCount struct {
-	needed, ready, coming map[string]int
+	needed, ready, pending map[string]int
 }
 
-// countReplacements counts the replacements of a batch. Those that will take no work are left
-// out; one is ready only once it has reported and takes work.
+// countReplacements counts the replacements of a batch. A replacement is ready once it is
+// schedulable. Replacements that are being released or will not become schedulable don't count.
 func (d *Drainer) countReplacements(now time.Time, b *drain.Batch) replacementCount {
 	n := replacementCount{map[string]int{}, map[string]int{}, map[string]int{}}
 	for _, name := range b.Machines {
@@ -33,15 +34,15 @@
 		case d.cluster.AcceptsWork(now, m):
 			n.ready[m.Type]++
 		default:
-			n.coming[m.Type]++
+			n.pending[m.Type]++
 		}
 	}
 	return n
 }
 
-// missing is how many more machines of a type have to come.
+// missing returns the number of replacements of a type that are yet to be provisioned.
 func (n *replacementCount) missing(machineType string) int {
-	return max(0, n.needed[machineType]-n.ready[machineType]-n.coming[machineType])
+	return max(0, n.needed[machineType]-n.ready[machineType]-n.pending[machineType])
 }
 
 // complete reports whether every machine of the batch has a replacement that is ready.
@@ -54,8 +55,8 @@
 	return true
 }
 
-// awaitReplacements cordons the batch once its replacements are ready. If they don't come in
-// time the drain is paused.
+// awaitReplacements cordons the batch once its replacements are ready. If they are not ready
+// within ReplacementTimeout, it pauses the drain.
 func (s *step) awaitReplacements() {
 	n := s.d.countReplacements(s.now, s.record.Batch)
 	switch {
@@ -63,21 +64,21 @@
 		s.cordonBatch()
 	case s.wall.Sub(time.UnixMilli(s.record.Batch.SinceMS)) > tuning.ReplacementTimeout:
 		if s.record.Pause(drain.Reason{Cause: drain.ReplacementTimedOut}) {
-			s.reportPaused()
+			s.logAndStorePaused()
 		}
 	default:
-		s.wait(drain.WaitReplacement, "")
+		s.setWaitReason(drain.WaitReplacement, "")
 	}
 }
 
-// cordonBatch lets the machines of the batch take no new work any more.
+// cordonBatch cordons the machines of the batch and stores that.
 func (s *step) cordonBatch() {
 	s.record.Batch.Cordoned, s.record.Batch.SinceMS = true, s.wall.UnixMilli()
 	s.applyBatchCordon()
 	s.d.storeDrain(s.record, nil)
 }
 
-// awaitingReplacements is the drain whose batch waits for replacements, nil if none does.
+// awaitingReplacements returns the drain whose batch waits for replacements, nil if there is none.
 func (d *Drainer) awaitingReplacements() *storedDrain {
 	for _, r := range d.drains {
 		if r.durable && r.State == drain.Running && r.Batch != nil && !r.Batch.Cordoned {
@@ -87,12 +88,13 @@
 	return nil
 }
 
-// ReplacementCalls returns the calls for the machines that the running drain's batch waits for.
+// ReplacementCalls returns the cloud calls that provision the replacements missing for the running
+// drain's batch.
 func (d *Drainer) ReplacementCalls(now time.Time) []scaling.CloudCall {
 	r := d.awaitingReplacements()
 	if r == nil || !d.cluster.ListsComplete() {
-		// A new leader must not provision again what an earlier one has and no list has
-		// shown yet.
+		// Otherwise a new leader would provision again the replacements that an earlier leader
+		// provisioned and that no list shows yet.
 		return nil
 	}
 	if d.cluster.Scaler.AnyPending(func(p *scaling.Provision) bool { return p.ReplacementFor != "" }) {
@@ -102,8 +104,8 @@
 	var calls []scaling.CloudCall
 	for _, machineType := range slices.Sorted(maps.Keys(n.needed)) {
 		missing := n.missing(machineType)
-		if most := d.config.MaxMachines; most > 0 {
-			missing = min(missing, most-d.cluster.Machines.Len())
+		if limit := d.config.MaxMachines; limit > 0 {
+			missing = min(missing, limit-d.cluster.Machines.Len())
 		}
 		if o, ok := d.replacementOffer(now, r.Batch, machineType); ok && missing > 0 {
 			calls = append(calls, d.cluster.Scaler.Provision(now, o, missing, r.Spec.Name))
@@ -112,19 +114,19 @@
 	return calls
 }
 
-// replacementOffer is where to provision a replacement of a type: as the machine of the batch
-// is, or else in another zone, or else not as a spot machine.
+// replacementOffer returns the offer from which to provision a replacement of a type. It prefers
+// the zone of the replaced machine, then any other zone, and falls back from spot to on-demand.
 func (d *Drainer) replacementOffer(now time.Time, b *drain.Batch, machineType string) (autoscale.Offer, bool) {
 	i := slices.IndexFunc(b.Machines, func(name string) bool {
 		m := d.cluster.Machines.Get(name)
 		return m != nil && m.Type == machineType
 	})
 	m := d.cluster.Machines.Get(b.Machines[i])
-	offered := d.cluster.Catalogue.Type(machineType).Zones
+	offeredZones := d.cluster.Catalogue.Type(machineType).Zones
 	for _, spot := range []bool{m.Spot, false} {
-		for _, zone := range slices.Concat([]string{m.Zone}, offered) {
+		for _, zone := range slices.Concat([]string{m.Zone}, offeredZones) {
 			o := autoscale.Offer{Type: machineType, Zone: zone, Spot: spot}
-			if slices.Contains(offered, zone) && d.cluster.Scaler.CanProvision(now, o) {
+			if slices.Contains(offeredZones, zone) && d.cluster.Scaler.CanProvision(now, o) {
 				return o, true
 			}
 		}
@@ -132,14 +134,14 @@
 	return autoscale.Offer{}, false
 }
 
-// AddReplacements adds machines that were provisioned for a drain to its batch.
+// AddReplacements adds machines that were provisioned for a drain to its current batch.
 func (d *Drainer) AddReplacements(drainName string, replacements []string) {
 	r := d.drains[drainName]
 	if r == nil || r.Batch == nil || len(replacements) == 0 {
 		return
 	}
-	// Those that no longer exist make space in the record.
-	r.Batch.Replacements = slices.DeleteFunc(r.Batch.Replacements, d.provablyGone)
+	// Replacements that no longer exist would only take space in the record.
+	r.Batch.Replacements = slices.DeleteFunc(r.Batch.Replacements, d.confirmedReleased)
 	r.Batch.Replacements = append(r.Batch.Replacements, replacements...)
 	r.Counts.Replacements += len(replacements)
 	d.storeDrain(r, nil)
--- a/internal/drainer/requests.go
+++ b/internal/drainer/requests.go
@@ -11,47 +11,47 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Handle carries out an operator's request; then is called with the answer once what it
-// says is durable. wall is the time of day.
-func (d *Drainer) Handle(now, wall time.Time, q *drain.Request, then func(drain.Response)) {
+// Handle carries out an operator's request. It calls respond with the response once the change
+// that the response reports is durable. wall is the wall-clock time.
+func (d *Drainer) Handle(now, wall time.Time, request *drain.Request, respond func(drain.Response)) {
 	switch {
 	case d.config.Budgets == nil:
-		then(drain.Response{Status: http.StatusForbidden, Reason: "drains are off at the leader: its operators' file has no drains element"})
-	case q.Action == drain.List:
-		then(drain.Response{Status: http.StatusOK, Drains: d.statuses(now, wall)})
-	case q.Action == drain.Apply:
-		d.apply(now, wall, q, then)
+		respond(drain.Response{Status: http.StatusForbidden, Reason: "drains are off at the leader: its operators' file has no drains element"})
+	case request.Action == drain.List:
+		respond(drain.Response{Status: http.StatusOK, Drains: d.statuses(now, wall)})
+	case request.Action == drain.Apply:
+		d.apply(now, wall, request, respond)
 	default:
-		d.change(now, wall, q, then)
+		d.handleExisting(now, wall, request, respond)
 	}
 }
 
-// apply accepts a drain, once: a repetition changes nothing.
-func (d *Drainer) apply(now, wall time.Time, q *drain.Request, then func(drain.Response)) {
-	if q.Spec == nil {
-		then(drain.Response{Status: http.StatusBadRequest, Reason: "no drain is given"})
+// apply accepts a new drain. A repeated request with an equal spec changes nothing.
+func (d *Drainer) apply(now, wall time.Time, request *drain.Request, respond func(drain.Response)) {
+	if request.Spec == nil {
+		respond(drain.Response{Status: http.StatusBadRequest, Reason: "no drain is given"})
 		return
 	}
-	name := q.Spec.Name
+	name := request.Spec.Name
 	r, status := d.drains[name], http.StatusOK
 	if r == nil {
-		if rejected := d.reject(wall, q.Spec); rejected != nil {
-			then(*rejected)
+		if rejection := d.checkNewDrain(wall, request.Spec); rejection != nil {
+			respond(*rejection)
 			return
 		}
-		r, status = &storedDrain{Record: drain.NewRecord(*q.Spec, wall)}, http.StatusCreated
+		r, status = &storedDrain{Record: drain.NewRecord(*request.Spec, wall)}, http.StatusCreated
 		d.drains[name] = r
-	} else if !r.Spec.Equal(q.Spec) {
-		then(drain.Response{Status: http.StatusConflict, Reason: fmt.Sprintf("name: a drain %q with other content is known", name)})
+	} else if !r.Spec.Equal(request.Spec) {
+		respond(drain.Response{Status: http.StatusConflict, Reason: fmt.Sprintf("name: a drain %q with other content is known", name)})
 		return
 	}
 	d.storeDrain(r, func() {
-		then(drain.Response{Status: status, Drains: []drain.Status{d.status(now, wall, r)}})
+		respond(drain.Response{Status: status, Drains: []drain.Status{d.status(now, wall, r)}})
 	})
 }
 
-// reject is the answer to a new drain that can't be accepted, nil if it can.
-func (d *Drainer) reject(wall time.Time, s *drain.Spec) *drain.Response {
+// checkNewDrain returns the response that refuses a new drain, nil if the drain is acceptable.
+func (d *Drainer) checkNewDrain(wall time.Time, s *drain.Spec) *drain.Response {
 	if !d.cluster.MachinesKnown() {
 		return &drain.Response{Status: http.StatusServiceUnavailable, Reason: "the machines are not known yet"}
 	}
@@ -71,24 +71,26 @@
 		return &drain.Response{Status: http.StatusUnprocessableEntity, Reason: err.Error()}
 	case d.unreadable[s.Name]:
 		return &drain.Response{Status: http.StatusConflict, Reason: fmt.Sprintf("name: a stored drain %q can't be read", s.Name)}
-	case !d.makeSpace():
+	case !d.ensureRecordCapacity():
 		return &drain.Response{Status: http.StatusTooManyRequests, Reason: fmt.Sprintf("%d drains are not over yet", len(d.drains))}
 	}
 	return nil
 }
 
-// recordSize is the size in bytes of a drain's record with a full batch and its replacements.
+// recordSize estimates the maximum size in bytes of a drain's record, which it has with a full
+// batch and all of its replacements.
 func recordSize(s *drain.Spec) int {
-	const frame = 512 // counts, reason and states
-	return len(drain.NewRecord(*s, time.Time{}).Encode()) + frame + 2*s.BatchSize*tuning.DrainMachineNameBytes
+	const fixedBytes = 512 // counts, reason and state
+	return len(drain.NewRecord(*s, time.Time{}).Encode()) + fixedBytes + 2*s.BatchSize*tuning.DrainMachineNameBytes
 }
 
-// makeSpace reports whether another drain may be kept; the oldest one that is over makes way.
-func (d *Drainer) makeSpace() bool {
+// ensureRecordCapacity reports whether another drain can be stored. At MaxDrainRecords it deletes
+// the oldest ended drain first; a completed drain that still blocks provisioning is kept.
+func (d *Drainer) ensureRecordCapacity() bool {
 	if len(d.drains) < tuning.MaxDrainRecords {
 		return true
 	}
-	for _, r := range d.records() {
+	for _, r := range d.sortedRecords() {
 		if r.State == drain.Cancelled || r.State == drain.Done && !r.Spec.Selector.SelectsAllOf(r.Spec.Selector.Type, r.Spec.Selector.Zone) {
 			delete(d.drains, r.Spec.Name)
 			d.cluster.Writes.Interactive.Delete(records.DrainKey(r.Spec.Name))
@@ -98,20 +100,20 @@
 	return false
 }
 
-// change carries out a request about one drain that is known.
-func (d *Drainer) change(now, wall time.Time, q *drain.Request, then func(drain.Response)) {
-	r := d.drains[q.Name]
+// handleExisting carries out a request about one stored drain.
+func (d *Drainer) handleExisting(now, wall time.Time, request *drain.Request, respond func(drain.Response)) {
+	r := d.drains[request.Name]
 	if r == nil || !r.durable {
-		then(drain.Response{Status: http.StatusNotFound, Reason: fmt.Sprintf("no drain is called %q", q.Name)})
+		respond(drain.Response{Status: http.StatusNotFound, Reason: fmt.Sprintf("no drain is called %q", request.Name)})
 		return
 	}
-	answer := func() {
-		then(drain.Response{Status: http.StatusOK, Drains: []drain.Status{d.status(now, wall, r)}})
+	respondStatus := func() {
+		respond(drain.Response{Status: http.StatusOK, Drains: []drain.Status{d.status(now, wall, r)}})
 	}
 	before := r.State
-	switch q.Action {
+	switch request.Action {
 	case drain.Show:
-		answer()
+		respondStatus()
 		return
 	case drain.Pause:
 		r.Pause(drain.Reason{Cause: drain.PausedByOperator})
@@ -120,19 +122,19 @@
 	case drain.Cancel:
 		d.cancel(r)
 	default:
-		then(drain.Response{Status: http.StatusBadRequest, Reason: fmt.Sprintf("unknown action %q", q.Action)})
+		respond(drain.Response{Status: http.StatusBadRequest, Reason: fmt.Sprintf("unknown action %q", request.Action)})
 		return
 	}
-	if before.IsTerminal() && q.Action != drain.Cancel {
-		then(drain.Response{Status: http.StatusConflict, Reason: fmt.Sprintf("%s is %s", q.Name, before)})
+	if before.IsTerminal() && request.Action != drain.Cancel {
+		respond(drain.Response{Status: http.StatusConflict, Reason: fmt.Sprintf("%s is %s", request.Name, before)})
 		return
 	}
-	d.log.Info().Str("drain", q.Name).Str("action", string(q.Action)).Str("state", string(r.State)).Msg("drain changed")
-	d.storeDrain(r, answer)
+	d.log.Info().Str("drain", request.Name).Str("action", string(request.Action)).Str("state", string(r.State)).Msg("drain changed")
+	d.storeDrain(r, respondStatus)
 }
 
-// cancel ends a drain: its machines take work again, and what was about to be stopped
-// goes on.
+// cancel cancels a drain: its machines are schedulable again, and attempts whose stops have not
+// been sent go on running.
 func (d *Drainer) cancel(r *storedDrain) {
 	var drained []string
 	if r.Batch != nil {
@@ -155,9 +157,9 @@
 	d.cluster.RequestSchedulingPass()
 }
 
-// statuses are those of all drains, oldest first.
+// statuses returns the statuses of all durable drains, oldest first, without the teams' usage.
 func (d *Drainer) statuses(now, wall time.Time) []drain.Status {
-	all := d.records()
+	all := d.sortedRecords()
 	list := make([]drain.Status, 0, len(all))
 	for _, record := range all {
 		if r := d.drains[record.Spec.Name]; r.durable {
@@ -169,7 +171,7 @@
 	return list
 }
 
-// status describes a drain to operators.
+// status returns the status of a drain for operators.
 func (d *Drainer) status(now, wall time.Time, r *storedDrain) drain.Status {
 	status := drain.Status{Spec: r.Spec, State: r.State, Reason: r.Reason.String(), Counts: r.Counts}
 	if r.Batch != nil {
--- a/internal/drainer/step.go
+++ b/internal/drainer/step.go
@@ -8,27 +8,28 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// step is one step of the running drain.
+// step is the state of one step of the running drain.
 type step struct {
 	d         *Drainer
 	record    *storedDrain
 	now, wall time.Time
-	places    map[*jobs.Job]bool // whether tasks of the job have another place
+	// alternatives caches whether a task of the job could run on machines that are not drained.
+	alternatives map[*jobs.Job]bool
 }
 
-// Advance takes the next step of the drain that runs; wall is the time of day. Only a leader
-// that may act calls it.
+// Advance carries out the next step of the running drain, at most one in each
+// DrainStepInterval; wall is the wall-clock time. Only a leader that may act calls it.
 func (d *Drainer) Advance(now, wall time.Time) {
 	if d.config.Budgets == nil || now.Before(d.nextStep) {
 		return
 	}
 	d.nextStep = now.Add(tuning.DrainStepInterval)
 	d.expireCharges(wall)
-	r, changed := drain.Next(d.records())
+	r, changed := drain.Next(d.sortedRecords())
 	if r == nil {
 		return
 	}
-	s := &step{d: d, record: d.drains[r.Spec.Name], now: now, wall: wall, places: map[*jobs.Job]bool{}}
+	s := &step{d: d, record: d.drains[r.Spec.Name], now: now, wall: wall, alternatives: map[*jobs.Job]bool{}}
 	if !s.record.durable {
 		return
 	}
@@ -39,12 +40,14 @@
 	s.advance()
 }
 
+// advance starts a batch if there is none, waits for the replacements of a batch that is not
+// cordoned, or evicts tasks of a cordoned one.
 func (s *step) advance() {
 	if s.record.Batch == nil {
 		s.beginBatch()
 		return
 	}
-	s.removeGone()
+	s.removeReleased()
 	switch {
 	case s.record.Batch == nil:
 	case s.record.Batch.Cordoned:
@@ -54,14 +57,16 @@
 	}
 }
 
-// wait notes why there is no progress; past its deadline the drain is paused.
-func (s *step) wait(cause drain.Cause, team string) {
+// setWaitReason records why the drain makes no progress. If that pauses the drain as its
+// deadline has passed, the pause is logged and stored.
+func (s *step) setWaitReason(cause drain.Cause, team string) {
 	if s.record.SetWaitReason(s.wall, drain.Reason{Cause: cause, Team: team}) {
-		s.reportPaused()
+		s.logAndStorePaused()
 	}
 }
 
-func (s *step) reportPaused() {
+// logAndStorePaused logs and stores that the drain was paused.
+func (s *step) logAndStorePaused() {
 	s.d.log.Info().Str("drain", s.record.Spec.Name).Stringer("reason", s.record.Reason).Msg("drain paused")
 	s.d.storeDrain(s.record, nil)
 }
--- a/internal/drainer/store.go
+++ b/internal/drainer/store.go
@@ -9,14 +9,15 @@
 	"switchshore.example/switchshore/internal/records"
 )
 
-// loadedCharge is a charge of an earlier leader.
+// loadedCharge is a charge stored by an earlier leader; at is when it was made, on the steady
+// clock.
 type loadedCharge struct {
 	key    string
 	charge *drain.Charge
 	at     time.Time
 }
 
-// LoadDrain loads a stored drain. The errors are those of drain.DecodeRecord.
+// LoadDrain loads a stored drain. It returns the errors of drain.DecodeRecord.
 func (d *Drainer) LoadDrain(name string, value json.RawMessage) error {
 	if d.config.Budgets == nil {
 		return nil
@@ -30,8 +31,8 @@
 	return nil
 }
 
-// LoadCharge loads a stored charge; wall and now relate the time of day in the record to
-// the steady clock. The errors are those of drain.DecodeCharge.
+// LoadCharge loads a stored charge. wall and now, the same moment on both clocks, convert the
+// charge's wall-clock time to the steady clock. It returns the errors of drain.DecodeCharge.
 func (d *Drainer) LoadCharge(now, wall time.Time, key string, value json.RawMessage) error {
 	if d.config.Budgets == nil {
 		return nil
@@ -45,8 +46,8 @@
 	return nil
 }
 
-// FinishLoading cordons what the loaded drains have cordoned, and counts what they have
-// been charged for, before the first placement.
+// FinishLoading records the loaded charges in the ledger and cordons the machines that the loaded
+// drains have cordoned. It is called before the first placement.
 func (d *Drainer) FinishLoading() {
 	for _, loaded := range d.loadedCharges {
 		d.ledger.RecordCharge(loaded.key, loaded.charge, loaded.at, d.teamOfAttempt)
@@ -57,7 +58,7 @@
 	}
 }
 
-// teamOfAttempt is the team of a task that is still to run.
+// teamOfAttempt returns the team of an attempt's task unless the task has ended.
 func (d *Drainer) teamOfAttempt(a drain.Attempt) (string, bool) {
 	j := d.cluster.Job(a.Job)
 	if j == nil || a.Index < 0 || int(a.Index) >= j.Tasks || !j.NeedsTask(int(a.Index)) {
@@ -66,25 +67,27 @@
 	return j.Team, true
 }
 
-// storeDrain queues the write of a drain's record and calls then when it is durable.
-func (d *Drainer) storeDrain(r *storedDrain, then func()) {
+// storeDrain queues the write of a drain's record and calls onDurable, if set, once the record is
+// durable.
+func (d *Drainer) storeDrain(r *storedDrain, onDurable func()) {
 	d.cluster.Writes.Interactive.Put(records.DrainKey(r.Spec.Name), r.Encode(), func() {
 		r.durable = true
-		if then != nil {
-			then()
+		if onDurable != nil {
+			onDurable()
 		}
 	})
 }
 
-// storeCharge counts a charge and queues its write; then is called when it is durable.
-func (d *Drainer) storeCharge(now time.Time, charge *drain.Charge, then func()) {
-	d.chargesNamed++
-	key := records.ChargeKey(d.config.Term, d.chargesNamed)
+// storeCharge records a charge in the ledger and queues its write. It calls onDurable once the
+// charge is durable.
+func (d *Drainer) storeCharge(now time.Time, charge *drain.Charge, onDurable func()) {
+	d.lastChargeNumber++
+	key := records.ChargeKey(d.config.Term, d.lastChargeNumber)
 	d.ledger.RecordCharge(key, charge, now, d.teamOfAttempt)
-	d.cluster.Writes.Interactive.Put(key, charge.Encode(), then)
+	d.cluster.Writes.Interactive.Put(key, charge.Encode(), onDurable)
 }
 
-// expireCharges deletes the charges that count no more.
+// expireCharges deletes the stored charges that no longer count.
 func (d *Drainer) expireCharges(wall time.Time) {
 	keys := d.ledger.Expire(wall)
 	slices.Sort(keys)
