--- a/internal/drain/budget.go
+++ b/internal/drain/budget.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// Budget bounds what drains may do to a team's work.
+// Budget limits the disruption of a team's work by drains.
 type Budget struct {
-	// MaxUnavailable bounds the tasks that were interrupted and don't run again yet. With 0, drains
-	// only wait for the team's tasks to end.
+	// MaxUnavailable is the maximum number of interrupted tasks that don't run again yet. With 0,
+	// drains evict none of the team's tasks and wait for them to end.
 	MaxUnavailable int `json:"maxUnavailable" xml:"maxUnavailable" validate:"min=0,max=1000000"`
-	// Evictions and LostS bound interrupted tasks and lost run time in each window.
+	// Evictions is the maximum number of interruptions in a window, LostS the maximum run time in
+	// seconds lost to them.
 	Evictions int     `json:"evictions" xml:"evictions" validate:"min=0,max=1000000"`
 	LostS     float64 `json:"lostS" xml:"lostSeconds" validate:"min=0,max=100000000"`
 }
 
-// Validate checks the bounds of a budget. The error is a FieldError.
+// Validate checks that the fields are within their bounds. It returns a FieldError.
 func (b *Budget) Validate() error {
 	if err := validate.Struct(b); err != nil {
 		return fieldError(err)
@@ -20,7 +21,7 @@
 	return nil
 }
 
-// Budgets are the budgets of all teams; Default is that of teams without one of their own.
+// Budgets has the budgets of all teams. Default applies to teams without a budget of their own.
 type Budgets struct {
 	Window  time.Duration
 	Default Budget
--- a/internal/drain/charge.go
+++ b/internal/drain/charge.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// Attempt is the attempt of a task that is evicted; attempt numbers are never reused.
+// Attempt identifies an evicted attempt of a task. Attempt numbers are never reused.
 type Attempt struct {
 	Job    string `json:"job"`
 	Index  int32  `json:"index"`
 	Number uint64 `json:"attempt"`
 }
 
-// Usage is the part of a budget that is used.
+// Usage is the used part of a budget within a window.
 type Usage struct {
 	Evictions int     `json:"evictions"`
 	LostS     float64 `json:"lostS"`
 }
 
-// Charge is the stored form of evictions decided together. It is durable before the first of
-// the stops is sent, so that the next leader knows what is used of the budgets, and which
-// stops have been charged already.
+// Charge is the stored form of evictions chosen in one step. It is durable before the first of
+// their stops is sent, so that the next leader knows the usage of the budgets and doesn't charge
+// these stops again.
 type Charge struct {
 	Drain    string           `json:"drain"`
-	AtMS     int64            `json:"at"` // milliseconds of the time of day
+	AtMS     int64            `json:"at"` // Unix time in milliseconds
 	Teams    map[string]Usage `json:"teams"`
 	Attempts []Attempt        `json:"attempts"`
 }
 
-// attemptBytes is the largest size of an attempt in a charge without the job's ID,
-// teamBytes that of a team's usage without its name, chargeBytes that of the rest.
+// Upper bounds of the encoded sizes of an attempt without its job's ID, of a team's usage without
+// the team's name, and of the rest of a charge.
 const (
 	attemptBytes = 64
 	teamBytes    = 64
@@ -42,7 +42,7 @@
 	return &Charge{Drain: name, AtMS: now.UnixMilli(), Teams: map[string]Usage{}}
 }
 
-// Add adds an eviction unless the stored form would be larger than limit bytes, and reports
+// Add adds an eviction unless the stored form could then be larger than limit bytes, and reports
 // whether it did.
 func (c *Charge) Add(e Candidate, limit int) bool {
 	attempts := (len(c.Attempts) + 1) * (attemptBytes + len(e.Attempt.Job))
@@ -60,11 +60,11 @@
 
 // Encode returns the stored form.
 func (c *Charge) Encode() json.RawMessage {
-	value, _ := json.Marshal(c) // its numbers are finite, as budgets bound them
+	value, _ := json.Marshal(c) // can't fail: the budgets keep all numbers finite
 	return value
 }
 
-// DecodeCharge reads the stored form. The error is ErrUnreadable.
+// DecodeCharge decodes the stored form. It returns errors that match ErrUnreadable.
 func DecodeCharge(value []byte) (*Charge, error) {
 	c := &Charge{}
 	if err := json.Unmarshal(value, c); err != nil {
@@ -72,7 +72,7 @@
 	}
 	for team, usage := range c.Teams {
 		if usage.Evictions < 0 || usage.LostS < 0 {
-			return nil, fmt.Errorf("%w: %s has used less than nothing", ErrUnreadable, team)
+			return nil, fmt.Errorf("%w: negative usage of team %s", ErrUnreadable, team)
 		}
 	}
 	return c, nil
--- a/internal/drain/eviction.go
+++ b/internal/drain/eviction.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Candidate is a running task on a machine of the present batch.
+// Candidate is a running attempt on a machine of the current batch.
 type Candidate struct {
 	Team    string
 	Attempt Attempt
-	// LossS is the largest run time that stopping the task loses.
+	// LossS is the maximum run time in seconds that stopping the task loses.
 	LossS float64
-	// EndsSoon: the task is expected to end by itself in time.
+	// EndsSoon is set if the task is expected to end while the batch reason for it.
 	EndsSoon bool
-	// NoAlternative: the task can run nowhere else.
+	// NoAlternative is set if the task can only run on machines that are drained.
 	NoAlternative bool
 }
 
@@ -22,7 +22,7 @@
 type Evictor struct {
 	Ledger  *Ledger
 	Budgets *Budgets
-	// Force evicts tasks that can run nowhere else, too.
+	// Force also evicts tasks that can run nowhere else.
 	Force bool
 	// Now is the time on the ledger's clock.
 	Now time.Time
@@ -30,24 +30,25 @@
 	MaxChargeBytes int
 }
 
-// Choose adds to the charge the candidates to be evicted now, those that lose least first, and
-// returns why others are not. Candidates that don't fit into the charge are left to the next one.
+// Choose adds the candidates to be evicted now to the charge, in ascending order of loss. It
+// returns the first reason why one of the others may not be evicted, WaitTaskEnd only if there is
+// no other reason. If the charge is full, the remaining candidates are left to the next charge.
 func (e *Evictor) Choose(charge *Charge, candidates []Candidate) Reason {
 	slices.SortStableFunc(candidates, func(a, b Candidate) int { return cmp.Compare(a.LossS, b.LossS) })
-	var waits Reason
+	var reason Reason
 	for _, candidate := range candidates {
 		cause := e.blockedBy(charge, candidate)
 		if cause == "" && !charge.Add(candidate, e.MaxChargeBytes) {
-			return waits
+			return reason
 		}
-		if cause != "" && (waits.Cause == "" || waits.Cause == WaitTaskEnd) {
-			waits = Reason{Cause: cause, Team: candidate.Team}
+		if cause != "" && (reason.Cause == "" || reason.Cause == WaitTaskEnd) {
+			reason = Reason{Cause: cause, Team: candidate.Team}
 		}
 	}
-	return waits
+	return reason
 }
 
-// blockedBy is why a candidate is not to be evicted now, empty if it is.
+// blockedBy returns why a candidate may not be evicted now, "" if it may.
 func (e *Evictor) blockedBy(charge *Charge, c Candidate) Cause {
 	budget, used := e.Budgets.For(c.Team), e.Ledger.Used(c.Team, e.Now)
 	charged := charge.Teams[c.Team]
--- a/internal/drain/eviction_test.go
+++ b/internal/drain/eviction_test.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
+// candidate returns a candidate with a number that identifies its task and attempt.
 func candidate(team string, number uint64, lossS float64) Candidate {
 	return Candidate{Team: team, Attempt: Attempt{Job: "job-1", Index: int32(number), Number: number}, LossS: lossS}
 }
 
-// TestEvictions: the smallest loss goes first, up to the first bound that is reached; the cause
-// that blocks the rest is returned.
+// TestEvictions checks that candidates are evicted in ascending order of loss until a bound of the
+// budget is reached, and that Choose returns the cause that blocks the others.
 func TestEvictions(t *testing.T) {
 	budgets := &Budgets{Window: time.Minute, Default: Budget{MaxUnavailable: 2, Evictions: 3, LostS: 100}}
-	three := []Candidate{candidate("blue", 1, 60), candidate("blue", 2, 30), candidate("blue", 3, 10)}
+	candidates := []Candidate{candidate("blue", 1, 60), candidate("blue", 2, 30), candidate("blue", 3, 10)}
 	for name, c := range map[string]struct {
 		change func(*Budgets, []Candidate)
 		force  bool
@@ -29,7 +30,7 @@
 		"no other place":    {func(_ *Budgets, l []Candidate) { l[1].NoAlternative, l[0].NoAlternative = true, true }, false, 1, WaitNoAlternative},
 		"forced":            {func(_ *Budgets, l []Candidate) { l[1].NoAlternative, l[0].NoAlternative = true, true }, true, 2, WaitUnavailable},
 	} {
-		b, list, charge := *budgets, append([]Candidate(nil), three...), NewCharge("zone-a", now)
+		b, list, charge := *budgets, append([]Candidate(nil), candidates...), NewCharge("zone-a", now)
 		c.change(&b, list)
 		evictor := Evictor{Ledger: NewLedger(b.Window), Budgets: &b, Force: c.force, Now: now, MaxChargeBytes: 10_000}
 		reason := evictor.Choose(charge, list)
@@ -39,8 +40,8 @@
 	}
 	charge := NewCharge("zone-a", now)
 	evictor := Evictor{Ledger: NewLedger(time.Minute), Budgets: &Budgets{Default: Budget{9, 9, 1e6}}, Now: now, MaxChargeBytes: 400}
-	evictor.Choose(charge, three)
+	evictor.Choose(charge, candidates)
 	if n := len(charge.Encode()); len(charge.Attempts) == 0 || len(charge.Attempts) == 3 || n > 400 {
-		t.Errorf("a charge for a small value: %d attempts in %d bytes", len(charge.Attempts), n)
+		t.Errorf("charge limited to 400 bytes: %d attempts in %d bytes", len(charge.Attempts), n)
 	}
 }
--- a/internal/drain/file.go
+++ b/internal/drain/file.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// file is a drain as an operator writes it; a field left out is empty.
+// file is the XML form of a drain in an operator's file. Omitted fields are empty.
 type file struct {
 	XMLName           xml.Name `xml:"drain"`
 	Name              string   `xml:"name,attr"`
@@ -26,15 +26,15 @@
 	Force             string   `xml:"force"`
 }
 
-// elements are those that a file may hold, by the path of their parent.
-var elements = map[string][]string{
+// allowedElements has the names of the allowed elements by the path of their parent.
+var allowedElements = map[string][]string{
 	"":               {"drain"},
 	"drain":          {"selector", "replace", "batchSize", "deadline", "force"},
 	"drain/selector": {"zone", "type", "machine", "rentedBefore"},
 }
 
-// Parse reads a drain from an operator's file; now is the time of day. The error is a
-// FieldError, an ElementCountError, or that of the XML decoder.
+// Parse parses and validates the drain in an operator's file; now is the wall-clock time. It
+// returns a FieldError, an ElementCountError, or an error of the XML decoder.
 func Parse(data []byte, now time.Time) (*Spec, error) {
 	if err := checkElements(data); err != nil {
 		return nil, err
@@ -53,7 +53,7 @@
 	return s, nil
 }
 
-// spec parses each field by itself.
+// spec converts the fields, without checks across fields.
 func (f *file) spec() (*Spec, error) {
 	s := &Spec{Name: f.Name, Selector: Selector{Zone: strings.TrimSpace(f.Zone), Type: strings.TrimSpace(f.Type)}}
 	for _, name := range f.Machines {
@@ -78,7 +78,7 @@
 	return s, nil
 }
 
-// ElementCountError is a file that doesn't hold exactly one drain.
+// ElementCountError is the error of a file that doesn't hold exactly one drain element.
 type ElementCountError struct {
 	Count int
 }
@@ -87,8 +87,8 @@
 	return fmt.Sprintf("must hold one drain element, holds %d", e.Count)
 }
 
-// checkElements refuses elements and attributes that a drain can't have: a mistyped one would
-// otherwise select more than was meant.
+// checkElements rejects unknown elements and attributes. The XML decoder ignores them, so that a
+// mistyped one would make the drain select more machines than intended.
 func checkElements(data []byte) error {
 	decoder := xml.NewDecoder(bytes.NewReader(data))
 	var path []string
@@ -120,15 +120,15 @@
 	return nil
 }
 
-// checkElement checks an element within its parent, which is empty for the root. Only the root
-// has an attribute.
+// checkElement checks an element within the path of its parent, which is empty for the root. Only
+// the root may have an attribute, its name.
 func checkElement(parent string, element xml.StartElement) error {
 	name := element.Name.Local
 	path := name
 	if parent != "" {
 		path = parent + "/" + name
 	}
-	if !slices.Contains(elements[parent], name) {
+	if !slices.Contains(allowedElements[parent], name) {
 		return &FieldError{Field: path, Reason: "unknown element"}
 	}
 	for _, attribute := range element.Attr {
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// parseTime reads a time of day, nil if the text is empty.
+// parseTime parses an RFC 3339 time. It returns nil if the text is empty.
 func parseTime(field, text string) (*time.Time, error) {
 	text = strings.TrimSpace(text)
 	if text == "" {
@@ -153,7 +153,7 @@
 	return &t, nil
 }
 
-// parseBool reads yes or no, no if the text is empty.
+// parseBool parses yes or no. It returns false if the text is empty.
 func parseBool(field, text string) (bool, error) {
 	switch strings.TrimSpace(text) {
 	case "", "no":
--- a/internal/drain/file_test.go
+++ b/internal/drain/file_test.go
@@ -9,12 +9,13 @@
 
 var now = time.Date(2026, 12, 2, 20, 0, 0, 0, time.UTC)
 
-const sound = `<drain name="zone-a"><selector><zone>a</zone></selector><batchSize>5</batchSize>
+const validDrain = `<drain name="zone-a"><selector><zone>a</zone></selector><batchSize>5</batchSize>
 <deadline>2026-12-03T04:00:00Z</deadline><replace>yes</replace><force>yes</force></drain>`
 
-// TestParse: a file is read as written, and the error of each mistake names the field.
+// TestParse checks that a valid file yields its drain, and that the error of an invalid one names
+// the field.
 func TestParse(t *testing.T) {
-	s, err := Parse([]byte(sound), now)
+	s, err := Parse([]byte(validDrain), now)
 	if err != nil || s.Name != "zone-a" || s.Selector.Zone != "a" || s.BatchSize != 5 || !s.Replace || !s.Force || s.Deadline.Hour() != 4 {
 		t.Fatalf("%+v, %v", s, err)
 	}
@@ -34,28 +35,29 @@
 		"neither yes nor no":     {"<replace>yes", "<replace>maybe", "replace"},
 		"empty machine name":     {"<zone>a</zone>", "<machine> </machine>", "selector/machine"},
 	} {
-		_, err := Parse([]byte(strings.Replace(sound, c.from, c.to, 1)), now)
-		var bad *FieldError
-		if !errors.As(err, &bad) || !strings.HasPrefix(bad.Field, c.field) {
+		_, err := Parse([]byte(strings.Replace(validDrain, c.from, c.to, 1)), now)
+		var invalid *FieldError
+		if !errors.As(err, &invalid) || !strings.HasPrefix(invalid.Field, c.field) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	for _, text := range []string{"", "<drain", "<cluster/>", sound + sound, "{}"} {
+	for _, text := range []string{"", "<drain", "<cluster/>", validDrain + validDrain, "{}"} {
 		if _, err := Parse([]byte(text), now); err == nil {
 			t.Errorf("%q was accepted", text)
 		}
 	}
 }
 
-// FuzzDecode: whatever is stored or written, decoding ends with a value that holds or an error.
+// FuzzDecode checks that decoding arbitrary files and stored records yields a valid value or an
+// error.
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(sound))
-	s, _ := Parse([]byte(sound), now)
+	f.Add([]byte(validDrain))
+	s, _ := Parse([]byte(validDrain), now)
 	f.Add([]byte(NewRecord(*s, now).Encode()))
 	f.Add([]byte(`{"drain":"zone-a","at":1,"teams":{"blue":{"evictions":1,"lostS":2}},"attempts":[{"job":"job-1","index":0,"attempt":7}]}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		if s, err := Parse(data, now); err == nil && (s.Selector.empty() || s.BatchSize < 1) {
-			t.Errorf("read: %+v", s)
+		if s, err := Parse(data, now); err == nil && (s.Selector.isEmpty() || s.BatchSize < 1) {
+			t.Errorf("parsed an invalid drain: %+v", s)
 		}
 		if r, err := DecodeRecord("zone-a", data); err == nil {
 			if again, err := DecodeRecord("zone-a", r.Encode()); err != nil || again.State != r.State {
--- a/internal/drain/ledger.go
+++ b/internal/drain/ledger.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// Ledger counts the disruption of each team's work: by drains, as charged, and by failures
-// and preemptions that no drain has caused.
+// Ledger counts the disruption of each team's work: by drains, as charged, and by failures and
+// preemptions.
 type Ledger struct {
 	window time.Duration
 	teams  map[string]*teamLedger
-	// unavailable are the tasks that were interrupted, or are charged, and don't run again yet.
+	// unavailable has, by job, the tasks that were interrupted or charged and don't run again yet.
 	unavailable map[string]map[int32]bool
-	teamByJob   map[string]string // of each job in out
-	charged     map[uint64]bool   // attempts of charges that are kept
-	charges     map[string]*Charge
+	teamByJob   map[string]string  // team of each job in unavailable
+	charged     map[uint64]bool    // numbers of the attempts in charges
+	charges     map[string]*Charge // by the key of the stored charge
 }
 
-// teamLedger is one team's part.
+// teamLedger is the ledger of one team.
 type teamLedger struct {
 	unavailable int
 	buckets     []usageBucket // oldest first
 }
 
-// usageBucket is what was used in a part of the window.
+// usageBucket is the usage of one part of the window.
 type usageBucket struct {
 	start time.Time
 	usage Usage
 }
 
-// bucketsPerWindow is the number of parts of the window. Usage counts for up to one part
-// longer than the window.
+// bucketsPerWindow is the number of parts into which the window is divided. Usage counts for at
+// least the window, and for up to one part longer.
 const bucketsPerWindow = 20
 
-// NewLedger returns an empty ledger.
+// NewLedger returns an empty ledger that counts usage within a sliding window.
 func NewLedger(window time.Duration) *Ledger {
 	return &Ledger{
 		window: window, teams: map[string]*teamLedger{}, unavailable: map[string]map[int32]bool{}, teamByJob: map[string]string{},
@@ -38,7 +38,7 @@
 	}
 }
 
-// team returns the ledger of a team.
+// team returns the ledger of a team, which it creates if there is none.
 func (l *Ledger) team(name string) *teamLedger {
 	t := l.teams[name]
 	if t == nil {
@@ -48,7 +48,8 @@
 	return t
 }
 
-// addUsage adds what a team has lost at a time.
+// addUsage adds usage of a team at a time. Usage from before the latest bucket is added to that
+// bucket, and so counts longer.
 func (l *Ledger) addUsage(team string, at time.Time, usage Usage) {
 	t := l.team(team)
 	if n := len(t.buckets); n == 0 || at.Sub(t.buckets[n-1].start) >= l.window/bucketsPerWindow {
@@ -59,7 +60,7 @@
 	last.usage.LostS += usage.LostS
 }
 
-// Used returns what a team has lost within the window before now, or a little longer.
+// Used returns a team's usage within the window before now, or up to one bucket longer.
 func (l *Ledger) Used(team string, now time.Time) Usage {
 	t := l.team(team)
 	for len(t.buckets) > 0 && now.Sub(t.buckets[0].start) >= l.window+l.window/bucketsPerWindow {
@@ -73,11 +74,12 @@
 	return sum
 }
 
-// Unavailable returns the number of a team's tasks that were interrupted, or are about to be,
-// and don't run again yet.
+// Unavailable returns the number of a team's tasks that were interrupted or charged and don't run
+// again yet.
 func (l *Ledger) Unavailable(team string) int { return l.team(team).unavailable }
 
-// RecordInterruption counts a running task that no drain has stopped.
+// RecordInterruption counts the interruption of a running task by something other than a drain,
+// unless the task is unavailable already.
 func (l *Ledger) RecordInterruption(team, job string, index int32, at time.Time, lostS float64) {
 	if l.unavailable[job][index] {
 		return
@@ -86,10 +88,11 @@
 	l.addUnavailable(team, job, index)
 }
 
-// RecordUnavailable counts a task as unavailable that may have run on a machine where it isn't now.
+// RecordUnavailable counts a task as unavailable without adding usage: its stop has been charged,
+// or it is unknown whether it ran.
 func (l *Ledger) RecordUnavailable(team, job string, index int32) { l.addUnavailable(team, job, index) }
 
-// addUnavailable counts a task as unavailable, once.
+// addUnavailable counts a task as unavailable unless it is counted already.
 func (l *Ledger) addUnavailable(team, job string, index int32) {
 	tasks := l.unavailable[job]
 	if tasks == nil {
@@ -102,7 +105,7 @@
 	}
 }
 
-// RecordAvailable counts a task as running again, or done.
+// RecordAvailable removes a task that runs again or is done from the unavailable ones.
 func (l *Ledger) RecordAvailable(job string, index int32) {
 	if !l.unavailable[job][index] {
 		return
@@ -115,7 +118,7 @@
 	}
 }
 
-// RecordJobEnd counts no task of a job as unavailable any longer.
+// RecordJobEnd removes all tasks of an ended job from the unavailable ones.
 func (l *Ledger) RecordJobEnd(job string) {
 	if n := len(l.unavailable[job]); n > 0 {
 		l.team(l.teamByJob[job]).unavailable -= n
@@ -124,26 +127,26 @@
 	delete(l.teamByJob, job)
 }
 
-// RecordCharge counts a charge, stored under a key, as of a time. active returns the team of a
-// task of it unless the task has ended.
-func (l *Ledger) RecordCharge(key string, c *Charge, at time.Time, active func(Attempt) (team string, ok bool)) {
+// RecordCharge counts a charge that is stored under a key and was made at the given time. teamOf
+// returns the team of an attempt's task, and false if the task has ended.
+func (l *Ledger) RecordCharge(key string, c *Charge, at time.Time, teamOf func(Attempt) (team string, ok bool)) {
 	l.charges[key] = c
 	for team, usage := range c.Teams {
 		l.addUsage(team, at, usage)
 	}
 	for _, a := range c.Attempts {
 		l.charged[a.Number] = true
-		if team, ok := active(a); ok {
+		if team, ok := teamOf(a); ok {
 			l.addUnavailable(team, a.Job, a.Index)
 		}
 	}
 }
 
-// IsCharged reports whether stopping an attempt has been charged.
+// IsCharged reports whether the stop of an attempt has been charged.
 func (l *Ledger) IsCharged(number uint64) bool { return l.charged[number] }
 
-// Expire removes the charges that don't count any longer at the given time of day, and returns
-// their keys: the window is over, and none of their tasks is unavailable.
+// Expire removes the charges that no longer count, and returns their keys. A charge counts until
+// its window has passed and none of its tasks is unavailable; now is the wall-clock time.
 func (l *Ledger) Expire(now time.Time) []string {
 	var keys []string
 	for key, c := range l.charges {
@@ -159,7 +162,7 @@
 	return keys
 }
 
-// hasUnavailable reports whether a task of the charge is unavailable.
+// hasUnavailable reports whether any task of a charge is unavailable.
 func (l *Ledger) hasUnavailable(c *Charge) bool {
 	for _, a := range c.Attempts {
 		if l.unavailable[a.Job][a.Index] {
--- a/internal/drain/ledger_test.go
+++ b/internal/drain/ledger_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// active says that every task is still to run, of team blue.
-func active(Attempt) (string, bool) { return "blue", true }
+// teamBlue reports that a task has not ended and belongs to team blue.
+func teamBlue(Attempt) (string, bool) { return "blue", true }
 
-// TestLedgerAgainstAPlainCount: with random interruptions, charges, returns and ends, the ledger
-// counts at least what a list of all events within the window gives, and the same tasks as
-// unavailable.
-func TestLedgerAgainstAPlainCount(t *testing.T) {
+// TestLedgerAgainstEventList compares the ledger with a list of all events after random
+// interruptions, charges, restarts and expirations: its usage is at least that of the events
+// within the window, and the same tasks are unavailable.
+func TestLedgerAgainstEventList(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		ledger := NewLedger(time.Minute)
@@ -22,26 +22,26 @@
 			lost float64
 		}
 		var events []event
-		out := map[int32]bool{}
+		unavailable := map[int32]bool{}
 		at := now
 		for step := range 400 {
 			at = at.Add(time.Duration(rng.IntN(3000)) * time.Millisecond)
 			index := int32(rng.IntN(20))
 			switch rng.IntN(4) {
 			case 0:
-				if !out[index] {
+				if !unavailable[index] {
 					events = append(events, event{at, 5})
 				}
-				out[index] = true
+				unavailable[index] = true
 				ledger.RecordInterruption("blue", "job-1", index, at, 5)
 			case 1:
 				c := NewCharge("zone-a", at)
 				c.Add(Candidate{Team: "blue", Attempt: Attempt{"job-1", index, uint64(step + 1)}, LossS: 7}, 10_000)
 				events = append(events, event{at, 7})
-				out[index] = true
-				ledger.RecordCharge(fmt.Sprint("b/", step), c, at, active)
+				unavailable[index] = true
+				ledger.RecordCharge(fmt.Sprint("b/", step), c, at, teamBlue)
 			case 2:
-				delete(out, index)
+				delete(unavailable, index)
 				ledger.RecordAvailable("job-1", index)
 			default:
 				ledger.Expire(at)
@@ -54,13 +54,13 @@
 				}
 			}
 			used := ledger.Used("blue", at)
-			if used.Evictions < sum.Evictions || used.LostS < sum.LostS || ledger.Unavailable("blue") != len(out) {
-				t.Fatalf("seed %d step %d: used %+v of %+v, %d unavailable of %d", seed, step, used, sum, ledger.Unavailable("blue"), len(out))
+			if used.Evictions < sum.Evictions || used.LostS < sum.LostS || ledger.Unavailable("blue") != len(unavailable) {
+				t.Fatalf("seed %d step %d: used %+v of %+v, %d unavailable of %d", seed, step, used, sum, ledger.Unavailable("blue"), len(unavailable))
 			}
 		}
 		ledger.RecordJobEnd("job-1")
 		if keys := ledger.Expire(at.Add(time.Hour)); len(ledger.charges) != 0 || len(ledger.charged) != 0 || ledger.Unavailable("blue") != 0 {
-			t.Fatalf("left after all is over: %v", keys)
+			t.Fatalf("not empty after all charges have expired: %v", keys)
 		}
 	}
 }
--- a/internal/drain/lifecycle.go
+++ b/internal/drain/lifecycle.go
@@ -11,11 +11,13 @@
 	return r.Spec.Deadline != nil && now.After(*r.Spec.Deadline)
 }
 
-// Forced reports whether tasks that can run nowhere else are evicted.
+// Forced reports whether the drain also evicts tasks that can run nowhere else: it has Force set
+// and its deadline has passed.
 func (r *Record) Forced(now time.Time) bool { return r.Spec.Force && r.pastDeadline(now) }
 
-// SetWaitReason records why the drain makes no progress. Past its deadline it is paused, unless it is
-// forced or the wait is part of its progress. It reports whether the drain was paused.
+// SetWaitReason records why the drain makes no progress. It pauses a drain whose deadline has
+// passed, unless the drain has Force set or the wait is part of its progress, and reports whether
+// it did so.
 func (r *Record) SetWaitReason(now time.Time, reason Reason) bool {
 	if r.pastDeadline(now) && !r.Spec.Force && !reason.Cause.isProgress() {
 		reason.Deadline = true
@@ -25,7 +27,7 @@
 	return false
 }
 
-// Pause pauses the drain unless it has ended. It reports whether the record has changed.
+// Pause pauses the drain unless it is paused or has ended. It reports whether the record changed.
 func (r *Record) Pause(reason Reason) bool {
 	if r.State == Paused || r.State.IsTerminal() {
 		return false
@@ -34,7 +36,7 @@
 	return true
 }
 
-// Resume makes a paused drain pending.
+// Resume makes a paused drain pending again. The waiting times of its batch start anew.
 func (r *Record) Resume(now time.Time) {
 	if r.State != Paused {
 		return
@@ -45,12 +47,12 @@
 	}
 }
 
-// Cancel ends a drain: what it has cordoned is schedulable again.
+// Cancel cancels the drain. It then cordons no machine and blocks no provisioning.
 func (r *Record) Cancel() {
 	r.State, r.Reason, r.Batch = Cancelled, Reason{}, nil
 }
 
-// Compare orders drains by creation.
+// Compare orders drains by creation time, then by name.
 func (r *Record) Compare(other *Record) int {
 	if r.CreatedMS != other.CreatedMS {
 		return int(max(-1, min(1, r.CreatedMS-other.CreatedMS)))
@@ -58,8 +60,8 @@
 	return strings.Compare(r.Spec.Name, other.Spec.Name)
 }
 
-// Next returns the drain that runs now: the running one, or else the oldest pending one, which
-// it sets running. It reports whether that has changed a record. The records are sorted.
+// Next returns the running drain. If there is none, it sets the oldest pending drain running,
+// returns it and reports a changed record. It sorts the records in place.
 func Next(records []*Record) (r *Record, changed bool) {
 	slices.SortFunc(records, (*Record).Compare)
 	for _, r := range records {
--- a/internal/drain/lifecycle_test.go
+++ b/internal/drain/lifecycle_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// TestNext: drains run one at a time in the order of their creation; a paused one keeps its place
-// and the next one runs.
+// TestNext checks that drains run one at a time in the order of their creation, that the next one
+// runs while one is paused, and that a resumed one runs before younger pending ones.
 func TestNext(t *testing.T) {
 	var all []*Record
 	for i, name := range []string{"c", "a", "b"} {
 		all = append(all, NewRecord(Spec{Name: name}, now.Add(time.Duration(i)*time.Second)))
 	}
-	run := func() string {
+	runNext := func() string {
 		r, _ := Next(all)
 		if r == nil {
 			return ""
@@ -21,23 +21,24 @@
 		return r.Spec.Name
 	}
 	first, _ := Next(all)
-	steps := []string{run()}
+	order := []string{runNext()}
 	first.Pause(Reason{Cause: PausedByOperator})
-	steps = append(steps, run())
+	order = append(order, runNext())
 	first.Resume(now)
-	steps = append(steps, run())
+	order = append(order, runNext())
 	for _, r := range all {
 		if r.State == Running {
 			r.Cancel()
 		}
 	}
-	steps = append(steps, run())
-	if got := strings.Join(steps, ""); got != "caac" {
+	order = append(order, runNext())
+	if got := strings.Join(order, ""); got != "caac" {
 		t.Errorf("ran %s", got)
 	}
 }
 
-// TestDeadline: past its deadline a drain that waits is paused, unless it is forced.
+// TestDeadline checks that a waiting drain is paused after its deadline unless it has Force set or
+// waits for machines to be released.
 func TestDeadline(t *testing.T) {
 	for _, force := range []bool{false, true} {
 		deadline := now.Add(time.Minute)
--- a/internal/drain/reason.go
+++ b/internal/drain/reason.go
@@ -5,7 +5,7 @@
 
 // States of a drain.
 const (
-	Pending   State = "pending" // waits for those created before it
+	Pending   State = "pending" // waits for the running drain and older pending ones
 	Running   State = "running"
 	Paused    State = "paused" // until an operator resumes it
 	Done      State = "done"   // no selected machine is left
@@ -18,7 +18,7 @@
 // Cause is why a drain waits or is paused.
 type Cause string
 
-// Causes; operators read them.
+// Causes. Their values are shown to operators.
 const (
 	WaitTaskEnd         Cause = "waits for tasks to end"
 	WaitUnavailable     Cause = "budget of unavailable tasks is used up"
@@ -39,7 +39,7 @@
 type Reason struct {
 	Cause Cause  `json:"cause,omitempty"`
 	Team  string `json:"team,omitempty"`
-	// Deadline: the drain was paused because its deadline had passed.
+	// Deadline is set if the drain was paused because its deadline had passed.
 	Deadline bool `json:"deadline,omitempty"`
 }
 
@@ -55,5 +55,6 @@
 	return text
 }
 
-// isProgress reports whether a wait is part of the drain's progress.
+// isProgress reports whether a wait for this cause is part of the drain's progress: the tasks or
+// the releases that it waits for end by themselves.
 func (c Cause) isProgress() bool { return c == WaitTaskEnd || c == WaitMachineRelease }
--- a/internal/drain/record.go
+++ b/internal/drain/record.go
@@ -8,34 +8,36 @@
 	"time"
 )
 
-// recordVersion is the version of the stored form. Records of later ones are left unchanged.
+// recordVersion is the version of the stored form. Records of later versions are not changed.
 const recordVersion = 1
 
 // Errors of stored records.
 var (
-	// ErrUnreadable is matched by the error of a damaged record.
+	// ErrUnreadable is matched by the errors of records that are corrupt.
 	ErrUnreadable = errors.New("drain record can't be read")
-	// ErrNewerVersion is matched by the error of a record of a later version of the program.
+	// ErrNewerVersion is matched by the errors of records that a later version of the program wrote.
 	ErrNewerVersion = errors.New("drain record is of a later version")
 )
 
-// Counts sums up what a drain has done.
+// Counts has the totals of a drain.
 type Counts struct {
 	Batches  int `json:"batches,omitempty"`
 	Machines int `json:"machines,omitempty"`
-	// Evicted counts the tasks stopped by the drain, Moved those of them that had checkpoints.
+	// Evicted is the number of tasks that the drain stopped, Moved the number of them with
+	// checkpoints.
 	Evicted int `json:"evicted,omitempty"`
 	Moved   int `json:"moved,omitempty"`
-	// Replacements counts the machines provisioned to replace drained ones.
+	// Replacements is the number of machines provisioned to replace drained ones.
 	Replacements int `json:"replacements,omitempty"`
 }
 
-// Batch is the group of machines that is being drained now.
+// Batch is a group of machines that are drained together.
 type Batch struct {
 	Machines []string `json:"machines"`
-	// Cordoned: the machines are not schedulable. Before that, replacements are awaited.
+	// Cordoned is set once the machines are cordoned. Until then the batch waits for replacements.
 	Cordoned bool `json:"cordoned,omitempty"`
-	// SinceMS is when the batch, or its cordon, began, in milliseconds of the time of day.
+	// SinceMS is when the batch was started, cordoned or resumed, whichever was last, as Unix time
+	// in milliseconds.
 	SinceMS int64 `json:"since"`
 	// Replacements are the machines provisioned for this batch.
 	Replacements []string `json:"replacements,omitempty"`
@@ -45,26 +47,26 @@
 type Record struct {
 	Version   int    `json:"version"`
 	Spec      Spec   `json:"spec"`
-	CreatedMS int64  `json:"created"` // milliseconds of the time of day
+	CreatedMS int64  `json:"created"` // Unix time in milliseconds
 	State     State  `json:"state"`
 	Reason    Reason `json:"reason"`
 	Batch     *Batch `json:"batch,omitempty"`
 	Counts    Counts `json:"counts"`
 }
 
-// NewRecord returns the record of a drain accepted at the given time of day.
+// NewRecord returns the record of a drain that is accepted at a wall-clock time.
 func NewRecord(s Spec, now time.Time) *Record {
 	return &Record{Version: recordVersion, Spec: s, CreatedMS: now.UnixMilli(), State: Pending}
 }
 
 // Encode returns the stored form.
 func (r *Record) Encode() json.RawMessage {
-	value, _ := json.Marshal(r) // it has no value that JSON can't express
+	value, _ := json.Marshal(r) // can't fail: JSON can represent every value
 	return value
 }
 
-// DecodeRecord reads the stored form of the drain of a name. The error is ErrUnreadable or
-// ErrNewerVersion.
+// DecodeRecord decodes and checks the stored form of the drain with the given name. It returns
+// errors that match ErrUnreadable or ErrNewerVersion.
 func DecodeRecord(name string, value []byte) (*Record, error) {
 	var version struct {
 		Version int `json:"version"`
@@ -79,26 +81,26 @@
 	if err := json.Unmarshal(value, r); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnreadable, err)
 	}
-	if err := r.check(name); err != nil {
+	if err := r.validateStored(name); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnreadable, err)
 	}
 	return r, nil
 }
 
-// check returns an error for what no leader writes.
-func (r *Record) check(name string) error {
+// validateStored returns an error if no leader could have written the record under the name.
+func (r *Record) validateStored(name string) error {
 	if err := validate.Struct(&r.Spec); err != nil {
 		return fieldError(err)
 	}
 	switch {
 	case r.Spec.Name != name:
-		return fmt.Errorf("is of %q", r.Spec.Name)
-	case r.Spec.Selector.empty():
+		return fmt.Errorf("belongs to drain %q", r.Spec.Name)
+	case r.Spec.Selector.isEmpty():
 		return errors.New("selects nothing")
 	case !slices.Contains([]State{Pending, Running, Paused, Done, Cancelled}, r.State):
 		return fmt.Errorf("unknown state %q", r.State)
 	case r.Batch != nil && (len(r.Batch.Machines) == 0 || r.State.IsTerminal()):
-		return errors.New("a batch without machines, or of a drain that is over")
+		return errors.New("has a batch without machines, or has ended with a batch")
 	}
 	return nil
 }
@@ -108,13 +110,13 @@
 	return r.Batch != nil && r.Batch.Cordoned && slices.Contains(r.Batch.Machines, machine)
 }
 
-// Replaces reports whether a machine was provisioned for the present batch.
+// Replaces reports whether a machine was provisioned for the current batch.
 func (r *Record) Replaces(machine string) bool {
 	return r.Batch != nil && slices.Contains(r.Batch.Replacements, machine)
 }
 
-// BlocksProvisioning reports whether no machine of a type may be provisioned in a zone, as it
-// would be selected. A completed drain blocks until it is cancelled.
+// BlocksProvisioning reports whether no machine of a type may be provisioned in a zone, as the
+// drain would select it. A completed drain blocks provisioning until it is cancelled.
 func (r *Record) BlocksProvisioning(machineType, zone string) bool {
 	return (r.State == Running || r.State == Paused || r.State == Done) && r.Spec.Selector.SelectsAllOf(machineType, zone)
 }
--- a/internal/drain/request.go
+++ b/internal/drain/request.go
@@ -1,6 +1,6 @@
 package drain
 
-// Action is what an operator requests.
+// Action is an operator's command.
 type Action string
 
 // Actions.
@@ -20,7 +20,7 @@
 	Spec   *Spec  `json:"spec,omitempty"`
 }
 
-// TeamUsage is the used part of a team's budget.
+// TeamUsage is a team's budget and how much of it is used.
 type TeamUsage struct {
 	Team        string `json:"team"`
 	Unavailable int    `json:"unavailable"`
@@ -35,15 +35,15 @@
 	Reason string `json:"reason,omitempty"`
 	Batch  *Batch `json:"batch,omitempty"`
 	Counts Counts `json:"counts"`
-	// MachinesLeft is the number of selected machines that are not released yet.
+	// MachinesLeft is the number of selected machines that still exist, 0 once the drain has ended.
 	MachinesLeft int `json:"machinesLeft"`
-	// Teams has the teams with any usage, in the response to a request about one drain.
+	// Teams has the usage of every team. It is empty in the response to List.
 	Teams []TeamUsage `json:"teams,omitempty"`
 }
 
-// Response is the leader's answer.
+// Response is the leader's response to a request.
 type Response struct {
-	Status int    // of HTTP
-	Reason string // of a refusal
+	Status int    // HTTP status code
+	Reason string // why the request was refused
 	Drains []Status
 }
--- a/internal/drain/selector.go
+++ b/internal/drain/selector.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Selector selects the machines to be drained: those that match all fields that are set.
+// Selector selects the machines that match all fields that are set.
 type Selector struct {
 	Zone     string   `json:"zone,omitempty" xml:"zone"`
 	Type     string   `json:"type,omitempty" xml:"type"`
 	Machines []string `json:"machines,omitempty" xml:"machine" validate:"dive,min=1,max=64"`
-	// ProvisionedBefore, if set, leaves out machines provisioned later.
+	// ProvisionedBefore, if set, selects only machines provisioned before that time.
 	ProvisionedBefore *time.Time `json:"rentedBefore,omitempty" xml:"rentedBefore"`
 }
 
-// Machine is what a selector compares.
+// Machine has the properties of a machine that a selector compares.
 type Machine struct {
 	Name, Type, Zone string
 	ProvisionedAt    time.Time
 }
 
-// Selects reports whether a machine is to be drained.
+// Selects reports whether a machine matches.
 func (s *Selector) Selects(m Machine) bool {
 	switch {
 	case s.Zone != "" && s.Zone != m.Zone, s.Type != "" && s.Type != m.Type:
@@ -31,8 +31,8 @@
 	return s.ProvisionedBefore == nil || m.ProvisionedAt.Before(*s.ProvisionedBefore)
 }
 
-// SelectsAllOf reports whether every machine of a type in a zone is selected, also those that
-// would be provisioned from now on.
+// SelectsAllOf reports whether every machine of a type in a zone is selected, including machines
+// provisioned later.
 func (s *Selector) SelectsAllOf(machineType, zone string) bool {
 	if len(s.Machines) > 0 || s.ProvisionedBefore != nil {
 		return false
@@ -40,12 +40,12 @@
 	return (s.Zone == "" || s.Zone == zone) && (s.Type == "" || s.Type == machineType)
 }
 
-// equal reports whether two selectors have the same fields.
+// equal reports whether two selectors have equal fields.
 func (s *Selector) equal(other *Selector) bool {
 	return s.Zone == other.Zone && s.Type == other.Type && slices.Equal(s.Machines, other.Machines) && equalTimes(s.ProvisionedBefore, other.ProvisionedBefore)
 }
 
-// empty reports whether no field is set.
-func (s *Selector) empty() bool {
+// isEmpty reports whether no field is set.
+func (s *Selector) isEmpty() bool {
 	return s.Zone == "" && s.Type == "" && len(s.Machines) == 0 && s.ProvisionedBefore == nil
 }
--- a/internal/drain/spec.go
+++ b/internal/drain/spec.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Spec is a drain as requested by an operator. It never changes once it is accepted.
+// Spec is a drain as requested by an operator. It doesn't change once it has been accepted.
 type Spec struct {
 	Name     string   `json:"name" xml:"name,attr" validate:"drainname"`
 	Selector Selector `json:"selector" xml:"selector"`
 	// Replace provisions a replacement for every machine of a batch before the batch is cordoned.
 	Replace bool `json:"replace,omitempty" xml:"replace"`
-	// BatchSize is the number of machines drained at a time.
+	// BatchSize is the maximum number of machines drained at a time.
 	BatchSize int `json:"batchSize" xml:"batchSize" validate:"min=1,max=1000"`
 	// Deadline, if set, is when a drain that makes no progress is paused or, with Force, evicts
 	// tasks that can run nowhere else.
@@ -20,14 +20,14 @@
 	Force    bool       `json:"force,omitempty" xml:"force"`
 }
 
-// Validate checks what can be checked without knowing the deployment; now is the time of day.
-// The error is a FieldError.
+// Validate checks the fields without knowledge of the deployment; now is the wall-clock time. It
+// returns a FieldError.
 func (s *Spec) Validate(now time.Time) error {
 	if err := validate.Struct(s); err != nil {
 		return fieldError(err)
 	}
 	switch {
-	case s.Selector.empty():
+	case s.Selector.isEmpty():
 		return &FieldError{Field: "selector", Reason: "selects nothing"}
 	case s.Deadline != nil && !s.Deadline.After(now):
 		return &FieldError{Field: "deadline", Reason: "lies in the past"}
@@ -37,13 +37,14 @@
 	return nil
 }
 
-// Deployment is what a selector may name.
+// Deployment has the zones, machine types and machines that a selector may name.
 type Deployment struct {
 	Zones, Types []string
 	HasMachine   func(name string) bool
 }
 
-// ValidateFor checks that a spec names only what the deployment has. The error is a FieldError.
+// ValidateFor checks that the selector names only zones, machine types and machines of the
+// deployment. It returns a FieldError.
 func (s *Spec) ValidateFor(d Deployment) error {
 	if zone := s.Selector.Zone; zone != "" && !slices.Contains(d.Zones, zone) {
 		return &FieldError{Field: "selector/zone", Reason: fmt.Sprintf("%q is not a zone of this deployment", zone)}
@@ -59,13 +60,13 @@
 	return nil
 }
 
-// Equal reports whether two specs request the same.
+// Equal reports whether two specs are equal.
 func (s *Spec) Equal(other *Spec) bool {
 	return s.Name == other.Name && s.Replace == other.Replace && s.BatchSize == other.BatchSize && s.Force == other.Force &&
 		s.Selector.equal(&other.Selector) && equalTimes(s.Deadline, other.Deadline)
 }
 
-// equalTimes compares optional times.
+// equalTimes reports whether two optional times are equal.
 func equalTimes(a, b *time.Time) bool {
 	if a == nil || b == nil {
 		return a == b
--- a/internal/drain/validation.go
+++ b/internal/drain/validation.go
@@ -11,29 +11,29 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// FieldError is a field of a drain or a budget that is missing or invalid.
+// FieldError is the error of a missing or invalid field of a drain or a budget.
 type FieldError = wire.FieldError
 
-// drainName matches the names of drains, which become part of a key.
+// drainName matches the valid names of drains. A name is part of the key of the drain's record.
 var drainName = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
 var validate = newValidator()
 
-// newValidator returns a validator that names fields as in the operators' files.
+// newValidator returns a validator whose errors name fields as the operators' files do.
 func newValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
 		name, _, _ := strings.Cut(f.Tag.Get("xml"), ",")
 		return name
 	})
-	_ = v.RegisterValidation("drainname", isDrainName) // the only errors are an empty name and no function
+	_ = v.RegisterValidation("drainname", isDrainName) // fails only for an empty name or a nil function
 	return v
 }
 
-// isDrainName validates the name of a drain.
+// isDrainName reports whether a field is a valid name of a drain.
 func isDrainName(f validator.FieldLevel) bool { return drainName.MatchString(f.Field().String()) }
 
-// fieldError turns the first error of the validator into a FieldError.
+// fieldError converts the first error of the validator to a FieldError.
 func fieldError(err error) error {
 	var all validator.ValidationErrors
 	if !errors.As(err, &all) {
