--- a/cmd/switchshore/drain.go
+++ b/cmd/switchshore/drain.go
@@ -5,7 +5,7 @@
 	"switchshore.example/switchshore/internal/operatorcli"
 )
 
-// drainCommand is the group of commands about drains of machines.
+// drainCommand has the flags and subcommands of the drain command.
 type drainCommand struct {
 	Node string `help:"Peer address (peer_bind) of any controller." placeholder:"IP:PORT" env:"SWITCHSHORE_NODE" required:""`
 	JSON bool   `help:"Print a line of JSON for each drain."`
@@ -23,7 +23,7 @@
 		File string `arg:"" help:"The drain (XML)."`
 	}
 	listCommand struct{}
-	// drainName is the argument of the commands about one drain.
+	// drainName has the argument of the commands about one drain.
 	drainName struct {
 		Name string `arg:"" help:"The drain's name."`
 	}
@@ -33,21 +33,21 @@
 	cancelCommand struct{ drainName }
 )
 
-// client returns a client of the controller that the flags name.
+// client returns a client of the controller that the --node flag names.
 func (d *drainCommand) client(out *streams) *operatorcli.Client {
 	return &operatorcli.Client{Addr: d.Node, JSON: d.JSON, Out: out.stdout}
 }
 
-// send sends one request and waits for the answer, unless it is interrupted.
+// send sends one request and prints the response. SIGINT and SIGTERM cancel it.
 func (d *drainCommand) send(out *streams, action drain.Action, name string) error {
-	ctx, stop := untilSignal()
+	ctx, stop := signalContext()
 	defer stop()
 	return d.client(out).Do(ctx, action, name)
 }
 
-// Run applies the drain of the file.
+// Run requests the drain of the file.
 func (c *applyCommand) Run(o *options, out *streams) error {
-	ctx, stop := untilSignal()
+	ctx, stop := signalContext()
 	defer stop()
 	return o.Drain.client(out).Apply(ctx, c.File)
 }
--- a/cmd/switchshore/main.go
+++ b/cmd/switchshore/main.go
@@ -1,5 +1,5 @@
-// Command switchshore is a controller of the switchshore cluster scheduler,
-// and the operators' client of one.
+// Command switchshore runs a controller of the switchshore cluster scheduler, and sends operators'
+// requests to one.
 package main
 
 import (
@@ -17,16 +17,17 @@
 // version is set by release builds with -ldflags "-X main.version=...".
 var version = "0.1.0"
 
-// exitFailure is the exit code of a command that failed. Usage errors have kong's.
+// exitFailure is the exit code of a failed command. Usage errors have the exit code of kong.
 const exitFailure = 1
 
+// options are the commands and global flags.
 type options struct {
 	Serve   serveCommand     `cmd:"" default:"withargs" help:"Run a controller (the default)."`
 	Drain   drainCommand     `cmd:"" help:"Drain machines batch by batch, within the teams' disruption budgets."`
 	Version kong.VersionFlag `help:"Print the version and exit."`
 }
 
-// streams are what a command writes to.
+// streams are the output streams of a command.
 type streams struct {
 	stdout, stderr io.Writer
 }
@@ -35,11 +36,11 @@
 	os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// exitRequest is the value of the panic by which kong ends parsing early, as
-// for --help: its exit function must not return.
+// exitRequest is the value of a panic in kong's exit function, which must not return. Kong calls it
+// to end parsing early, for instance for --help.
 type exitRequest int
 
-// run carries out the command that the arguments ask for and returns the exit code.
+// run runs the command that the arguments name and returns the exit code.
 func run(args []string, stdout, stderr io.Writer) (code int) {
 	defer func() {
 		switch reason := recover().(type) {
@@ -67,7 +68,7 @@
 	return 0
 }
 
-// untilSignal returns a context that ends when the process is asked to end.
-func untilSignal() (context.Context, context.CancelFunc) {
+// signalContext returns a context that is cancelled on SIGINT or SIGTERM.
+func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
--- a/cmd/switchshore/main_test.go
+++ b/cmd/switchshore/main_test.go
@@ -13,7 +13,7 @@
 	"switchshore.example/switchshore/internal/peer/peertest"
 )
 
-// exitUsage is kong's exit code for arguments that are wrong.
+// exitUsage is the exit code of kong for usage errors.
 const exitUsage = 80
 
 const (
@@ -21,12 +21,12 @@
 	operatorSettings = "../../deploy/operator.xml"
 )
 
-// runCommand runs the command without the variables of the environment that it reads.
+// runCommand runs the command without the environment variables that set its flags.
 func runCommand(t *testing.T, args ...string) (code int, stdout, stderr string) {
 	t.Helper()
 	for _, name := range []string{"SWITCHSHORE_NODE", "SWITCHSHORE_OPERATOR"} {
 		if value, set := os.LookupEnv(name); set {
-			t.Setenv(name, value) // sets it back when the test ends
+			t.Setenv(name, value) // restores the variable when the test ends
 			if err := os.Unsetenv(name); err != nil {
 				t.Fatal(err)
 			}
@@ -37,8 +37,8 @@
 	return code, out.String(), errs.String()
 }
 
-// write writes a file and returns its path.
-func write(t *testing.T, name, text string) string {
+// writeFile writes a temporary file and returns its path.
+func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -47,8 +47,8 @@
 	return path
 }
 
-// TestArguments: what can be said of the arguments alone. Each case has the start of what is
-// printed to one of the streams; nothing is printed to the other.
+// TestArguments checks the exit codes and output of help, version and usage errors. Each case has
+// the start of the output to one of the streams; the other stream must be empty.
 func TestArguments(t *testing.T) {
 	for _, c := range []struct {
 		name           string
@@ -84,7 +84,7 @@
 	}
 }
 
-// TestHelpNamesAllCommands: operators find each command and flag in the help.
+// TestHelpNamesAllCommands checks that the help has each command and flag.
 func TestHelpNamesAllCommands(t *testing.T) {
 	for _, c := range []struct{ args, want []string }{
 		{nil, []string{"--version", "serve --config=PATH", "drain apply", "drain list", "drain show", "drain pause", "drain resume", "drain cancel"}},
@@ -100,20 +100,21 @@
 	}
 }
 
-// TestCheck: good settings are called valid; the error of bad ones names file and field, in one line.
+// TestCheck checks that --check accepts valid settings, and that the error of invalid ones is one
+// line with the file and the field.
 func TestCheck(t *testing.T) {
 	example, err := os.ReadFile(exampleSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	badSettings := write(t, "settings.toml", strings.Replace(string(example), "lease_s = 20.0", "lease_s = -1.0", 1))
-	badOperator := write(t, "operator.xml", "<switchshore><machines><max>many</max></machines></switchshore>")
+	badSettings := writeFile(t, "settings.toml", strings.Replace(string(example), "lease_s = 20.0", "lease_s = -1.0", 1))
+	badOperator := writeFile(t, "operator.xml", "<switchshore><machines><max>many</max></machines></switchshore>")
 	missing := filepath.Join(t.TempDir(), "missing.toml")
 	for _, c := range []struct {
 		name     string
 		logLevel string
 		args     []string
-		stderr   []string // parts of the line; none if the settings are valid
+		stderr   []string // parts of the error line; nil if the settings are valid
 	}{
 		{"platform's", "", []string{"--config", exampleSettings}, nil},
 		{"platform's and operators'", "debug", []string{"--config", exampleSettings, "--operator", operatorSettings}, nil},
@@ -144,16 +145,17 @@
 	}
 }
 
-// TestBadSettingsEndTheController: without --check, bad settings are an error, too.
-func TestBadSettingsEndTheController(t *testing.T) {
+// TestServeRejectsInvalidSettings checks that invalid settings also fail without --check.
+func TestServeRejectsInvalidSettings(t *testing.T) {
 	t.Setenv("LOG_LEVEL", "")
-	code, stdout, stderr := runCommand(t, "--config", write(t, "settings.toml", "label = 3"))
+	code, stdout, stderr := runCommand(t, "--config", writeFile(t, "settings.toml", "label = 3"))
 	if code != exitFailure || stdout != "" || !strings.HasPrefix(stderr, "switchshore: settings ") {
 		t.Errorf("exit code %d, stdout %q, stderr %q", code, stdout, stderr)
 	}
 }
 
-// TestOperatorSettingsFromEnvironment: the path may come from the environment.
+// TestOperatorSettingsFromEnvironment checks that SWITCHSHORE_OPERATOR sets the path of the
+// operators' settings.
 func TestOperatorSettingsFromEnvironment(t *testing.T) {
 	t.Setenv("LOG_LEVEL", "")
 	missing := filepath.Join(t.TempDir(), "missing.xml")
@@ -164,9 +166,9 @@
 	}
 }
 
-// TestDrainCommands: each command is one request to the node, and prints what comes back.
+// TestDrainCommands checks that each drain command sends one request and prints the response.
 func TestDrainCommands(t *testing.T) {
-	file := write(t, "drain.xml", `<drain name="zone-a"><selector><zone>a</zone></selector><batchSize>2</batchSize></drain>`)
+	file := writeFile(t, "drain.xml", `<drain name="zone-a"><selector><zone>a</zone></selector><batchSize>2</batchSize></drain>`)
 	for _, c := range []struct {
 		args    []string
 		request drain.Request // without the specification
@@ -204,12 +206,12 @@
 	}
 }
 
-// TestDrainFailures: a refusal and a file that is wrong are errors on one line.
+// TestDrainFailures checks that a refusal and an invalid file each cause an error of one line.
 func TestDrainFailures(t *testing.T) {
 	server := peertest.Start(t, func(peer.Call) *peer.Response {
 		return &peer.Response{Status: http.StatusNotFound, Reason: "no such drain"}
 	})
-	empty := write(t, "drain.xml", "<drain/>")
+	empty := writeFile(t, "drain.xml", "<drain/>")
 	for _, c := range []struct {
 		name   string
 		args   []string
@@ -227,7 +229,7 @@
 	}
 }
 
-// TestNodeFromEnvironment: the node may come from the environment.
+// TestNodeFromEnvironment checks that SWITCHSHORE_NODE sets the controller's address.
 func TestNodeFromEnvironment(t *testing.T) {
 	server := peertest.Start(t, func(peer.Call) *peer.Response { return &peer.Response{Status: http.StatusOK} })
 	t.Setenv("SWITCHSHORE_NODE", server.Addr)
--- a/cmd/switchshore/serve.go
+++ b/cmd/switchshore/serve.go
@@ -14,14 +14,14 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// serveCommand runs a controller until it is killed.
+// serveCommand runs a controller until SIGINT or SIGTERM.
 type serveCommand struct {
 	Config   string `help:"Settings file of the platform (TOML)." placeholder:"PATH" required:""`
 	Operator string `help:"The operators' own settings (XML)." placeholder:"PATH" env:"SWITCHSHORE_OPERATOR"`
 	Check    bool   `help:"Check the settings and exit."`
 }
 
-// Run serves, or checks the settings only.
+// Run loads the settings and runs a controller. With --check it only loads the settings.
 func (c *serveCommand) Run(out *streams) error {
 	level, err := logLevel(os.Getenv("LOG_LEVEL"))
 	if err != nil {
@@ -42,15 +42,15 @@
 	limitRuntime(settings.Params.Limits)
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
 	log := zerolog.New(out.stderr).Level(level).With().Timestamp().Logger()
-	ctx, stop := untilSignal()
+	ctx, stop := signalContext()
 	defer stop()
 	return node.New(log, settings, operator).Run(ctx)
 }
 
-// limitRuntime keeps the Go runtime within the resources of the process.
+// limitRuntime limits the Go runtime to the CPUs and the memory of the process.
 func limitRuntime(limits config.ProcessLimits) {
 	if share := limits.CPUShare; share > 0 {
-		// More threads than the share has processors would only take turns.
+		// More running threads than the share has processors would only add context switches.
 		runtime.GOMAXPROCS(int(math.Ceil(share)))
 	}
 	debug.SetGCPercent(tuning.GCPercent)
@@ -59,7 +59,7 @@
 	}
 }
 
-// logLevel returns the level of a name; without a name it is info.
+// logLevel returns the level with a name, info if the name is empty.
 func logLevel(name string) (zerolog.Level, error) {
 	switch name {
 	case "", "info":
--- a/internal/operatorcli/client.go
+++ b/internal/operatorcli/client.go
@@ -1,5 +1,5 @@
-// Package operatorcli carries out the operators' commands: it sends a request to a controller
-// over the JSON-lines protocol between nodes, and prints the response.
+// Package operatorcli implements the operators' commands: it sends a request to a controller over
+// the JSON-lines protocol between controllers, and prints the response.
 package operatorcli
 
 import (
@@ -19,20 +19,20 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// ErrRefused is matched by the error of a request that the controllers have refused.
+// ErrRefused is matched by the errors of requests that the controllers refused.
 var ErrRefused = errors.New("refused")
 
 // Client sends requests to one controller, which forwards them to the leader.
 type Client struct {
 	// Addr is the controller's peer address.
 	Addr string
-	// JSON prints a line of JSON for each drain instead of a table.
+	// JSON selects one line of JSON for each drain as output, instead of tables.
 	JSON bool
-	// Out is where responses are printed.
+	// Out receives the printed responses.
 	Out io.Writer
 }
 
-// Apply sends the drain of a file.
+// Apply requests the drain that a file describes. It validates the file before it connects.
 func (c *Client) Apply(ctx context.Context, path string) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// Do sends a request about one drain or, without a name, about all.
+// Do sends a request about one drain, or about all drains if the name is empty.
 func (c *Client) Do(ctx context.Context, action drain.Action, name string) error {
 	return c.send(ctx, drain.Request{Action: action, Name: name})
 }
@@ -65,13 +65,13 @@
 		return fmt.Errorf("%w: %s (%d)", ErrRefused, response.Reason, response.Status)
 	}
 	if c.JSON {
-		return c.printLines(response.Drains)
+		return c.printJSONLines(response.Drains)
 	}
 	return c.printTables(response.Drains)
 }
 
-// printLines prints a line of JSON for each drain.
-func (c *Client) printLines(drains []drain.Status) error {
+// printJSONLines prints a line of JSON for each drain.
+func (c *Client) printJSONLines(drains []drain.Status) error {
 	encoder := json.NewEncoder(c.Out)
 	for i := range drains {
 		if err := encoder.Encode(&drains[i]); err != nil {
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// printTables prints a table of the drains, and one of the budgets of each drain that has them.
+// printTables prints a table of the drains, and for each drain with team usages a table of these.
 func (c *Client) printTables(drains []drain.Status) error {
 	table := c.newTable()
 	fmt.Fprintln(table, "NAME\tSTATE\tLEFT\tDRAINED\tBATCHES\tEVICTED\tMOVED\tREPLACED\tBATCH\tREASON")
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// printBudgets prints what is used of each team's budget.
+// printBudgets prints each team's budget and how much of it is used.
 func (c *Client) printBudgets(teams []drain.TeamUsage) error {
 	if len(teams) == 0 {
 		return nil
@@ -117,21 +117,21 @@
 	return table.Flush()
 }
 
-// columnGap is the number of spaces between two columns of a table.
-const columnGap = 2
+// columnPadding is the number of spaces between two columns of a table.
+const columnPadding = 2
 
-// newTable returns a writer that aligns columns separated by tabs once it is flushed.
+// newTable returns a writer that aligns tab-separated columns when it is flushed.
 func (c *Client) newTable() *tabwriter.Writer {
-	return tabwriter.NewWriter(c.Out, 0, 0, columnGap, ' ', 0)
+	return tabwriter.NewWriter(c.Out, 0, 0, columnPadding, ' ', 0)
 }
 
-// none stands for an empty cell of a table.
-const none = "-"
+// emptyCell is printed in table cells without a value.
+const emptyCell = "-"
 
-// batchText names the machines of a batch.
+// batchText returns the names of the machines of a batch.
 func batchText(batch *drain.Batch) string {
 	if batch == nil {
-		return none
+		return emptyCell
 	}
 	text := strings.Join(batch.Machines, ",")
 	if !batch.Cordoned {
@@ -142,7 +142,7 @@
 
 func orDash(text string) string {
 	if text == "" {
-		return none
+		return emptyCell
 	}
 	return text
 }
--- a/internal/operatorcli/client_test.go
+++ b/internal/operatorcli/client_test.go
@@ -17,7 +17,7 @@
 	"switchshore.example/switchshore/internal/peer/peertest"
 )
 
-// drains are two drains: one in the middle of a batch, one that waits for the other.
+// drains returns the statuses of a drain with a cordoned batch and of a pending one.
 func drains() []drain.Status {
 	return []drain.Status{
 		{
@@ -40,14 +40,14 @@
 	}
 }
 
-// respond answers every call with a status and drains.
+// respond returns a handler with the same response to every call.
 func respond(status int, reason string, drains []drain.Status) func(peer.Call) *peer.Response {
 	return func(peer.Call) *peer.Response {
 		return &peer.Response{Status: status, Reason: reason, Drains: drains}
 	}
 }
 
-// TestOutput: the tables and lines that operators and their programs read.
+// TestOutput checks the exact tables and JSON lines, which operators' programs parse.
 func TestOutput(t *testing.T) {
 	const table = `NAME      STATE    LEFT  DRAINED  BATCHES  EVICTED  MOVED  REPLACED  BATCH                   REASON
 zone-a    running  12    6        3        5        4      1         i-1,i-2                 waits for tasks to end
@@ -86,7 +86,7 @@
 	}
 }
 
-// TestRequests: each command is one call with its action, and the drain that it is about.
+// TestRequests checks that each command sends one call with its action and drain name.
 func TestRequests(t *testing.T) {
 	for _, c := range []struct {
 		action drain.Action
@@ -111,7 +111,7 @@
 	}
 }
 
-// writeFile writes a drain's file and returns its path.
+// writeFile writes a drain file and returns its path.
 func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "drain.xml")
@@ -123,8 +123,8 @@
 
 const zoneDrain = `<drain name="zone-a"><selector><zone>a</zone></selector><replace>yes</replace><batchSize>2</batchSize></drain>`
 
-// TestApplySendsTheFile: the drain is sent as the file says.
-func TestApplySendsTheFile(t *testing.T) {
+// TestApplySendsSpec checks that Apply sends the drain of the file.
+func TestApplySendsSpec(t *testing.T) {
 	server := peertest.Start(t, respond(http.StatusCreated, "", drains()[:1]))
 	var out bytes.Buffer
 	client := operatorcli.Client{Addr: server.Addr, Out: &out}
@@ -144,9 +144,9 @@
 	}
 }
 
-// TestApplyRefusesBadFiles: what can be found out without the controllers isn't sent to them;
-// the error names the file, and the field if there is one.
-func TestApplyRefusesBadFiles(t *testing.T) {
+// TestApplyRejectsInvalidFiles checks that invalid files are rejected before a call is sent, and
+// that the error names the file and the invalid field.
+func TestApplyRejectsInvalidFiles(t *testing.T) {
 	server := peertest.Start(t, respond(http.StatusOK, "", nil))
 	client := operatorcli.Client{Addr: server.Addr, Out: &bytes.Buffer{}}
 	for text, field := range map[string]string{
@@ -175,7 +175,8 @@
 	}
 }
 
-// TestRefusal: the controllers' reason and status are reported, and nothing is printed.
+// TestRefusal checks that the error of a refused request has the controllers' reason and status,
+// and that nothing is printed.
 func TestRefusal(t *testing.T) {
 	server := peertest.Start(t, respond(http.StatusNotFound, "no such drain", nil))
 	var out bytes.Buffer
@@ -194,8 +195,9 @@
 	}
 }
 
-// TestNoAnswer: a controller that can't be reached, or ends the connection, is no refusal.
-func TestNoAnswer(t *testing.T) {
+// TestNoResponse checks that a controller that is unreachable or closes the connection causes an
+// error other than a refusal.
+func TestNoResponse(t *testing.T) {
 	closing := peertest.Start(t, func(peer.Call) *peer.Response { return nil })
 	client := operatorcli.Client{Addr: closing.Addr, Out: &bytes.Buffer{}}
 	err := client.Do(context.Background(), drain.List, "")
@@ -216,7 +218,7 @@
 	}
 }
 
-// TestCancellation: a request that is interrupted is not sent.
+// TestCancellation checks that a request with a cancelled context is not sent.
 func TestCancellation(t *testing.T) {
 	server := peertest.Start(t, respond(http.StatusOK, "", nil))
 	client := operatorcli.Client{Addr: server.Addr, Out: &bytes.Buffer{}}
