--- a/internal/drainer/batch.go
+++ b/internal/drainer/batch.go
@@ -11,8 +11,8 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// beginBatch selects the next machines to drain, those with the fewest attempts first. It doesn't
-// start a batch without which a team's guarantee could not be met.
+// beginBatch selects the next machines to drain, those with the fewest attempts first. It
+// starts no batch while it is blocked or the other machines could not meet the teams' guarantees.
 func (s *step) beginBatch() {
 	if cause := s.d.cluster.BlockedCause(s.now); cause != "" {
 		s.setWaitReason(cause, "")
@@ -64,7 +64,7 @@
 	s.d.storeDrain(s.record, nil)
 }
 
-// provisioningSelected reports whether a pending provisioning call will add machines that the
+// provisioningSelected reports whether a pending provisioning call may add machines that the
 // drain selects.
 func (s *step) provisioningSelected() bool {
 	return s.d.cluster.Scaler.AnyPending(func(p *scaling.Provision) bool {
--- a/internal/drainer/evict.go
+++ b/internal/drainer/evict.go
@@ -130,7 +130,7 @@
 	}
 	constraints := j.Constraints()
 	if zone := s.record.Spec.Selector.Zone; j.OneZone && s.record.Spec.Selector.SelectsAllOf("", zone) {
-		// All tasks of the job leave the zone, so those counted there don't bind it to the zone.
+		// The drain empties the whole zone, so the job's tasks there don't bind it to the zone.
 		constraints.TasksInZone = withoutZone(constraints.TasksInZone, zone)
 	}
 	has := slices.ContainsFunc(s.provisionableMachines(), constraints.Allowed)
--- a/internal/drainer/replacements.go
+++ b/internal/drainer/replacements.go
@@ -93,8 +93,8 @@
 func (d *Drainer) ReplacementCalls(now time.Time) []scaling.CloudCall {
 	r := d.awaitingReplacements()
 	if r == nil || !d.cluster.ListsComplete() {
-		// Otherwise a new leader would provision again the replacements that an earlier leader
-		// provisioned and that no list shows yet.
+		// Before the lists are complete, a new leader could provision a second time what an
+		// earlier leader has provisioned and no list shows yet.
 		return nil
 	}
 	if d.cluster.Scaler.AnyPending(func(p *scaling.Provision) bool { return p.ReplacementFor != "" }) {
