--- a/internal/leader/admission.go
+++ b/internal/leader/admission.go
@@ -9,8 +9,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// AdmissionRequest is a submission as admission control sees it.
-func AdmissionRequest(s *admission.Settings, spec *wire.Job) *admission.Request {
+// NewAdmissionRequest is a submission as admission control sees it.
+func NewAdmissionRequest(s *admission.Settings, spec *wire.Job) *admission.Request {
 	key, _ := s.Key(spec.Team, spec.Class)
 	return &admission.Request{
 		ID:           spec.ID,
@@ -51,20 +51,20 @@
 	if c.regulator == nil {
 		return nil
 	}
-	request := AdmissionRequest(c.settings, spec)
+	request := NewAdmissionRequest(c.settings, spec)
 	tasks := admission.TaskLoad{All: c.unfinished, Team: c.unfinishedByTeam[spec.Team]}
 	decision := c.regulator.Admit(now, request, claim, tasks)
 	if decision.Admitted {
 		return nil
 	}
-	return RejectOverload(decision)
+	return OverloadRejection(decision)
 }
 
 // shedding reports whether new jobs are rejected for overload.
 func (c *admissionControl) shedding() bool { return c.regulator != nil && c.regulator.Shedding() }
 
-// RejectOverload is the rejection of a job that is not admitted now.
-func RejectOverload(d admission.Decision) *RejectedError {
+// OverloadRejection is the rejection of a job that is not admitted now.
+func OverloadRejection(d admission.Decision) *RejectedError {
 	return &RejectedError{Status: http.StatusTooManyRequests, Reason: "more is submitted than can be taken now", RetryAfter: d.RetryAfterS}
 }
 
--- a/internal/leader/admission_test.go
+++ b/internal/leader/admission_test.go
@@ -118,7 +118,7 @@
 	} {
 		j := spec(fmt.Sprint("job-3", i))
 		change(j)
-		why := leader.AboveLimit(params.Teams, j)
+		why := leader.LimitViolation(params.Teams, j)
 		if v := l.submitClaimed(j, nil); (why != "") != (v.Status == 422) || why != v.Reason {
 			t.Errorf("%d: %q, a leader says %+v", i, why, v)
 		}
--- a/internal/leader/benchmark_test.go
+++ b/internal/leader/benchmark_test.go
@@ -108,12 +108,12 @@
 		c.Tick(c.now, true)
 		c.commit()
 		c.reportAll()
-		if c.Counts().Ready == 0 {
+		if c.Counts().ReadyTasks == 0 {
 			c.reportAll()
 			return
 		}
 	}
-	c.b.Fatalf("%d tasks are still waiting", c.Counts().Ready)
+	c.b.Fatalf("%d tasks are still waiting", c.Counts().ReadyTasks)
 }
 
 // completeNewest ends the tasks of the newest job.
@@ -142,7 +142,7 @@
 			b.StartTimer()
 			c.Tick(c.now, true)
 			b.StopTimer()
-			if ready := c.Counts().Ready; ready != 0 {
+			if ready := c.Counts().ReadyTasks; ready != 0 {
 				b.Fatalf("%d tasks were not placed", ready)
 			}
 			c.commit()
--- a/internal/leader/cancellation_test.go
+++ b/internal/leader/cancellation_test.go
@@ -139,7 +139,7 @@
 	}
 	l, call, _ := leaderWithUnansweredCall(t)
 	l.seq++
-	l.DirectCallDone(l.now, call, leader.DirectAnswered, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.seq + 1, FencingToken: 5, Tasks: []wire.TaskStatus{tr}})
+	l.DirectCallDone(l.now, call, leader.DirectReplied, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.seq + 1, FencingToken: 5, Tasks: []wire.TaskStatus{tr}})
 	l.Cancel(l.now, "job-1", func(leader.Response) {})
 	if cs := l.report("m1", 1, tr); ops(cs) != "kill job-1/0" {
 		t.Fatalf("overtaken by the answer to a direct call: %q", ops(cs))
--- a/internal/leader/counts.go
+++ b/internal/leader/counts.go
@@ -6,7 +6,7 @@
 
 // Counts sums the state up for logs.
 type Counts struct {
-	Jobs, Ready, Allocated, Machines, Up, Spot, Writes int
+	Jobs, ReadyTasks, AllocatedTasks, Machines, UpMachines, SpotMachines, PendingWrites int
 	// DependencySteps are the steps still to be taken after the ends of jobs that others
 	// depend on.
 	DependencySteps int
@@ -21,20 +21,20 @@
 
 // Counts returns the sums.
 func (l *Leader) Counts() Counts {
-	n := Counts{Jobs: l.jobs.Len(), Machines: l.machines.Len(), Writes: l.writes.Len(), ScoredPairs: l.scores, DrainSteps: l.drainer.Examined()}
+	n := Counts{Jobs: l.jobs.Len(), Machines: l.machines.Len(), PendingWrites: l.writes.Len(), ScoredPairs: l.scores, DrainSteps: l.drainer.Examined()}
 	n.DependencySteps = l.graph.OpenSteps()
 	l.jobs.Each(func(j *jobs.Job) {
-		n.Ready += j.ReadyTasks()
+		n.ReadyTasks += j.ReadyTasks()
 		n.WantedCPUs += float64(j.ReadyTasks()) * j.CPUs
-		n.Allocated += j.AllocatedTasks()
+		n.AllocatedTasks += j.AllocatedTasks()
 	})
 	for _, m := range l.machines.All() {
 		if m.HasJoined() && !m.IsReleasing() {
-			n.Up++
+			n.UpMachines++
 			n.CPUs += m.Capacity().CPUs
 			n.UsedCPUs += m.Capacity().CPUs - m.Free().CPUs
 			if m.Spot {
-				n.Spot++
+				n.SpotMachines++
 			}
 		}
 	}
--- a/internal/leader/dependencies_test.go
+++ b/internal/leader/dependencies_test.go
@@ -74,8 +74,8 @@
 func TestNoStartBeforeDependenciesAreDurable(t *testing.T) {
 	l, tr := running(t)
 	l.accept(dependentJob("job-2", "job-1"), spec("job-3"))
-	if n := l.Counts(); n.Ready != 1 {
-		t.Fatalf("%d tasks are ready, want that of job-3", n.Ready)
+	if n := l.Counts(); n.ReadyTasks != 1 {
+		t.Fatalf("%d tasks are ready, want that of job-3", n.ReadyTasks)
 	}
 	l.pass(time.Second)
 	l.commit()
@@ -86,10 +86,10 @@
 	l.report("m1", 1, tr)
 	l.pass(time.Second)
 	l.report("m3", 1)
-	if n := l.Counts(); n.Allocated != 1 {
-		t.Fatalf("%d tasks placed before the end of job-1 is durable, want that of job-3", n.Allocated)
+	if n := l.Counts(); n.AllocatedTasks != 1 {
+		t.Fatalf("%d tasks placed before the end of job-1 is durable, want that of job-3", n.AllocatedTasks)
 	}
-	if next := newLeader(t, 6, l.now, l.store); next.state("job-2") != wire.JobQueued || next.Counts().Ready != 0 {
+	if next := newLeader(t, 6, l.now, l.store); next.state("job-2") != wire.JobQueued || next.Counts().ReadyTasks != 0 {
 		t.Fatal("a successor starts job-2 although it does not know job-1 as done")
 	}
 	l.commit()
@@ -101,8 +101,8 @@
 	// A successor finds the same.
 	next := newLeader(t, 6, l.now, l.store)
 	next.pass(time.Second)
-	if n := next.Counts(); n.Allocated != 2 {
-		t.Fatalf("%d tasks held after the succession", n.Allocated)
+	if n := next.Counts(); n.AllocatedTasks != 2 {
+		t.Fatalf("%d tasks held after the succession", n.AllocatedTasks)
 	}
 }
 
@@ -243,8 +243,8 @@
 		t.Fatalf("%+v", v)
 	}
 	l.pass(time.Second)
-	if got := l.state("job-2"); got != wire.JobQueued || l.Counts().Allocated != 1 {
-		t.Fatalf("job-2 is called %s, %d held", got, l.Counts().Allocated)
+	if got := l.state("job-2"); got != wire.JobQueued || l.Counts().AllocatedTasks != 1 {
+		t.Fatalf("job-2 is called %s, %d held", got, l.Counts().AllocatedTasks)
 	}
 }
 
--- a/internal/leader/direct_calls.go
+++ b/internal/leader/direct_calls.go
@@ -24,8 +24,8 @@
 
 // Outcomes of direct calls.
 const (
-	// DirectAnswered: executed or refused, as the agent's heartbeat shows.
-	DirectAnswered DirectOutcome = iota
+	// DirectReplied: executed or refused, as the agent's heartbeat shows.
+	DirectReplied DirectOutcome = iota
 	// DirectNotDelivered: it did not reach the agent and never will.
 	DirectNotDelivered
 	// DirectUnknown: it may be executed, now or minutes later.
@@ -95,10 +95,10 @@
 }
 
 // maxCalls bounds the direct calls under way by the sockets they may take.
-func (l *Leader) maxCalls() int { return DirectSockets(l.params.Limits) }
+func (l *Leader) maxCalls() int { return DirectCallSockets(l.params.Limits) }
 
-// DirectSockets is the number of sockets for direct calls.
-func DirectSockets(l config.ProcessLimits) int {
+// DirectCallSockets is the number of sockets for direct calls.
+func DirectCallSockets(l config.ProcessLimits) int {
 	if l.MaxConnections <= 0 {
 		return tuning.DirectMaxCalls
 	}
@@ -120,7 +120,7 @@
 	}
 	m.EndCall()
 	l.calls.schedule(m)
-	if outcome != DirectAnswered {
+	if outcome != DirectReplied {
 		m.PauseCalls(now.Add(tuning.DirectBackoff))
 		return
 	}
--- a/internal/leader/drain_test.go
+++ b/internal/leader/drain_test.go
@@ -36,7 +36,7 @@
 func (l *testLeader) drainRequest(q drain.Request) drain.Response {
 	l.t.Helper()
 	var got drain.Response
-	l.DrainRequest(l.now, l.now, &q, func(r drain.Response) { got = r })
+	l.HandleDrainRequest(l.now, l.now, &q, func(r drain.Response) { got = r })
 	l.commit()
 	return got
 }
--- a/internal/leader/drains.go
+++ b/internal/leader/drains.go
@@ -37,9 +37,9 @@
 	})
 }
 
-// DrainRequest carries out an operator's request; then is called with the answer once what it
+// HandleDrainRequest carries out an operator's request; then is called with the answer once what it
 // says is durable. wall is the time of day.
-func (l *Leader) DrainRequest(now, wall time.Time, q *drain.Request, then func(drain.Response)) {
+func (l *Leader) HandleDrainRequest(now, wall time.Time, q *drain.Request, then func(drain.Response)) {
 	l.drainer.Handle(now, wall, q, then)
 }
 
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -192,7 +192,7 @@
 			continue
 		}
 		f.execute(w, call.Request.Commands)
-		f.DirectCallDone(f.now, call, leader.DirectAnswered, f.report(w))
+		f.DirectCallDone(f.now, call, leader.DirectReplied, f.report(w))
 	}
 }
 
--- a/internal/leader/machine_list.go
+++ b/internal/leader/machine_list.go
@@ -75,9 +75,9 @@
 	l.changed = true
 }
 
-// HeartbeatsMissing reports whether the heartbeats of machines with attempts are late: the
+// HeartbeatsLate reports whether the heartbeats of machines with attempts are late: the
 // next list may show that they no longer exist.
-func (l *Leader) HeartbeatsMissing(now time.Time) bool {
+func (l *Leader) HeartbeatsLate(now time.Time) bool {
 	for _, m := range l.machines.All() {
 		if m.IsReconciled() && len(m.Attempts()) > 0 && m.SinceHeartbeat(now) > seconds.Duration(l.params.Workers.HeartbeatIntervalS*tuning.LateHeartbeatIntervals) {
 			return true
--- a/internal/leader/reachability_test.go
+++ b/internal/leader/reachability_test.go
@@ -131,7 +131,7 @@
 	if _, more := z.after(3*time.Second, on, "a"); fmt.Sprint(append(rented, more...)) != "[a]" {
 		t.Errorf("rented in %v, then %v", rented, more)
 	}
-	if n := z.Counts(); n.Allocated != 40 || n.Ready != 40 {
+	if n := z.Counts(); n.AllocatedTasks != 40 || n.ReadyTasks != 40 {
 		t.Errorf("%+v", n)
 	}
 
@@ -191,7 +191,7 @@
 	if released, _ := next.after(4*time.Second, on, "a"); len(released) != 10 {
 		t.Errorf("released: %v", released)
 	}
-	if n := next.Counts(); n.Allocated != 40 || n.Ready != 40 {
+	if n := next.Counts(); n.AllocatedTasks != 40 || n.ReadyTasks != 40 {
 		t.Errorf("%+v", n)
 	}
 }
--- a/internal/leader/records_test.go
+++ b/internal/leader/records_test.go
@@ -206,7 +206,7 @@
 	if !strings.Contains(logs.String(), `"key":"s/`) {
 		t.Errorf("not named: %s", logs.String())
 	}
-	if n := c.Counts(); n.Allocated != 0 || n.Ready != 1 {
+	if n := c.Counts(); n.AllocatedTasks != 0 || n.ReadyTasks != 1 {
 		t.Errorf("the task of the record left out is lost: %+v", n)
 	}
 }
--- a/internal/leader/recovery_test.go
+++ b/internal/leader/recovery_test.go
@@ -201,7 +201,7 @@
 			t.Errorf("%s has %d bytes", key, len(value))
 		}
 	}
-	if held := newLeader(t, 6, l.now, l.store).Counts().Allocated; held != wide.Tasks || records < 2 {
+	if held := newLeader(t, 6, l.now, l.store).Counts().AllocatedTasks; held != wide.Tasks || records < 2 {
 		t.Errorf("%d records name %d of %d tasks", records, held, wide.Tasks)
 	}
 }
--- a/internal/leader/reports_test.go
+++ b/internal/leader/reports_test.go
@@ -25,8 +25,8 @@
 		t.Fatalf("a late report of a lost session got %s", ops(cs))
 	}
 	l.report("m2", 1, wire.TaskStatus{Task: "job-1/0", Attempt: cs[0].Attempt, State: wire.TaskRunning})
-	if v := l.Query("job-1"); v.Running != 1 {
-		t.Fatalf("running %d", v.Running)
+	if v := l.Query("job-1"); v.RunningTasks != 1 {
+		t.Fatalf("running %d", v.RunningTasks)
 	}
 }
 
@@ -68,7 +68,7 @@
 	l.Cancel(l.now, "job-1", func(leader.Response) {})
 	l.commit()
 	l.seq++
-	l.DirectCallDone(l.now, call, leader.DirectAnswered, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.seq, FencingToken: 5})
+	l.DirectCallDone(l.now, call, leader.DirectReplied, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.seq, FencingToken: 5})
 	l.commit()
 	if l.store["j/job-1"] == nil {
 		t.Fatal("the task was taken for gone while its start was on its way")
@@ -174,7 +174,7 @@
 // may hold is free only once the machine is released.
 func TestNewWorkerIsNotTheOldOne(t *testing.T) {
 	l, call, _ := leaderWithUnansweredCall(t)
-	l.DirectCallDone(l.now, call, leader.DirectAnswered, &wire.Heartbeat{
+	l.DirectCallDone(l.now, call, leader.DirectReplied, &wire.Heartbeat{
 		Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: 1, FencingToken: 5,
 		Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: call.Request.Commands[0].Attempt, State: wire.TaskRunning}},
 	})
@@ -239,12 +239,12 @@
 func TestReorderedReportIsAnswered(t *testing.T) {
 	l, call, tr := leaderWithUnansweredCall(t)
 	l.seq += 2
-	l.DirectCallDone(l.now, call, leader.DirectAnswered, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.seq, FencingToken: 5, Tasks: []wire.TaskStatus{tr}})
+	l.DirectCallDone(l.now, call, leader.DirectReplied, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.seq, FencingToken: 5, Tasks: []wire.TaskStatus{tr}})
 	overtaken := &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.seq - 1, FencingToken: 5}
 	if a, receipt := l.HandleHeartbeat(l.now, overtaken, true); receipt != leader.HeartbeatApplied || len(a.Commands) != 0 {
 		t.Fatalf("%v %+v", receipt, a)
 	}
-	if v := l.Query("job-1"); v.Running != 1 {
+	if v := l.Query("job-1"); v.RunningTasks != 1 {
 		t.Fatal("an overtaken report moved the state back")
 	}
 	if _, receipt := l.HandleHeartbeat(l.now, overtaken, true); receipt != leader.HeartbeatStale {
--- a/internal/leader/requests_test.go
+++ b/internal/leader/requests_test.go
@@ -28,7 +28,7 @@
 		t.Fatal("told before it is durable")
 	}
 	l.commit()
-	if v := l.Query("job-1"); v.State != wire.JobDone || v.Done != 1 {
+	if v := l.Query("job-1"); v.State != wire.JobDone || v.CompletedTasks != 1 {
 		t.Fatalf("%+v", v)
 	}
 	if cs := l.report("m1", 1, tr); ops(cs) != "reap job-1/0" {
@@ -41,7 +41,7 @@
 		}
 	}
 	later := newLeader(t, 6, l.now, l.store)
-	if v := later.Query("job-1"); v.State != wire.JobDone || v.Done != 1 {
+	if v := later.Query("job-1"); v.State != wire.JobDone || v.CompletedTasks != 1 {
 		t.Fatalf("after a succession: %+v", v)
 	}
 }
--- a/internal/leader/response.go
+++ b/internal/leader/response.go
@@ -12,8 +12,8 @@
 type Response struct {
 	Status  int
 	State   string
-	Done    int
-	Running int
+	CompletedTasks    int
+	RunningTasks int
 	Reason  string
 	// RetryAfter is when a user whose request is rejected should come back, in seconds; 0 for
 	// the usual time.
@@ -33,13 +33,13 @@
 		if f.Outcome == records.OutcomeCancelled {
 			state = wire.JobCancelled
 		}
-		return Response{Status: http.StatusOK, State: state, Done: int(f.TasksDone)}, true
+		return Response{Status: http.StatusOK, State: state, CompletedTasks: int(f.TasksDone)}, true
 	}
 	j := l.jobs.Get(id)
 	if j == nil {
 		return Response{Status: http.StatusNotFound}, false
 	}
-	r = Response{Status: http.StatusOK, State: wire.JobQueued, Done: j.CompletedTasks(), Running: j.RunningTasks()}
+	r = Response{Status: http.StatusOK, State: wire.JobQueued, CompletedTasks: j.CompletedTasks(), RunningTasks: j.RunningTasks()}
 	if j.RunningTasks() > 0 {
 		r.State = wire.JobRunning
 	}
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -65,7 +65,7 @@
 		t.Errorf("%d start records for a successor to read", records)
 	}
 	next := newLeader(t, 6, f.now, f.store)
-	if known := next.Counts().Allocated; known < on {
+	if known := next.Counts().AllocatedTasks; known < on {
 		t.Errorf("a successor knows of %d tasks, %d run", known, on)
 	}
 	t.Logf("%d starts, %.2f changes and %d bytes each, %d records, %d scores", f.starts, float64(f.changes)/float64(f.starts), f.bytes/f.starts, records, f.Counts().ScoredPairs)
@@ -121,8 +121,8 @@
 		case 1050:
 			on := f.running()
 			f.testLeader = newLeader(t, 6, f.now, f.store)
-			if n := f.Counts(); n.Allocated < on {
-				t.Errorf("a successor knows of %d tasks, %d run", n.Allocated, on)
+			if n := f.Counts(); n.AllocatedTasks < on {
+				t.Errorf("a successor knows of %d tasks, %d run", n.AllocatedTasks, on)
 			}
 			f.scores = 0
 			f.list()
@@ -159,11 +159,11 @@
 	if n.WantedCPUs < n.CPUs || n.UsedCPUs < 0.95*n.CPUs {
 		f.t.Errorf("%.0f of %.0f CPUs in use with work for %.0f waiting", n.UsedCPUs, n.CPUs, n.WantedCPUs)
 	}
-	if n.Up > machines-machines/10 {
-		f.t.Errorf("%d machines count as up", n.Up)
+	if n.UpMachines > machines-machines/10 {
+		f.t.Errorf("%d machines count as up", n.UpMachines)
 	}
-	if n.Writes > 200 {
-		f.t.Errorf("%d changes wait", n.Writes)
+	if n.PendingWrites > 200 {
+		f.t.Errorf("%d changes wait", n.PendingWrites)
 	}
 }
 
--- a/internal/leader/submission.go
+++ b/internal/leader/submission.go
@@ -105,8 +105,8 @@
 	return "a task fits no allowed machine type"
 }
 
-// AboveLimit says why a job can never run, as far as the settings alone show, or "": any
+// LimitViolation says why a job can never run, as far as the settings alone show, or "": any
 // node can say that, whether or not a leader is known.
-func AboveLimit(teams []config.Team, spec *wire.Job) string {
+func LimitViolation(teams []config.Team, spec *wire.Job) string {
 	return allocation.AboveLimit(teams, spec)
 }
--- a/internal/leader/upgrade_test.go
+++ b/internal/leader/upgrade_test.go
@@ -90,8 +90,8 @@
 			} else {
 				l = newLeader(t, term, now, store)
 			}
-			if v := l.Query("job-1"); v.Done != want.Len() {
-				t.Fatalf("seed %d, term %d, previous %v: %d done, want %d", seed, term, previous, v.Done, want.Len())
+			if v := l.Query("job-1"); v.CompletedTasks != want.Len() {
+				t.Fatalf("seed %d, term %d, previous %v: %d done, want %d", seed, term, previous, v.CompletedTasks, want.Len())
 			}
 			var list []wire.TaskStatus
 			for range 150 {
@@ -138,7 +138,7 @@
 			t.Errorf("%s: %s, want %s", id, got, want)
 		}
 	}
-	if n := l.Counts(); n.Allocated == 0 || n.Machines != 2 && n.Machines != 1 {
+	if n := l.Counts(); n.AllocatedTasks == 0 || n.Machines != 2 && n.Machines != 1 {
 		t.Errorf("%+v", n)
 	}
 	record := store["j/job-4"]
@@ -182,7 +182,7 @@
 		previous.pass(time.Second)
 		previous.previousVersionCommit()
 	}
-	if got := previous.Counts().Allocated; got != 1 {
+	if got := previous.Counts().AllocatedTasks; got != 1 {
 		t.Errorf("%d tasks placed, want that of job-1", got)
 	}
 	if previous.state("job-2") != wire.JobQueued || previous.state("job-3") != wire.JobQueued {
--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -21,7 +21,7 @@
 	if response, handled := n.handleLocally(ctx, c); handled {
 		return n.recordResponse(request, response)
 	}
-	if reason := leader.AboveLimit(n.gate.teams, job); reason != "" {
+	if reason := leader.LimitViolation(n.gate.teams, job); reason != "" {
 		return n.rejectImpossible(ctx, c, reason)
 	}
 	if isNew {
@@ -56,7 +56,7 @@
 			return response
 		}
 	}
-	rejected := leader.RejectOverload(d)
+	rejected := leader.OverloadRejection(d)
 	return refusal(rejected.Status, rejected.Reason, rejected.RetryAfter)
 }
 
--- a/internal/node/admission_gate.go
+++ b/internal/node/admission_gate.go
@@ -42,7 +42,7 @@
 
 // recordArrival counts a submission. isNew is false if the job may have been accepted already.
 func (g *admissionGate) recordArrival(now time.Time, job *wire.Job) (r *admission.Request, isNew bool) {
-	r = leader.AdmissionRequest(g.settings, job)
+	r = leader.NewAdmissionRequest(g.settings, job)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return r, g.gate.RecordArrival(now, r)
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -75,5 +75,5 @@
 	case err != nil || status != http.StatusOK && status != http.StatusConflict:
 		return leader.DirectUnknown
 	}
-	return leader.DirectAnswered
+	return leader.DirectReplied
 }
--- a/internal/node/calls_test.go
+++ b/internal/node/calls_test.go
@@ -17,8 +17,8 @@
 		err    error
 		want   leader.DirectOutcome
 	}{
-		{http.StatusOK, nil, leader.DirectAnswered},
-		{http.StatusConflict, nil, leader.DirectAnswered},
+		{http.StatusOK, nil, leader.DirectReplied},
+		{http.StatusConflict, nil, leader.DirectReplied},
 		{http.StatusServiceUnavailable, nil, leader.DirectUnknown},
 		{http.StatusNotFound, nil, leader.DirectUnknown},
 		{0, httpclient.ErrNoResponse, leader.DirectUnknown},
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -77,7 +77,7 @@
 	case peer.OpSubmit:
 		n.leader.SubmitWithClaim(now, time.Now(), c.Submission(), c.Admission, respond)
 	case peer.OpDrain:
-		n.leader.DrainRequest(now, time.Now(), c.Drain, func(r drain.Response) {
+		n.leader.HandleDrainRequest(now, time.Now(), c.Drain, func(r drain.Response) {
 			result <- peer.Response{Status: r.Status, Reason: r.Reason, Drains: r.Drains}
 		})
 	}
@@ -107,7 +107,7 @@
 	if r.Status/100 != 2 {
 		return refusal(r.Status, r.Reason, r.RetryAfter)
 	}
-	status := &wire.JobStatus{ID: job, State: r.State, Done: r.Done, Running: r.Running}
+	status := &wire.JobStatus{ID: job, State: r.State, Done: r.CompletedTasks, Running: r.RunningTasks}
 	return peer.Response{Status: r.Status, Job: status}
 }
 
--- a/internal/node/summary.go
+++ b/internal/node/summary.go
@@ -13,8 +13,8 @@
 		}
 		event.Msg("shedding load")
 	}
-	t.node.log.Debug().Int("jobs", counts.Jobs).Int("ready", counts.Ready).Int("allocated", counts.Allocated).
-		Int("machines", counts.Machines).Int("up", counts.Up).Int("spot", counts.Spot).
+	t.node.log.Debug().Int("jobs", counts.Jobs).Int("ready", counts.ReadyTasks).Int("allocated", counts.AllocatedTasks).
+		Int("machines", counts.Machines).Int("up", counts.UpMachines).Int("spot", counts.SpotMachines).
 		Float64("cpus", counts.CPUs).Float64("used", counts.UsedCPUs).Float64("wanted", counts.WantedCPUs).
-		Int("writes", counts.Writes).Int("dependency_steps", counts.DependencySteps).Int("scored_pairs", counts.ScoredPairs).Msg("summary")
+		Int("writes", counts.PendingWrites).Int("dependency_steps", counts.DependencySteps).Int("scored_pairs", counts.ScoredPairs).Msg("summary")
 }
--- a/internal/simulation/agent_calls.go
+++ b/internal/simulation/agent_calls.go
@@ -57,7 +57,7 @@
 		return
 	}
 	heartbeat := c.deliver(a)
-	c.done(sim.between(1, 100), leader.DirectAnswered, heartbeat)
+	c.done(sim.between(1, 100), leader.DirectReplied, heartbeat)
 }
 
 // deliver lets an agent execute the commands, and returns its next heartbeat.
--- a/internal/simulation/node_admission.go
+++ b/internal/simulation/node_admission.go
@@ -53,13 +53,13 @@
 	}
 	now := n.sim.now
 	check.gate = gate
-	check.request = leader.AdmissionRequest(n.admissionSettings(), r.job)
+	check.request = leader.NewAdmissionRequest(n.admissionSettings(), r.job)
 	isNew := gate.RecordArrival(now, check.request)
 	check.claim = &admission.Claim{WaitedMS: check.request.Waited.Milliseconds()}
 	if n == leading {
 		return check
 	}
-	if isNew && leader.AboveLimit(n.sim.Params.Teams, r.job) == "" {
+	if isNew && leader.LimitViolation(n.sim.Params.Teams, r.job) == "" {
 		decision, revision := gate.Decide(now, check.request)
 		if !decision.Admitted {
 			check.refuse(decision)
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -40,7 +40,7 @@
 		if n.leader == nil {
 			return
 		}
-		n.leader.DrainRequest(n.clock(), sim.now, request, func(response drain.Response) {
+		n.leader.HandleDrainRequest(n.clock(), sim.now, request, func(response drain.Response) {
 			sim.trace(boundaryOperatorResponse, n, request, response.Status, response.Reason, response.Drains)
 			finish(response)
 		})
