--- a/internal/leader/admission.go
+++ b/internal/leader/admission.go
@@ -9,7 +9,7 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// NewAdmissionRequest is a submission as admission control sees it.
+// NewAdmissionRequest returns the request to admission control for a submission.
 func NewAdmissionRequest(s *admission.Settings, spec *wire.Job) *admission.Request {
 	key, _ := s.Key(spec.Team, spec.Class)
 	return &admission.Request{
@@ -21,17 +21,18 @@
 	}
 }
 
-// admissionControl decides on new jobs under overload. It counts the unfinished tasks.
+// admissionControl decides under overload whether to admit new jobs. It counts the unfinished
+// tasks.
 type admissionControl struct {
 	settings  *admission.Settings
-	regulator *admission.Regulator // nil: off
-	// unfinished are the unfinished tasks of all teams, unfinishedByTeam those of each.
+	regulator *admission.Regulator // nil if admission control is off
+	// unfinished counts the unfinished tasks of all teams, unfinishedByTeam those of each team.
 	unfinished       int
 	unfinishedByTeam map[string]int
 }
 
-// newAdmissionControl begins the term's admission control, off unless the operators have
-// turned it on.
+// newAdmissionControl returns the term's admission control, which is off unless the operators
+// have enabled it.
 func newAdmissionControl(p *config.Params, o *config.Operator, term uint64, now time.Time) *admissionControl {
 	c := &admissionControl{settings: o.AdmissionSettings(p), unfinishedByTeam: map[string]int{}}
 	if c.settings != nil {
@@ -40,13 +41,13 @@
 	return c
 }
 
-// countUnfinished notes that a team has so many unfinished tasks more, or less.
+// countUnfinished adds tasks, which may be negative, to a team's unfinished tasks.
 func (c *admissionControl) countUnfinished(team string, tasks int) {
 	c.unfinished += tasks
 	c.unfinishedByTeam[team] += tasks
 }
 
-// check returns why a job that could be accepted is not accepted now, or nil.
+// check returns why an acceptable job is rejected for overload, or nil if it is admitted.
 func (c *admissionControl) check(now time.Time, spec *wire.Job, claim *admission.Claim) *RejectedError {
 	if c.regulator == nil {
 		return nil
@@ -63,31 +64,31 @@
 // shedding reports whether new jobs are rejected for overload.
 func (c *admissionControl) shedding() bool { return c.regulator != nil && c.regulator.Shedding() }
 
-// OverloadRejection is the rejection of a job that is not admitted now.
+// OverloadRejection returns the error for a job that admission control rejects.
 func OverloadRejection(d admission.Decision) *RejectedError {
 	return &RejectedError{Status: http.StatusTooManyRequests, Reason: "more is submitted than can be taken now", RetryAfter: d.RetryAfterS}
 }
 
-// UpdateAdmission adapts admission to the load and to what all nodes are offered. lag is by how
-// much the leader's periodic work came too late.
+// UpdateAdmission adapts admission control to the leader's load and to the load offered to all
+// nodes. lag is the delay of the leader's periodic work.
 func (l *Leader) UpdateAdmission(now, wall time.Time, lag time.Duration, nodes []admission.NodeOfferedLoad) {
 	if l.admission.regulator == nil {
 		return
 	}
-	was := l.admission.regulator.Shedding()
+	wasShedding := l.admission.regulator.Shedding()
 	l.admission.regulator.Update(now, wall, admission.LeaderLoad{
 		Waiting: l.writes.Interactive.Len(),
 		Written: l.writes.Interactive.Taken(),
 		Lag:     lag,
 	}, nodes)
-	if is := l.admission.regulator.Shedding(); is != was {
+	if shedding := l.admission.regulator.Shedding(); shedding != wasShedding {
 		s := l.admission.regulator.Summary()
-		l.log.Info().Bool("shedding", is).Float64("pressure", s.Pressure).Float64("offered", s.Offered).
+		l.log.Info().Bool("shedding", shedding).Float64("pressure", s.Pressure).Float64("offered", s.Offered).
 			Float64("budget", s.Budget).Msg("admission control changed")
 	}
 }
 
-// AdmissionPolicy is the policy that all nodes apply, nil if admission control is off.
+// AdmissionPolicy returns the policy that all nodes apply, or nil if admission control is off.
 func (l *Leader) AdmissionPolicy() *admission.Policy {
 	if l.admission.regulator == nil {
 		return nil
@@ -96,7 +97,7 @@
 	return &p
 }
 
-// AdmissionSummary returns the figures of admission control for the logs, and whether it is on.
+// AdmissionSummary returns the figures of admission control for logs, and whether it is on.
 func (l *Leader) AdmissionSummary() (admission.Summary, bool) {
 	if l.admission.regulator == nil {
 		return admission.Summary{}, false
--- a/internal/leader/completion.go
+++ b/internal/leader/completion.go
@@ -7,9 +7,9 @@
 	"switchshore.example/switchshore/internal/records"
 )
 
-// end decides how a job ends and queues the write of its final state; only once that is durable
-// users get a response, and it takes effect on the jobs that depend on this one.
-func (l *Leader) end(now time.Time, j *jobs.Job, state jobs.State, queue *records.Queue) {
+// endJob sets how a job ends and queues the write of its final state. Only once that is durable
+// do users get a response and dependent jobs react to it.
+func (l *Leader) endJob(now time.Time, j *jobs.Job, state jobs.State, queue *records.Queue) {
 	f := j.End(now, state)
 	l.unsavedCompletions.Remove(j)
 	l.jobs.MarkEnded(j)
@@ -27,8 +27,8 @@
 	})
 }
 
-// removeIfFinished deletes the records of an ended job once none of its tasks may be on a
-// machine: until then its team, zone and size are needed for the counts.
+// removeIfFinished removes an ended job and deletes its records once none of its tasks can be on
+// a machine. Until then the counts need its team, zone and size.
 func (l *Leader) removeIfFinished(j *jobs.Job) {
 	if !j.EndDurable() || j.AllocatedTasks() > 0 || l.jobs.Get(j.ID) != j {
 		return
@@ -41,26 +41,26 @@
 	}
 }
 
-// taskDone notes a completion, which is written after a delay.
-func (l *Leader) taskDone(now time.Time, j *jobs.Job, index int32) {
+// recordCompletion records that a task is done. The completion is written after a delay.
+func (l *Leader) recordCompletion(now time.Time, j *jobs.Job, index int32) {
 	if !j.Complete(index) {
 		return
 	}
-	l.changed = true
+	l.passRequested = true
 	l.drainer.CountDone(j, index)
 	if !j.IsActive() {
 		return
 	}
 	if j.AllCompleted() {
 		l.logIfLate(now, j)
-		l.end(now, j, jobs.Done, &l.writes.Interactive)
+		l.endJob(now, j, jobs.Done, &l.writes.Interactive)
 		return
 	}
 	j.MarkUnsaved(index, l.valueLimit())
 	l.unsavedCompletions.Add(now, j)
 }
 
-// logIfLate logs where the time of a job that is done after its deadline went.
+// logIfLate logs how a job that is done after its deadline spent its time.
 func (l *Leader) logIfLate(now time.Time, j *jobs.Job) {
 	if j.DeadlineS == nil || now.Sub(j.SubmittedAt()).Seconds() <= *j.DeadlineS {
 		return
@@ -74,8 +74,8 @@
 		Int("interrupted", j.InterruptedTasks()).Int("failures", j.Failures()).Msg("deadline missed")
 }
 
-// flushDone queues the writes of completions that have waited long enough.
-func (l *Leader) flushDone(now time.Time) {
+// flushCompletions queues the writes of completions whose delay has passed.
+func (l *Leader) flushCompletions(now time.Time) {
 	for _, j := range l.unsavedCompletions.TakeDue(now) {
 		for _, completions := range j.TakeUnsavedCompletions(l.valueLimit()) {
 			l.writes.Background.Put(completions.Key, completions.Encode(), func() { j.MarkStored(completions) })
--- a/internal/leader/consolidation.go
+++ b/internal/leader/consolidation.go
@@ -10,11 +10,11 @@
 func (l *Leader) newConsolidator() *consolidation.Consolidator {
 	return consolidation.New(consolidation.Cluster{
 		Machines:    l.machines,
-		AcceptsWork: l.acceptsWork,
+		AcceptsWork: l.isSchedulable,
 		ActiveJobs:  l.jobs.RunnableByAge,
 		Price:       l.catalogue.Price,
-		RemainingS:  l.remaining,
-		Emptied:     l.calls.schedule,
+		RemainingS:  l.remainingS,
+		Emptied:     l.directCalls.schedule,
 	})
 }
 
--- a/internal/leader/counts.go
+++ b/internal/leader/counts.go
@@ -4,24 +4,24 @@
 	"switchshore.example/switchshore/internal/jobs"
 )
 
-// Counts sums the state up for logs.
+// Counts summarizes the state for logs.
 type Counts struct {
 	Jobs, ReadyTasks, AllocatedTasks, Machines, UpMachines, SpotMachines, PendingWrites int
-	// DependencySteps are the steps still to be taken after the ends of jobs that others
-	// depend on.
+	// DependencySteps is the number of dependency updates still to be made for jobs that have
+	// ended.
 	DependencySteps int
-	// ScoredPairs are the pairs of job and machine scored so far.
+	// ScoredPairs is the number of pairs of job and machine scored so far.
 	ScoredPairs int
-	// DrainSteps are the machines and attempts that drains have examined so far.
+	// DrainSteps is the number of machines and attempts that drains have examined so far.
 	DrainSteps int
-	// UsedCPUs may be in use, of the CPUs of machines that are up; WantedCPUs
-	// are those of ready tasks.
+	// CPUs and UsedCPUs are the total and the allocated CPUs of machines that are up, WantedCPUs
+	// the CPUs requested by ready tasks.
 	CPUs, UsedCPUs, WantedCPUs float64
 }
 
-// Counts returns the sums.
+// Counts returns a summary of the current state.
 func (l *Leader) Counts() Counts {
-	n := Counts{Jobs: l.jobs.Len(), Machines: l.machines.Len(), PendingWrites: l.writes.Len(), ScoredPairs: l.scores, DrainSteps: l.drainer.Examined()}
+	n := Counts{Jobs: l.jobs.Len(), Machines: l.machines.Len(), PendingWrites: l.writes.Len(), ScoredPairs: l.scoredPairs, DrainSteps: l.drainer.Examined()}
 	n.DependencySteps = l.graph.OpenSteps()
 	l.jobs.Each(func(j *jobs.Job) {
 		n.ReadyTasks += j.ReadyTasks()
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -13,8 +13,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// checkDependencies returns an error if a job names one that was not accepted, or of
-// which that is not decided.
+// checkDependencies returns an error if a dependency of the job was never accepted or its
+// acceptance is not durable yet.
 func (l *Leader) checkDependencies(spec *wire.Job) *RejectedError {
 	for _, id := range spec.DependsOn {
 		if _, ended := l.jobs.FinalState(id); ended {
@@ -30,8 +30,8 @@
 	return nil
 }
 
-// cancelDependent cancels a job that depends on one that was cancelled; those that depend on it
-// follow at once, as the first cancellation is durable.
+// cancelDependent cancels a job that depends on a cancelled one. The jobs that depend on it are
+// cancelled without waiting for this write, because the first cancellation is already durable.
 func (l *Leader) cancelDependent(now time.Time, j *jobs.Job) {
 	if j.State().IsTerminal() {
 		return
@@ -39,14 +39,15 @@
 	j.MarkDependencyCancelled()
 	queue := &l.writes.Dependent
 	if !j.AcceptanceDurable() {
-		queue = &l.writes.Interactive // behind the acceptance; its user gets one response to both
+		queue = &l.writes.Interactive // after the acceptance; its user gets one response for both
 	}
-	l.end(now, j, jobs.Cancelled, queue)
+	l.endJob(now, j, jobs.Cancelled, queue)
 	l.graph.JobEnded(j.ID, records.FinalState{Outcome: records.OutcomeCancelled})
 }
 
-// releaseIfUnblocked makes the tasks of an accepted job ready, unless it waits for others.
-func (l *Leader) releaseIfUnblocked(now time.Time, j *jobs.Job) {
+// makeReadyIfUnblocked makes the tasks of an accepted job ready unless the job waits for
+// dependencies. It schedules the cancellation of a job whose dependency was cancelled.
+func (l *Leader) makeReadyIfUnblocked(now time.Time, j *jobs.Job) {
 	switch {
 	case !j.IsActive():
 	case j.DependencyCancelled():
@@ -55,25 +56,26 @@
 		l.jobs.MarkRunnable(j)
 		j.FillReady()
 		l.scaler.History.CountInflow(now, j.WaitingSince(), float64(j.Tasks)*j.CPUs*l.runTimes.Estimate(j))
-		l.changed = true
+		l.passRequested = true
 	}
 }
 
-// stageTime is the time that a job takes once the jobs that it depends on are done, by
-// its estimate.
-func (l *Leader) stageTime(j *jobs.Job) time.Duration {
-	rate := 0.0
+// stageDuration estimates how long a job takes once its dependencies are done: its run time, the
+// fetch of its image at the fastest rate offered and tuning.StageDelay.
+func (l *Leader) stageDuration(j *jobs.Job) time.Duration {
+	fetchGBPerS := 0.0
 	for _, t := range l.catalogue.Offers() {
-		rate = max(rate, t.FetchGBPerS)
+		fetchGBPerS = max(fetchGBPerS, t.FetchGBPerS)
 	}
-	takes := l.runTimes.Estimate(j)
-	if rate > 0 {
-		takes += placement.FetchTime(j.ImageGB, rate)
+	durationS := l.runTimes.Estimate(j)
+	if fetchGBPerS > 0 {
+		durationS += placement.FetchTime(j.ImageGB, fetchGBPerS)
 	}
-	return seconds.Duration(takes) + tuning.StageDelay
+	return seconds.Duration(durationS) + tuning.StageDelay
 }
 
-// processDependencyChanges takes some of the steps that final states ask for.
+// processDependencyChanges carries out at most tuning.DependencyStepsPerTick of the
+// cancellations, unblockings and critical path updates that final states have caused.
 func (l *Leader) processDependencyChanges(now time.Time) {
 	steps := tuning.DependencyStepsPerTick
 	for ; steps > 0; steps-- {
@@ -90,7 +92,7 @@
 		}
 		if !j.IsBlocked() {
 			j.BeginWaiting(now)
-			l.releaseIfUnblocked(now, j)
+			l.makeReadyIfUnblocked(now, j)
 		}
 	}
 	for ; steps > 0; steps-- {
@@ -99,13 +101,13 @@
 			break
 		}
 		if l.graph.UpdateCriticalPath(j) {
-			l.changed = true
+			l.passRequested = true
 			l.graph.SchedulePathsOfDependencies(j)
 		}
 	}
 }
 
-// linkLoadedJobs derives from the records that were loaded what every job waits for.
+// linkLoadedJobs builds the dependency graph of the loaded jobs.
 func (l *Leader) linkLoadedJobs(loaded []*jobs.Job) {
 	missing, cyclic := l.graph.LinkAll(loaded)
 	for _, m := range missing {
--- a/internal/leader/drains.go
+++ b/internal/leader/drains.go
@@ -27,30 +27,30 @@
 		Job:           l.jobs.Get,
 		RunnableJobs:  l.jobs.Runnable,
 		TeamUsedCPUs:  l.ledger.UsedCPUs,
-		AcceptsWork:   l.acceptsWork,
-		RemainingS:    l.remaining,
+		AcceptsWork:   l.isSchedulable,
+		RemainingS:    l.remainingS,
 		MachinesKnown: l.machinesKnown,
-		ListsComplete: func() bool { return l.lists.complete },
+		ListsComplete: func() bool { return l.machineLists.current },
 		Blocked:       l.drainsBlocked,
-		ScheduleCall:  l.calls.schedule,
-		RequestPass:   func() { l.changed = true },
+		ScheduleCall:  l.directCalls.schedule,
+		RequestPass:   func() { l.passRequested = true },
 	})
 }
 
-// HandleDrainRequest carries out an operator's request; then is called with the answer once what it
-// says is durable. wall is the time of day.
-func (l *Leader) HandleDrainRequest(now, wall time.Time, q *drain.Request, then func(drain.Response)) {
-	l.drainer.Handle(now, wall, q, then)
+// HandleDrainRequest carries out an operator's request and calls respond once what the response
+// reports is durable. wall is the time of day.
+func (l *Leader) HandleDrainRequest(now, wall time.Time, request *drain.Request, respond func(drain.Response)) {
+	l.drainer.Handle(now, wall, request, respond)
 }
 
-// AdvanceDrains takes the next step of the drain that runs; wall is the time of day. Only a
-// leader that may act calls it.
+// AdvanceDrains carries out the next step of the running drain; wall is the time of day. It must
+// be called only while the leader has authority.
 func (l *Leader) AdvanceDrains(now, wall time.Time) { l.drainer.Advance(now, wall) }
 
-// drainsBlocked is why no batch may begin now whatever machines there are, "" if one may.
+// drainsBlocked returns why no batch may begin now on any machines, or "" if one may.
 func (l *Leader) drainsBlocked(now time.Time) drain.Cause {
 	switch {
-	case !l.lists.complete || now.Before(l.timing.InheritedUntil):
+	case !l.machineLists.current || now.Before(l.timing.InheritedUntil):
 		return drain.BlockedByNewLeader
 	case l.admission.shedding():
 		return drain.BlockedByOverload
--- a/internal/leader/estimates.go
+++ b/internal/leader/estimates.go
@@ -8,25 +8,25 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// remaining is the run time left of an attempt by its estimate in seconds, at least zero.
-func (l *Leader) remaining(now time.Time, a *machines.Attempt) float64 {
-	ran := a.Job.Progress(a.Index)
+// remainingS returns the estimated remaining run time of an attempt in seconds, at least 0.
+func (l *Leader) remainingS(now time.Time, a *machines.Attempt) float64 {
+	ranS := a.Job.Progress(a.Index)
 	if a.HasRun() {
-		ran += a.RunTime(now).Seconds()
+		ranS += a.RunTime(now).Seconds()
 	}
-	return max(0, l.runTimes.Estimate(a.Job)-ran)
+	return max(0, l.runTimes.Estimate(a.Job)-ranS)
 }
 
-// startWithin is the time in seconds within which a job's tasks should start: a part of its
-// slack, so that urgent work makes the planner scale out while other work waits
-// for the machines that there are.
-func (l *Leader) startWithin(now time.Time, j *jobs.Job) float64 {
+// startWithinS returns the time in seconds within which a job's tasks should start: a share of
+// its slack, so that the planner scales out for urgent work while other work waits for existing
+// machines.
+func (l *Leader) startWithinS(now time.Time, j *jobs.Job) float64 {
 	if l.operator.StartWithinS > 0 {
 		return l.operator.StartWithinS
 	}
-	slack, ok := l.runTimes.DeadlineSlack(now, j, l.params.Objectives)
+	slackS, ok := l.runTimes.DeadlineSlack(now, j, l.params.Objectives)
 	if !ok {
 		return tuning.StartWithinDefault.Seconds()
 	}
-	return min(max(slack*tuning.StartWithinSlackShare, tuning.StartWithinMin.Seconds()), tuning.StartWithinMax.Seconds())
+	return min(max(slackS*tuning.StartWithinSlackShare, tuning.StartWithinMin.Seconds()), tuning.StartWithinMax.Seconds())
 }
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -5,13 +5,12 @@
 	"switchshore.example/switchshore/internal/machines"
 )
 
-// Whether the job or the machine is at fault shows only by where else the job fails or
-// completes. A job that has failed on several machines, and completed a task on none, seems to
-// have been submitted with a mistake: no machine is quarantined for it. Once a task of it
-// completes somewhere, the machines where it failed are at fault. One on which several jobs
-// have failed in a row is faulty.
+// A failed task alone does not show whether its job or its machine is at fault. A job that has
+// failed on several machines and completed a task on none is presumed faulty and does not count
+// against any machine. Once one of its tasks completes, it counts against the machines on which
+// it failed. A machine on which several jobs in a row have failed is quarantined.
 
-// recordTaskFailure notes that a task of the job has failed on the machine.
+// recordTaskFailure records that a task of the job has failed on the machine.
 func (l *Leader) recordTaskFailure(j *jobs.Job, m *machines.Machine) {
 	j.RecordFailureOn(m.ID)
 	m.AvoidJob(j.ID)
@@ -26,7 +25,7 @@
 	}
 }
 
-// recordTaskSuccess notes that a task of the job has completed on the machine.
+// recordTaskSuccess records that a task of the job has completed on the machine.
 func (l *Leader) recordTaskSuccess(j *jobs.Job, m *machines.Machine) {
 	m.RecordTaskSuccess()
 	for id := range j.FailedOn() {
@@ -37,8 +36,8 @@
 	j.RecordSuccess()
 }
 
-// countFailedJob counts a job that has failed on the machine, which is quarantined once there
-// are too many.
+// countFailedJob counts the job as failed on the machine, which is quarantined once there are
+// too many.
 func (l *Leader) countFailedJob(m *machines.Machine, j *jobs.Job) {
 	if quarantined := m.CountFailedJob(j.ID); quarantined {
 		l.log.Info().Str("machine", m.ID).Msg("machine quarantined")
--- a/internal/leader/heartbeat_commands.go
+++ b/internal/leader/heartbeat_commands.go
@@ -6,12 +6,12 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// commands are those of the response to a heartbeat: stops first, as the response renews the
-// lease whether all fit or not, then forgets, then starts.
-func (l *Leader) commands(m *machines.Machine, r *wire.Heartbeat, authority bool) []wire.Command {
+// heartbeatCommands returns the commands of the response to a heartbeat: stops first, because
+// the response renews the lease even if not all commands fit, then forgets, then starts.
+func (l *Leader) heartbeatCommands(m *machines.Machine, r *wire.Heartbeat, authority bool) []wire.Command {
 	list := l.stopCommands(r)
 	for _, a := range m.Attempts() {
-		// The stops of tasks that are not to run anywhere are there already.
+		// stopCommands has already added the stops of tasks that are no longer needed.
 		if a.NeedsStop() && len(list) < tuning.MaxCommandsPerResponse {
 			list = append(list, a.StopCommand())
 		}
@@ -27,8 +27,8 @@
 	return list
 }
 
-// appendStarts adds the starts that no task list has shown yet, unless a direct call with them
-// is under way.
+// appendStarts appends the starts that no task list has confirmed yet, unless a direct call that
+// carries them is in flight.
 func appendStarts(list []wire.Command, m *machines.Machine, sequence uint64) []wire.Command {
 	for _, a := range m.Attempts() {
 		if !a.NeedsStart() || a.WasSentDirectly() && m.IsBeingCalled() || len(list) >= tuning.MaxCommandsPerResponse {
@@ -40,10 +40,10 @@
 	return list
 }
 
-// stopCommands are the stops of all listed tasks that are not to run anywhere any more. Every
-// response renews the lease, so every response carries them: leaders that ended
-// one after the other, each having got one heartbeat of an agent in its term, would
-// otherwise keep a cancelled task running for longer than a cancellation may take.
+// stopCommands returns stops for all listed tasks that are no longer needed. Every response
+// renews the lease, so every response carries them. Otherwise successive leaders that each
+// receive one heartbeat of an agent in their term could keep a cancelled task running beyond the
+// deadline for cancellations.
 func (l *Leader) stopCommands(r *wire.Heartbeat) []wire.Command {
 	stops := []wire.Command{}
 	zero := 0.0
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,7 +1,8 @@
-// Package leader is the state of one term and connects the parts that decide on it: jobs,
-// machines, placement, preemption, consolidation, scaling, drains and durable records. It
-// does no I/O and reads no clock: time, requests, heartbeats and outcomes are passed in, and
-// what has to be written, provisioned or sent is returned. Callers serialise access.
+// Package leader holds the state of one term and makes the decisions in it. It connects jobs,
+// machines, placement, preemption, consolidation, scaling, drains and durable records. It does
+// no I/O and reads no clock: the caller passes in the time, requests, heartbeats and outcomes,
+// and carries out the writes, cloud calls and commands that the package returns. Callers must
+// serialize access.
 package leader
 
 import (
@@ -21,19 +22,19 @@
 	"switchshore.example/switchshore/internal/startlog"
 )
 
-// Leader is the state of one term. It connects the parts that own what belongs together.
+// Leader is the state of one term. It is not safe for concurrent use.
 type Leader struct {
-	log      zerolog.Logger
-	params   config.Params
-	operator config.Operator
-	term     uint64
-	attempts uint64 // numbers given so far
-	timing   machines.Timing
+	log          zerolog.Logger
+	params       config.Params
+	operator     config.Operator
+	term         uint64
+	attemptCount uint64 // attempt numbers assigned so far
+	timing       machines.Timing
 
-	// What is durable, and how it gets there.
-	writes  *records.WriteQueues
-	starts  *startlog.Log
-	loading loading
+	// Durable state and its writes.
+	writes   *records.WriteQueues
+	startLog *startlog.Log
+	loading  loadState
 
 	// Jobs.
 	jobs               *jobs.Registry
@@ -44,33 +45,33 @@
 	startDelay         jobs.StartDelay
 
 	// Machines.
-	machines     *machines.Registry
-	catalogue    *machines.Catalogue
-	ledger       *allocation.Ledger
-	calls        directCalls
-	lists        machineLists
-	listNumber   uint64 // number of task lists applied
-	reachability *machines.Reachability
+	machines       *machines.Registry
+	catalogue      *machines.Catalogue
+	ledger         *allocation.Ledger
+	directCalls    directCalls
+	machineLists   machineLists
+	taskListNumber uint64 // number of the last task list applied
+	reachability   *machines.Reachability
 
 	// Decisions.
-	passes       passTimes
-	changed      bool // since the last pass
-	scores       int  // pairs of job and machine scored, for the logs
-	preemptor    *preemption.Preemptor
-	consolidator *consolidation.Consolidator
-	scaler       *scaling.Scaler
-	drainer      *drainer.Drainer
+	passTimes     passTimes
+	passRequested bool // something has changed since the last pass
+	scoredPairs   int  // pairs of job and machine scored so far, for logs
+	preemptor     *preemption.Preemptor
+	consolidator  *consolidation.Consolidator
+	scaler        *scaling.Scaler
+	drainer       *drainer.Drainer
 }
 
-// passTimes are the times of scheduling passes and of looking for expired leases.
+// passTimes holds the times of scheduling passes and of checks for expired leases.
 type passTimes struct {
-	last       time.Time
-	next       time.Time // no sooner
-	lastExpiry time.Time
+	last            time.Time
+	earliestNext    time.Time // earliest time of the next pass
+	lastExpiryCheck time.Time
 }
 
-// New returns an empty state for a term won at now. grace is how long a
-// leader without the key-value store goes on answering heartbeats.
+// New returns an empty state for a term that begins at now. grace is how long a leader that
+// can't reach the key-value store keeps responding to heartbeats.
 func New(log zerolog.Logger, p config.Params, o config.Operator, term uint64, now time.Time, grace time.Duration) *Leader {
 	l := &Leader{
 		log:                log,
@@ -85,12 +86,12 @@
 		machines:           machines.NewRegistry(),
 		catalogue:          machines.NewCatalogue(),
 		timing:             newTiming(p.Workers, now, grace),
-		loading:            loading{pieces: records.JobPieces{}, attempts: map[taskKey]*machines.Attempt{}},
+		loading:            loadState{pieces: records.JobPieces{}, attempts: map[taskKey]*machines.Attempt{}},
 		reachability:       machines.NewReachability(),
 	}
-	l.graph = jobs.NewDependencyGraph(l.jobs, l.stageTime)
+	l.graph = jobs.NewDependencyGraph(l.jobs, l.stageDuration)
 	l.writes = records.NewWriteQueues(log, l.valueLimit())
-	l.starts = startlog.New(term, l.valueLimit(), l.writes, startlog.Callbacks{Durable: l.sendStart, Refused: l.abandonStart})
+	l.startLog = startlog.New(term, l.valueLimit(), l.writes, startlog.Callbacks{Durable: l.allowStart, Refused: l.abandonStart})
 	l.scaler = l.newScaler()
 	l.drainer = l.newDrainer()
 	l.preemptor, l.consolidator = l.newPreemptor(), l.newConsolidator()
@@ -100,19 +101,20 @@
 // Term is the term of this state.
 func (l *Leader) Term() uint64 { return l.term }
 
-// CatalogueKnown reports whether submissions can be decided: the machine types are known.
+// CatalogueKnown reports whether the machine types are known. No submission can be accepted
+// before that.
 func (l *Leader) CatalogueKnown() bool { return l.catalogue.Known() }
 
-// nextAttempt returns the number of another attempt: the term keeps it from being one that
-// another leader has given.
-func (l *Leader) nextAttempt() uint64 {
-	l.attempts++
-	return l.term<<32 | l.attempts
+// nextAttemptNumber returns a new attempt number. The term in its upper 32 bits makes it differ from
+// the numbers assigned by other leaders.
+func (l *Leader) nextAttemptNumber() uint64 {
+	l.attemptCount++
+	return l.term<<32 | l.attemptCount
 }
 
-// Stop ends the term: all waiting requests are answered that nothing is decided.
+// Stop ends the term: all waiting requests get a response with status 503.
 func (l *Leader) Stop() {
-	for _, j := range l.jobs.Sorted() { // in the order of IDs, so that a simulated run repeats
+	for _, j := range l.jobs.Sorted() { // sorted, so that simulated runs are reproducible
 		j.NotifyWaiters(false)
 	}
 }
--- a/internal/leader/leases.go
+++ b/internal/leader/leases.go
@@ -21,13 +21,13 @@
 }
 
 // releaseExpired releases the attempts on a machine whose lease has expired, except for starts
-// sent by a direct call without a reply: should the agent have been replaced by a
-// new one, which counts its sessions anew, they could still run there. Unless
-// a heartbeat of a new session comes soon, the machine is released.
+// sent by a direct call that got no reply. If a new agent has replaced the known one and numbers
+// its sessions from the beginning, these starts could still run there. Unless a heartbeat of a
+// new session arrives soon, the machine is released.
 func (l *Leader) releaseExpired(now time.Time, m *machines.Machine) {
 	for i := len(m.Attempts()) - 1; i >= 0; i-- {
 		if a := m.Attempts()[i]; !a.MayStartLate() {
-			l.release(now, a)
+			l.releaseAttempt(now, a)
 		}
 	}
 	m.ClearExited()
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -14,28 +14,28 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// loading is what is kept only while stored records are loaded.
-type loading struct {
+// loadState holds what is needed only while stored records are loaded.
+type loadState struct {
 	pieces records.JobPieces // parts of job records, by key
-	// attempts are those known from start records, the newest of each task.
+	// attempts holds the newest attempt of each task that start records name.
 	attempts map[taskKey]*machines.Attempt
 }
 
-// taskKey names a task of a job.
+// taskKey identifies a task of a job.
 type taskKey struct {
 	job   *jobs.Job
 	index int32
 }
 
-// LoadRecord loads one stored record; wall and now relate the time of day in
-// the records to the steady clock. Records must come in records.LoadOrder. The error is a
-// records.CorruptError, or nil if the service can do without the record.
+// LoadRecord loads one stored record. now and wall are the same instant on the monotonic clock
+// and in time of day, which records contain. Records must come in records.LoadOrder. The error
+// is a records.CorruptError, or nil if the service can do without the record.
 func (l *Leader) LoadRecord(now, wall time.Time, item wire.KeyValue) error {
 	kind, id, ok := records.ParseKey(item.Key)
 	if !ok {
 		return nil
 	}
-	err := l.load(now, wall, kind, id, item)
+	err := l.loadKind(now, wall, kind, id, item)
 	switch {
 	case err == nil:
 		return nil
@@ -46,11 +46,11 @@
 	return &records.CorruptError{Key: item.Key, Err: err}
 }
 
-// load loads a record of a kind; id is the rest of its key.
-func (l *Leader) load(now, wall time.Time, kind records.Kind, id string, item wire.KeyValue) error {
+// loadKind loads a record of the given kind; id is the rest of its key.
+func (l *Leader) loadKind(now, wall time.Time, kind records.Kind, id string, item wire.KeyValue) error {
 	switch kind {
 	case records.KindMachineTypes:
-		return l.loadTypes(item.Value)
+		return l.loadMachineTypes(item.Value)
 	case records.KindJobPiece:
 		return l.loading.pieces.Add(item.Key, item.Value)
 	case records.KindJob:
@@ -58,7 +58,7 @@
 	case records.KindCompletions:
 		return l.loadCompletions(id, item)
 	case records.KindFinalState:
-		return l.loadFinal(id, item.Value)
+		return l.loadFinalState(id, item.Value)
 	case records.KindMachineStarts:
 		starts, err := records.DecodeMachineStarts(id, item.Value)
 		if err != nil {
@@ -79,17 +79,17 @@
 	return nil
 }
 
-func (l *Leader) loadTypes(value json.RawMessage) error {
+func (l *Leader) loadMachineTypes(value json.RawMessage) error {
 	types, err := records.DecodeMachineTypes(value)
 	if err != nil {
 		return err
 	}
-	l.catalogue.SetStored(value) // nothing to be written
+	l.catalogue.SetStored(value) // already stored: needs no write
 	l.SetMachineTypes(types)
 	return nil
 }
 
-// loadJob loads a job's record; its pieces have been loaded before.
+// loadJob loads a job's record, whose pieces have been loaded before.
 func (l *Leader) loadJob(now, wall time.Time, id string, value json.RawMessage) error {
 	stored, err := records.DecodeJob(id, value, l.loading.pieces)
 	if err != nil {
@@ -102,11 +102,11 @@
 	return nil
 }
 
-// loadCompletions loads completed tasks of a job.
+// loadCompletions loads a record of completed tasks of a job.
 func (l *Leader) loadCompletions(id string, item wire.KeyValue) error {
 	j := l.jobs.Get(records.CompletionsJob(id))
 	if j == nil {
-		// Left by a leader of an earlier version, which doesn't know of it.
+		// A leader of an earlier version, which does not know of this record, left it behind.
 		l.writes.Background.Delete(item.Key)
 		return nil
 	}
@@ -114,8 +114,8 @@
 	return records.DecodeCompletions(item.Value, j.Tasks, j.RestoreCompletion)
 }
 
-// loadFinal loads how a job ended.
-func (l *Leader) loadFinal(id string, value json.RawMessage) error {
+// loadFinalState loads the final state of a job.
+func (l *Leader) loadFinalState(id string, value json.RawMessage) error {
 	f, err := records.DecodeFinalState(value)
 	if err != nil {
 		return err
@@ -130,9 +130,9 @@
 	return nil
 }
 
-// loadStarts loads a start record: its machines may have its tasks.
+// loadStarts loads a start record: the tasks that it lists may be on its machines.
 func (l *Leader) loadStarts(now time.Time, key string, starts *records.Starts) error {
-	rec := l.starts.Load(key)
+	rec := l.startLog.Load(key)
 	for _, machine := range starts.Machines {
 		m := l.machines.Get(machine.ID)
 		if m == nil {
@@ -154,7 +154,7 @@
 }
 
 // loadAttempt records that a task may be on a machine.
-func (l *Leader) loadAttempt(now time.Time, rec *startlog.Record, m *machines.Machine, j *jobs.Job, index int32) {
+func (l *Leader) loadAttempt(now time.Time, record *startlog.Record, m *machines.Machine, j *jobs.Job, index int32) {
 	if j.IsCompleted(index) {
 		// A stored completion proves that the task has exited and is
 		// not started again.
@@ -163,41 +163,41 @@
 	task := taskKey{j, index}
 	earlier := l.loading.attempts[task]
 	a := machines.NewAttempt(m, j, index, now)
-	rec.AddLoaded(a)
+	record.AddLoaded(a)
 	l.ledger.Allocate(a)
 	l.loading.attempts[task] = a
 	if earlier != nil {
-		// It was started again since, so it had left that place.
-		l.release(now, earlier)
+		// The task was started again later, so it had left the earlier machine.
+		l.releaseAttempt(now, earlier)
 	}
 }
 
-// FinishLoading ends the loading: tasks that may be on no machine can be placed.
+// FinishLoading completes the loading, after which tasks that are on no machine can be placed.
 func (l *Leader) FinishLoading(now time.Time) {
-	l.starts.FinishLoading()
+	l.startLog.FinishLoading()
 	for _, key := range slices.Sorted(maps.Keys(l.loading.pieces)) {
-		// Of a job that was not accepted, or is over.
+		// The remaining pieces belong to jobs that were not accepted or have ended.
 		l.writes.Background.Delete(key)
 	}
 	loaded := l.jobs.Sorted()
 	l.linkLoadedJobs(loaded)
 	for _, j := range loaded {
 		if len(j.DependsOn) > 0 {
-			// When the last job that it depends on was done is not stored.
+			// The time at which its last dependency was done is not stored.
 			j.BeginWaiting(now)
 		}
 		if j.IsActive() && j.AllCompleted() {
-			l.end(now, j, jobs.Done, &l.writes.Interactive)
+			l.endJob(now, j, jobs.Done, &l.writes.Interactive)
 		}
-		l.releaseIfUnblocked(now, j)
+		l.makeReadyIfUnblocked(now, j)
 		l.removeIfFinished(j)
 	}
 	for l.graph.HasToCancel() {
-		// All of them, before any request is answered.
+		// Cancel all dependent jobs before any request gets a response.
 		l.processDependencyChanges(now)
 	}
 	l.drainer.FinishLoading()
-	l.loading = loading{}
-	l.changed = true
+	l.loading = loadState{}
+	l.passRequested = true
 	l.log.Info().Int("jobs", l.jobs.Len()).Int("ended", l.jobs.EndedJobs()).Int("machines", l.machines.Len()).Msg("records loaded")
 }
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -9,9 +9,9 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// addMachine adds a machine that is not known.
-func (l *Leader) addMachine(now time.Time, id, typ, zone, addr string, spot bool) *machines.Machine {
-	m := machines.New(now, id, typ, zone, addr, spot)
+// addMachine adds a machine that has not been known before.
+func (l *Leader) addMachine(now time.Time, id, machineType, zone, addr string, spot bool) *machines.Machine {
+	m := machines.New(now, id, machineType, zone, addr, spot)
 	l.machines.Add(m)
 	l.drainer.ApplyCordon(m)
 	l.setCapacity(m)
@@ -19,9 +19,9 @@
 }
 
 // machinesKnown reports whether the machine types are known and a machine list has been applied.
-func (l *Leader) machinesKnown() bool { return l.CatalogueKnown() && l.lists.applied > 0 }
+func (l *Leader) machinesKnown() bool { return l.CatalogueKnown() && l.machineLists.applied > 0 }
 
-// setCapacity sets the machine's capacity once its type is known.
+// setCapacity sets the machine's capacity if its type is known.
 func (l *Leader) setCapacity(m *machines.Machine) {
 	if l.catalogue.Has(m.Type) {
 		m.SetCapacity(placement.MachineCapacity(l.catalogue.Type(m.Type)))
@@ -29,7 +29,7 @@
 	m.MarkSnapshotOutdated()
 }
 
-// SetMachineTypes applies the cloud's catalogue.
+// SetMachineTypes applies the cloud's catalogue of machine types.
 func (l *Leader) SetMachineTypes(types []wire.MachineType) {
 	if len(types) == 0 {
 		return
@@ -41,33 +41,34 @@
 	for _, m := range l.machines.All() {
 		l.setCapacity(m)
 	}
-	l.changed = true
+	l.passRequested = true
 }
 
-// release counts an attempt no more whose task certainly is no longer on its machine.
-func (l *Leader) release(now time.Time, a *machines.Attempt) {
+// releaseAttempt releases the allocation of an attempt whose task is certainly no longer on its
+// machine.
+func (l *Leader) releaseAttempt(now time.Time, a *machines.Attempt) {
 	if !a.IsAllocated() {
 		return
 	}
 	a.SaveProgress(now)
 	l.drainer.CountInterruption(now, a)
 	last := l.ledger.Release(now, a)
-	l.starts.Remove(a)
+	l.startLog.Remove(a)
 	if last {
-		l.changed = true
+		l.passRequested = true
 		l.removeIfFinished(a.Job)
 	}
 }
 
-// releaseAll releases all attempts on a machine that no longer exists.
-func (l *Leader) releaseAll(now time.Time, m *machines.Machine) {
+// releaseAllAttempts releases all attempts on a machine that no longer exists.
+func (l *Leader) releaseAllAttempts(now time.Time, m *machines.Machine) {
 	for len(m.Attempts()) > 0 {
-		l.release(now, m.Attempts()[len(m.Attempts())-1])
+		l.releaseAttempt(now, m.Attempts()[len(m.Attempts())-1])
 	}
 	m.ClearExited()
 }
 
-// acceptsWork reports whether a machine takes new tasks.
-func (l *Leader) acceptsWork(now time.Time, m *machines.Machine) bool {
+// isSchedulable reports whether new tasks may be assigned to a machine.
+func (l *Leader) isSchedulable(now time.Time, m *machines.Machine) bool {
 	return m.AcceptsWork(now, &l.timing)
 }
--- a/internal/leader/pass.go
+++ b/internal/leader/pass.go
@@ -11,13 +11,13 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Tick does what time and changes have made due: leases that have expired,
-// completions to write and, with authority, a scheduling pass.
+// Tick carries out the work that is due: dependency changes, writes of completions, checks for
+// expired leases and, with authority, a scheduling pass.
 func (l *Leader) Tick(now time.Time, authority bool) {
 	l.processDependencyChanges(now)
-	l.flushDone(now)
-	if now.Sub(l.passes.lastExpiry) >= tuning.TickInterval {
-		l.passes.lastExpiry = now
+	l.flushCompletions(now)
+	if now.Sub(l.passTimes.lastExpiryCheck) >= tuning.TickInterval {
+		l.passTimes.lastExpiryCheck = now
 		l.expireLeases(now)
 	}
 	if authority && l.passIsDue(now) {
@@ -25,89 +25,92 @@
 	}
 }
 
-// maxPassInterval is the time after which a pass runs although nothing has changed.
+// maxPassInterval is the time after which a pass runs even if nothing has changed.
 const maxPassInterval = time.Second
 
-// passIsDue reports whether a scheduling pass is to run now.
+// passIsDue reports whether a scheduling pass is due.
 func (l *Leader) passIsDue(now time.Time) bool {
-	return !now.Before(l.passes.next) && (l.changed || now.Sub(l.passes.last) >= maxPassInterval)
+	return !now.Before(l.passTimes.earliestNext) && (l.passRequested || now.Sub(l.passTimes.last) >= maxPassInterval)
 }
 
-// runPass runs a scheduling pass; the more it has to score, the later the next one comes.
+// runPass runs a scheduling pass. The delay before the next pass grows with the number of pairs
+// scored.
 func (l *Leader) runPass(now time.Time) {
-	l.changed = false
-	l.passes.last = now
-	before := l.scores
-	l.place(now)
-	l.passes.next = now.Add(tuning.PassInterval + time.Duration(l.scores-before)*tuning.PassDelayPerScoredPair)
+	l.passRequested = false
+	l.passTimes.last = now
+	before := l.scoredPairs
+	l.placeReadyTasks(now)
+	l.passTimes.earliestNext = now.Add(tuning.PassInterval + time.Duration(l.scoredPairs-before)*tuning.PassDelayPerScoredPair)
 	l.consolidate(now)
 }
 
-// place places ready tasks by the placement rule, and records their starts.
-func (l *Leader) place(now time.Time) {
+// placeReadyTasks places ready tasks on machines and queues the records of their starts. It then
+// preempts tasks, unless the placement was truncated.
+func (l *Leader) placeReadyTasks(now time.Time) {
 	ready, byID := l.readyJobs(now)
 	if len(ready) == 0 {
 		return
 	}
-	open := l.openMachines(now, highestPriority(ready))
-	if len(open) == 0 {
+	candidates := l.schedulableMachines(now, highestPriorityRank(ready))
+	if len(candidates) == 0 {
 		return
 	}
 	agedJobs := map[*jobs.Job]bool{}
 	for _, j := range byID {
 		agedJobs[j] = j.SincePlacement(now) >= tuning.AgingThreshold
 	}
-	starts, work := placement.Run(l.clock(now), l.withAged(now, ready, byID), open, l.ledger.PlacementTeams(), tuning.PassMaxStarts)
-	l.scores += work.ScoredPairs
+	starts, work := placement.Run(l.placementTimeS(now), l.withAgedFirst(now, ready, byID), candidates, l.ledger.PlacementTeams(), tuning.PassMaxStarts)
+	l.scoredPairs += work.ScoredPairs
 	for _, s := range starts {
 		j := byID[s.Job]
-		l.start(now, j, l.machines.Get(s.Machine), agedJobs[j])
+		l.startTask(now, j, l.machines.Get(s.Machine), agedJobs[j])
 	}
 	if work.Truncated {
-		l.changed = true
+		l.passRequested = true
 		return
 	}
 	l.preempt(now, ready, byID)
 }
 
-// highestPriority is the highest priority of the jobs.
-func highestPriority(ready []*placement.PendingJob) int {
+// highestPriorityRank returns the rank of the highest priority among the jobs.
+func highestPriorityRank(ready []*placement.PendingJob) int {
 	return slices.MinFunc(ready, func(a, b *placement.PendingJob) int { return cmp.Compare(a.PriorityRank, b.PriorityRank) }).PriorityRank
 }
 
-// openMachines are the machines that take work, as the pass sees them. A reservation
-// lasts only as long as there is work that it may be for.
-func (l *Leader) openMachines(now time.Time, highest int) []*placement.Machine {
-	var open []*placement.Machine
+// schedulableMachines returns the schedulable machines as the pass sees them. A reservation
+// applies only while there is ready work of its rank or above.
+func (l *Leader) schedulableMachines(now time.Time, highestRank int) []*placement.Machine {
+	var candidates []*placement.Machine
 	for _, m := range l.machines.All() {
-		if !l.acceptsWork(now, m) {
+		if !l.isSchedulable(now, m) {
 			continue
 		}
 		view := l.snapshot(now, m)
 		rank, reserved := m.Reservation(now)
-		view.HasReservation, view.ReservedRank = reserved && highest <= rank, rank
-		open = append(open, view)
+		view.HasReservation, view.ReservedRank = reserved && highestRank <= rank, rank
+		candidates = append(candidates, view)
 	}
-	return open
+	return candidates
 }
 
-// start puts the next ready task of a job on a machine. The start may be sent only once
-// the record of it is durable: a successor must know which machine may have the task.
-func (l *Leader) start(now time.Time, j *jobs.Job, m *machines.Machine, afterLongWait bool) {
+// startTask assigns the next ready task of a job to a machine. The start may be sent only once
+// its record is durable, because a successor must know which machine may have the task.
+func (l *Leader) startTask(now time.Time, j *jobs.Job, m *machines.Machine, aged bool) {
 	index := j.PlaceNext(now)
-	a := machines.NewPendingAttempt(m, j, index, now, l.nextAttempt(), afterLongWait)
+	a := machines.NewPendingAttempt(m, j, index, now, l.nextAttemptNumber(), aged)
 	l.ledger.Allocate(a)
-	l.starts.Add(a)
+	l.startLog.Add(a)
 }
 
-// sendStart lets a start be sent whose record is durable.
-func (l *Leader) sendStart(a *machines.Attempt) {
+// allowStart lets a start be sent once its record is durable.
+func (l *Leader) allowStart(a *machines.Attempt) {
 	a.MarkRecorded()
-	l.calls.schedule(a.Machine)
+	l.directCalls.schedule(a.Machine)
 }
 
-// abandonStart lets a task be placed anew whose start can't be recorded: it has not been sent.
-func (l *Leader) abandonStart(a *machines.Attempt) { l.release(a.OrderedAt(), a) }
+// abandonStart releases an attempt whose start can't be recorded and has not been sent, so that
+// its task is placed again.
+func (l *Leader) abandonStart(a *machines.Attempt) { l.releaseAttempt(a.OrderedAt(), a) }
 
-// clock is the time of the placement rule, in seconds.
-func (l *Leader) clock(now time.Time) float64 { return now.Sub(l.timing.TermStart).Seconds() }
+// placementTimeS is the time passed to the placement algorithm, in seconds since the term began.
+func (l *Leader) placementTimeS(now time.Time) float64 { return now.Sub(l.timing.TermStart).Seconds() }
--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -12,16 +12,16 @@
 func (l *Leader) newPreemptor() *preemption.Preemptor {
 	return preemption.New(preemption.Cluster{
 		Machines:     l.machines,
-		AcceptsWork:  l.acceptsWork,
-		RemainingS:   l.remaining,
+		AcceptsWork:  l.isSchedulable,
+		RemainingS:   l.remainingS,
 		Unfinished:   l.jobs.Runnable,
 		FetchGBPerS:  func(machineType string) float64 { return l.catalogue.Type(machineType).FetchGBPerS },
 		TeamFreeCPUs: l.ledger.FreeCPUs,
-		Stopped:      l.calls.schedule,
+		Stopped:      l.directCalls.schedule,
 	})
 }
 
-// preempt makes capacity for tasks that found none.
+// preempt frees capacity for ready tasks that could not be placed.
 func (l *Leader) preempt(now time.Time, ready []*placement.PendingJob, byID map[string]*jobs.Job) {
 	if n := l.preemptor.Run(now, ready, byID); n > 0 {
 		l.log.Debug().Int("tasks", n).Msg("tasks preempted")
--- a/internal/leader/ready_jobs.go
+++ b/internal/leader/ready_jobs.go
@@ -9,28 +9,27 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// withAged puts some tasks of the jobs that have waited long without a start
-// before all others. Priority, urgency and size decide the order, but
-// a lasting backlog of smaller or more urgent work
-// would otherwise keep a large job from ever starting.
-func (l *Leader) withAged(now time.Time, ready []*placement.PendingJob, byID map[string]*jobs.Job) []*placement.PendingJob {
+// withAgedFirst splits off some tasks of each job that has waited long without a start, to be
+// placed before all others. Priority, urgency and size decide the order, so a lasting backlog of
+// smaller or more urgent work could otherwise starve a large job.
+func (l *Leader) withAgedFirst(now time.Time, ready []*placement.PendingJob, byID map[string]*jobs.Job) []*placement.PendingJob {
 	all := ready
 	for _, r := range ready {
 		j := byID[r.Job]
 		if j.SincePlacement(now) < tuning.AgingThreshold || j.FailsEverywhere() {
 			continue
 		}
-		first := *r
-		first.AgedS = j.SincePlacement(now).Seconds()
-		first.ReadyTasks = min(r.ReadyTasks, max(1, int(float64(j.Tasks)*tuning.AgedTaskShare)))
-		// Both share TasksInZone, and so see each other's starts.
-		r.ReadyTasks -= first.ReadyTasks
-		all = append(all, &first)
+		aged := *r
+		aged.AgedS = j.SincePlacement(now).Seconds()
+		aged.ReadyTasks = min(r.ReadyTasks, max(1, int(float64(j.Tasks)*tuning.AgedTaskShare)))
+		// Both entries share TasksInZone and so count each other's starts.
+		r.ReadyTasks -= aged.ReadyTasks
+		all = append(all, &aged)
 	}
 	return all
 }
 
-// readyJobs lists jobs with tasks to place, oldest first.
+// readyJobs returns the jobs with tasks to place, oldest first, and the same jobs by ID.
 func (l *Leader) readyJobs(now time.Time) ([]*placement.PendingJob, map[string]*jobs.Job) {
 	active := l.jobs.RunnableByAge()
 	guaranteed := l.ledger.WithinGuarantee(active)
@@ -49,7 +48,7 @@
 		r.Urgency, r.ReadyTasks = l.runTimes.Urgency(now, j, l.params.Objectives, cpus), j.ReadyTasks()
 		r.EstimateS, r.Image, r.ImageGB = l.runTimes.Estimate(j), j.Image, j.ImageGB
 		if j.Failures() > 0 {
-			// A job whose tasks fail tries one at a time.
+			// A job whose tasks fail starts one task at a time.
 			r.ReadyTasks = 1
 		}
 		r.TasksInZone = maps.Clone(r.TasksInZone) // a pass adds its own starts
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -10,21 +10,21 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// reconcileTasks compares the machine's complete task list with what is known. Only a heartbeat
-// that the agent sent by itself (periodic) proves that the starts in earlier
-// responses did not run: the reply to a direct call may overtake them.
+// reconcileTasks compares the machine's complete task list with its attempts. Only a heartbeat
+// that the agent sent on its own (periodic) proves that the starts in earlier responses were not
+// executed: the reply to a direct call may overtake these responses.
 func (l *Leader) reconcileTasks(now time.Time, m *machines.Machine, r *wire.Heartbeat, periodic bool) {
-	l.listNumber++
+	l.taskListNumber++
 	m.ClearExited()
 	for i := range r.Tasks {
 		l.applyTask(now, m, &r.Tasks[i])
 	}
 	if periodic {
-		l.countIgnoredStarts(now, m)
+		l.recordIgnoredStarts(now, m)
 	}
 	l.releaseUnlisted(now, m, periodic)
 	if first := m.MarkReconciled(now); first {
-		l.changed = true
+		l.passRequested = true
 		l.log.Debug().Str("machine", m.ID).Int("tasks", len(r.Tasks)).Msg("machine reconciled")
 	}
 }
@@ -35,7 +35,7 @@
 	j := l.jobs.Get(id)
 	switch {
 	case !ok || j == nil || index >= j.Tasks:
-		// Of a job that has ended, or unknown: stopCommands stops what has not exited.
+		// The job has ended or is unknown; stopCommands stops the task if it has not exited.
 		if t.State == wire.TaskExited {
 			recordExited(m, t, true)
 		}
@@ -46,18 +46,18 @@
 	}
 }
 
-// recordExited keeps an exited entry, to be forgotten by the agent if it is unneeded.
-func recordExited(m *machines.Machine, t *wire.TaskStatus, unneeded bool) {
+// recordExited records an exited task; with forget, the agent is told to forget it.
+func recordExited(m *machines.Machine, t *wire.TaskStatus, forget bool) {
 	key := machines.ExitKey{Task: t.Task, Attempt: t.Attempt}
-	m.AddExited(key, unneeded)
+	m.AddExited(key, forget)
 }
 
-// applyExitedTask applies an entry of a task that has exited.
+// applyExitedTask applies the entry of a task that has exited.
 func (l *Leader) applyExitedTask(now time.Time, m *machines.Machine, j *jobs.Job, index int32, t *wire.TaskStatus) {
 	a := m.Find(j, index)
 	switch {
 	case a != nil && (a.Number() == t.Attempt || a.State() == machines.PossiblyStarted):
-		a.MarkExitListed(l.listNumber)
+		a.MarkExitListed(l.taskListNumber)
 		if a.State() == machines.StartSent {
 			m.RecordStartObserved()
 		}
@@ -66,25 +66,25 @@
 		}
 		l.applyExit(now, a, t)
 	case t.ExitReason == wire.ExitDone:
-		l.taskDone(now, j, index)
+		l.recordCompletion(now, j, index)
 	}
 	recordExited(m, t, t.ExitReason != wire.ExitDone || j.IsCompletionStored(index))
 }
 
-// applyLiveTask applies an entry of a task that has not exited.
+// applyLiveTask applies the entry of a task that has not exited.
 func (l *Leader) applyLiveTask(now time.Time, m *machines.Machine, j *jobs.Job, index int32, t *wire.TaskStatus) {
 	a := m.Find(j, index)
 	if a == nil {
 		a = machines.NewAttempt(m, j, index, now)
 		l.ledger.Allocate(a)
-		// No record names it any more, or none ever did, but a successor has to
-		// know of it.
-		l.starts.Add(a)
+		// No record names this attempt any more, or none ever did, but a successor has to know
+		// of it.
+		l.startLog.Add(a)
 		if j.IsActive() {
 			j.RemoveReady(index)
 		}
 	}
-	a.MarkListed(l.listNumber, t.Attempt)
+	a.MarkListed(l.taskListNumber, t.Attempt)
 	if !j.NeedsTask(int(index)) {
 		a.StopNow()
 	}
@@ -92,68 +92,68 @@
 		m.RecordStartObserved()
 	}
 	if began := a.ApplyReport(now, machines.ReportedState(t.State)); began {
-		l.countRunning(now, a)
+		l.recordRunning(now, a)
 	}
 }
 
-// countRunning notes that an attempt has begun to run.
-func (l *Leader) countRunning(now time.Time, a *machines.Attempt) {
+// recordRunning records that an attempt has begun to run.
+func (l *Leader) recordRunning(now time.Time, a *machines.Attempt) {
 	m, j := a.Machine, a.Job
 	j.AddRunning()
 	if m.HasImage(j.Image) && a.Number()>>32 == l.term {
 		l.startDelay.Observe(now.Sub(a.OrderedAt()).Seconds(), l.params.Workers.HeartbeatIntervalS)
 	}
 	m.RecordImage(now, j.Image)
-	l.changed = true
+	l.passRequested = true
 	l.drainer.CountRunning(a)
 }
 
-// countIgnoredStarts notes that starts in an earlier response had no effect.
-func (l *Leader) countIgnoredStarts(now time.Time, m *machines.Machine) {
+// recordIgnoredStarts records that an earlier response with starts had no effect.
+func (l *Leader) recordIgnoredStarts(now time.Time, m *machines.Machine) {
 	if slices.ContainsFunc(m.Attempts(), func(a *machines.Attempt) bool {
-		return !a.IsListed(l.listNumber) && a.State() == machines.StartSent && a.WasSentInResponse()
+		return !a.IsListed(l.taskListNumber) && a.State() == machines.StartSent && a.WasSentInResponse()
 	}) {
 		m.RecordIgnoredResponse(now)
 	}
 }
 
-// releaseUnlisted releases the attempts that the list just applied proves absent.
+// releaseUnlisted releases the attempts that the task list just applied proves absent.
 func (l *Leader) releaseUnlisted(now time.Time, m *machines.Machine, periodic bool) {
 	for i := len(m.Attempts()) - 1; i >= 0; i-- {
 		a := m.Attempts()[i]
 		switch {
-		case a.IsListed(l.listNumber), a.State() == machines.RecordPending:
+		case a.IsListed(l.taskListNumber), a.State() == machines.RecordPending:
 		case a.State() != machines.StartSent:
-			l.release(now, a)
+			l.releaseAttempt(now, a)
 		case a.WasSentDirectly():
 			l.scheduleFencingRelease(now, a)
 		case periodic || !a.WasSentInResponse():
-			// The start has not run and never will, as it was sent only in a
-			// response that the agent no longer waits for.
+			// The start was sent only in a response that the agent no longer waits for: it has
+			// not been executed and never will be.
 			a.MarkResponseIgnored()
-			if !a.IsWanted() || !l.acceptsWork(now, m) {
-				l.release(now, a)
+			if !a.IsWanted() || !l.isSchedulable(now, m) {
+				l.releaseAttempt(now, a)
 			}
 		}
 	}
 }
 
-// scheduleFencingRelease has a machine released in time if a start that may still reach it is of
-// a task that is not to run any more.
+// scheduleFencingRelease schedules the release of a machine if a start that may still reach it
+// is of a task that must no longer run.
 func (l *Leader) scheduleFencingRelease(now time.Time, a *machines.Attempt) {
 	m := a.Machine
 	if a.IsWanted() || m.ReleaseRequired() {
 		return
 	}
 	m.Cordon(machines.CordonLateStart)
-	from := a.Job.EndedAt()
-	if from.IsZero() {
-		from = now // only the task is done
+	fenceFrom := a.Job.EndedAt()
+	if fenceFrom.IsZero() {
+		fenceFrom = now // the task is done, but its job has not ended
 	}
-	m.RequireRelease(from.Add(lateStartBound(l.params.Workers)))
+	m.RequireRelease(fenceFrom.Add(lateStartLimit(l.params.Workers)))
 }
 
-// applyExit handles the end of an attempt by its reason.
+// applyExit handles the exit of a task by its reason.
 func (l *Leader) applyExit(now time.Time, a *machines.Attempt, t *wire.TaskStatus) {
 	m, j := a.Machine, a.Job
 	a.MarkExited(t.CheckpointSaved, t.ExitReason == wire.ExitError)
@@ -164,7 +164,7 @@
 		}
 		l.recordTaskSuccess(j, m)
 		m.RecordImage(now, j.Image)
-		l.taskDone(now, j, a.Index)
+		l.recordCompletion(now, j, a.Index)
 	case wire.ExitError:
 		l.log.Debug().Str("machine", m.ID).Str("task", t.Task).Msg("task failed")
 		j.RecordFailure(now)
@@ -174,5 +174,5 @@
 	case wire.ExitUnknown:
 		j.DelayUntil(now.Add(tuning.UnknownJobBackoff))
 	}
-	l.release(now, a)
+	l.releaseAttempt(now, a)
 }
--- a/internal/leader/requests.go
+++ b/internal/leader/requests.go
@@ -7,33 +7,33 @@
 	"switchshore.example/switchshore/internal/jobs"
 )
 
-// Query returns a job's state, 503 while that is not decided.
+// Query returns a job's state, or 503 while the job is being accepted or cancelled.
 func (l *Leader) Query(id string) Response {
 	if j := l.jobs.Get(id); j != nil && j.Undecided() {
 		return Response{Status: http.StatusServiceUnavailable, Reason: "being accepted or cancelled"}
 	}
-	r, _ := l.response(id)
+	r, _ := l.jobResponse(id)
 	return r
 }
 
-// Cancel cancels a job. It calls then at once, or when the cancellation is durable.
-func (l *Leader) Cancel(now time.Time, id string, then func(Response)) {
+// Cancel cancels a job. It calls respond at once, or when the cancellation is durable.
+func (l *Leader) Cancel(now time.Time, id string, respond func(Response)) {
 	if _, ended := l.jobs.FinalState(id); ended {
-		r, _ := l.response(id)
-		then(r)
+		r, _ := l.jobResponse(id)
+		respond(r)
 		return
 	}
 	j := l.jobs.Get(id)
 	switch {
 	case j == nil:
-		then(Response{Status: http.StatusNotFound})
+		respond(Response{Status: http.StatusNotFound})
 	case j.State().IsTerminal():
-		// Decided, and about to be stored.
-		j.AddWaiter(func(ok bool) { then(l.accepted(ok, id, http.StatusOK)) })
+		// The job has ended, but its final state is not durable yet.
+		j.AddWaiter(func(ok bool) { respond(l.decidedResponse(ok, id, http.StatusOK)) })
 	default:
-		// A submission that still waits gets the response to its acceptance, as that is
-		// written first, or to the end.
-		j.AddWaiter(func(ok bool) { then(l.accepted(ok, id, http.StatusOK)) })
-		l.end(now, j, jobs.Cancelled, &l.writes.Interactive)
+		// A submission that still waits gets its response with the acceptance, which is written
+		// first, or with the job's end.
+		j.AddWaiter(func(ok bool) { respond(l.decidedResponse(ok, id, http.StatusOK)) })
+		l.endJob(now, j, jobs.Cancelled, &l.writes.Interactive)
 	}
 }
--- a/internal/leader/response.go
+++ b/internal/leader/response.go
@@ -7,27 +7,27 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// Response is the outcome of a request: a status for the user, with a job's state or why the
-// request is rejected.
+// Response is the response to a user's request: a status, with the job's state or the reason for
+// a rejection.
 type Response struct {
-	Status  int
-	State   string
-	CompletedTasks    int
-	RunningTasks int
-	Reason  string
-	// RetryAfter is when a user whose request is rejected should come back, in seconds; 0 for
-	// the usual time.
+	Status         int
+	State          string
+	CompletedTasks int
+	RunningTasks   int
+	Reason         string
+	// RetryAfter is the number of seconds after which a rejected request should be retried, or 0
+	// for the default delay.
 	RetryAfter int
 }
 
-// IsTerminal reports whether the response stays true for good, whoever leads: any other may
-// be given only by a leader.
+// IsTerminal reports whether the job's state in the response is final, so that any node may send
+// the response. All other responses may come only from a leader.
 func (r Response) IsTerminal() bool {
 	return r.Status/100 == 2 && wire.IsTerminal(r.State)
 }
 
-// response is the state of a job; known is false if there is none.
-func (l *Leader) response(id string) (r Response, known bool) {
+// jobResponse returns the state of a job; known is false if the job does not exist.
+func (l *Leader) jobResponse(id string) (r Response, known bool) {
 	if f, ok := l.jobs.FinalState(id); ok {
 		state := wire.JobDone
 		if f.Outcome == records.OutcomeCancelled {
@@ -46,7 +46,7 @@
 	return r, true
 }
 
-// RejectedError is why a submission is not accepted, now or ever.
+// RejectedError says why a submission is rejected, for now or permanently.
 type RejectedError struct {
 	Status     int
 	Reason     string
@@ -59,13 +59,13 @@
 	return Response{Status: e.Status, Reason: e.Reason, RetryAfter: e.RetryAfter}
 }
 
-// accepted is the response to a request whose outcome is decided, or, with ok false, is not as the
-// term is over.
-func (l *Leader) accepted(ok bool, id string, status int) Response {
-	if !ok {
+// decidedResponse returns the response to a request that waited for its outcome to be durable;
+// decided is false if the term ended first.
+func (l *Leader) decidedResponse(decided bool, id string, status int) Response {
+	if !decided {
 		return Response{Status: http.StatusServiceUnavailable, Reason: "the term ended"}
 	}
-	r, _ := l.response(id)
+	r, _ := l.jobResponse(id)
 	r.Status = status
 	return r
 }
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -28,15 +28,15 @@
 		Catalogue:        l.catalogue,
 		Demand:           l.demand,
 		HeartbeatOverdue: func(now time.Time, m *machines.Machine) bool { return m.HeartbeatOverdue(now, &l.timing) },
-		RemainingS:       l.remaining,
+		RemainingS:       l.remainingS,
 		IsReplacement:    func(id string) bool { return l.drainer.IsReplacement(id) },
 		Drained:          func(o autoscale.Offer) bool { return l.drainer.BlocksProvisioning(o) },
 		Partitioned:      l.reachability.IsPartitioned,
 	})
 }
 
-// PlanScaling decides about scaling out and in, at most once per planning period, and returns
-// the calls to the cloud to be made.
+// PlanScaling decides whether to scale out and in, at most once per planning period, and returns
+// the cloud calls to be made.
 func (l *Leader) PlanScaling(now time.Time) []scaling.CloudCall {
 	if !l.machinesKnown() || !l.scaler.Due(now) {
 		return nil
@@ -50,13 +50,13 @@
 	return append(calls, l.scaler.ScaleIn(l.machinesToRelease(now, plan.ScaleIn))...)
 }
 
-// machinesToRelease lists the machines to be released, the most urgent first: those that keep
-// urgent work from starting elsewhere, unless it is this node that is isolated, then
-// those that the plan has no use for, then those that will do no more work.
+// machinesToRelease lists the machines to be released, the most urgent first: unreachable
+// machines whose work would miss its deadline, unless this node itself is isolated, then those
+// that the plan does not need, then those that will do no more work.
 func (l *Leader) machinesToRelease(now time.Time, unneeded []string) []string {
 	var names []string
 	for _, m := range l.machines.All() {
-		if !l.reachability.IsIsolated() && l.hasUrgentWork(now, m) {
+		if !l.reachability.IsIsolated() && l.hasDeadlineAtRisk(now, m) {
 			names = append(names, m.ID)
 		}
 	}
@@ -69,35 +69,36 @@
 	return names
 }
 
-// demand is the work that waits for capacity, within the teams' limits.
+// demand returns the work that waits for capacity, within the teams' limits.
 func (l *Leader) demand(now time.Time) []autoscale.Demand {
 	if l.term > 1 && now.Sub(l.timing.TermStart) < seconds.Duration(l.params.Cloud.ListLagS) {
-		// Machines that a predecessor provisioned last are not listed yet.
+		// Machines that a predecessor provisioned last may not be listed yet.
 		return nil
 	}
-	free := l.ledger.FreeCPUsByTeam()
+	freeCPUs := l.ledger.FreeCPUsByTeam()
 	ready, byID := l.readyJobs(now)
 	sort.SliceStable(ready, func(i, k int) bool { return ready[i].PriorityRank < ready[k].PriorityRank })
 	var demand []autoscale.Demand
 	for _, r := range ready {
 		j := byID[r.Job]
-		limit := int(min(max(0, free[j.Team])/max(j.CPUs, 1e-9), float64(r.ReadyTasks)))
-		// A failing job tries one task at a time, but it has to find a machine
-		// for that one: without demand of its own it could wait for ever.
-		n := min(r.ReadyTasks, limit)
-		free[j.Team] -= float64(n) * j.CPUs
-		if n == 0 {
+		taskLimit := int(min(max(0, freeCPUs[j.Team])/max(j.CPUs, 1e-9), float64(r.ReadyTasks)))
+		// A failing job starts one task at a time, but needs a machine for that task: without
+		// demand of its own it could wait forever.
+		demandedTasks := min(r.ReadyTasks, taskLimit)
+		freeCPUs[j.Team] -= float64(demandedTasks) * j.CPUs
+		if demandedTasks == 0 {
 			continue
 		}
 		demand = append(demand, autoscale.Demand{
-			Tasks: n, StartWithinS: l.startWithin(now, j), Request: j.Request(), EstimateS: r.EstimateS + float64(l.startDelay),
+			Tasks: demandedTasks, StartWithinS: l.startWithinS(now, j), Request: j.Request(), EstimateS: r.EstimateS + float64(l.startDelay),
 			MachineTypes: j.MachineTypes, Zone: j.Zone, Spot: j.Spot, AvoidMachines: j.FailedOn(),
 		})
 	}
 	return demand
 }
 
-// ProvisionDone applies the answer of a provisioning call: names, or none if it was rejected.
+// ProvisionDone applies the result of a provisioning call: the names of the machines, or none if
+// it was rejected.
 func (l *Leader) ProvisionDone(now time.Time, r wire.ProvisionRequest, names []string) {
 	call := l.scaler.ProvisionAnswered(now, r, len(names))
 	if call == nil {
@@ -114,8 +115,8 @@
 	l.log.Debug().Str("request", r.RequestID).Str("zone", r.Zone).Bool("spot", r.Spot).Int("requested", r.Count).Int("received", len(names)).Msg("machines provisioned")
 }
 
-// ReleaseDone records that machines, and all on them, no longer exist.
+// ReleaseDone records that machines have been released and no longer exist.
 func (l *Leader) ReleaseDone(now time.Time, names []string) {
 	l.scaler.ReleaseAnswered()
-	l.remove(now, names)
+	l.removeMachines(now, names)
 }
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -9,8 +9,8 @@
 	"switchshore.example/switchshore/internal/placement"
 )
 
-// snapshot describes a machine to the placement rule. It is made anew only
-// when something has changed there, or a pass has modified it.
+// snapshot describes a machine to the placement algorithm. The cached snapshot is reused until
+// the machine changes or a pass modifies it.
 func (l *Leader) snapshot(now time.Time, m *machines.Machine) *placement.Machine {
 	if s := m.CachedSnapshot(); s != nil {
 		return s
@@ -18,16 +18,16 @@
 	s := m.NewSnapshot()
 	t := l.catalogue.Type(m.Type)
 	s.FetchGBPerS, s.Price = t.FetchGBPerS, l.catalogue.Price(m)
-	at := l.clock(now)
+	nowS := l.placementTimeS(now)
 	for _, a := range m.Attempts() {
-		startsAt := at
+		startsAt := nowS
 		if !m.HasImage(a.Job.Image) && t.FetchGBPerS > 0 {
-			startsAt = l.clock(a.OrderedAt()) + placement.FetchTime(a.Job.ImageGB, t.FetchGBPerS)
+			startsAt = l.placementTimeS(a.OrderedAt()) + placement.FetchTime(a.Job.ImageGB, t.FetchGBPerS)
 			if startsAt > s.Images[a.Job.Image] {
 				s.Images[a.Job.Image] = startsAt
 			}
 		}
-		end := max(startsAt, at) + l.remaining(now, a)
+		end := max(startsAt, nowS) + l.remainingS(now, a)
 		s.PlacedTasks = append(s.PlacedTasks, placement.PlacedTask{Request: a.Job.Request(), EndS: end})
 	}
 	slices.SortStableFunc(s.PlacedTasks, func(a, b placement.PlacedTask) int { return cmp.Compare(a.EndS, b.EndS) })
--- a/internal/leader/submission.go
+++ b/internal/leader/submission.go
@@ -13,23 +13,22 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// Submit handles a valid submission without a claim of another node.
-func (l *Leader) Submit(now time.Time, wall time.Time, spec *wire.Job, then func(Response)) {
-	l.SubmitWithClaim(now, wall, spec, nil, then)
+// Submit handles a valid submission without an admission claim of another node.
+func (l *Leader) Submit(now time.Time, wall time.Time, spec *wire.Job, respond func(Response)) {
+	l.SubmitWithClaim(now, wall, spec, nil, respond)
 }
 
-// SubmitWithClaim handles a valid submission with the claim of the node that its user has
-// reached. It calls then at once, or later, when the job is durable or
-// the term is over.
-func (l *Leader) SubmitWithClaim(now time.Time, wall time.Time, spec *wire.Job, claim *admission.Claim, then func(Response)) {
+// SubmitWithClaim handles a valid submission with the admission claim of the node that received
+// it. It calls respond at once, or later, when the job is durable or the term has ended.
+func (l *Leader) SubmitWithClaim(now time.Time, wall time.Time, spec *wire.Job, claim *admission.Claim, respond func(Response)) {
 	// Until the acceptance is durable no response may mention the job, not even
 	// once its cancellation has been requested.
 	if j := l.jobs.Get(spec.ID); j != nil && j.Undecided() {
-		j.AddWaiter(func(ok bool) { then(l.accepted(ok, spec.ID, http.StatusOK)) })
+		j.AddWaiter(func(ok bool) { respond(l.decidedResponse(ok, spec.ID, http.StatusOK)) })
 		return
 	}
-	if r, known := l.response(spec.ID); known {
-		then(r)
+	if r, known := l.jobResponse(spec.ID); known {
+		respond(r)
 		return
 	}
 	rejected := l.checkSubmission(spec)
@@ -37,42 +36,42 @@
 		rejected = l.admission.check(now, spec, claim)
 	}
 	if rejected != nil {
-		then(rejected.response())
+		respond(rejected.response())
 		return
 	}
-	l.accept(now, wall, spec, then)
+	l.acceptJob(now, wall, spec, respond)
 }
 
-// checkSubmission returns why a job that is not known yet can't be accepted, or nil.
+// checkSubmission returns why a new job can't be accepted, or nil.
 func (l *Leader) checkSubmission(spec *wire.Job) *RejectedError {
 	if !l.CatalogueKnown() {
 		return &RejectedError{Status: http.StatusServiceUnavailable, Reason: "machine types not known yet"}
 	}
-	if reason := l.impossible(spec); reason != "" {
+	if reason := l.unsatisfiableReason(spec); reason != "" {
 		return &RejectedError{Status: http.StatusUnprocessableEntity, Reason: reason}
 	}
 	if rejected := l.checkDependencies(spec); rejected != nil {
 		return rejected
 	}
 	if l.admission.unfinished+spec.Tasks > tuning.MaxActiveTasks || l.writes.Interactive.Len() >= l.maxInteractiveWrites() {
-		// More than the key-value store takes while users wait for a response:
-		// queueing would only end in a timeout.
+		// The key-value store can't take more writes while users wait for a response: queueing
+		// them would only end in a timeout.
 		return &RejectedError{Status: http.StatusServiceUnavailable, Reason: "too much work queued"}
 	}
 	return nil
 }
 
-// accept stores a new job; its user gets a response when it is durable.
-func (l *Leader) accept(now time.Time, wall time.Time, spec *wire.Job, then func(Response)) {
+// acceptJob stores a new job; its user gets a response once it is durable.
+func (l *Leader) acceptJob(now time.Time, wall time.Time, spec *wire.Job, respond func(Response)) {
 	j := jobs.New(*spec, wall.UnixMilli(), now)
 	l.jobs.Add(j)
 	l.admission.countUnfinished(j.Team, j.Tasks)
 	l.graph.Link(j)
 	l.graph.SchedulePathsOfDependencies(j)
-	j.AddWaiter(func(ok bool) { then(l.accepted(ok, j.ID, http.StatusCreated)) })
+	j.AddWaiter(func(ok bool) { respond(l.decidedResponse(ok, j.ID, http.StatusCreated)) })
 	l.storeJob(j, func() {
 		if j.MarkAccepted() {
-			l.releaseIfUnblocked(now, j)
+			l.makeReadyIfUnblocked(now, j)
 		}
 		if j.IsActive() {
 			j.NotifyWaiters(true)
@@ -83,13 +82,13 @@
 	}
 }
 
-// maxInteractiveWrites is how many changes the write budget takes while a user waits.
+// maxInteractiveWrites returns how many writes the write budget allows while a user waits.
 func (l *Leader) maxInteractiveWrites() int {
 	return max(1, int(l.params.KVStore.WriteRPS*tuning.StoreWriteShare*tuning.SubmitTimeout.Seconds()))
 }
 
-// impossible says why a job can never run, or "".
-func (l *Leader) impossible(spec *wire.Job) string {
+// unsatisfiableReason returns why a job can never run, or "" if it can.
+func (l *Leader) unsatisfiableReason(spec *wire.Job) string {
 	if reason := l.ledger.AboveLimit(spec); reason != "" {
 		return reason
 	}
@@ -105,8 +104,8 @@
 	return "a task fits no allowed machine type"
 }
 
-// LimitViolation says why a job can never run, as far as the settings alone show, or "": any
-// node can say that, whether or not a leader is known.
+// LimitViolation returns why the settings alone show that a job can never run, or "". Any node
+// can call it, whether or not a leader is known.
 func LimitViolation(teams []config.Team, spec *wire.Job) string {
 	return allocation.AboveLimit(teams, spec)
 }
--- a/internal/leader/timing.go
+++ b/internal/leader/timing.go
@@ -9,22 +9,22 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// GracePeriod is how long a leader without the key-value store goes on answering
-// heartbeats: as long as possible, but such that an agent's lease added to it is still within
-// the time for cancellations.
+// GracePeriod is how long a leader that can't reach the key-value store keeps responding to
+// heartbeats. It is at most the lease time, and short enough that a lease renewed at its end
+// expires before the deadline for cancellations, with a reserve.
 func GracePeriod(w config.Workers) time.Duration {
 	return max(0, min(seconds.Duration(w.LeaseS), seconds.Duration(w.CancelDeadlineS-w.LeaseS)-tuning.GracePeriodReserve))
 }
 
-// lateStartBound is how long after the end of a job a machine may still be
-// answered on which a start of that job may come late: the rest of its lease ends
-// within the time for cancellations, with the same reserve, and with its session
-// the start is void, even if the machine can't be released.
-func lateStartBound(w config.Workers) time.Duration {
+// lateStartLimit is how long after a job's end the leader keeps responding to a machine that may
+// still receive a delayed start of that job. The machine's lease then expires before the
+// deadline for cancellations, with the same reserve as in GracePeriod. The start is void once
+// the session has expired, even if the machine can't be released.
+func lateStartLimit(w config.Workers) time.Duration {
 	return max(0, min(seconds.Duration(w.CancelDeadlineS)/tuning.FencingDivisor, seconds.Duration(w.CancelDeadlineS-w.LeaseS)-tuning.GracePeriodReserve))
 }
 
-// newTiming returns the times by which machines are judged in a term that begins now.
+// newTiming returns the timeouts that apply to machines in a term that begins now.
 func newTiming(w config.Workers, now time.Time, grace time.Duration) machines.Timing {
 	expiry := seconds.Duration(w.LeaseS*(1+tuning.ClockDrift)) + tuning.LeaseExpiryMargin
 	return machines.Timing{
@@ -32,9 +32,9 @@
 		Lease:            seconds.Duration(w.LeaseS),
 		LeaseExpiry:      expiry,
 		TermStart:        now,
-		// A predecessor's last answer comes at the latest a grace after its
-		// authority, which ended before now; the agent's lease runs from the
-		// sending of the heartbeat answered.
+		// A predecessor's authority ended before now, and it responds to heartbeats for at most
+		// the grace period after that. The agent's lease runs from the time at which it sent the
+		// heartbeat.
 		InheritedUntil: now.Add(grace + expiry),
 	}
 }
