--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -105,8 +105,8 @@
 // before that.
 func (l *Leader) CatalogueKnown() bool { return l.catalogue.Known() }
 
-// nextAttemptNumber returns a new attempt number. The term in its upper 32 bits makes it differ from
-// the numbers assigned by other leaders.
+// nextAttemptNumber returns a new attempt number. The term in its upper 32 bits makes it differ
+// from the numbers assigned by other leaders.
 func (l *Leader) nextAttemptNumber() uint64 {
 	l.attemptCount++
 	return l.term<<32 | l.attemptCount
