--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -98,7 +98,7 @@
 	return l
 }
 
-// Term is the term of this state.
+// Term returns the term of this state.
 func (l *Leader) Term() uint64 { return l.term }
 
 // CatalogueKnown reports whether the machine types are known. No submission can be accepted
--- a/internal/leader/machine_list.go
+++ b/internal/leader/machine_list.go
@@ -42,7 +42,7 @@
 	m.ApplyListed(requestedAt, now, row)
 }
 
-// longestListLag is the maximum age of a machine list relative to the request for it: twice the
+// longestListLag returns the maximum age of a machine list relative to the request for it: twice the
 // list lag of the cloud, with clock drift.
 func (l *Leader) longestListLag() time.Duration {
 	return seconds.Duration(l.params.Cloud.ListLagS * (1 + tuning.ClockDrift) * 2)
--- a/internal/leader/pass.go
+++ b/internal/leader/pass.go
@@ -112,5 +112,5 @@
 // its task is placed again.
 func (l *Leader) abandonStart(a *machines.Attempt) { l.releaseAttempt(a.OrderedAt(), a) }
 
-// placementTimeS is the time passed to the placement algorithm, in seconds since the term began.
+// placementTimeS returns the time for the placement algorithm, in seconds since the term began.
 func (l *Leader) placementTimeS(now time.Time) float64 { return now.Sub(l.timing.TermStart).Seconds() }
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -5,7 +5,7 @@
 	"switchshore.example/switchshore/internal/records"
 )
 
-// valueLimit is the maximum size of a value in the key-value store, in bytes.
+// valueLimit returns the maximum size of a value in the key-value store, in bytes.
 func (l *Leader) valueLimit() int { return int(l.params.KVStore.ValueKB * 1024) }
 
 // storeJob queues the writes of a job's record and calls onDurable once all are durable.
--- a/internal/leader/timing.go
+++ b/internal/leader/timing.go
@@ -9,14 +9,14 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// GracePeriod is how long a leader that can't reach the key-value store keeps responding to
+// GracePeriod returns how long a leader that can't reach the key-value store keeps responding to
 // heartbeats. It is at most the lease time, and short enough that a lease renewed at its end
 // expires before the deadline for cancellations, with a reserve.
 func GracePeriod(w config.Workers) time.Duration {
 	return max(0, min(seconds.Duration(w.LeaseS), seconds.Duration(w.CancelDeadlineS-w.LeaseS)-tuning.GracePeriodReserve))
 }
 
-// lateStartLimit is how long after a job's end the leader keeps responding to a machine that may
+// lateStartLimit returns how long after a job's end the leader keeps responding to a machine that may
 // still receive a delayed start of that job. The machine's lease then expires before the
 // deadline for cancellations, with the same reserve as in GracePeriod. The start is void once
 // the session has ended, even if the machine can't be released.
