--- a/internal/leader/machine_list.go
+++ b/internal/leader/machine_list.go
@@ -42,8 +42,8 @@
 	m.ApplyListed(requestedAt, now, row)
 }
 
-// longestListLag returns the maximum age of a machine list relative to the request for it: twice the
-// list lag of the cloud, with clock drift.
+// longestListLag returns the maximum age of a machine list relative to the request for it: twice
+// the list lag of the cloud, with clock drift.
 func (l *Leader) longestListLag() time.Duration {
 	return seconds.Duration(l.params.Cloud.ListLagS * (1 + tuning.ClockDrift) * 2)
 }
--- a/internal/leader/timing.go
+++ b/internal/leader/timing.go
@@ -16,10 +16,10 @@
 	return max(0, min(seconds.Duration(w.LeaseS), seconds.Duration(w.CancelDeadlineS-w.LeaseS)-tuning.GracePeriodReserve))
 }
 
-// lateStartLimit returns how long after a job's end the leader keeps responding to a machine that may
-// still receive a delayed start of that job. The machine's lease then expires before the
-// deadline for cancellations, with the same reserve as in GracePeriod. The start is void once
-// the session has ended, even if the machine can't be released.
+// lateStartLimit returns how long after a job's end the leader keeps responding to a machine
+// that may still receive a delayed start of that job. The machine's lease then expires before
+// the deadline for cancellations, with the same reserve as in GracePeriod. The start is void
+// once the session has ended, even if the machine can't be released.
 func lateStartLimit(w config.Workers) time.Duration {
 	return max(0, min(seconds.Duration(w.CancelDeadlineS)/tuning.FencingDivisor, seconds.Duration(w.CancelDeadlineS-w.LeaseS)-tuning.GracePeriodReserve))
 }
