--- a/internal/leader/consolidation.go
+++ b/internal/leader/consolidation.go
@@ -10,11 +10,11 @@
 func (l *Leader) newConsolidator() *consolidation.Consolidator {
 	return consolidation.New(consolidation.Cluster{
 		Machines:       l.machines,
-		IsSchedulable:  l.acceptsWork,
+		IsSchedulable:  l.isSchedulable,
 		ActiveJobs:     l.jobs.RunnableByAge,
 		Price:          l.catalogue.Price,
-		RemainingS:     l.remaining,
-		OnConsolidated: l.calls.schedule,
+		RemainingS:     l.remainingS,
+		OnConsolidated: l.directCalls.schedule,
 	})
 }
 
