--- a/internal/leader/admission_test.go
+++ b/internal/leader/admission_test.go
@@ -15,8 +15,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// sheddingLeader is a leader with admission control on that turns new jobs away, as users'
-// changes have waited for long. One job, job-1, is accepted.
+// sheddingLeader returns a leader that has accepted job-1 and now rejects new jobs, because the
+// changes that users wait for have been queued for too long.
 func sheddingLeader(t *testing.T) *testLeader {
 	t.Helper()
 	operator := config.Operator{Admission: &config.Admission{}}
@@ -30,67 +30,68 @@
 	l.UpdateAdmission(l.now, l.now, 0, nil)
 	for round := range 5 {
 		for i := range 120 {
-			l.Submit(l.now, l.now, spec(fmt.Sprintf("job-7%d%03d", round, i)), func(leader.Response) {})
+			l.Submit(l.now, l.now, newJob(fmt.Sprintf("job-7%d%03d", round, i)), func(leader.Response) {})
 		}
 		l.now = l.now.Add(time.Second)
 		l.UpdateAdmission(l.now, l.now, 0, nil)
 	}
 	if s, on := l.AdmissionSummary(); !on || !s.Shedding {
-		t.Fatalf("doesn't shed: %+v", s)
+		t.Fatalf("does not shed load: %+v", s)
 	}
 	return l
 }
 
-// submitClaimed submits a job and returns the answer, status 0 if it has to wait.
-func (l *testLeader) submitClaimed(j *wire.Job, claim *admission.Claim) (got leader.Response) {
+// submitWithClaim submits a job and returns the response, which has status 0 if there is none yet.
+func (l *testLeader) submitWithClaim(j *wire.Job, claim *admission.Claim) (got leader.Response) {
 	l.SubmitWithClaim(l.now, l.now, j, claim, func(v leader.Response) { got = v })
 	return got
 }
 
-// TestSheddingKnowsAcceptedJobs: while new jobs are rejected, with a time to come back, a
-// repeat of an accepted one is answered with its state, and what can never run stays 422.
-func TestSheddingKnowsAcceptedJobs(t *testing.T) {
+// TestSheddingRejectsOnlyNewJobs checks that, while admission control sheds load, a new job gets 429
+// with a retry time, a repeated submission of an accepted job gets its state, and a job that can
+// never run still gets 422.
+func TestSheddingRejectsOnlyNewJobs(t *testing.T) {
 	l := sheddingLeader(t)
-	l.commit() // up to here the queue's own bound refuses
-	refused := 0
+	l.commit() // until then, the bound of the write queue rejects the jobs
+	rejected := 0
 	for i := range 50 {
-		if v := l.submitClaimed(spec(fmt.Sprint("job-8", i)), nil); v.Status == 429 && v.RetryAfter >= 1 {
-			refused++
+		if v := l.submitWithClaim(newJob(fmt.Sprint("job-8", i)), nil); v.Status == 429 && v.RetryAfter >= 1 {
+			rejected++
 		}
 	}
-	if refused < 40 {
-		t.Errorf("%d of 50 turned away", refused)
+	if rejected < 40 {
+		t.Errorf("%d of 50 new jobs rejected", rejected)
 	}
-	if v := l.submitClaimed(spec("job-1"), nil); v.Status != 200 {
-		t.Errorf("a repeat of an accepted job: %+v", v)
+	if v := l.submitWithClaim(newJob("job-1"), nil); v.Status != 200 {
+		t.Errorf("repeated submission of an accepted job: %+v", v)
 	}
-	odd := spec("job-2")
-	odd.Team = "nobody"
-	if v := l.submitClaimed(odd, nil); v.Status != 422 {
-		t.Errorf("an unknown team: %+v", v)
+	unknownTeam := newJob("job-2")
+	unknownTeam.Team = "nobody"
+	if v := l.submitWithClaim(unknownTeam, nil); v.Status != 422 {
+		t.Errorf("submission of an unknown team: %+v", v)
 	}
 	if v := l.Query("job-1"); v.Status != 200 {
-		t.Errorf("a question: %+v", v)
+		t.Errorf("query: %+v", v)
 	}
 	cancelled := false
 	l.Cancel(l.now, "job-1", func(v leader.Response) { cancelled = v.Status == 200 })
 	l.commit()
 	if !cancelled {
-		t.Error("a cancellation is not carried out")
+		t.Error("cancellation not carried out")
 	}
 }
 
-// TestAcceptedJobsGoOnUnderOverload: acceptances that wait must not fill every transaction,
-// or nothing that was accepted would begin; whether or not admission control is on.
-func TestAcceptedJobsGoOnUnderOverload(t *testing.T) {
+// TestAcceptedJobsStartUnderOverload checks, with admission control on and off, that queued
+// acceptances do not fill every transaction. Otherwise no accepted job would start.
+func TestAcceptedJobsStartUnderOverload(t *testing.T) {
 	off := newLeader(t, 5, start, map[string]json.RawMessage{})
 	off.submit("job-1")
 	for i := range 120 {
-		off.Submit(off.now, off.now, spec(fmt.Sprint("job-7", i)), func(leader.Response) {})
+		off.Submit(off.now, off.now, newJob(fmt.Sprint("job-7", i)), func(leader.Response) {})
 	}
 	for name, l := range map[string]*testLeader{"on": sheddingLeader(t), "off": off} {
-		l.report("m1", 1)
-		l.pass(time.Second)
+		l.sendHeartbeat("m1", 1)
+		l.tickAfter(time.Second)
 		starts, acceptances := 0, 0
 		for _, w := range l.NextBatch(8, 0).Mutations {
 			if strings.HasPrefix(w.Put, "s/") {
@@ -106,9 +107,9 @@
 	}
 }
 
-// TestSettingsDecideAlone: a node without a leader finds the same jobs impossible, as far as
-// the settings tell, as a leader does.
-func TestSettingsDecideAlone(t *testing.T) {
+// TestLimitViolationAgreesWithLeader checks that LimitViolation, which a node uses without a leader,
+// finds the same jobs impossible as a leader does.
+func TestLimitViolationAgreesWithLeader(t *testing.T) {
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
 	for i, change := range []func(*wire.Job){
 		func(*wire.Job) {},
@@ -116,11 +117,11 @@
 		func(j *wire.Job) { j.CPUs = 17 },
 		func(j *wire.Job) { j.GPUs = 1 },
 	} {
-		j := spec(fmt.Sprint("job-3", i))
+		j := newJob(fmt.Sprint("job-3", i))
 		change(j)
-		why := leader.LimitViolation(params.Teams, j)
-		if v := l.submitClaimed(j, nil); (why != "") != (v.Status == 422) || why != v.Reason {
-			t.Errorf("%d: %q, a leader says %+v", i, why, v)
+		reason := leader.LimitViolation(params.Teams, j)
+		if v := l.submitWithClaim(j, nil); (reason != "") != (v.Status == 422) || reason != v.Reason {
+			t.Errorf("%d: got %q, the leader responds %+v", i, reason, v)
 		}
 	}
 }
--- a/internal/leader/benchmark_test.go
+++ b/internal/leader/benchmark_test.go
@@ -15,18 +15,18 @@
 
 const (
 	benchmarkMachines = 4000
-	tasksPerMachine   = 4 // of two CPUs each, on eight
-	// benchmarkEstimateS is longer than any benchmark: the rule would otherwise wait for
-	// machines that look as if they were about to be free.
+	tasksPerMachine   = 4 // of 2 CPUs each, on machines of 8
+	// benchmarkEstimateS is longer than any benchmark runs. With a shorter estimate the placement
+	// algorithm would wait for machines that seem to become free soon.
 	benchmarkEstimateS = 1e6
 )
 
-// benchmarkAgent is a machine whose tasks run until they are told to end.
+// benchmarkAgent is an agent whose tasks run until completeNewest ends them.
 type benchmarkAgent struct {
 	heartbeat wire.Heartbeat
 }
 
-// benchmarkCluster is a leader with agents that never fail.
+// benchmarkCluster is a leader and agents that never fail.
 type benchmarkCluster struct {
 	*leader.Leader
 	b      *testing.B
@@ -35,7 +35,7 @@
 	jobs   int
 }
 
-// newBenchmarkCluster returns a leader to which all machines have reported.
+// newBenchmarkCluster returns a leader that has received a heartbeat of every agent.
 func newBenchmarkCluster(b *testing.B) *benchmarkCluster {
 	b.Helper()
 	settings := params
@@ -50,12 +50,12 @@
 			Machine: name, Addr: name + ":9", Type: bigType.Name, Zone: "a", AgentEpoch: 1, FencingToken: l.Term(),
 		}})
 	}
-	c.reportAll()
+	c.sendAllHeartbeats()
 	return c
 }
 
-// report sends an agent's heartbeat and carries out the commands in the response.
-func (c *benchmarkCluster) report(a *benchmarkAgent) {
+// sendHeartbeat sends an agent's heartbeat and executes the commands in the response.
+func (c *benchmarkCluster) sendHeartbeat(a *benchmarkAgent) {
 	a.heartbeat.Sequence++
 	response, outcome := c.HandleHeartbeat(c.now, &a.heartbeat, true)
 	if outcome != leader.HeartbeatApplied {
@@ -77,17 +77,17 @@
 	}
 }
 
-// reportAll sends a heartbeat of every agent.
-func (c *benchmarkCluster) reportAll() {
+// sendAllHeartbeats sends a heartbeat of every agent.
+func (c *benchmarkCluster) sendAllHeartbeats() {
 	for _, a := range c.agents {
-		c.report(a)
+		c.sendHeartbeat(a)
 	}
 }
 
-// submit has a job accepted.
+// submit submits a job and commits it.
 func (c *benchmarkCluster) submit(class string, tasks int) {
 	c.jobs++
-	job := spec(fmt.Sprintf("job-%d", c.jobs))
+	job := newJob(fmt.Sprintf("job-%d", c.jobs))
 	job.Class, job.Tasks, job.EstimateS = class, tasks, benchmarkEstimateS
 	c.Submit(c.now, c.now, job, func(leader.Response) {})
 	c.commit()
@@ -100,23 +100,23 @@
 	}
 }
 
-// fill lets jobs take the given number of tasks on each machine.
+// fill runs the given number of tasks on each machine.
 func (c *benchmarkCluster) fill(tasks int) {
 	c.submit("lasting", benchmarkMachines*tasks)
 	for range 1000 {
 		c.now = c.now.Add(time.Second)
 		c.Tick(c.now, true)
 		c.commit()
-		c.reportAll()
+		c.sendAllHeartbeats()
 		if c.Counts().ReadyTasks == 0 {
-			c.reportAll()
+			c.sendAllHeartbeats()
 			return
 		}
 	}
-	c.b.Fatalf("%d tasks are still waiting", c.Counts().ReadyTasks)
+	c.b.Fatalf("%d tasks were not placed", c.Counts().ReadyTasks)
 }
 
-// completeNewest ends the tasks of the newest job.
+// completeNewest completes the tasks of the newest job.
 func (c *benchmarkCluster) completeNewest() {
 	newest := fmt.Sprintf("job-%d", c.jobs)
 	for _, a := range c.agents {
@@ -130,7 +130,7 @@
 }
 
 // BenchmarkPlacementPass measures a pass over 4,000 machines: one that places 100 tasks on a
-// cluster that is half used, and one of a full cluster, where 100 jobs wait.
+// half-used cluster, and one over a full cluster with 100 queued jobs.
 func BenchmarkPlacementPass(b *testing.B) {
 	b.Run("half-used", func(b *testing.B) {
 		c := newBenchmarkCluster(b)
@@ -138,7 +138,7 @@
 		for b.Loop() {
 			b.StopTimer()
 			c.now = c.now.Add(time.Second)
-			c.submit("short", 100) // a class of its own, as its estimate is corrected
+			c.submit("short", 100) // its own class, whose estimate is corrected by the run times
 			b.StartTimer()
 			c.Tick(c.now, true)
 			b.StopTimer()
@@ -146,12 +146,12 @@
 				b.Fatalf("%d tasks were not placed", ready)
 			}
 			c.commit()
-			c.reportAll() // the starts go out
+			c.sendAllHeartbeats() // sends the starts
 			c.completeNewest()
-			c.reportAll() // the tasks end
+			c.sendAllHeartbeats() // lists the tasks as exited
 			c.Tick(c.now, false)
 			c.commit()
-			c.reportAll() // the agents forget them
+			c.sendAllHeartbeats() // sends the forgets
 			b.StartTimer()
 		}
 	})
@@ -164,15 +164,15 @@
 		for b.Loop() {
 			b.StopTimer()
 			c.now = c.now.Add(time.Second)
-			c.reportAll()
+			c.sendAllHeartbeats()
 			b.StartTimer()
 			c.Tick(c.now, true)
 		}
 	})
 }
 
-// BenchmarkHeartbeat measures the handling of one heartbeat of 4,000 machines that run four
-// tasks each.
+// BenchmarkHeartbeat measures the handling of one heartbeat in a cluster of 4,000 machines that run
+// four tasks each.
 func BenchmarkHeartbeat(b *testing.B) {
 	c := newBenchmarkCluster(b)
 	c.fill(tasksPerMachine)
--- a/internal/leader/dependencies_test.go
+++ b/internal/leader/dependencies_test.go
@@ -12,7 +12,7 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// useTightLimits gives the tests the smallest limits that operators have announced.
+// useTightLimits sets the smallest limits of the key-value store that its operators have announced.
 func useTightLimits(t *testing.T) {
 	t.Helper()
 	old := params
@@ -20,23 +20,23 @@
 	params.KVStore.ValueKB, params.KVStore.TxnOps, params.KVStore.WriteRPS = 2, 8, 42
 }
 
-func dependentJob(id string, needs ...string) *wire.Job {
-	j := spec(id)
-	j.DependsOn = needs
+func dependentJob(id string, dependencies ...string) *wire.Job {
+	j := newJob(id)
+	j.DependsOn = dependencies
 	return j
 }
 
-// ask submits a job without waiting until it is durable.
-func (l *testLeader) ask(j *wire.Job) *leader.Response {
+// submitAsync submits a job without committing it. The response is filled in when it is given.
+func (l *testLeader) submitAsync(j *wire.Job) *leader.Response {
 	v := &leader.Response{}
 	l.Submit(l.now, l.now, j, func(got leader.Response) { *v = got })
 	return v
 }
 
-func (l *testLeader) accept(jobs ...*wire.Job) {
+func (l *testLeader) submitAll(jobs ...*wire.Job) {
 	l.t.Helper()
 	for _, j := range jobs {
-		v := l.ask(j)
+		v := l.submitAsync(j)
 		l.commit()
 		if v.Status != 201 {
 			l.t.Fatalf("%s: %+v", j.ID, *v)
@@ -44,9 +44,10 @@
 	}
 }
 
-// some commits a batch of at most ops changes, of which spare need not be made.
-func (l *testLeader) some(ops, spare int) int {
-	b := l.NextBatch(ops, spare)
+// commitBatch commits a batch of at most maxOps changes, of which at most spare are changes that no
+// user waits for, and returns their number.
+func (l *testLeader) commitBatch(maxOps, spare int) int {
+	b := l.NextBatch(maxOps, spare)
 	if b == nil {
 		return 0
 	}
@@ -55,8 +56,8 @@
 	return len(b.Mutations)
 }
 
-// state is what a user would be told.
-func (l *testLeader) state(id string) string {
+// queryState returns the job state in the response to a query, or its status if that is not 200.
+func (l *testLeader) queryState(id string) string {
 	response := l.Query(id)
 	if response.Status == 200 {
 		return response.State
@@ -64,108 +65,108 @@
 	return fmt.Sprint(response.Status)
 }
 
-func exited(task string, attempt uint64) wire.TaskStatus {
+func completedTask(task string, attempt uint64) wire.TaskStatus {
 	return wire.TaskStatus{Task: task, Attempt: attempt, State: wire.TaskExited, ExitReason: wire.ExitDone}
 }
 
-// TestNoStartBeforeDependenciesAreDurable: a successor could run the earlier job
-// again, or cancel it, as long as its end is only reported. What waits is no
-// demand, and takes nothing of its team's guarantee.
+// TestNoStartBeforeDependenciesAreDurable checks that a job starts only once the end of its
+// dependency is durable: until then a successor could run the dependency again or cancel it. A
+// blocked job adds no demand and takes nothing of its team's guarantee.
 func TestNoStartBeforeDependenciesAreDurable(t *testing.T) {
-	l, tr := running(t)
-	l.accept(dependentJob("job-2", "job-1"), spec("job-3"))
+	l, task := leaderWithRunningTask(t)
+	l.submitAll(dependentJob("job-2", "job-1"), newJob("job-3"))
 	if n := l.Counts(); n.ReadyTasks != 1 {
 		t.Fatalf("%d tasks are ready, want that of job-3", n.ReadyTasks)
 	}
-	l.pass(time.Second)
+	l.tickAfter(time.Second)
 	l.commit()
-	if got := ops(l.report("m1", 1, tr)); got != "run job-3/0" {
+	if got := formatCommands(l.sendHeartbeat("m1", 1, task)); got != "run job-3/0" {
 		t.Fatalf("started %q", got)
 	}
-	tr.State, tr.ExitReason = wire.TaskExited, wire.ExitDone
-	l.report("m1", 1, tr)
-	l.pass(time.Second)
-	l.report("m3", 1)
+	task.State, task.ExitReason = wire.TaskExited, wire.ExitDone
+	l.sendHeartbeat("m1", 1, task)
+	l.tickAfter(time.Second)
+	l.sendHeartbeat("m3", 1)
 	if n := l.Counts(); n.AllocatedTasks != 1 {
 		t.Fatalf("%d tasks placed before the end of job-1 is durable, want that of job-3", n.AllocatedTasks)
 	}
-	if next := newLeader(t, 6, l.now, l.store); next.state("job-2") != wire.JobQueued || next.Counts().ReadyTasks != 0 {
+	if next := newLeader(t, 6, l.now, l.store); next.queryState("job-2") != wire.JobQueued || next.Counts().ReadyTasks != 0 {
 		t.Fatal("a successor starts job-2 although it does not know job-1 as done")
 	}
 	l.commit()
-	l.pass(time.Second)
+	l.tickAfter(time.Second)
 	l.commit()
-	if got := ops(l.report("m3", 1)) + ops(l.report("m1", 1)); !strings.Contains(got, "run job-2/0") {
-		t.Fatalf("not started: %q", got)
+	if got := formatCommands(l.sendHeartbeat("m3", 1)) + formatCommands(l.sendHeartbeat("m1", 1)); !strings.Contains(got, "run job-2/0") {
+		t.Fatalf("job-2 not started: %q", got)
 	}
-	// A successor finds the same.
+	// A successor restores the same state.
 	next := newLeader(t, 6, l.now, l.store)
-	next.pass(time.Second)
+	next.tickAfter(time.Second)
 	if n := next.Counts(); n.AllocatedTasks != 2 {
-		t.Fatalf("%d tasks held after the succession", n.AllocatedTasks)
+		t.Fatalf("%d tasks allocated by the successor", n.AllocatedTasks)
 	}
 }
 
-// TestSubmissionsWithDependencies: what is accepted, refused and put off.
+// TestSubmissionsWithDependencies checks which jobs with dependencies are accepted, rejected for
+// good (422) or rejected for now (503).
 func TestSubmissionsWithDependencies(t *testing.T) {
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
-	l.accept(spec("job-1"), spec("job-2"))
+	l.submitAll(newJob("job-1"), newJob("job-2"))
 	l.Cancel(l.now, "job-2", func(leader.Response) {})
 	l.commit()
 	for _, c := range []struct {
 		job    *wire.Job
 		status int
-		why    string
+		reason string
 	}{
 		{dependentJob("job-3", "job-1", "job-404"), 422, "job-404"},
 		{dependentJob("job-3", "job-3"), 422, "job-3"},
 		{dependentJob("job-3", "else"), 422, "else"},
 		{dependentJob("job-3", strings.Repeat("<", 60_000)), 422, "<<"},
 	} {
-		if v := l.ask(c.job); v.Status != c.status || !strings.Contains(v.Reason, c.why) || len(v.Reason) > 300 {
+		if v := l.submitAsync(c.job); v.Status != c.status || !strings.Contains(v.Reason, c.reason) || len(v.Reason) > 300 {
 			t.Errorf("%.60v: %d %.300s", c.job.DependsOn, v.Status, v.Reason)
 		}
 	}
-	// Known jobs are known, whatever they are said to need.
-	if v := l.ask(dependentJob("job-1", "job-404")); v.Status != 200 {
-		t.Errorf("repeated: %+v", *v)
+	// A repeated submission gets the job state, even with other dependencies.
+	if v := l.submitAsync(dependentJob("job-1", "job-404")); v.Status != 200 {
+		t.Errorf("repeated submission: %+v", *v)
 	}
-	// An acceptance on its way is none yet.
-	l.ask(spec("job-4"))
-	if v := l.ask(dependentJob("job-5", "job-4")); v.Status != 503 {
-		t.Errorf("needs a job that is being accepted: %+v", *v)
+	// A job is rejected for now if the acceptance of a dependency is not durable yet.
+	l.submitAsync(newJob("job-4"))
+	if v := l.submitAsync(dependentJob("job-5", "job-4")); v.Status != 503 {
+		t.Errorf("depends on a job that is being accepted: %+v", *v)
 	}
 	l.commit()
-	// What needs a cancelled job is accepted and cancelled: its user hears both
-	// at once, as "queued" would be wrong long after the first cancellation.
-	v := l.ask(dependentJob("job-6", "job-1", "job-2"))
+	// A job that depends on a cancelled one is accepted and cancelled with one response:
+	// "queued" would be wrong long after the first cancellation.
+	v := l.submitAsync(dependentJob("job-6", "job-1", "job-2"))
 	if v.Status != 0 {
-		t.Fatalf("told before it is durable: %+v", *v)
+		t.Fatalf("response before the acceptance is durable: %+v", *v)
 	}
 	l.commit()
 	if v.Status != 201 || v.State != wire.JobCancelled {
-		t.Errorf("needs a cancelled job: %+v", *v)
+		t.Errorf("depends on a cancelled job: %+v", *v)
 	}
 	next := newLeader(t, 6, l.now, l.store)
-	if got := next.state("job-6"); got != wire.JobCancelled {
+	if got := next.queryState("job-6"); got != wire.JobCancelled {
 		t.Errorf("after a succession: %s", got)
 	}
 }
 
-// TestCancellationReachesDependents: a job with two thousand that need it, in two
-// layers, and a chain a thousand long are cancelled with it, in bounded steps;
-// a leader that dies in the middle leaves nothing half done, nobody is told that
-// one of them waits once it is known that it won't run, and whoever submits
-// meanwhile is not held up.
+// TestCancellationReachesDependents cancels a job with 2,000 dependents in two layers and a chain of
+// 1,000. The cancellations take bounded steps and do not delay other submissions. A successor
+// completes those that its predecessor has left, and does not report a job as queued that will be
+// cancelled.
 func TestCancellationReachesDependents(t *testing.T) {
 	useTightLimits(t)
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
-	l.accept(spec("job-0"), spec("job-1"))
+	l.submitAll(newJob("job-0"), newJob("job-1"))
 	var all []string
-	add := func(needs ...string) string {
+	add := func(dependencies ...string) string {
 		id := fmt.Sprintf("job-%d", 1000+len(all))
 		all = append(all, id)
-		l.accept(dependentJob(id, needs...))
+		l.submitAll(dependentJob(id, dependencies...))
 		return id
 	}
 	for range 1000 {
@@ -175,122 +176,122 @@
 	for range 1000 {
 		last = add(last)
 	}
-	told := leader.Response{}
-	l.Cancel(l.now, "job-0", func(v leader.Response) { told = v })
-	for told.Status == 0 {
-		l.some(7, 0)
+	cancelResponse := leader.Response{}
+	l.Cancel(l.now, "job-0", func(v leader.Response) { cancelResponse = v })
+	for cancelResponse.Status == 0 {
+		l.commitBatch(7, 0)
 	}
-	l.pass(time.Second)
-	if l.some(7, 0) == 0 {
-		t.Fatal("what follows waits for others to want nothing")
+	l.tickAfter(time.Second)
+	if l.commitBatch(7, 0) == 0 {
+		t.Fatal("the cancellations of dependents wait for spare writes")
 	}
-	rounds, worst := 0, 0
+	rounds, maxWait := 0, 0
 	for ended := 0; ended < len(all); rounds++ {
 		if rounds == 40 {
-			// Most of it is still to be done.
+			// Most dependents are not cancelled yet.
 			l = newLeader(t, 6, l.now, l.store)
 		}
 		if rounds > 700 {
-			t.Fatalf("%d of %d ended", ended, len(all))
+			t.Fatalf("%d of %d dependents cancelled", ended, len(all))
 		}
-		l.pass(200 * time.Millisecond)
-		v := l.ask(spec(fmt.Sprintf("job-%d", 10_000+rounds)))
+		l.tickAfter(200 * time.Millisecond)
+		v := l.submitAsync(newJob(fmt.Sprintf("job-%d", 10_000+rounds)))
 		wait := 0
 		for ; v.Status == 0; wait++ {
-			l.some(7, 7)
+			l.commitBatch(7, 7)
 		}
-		worst = max(worst, wait)
-		l.some(7, 7)
-		l.some(7, 7)
+		maxWait = max(maxWait, wait)
+		l.commitBatch(7, 7)
+		l.commitBatch(7, 7)
 		ended = 0
 		for _, id := range all {
 			if _, ok := l.store["f/"+id]; ok {
 				ended++
 			}
-			if got := l.state(id); rounds >= 40 && got != wire.JobCancelled && got != "503" {
-				t.Fatalf("%s is called %s", id, got)
+			if got := l.queryState(id); rounds >= 40 && got != wire.JobCancelled && got != "503" {
+				t.Fatalf("%s is reported as %s", id, got)
 			}
 		}
 	}
-	if worst > 1 {
-		t.Errorf("a submission waited for %d transactions", worst)
+	if maxWait > 1 {
+		t.Errorf("a submission waited for %d transactions", maxWait)
 	}
-	if got := l.state("job-1"); got != wire.JobQueued {
-		t.Errorf("an earlier job is called %s", got)
+	if got := l.queryState("job-1"); got != wire.JobQueued {
+		t.Errorf("the other dependency is reported as %s", got)
 	}
 	for range 3000 {
-		l.some(7, 7)
+		l.commitBatch(7, 7)
 	}
 	next := newLeader(t, 7, l.now, l.store)
 	for _, id := range all {
-		if got := next.state(id); got != wire.JobCancelled {
-			t.Fatalf("%s is called %s after all", id, got)
+		if got := next.queryState(id); got != wire.JobCancelled {
+			t.Fatalf("after a succession, %s is reported as %s", id, got)
 		}
 	}
 }
 
-// TestCancelledTooLate: a cancellation that is answered with done takes nothing
-// along.
-func TestCancelledTooLate(t *testing.T) {
-	l, tr := running(t)
-	l.accept(dependentJob("job-2", "job-1"))
-	tr.State, tr.ExitReason = wire.TaskExited, wire.ExitDone
-	l.report("m1", 1, tr)
+// TestCancelAfterCompletionSparesDependents checks that a cancellation whose response is that the
+// job is done does not cancel dependents.
+func TestCancelAfterCompletionSparesDependents(t *testing.T) {
+	l, task := leaderWithRunningTask(t)
+	l.submitAll(dependentJob("job-2", "job-1"))
+	task.State, task.ExitReason = wire.TaskExited, wire.ExitDone
+	l.sendHeartbeat("m1", 1, task)
 	var v leader.Response
 	l.Cancel(l.now, "job-1", func(got leader.Response) { v = got })
 	l.commit()
 	if v.State != wire.JobDone {
 		t.Fatalf("%+v", v)
 	}
-	l.pass(time.Second)
-	if got := l.state("job-2"); got != wire.JobQueued || l.Counts().AllocatedTasks != 1 {
-		t.Fatalf("job-2 is called %s, %d held", got, l.Counts().AllocatedTasks)
+	l.tickAfter(time.Second)
+	if got := l.queryState("job-2"); got != wire.JobQueued || l.Counts().AllocatedTasks != 1 {
+		t.Fatalf("job-2 is reported as %s, %d tasks allocated", got, l.Counts().AllocatedTasks)
 	}
 }
 
-// TestWaitsStartWhenDependenciesAreDone: a job that had to wait for another one is no
-// older than what came while it did.
-func TestWaitsStartWhenDependenciesAreDone(t *testing.T) {
-	l, tr := running(t)
-	late, other := dependentJob("job-2", "job-1"), spec("job-3")
-	late.CPUs, other.CPUs = 8, 8
-	l.accept(late)
+// TestWaitingTimeBeginsWhenDependenciesAreDone checks that the time for which a job was blocked does
+// not count as waiting time.
+func TestWaitingTimeBeginsWhenDependenciesAreDone(t *testing.T) {
+	l, task := leaderWithRunningTask(t)
+	dependent, other := dependentJob("job-2", "job-1"), newJob("job-3")
+	dependent.CPUs, other.CPUs = 8, 8
+	l.submitAll(dependent)
 	for second := range 60 {
 		if second == 30 {
-			l.accept(other)
+			l.submitAll(other)
 		}
-		l.pass(time.Second)
+		l.tickAfter(time.Second)
 		l.commit()
-		if got := ops(l.report("m1", 1, tr)); got != "" {
-			t.Fatalf("there is no room: %s", got)
+		if got := formatCommands(l.sendHeartbeat("m1", 1, task)); got != "" {
+			t.Fatalf("placed on a full machine: %s", got)
 		}
 	}
-	tr.State, tr.ExitReason = wire.TaskExited, wire.ExitDone
-	l.report("m1", 1, tr)
+	task.State, task.ExitReason = wire.TaskExited, wire.ExitDone
+	l.sendHeartbeat("m1", 1, task)
 	l.commit()
-	l.pass(time.Second)
+	l.tickAfter(time.Second)
 	l.commit()
-	got := ops(l.report("m1", 1))
+	got := formatCommands(l.sendHeartbeat("m1", 1))
 	if !strings.HasPrefix(got, "run job-3/0") {
-		t.Fatalf("job-2 counts as waiting since its submission: %s", got)
+		t.Fatalf("the time blocked counts as waiting time: %s", got)
 	}
 }
 
-// TestCriticalPathDecides: an idle first stage goes before a normal job when the last
-// one of its chain is urgent, and no more once that is cancelled; a successor
-// finds the same.
-func TestCriticalPathDecides(t *testing.T) {
+// TestCriticalPathRaisesPriority checks that the first job of a chain with an urgent last job goes
+// before a job of higher priority, but not once the last job is cancelled. A successor decides the
+// same.
+func TestCriticalPathRaisesPriority(t *testing.T) {
 	for _, cancelled := range []bool{false, true} {
 		for _, succession := range []bool{false, true} {
 			l := newLeader(t, 5, start, map[string]json.RawMessage{})
-			first, other := spec("job-1"), spec("job-2")
+			first, other := newJob("job-1"), newJob("job-2")
 			first.Priority, first.CPUs = wire.PriorityIdle, 8
 			other.Priority, other.CPUs = wire.PriorityNormal, 8
-			l.accept(first, other, dependentJob("job-3", "job-1"))
+			l.submitAll(first, other, dependentJob("job-3", "job-1"))
 			last := dependentJob("job-4", "job-3")
 			deadline := 70.0
 			last.DeadlineS = &deadline
-			l.accept(last)
+			l.submitAll(last)
 			l.Tick(l.now, false)
 			if cancelled {
 				l.Cancel(l.now, "job-4", func(leader.Response) {})
@@ -300,77 +301,77 @@
 			if succession {
 				l = newLeader(t, 6, l.now, l.store)
 			}
-			l.report("m1", 1)
-			l.pass(time.Second)
+			l.sendHeartbeat("m1", 1)
+			l.tickAfter(time.Second)
 			l.commit()
 			want := "run job-1/0"
 			if cancelled {
 				want = "run job-2/0"
 			}
-			if got := ops(l.report("m1", 1)); got != want {
+			if got := formatCommands(l.sendHeartbeat("m1", 1)); got != want {
 				t.Errorf("cancelled %v, succession %v: %q, want %q", cancelled, succession, got, want)
 			}
 		}
 	}
 }
 
-// TestTightestCriticalPath: of two chains of one priority that begin alike the one with
-// less time goes first, though its own first stage has no deadline.
-func TestTightestCriticalPath(t *testing.T) {
+// TestTightestCriticalPathGoesFirst checks that of two chains of equal priority the one with the
+// earlier deadline goes first, although the first job of neither has a deadline.
+func TestTightestCriticalPathGoesFirst(t *testing.T) {
 	old := params
 	defer func() { params = old }()
 	params.Teams = []config.Team{{Name: "blue", CPUs: 16, CPUsMax: 16}}
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
 	for i, deadline := range []float64{400, 200} {
-		first, last := spec(fmt.Sprint("job-1", i)), dependentJob(fmt.Sprint("job-3", i), fmt.Sprint("job-2", i))
+		first, last := newJob(fmt.Sprint("job-1", i)), dependentJob(fmt.Sprint("job-3", i), fmt.Sprint("job-2", i))
 		first.CPUs = 8
 		last.DeadlineS = &deadline
-		l.accept(first, dependentJob(fmt.Sprint("job-2", i), first.ID), last)
+		l.submitAll(first, dependentJob(fmt.Sprint("job-2", i), first.ID), last)
 	}
-	l.report("m1", 1)
-	l.pass(time.Second)
+	l.sendHeartbeat("m1", 1)
+	l.tickAfter(time.Second)
 	l.commit()
-	if got := ops(l.report("m1", 1)); got != "run job-11/0" {
+	if got := formatCommands(l.sendHeartbeat("m1", 1)); got != "run job-11/0" {
 		t.Fatal(got)
 	}
 }
 
-// TestEndedJobsHoldNoGuarantee: what is cancelled, or waits for others, leaves
-// its team's guarantee to the next job.
+// TestEndedJobsHoldNoGuarantee checks that cancelled and blocked jobs leave their team's guarantee
+// to its next job.
 func TestEndedJobsHoldNoGuarantee(t *testing.T) {
 	old := params
 	defer func() { params = old }()
 	params.Teams = []config.Team{{Name: "blue", CPUs: 16, CPUsMax: 32}, {Name: "green", CPUs: 8, CPUsMax: 16}}
-	for _, waits := range []bool{false, true} {
+	for _, blocked := range []bool{false, true} {
 		l := newLeader(t, 5, start, map[string]json.RawMessage{})
-		first, second, other := spec("job-1"), spec("job-2"), spec("job-3")
+		first, second, other := newJob("job-1"), newJob("job-2"), newJob("job-3")
 		first.Tasks, first.CPUs, second.CPUs, other.CPUs, other.Team = 2, 8, 8, 8, "green"
-		if waits {
-			running := spec("job-0")
+		if blocked {
+			running := newJob("job-0")
 			running.CPUs = 8
-			l.accept(running)
-			l.report("m2", 1)
-			l.pass(time.Second)
+			l.submitAll(running)
+			l.sendHeartbeat("m2", 1)
+			l.tickAfter(time.Second)
 			l.commit()
-			if got := ops(l.report("m2", 1)); got != "run job-0/0" {
+			if got := formatCommands(l.sendHeartbeat("m2", 1)); got != "run job-0/0" {
 				t.Fatal(got)
 			}
 			first.DependsOn = []string{running.ID}
 		}
-		l.accept(first)
+		l.submitAll(first)
 		l.now = l.now.Add(time.Second)
-		l.accept(second)
+		l.submitAll(second)
 		l.now = l.now.Add(time.Second)
-		l.accept(other)
-		if !waits {
+		l.submitAll(other)
+		if !blocked {
 			l.Cancel(l.now, first.ID, func(leader.Response) {})
 			l.commit()
 		}
-		l.report("m1", 1)
-		l.pass(time.Second)
+		l.sendHeartbeat("m1", 1)
+		l.tickAfter(time.Second)
 		l.commit()
-		if got := ops(l.report("m1", 1)); got != "run job-2/0" {
-			t.Errorf("waits %v: %q", waits, got)
+		if got := formatCommands(l.sendHeartbeat("m1", 1)); got != "run job-2/0" {
+			t.Errorf("blocked %v: %q", blocked, got)
 		}
 	}
 }
--- a/internal/leader/drain_test.go
+++ b/internal/leader/drain_test.go
@@ -16,15 +16,15 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// drainOperator turns drains on with a budget for all teams.
+// drainOperator returns operator settings that turn drains on, with one budget for all teams.
 func drainOperator(b drain.Budget) config.Operator {
 	return config.Operator{Drains: &drain.Budgets{Window: 10 * time.Minute, Default: b}}
 }
 
-var ample = drain.Budget{MaxUnavailable: 10, Evictions: 10, LostS: 10_000}
+var ampleBudget = drain.Budget{MaxUnavailable: 10, Evictions: 10, LostS: 10_000}
 
-// list gives the leader a machine list of the cloud with the machines and no other.
-func (l *testLeader) list(names ...string) {
+// applyList applies a machine list that contains exactly the named machines.
+func (l *testLeader) applyList(names ...string) {
 	var rows []wire.ListedMachine
 	for _, name := range names {
 		rows = append(rows, wire.ListedMachine{Name: name, Type: "std-8", Zone: "a", State: wire.MachineRunning, AgeS: 100})
@@ -32,8 +32,8 @@
 	l.ApplyMachineList(l.now, l.now, rows)
 }
 
-// drainRequest carries a request out and makes what it changes durable.
-func (l *testLeader) drainRequest(q drain.Request) drain.Response {
+// sendDrainRequest handles a request, commits the queued changes and returns the response.
+func (l *testLeader) sendDrainRequest(q drain.Request) drain.Response {
 	l.t.Helper()
 	var got drain.Response
 	l.HandleDrainRequest(l.now, l.now, &q, func(r drain.Response) { got = r })
@@ -41,23 +41,23 @@
 	return got
 }
 
-func drainOf(name string, machines ...string) drain.Request {
+func newApplyRequest(name string, machines ...string) drain.Request {
 	return drain.Request{Action: drain.Apply, Name: name, Spec: &drain.Spec{
 		Name: name, BatchSize: 2, Selector: drain.Selector{Machines: machines},
 	}}
 }
 
-// advance lets the drains take steps for a time, machines reporting on the way.
-func (l *testLeader) advance(d time.Duration, each func()) {
+// runDrains advances time and the drains in steps of a second. It calls each in every step.
+func (l *testLeader) runDrains(d time.Duration, each func()) {
 	for end := l.now.Add(d); l.now.Before(end); {
-		l.pass(time.Second)
+		l.tickAfter(time.Second)
 		each()
 		l.AdvanceDrains(l.now, l.now)
 	}
 }
 
-// charges are the keys of the stored charges.
-func (l *testLeader) charges() []string {
+// storedCharges returns the keys of the stored charges.
+func (l *testLeader) storedCharges() []string {
 	var keys []string
 	for key := range l.store {
 		if strings.HasPrefix(key, "b/") {
@@ -67,40 +67,40 @@
 	return keys
 }
 
-// leaderWithTask is a leader with one task that runs on m1 and has done so for a while.
-func leaderWithTask(t *testing.T, operator config.Operator) (*testLeader, wire.TaskStatus) {
+// leaderForDrain returns a leader and a task that has run on m1 for 40 s.
+func leaderForDrain(t *testing.T, operator config.Operator) (*testLeader, wire.TaskStatus) {
 	t.Helper()
 	l := newLeaderWith(t, operator, 5, start, map[string]json.RawMessage{})
 	l.submit("job-1")
-	l.report("m1", 1)
-	l.list("m1")
-	l.pass(time.Second)
+	l.sendHeartbeat("m1", 1)
+	l.applyList("m1")
+	l.tickAfter(time.Second)
 	l.commit()
-	task := wire.TaskStatus{Task: "job-1/0", Attempt: l.report("m1", 1)[0].Attempt, State: wire.TaskRunning}
-	l.advance(40*time.Second, func() { l.report("m1", 1, task); l.list("m1") })
+	task := wire.TaskStatus{Task: "job-1/0", Attempt: l.sendHeartbeat("m1", 1)[0].Attempt, State: wire.TaskRunning}
+	l.runDrains(40*time.Second, func() { l.sendHeartbeat("m1", 1, task); l.applyList("m1") })
 	return l, task
 }
 
-// TestChargeIsDurableBeforeTheStop: a task is stopped only once the charge is stored. A successor
-// that finds the charge stops the attempt without another one; one that finds the task running as
-// another attempt has to charge anew.
+// TestChargeIsDurableBeforeTheStop checks that a task is stopped only once its charge is durable. A
+// successor that loads the charge stops the attempt without another charge. If the task runs as
+// another attempt, the successor charges again.
 func TestChargeIsDurableBeforeTheStop(t *testing.T) {
-	l, task := leaderWithTask(t, drainOperator(ample))
+	l, task := leaderForDrain(t, drainOperator(ampleBudget))
 	attempt := task.Attempt
-	if r := l.drainRequest(drainOf("maintenance", "m1")); r.Status != http.StatusCreated {
+	if r := l.sendDrainRequest(newApplyRequest("maintenance", "m1")); r.Status != http.StatusCreated {
 		t.Fatalf("%+v", r)
 	}
-	l.advance(tuning.DrainCompletionWait+5*time.Second, func() {
-		if cs := l.report("m1", 1, task); len(cs) != 0 {
-			t.Fatalf("stopped before the charge was durable: %s", ops(cs))
+	l.runDrains(tuning.DrainCompletionWait+5*time.Second, func() {
+		if cs := l.sendHeartbeat("m1", 1, task); len(cs) != 0 {
+			t.Fatalf("stopped before the charge was durable: %s", formatCommands(cs))
 		}
 	})
-	if len(l.charges()) != 0 {
-		t.Fatal("charged before anything was committed")
+	if len(l.storedCharges()) != 0 {
+		t.Fatal("charge stored before the commit")
 	}
 	l.commit()
-	if cs := l.report("m1", 1, task); ops(cs) != "kill job-1/0" || len(l.charges()) != 1 {
-		t.Fatalf("got %q, charges %v", ops(cs), l.charges())
+	if cs := l.sendHeartbeat("m1", 1, task); formatCommands(cs) != "kill job-1/0" || len(l.storedCharges()) != 1 {
+		t.Fatalf("got %q, charges %v", formatCommands(cs), l.storedCharges())
 	}
 	for _, c := range []struct {
 		attempt uint64
@@ -110,53 +110,53 @@
 		for key, value := range l.store {
 			store[key] = value
 		}
-		next := newLeaderWith(t, drainOperator(ample), 6, l.now.Add(time.Second), store)
+		next := newLeaderWith(t, drainOperator(ampleBudget), 6, l.now.Add(time.Second), store)
 		next.seq = l.seq
-		next.list("m1")
+		next.applyList("m1")
 		running := task
 		running.Attempt = c.attempt
-		next.report("m1", 1, running)
+		next.sendHeartbeat("m1", 1, running)
 		var commands []wire.Command
-		next.advance(3*time.Second, func() { commands = next.report("m1", 1, running); next.commit() })
-		if ops(commands) != "kill job-1/0" || len(next.charges()) != c.charges {
-			t.Errorf("attempt %d: got %q, charges %v", c.attempt, ops(commands), next.charges())
+		next.runDrains(3*time.Second, func() { commands = next.sendHeartbeat("m1", 1, running); next.commit() })
+		if formatCommands(commands) != "kill job-1/0" || len(next.storedCharges()) != c.charges {
+			t.Errorf("attempt %d: got %q, charges %v", c.attempt, formatCommands(commands), next.storedCharges())
 		}
 	}
 }
 
-// TestDrainRequests: what is wrong is rejected before anything is stored; repeating a request
-// changes nothing.
+// TestDrainRequests checks that invalid requests are rejected before anything is stored, and that a
+// repeated request changes nothing.
 func TestDrainRequests(t *testing.T) {
 	off := newLeader(t, 5, start, map[string]json.RawMessage{})
-	off.list("m1")
-	if r := off.drainRequest(drainOf("maintenance", "m1")); r.Status != http.StatusForbidden {
+	off.applyList("m1")
+	if r := off.sendDrainRequest(newApplyRequest("maintenance", "m1")); r.Status != http.StatusForbidden {
 		t.Errorf("off: %+v", r)
 	}
-	l := newLeaderWith(t, drainOperator(ample), 5, start, map[string]json.RawMessage{
+	l := newLeaderWith(t, drainOperator(ampleBudget), 5, start, map[string]json.RawMessage{
 		"e/damaged": json.RawMessage(`{"version":1}`), "e/newer": json.RawMessage(`{"version":9}`),
 	})
-	l.list("m1")
+	l.applyList("m1")
 	change := func(f func(*drain.Spec)) drain.Request {
-		q := drainOf("maintenance", "m1")
+		q := newApplyRequest("maintenance", "m1")
 		f(q.Spec)
 		return q
 	}
 	for name, c := range map[string]struct {
 		q      drain.Request
 		status int
-		why    string
+		reason string
 	}{
 		"unknown zone":    {change(func(s *drain.Spec) { s.Selector.Zone = "z" }), http.StatusUnprocessableEntity, "selector/zone"},
 		"unknown type":    {change(func(s *drain.Spec) { s.Selector.Type = "z" }), http.StatusUnprocessableEntity, "selector/type"},
-		"unknown machine": {drainOf("maintenance", "m9"), http.StatusUnprocessableEntity, "selector/machine"},
+		"unknown machine": {newApplyRequest("maintenance", "m9"), http.StatusUnprocessableEntity, "selector/machine"},
 		"too large":       {change(func(s *drain.Spec) { s.BatchSize = 900 }), http.StatusUnprocessableEntity, "batchSize"},
 		"no batch":        {change(func(s *drain.Spec) { s.BatchSize = 0 }), http.StatusUnprocessableEntity, "batchSize"},
-		"damaged record":  {drainOf("damaged", "m1"), http.StatusConflict, "can't be read"},
-		"newer record":    {drainOf("newer", "m1"), http.StatusConflict, "can't be read"},
+		"damaged record":  {newApplyRequest("damaged", "m1"), http.StatusConflict, "can't be read"},
+		"newer record":    {newApplyRequest("newer", "m1"), http.StatusConflict, "can't be read"},
 		"nothing":         {drain.Request{Action: drain.Apply}, http.StatusBadRequest, "no drain"},
 		"unknown drain":   {drain.Request{Action: drain.Pause, Name: "none"}, http.StatusNotFound, "none"},
 	} {
-		if r := l.drainRequest(c.q); r.Status != c.status || !strings.Contains(r.Reason, c.why) || strings.Contains(r.Reason, "\n") {
+		if r := l.sendDrainRequest(c.q); r.Status != c.status || !strings.Contains(r.Reason, c.reason) || strings.Contains(r.Reason, "\n") {
 			t.Errorf("%s: %+v", name, r)
 		}
 	}
@@ -168,8 +168,8 @@
 		status int
 		state  drain.State
 	}{
-		{drainOf("maintenance", "m1"), http.StatusCreated, drain.Pending},
-		{drainOf("maintenance", "m1"), http.StatusOK, drain.Pending},
+		{newApplyRequest("maintenance", "m1"), http.StatusCreated, drain.Pending},
+		{newApplyRequest("maintenance", "m1"), http.StatusOK, drain.Pending},
 		{change(func(s *drain.Spec) { s.BatchSize = 1 }), http.StatusConflict, ""},
 		{drain.Request{Action: drain.Pause, Name: "maintenance"}, http.StatusOK, drain.Paused},
 		{drain.Request{Action: drain.Pause, Name: "maintenance"}, http.StatusOK, drain.Paused},
@@ -180,35 +180,35 @@
 		{drain.Request{Action: drain.List}, http.StatusOK, drain.Cancelled},
 	}
 	for i, s := range steps {
-		r := l.drainRequest(s.q)
+		r := l.sendDrainRequest(s.q)
 		if r.Status != s.status || s.state != "" && (len(r.Drains) != 1 || r.Drains[0].State != s.state) {
 			t.Errorf("step %d: %+v", i, r)
 		}
 	}
 }
 
-// TestDrainStepExaminesItsBatchOnly: with 4,000 machines, all of them to be drained, a step examines
-// the machines of the batch and what is on them.
+// TestDrainStepExaminesItsBatchOnly checks that a step of a drain of 4,000 machines examines only
+// the machines of the batch and the attempts on them.
 func TestDrainStepExaminesItsBatchOnly(t *testing.T) {
 	l := newLeaderWith(t, drainOperator(drain.Budget{}), 1, start, map[string]json.RawMessage{})
 	names := make([]string, 4000)
 	for i := range names {
 		names[i] = fmt.Sprintf("m%04d", i)
-		l.report(names[i], 1)
+		l.sendHeartbeat(names[i], 1)
 	}
-	l.list(names...)
+	l.applyList(names...)
 	l.submit("job-1")
 	l.now = l.now.Add(time.Minute)
 	for _, name := range names {
-		l.report(name, 1)
+		l.sendHeartbeat(name, 1)
 	}
-	l.list(names...)
-	l.pass(time.Second)
+	l.applyList(names...)
+	l.tickAfter(time.Second)
 	l.commit()
-	l.drainRequest(drain.Request{Action: drain.Apply, Spec: &drain.Spec{Name: "all", BatchSize: 5, Selector: drain.Selector{Type: "std-8"}}})
+	l.sendDrainRequest(drain.Request{Action: drain.Apply, Spec: &drain.Spec{Name: "all", BatchSize: 5, Selector: drain.Selector{Type: "std-8"}}})
 	l.AdvanceDrains(l.now, l.now)
-	if r := l.drainRequest(drain.Request{Action: drain.Show, Name: "all"}); len(r.Drains) != 1 || r.Drains[0].Batch == nil || r.Drains[0].MachinesLeft != 4000 {
-		t.Fatalf("no batch: %+v", r)
+	if r := l.sendDrainRequest(drain.Request{Action: drain.Show, Name: "all"}); len(r.Drains) != 1 || r.Drains[0].Batch == nil || r.Drains[0].MachinesLeft != 4000 {
+		t.Fatalf("no batch formed: %+v", r)
 	}
 	before := l.Counts().DrainSteps
 	const steps = 20
@@ -216,51 +216,52 @@
 		l.now = l.now.Add(time.Second)
 		l.AdvanceDrains(l.now, l.now)
 	}
-	if looks := l.Counts().DrainSteps - before; looks > steps*5*2 {
-		t.Errorf("%d looks in %d steps", looks, steps)
+	if examined := l.Counts().DrainSteps - before; examined > steps*5*2 {
+		t.Errorf("%d machines and attempts examined in %d steps", examined, steps)
 	}
 }
 
-// TestDrainOfAnEmptyZoneEnds: where there is no machine a drain is done, and its zone closed to
-// provisioning until it is cancelled. A leader without any machine took itself for isolated, and the drain
-// waited for ever.
+// TestDrainOfAnEmptyZoneEnds checks that a drain of a zone without machines is done, and blocks
+// provisioning in the zone until it is cancelled. A leader without machines used to presume that it
+// was isolated, so that the drain never ended.
 func TestDrainOfAnEmptyZoneEnds(t *testing.T) {
-	l := newLeaderWith(t, drainOperator(ample), 5, start, map[string]json.RawMessage{})
-	l.list()
-	l.drainRequest(drain.Request{Action: drain.Apply, Spec: &drain.Spec{Name: "zone", BatchSize: 1, Selector: drain.Selector{Zone: "a"}}})
-	l.advance(2*time.Minute, func() { l.list(); l.PlanScaling(l.now); l.commit() })
-	if r := l.drainRequest(drain.Request{Action: drain.Show, Name: "zone"}); r.Drains[0].State != drain.Done {
+	l := newLeaderWith(t, drainOperator(ampleBudget), 5, start, map[string]json.RawMessage{})
+	l.applyList()
+	l.sendDrainRequest(drain.Request{Action: drain.Apply, Spec: &drain.Spec{Name: "zone", BatchSize: 1, Selector: drain.Selector{Zone: "a"}}})
+	l.runDrains(2*time.Minute, func() { l.applyList(); l.PlanScaling(l.now); l.commit() })
+	if r := l.sendDrainRequest(drain.Request{Action: drain.Show, Name: "zone"}); r.Drains[0].State != drain.Done {
 		t.Fatalf("%+v", r.Drains[0])
 	}
 	l.submit("job-1")
 	for _, cancelled := range []bool{false, true} {
 		if cancelled {
-			l.drainRequest(drain.Request{Action: drain.Cancel, Name: "zone"})
+			l.sendDrainRequest(drain.Request{Action: drain.Cancel, Name: "zone"})
 		}
-		l.pass(time.Minute)
-		if rented := provisions(l.PlanScaling(l.now)); rented != cancelled {
-			t.Errorf("cancelled: %v, rented: %v", cancelled, rented)
+		l.tickAfter(time.Minute)
+		if provisioned := provisions(l.PlanScaling(l.now)); provisioned != cancelled {
+			t.Errorf("cancelled: %v, provisioned: %v", cancelled, provisioned)
 		}
 	}
 }
 
-// TestZoneBoundWorkBlocksADrain: a task whose job may run nowhere else is not stopped; past the
-// deadline the drain is paused with the team's name, or with force the task is stopped.
+// TestZoneBoundWorkBlocksADrain checks that a task whose job may run in no other zone is not stopped
+// before the deadline of the drain. After it, the drain is paused and names the team or, with force,
+// stops the task.
 func TestZoneBoundWorkBlocksADrain(t *testing.T) {
 	for _, force := range []bool{false, true} {
-		l, task := leaderWithTask(t, drainOperator(ample))
+		l, task := leaderForDrain(t, drainOperator(ampleBudget))
 		deadline := l.now.Add(2 * time.Minute)
-		l.drainRequest(drain.Request{Action: drain.Apply, Spec: &drain.Spec{
+		l.sendDrainRequest(drain.Request{Action: drain.Apply, Spec: &drain.Spec{
 			Name: "zone", BatchSize: 1, Selector: drain.Selector{Zone: "a"}, Deadline: &deadline, Force: force,
 		}})
 		var commands []wire.Command
-		report := func() { commands = append(commands, l.report("m1", 1, task)...); l.commit() }
-		l.advance(110*time.Second, report)
+		step := func() { commands = append(commands, l.sendHeartbeat("m1", 1, task)...); l.commit() }
+		l.runDrains(110*time.Second, step)
 		if len(commands) > 0 {
-			t.Fatalf("stopped before the deadline: %s", ops(commands))
+			t.Fatalf("stopped before the deadline: %s", formatCommands(commands))
 		}
-		l.advance(30*time.Second, report)
-		r := l.drainRequest(drain.Request{Action: drain.Show, Name: "zone"}).Drains[0]
+		l.runDrains(30*time.Second, step)
+		r := l.sendDrainRequest(drain.Request{Action: drain.Show, Name: "zone"}).Drains[0]
 		stopped := slices.ContainsFunc(commands, func(c wire.Command) bool { return c.Op == wire.OpStop })
 		if stopped != force || (r.State == drain.Paused) == force || !force && !strings.Contains(r.Reason, "(team blue)") {
 			t.Errorf("force %v: stopped %v, %s, %s", force, stopped, r.State, r.Reason)
@@ -268,118 +269,118 @@
 	}
 }
 
-// TestReplacementsThatNeverCome: while the cloud has none the batch waits and is not cordoned; after
-// the timeout the drain is paused with that reason, and once resumed it tries again.
-func TestReplacementsThatNeverCome(t *testing.T) {
-	l, task := leaderWithTask(t, drainOperator(ample))
-	rentals := 0
+// TestReplacementTimeout checks that a batch is not cordoned while the cloud has no replacements,
+// that the drain is paused after the timeout, and that it tries again once it is resumed.
+func TestReplacementTimeout(t *testing.T) {
+	l, task := leaderForDrain(t, drainOperator(ampleBudget))
+	provisionCalls := 0
 	step := func() {
-		l.report("m1", 1, task)
-		l.list("m1")
+		l.sendHeartbeat("m1", 1, task)
+		l.applyList("m1")
 		for _, call := range l.PlanScaling(l.now) {
 			if call.Op == scaling.CloudProvision {
-				rentals++
+				provisionCalls++
 				l.ProvisionDone(l.now, call.Provision, nil)
 			}
 		}
 		l.commit()
 	}
-	q := drainOf("maintenance", "m1")
+	q := newApplyRequest("maintenance", "m1")
 	q.Spec.Replace = true
-	l.drainRequest(q)
-	l.advance(tuning.ReplacementTimeout-10*time.Second, step)
+	l.sendDrainRequest(q)
+	l.runDrains(tuning.ReplacementTimeout-10*time.Second, step)
 	show := drain.Request{Action: drain.Show, Name: "maintenance"}
-	if s := l.drainRequest(show).Drains[0]; s.State != drain.Running || s.Batch == nil || s.Batch.Cordoned || rentals < 10 {
-		t.Fatalf("%+v after %d rentals", s, rentals)
+	if s := l.sendDrainRequest(show).Drains[0]; s.State != drain.Running || s.Batch == nil || s.Batch.Cordoned || provisionCalls < 10 {
+		t.Fatalf("%+v after %d provision calls", s, provisionCalls)
 	}
-	l.advance(20*time.Second, step)
-	if s := l.drainRequest(show).Drains[0]; s.State != drain.Paused || s.Reason != string(drain.ReplacementTimedOut) {
+	l.runDrains(20*time.Second, step)
+	if s := l.sendDrainRequest(show).Drains[0]; s.State != drain.Paused || s.Reason != string(drain.ReplacementTimedOut) {
 		t.Fatalf("%+v", s)
 	}
-	paused := rentals
-	l.advance(time.Minute, step)
-	if rentals != paused {
-		t.Error("rented for a drain that is paused")
+	paused := provisionCalls
+	l.runDrains(time.Minute, step)
+	if provisionCalls != paused {
+		t.Error("provisioned replacements for a paused drain")
 	}
-	l.drainRequest(drain.Request{Action: drain.Resume, Name: "maintenance"})
-	l.advance(time.Minute, step)
-	if rentals == paused {
-		t.Error("not tried again")
+	l.sendDrainRequest(drain.Request{Action: drain.Resume, Name: "maintenance"})
+	l.runDrains(time.Minute, step)
+	if provisionCalls == paused {
+		t.Error("did not try again")
 	}
 }
 
-// TestReplacementsAreProvisionedOnce: a batch waits for as many replacements as it has machines, and is
-// cordoned once they take work. A successor that finds them in the record, and not yet in a list,
-// provisions none.
+// TestReplacementsAreProvisionedOnce checks that a batch gets as many replacements as it has
+// machines, and is cordoned once they are schedulable. A successor that loads them from the record
+// provisions none, even if the machine list lacks them.
 func TestReplacementsAreProvisionedOnce(t *testing.T) {
-	l, task := leaderWithTask(t, drainOperator(ample))
-	listed := func(l *testLeader, names ...string) {
+	l, task := leaderForDrain(t, drainOperator(ampleBudget))
+	sendAndList := func(l *testLeader, names ...string) {
 		for _, name := range names {
 			if name == "m1" {
-				l.report(name, 1, task)
+				l.sendHeartbeat(name, 1, task)
 			} else {
-				l.report(name, 1)
+				l.sendHeartbeat(name, 1)
 			}
 		}
-		l.list(names...)
+		l.applyList(names...)
 	}
-	q := drainOf("maintenance", "m1")
+	q := newApplyRequest("maintenance", "m1")
 	q.Spec.Replace = true
-	l.drainRequest(q)
-	var rentals []wire.ProvisionRequest
-	l.advance(10*time.Second, func() {
-		listed(l, "m1")
+	l.sendDrainRequest(q)
+	var provisionCalls []wire.ProvisionRequest
+	l.runDrains(10*time.Second, func() {
+		sendAndList(l, "m1")
 		for _, call := range l.PlanScaling(l.now) {
 			if call.Op == scaling.CloudProvision {
-				rentals = append(rentals, call.Provision)
+				provisionCalls = append(provisionCalls, call.Provision)
 				l.ProvisionDone(l.now, call.Provision, []string{"m2"})
 			}
 		}
 		l.commit()
 	})
-	if len(rentals) != 1 || rentals[0].Count != 1 {
-		t.Fatalf("rented %+v", rentals)
+	if len(provisionCalls) != 1 || provisionCalls[0].Count != 1 {
+		t.Fatalf("provision calls: %+v", provisionCalls)
 	}
-	next := newLeaderWith(t, drainOperator(ample), 6, l.now, l.store)
+	next := newLeaderWith(t, drainOperator(ampleBudget), 6, l.now, l.store)
 	next.seq = l.seq
-	next.advance(6*time.Second, func() {
-		listed(next, "m1")
+	next.runDrains(6*time.Second, func() {
+		sendAndList(next, "m1")
 		if provisions(next.PlanScaling(next.now)) {
-			t.Fatal("a successor rents again what is not listed yet")
+			t.Fatal("the successor provisions again although replacements are recorded")
 		}
 	})
-	state := func() drain.Status {
-		return next.drainRequest(drain.Request{Action: drain.Show, Name: "maintenance"}).Drains[0]
+	status := func() drain.Status {
+		return next.sendDrainRequest(drain.Request{Action: drain.Show, Name: "maintenance"}).Drains[0]
 	}
-	if s := state(); s.Batch == nil || s.Batch.Cordoned {
+	if s := status(); s.Batch == nil || s.Batch.Cordoned {
 		t.Fatalf("cordoned before the replacement is up: %+v", s.Batch)
 	}
-	next.advance(5*time.Second, func() { listed(next, "m1", "m2") })
-	if s := state(); s.Batch == nil || !s.Batch.Cordoned {
+	next.runDrains(5*time.Second, func() { sendAndList(next, "m1", "m2") })
+	if s := status(); s.Batch == nil || !s.Batch.Cordoned {
 		t.Errorf("not cordoned though the replacement is up: %+v, %s", s.Batch, s.Reason)
 	}
 }
 
-// TestNextDrainKeepsTheCordonOfAPausedOne: a machine that a paused drain has cordoned takes no work,
-// also while the next drain waits for a replacement before it cordons the same machine.
-func TestNextDrainKeepsTheCordonOfAPausedOne(t *testing.T) {
-	l, task := leaderWithTask(t, drainOperator(ample))
-	step := func() { l.report("m1", 1, task); l.list("m1"); l.commit() }
-	l.drainRequest(drainOf("first", "m1"))
-	l.advance(5*time.Second, step)
-	l.drainRequest(drain.Request{Action: drain.Pause, Name: "first"})
-	next := drainOf("next", "m1")
+// TestNextDrainKeepsCordonOfPausedDrain checks that a machine cordoned by a paused drain gets no
+// work, even while another drain waits for a replacement before it cordons the same machine.
+func TestNextDrainKeepsCordonOfPausedDrain(t *testing.T) {
+	l, task := leaderForDrain(t, drainOperator(ampleBudget))
+	step := func() { l.sendHeartbeat("m1", 1, task); l.applyList("m1"); l.commit() }
+	l.sendDrainRequest(newApplyRequest("first", "m1"))
+	l.runDrains(5*time.Second, step)
+	l.sendDrainRequest(drain.Request{Action: drain.Pause, Name: "first"})
+	next := newApplyRequest("next", "m1")
 	next.Spec.Replace = true
-	l.drainRequest(next)
-	l.advance(5*time.Second, step)
-	s := l.drainRequest(drain.Request{Action: drain.Show, Name: "next"}).Drains[0]
+	l.sendDrainRequest(next)
+	l.runDrains(5*time.Second, step)
+	s := l.sendDrainRequest(drain.Request{Action: drain.Show, Name: "next"}).Drains[0]
 	if s.Batch == nil || s.Batch.Cordoned {
 		t.Fatalf("the next drain does not wait for a replacement: %+v", s)
 	}
 	l.submit("job-2")
-	l.advance(3*time.Second, func() {
-		if commands := l.report("m1", 1, task); len(commands) > 0 {
-			t.Fatalf("a cordoned machine got %s", ops(commands))
+	l.runDrains(3*time.Second, func() {
+		if commands := l.sendHeartbeat("m1", 1, task); len(commands) > 0 {
+			t.Fatalf("a cordoned machine got %s", formatCommands(commands))
 		}
 		l.commit()
 	})
--- a/internal/leader/failures_test.go
+++ b/internal/leader/failures_test.go
@@ -11,53 +11,54 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// TestFailingJobBacksOff: a job that fails everywhere leaves room to others,
-// and a machine on which several jobs fail gets no more work.
+// TestFailingJobBacksOff checks that a job whose tasks fail leaves room for other jobs, and that a
+// machine on which several jobs fail gets no more work.
 func TestFailingJobBacksOff(t *testing.T) {
-	l, tr := running(t)
-	tr.State, tr.ExitReason = wire.TaskExited, wire.ExitError
-	if cs := l.report("m1", 1, tr); ops(cs) != "reap job-1/0" {
-		t.Fatal(ops(cs))
+	l, task := leaderWithRunningTask(t)
+	task.State, task.ExitReason = wire.TaskExited, wire.ExitError
+	if cs := l.sendHeartbeat("m1", 1, task); formatCommands(cs) != "reap job-1/0" {
+		t.Fatal(formatCommands(cs))
 	}
 	l.submit("job-2")
-	l.pass(time.Second)
+	l.tickAfter(time.Second)
 	l.commit()
-	cs := l.report("m1", 1)
-	if ops(cs) != "run job-2/0" {
-		t.Fatalf("want job-2 only, got %q", ops(cs))
+	cs := l.sendHeartbeat("m1", 1)
+	if formatCommands(cs) != "run job-2/0" {
+		t.Fatalf("want job-2 only, got %q", formatCommands(cs))
 	}
-	l.report("m1", 1, wire.TaskStatus{Task: "job-2/0", Attempt: cs[0].Attempt, State: wire.TaskExited, ExitReason: wire.ExitError})
+	l.sendHeartbeat("m1", 1, wire.TaskStatus{Task: "job-2/0", Attempt: cs[0].Attempt, State: wire.TaskExited, ExitReason: wire.ExitError})
 	l.submit("job-3")
-	l.pass(time.Second)
+	l.tickAfter(time.Second)
 	l.commit()
-	if cs := l.report("m1", 1); len(cs) != 0 {
-		t.Fatalf("a faulty machine got %s", ops(cs))
+	if cs := l.sendHeartbeat("m1", 1); len(cs) != 0 {
+		t.Fatalf("a faulty machine got %s", formatCommands(cs))
 	}
 }
 
-// TestJobFailingEverywhereQuarantinesNoMachine: a job that fails on every machine is tried on each,
-// one task at a time and ever later, but gives none a bad name, however many such
-// jobs there are; a machine on which others fail that end elsewhere is still found.
+// TestJobFailingEverywhereQuarantinesNoMachine checks that a job that fails on every machine is
+// tried once on each, one task at a time and with growing delays. No number of such jobs gets a
+// machine quarantined, but a machine is still quarantined if jobs fail on it that complete
+// elsewhere.
 func TestJobFailingEverywhereQuarantinesNoMachine(t *testing.T) {
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
 	machines := []string{"m1", "m2", "m3"}
-	bad := map[string]bool{} // machines that fail everything
+	faulty := map[string]bool{} // machines on which every task fails
 	lists := map[string][]wire.TaskStatus{}
-	tried := map[string]int{}
-	turn := func() {
-		l.pass(time.Second)
+	startCounts := map[string]int{}
+	step := func() {
+		l.tickAfter(time.Second)
 		l.commit()
 		for _, m := range machines {
-			for _, cmd := range l.report(m, 1, lists[m]...) {
+			for _, cmd := range l.sendHeartbeat(m, 1, lists[m]...) {
 				switch cmd.Op {
 				case wire.OpStart:
 					id, _, _ := wire.SplitTask(cmd.Task)
-					tried[id+" on "+m]++
-					why := wire.ExitDone
-					if id < "job-5" || bad[m] {
-						why = wire.ExitError
+					startCounts[id+" on "+m]++
+					exitReason := wire.ExitDone
+					if id < "job-5" || faulty[m] {
+						exitReason = wire.ExitError
 					}
-					lists[m] = append(lists[m], wire.TaskStatus{Task: cmd.Task, Attempt: cmd.Attempt, State: wire.TaskExited, ExitReason: why})
+					lists[m] = append(lists[m], wire.TaskStatus{Task: cmd.Task, Attempt: cmd.Attempt, State: wire.TaskExited, ExitReason: exitReason})
 				case wire.OpForget:
 					lists[m] = slices.DeleteFunc(lists[m], func(r wire.TaskStatus) bool { return r.Task == cmd.Task && r.Attempt == cmd.Attempt })
 				}
@@ -68,34 +69,34 @@
 		l.submit(id)
 	}
 	for range 300 {
-		turn()
+		step()
 	}
 	for _, id := range []string{"job-1", "job-2", "job-3", "job-4"} {
-		sum := 0
+		total := 0
 		for _, m := range machines {
-			sum += tried[id+" on "+m]
+			total += startCounts[id+" on "+m]
 		}
-		if sum != len(machines) {
-			t.Errorf("%s was tried %d times: %v", id, sum, tried)
+		if total != len(machines) {
+			t.Errorf("%s was started %d times: %v", id, total, startCounts)
 		}
 	}
-	// All machines still take work; then one turns out to be faulty.
-	bad["m1"] = true
+	// All machines are still schedulable. Now one becomes faulty.
+	faulty["m1"] = true
 	for i := range 30 {
 		l.submit(fmt.Sprint("job-", 500+i))
-		turn()
+		step()
 	}
 	for range 5 {
-		turn()
+		step()
 	}
-	first := 0
-	for what, n := range tried {
-		if strings.HasPrefix(what, "job-5") && strings.HasSuffix(what, "m1") {
-			first += n
+	onFaulty := 0
+	for key, n := range startCounts {
+		if strings.HasPrefix(key, "job-5") && strings.HasSuffix(key, "m1") {
+			onFaulty += n
 		}
 	}
-	if first < 2 || first > 4 {
-		t.Errorf("%d tasks of jobs that can run went to the faulty machine", first)
+	if onFaulty < 2 || onFaulty > 4 {
+		t.Errorf("%d tasks of jobs that complete elsewhere went to the faulty machine", onFaulty)
 	}
 	for i := range 30 {
 		if v := l.Query(fmt.Sprint("job-", 500+i)); v.State != wire.JobDone {
@@ -104,10 +105,10 @@
 	}
 	l.ApplyMachineList(l.now, l.now, nil)
 	for range 70 {
-		l.pass(time.Second)
+		l.tickAfter(time.Second)
 		if provisions(l.PlanScaling(l.now)) {
 			return
 		}
 	}
-	t.Error("where all machines have failed it, a job needs another one")
+	t.Error("no machine is provisioned for the jobs that have failed on all machines")
 }
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -14,8 +14,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// fleet simulates several hundred machines without faults against one leader, in
-// steps of a tenth of a second, within the write budget of the settings.
+// fleet simulates one leader and several hundred or thousand machines without network faults, in
+// steps of 100 ms and within the write budget of the settings.
 type fleet struct {
 	*testLeader
 	agents []*fleetAgent
@@ -23,43 +23,42 @@
 	rng    *rand.Rand
 	tokens float64
 
-	changes, bytes, starts int
-	accepted               int
-	scores, worst          int // pairs scored, in all and in one pass
-	cloud                  int // calls
-	submitted              map[string]time.Time
-	begun                  map[string]bool
-	waits                  []time.Duration
+	mutations, bytes, starts   int
+	accepted                   int
+	scoredPairs, maxPassScores int // pairs scored, in total and at most in one pass
+	cloudCalls                 int
+	submitted                  map[string]time.Time
+	startedJobs                map[string]bool
+	startDelays                []time.Duration
 }
 
 type fleetAgent struct {
-	name     string
-	tasks    []wire.TaskStatus
-	ends     []time.Time
-	seq      uint64
-	next     time.Time
-	sent     time.Time
-	change   bool
-	failed   bool // reports no more, but is listed
-	released bool
-	// startedBy is the term of the last start that came.
-	startedBy uint64
+	name          string
+	tasks         []wire.TaskStatus
+	endTimes      []time.Time
+	seq           uint64
+	nextHeartbeat time.Time
+	lastHeartbeat time.Time
+	changed       bool
+	failed        bool // sends no heartbeats, but is still listed until it is released
+	released      bool
+	// lastStartTerm is the term of the last start received.
+	lastStartTerm uint64
 }
 
-// newFleet returns a leader of term 5 with machines that are up, but have not reported.
+// newFleet returns a leader of term 5 and running machines that have not sent a heartbeat.
 func newFleet(t *testing.T, machines int) *fleet {
 	f := &fleet{
 		testLeader: newLeader(t, 5, start, map[string]json.RawMessage{}), rng: rand.New(rand.NewPCG(1, 1)),
-		submitted: map[string]time.Time{}, begun: map[string]bool{}, byName: map[string]*fleetAgent{},
+		submitted: map[string]time.Time{}, startedJobs: map[string]bool{}, byName: map[string]*fleetAgent{},
 	}
 	for i := range machines {
-		w := &fleetAgent{name: fmt.Sprintf("i-%06d", i)}
-		f.agents, f.byName[w.name] = append(f.agents, w), w
+		a := &fleetAgent{name: fmt.Sprintf("i-%06d", i)}
+		f.agents, f.byName[a.name] = append(f.agents, a), a
 	}
 	return f
 }
 
-// submitJob submits a job.
 func (f *fleet) submitJob(j *wire.Job) {
 	f.submitted[j.ID] = f.now
 	f.Submit(f.now, f.now, j, func(v leader.Response) {
@@ -69,45 +68,45 @@
 	})
 }
 
-// running counts the tasks on machines that have not failed.
-func (f *fleet) running() int {
-	on := 0
-	for _, w := range f.agents {
-		for _, task := range w.tasks {
-			if !w.failed && task.State == wire.TaskRunning {
-				on++
+// runningTasks returns the number of tasks that run on machines that have not failed.
+func (f *fleet) runningTasks() int {
+	count := 0
+	for _, a := range f.agents {
+		for _, task := range a.tasks {
+			if !a.failed && task.State == wire.TaskRunning {
+				count++
 			}
 		}
 	}
-	return on
+	return count
 }
 
-func (f *fleet) report(w *fleetAgent) *wire.Heartbeat {
-	w.seq++
+func (f *fleet) newHeartbeat(a *fleetAgent) *wire.Heartbeat {
+	a.seq++
 	return &wire.Heartbeat{
-		Machine: w.name, Addr: w.name + ":9", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: w.seq, FencingToken: f.Term(),
-		Tasks: append([]wire.TaskStatus{}, w.tasks...),
+		Machine: a.name, Addr: a.name + ":9", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: a.seq, FencingToken: f.Term(),
+		Tasks: append([]wire.TaskStatus{}, a.tasks...),
 	}
 }
 
-// execute carries out the commands of a response on an agent.
-func (f *fleet) execute(w *fleetAgent, commands []wire.Command) {
+// execute executes the commands of a response or a direct call on an agent.
+func (f *fleet) execute(a *fleetAgent, commands []wire.Command) {
 	for _, c := range commands {
-		w.change = true
+		a.changed = true
 		switch c.Op {
 		case wire.OpStart:
-			f.start(w, c)
+			f.start(a, c)
 		case wire.OpStop:
-			for i := range w.tasks {
-				if t := &w.tasks[i]; t.Task == c.Task && t.Attempt == c.Attempt && t.State == wire.TaskRunning {
+			for i := range a.tasks {
+				if t := &a.tasks[i]; t.Task == c.Task && t.Attempt == c.Attempt && t.State == wire.TaskRunning {
 					t.State, t.ExitReason = wire.TaskExited, wire.ExitStopped
 				}
 			}
 		case wire.OpForget:
-			for i, t := range w.tasks {
+			for i, t := range a.tasks {
 				if t.Task == c.Task && t.Attempt == c.Attempt {
-					w.tasks = append(w.tasks[:i], w.tasks[i+1:]...)
-					w.ends = append(w.ends[:i], w.ends[i+1:]...)
+					a.tasks = append(a.tasks[:i], a.tasks[i+1:]...)
+					a.endTimes = append(a.endTimes[:i], a.endTimes[i+1:]...)
 					break
 				}
 			}
@@ -115,63 +114,64 @@
 	}
 }
 
-// start runs a task on an agent for some seconds, those of the long jobs of some tests for longer.
-func (f *fleet) start(w *fleetAgent, c wire.Command) {
-	w.tasks = append(w.tasks, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
+// start runs a task on an agent for 5 to 14 s, or seven times as long if it is of a long job.
+func (f *fleet) start(a *fleetAgent, c wire.Command) {
+	a.tasks = append(a.tasks, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
 	f.starts++
-	w.startedBy = f.Term()
+	a.lastStartTerm = f.Term()
 	job, _, _ := wire.SplitTask(c.Task)
-	f.begun[job] = true
-	lasts := time.Duration(5+f.rng.IntN(10)) * time.Second
+	f.startedJobs[job] = true
+	duration := time.Duration(5+f.rng.IntN(10)) * time.Second
 	if strings.HasPrefix(job, "job-9") {
-		lasts *= 7
+		duration *= 7
 	}
-	w.ends = append(w.ends, f.now.Add(lasts))
-	f.waits = append(f.waits, f.now.Sub(f.submitted[job]))
+	a.endTimes = append(a.endTimes, f.now.Add(duration))
+	f.startDelays = append(f.startDelays, f.now.Sub(f.submitted[job]))
 }
 
-// step is a tenth of a second.
+// step simulates 100 ms.
 func (f *fleet) step() {
 	f.t.Helper()
 	f.now = f.now.Add(100 * time.Millisecond)
-	for _, w := range f.agents {
-		if !w.failed {
-			f.runAgent(w)
+	for _, a := range f.agents {
+		if !a.failed {
+			f.runAgent(a)
 		}
 	}
-	before := f.scores
+	before := f.scoredPairs
 	f.Tick(f.now, true)
-	f.scores = f.Counts().ScoredPairs
-	f.worst = max(f.worst, f.scores-before)
-	f.write()
+	f.scoredPairs = f.Counts().ScoredPairs
+	f.maxPassScores = max(f.maxPassScores, f.scoredPairs-before)
+	f.commitWithinBudget()
 	f.scale()
 	f.callAgents()
 }
 
-// runAgent ends the tasks of an agent that are over, and lets it report if it is time.
-func (f *fleet) runAgent(w *fleetAgent) {
+// runAgent completes the tasks of an agent whose run time is over and sends a heartbeat if one is
+// due.
+func (f *fleet) runAgent(a *fleetAgent) {
 	f.t.Helper()
-	for i := range w.tasks {
-		if w.tasks[i].State == wire.TaskRunning && !f.now.Before(w.ends[i]) {
-			w.tasks[i].State, w.tasks[i].ExitReason = wire.TaskExited, wire.ExitDone
-			w.change = true
+	for i := range a.tasks {
+		if a.tasks[i].State == wire.TaskRunning && !f.now.Before(a.endTimes[i]) {
+			a.tasks[i].State, a.tasks[i].ExitReason = wire.TaskExited, wire.ExitDone
+			a.changed = true
 		}
 	}
-	if f.now.Before(w.next) && (!w.change || f.now.Sub(w.sent) < 500*time.Millisecond) {
+	if f.now.Before(a.nextHeartbeat) && (!a.changed || f.now.Sub(a.lastHeartbeat) < 500*time.Millisecond) {
 		return
 	}
-	w.change, w.sent, w.next = false, f.now, f.now.Add(3*time.Second)
-	response, outcome := f.HandleHeartbeat(f.now, f.report(w), true)
+	a.changed, a.lastHeartbeat, a.nextHeartbeat = false, f.now, f.now.Add(3*time.Second)
+	response, outcome := f.HandleHeartbeat(f.now, f.newHeartbeat(a), true)
 	if outcome != leader.HeartbeatApplied {
-		f.t.Fatalf("%s: outcome %d", w.name, outcome)
+		f.t.Fatalf("%s: outcome %d", a.name, outcome)
 	}
-	f.execute(w, response.Commands)
+	f.execute(a, response.Commands)
 }
 
-// scale answers the calls to the cloud, which has no machine left.
+// scale responds to the calls to the cloud, which has no capacity for new machines.
 func (f *fleet) scale() {
 	for _, call := range f.PlanScaling(f.now) {
-		f.cloud++
+		f.cloudCalls++
 		if call.Op == scaling.CloudProvision {
 			f.ProvisionDone(f.now, call.Provision, nil)
 			continue
@@ -186,18 +186,18 @@
 // callAgents makes the direct calls to agents.
 func (f *fleet) callAgents() {
 	for _, call := range f.NextDirectCalls(f.now) {
-		w := f.byName[call.Machine]
-		if w.failed {
+		a := f.byName[call.Machine]
+		if a.failed {
 			f.DirectCallDone(f.now, call, leader.DirectUnknown, nil)
 			continue
 		}
-		f.execute(w, call.Request.Commands)
-		f.DirectCallDone(f.now, call, leader.DirectReplied, f.report(w))
+		f.execute(a, call.Request.Commands)
+		f.DirectCallDone(f.now, call, leader.DirectReplied, f.newHeartbeat(a))
 	}
 }
 
-// write commits what the budget allows.
-func (f *fleet) write() {
+// commitWithinBudget commits as many changes as the write budget allows.
+func (f *fleet) commitWithinBudget() {
 	f.t.Helper()
 	s := params.KVStore
 	perSecond := s.WriteRPS * tuning.StoreWriteShare
@@ -210,7 +210,7 @@
 		f.tokens -= float64(len(b.Mutations))
 		total := 0
 		for _, w := range b.Mutations {
-			f.changes++
+			f.mutations++
 			total += len(w.Key()) + len(w.Value) + 40
 			if float64(len(w.Value)) > s.ValueKB*1024 {
 				f.t.Fatalf("%s has %d bytes", w.Put, len(w.Value))
@@ -222,30 +222,30 @@
 			}
 		}
 		if f.bytes += total; total > 64<<10 {
-			f.t.Fatalf("a transaction of %d bytes", total)
+			f.t.Fatalf("transaction of %d bytes", total)
 		}
 		f.BatchCommitted(b, nil)
 	}
 }
 
-// list gives the leader the cloud's list, which still has the failed machines.
-func (f *fleet) list() {
+// applyList applies the cloud's machine list, which still contains failed machines.
+func (f *fleet) applyList() {
 	var rows []wire.ListedMachine
-	for _, w := range f.agents {
-		if !w.released {
-			rows = append(rows, wire.ListedMachine{Name: w.name, Addr: w.name + ":9", Type: "std-8", Zone: "a", State: wire.MachineRunning, AgeS: f.now.Sub(start).Seconds()})
+	for _, a := range f.agents {
+		if !a.released {
+			rows = append(rows, wire.ListedMachine{Name: a.name, Addr: a.name + ":9", Type: "std-8", Zone: "a", State: wire.MachineRunning, AgeS: f.now.Sub(start).Seconds()})
 		}
 	}
 	f.ApplyMachineList(f.now, f.now, rows)
 }
 
-// checkAllStartAgain checks that every machine that has not failed has been given work by the
-// leader of the given term, unless it is still full of its predecessor's.
-func (f *fleet) checkAllStartAgain(term uint64) {
+// checkAllMachinesGetStarts checks that every machine that has not failed got a start in the given
+// term, unless it is still full of tasks started earlier.
+func (f *fleet) checkAllMachinesGetStarts(term uint64) {
 	f.t.Helper()
 	idle := 0
-	for _, w := range f.agents {
-		if !w.failed && w.startedBy < term && w.usedCPUs() < bigType.CPUs {
+	for _, a := range f.agents {
+		if !a.failed && a.lastStartTerm < term && a.usedCPUs() < bigType.CPUs {
 			idle++
 		}
 	}
@@ -254,10 +254,11 @@
 	}
 }
 
-// usedCPUs are those of its running tasks: the jobs with long tasks ask for 8 a task, the others for 4.
-func (w *fleetAgent) usedCPUs() float64 {
+// usedCPUs returns the CPUs of the agent's running tasks: 8 for a task of a long job, 4 for any
+// other.
+func (a *fleetAgent) usedCPUs() float64 {
 	cpus := 0.0
-	for _, task := range w.tasks {
+	for _, task := range a.tasks {
 		switch {
 		case task.State != wire.TaskRunning:
 		case strings.HasPrefix(task.Task, "job-9"):
@@ -269,18 +270,18 @@
 	return cpus
 }
 
-// checkWorkPerRequest counts the allocations of a heartbeat and of a query: neither may
-// grow with the number of machines, jobs or ended jobs.
+// checkWorkPerRequest limits the allocations for a heartbeat and for a query. They must not grow
+// with the number of machines, jobs or ended jobs.
 func (f *fleet) checkWorkPerRequest() {
 	f.t.Helper()
-	w := f.agents[1]
-	most := 40 + 8*len(w.tasks)
-	if got := testing.AllocsPerRun(50, func() { f.HandleHeartbeat(f.now, f.report(w), true) }); got > float64(most) {
-		f.t.Errorf("a report of %d tasks allocates %.0f times, at most %d wanted", len(w.tasks), got, most)
+	a := f.agents[1]
+	limit := 40 + 8*len(a.tasks)
+	if got := testing.AllocsPerRun(50, func() { f.HandleHeartbeat(f.now, f.newHeartbeat(a), true) }); got > float64(limit) {
+		f.t.Errorf("a heartbeat with %d tasks allocates %.0f times, want at most %d", len(a.tasks), got, limit)
 	}
 	for id := range f.submitted {
 		if got := testing.AllocsPerRun(50, func() { f.Query(id) }); got > 0 {
-			f.t.Errorf("a question allocates %.0f times", got)
+			f.t.Errorf("a query allocates %.0f times", got)
 		}
 		break
 	}
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -28,14 +28,14 @@
 	}
 )
 
-func spec(id string) *wire.Job {
+func newJob(id string) *wire.Job {
 	return &wire.Job{
 		ID: id, Class: "c", Team: "blue", Kind: wire.KindArray, Priority: wire.PriorityHigh,
 		Tasks: 1, CPUs: 2, MemoryGB: 1, Image: "img", ImageGB: 1, Spot: true, EstimateS: 30,
 	}
 }
 
-// testLeader is a leader with a map in the place of the state service.
+// testLeader is a leader with a map in place of the key-value store.
 type testLeader struct {
 	*leader.Leader
 	t     *testing.T
@@ -66,7 +66,7 @@
 	return &testLeader{Leader: c, t: t, now: now, store: store}
 }
 
-// apply makes changes durable.
+// apply applies changes to the store.
 func (l *testLeader) apply(writes []wire.Mutation) {
 	for _, w := range writes {
 		if w.Delete != "" {
@@ -77,7 +77,7 @@
 	}
 }
 
-// commit makes all queued changes durable.
+// commit commits all queued changes.
 func (l *testLeader) commit() {
 	for b := l.NextBatch(10, 10); b != nil; b = l.NextBatch(10, 10) {
 		l.apply(b.Mutations)
@@ -85,26 +85,26 @@
 	}
 }
 
-func (l *testLeader) pass(d time.Duration) {
+func (l *testLeader) tickAfter(d time.Duration) {
 	l.now = l.now.Add(d)
 	l.Tick(l.now, true)
 }
 
-func (l *testLeader) report(machine string, session uint64, tasks ...wire.TaskStatus) []wire.Command {
+func (l *testLeader) sendHeartbeat(machine string, session uint64, tasks ...wire.TaskStatus) []wire.Command {
 	l.t.Helper()
 	l.seq++
-	a, receipt := l.HandleHeartbeat(l.now, &wire.Heartbeat{
+	response, outcome := l.HandleHeartbeat(l.now, &wire.Heartbeat{
 		Machine: machine, Addr: machine + ":9", Type: "std-8", Zone: "a", AgentEpoch: session, Sequence: l.seq, FencingToken: l.Term(), Tasks: tasks,
 	}, true)
-	if receipt == leader.HeartbeatSuperseded {
-		l.t.Fatal("report refused")
+	if outcome == leader.HeartbeatSuperseded {
+		l.t.Fatal("heartbeat superseded")
 	}
-	return a.Commands
+	return response.Commands
 }
 
-// planned returns the machines of a release that the planner asks for now, if
-// the given one is among them.
-func (l *testLeader) planned(machine string) []string {
+// plannedRelease returns the machines that the planner releases now if the given machine is among
+// them, otherwise nil.
+func (l *testLeader) plannedRelease(machine string) []string {
 	for _, c := range l.PlanScaling(l.now) {
 		if c.Op == scaling.CloudRelease && slices.Contains(c.Release, machine) {
 			return c.Release
@@ -113,38 +113,37 @@
 	return nil
 }
 
-// onlyAfterRelease checks that the task of m1 does not go to m2 before m1 is
-// released, that it is released, and that the task goes to m2 then. each runs
-// in every step.
-func (l *testLeader) onlyAfterRelease(step time.Duration, each func()) {
+// checkPlacedOnlyAfterRelease checks that m1 is released, and that the task on m1 is placed on m2
+// after the release and not before. It calls each in every step.
+func (l *testLeader) checkPlacedOnlyAfterRelease(step time.Duration, each func()) {
 	l.t.Helper()
 	for range 40 {
-		l.pass(step)
+		l.tickAfter(step)
 		each()
-		l.report("m2", 1)
+		l.sendHeartbeat("m2", 1)
 		l.commit()
-		if cs := l.report("m2", 1); len(cs) != 0 {
-			l.t.Fatalf("placed elsewhere before the release: %s", ops(cs))
+		if cs := l.sendHeartbeat("m2", 1); len(cs) != 0 {
+			l.t.Fatalf("placed elsewhere before the release: %s", formatCommands(cs))
 		}
-		if release := l.planned("m1"); release != nil {
+		if release := l.plannedRelease("m1"); release != nil {
 			l.ReleaseDone(l.now, release)
-			l.pass(time.Second)
+			l.tickAfter(time.Second)
 			l.commit()
-			if cs := l.report("m2", 1); ops(cs) != "run job-1/0" {
-				l.t.Fatalf("after the release: %q", ops(cs))
+			if cs := l.sendHeartbeat("m2", 1); formatCommands(cs) != "run job-1/0" {
+				l.t.Fatalf("after the release: %q", formatCommands(cs))
 			}
 			return
 		}
 	}
-	l.t.Fatal("not released")
+	l.t.Fatal("m1 not released")
 }
 
 func (l *testLeader) submit(id string) {
 	l.t.Helper()
 	var got leader.Response
-	l.Submit(l.now, l.now, spec(id), func(v leader.Response) { got = v })
+	l.Submit(l.now, l.now, newJob(id), func(v leader.Response) { got = v })
 	if got.Status != 0 {
-		l.t.Fatalf("answered %d before the job was durable", got.Status)
+		l.t.Fatalf("status %d before the job was durable", got.Status)
 	}
 	l.commit()
 	if got.Status != 201 {
@@ -152,7 +151,7 @@
 	}
 }
 
-func ops(cs []wire.Command) string {
+func formatCommands(cs []wire.Command) string {
 	var out []string
 	for _, c := range cs {
 		out = append(out, c.Op+" "+c.Task)
@@ -160,48 +159,49 @@
 	return strings.Join(out, ", ")
 }
 
-// running brings one job's only task to run on m1.
-func running(t *testing.T) (*testLeader, wire.TaskStatus) {
+// leaderWithRunningTask returns a leader and the only task of a job, which runs on m1.
+func leaderWithRunningTask(t *testing.T) (*testLeader, wire.TaskStatus) {
 	t.Helper()
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
 	l.submit("job-1")
-	l.report("m1", 1)
-	l.pass(time.Second)
-	if cs := l.report("m1", 1); len(cs) != 0 {
-		t.Fatalf("started before its record was durable: %s", ops(cs))
+	l.sendHeartbeat("m1", 1)
+	l.tickAfter(time.Second)
+	if cs := l.sendHeartbeat("m1", 1); len(cs) != 0 {
+		t.Fatalf("started before its record was durable: %s", formatCommands(cs))
 	}
 	l.commit()
-	cs := l.report("m1", 1)
-	if ops(cs) != "run job-1/0" {
-		t.Fatalf("want a start, got %q", ops(cs))
+	cs := l.sendHeartbeat("m1", 1)
+	if formatCommands(cs) != "run job-1/0" {
+		t.Fatalf("want a start, got %q", formatCommands(cs))
 	}
-	tr := wire.TaskStatus{Task: "job-1/0", Attempt: cs[0].Attempt, State: wire.TaskRunning}
-	if cs := l.report("m1", 1, tr); len(cs) != 0 {
-		t.Fatal(ops(cs))
+	task := wire.TaskStatus{Task: "job-1/0", Attempt: cs[0].Attempt, State: wire.TaskRunning}
+	if cs := l.sendHeartbeat("m1", 1, task); len(cs) != 0 {
+		t.Fatal(formatCommands(cs))
 	}
-	return l, tr
+	return l, task
 }
 
-// provisions reports whether a plan provisions machines.
+// provisions reports whether any of the calls provisions machines.
 func provisions(calls []scaling.CloudCall) bool {
 	return slices.ContainsFunc(calls, func(c scaling.CloudCall) bool { return c.Op == scaling.CloudProvision })
 }
 
-// leaderWithUnansweredCall brings a start for m1 into a direct call.
-func leaderWithUnansweredCall(t *testing.T) (*testLeader, *leader.DirectCall, wire.TaskStatus) {
+// leaderWithCallInFlight returns a leader with a direct call to m1 in flight, the call, and the task
+// as m1 lists it once it has executed the start in the call.
+func leaderWithCallInFlight(t *testing.T) (*testLeader, *leader.DirectCall, wire.TaskStatus) {
 	t.Helper()
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
 	l.submit("job-1")
-	l.report("m1", 1)
-	l.pass(time.Second)
+	l.sendHeartbeat("m1", 1)
+	l.tickAfter(time.Second)
 	if calls := l.NextDirectCalls(l.now); len(calls) != 0 {
-		t.Fatal("called before the record was durable")
+		t.Fatal("direct call before the record was durable")
 	}
 	l.commit()
 	calls := l.NextDirectCalls(l.now)
-	if len(calls) != 1 || ops(calls[0].Request.Commands) != "run job-1/0" || calls[0].Request.FencingToken != 5 || calls[0].Request.AgentEpoch != 1 {
+	if len(calls) != 1 || formatCommands(calls[0].Request.Commands) != "run job-1/0" || calls[0].Request.FencingToken != 5 || calls[0].Request.AgentEpoch != 1 {
 		t.Fatalf("%+v", calls)
 	}
-	tr := wire.TaskStatus{Task: "job-1/0", Attempt: calls[0].Request.Commands[0].Attempt, State: wire.TaskRunning}
-	return l, calls[0], tr
+	task := wire.TaskStatus{Task: "job-1/0", Attempt: calls[0].Request.Commands[0].Attempt, State: wire.TaskRunning}
+	return l, calls[0], task
 }
--- a/internal/leader/placement_test.go
+++ b/internal/leader/placement_test.go
@@ -14,36 +14,36 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// TestNoStartsWithoutAuthority: while the state service is out of reach
-// reports are answered, but nothing starts.
+// TestNoStartsWithoutAuthority checks that heartbeats still get a response while the key-value store
+// can't be reached, but no task is started.
 func TestNoStartsWithoutAuthority(t *testing.T) {
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
 	l.submit("job-1")
-	l.report("m1", 1)
-	l.pass(time.Second)
+	l.sendHeartbeat("m1", 1)
+	l.tickAfter(time.Second)
 	l.commit()
 	l.seq++
-	a, receipt := l.HandleHeartbeat(l.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.seq, FencingToken: 5}, false)
-	if receipt != leader.HeartbeatApplied || len(a.Commands) != 0 {
-		t.Fatalf("%v %+v", receipt, a)
+	response, outcome := l.HandleHeartbeat(l.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.seq, FencingToken: 5}, false)
+	if outcome != leader.HeartbeatApplied || len(response.Commands) != 0 {
+		t.Fatalf("%v %+v", outcome, response)
 	}
 }
 
-// TestTeamAtItsLimitMakesWay: a team whose patient work fills its limit stops
-// some of it for its own urgent work, as no other machine would help.
-func TestTeamAtItsLimitMakesWay(t *testing.T) {
+// TestTeamAtLimitPreemptsOwnTasks checks that a team whose less urgent tasks use its whole limit has
+// one of them stopped for its own urgent job, because no other machine would help.
+func TestTeamAtLimitPreemptsOwnTasks(t *testing.T) {
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
-	patient := spec("job-1")
-	patient.Priority, patient.Tasks, patient.CPUs, patient.CheckpointIntervalS, patient.EstimateS = wire.PriorityNormal, 2, 8, 20, 300
-	l.Submit(l.now, l.now, patient, func(leader.Response) {})
+	normal := newJob("job-1")
+	normal.Priority, normal.Tasks, normal.CPUs, normal.CheckpointIntervalS, normal.EstimateS = wire.PriorityNormal, 2, 8, 20, 300
+	l.Submit(l.now, l.now, normal, func(leader.Response) {})
 	l.commit()
 	lists := map[string][]wire.TaskStatus{"m1": nil, "m2": nil, "m3": nil}
 	machines := []string{"m1", "m2", "m3"}
 	step := func(d time.Duration) (stops, starts string) {
-		l.pass(d)
+		l.tickAfter(d)
 		l.commit()
 		for _, m := range machines {
-			for _, c := range l.report(m, 1, lists[m]...) {
+			for _, c := range l.sendHeartbeat(m, 1, lists[m]...) {
 				switch c.Op {
 				case wire.OpStart:
 					starts += c.Task + " "
@@ -58,9 +58,9 @@
 	}
 	step(time.Second)
 	if _, starts := step(time.Second); starts == "" {
-		t.Fatal("patient work did not start")
+		t.Fatal("the less urgent job did not start")
 	}
-	// On to just past the first checkpoint, where stopping loses little.
+	// Advances to just after the first checkpoint, when stopping loses little progress.
 	for range 11 {
 		step(2 * time.Second)
 	}
@@ -75,28 +75,28 @@
 	}
 }
 
-// TestTooSmallTaskMakesNoWay: at its team's limit, a large job's own team has running tasks
-// that together leave too little room for it. None is stopped: stopped pass after pass,
-// they would never end, and the large job would not begin either. Where they leave enough,
-// as many are stopped as it takes.
-func TestTooSmallTaskMakesNoWay(t *testing.T) {
+// TestNoPreemptionWithoutEnoughRoom checks a team at its limit with a large job of high priority. If
+// its preemptible tasks are too small to make room for the job, none is stopped: they would be
+// stopped in every pass and never complete, and the large job would not start either. If they are
+// large enough, as many are stopped as needed.
+func TestNoPreemptionWithoutEnoughRoom(t *testing.T) {
 	for _, c := range []struct {
-		firmCPUs float64 // of each of two tasks that can't be stopped, of a limit of 16
-		running  int     // tasks of 1 CPU that can be
-		stops    int
+		nonPreemptibleCPUs float64 // CPUs of each of two tasks that can't be stopped; the limit is 16
+		running            int     // number of tasks of 1 CPU that can be stopped
+		stops              int
 	}{{6.5, 1, 0}, {6, 2, 2}} {
 		l := newLeader(t, 5, start, map[string]json.RawMessage{})
-		firm := spec("job-1")
-		firm.Tasks, firm.CPUs, firm.EstimateS = 2, c.firmCPUs, 600
-		low := spec("job-2")
+		nonPreemptible := newJob("job-1")
+		nonPreemptible.Tasks, nonPreemptible.CPUs, nonPreemptible.EstimateS = 2, c.nonPreemptibleCPUs, 600
+		low := newJob("job-2")
 		low.Priority, low.Tasks, low.CPUs, low.CheckpointIntervalS, low.EstimateS = wire.PriorityIdle, c.running, 1, 5, 300
 		lists := map[string][]wire.TaskStatus{"m1": nil, "m2": nil, "m3": nil}
 		stops := 0
 		step := func() {
-			l.pass(500 * time.Millisecond)
+			l.tickAfter(500 * time.Millisecond)
 			l.commit()
 			for _, m := range []string{"m1", "m2", "m3"} {
-				for _, command := range l.report(m, 1, lists[m]...) {
+				for _, command := range l.sendHeartbeat(m, 1, lists[m]...) {
 					switch command.Op {
 					case wire.OpStart:
 						lists[m] = append(lists[m], wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: wire.TaskRunning})
@@ -107,14 +107,14 @@
 				}
 			}
 		}
-		for _, j := range []*wire.Job{firm, low} {
+		for _, j := range []*wire.Job{nonPreemptible, low} {
 			l.Submit(l.now, l.now, j, func(leader.Response) {})
 			l.commit()
 			for range 3 {
 				step()
 			}
 		}
-		high := spec("job-3")
+		high := newJob("job-3")
 		high.Priority, high.CPUs = wire.PriorityCritical, 4
 		l.Submit(l.now, l.now, high, func(leader.Response) {})
 		l.commit()
@@ -122,85 +122,86 @@
 			step()
 		}
 		if stops != c.stops {
-			t.Errorf("beside %d small tasks: %d stops, want %d", c.running, stops, c.stops)
+			t.Errorf("with %d preemptible tasks: %d stops, want %d", c.running, stops, c.stops)
 		}
 	}
 }
 
-// TestRoomBeingMadeIsKept: two tasks are stopped for a larger one of a higher priority,
-// and exit one after the other. What the first leaves does not go to work of the lower
-// priority again.
-func TestRoomBeingMadeIsKept(t *testing.T) {
+// TestPreemptedCapacityIsReserved checks two tasks that are stopped for a larger one of a higher
+// priority and exit one after the other: the capacity that the first exit frees does not go to tasks
+// of lower priority.
+func TestPreemptedCapacityIsReserved(t *testing.T) {
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
-	low := spec("job-1")
+	low := newJob("job-1")
 	low.Priority, low.Tasks, low.CPUs, low.CheckpointIntervalS, low.EstimateS = wire.PriorityIdle, 2, 4, 5, 300
 	l.Submit(l.now, l.now, low, func(leader.Response) {})
 	l.commit()
-	l.report("m1", 1)
-	l.pass(time.Second)
+	l.sendHeartbeat("m1", 1)
+	l.tickAfter(time.Second)
 	l.commit()
 	var running []wire.TaskStatus
-	for _, c := range l.report("m1", 1) {
+	for _, c := range l.sendHeartbeat("m1", 1) {
 		running = append(running, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
 	}
 	if len(running) != 2 {
 		t.Fatalf("%d of 2 tasks started", len(running))
 	}
-	l.report("m1", 1, running...)
-	high := spec("job-2")
+	l.sendHeartbeat("m1", 1, running...)
+	high := newJob("job-2")
 	high.CPUs = 8
 	l.Submit(l.now, l.now, high, func(leader.Response) {})
 	l.commit()
-	l.pass(time.Second)
-	if cs := l.report("m1", 1, running...); len(cs) != 2 || cs[0].Op != wire.OpStop || cs[1].Op != wire.OpStop {
-		t.Fatalf("instead of two stops: %s", ops(cs))
+	l.tickAfter(time.Second)
+	if cs := l.sendHeartbeat("m1", 1, running...); len(cs) != 2 || cs[0].Op != wire.OpStop || cs[1].Op != wire.OpStop {
+		t.Fatalf("want two stops, got %s", formatCommands(cs))
 	}
 	exited := func(r wire.TaskStatus) wire.TaskStatus {
 		r.State, r.ExitReason = wire.TaskExited, wire.ExitStopped
 		return r
 	}
-	l.report("m1", 1, exited(running[0]), running[1])
-	l.pass(500 * time.Millisecond)
+	l.sendHeartbeat("m1", 1, exited(running[0]), running[1])
+	l.tickAfter(500 * time.Millisecond)
 	l.commit()
-	for _, c := range l.report("m1", 1, running[1]) {
+	for _, c := range l.sendHeartbeat("m1", 1, running[1]) {
 		if c.Op == wire.OpStart {
-			t.Fatalf("%s was started in the room that is being made", c.Task)
+			t.Fatalf("%s was started in capacity reserved for job-2", c.Task)
 		}
 	}
-	l.report("m1", 1, exited(running[1]))
-	l.pass(500 * time.Millisecond)
+	l.sendHeartbeat("m1", 1, exited(running[1]))
+	l.tickAfter(500 * time.Millisecond)
 	l.commit()
-	if cs := l.report("m1", 1); ops(cs) != "run job-2/0" {
-		t.Fatal(ops(cs))
+	if cs := l.sendHeartbeat("m1", 1); formatCommands(cs) != "run job-2/0" {
+		t.Fatal(formatCommands(cs))
 	}
 }
 
-// TestAgedStartIsLeftToRun: a task that began since its job had waited long is not
-// stopped for more urgent work before its start counts; after that it is.
-func TestAgedStartIsLeftToRun(t *testing.T) {
+// TestAgedStartIsProtectedFromPreemption checks that a task that was placed because of its job's age
+// is not stopped for more urgent work in its first 30 s, because a start counts to the user only
+// once it has run for that long. After that it is stopped.
+func TestAgedStartIsProtectedFromPreemption(t *testing.T) {
 	for _, waited := range []time.Duration{time.Second, tuning.AgingThreshold} {
 		l := newLeader(t, 5, start, map[string]json.RawMessage{})
-		idle := spec("job-1")
+		idle := newJob("job-1")
 		idle.Priority, idle.CPUs, idle.CheckpointIntervalS, idle.EstimateS = wire.PriorityIdle, 8, 5, 300
 		l.Submit(l.now, l.now, idle, func(leader.Response) {})
 		l.commit()
-		l.pass(waited)
-		l.report("m1", 1)
-		l.pass(time.Second)
+		l.tickAfter(waited)
+		l.sendHeartbeat("m1", 1)
+		l.tickAfter(time.Second)
 		l.commit()
-		cs := l.report("m1", 1)
-		if ops(cs) != "run job-1/0" {
-			t.Fatal(ops(cs))
+		cs := l.sendHeartbeat("m1", 1)
+		if formatCommands(cs) != "run job-1/0" {
+			t.Fatal(formatCommands(cs))
 		}
 		began := l.now
 		l.submit("job-2")
 		for {
-			l.pass(time.Second)
+			l.tickAfter(time.Second)
 			l.commit()
 			if l.now.Sub(began) > 90*time.Second {
-				t.Fatal("never stopped")
+				t.Fatal("not stopped within 90 s")
 			}
-			if len(l.report("m1", 1, wire.TaskStatus{Task: "job-1/0", Attempt: cs[0].Attempt, State: wire.TaskRunning})) > 0 {
+			if len(l.sendHeartbeat("m1", 1, wire.TaskStatus{Task: "job-1/0", Attempt: cs[0].Attempt, State: wire.TaskRunning})) > 0 {
 				break
 			}
 		}
@@ -210,26 +211,25 @@
 	}
 }
 
-// TestLargeJobBegins: under a lasting backlog of smaller and more urgent work
-// of another team a large job of a low priority begins within four minutes, and
-// goes on.
-func TestLargeJobBegins(t *testing.T) {
+// TestLargeJobIsNotStarved checks that, under a lasting backlog of smaller and more urgent jobs, a
+// large job of low priority starts within four minutes, and that more of its tasks start later.
+func TestLargeJobIsNotStarved(t *testing.T) {
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
-	large := spec("job-999999")
+	large := newJob("job-999999")
 	large.Priority, large.Tasks, large.CPUs, large.EstimateS = wire.PriorityIdle, 40, 8, 20
-	const after = 100 // seconds, when the backlog is there
+	const submitAfterS = 100 // the backlog exists by then
 	lists := map[string][]wire.TaskStatus{"m1": nil, "m2": nil}
 	ends := map[string]time.Time{}
-	first, begun := time.Duration(0), 0
+	firstDelay, starts := time.Duration(0), 0
 	for second := range 600 {
-		if second == after {
+		if second == submitAfterS {
 			l.Submit(l.now, l.now, large, func(leader.Response) {})
 		}
-		// Two machines could do a third of this.
-		small := spec(fmt.Sprintf("job-%06d", second))
+		// The two machines have capacity for a third of these tasks.
+		small := newJob(fmt.Sprintf("job-%06d", second))
 		small.Tasks, small.EstimateS = 4, 6
 		l.Submit(l.now, l.now, small, func(leader.Response) {})
-		l.pass(time.Second)
+		l.tickAfter(time.Second)
 		l.commit()
 		for _, m := range []string{"m1", "m2"} {
 			for i := range lists[m] {
@@ -237,14 +237,14 @@
 					task.State, task.ExitReason = wire.TaskExited, wire.ExitDone
 				}
 			}
-			for _, c := range l.report(m, 1, lists[m]...) {
+			for _, c := range l.sendHeartbeat(m, 1, lists[m]...) {
 				switch c.Op {
 				case wire.OpStart:
 					run := 6 * time.Second
 					if strings.HasPrefix(c.Task, large.ID) {
 						run = 20 * time.Second
-						if begun++; begun == 1 {
-							first = l.now.Sub(start) - after*time.Second
+						if starts++; starts == 1 {
+							firstDelay = l.now.Sub(start) - submitAfterS*time.Second
 						}
 					}
 					ends[c.Task] = l.now.Add(run)
@@ -255,37 +255,37 @@
 			}
 		}
 	}
-	if begun == 0 || first > 4*time.Minute {
-		t.Fatalf("%d tasks begun, the first after %v", begun, first)
+	if starts == 0 || firstDelay > 4*time.Minute {
+		t.Fatalf("%d tasks started, the first after %v", starts, firstDelay)
 	}
-	if begun < 2 {
-		t.Fatalf("only %d tasks begun, the first after %v: it does not go on", begun, first)
+	if starts < 2 {
+		t.Fatalf("only %d tasks started, the first after %v", starts, firstDelay)
 	}
 }
 
-// TestHalfEmptyMachineIsEmptied: in a lull two machines are kept by one long
-// task each. One task saves and goes on beside the other, and the machine goes
-// back; a task that can't save stays where it is.
-func TestHalfEmptyMachineIsEmptied(t *testing.T) {
+// TestUnderusedMachineIsConsolidated checks two machines that run one long task each. A task that
+// saves checkpoints is moved to the other machine, and its own machine is released. A task that
+// can't save is not moved.
+func TestUnderusedMachineIsConsolidated(t *testing.T) {
 	for _, checkpoint := range []float64{20, 0} {
 		l := newLeader(t, 5, start, map[string]json.RawMessage{})
 		submit := func(id string, estimate float64) {
-			j := spec(id)
+			j := newJob(id)
 			j.CPUs, j.EstimateS, j.CheckpointIntervalS, j.CheckpointSaveS = 4, estimate, checkpoint, 4
 			l.Submit(l.now, l.now, j, func(leader.Response) {})
 		}
-		submit("job-0", 40) // shares m1 with job-1 at first
+		submit("job-0", 40) // runs on m1 beside job-1 until it completes
 		submit("job-1", 300)
 		l.ApplyMachineList(l.now, l.now, []wire.ListedMachine{
 			{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}, {Name: "m2", Type: "std-8", Zone: "a", State: wire.MachineRunning},
 		})
 		lists := map[string][]wire.TaskStatus{}
-		moved, released := 0, ""
+		stops, released := 0, ""
 		for second := range 120 {
 			if second == 5 {
 				submit("job-2", 300)
 			}
-			l.pass(time.Second)
+			l.tickAfter(time.Second)
 			l.commit()
 			for _, m := range []string{"m1", "m2"} {
 				if released == m || second < 5 && m == "m2" {
@@ -296,16 +296,16 @@
 						lists[m][i].State, lists[m][i].ExitReason = wire.TaskExited, wire.ExitDone
 					}
 				}
-				for _, c := range l.report(m, 1, lists[m]...) {
+				for _, c := range l.sendHeartbeat(m, 1, lists[m]...) {
 					at := slices.IndexFunc(lists[m], func(r wire.TaskStatus) bool { return r.Task == c.Task })
 					switch c.Op {
 					case wire.OpStart:
 						lists[m] = append(lists[m], wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
 					case wire.OpStop:
 						if c.GracePeriodS == nil || *c.GracePeriodS < 4 {
-							t.Fatalf("stopped without time to save: %+v", c)
+							t.Fatalf("stopped without time to save a checkpoint: %+v", c)
 						}
-						moved++
+						stops++
 						lists[m][at].State, lists[m][at].ExitReason, lists[m][at].CheckpointSaved = wire.TaskExited, wire.ExitStopped, true
 					case wire.OpForget:
 						lists[m] = slices.Delete(lists[m], at, at+1)
@@ -319,11 +319,11 @@
 				}
 			}
 		}
-		if checkpoint > 0 && (moved != 1 || released == "" || len(lists["m1"])+len(lists["m2"]) != 2) {
-			t.Fatalf("moved %d, released %q, left %v", moved, released, lists)
+		if checkpoint > 0 && (stops != 1 || released == "" || len(lists["m1"])+len(lists["m2"]) != 2) {
+			t.Fatalf("stops: %d, released: %q, tasks: %v", stops, released, lists)
 		}
-		if checkpoint == 0 && moved != 0 {
-			t.Fatal("a task that can't save was moved")
+		if checkpoint == 0 && stops != 0 {
+			t.Fatal("a task that can't save a checkpoint was moved")
 		}
 	}
 }
--- a/internal/leader/reachability_test.go
+++ b/internal/leader/reachability_test.go
@@ -12,19 +12,19 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// zoned is a leader of two zones with machines a0 to a9 and b0 to b9.
-type zoned struct {
+// zonedCluster is a leader of two zones with machines a0 to a9 and b0 to b9.
+type zonedCluster struct {
 	*testLeader
-	gone map[string]bool // released
+	silent map[string]bool // machines that send no heartbeats
 }
 
 var zones = []string{"a", "b"}
 
-func newZoned(t *testing.T, term uint64, now time.Time, store map[string]json.RawMessage) *zoned {
+func newZonedCluster(t *testing.T, term uint64, now time.Time, store map[string]json.RawMessage) *zonedCluster {
 	old := bigType
 	bigType.Zones = zones
 	t.Cleanup(func() { bigType = old })
-	z := &zoned{newLeader(t, term, now, store), map[string]bool{}}
+	z := &zonedCluster{newLeader(t, term, now, store), map[string]bool{}}
 	var rows []wire.ListedMachine
 	for _, zone := range zones {
 		for i := range 10 {
@@ -35,67 +35,68 @@
 	return z
 }
 
-// hear lets the machines of the zones report what they were told to start.
-func (z *zoned) hear(on map[string][]wire.TaskStatus, zones ...string) {
+// sendHeartbeats sends a heartbeat of every machine in the given zones that is not silent, and
+// starts the tasks that the responses ask for.
+func (z *zonedCluster) sendHeartbeats(tasks map[string][]wire.TaskStatus, zones ...string) {
 	for _, zone := range zones {
 		for i := range 10 {
 			id := fmt.Sprint(zone, i)
-			if z.gone[id] {
+			if z.silent[id] {
 				continue
 			}
 			z.seq++
-			a, _ := z.HandleHeartbeat(z.now, &wire.Heartbeat{
-				Machine: id, Addr: "x:1", Type: "std-8", Zone: zone, AgentEpoch: 1, Sequence: z.seq, FencingToken: z.Term(), Tasks: on[id],
+			response, _ := z.HandleHeartbeat(z.now, &wire.Heartbeat{
+				Machine: id, Addr: "x:1", Type: "std-8", Zone: zone, AgentEpoch: 1, Sequence: z.seq, FencingToken: z.Term(), Tasks: tasks[id],
 			}, true)
-			for _, c := range a.Commands {
+			for _, c := range response.Commands {
 				if c.Op == wire.OpStart {
-					on[id] = append(on[id], wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
+					tasks[id] = append(tasks[id], wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
 				}
 			}
 		}
 	}
 }
 
-// run brings a job of 80 tasks, four to each machine, to run everywhere.
-func (z *zoned) run(j *wire.Job) map[string][]wire.TaskStatus {
-	on := map[string][]wire.TaskStatus{}
-	z.hear(on, zones...)
+// runWideJob runs a job of 80 tasks, four on each machine, and returns the tasks by machine.
+func (z *zonedCluster) runWideJob(j *wire.Job) map[string][]wire.TaskStatus {
+	tasks := map[string][]wire.TaskStatus{}
+	z.sendHeartbeats(tasks, zones...)
 	j.Tasks, j.Team = 80, "wide"
 	z.Submit(z.now, z.now, j, func(leader.Response) {})
 	for range 4 {
 		z.commit()
-		z.pass(time.Second)
-		z.hear(on, zones...)
+		z.tickAfter(time.Second)
+		z.sendHeartbeats(tasks, zones...)
 	}
 	z.commit()
-	z.hear(on, zones...)
-	z.hear(on, zones...)
-	return on
+	z.sendHeartbeats(tasks, zones...)
+	z.sendHeartbeats(tasks, zones...)
+	return tasks
 }
 
-// after plays a time during which only the given zones are heard, and returns
-// what is released and the zones in which machines are rented.
-func (z *zoned) after(d time.Duration, on map[string][]wire.TaskStatus, heard ...string) (released, rented []string) {
+// advance advances time in steps of a second while only the given zones send heartbeats. It returns
+// the machines released and the zones of provisioning calls.
+func (z *zonedCluster) advance(d time.Duration, tasks map[string][]wire.TaskStatus, reachable ...string) (released, provisioned []string) {
 	for range int(d / time.Second) {
-		z.pass(time.Second)
-		z.hear(on, heard...)
+		z.tickAfter(time.Second)
+		z.sendHeartbeats(tasks, reachable...)
 		z.commit()
 		for _, c := range z.PlanScaling(z.now) {
 			if c.Op == scaling.CloudProvision {
-				rented = append(rented, c.Provision.Zone)
+				provisioned = append(provisioned, c.Provision.Zone)
 				z.ProvisionDone(z.now, c.Provision, nil)
 				continue
 			}
 			for _, id := range c.Release {
-				z.gone[id] = true
+				z.silent[id] = true
 			}
 			released = append(released, c.Release...)
 			z.ReleaseDone(z.now, c.Release)
 		}
 	}
 	slices.Sort(released)
-	slices.Sort(rented)
-	return released, slices.Compact(rented)
+	slices.Sort(provisioned)
+	return released, slices.Compact(provisioned)
 }
 
 func addWideTeam(t *testing.T) {
@@ -106,89 +107,91 @@
 	team.Name, team.CPUs, team.CPUsMax = "wide", 500, 500
 }
 
-// dueIn is a job with a deadline.
-func dueIn(seconds float64) *wire.Job {
-	j := spec("job-1")
+// newJobDueIn returns a job with a deadline.
+func newJobDueIn(seconds float64) *wire.Job {
+	j := newJob("job-1")
 	j.DeadlineS = &seconds
 	return j
 }
 
-// urgentJob would be late if it waited for a lease of 15 s.
-func urgentJob() *wire.Job { return dueIn(50) }
+// newUrgentJob returns a job that would be late if it waited until a lease of 15 s has expired.
+func newUrgentJob() *wire.Job { return newJobDueIn(50) }
 
-// TestUrgentWorkLeavesAPartitionedZone: when a zone falls silent, its machines are
-// released where the work on them would be late by the end of their leases, so
-// that it can start again; nothing is rented in that zone. Patient work waits.
-func TestUrgentWorkLeavesAPartitionedZone(t *testing.T) {
+// TestPartitionedZoneIsReleasedForUrgentWork checks that, when no heartbeats arrive from a zone, its
+// machines are released if their work would be late once their leases have expired, so that it can
+// start elsewhere. Nothing is provisioned in that zone. Machines without urgent work are not
+// released.
+func TestPartitionedZoneIsReleasedForUrgentWork(t *testing.T) {
 	addWideTeam(t)
-	z := newZoned(t, 5, start, map[string]json.RawMessage{})
-	on := z.run(urgentJob())
-	released, rented := z.after(10*time.Second, on, "a")
+	z := newZonedCluster(t, 5, start, map[string]json.RawMessage{})
+	tasks := z.runWideJob(newUrgentJob())
+	released, provisioned := z.advance(10*time.Second, tasks, "a")
 	if len(released) != 10 || released[0] != "b0" || released[9] != "b9" {
 		t.Errorf("released: %v", released)
 	}
-	z.hear(on, "a")
-	if _, more := z.after(3*time.Second, on, "a"); fmt.Sprint(append(rented, more...)) != "[a]" {
-		t.Errorf("rented in %v, then %v", rented, more)
+	z.sendHeartbeats(tasks, "a")
+	if _, more := z.advance(3*time.Second, tasks, "a"); fmt.Sprint(append(provisioned, more...)) != "[a]" {
+		t.Errorf("provisioned in %v, then %v", provisioned, more)
 	}
 	if n := z.Counts(); n.AllocatedTasks != 40 || n.ReadyTasks != 40 {
 		t.Errorf("%+v", n)
 	}
 
-	// Machines that boot in that zone are no room for the work either.
-	booting := newZoned(t, 5, start, map[string]json.RawMessage{})
-	on = booting.run(urgentJob())
+	// Machines that boot in that zone don't count as capacity for the work either.
+	booting := newZonedCluster(t, 5, start, map[string]json.RawMessage{})
+	tasks = booting.runWideJob(newUrgentJob())
 	var rows []wire.ListedMachine
 	for i := range 40 {
 		rows = append(rows, wire.ListedMachine{Name: fmt.Sprint("b9", i), Addr: "x:1", Type: "std-8", Zone: "b", State: wire.MachineBooting})
 	}
 	booting.ApplyMachineList(booting.now, booting.now, rows)
-	if _, rented := booting.after(10*time.Second, on, "a"); fmt.Sprint(rented) != "[a]" {
-		t.Errorf("with machines booting in the zone: rented in %v", rented)
+	if _, provisioned := booting.advance(10*time.Second, tasks, "a"); fmt.Sprint(provisioned) != "[a]" {
+		t.Errorf("with machines booting in the zone: provisioned in %v", provisioned)
 	}
 
-	patient := newZoned(t, 5, start, map[string]json.RawMessage{})
-	if released, _ := patient.after(10*time.Second, patient.run(dueIn(500)), "a"); len(released) != 0 {
-		t.Errorf("released with patient work: %v", released)
+	nonUrgent := newZonedCluster(t, 5, start, map[string]json.RawMessage{})
+	if released, _ := nonUrgent.advance(10*time.Second, nonUrgent.runWideJob(newJobDueIn(500)), "a"); len(released) != 0 {
+		t.Errorf("released without urgent work: %v", released)
 	}
 }
 
-// TestSilenceOfAllMachinesReleasesNone: a node that hears no machine is cut off itself, and
-// gives none of them up before the leases end.
+// TestSilenceOfAllMachinesReleasesNone checks that a node that receives no heartbeats at all
+// presumes that it is isolated, and releases no machine before its lease has expired.
 func TestSilenceOfAllMachinesReleasesNone(t *testing.T) {
 	addWideTeam(t)
-	z := newZoned(t, 5, start, map[string]json.RawMessage{})
-	if released, _ := z.after(10*time.Second, z.run(urgentJob())); len(released) != 0 {
+	z := newZonedCluster(t, 5, start, map[string]json.RawMessage{})
+	if released, _ := z.advance(10*time.Second, z.runWideJob(newUrgentJob())); len(released) != 0 {
 		t.Errorf("released: %v", released)
 	}
 }
 
-// TestSilenceInAllZonesReleasesNone: neither does one that has lost half of them, all
-// over the place.
+// TestSilenceInAllZonesReleasesNone checks that a node that receives no heartbeats from half of the
+// machines of every zone releases none either.
 func TestSilenceInAllZonesReleasesNone(t *testing.T) {
 	addWideTeam(t)
-	z := newZoned(t, 5, start, map[string]json.RawMessage{})
-	on := z.run(urgentJob())
+	z := newZonedCluster(t, 5, start, map[string]json.RawMessage{})
+	tasks := z.runWideJob(newUrgentJob())
 	for i := range 5 {
-		z.gone[fmt.Sprint("a", 2*i)], z.gone[fmt.Sprint("b", 2*i)] = true, true
+		z.silent[fmt.Sprint("a", 2*i)], z.silent[fmt.Sprint("b", 2*i)] = true, true
 	}
-	if released, _ := z.after(10*time.Second, on, zones...); len(released) != 0 {
+	if released, _ := z.advance(10*time.Second, tasks, zones...); len(released) != 0 {
 		t.Errorf("released: %v", released)
 	}
 }
 
-// TestSuccessorLeavesAPartitionedZone: the same for machines that a new leader has never
-// heard, on which its predecessor may go on answering.
-func TestSuccessorLeavesAPartitionedZone(t *testing.T) {
+// TestSuccessorReleasesPartitionedZone checks that a new leader releases machines that it has never
+// received a heartbeat from, because its predecessor may be partitioned with them and still respond
+// to them.
+func TestSuccessorReleasesPartitionedZone(t *testing.T) {
 	addWideTeam(t)
-	z := newZoned(t, 5, start, map[string]json.RawMessage{})
-	on := z.run(urgentJob())
-	next := newZoned(t, 6, z.now, z.store)
-	next.hear(on, "a")
-	if released, _ := next.after(7*time.Second, on, "a"); len(released) != 0 {
-		t.Errorf("released before they can have been missed: %v", released)
-	}
-	if released, _ := next.after(4*time.Second, on, "a"); len(released) != 10 {
+	z := newZonedCluster(t, 5, start, map[string]json.RawMessage{})
+	tasks := z.runWideJob(newUrgentJob())
+	next := newZonedCluster(t, 6, z.now, z.store)
+	next.sendHeartbeats(tasks, "a")
+	if released, _ := next.advance(7*time.Second, tasks, "a"); len(released) != 0 {
+		t.Errorf("released before a heartbeat was overdue: %v", released)
+	}
+	if released, _ := next.advance(4*time.Second, tasks, "a"); len(released) != 10 {
 		t.Errorf("released: %v", released)
 	}
 	if n := next.Counts(); n.AllocatedTasks != 40 || n.ReadyTasks != 40 {
--- a/internal/leader/records_test.go
+++ b/internal/leader/records_test.go
@@ -18,46 +18,46 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// TestLongDependenciesFitSmallValues: a valid job is not rejected for the length of its lists of
-// dependencies or machine types. Whenever a leader crashes between the writes, there is the
-// whole job or none, and pieces that no record names any more are deleted.
+// TestLongDependenciesFitSmallValues checks that a valid job with long lists of dependencies and
+// machine types is stored in pieces that fit the value limit. If a leader crashes between the
+// writes, a successor has the whole job or none of it, and deletes the pieces that no record names.
 func TestLongDependenciesFitSmallValues(t *testing.T) {
 	useTightLimits(t)
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
 	long := dependentJob("job-999999999")
 	for i := range 400 {
 		id := fmt.Sprintf("job-%d", 1000+i)
-		l.accept(spec(id))
+		l.submitAll(newJob(id))
 		long.DependsOn = append(long.DependsOn, id)
 	}
 	long.MachineTypes = []string{"std-8"}
 	for i := range 100 {
 		long.MachineTypes = append(long.MachineTypes, fmt.Sprintf("machine-type-%d", i))
 	}
-	v := l.ask(long)
+	v := l.submitAsync(long)
 	for step := 0; v.Status == 0; step++ {
 		store := maps.Clone(l.store)
 		next := newLeader(t, 6, l.now, store)
 		if next.Query(long.ID).Status != 404 {
-			t.Fatal("known before the last write")
+			t.Fatal("job known before its last write")
 		}
-		// The same job again, over what the other has left.
-		again := next.ask(long)
+		// Submits the same job again while pieces of the first submission are stored.
+		again := next.submitAsync(long)
 		next.commit()
-		if again.Status != 201 || next.state(long.ID) != wire.JobQueued {
+		if again.Status != 201 || next.queryState(long.ID) != wire.JobQueued {
 			t.Fatalf("%+v", *again)
 		}
 		other := newLeader(t, 7, l.now, store)
-		if other.state(long.ID) != wire.JobQueued {
-			t.Fatal("lost by a successor")
+		if other.queryState(long.ID) != wire.JobQueued {
+			t.Fatal("job lost by a successor")
 		}
 		other.commit()
 		for key := range store {
 			if strings.HasPrefix(key, "n/"+long.ID+"/5-") {
-				t.Fatalf("%s is left", key)
+				t.Fatalf("%s is still stored", key)
 			}
 		}
-		l.some(1, 1)
+		l.commitBatch(1, 1)
 	}
 	if v.Status != 201 {
 		t.Fatalf("%+v", *v)
@@ -77,25 +77,25 @@
 	next := newLeader(t, 8, l.now, l.store)
 	next.Cancel(next.now, long.DependsOn[17], func(leader.Response) {})
 	next.commit()
-	next.pass(time.Second)
+	next.tickAfter(time.Second)
 	next.commit()
-	if got := next.state(long.ID); got != wire.JobCancelled {
-		t.Errorf("a dependency was lost: called %s", got)
+	if got := next.queryState(long.ID); got != wire.JobCancelled {
+		t.Errorf("a dependency was lost: reported as %s", got)
 	}
 	for key := range next.store {
 		if strings.HasPrefix(key, "n/") {
-			t.Errorf("%s is left", key)
+			t.Errorf("%s is still stored", key)
 		}
 	}
 }
 
-// TestCorruptRecords: an optional record is skipped and logged by its key; any other
-// keeps the service from starting. Jobs that depend on themselves, which no
-// submission can bring about, wait and can be cancelled; nothing loops.
+// TestCorruptRecords checks that a corrupt optional record is skipped and logged with its key, and
+// that any other corrupt record fails the loading. Jobs in a dependency cycle, which no submission
+// can create, stay queued without an endless loop, and can be cancelled.
 func TestCorruptRecords(t *testing.T) {
 	useTightLimits(t)
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
-	l.accept(spec("job-1"), dependentJob("job-2", "job-1"), dependentJob("job-3", "job-2"))
+	l.submitAll(newJob("job-1"), dependentJob("job-2", "job-1"), dependentJob("job-3", "job-2"))
 	load := func(store map[string]json.RawMessage) (*leader.Leader, string, error) {
 		var logs bytes.Buffer
 		c := leader.New(zerolog.New(&logs), params, config.Operator{}, 6, l.now, 0)
@@ -112,17 +112,17 @@
 		c.FinishLoading(l.now)
 		return c, logs.String(), nil
 	}
-	long := spec("job-5")
+	long := newJob("job-5")
 	for i := range 200 {
 		long.MachineTypes = append(long.MachineTypes, fmt.Sprint("type-", i))
 	}
 	long.MachineTypes[0] = "std-8"
-	l.accept(long)
-	for key, named := range map[string]string{"d/job-1/0": "", "c/types": "", "n/job-1/5-0": "", "n/job-5/5-1": "j/job-5", "j/job-1": "j/job-1", "f/job-1": "f/job-1", "s/1-1": "s/1-1"} {
+	l.submitAll(long)
+	for key, wantKey := range map[string]string{"d/job-1/0": "", "c/types": "", "n/job-1/5-0": "", "n/job-5/5-1": "j/job-5", "j/job-1": "j/job-1", "f/job-1": "f/job-1", "s/1-1": "s/1-1"} {
 		store := maps.Clone(l.store)
 		store[key] = json.RawMessage(`7`)
 		_, logs, err := load(store)
-		if (err != nil) != (named != "") || err != nil && !strings.Contains(err.Error(), named) || err == nil && !strings.Contains(logs, key) {
+		if (err != nil) != (wantKey != "") || err != nil && !strings.Contains(err.Error(), wantKey) || err == nil && !strings.Contains(logs, key) {
 			t.Errorf("%s: %v, logs %s", key, err, logs)
 		}
 	}
@@ -140,7 +140,7 @@
 		c.Tick(l.now, true)
 	}
 	if n := c.Counts().DependencySteps; n != 0 {
-		t.Errorf("%d steps left for jobs that depend on themselves", n)
+		t.Errorf("%d steps queued for jobs in a cycle", n)
 	}
 	if v := c.Query("job-3"); v.State != wire.JobQueued {
 		t.Errorf("%+v", v)
@@ -155,36 +155,36 @@
 	}
 }
 
-// TestRefusedStartRecordBlocksNothing: a start record that the key-value store refuses although
-// it should take it has its tasks placed anew, and all other changes are made.
+// TestRefusedStartRecordBlocksNothing checks that, if the key-value store refuses a start record,
+// the tasks in it are placed again and all other changes are committed.
 func TestRefusedStartRecordBlocksNothing(t *testing.T) {
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
-	l.accept(spec("job-1"))
-	l.report("m1", 1)
-	l.pass(time.Second)
+	l.submitAll(newJob("job-1"))
+	l.sendHeartbeat("m1", 1)
+	l.tickAfter(time.Second)
 	b := l.NextBatch(10, 10)
 	if b == nil || !strings.HasPrefix(b.Mutations[0].Put, "s/") {
 		t.Fatal("no start record")
 	}
 	l.BatchCommitted(b, []string{b.Mutations[0].Put})
-	if cs := l.report("m1", 1); len(cs) != 0 {
-		t.Fatalf("started without a record: %s", ops(cs))
+	if cs := l.sendHeartbeat("m1", 1); len(cs) != 0 {
+		t.Fatalf("started without a record: %s", formatCommands(cs))
 	}
-	l.pass(time.Second)
+	l.tickAfter(time.Second)
 	l.commit()
-	if got := ops(l.report("m1", 1)); got != "run job-1/0" {
+	if got := formatCommands(l.sendHeartbeat("m1", 1)); got != "run job-1/0" {
 		t.Fatal(got)
 	}
 }
 
-// TestOversizedChangeIsNotSent: a change above the key-value store's limit is found
-// before it is sent, named in the logs, and blocks no other.
+// TestOversizedChangeIsNotSent checks that a change above the value limit is not sent but logged
+// with its key, and that other changes are committed.
 func TestOversizedChangeIsNotSent(t *testing.T) {
 	old := params
 	defer func() { params = old }()
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
-	l.accept(spec("job-1"), spec("job-2"))
-	params.KVStore.ValueKB = 0.05 // less than any start record takes
+	l.submitAll(newJob("job-1"), newJob("job-2"))
+	params.KVStore.ValueKB = 0.05 // less than the size of any start record
 	var logs bytes.Buffer
 	c := leader.New(zerolog.New(&logs), params, config.Operator{}, 6, l.now, 0)
 	for _, id := range []string{"job-1", "job-2"} {
@@ -195,8 +195,8 @@
 	c.FinishLoading(l.now)
 	c.SetMachineTypes([]wire.MachineType{bigType})
 	next := &testLeader{Leader: c, t: t, now: l.now, store: l.store}
-	next.report("m1", 1)
-	next.pass(time.Second)
+	next.sendHeartbeat("m1", 1)
+	next.tickAfter(time.Second)
 	c.Cancel(next.now, "job-2", func(leader.Response) {})
 	b := c.NextBatch(10, 10)
 	if b == nil || len(b.Mutations) != 1 || b.Mutations[0].Put != "f/job-2" {
@@ -204,9 +204,9 @@
 	}
 	c.BatchCommitted(b, nil)
 	if !strings.Contains(logs.String(), `"key":"s/`) {
-		t.Errorf("not named: %s", logs.String())
+		t.Errorf("key not logged: %s", logs.String())
 	}
 	if n := c.Counts(); n.AllocatedTasks != 0 || n.ReadyTasks != 1 {
-		t.Errorf("the task of the record left out is lost: %+v", n)
+		t.Errorf("the task of the dropped record is not ready again: %+v", n)
 	}
 }
--- a/internal/leader/requests_test.go
+++ b/internal/leader/requests_test.go
@@ -16,23 +16,24 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// TestDoneIsDurableBeforeReap: the worker's memory of a completion is the
-// only one until the state service has it, and users hear of it only then.
-func TestDoneIsDurableBeforeReap(t *testing.T) {
-	l, tr := running(t)
-	tr.State, tr.ExitReason = wire.TaskExited, wire.ExitDone
-	if cs := l.report("m1", 1, tr); len(cs) != 0 {
-		t.Fatalf("before it is durable: %s", ops(cs))
+// TestCompletionIsDurableBeforeForget checks that an agent is told to forget a completed task, and
+// users are told of its completion, only once the completion is durable. Until then only the agent
+// knows of it.
+func TestCompletionIsDurableBeforeForget(t *testing.T) {
+	l, task := leaderWithRunningTask(t)
+	task.State, task.ExitReason = wire.TaskExited, wire.ExitDone
+	if cs := l.sendHeartbeat("m1", 1, task); len(cs) != 0 {
+		t.Fatalf("forgotten before the completion is durable: %s", formatCommands(cs))
 	}
 	if v := l.Query("job-1"); v.State == wire.JobDone {
-		t.Fatal("told before it is durable")
+		t.Fatal("reported as done before the completion is durable")
 	}
 	l.commit()
 	if v := l.Query("job-1"); v.State != wire.JobDone || v.CompletedTasks != 1 {
 		t.Fatalf("%+v", v)
 	}
-	if cs := l.report("m1", 1, tr); ops(cs) != "reap job-1/0" {
-		t.Fatal(ops(cs))
+	if cs := l.sendHeartbeat("m1", 1, task); formatCommands(cs) != "reap job-1/0" {
+		t.Fatal(formatCommands(cs))
 	}
 	l.commit()
 	for key := range l.store {
@@ -46,33 +47,32 @@
 	}
 }
 
-// TestNothingIsToldBeforeItIsDurable: a cancellation asked for while the
-// acceptance is on its way doesn't make the job known; a crash now would leave
-// no trace of it.
-func TestNothingIsToldBeforeItIsDurable(t *testing.T) {
+// TestNoResponseBeforeAcceptanceIsDurable checks that a cancellation requested before the acceptance
+// is durable does not make the job known to users: after a crash the job would not exist.
+func TestNoResponseBeforeAcceptanceIsDurable(t *testing.T) {
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
-	l.Submit(l.now, l.now, spec("job-1"), func(leader.Response) {})
+	l.Submit(l.now, l.now, newJob("job-1"), func(leader.Response) {})
 	l.Cancel(l.now, "job-1", func(leader.Response) {})
-	var again leader.Response
-	l.Submit(l.now, l.now, spec("job-1"), func(v leader.Response) { again = v })
-	if again.Status != 0 {
-		t.Fatalf("repeat answered %+v", again)
+	var repeated leader.Response
+	l.Submit(l.now, l.now, newJob("job-1"), func(v leader.Response) { repeated = v })
+	if repeated.Status != 0 {
+		t.Fatalf("response to the repeated submission: %+v", repeated)
 	}
 	if v := l.Query("job-1"); v.Status != 503 {
-		t.Fatalf("query answered %+v", v)
+		t.Fatalf("response to the query: %+v", v)
 	}
 	l.commit()
-	if again.Status != 200 || again.State != wire.JobCancelled {
-		t.Fatalf("%+v", again)
+	if repeated.Status != 200 || repeated.State != wire.JobCancelled {
+		t.Fatalf("%+v", repeated)
 	}
 }
 
-// TestPollIsCheap: a question costs the same however many jobs there are, as users ask
-// many times as often at times: no work that grows, and next to no memory.
-func TestPollIsCheap(t *testing.T) {
-	l, _ := running(t)
+// TestQueryDoesNotAllocate checks that a query allocates no memory, however many jobs there are,
+// because users at times query many times as often as usual.
+func TestQueryDoesNotAllocate(t *testing.T) {
+	l, _ := leaderWithRunningTask(t)
 	for i := range 3000 {
-		l.Submit(l.now, l.now, spec(fmt.Sprint("job-", 1000+i)), func(leader.Response) {})
+		l.Submit(l.now, l.now, newJob(fmt.Sprint("job-", 1000+i)), func(leader.Response) {})
 		l.commit()
 	}
 	for _, id := range []string{"job-1", "job-2000", "job-999999"} {
@@ -82,7 +82,8 @@
 	}
 }
 
-// TestImpossibleJobs: 422 for what can never run, 503 while that can't be told.
+// TestImpossibleJobs checks that a job that can never run gets 422, and any job 503 while the
+// machine types are not known.
 func TestImpossibleJobs(t *testing.T) {
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
 	for name, change := range map[string]func(*wire.Job){
@@ -93,7 +94,7 @@
 		"zone":  func(j *wire.Job) { j.Zone = "z" },
 		"gpus":  func(j *wire.Job) { j.GPUs = 1 },
 	} {
-		j := spec("job-1")
+		j := newJob("job-1")
 		change(j)
 		var got leader.Response
 		l.Submit(l.now, l.now, j, func(v leader.Response) { got = v })
@@ -103,39 +104,39 @@
 	}
 	fresh := leader.New(zerolog.Nop(), params, config.Operator{}, 1, start, 0)
 	var got leader.Response
-	fresh.Submit(start, start, spec("job-1"), func(v leader.Response) { got = v })
+	fresh.Submit(start, start, newJob("job-1"), func(v leader.Response) { got = v })
 	if got.Status != 503 {
 		t.Errorf("without machine types: %+v", got)
 	}
 }
 
-// TestGuestTeam: a guarantee of 0 and a limit of 0 mean that there is none. A guest's
-// job is accepted, and runs where there is room.
-func TestGuestTeam(t *testing.T) {
-	with := params
-	with.Teams = append(slices.Clone(params.Teams), config.Team{Name: "guests"})
-	c := leader.New(zerolog.Nop(), with, config.Operator{}, 5, start, 0)
+// TestTeamWithoutGuaranteeOrLimit checks that a guarantee and a limit of 0 mean none: a job of such
+// a team is accepted and runs where capacity is free.
+func TestTeamWithoutGuaranteeOrLimit(t *testing.T) {
+	settings := params
+	settings.Teams = append(slices.Clone(params.Teams), config.Team{Name: "guests"})
+	c := leader.New(zerolog.Nop(), settings, config.Operator{}, 5, start, 0)
 	c.SetMachineTypes([]wire.MachineType{bigType})
 	l := &testLeader{Leader: c, t: t, now: start, store: map[string]json.RawMessage{}}
-	j := spec("job-1")
+	j := newJob("job-1")
 	j.Team, j.Tasks = "guests", 3
 	var got leader.Response
 	l.Submit(l.now, l.now, j, func(v leader.Response) { got = v })
 	l.commit()
-	l.pass(10 * time.Second) // machines of a predecessor would be listed by then
+	l.tickAfter(10 * time.Second) // a list would contain the machines of a predecessor by then
 	l.ApplyMachineList(l.now, l.now, nil)
 	if calls := l.PlanScaling(l.now); got.Status != 201 || len(calls) == 0 || calls[0].Op != scaling.CloudProvision {
 		t.Fatalf("%+v, then %+v", got, calls)
 	}
-	l.report("m1", 1)
-	l.pass(time.Second)
+	l.sendHeartbeat("m1", 1)
+	l.tickAfter(time.Second)
 	l.commit()
-	if cs := l.report("m1", 1); len(cs) != 3 {
-		t.Fatalf("want three starts, got %s", ops(cs))
+	if cs := l.sendHeartbeat("m1", 1); len(cs) != 3 {
+		t.Fatalf("want three starts, got %s", formatCommands(cs))
 	}
-	j = spec("job-2")
+	j = newJob("job-2")
 	j.Team, j.GPUs = "guests", 1
 	if l.Submit(l.now, l.now, j, func(v leader.Response) { got = v }); got.Status != 422 {
-		t.Fatalf("no machine type has cards: %+v", got)
+		t.Fatalf("accepted although no machine type has GPUs: %+v", got)
 	}
 }
--- a/internal/leader/upgrade_test.go
+++ b/internal/leader/upgrade_test.go
@@ -19,7 +19,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// previousVersionLeader reads the stored records as the previous version does.
+// previousVersionLeader returns a leader that has loaded the stored records as the previous version
+// reads them.
 func previousVersionLeader(t *testing.T, term uint64, now time.Time, store map[string]json.RawMessage) *testLeader {
 	t.Helper()
 	old := params
@@ -36,7 +37,7 @@
 	return l
 }
 
-// previousVersionCommit makes the changes that the previous version would make.
+// previousVersionCommit commits those of the queued changes that the previous version would make.
 func (l *testLeader) previousVersionCommit() {
 	for b := l.NextBatch(10, 10); b != nil; b = l.NextBatch(10, 10) {
 		l.apply(simulation.PreviousVersionWrites(b.Mutations))
@@ -63,9 +64,9 @@
 	return store
 }
 
-// TestCompletionsOfBothVersions: the completions that the previous version stored,
-// in values larger than they may be now, and new ones in smaller parts, survive
-// leaders of both versions in any order, and are deleted with the job.
+// TestCompletionsOfBothVersions checks that completions stored by the previous version, in values
+// above today's limit, and those stored since in smaller records are kept by leaders of both
+// versions in any order, and deleted with the job.
 func TestCompletionsOfBothVersions(t *testing.T) {
 	useTightLimits(t)
 	for seed := range uint64(20) {
@@ -79,7 +80,7 @@
 			}
 		}
 		if seed == 0 && want.Len() != 1667 {
-			t.Fatalf("%d completions in the records", want.Len())
+			t.Fatalf("%d completions in the stored records", want.Len())
 		}
 		now := start.Add(time.Minute)
 		for term := uint64(8); !want.Full(); term++ {
@@ -96,16 +97,16 @@
 			var list []wire.TaskStatus
 			for range 150 {
 				if i := rng.IntN(3000); want.Add(i) {
-					list = append(list, exited(wire.TaskName("job-1", i), 1))
+					list = append(list, completedTask(wire.TaskName("job-1", i), 1))
 				}
 			}
 			for i := 0; want.Len() >= 2900 && i < 3000; i++ {
 				if want.Add(i) {
-					list = append(list, exited(wire.TaskName("job-1", i), 1))
+					list = append(list, completedTask(wire.TaskName("job-1", i), 1))
 				}
 			}
-			l.report("m9", 1, list...)
-			l.pass(2 * time.Second)
+			l.sendHeartbeat("m9", 1, list...)
+			l.tickAfter(2 * time.Second)
 			if previous {
 				l.previousVersionCommit()
 			} else {
@@ -114,27 +115,28 @@
 			now = l.now
 		}
 		next := newLeader(t, 1000, now, store)
-		if got := next.state("job-1"); got != wire.JobDone {
+		if got := next.queryState("job-1"); got != wire.JobDone {
 			t.Fatalf("seed %d: %s", seed, got)
 		}
-		next.pass(40 * time.Second)
+		next.tickAfter(40 * time.Second)
 		next.commit()
 		for key := range store {
 			if strings.HasPrefix(key, "d/") {
-				t.Errorf("seed %d: %s is left", seed, key)
+				t.Errorf("seed %d: %s is still stored", seed, key)
 			}
 		}
 	}
 }
 
-// TestRecordsOfThePreviousVersion: jobs, ends, starts and the catalogue are taken
-// over as they are, and no job without dependencies is stored in another form.
+// TestRecordsOfThePreviousVersion checks that jobs, final states, starts and machine types stored by
+// the previous version are loaded, and that the record of a job without dependencies has kept its
+// form.
 func TestRecordsOfThePreviousVersion(t *testing.T) {
 	useTightLimits(t)
 	store := previousVersionRecords(t)
 	l := newLeader(t, 8, start.Add(time.Minute), store)
 	for id, want := range map[string]string{"job-1": wire.JobQueued, "job-2": wire.JobDone, "job-3": wire.JobCancelled, "job-4": wire.JobQueued} {
-		if got := l.state(id); got != want {
+		if got := l.queryState(id); got != want {
 			t.Errorf("%s: %s, want %s", id, got, want)
 		}
 	}
@@ -142,26 +144,26 @@
 		t.Errorf("%+v", n)
 	}
 	record := store["j/job-4"]
-	same := newLeader(t, 8, start, map[string]json.RawMessage{})
-	same.accept(spec("job-4"))
-	if got := same.store["j/job-4"]; !bytes.Equal(got, record) {
-		t.Errorf("stored as\n%s, formerly\n%s", got, record)
+	fresh := newLeader(t, 8, start, map[string]json.RawMessage{})
+	fresh.submitAll(newJob("job-4"))
+	if got := fresh.store["j/job-4"]; !bytes.Equal(got, record) {
+		t.Errorf("stored as\n%s, by the previous version as\n%s", got, record)
 	}
 }
 
-// TestPreviousVersionKeepsDependentJobs: a leader of the previous version knows a
-// dependent job and can cancel it, but has no machine for it, whatever the cloud
-// offers; it does not touch records that it does not know.
+// TestPreviousVersionKeepsDependentJobs checks that a leader of the previous version knows a
+// dependent job and can cancel it, but never starts it, whatever machine types the cloud offers. It
+// leaves unknown records untouched.
 func TestPreviousVersionKeepsDependentJobs(t *testing.T) {
 	useTightLimits(t)
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
-	l.accept(spec("job-1"))
-	many := dependentJob("job-3", "job-1")
+	l.submitAll(newJob("job-1"))
+	manyTypes := dependentJob("job-3", "job-1")
 	for i := range 300 {
-		many.MachineTypes = append(many.MachineTypes, fmt.Sprintf("type-%d", i))
+		manyTypes.MachineTypes = append(manyTypes.MachineTypes, fmt.Sprintf("type-%d", i))
 	}
-	many.MachineTypes = append(many.MachineTypes, "std-8")
-	l.accept(dependentJob("job-2", "job-1"), many)
+	manyTypes.MachineTypes = append(manyTypes.MachineTypes, "std-8")
+	l.submitAll(dependentJob("job-2", "job-1"), manyTypes)
 	for key, value := range l.store {
 		item, ok := simulation.PreviousVersionReads(wire.KeyValue{Key: key, Value: value})
 		var rec struct {
@@ -178,20 +180,20 @@
 	before := slices.Sorted(maps.Keys(l.store))
 	previous := previousVersionLeader(t, 6, l.now, l.store)
 	for range 2 {
-		previous.report("m1", 1)
-		previous.pass(time.Second)
+		previous.sendHeartbeat("m1", 1)
+		previous.tickAfter(time.Second)
 		previous.previousVersionCommit()
 	}
 	if got := previous.Counts().AllocatedTasks; got != 1 {
 		t.Errorf("%d tasks placed, want that of job-1", got)
 	}
-	if previous.state("job-2") != wire.JobQueued || previous.state("job-3") != wire.JobQueued {
-		t.Error("not known")
+	if previous.queryState("job-2") != wire.JobQueued || previous.queryState("job-3") != wire.JobQueued {
+		t.Error("the previous version does not report the dependent jobs as queued")
 	}
 	previous.Cancel(previous.now, "job-2", func(leader.Response) {})
 	previous.previousVersionCommit()
 	next := newLeader(t, 7, previous.now, l.store)
-	if next.state("job-2") != wire.JobCancelled || next.state("job-3") != wire.JobQueued {
-		t.Errorf("job-2 %s, job-3 %s, of %v", next.state("job-2"), next.state("job-3"), before)
+	if next.queryState("job-2") != wire.JobCancelled || next.queryState("job-3") != wire.JobQueued {
+		t.Errorf("job-2 %s, job-3 %s, of %v", next.queryState("job-2"), next.queryState("job-3"), before)
 	}
 }
