--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -14,7 +14,7 @@
 		refuse(rc, fasthttp.StatusBadRequest, err.Error())
 		return
 	}
-	s.do(rc, peer.Submit(job))
+	s.do(rc, peer.NewSubmitCall(job))
 }
 
 // job queries or cancels a job.
--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -42,7 +42,7 @@
 	if response := n.forward(ctx, c); response.Status != http.StatusServiceUnavailable {
 		return response
 	}
-	return peer.Refused(http.StatusUnprocessableEntity, reason)
+	return peer.ErrorResponse(http.StatusUnprocessableEntity, reason)
 }
 
 // rejectOverload turns a job away. One that was turned away before may have been accepted through
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -52,7 +52,7 @@
 		n.leadership.Revoke()
 		return peer.Response{}, false
 	case leader.HeartbeatStale:
-		return peer.Refused(http.StatusServiceUnavailable, "older than what is known"), true
+		return peer.ErrorResponse(http.StatusServiceUnavailable, "older than what is known"), true
 	}
 	return peer.Response{Status: http.StatusOK, Heartbeat: &answer}, true
 }
@@ -93,13 +93,13 @@
 		if !response.IsTerminal() && !leadership.HoldsLease(time.Now()) {
 			// The process may have been suspended since, and another leader have told
 			// the user something newer.
-			return peer.Refused(http.StatusServiceUnavailable, "no longer the leader")
+			return peer.ErrorResponse(http.StatusServiceUnavailable, "no longer the leader")
 		}
 		return response
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return peer.Refused(http.StatusServiceUnavailable, "state service does not answer")
+	return peer.ErrorResponse(http.StatusServiceUnavailable, "state service does not answer")
 }
 
 // jobResponse is the leader's response about a job.
@@ -113,7 +113,7 @@
 
 // refusal is a response other than success, with the time after which to come back.
 func refusal(status int, reason string, retryAfter int) peer.Response {
-	response := peer.Refused(status, reason)
+	response := peer.ErrorResponse(status, reason)
 	response.RetryAfter = retryAfter
 	return response
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -68,7 +68,7 @@
 		n.hub.OnPolicy = n.gate.applyPolicy
 	}
 	n.hub.LocalHeartbeat = n.peerHeartbeat
-	n.hub.OnHigherTerm = n.endTermBefore
+	n.hub.OnLeaderTerm = n.endTermBefore
 	n.hub.Handle = n.Do
 	return n
 }
--- a/internal/node/routing.go
+++ b/internal/node/routing.go
@@ -30,10 +30,10 @@
 	response, err := n.hub.Forward(ctx, c)
 	switch {
 	case err != nil:
-		return peer.Refused(http.StatusServiceUnavailable, "no leader within reach")
+		return peer.ErrorResponse(http.StatusServiceUnavailable, "no leader within reach")
 	case !response.IsTerminal() && time.Since(sent) > timeout:
 		// This process may have been suspended, and the response be out of date.
-		return peer.Refused(http.StatusServiceUnavailable, "the leader's answer came late")
+		return peer.ErrorResponse(http.StatusServiceUnavailable, "the leader's answer came late")
 	}
 	return response
 }
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -39,7 +39,7 @@
 	}
 	answer, err := readAnswer(conn)
 	if err != nil {
-		return Response{}, fmt.Errorf("%w from %s: %w", ErrNoAnswer, addr, err)
+		return Response{}, fmt.Errorf("%w from %s: %w", ErrNoResponse, addr, err)
 	}
 	return *answer, nil
 }
--- a/internal/peer/hub.go
+++ b/internal/peer/hub.go
@@ -19,8 +19,8 @@
 var (
 	// ErrUnreachable says that there is no way to a leader now.
 	ErrUnreachable = errors.New("no leader within reach")
-	// ErrNoAnswer says that a connection has ended before the answer came.
-	ErrNoAnswer = errors.New("no answer")
+	// ErrNoResponse says that a connection has ended before the answer came.
+	ErrNoResponse = errors.New("no answer")
 )
 
 // Hub is the links to all peers and what their heartbeats say.
@@ -28,8 +28,8 @@
 	Log zerolog.Logger
 	// LocalHeartbeat returns this node's own heartbeat.
 	LocalHeartbeat func() Heartbeat
-	// OnHigherTerm is called with the term of each peer that leads with the lease.
-	OnHigherTerm func(term uint64)
+	// OnLeaderTerm is called with the term of each peer that leads with the lease.
+	OnLeaderTerm func(term uint64)
 	// OnPolicy, if set, is called with the admission policy of a peer that leads.
 	OnPolicy func(admission.Policy)
 	// Handle answers a peer's call.
--- a/internal/peer/hub_test.go
+++ b/internal/peer/hub_test.go
@@ -57,11 +57,11 @@
 func newTestHub(name string, peers []config.Peer) *testHub {
 	h := &testHub{Hub: NewHub(zerolog.Nop(), peers), ended: make(chan error, 1)}
 	h.LocalHeartbeat = func() Heartbeat { return Heartbeat{Node: name, ReachesLeader: h.LinkedToLeader()} }
-	h.OnHigherTerm = func(uint64) {}
+	h.OnLeaderTerm = func(uint64) {}
 	h.Handle = func(ctx context.Context, c Call) Response {
 		response, err := h.Forward(ctx, c)
 		if err != nil {
-			return Refused(http.StatusServiceUnavailable, err.Error())
+			return ErrorResponse(http.StatusServiceUnavailable, err.Error())
 		}
 		return response
 	}
@@ -132,7 +132,7 @@
 	hubs := startHubs(t, [][]int{{1}, {0}}, func(ctx context.Context, _ Call) Response {
 		close(handling)
 		<-ctx.Done()
-		return Refused(http.StatusServiceUnavailable, "ended")
+		return ErrorResponse(http.StatusServiceUnavailable, "ended")
 	})
 	hubs[0].awaitLeader(t)
 	answered := make(chan struct{})
--- a/internal/peer/membership.go
+++ b/internal/peer/membership.go
@@ -37,7 +37,7 @@
 	if !b.IsLeader {
 		return
 	}
-	h.OnHigherTerm(b.Term)
+	h.OnLeaderTerm(b.Term)
 	if h.OnPolicy != nil && b.Policy != nil && b.Policy.Term == b.Term {
 		h.OnPolicy(*b.Policy)
 	}
--- a/internal/peer/membership_test.go
+++ b/internal/peer/membership_test.go
@@ -17,7 +17,7 @@
 // heartbeats come.
 func TestPoliciesComeFromLeaders(t *testing.T) {
 	h := NewHub(zerolog.Nop(), []config.Peer{{Name: "n1"}, {Name: "n2"}})
-	h.OnHigherTerm = func(uint64) {}
+	h.OnLeaderTerm = func(uint64) {}
 	var terms []uint64
 	h.OnPolicy = func(p admission.Policy) { terms = append(terms, p.Term) }
 	for _, text := range []string{
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -38,8 +38,8 @@
 	Drain *drain.Request `json:"drain,omitempty"`
 }
 
-// Submit returns the call for a submission.
-func Submit(job *wire.Job) Call {
+// NewSubmitCall returns the call for a submission.
+func NewSubmitCall(job *wire.Job) Call {
 	c := Call{Op: OpSubmit, Job: job.ID}
 	if len(job.DependsOn) > 0 {
 		c.WithDependencies = job
@@ -90,8 +90,10 @@
 	return r.Status/100 == 2 && r.Job != nil && wire.IsTerminal(r.Job.State)
 }
 
-// Refused is a response other than success.
-func Refused(status int, reason string) Response { return Response{Status: status, Reason: reason} }
+// ErrorResponse is a response other than success.
+func ErrorResponse(status int, reason string) Response {
+	return Response{Status: status, Reason: reason}
+}
 
 // Heartbeat says what a node knows of the leader.
 type Heartbeat struct {
--- a/internal/peer/messages_test.go
+++ b/internal/peer/messages_test.go
@@ -38,9 +38,9 @@
 		t.Errorf("%d calls", calls)
 	}
 	job := &wire.Job{ID: "job-000001"}
-	plain, _ := json.Marshal(Submit(job))
+	plain, _ := json.Marshal(NewSubmitCall(job))
 	job.DependsOn = []string{"job-000002"}
-	chained, _ := json.Marshal(Submit(job))
+	chained, _ := json.Marshal(NewSubmitCall(job))
 	if simulation.PreviousVersionRefuses(plain) || !simulation.PreviousVersionRefuses(chained) {
 		t.Errorf("%s\n%s", plain, chained)
 	}
