--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -10,11 +10,11 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// minBurst is the least number of requests or changes that may be made at once.
+// minBurst is the smallest burst of either limiter, in requests or in changes.
 const minBurst = 4
 
-// budget is this node's share of the store's budgets. The shares of one leader and of
-// all followers together stay within them.
+// budget limits the rates of this node's requests and changes to its share of the store's
+// limits. The shares of one leader and all followers add up to no more than the limits.
 type budget struct {
 	limits    config.KVStoreLimits
 	followers int
@@ -22,7 +22,7 @@
 	writes    *rate.Limiter
 }
 
-// newBudget returns a follower's share of the limits for a number of nodes.
+// newBudget returns the budget of a follower in a cluster with the given number of nodes.
 func newBudget(limits config.KVStoreLimits, nodes int) *budget {
 	b := &budget{
 		limits:    limits,
@@ -34,7 +34,7 @@
 	return b
 }
 
-// setShare sets the limiters to a leader's or a follower's share.
+// setShare gives the limiters the rates of a leader or of a follower.
 func (b *budget) setShare(leading bool) {
 	requestShare := tuning.StoreFollowerShare / float64(b.followers)
 	writeShare := (1 - tuning.StoreWriteShare) / float64(b.followers)
@@ -45,13 +45,13 @@
 	setLimit(b.writes, b.limits.WriteRPS*writeShare, max(minBurst, b.limits.TxnOps/2))
 }
 
-// setLimit sets a rate, and half a second of it as the burst.
-func setLimit(limiter *rate.Limiter, perSecond float64, leastBurst int) {
+// setLimit sets the rate, and a burst of half a second at that rate, but at least minimum.
+func setLimit(limiter *rate.Limiter, perSecond float64, minimum int) {
 	limiter.SetLimit(rate.Limit(perSecond))
-	limiter.SetBurst(max(int(perSecond/2), leastBurst))
+	limiter.SetBurst(max(int(perSecond/2), minimum))
 }
 
-// awaitRequest waits until a request may be sent.
+// awaitRequest blocks until the budget allows one more request.
 func (b *budget) awaitRequest(ctx context.Context) error {
 	if err := b.requests.Wait(ctx); err != nil {
 		return budgetError(err)
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// awaitWrites waits until a number of changes may be made.
+// awaitWrites blocks until the budget allows the given number of changes.
 func (b *budget) awaitWrites(ctx context.Context, changes int) error {
 	if err := b.writes.WaitN(ctx, changes); err != nil {
 		return budgetError(err)
@@ -67,13 +67,16 @@
 	return nil
 }
 
-// maxOps is the number of changes that fit into one transaction and into the burst.
+// maxOps returns the largest number of changes that one transaction may have. It leaves room
+// for FencedWriter's write of the term key, in the transaction and in the burst.
 func (b *budget) maxOps() int { return max(1, min(b.limits.TxnOps, b.writes.Burst())-1) }
 
-// spareWrites is the number of changes above half of the burst.
+// spareWrites returns the number of changes that the budget allows now beyond half of the
+// burst.
 func (b *budget) spareWrites() int {
 	return max(0, int(b.writes.Tokens())-b.writes.Burst()/2)
 }
 
-// budgetError says that the context ended while a request waited for its budget.
+// budgetError wraps the error of a wait that the context ended, or would have ended, before
+// the budget allowed the request.
 func budgetError(err error) error { return fmt.Errorf("%w: %w", ErrUnavailable, err) }
--- a/internal/kvstore/budget_test.go
+++ b/internal/kvstore/budget_test.go
@@ -9,9 +9,9 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// TestSharesStayWithinTheBudgets: those of one leader and all followers together, and a
-// transaction always fits into the burst.
-func TestSharesStayWithinTheBudgets(t *testing.T) {
+// TestSharesAddUpToTheLimits checks that the shares of one leader and all followers together
+// stay within the store's limits, and that a transaction always fits into the burst.
+func TestSharesAddUpToTheLimits(t *testing.T) {
 	limits := config.KVStoreLimits{RPS: 100, WriteRPS: 40, TxnOps: 48}
 	for _, nodes := range []int{1, 2, 3, 5} {
 		b := newBudget(limits, nodes)
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -12,7 +12,7 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// maxConnections bounds the sockets to the store.
+// maxConnections is the largest number of open connections to the store.
 const maxConnections = 64
 
 // Client is the HTTP client of the key-value store.
@@ -24,7 +24,7 @@
 
 var _ Store = (*Client)(nil)
 
-// NewClient returns a client with a follower's share of the budgets.
+// NewClient returns a client for addr with a follower's share of the limits.
 func NewClient(addr string, limits config.KVStoreLimits, nodes int) *Client {
 	return &Client{
 		http:   httpclient.New(addr, maxConnections, tuning.ConnectionIdleTimeout),
@@ -32,29 +32,30 @@
 	}
 }
 
-// SetLeading switches between a leader's and a follower's share of the
-// budgets, and between their timeouts of transactions.
+// SetLeading selects the request budget and the transaction timeout of a leader or of a
+// follower.
 func (c *Client) SetLeading(leading bool) {
 	c.txnTimeout.reset(leading)
 	c.budget.setShare(leading)
 }
 
-// MaxOps is the number of changes that fit into one transaction and into the
-// write budget's burst.
+// MaxOps returns the largest number of changes that one transaction may have, given the
+// store's limit and the burst of the write budget.
 func (c *Client) MaxOps() int { return c.budget.maxOps() }
 
-// SpareWrites is the number of changes that can be made now with half of the burst
-// left for those that users wait for.
+// SpareWrites returns the number of changes that background work may make now. Half of the
+// burst stays reserved for changes that users wait for.
 func (c *Client) SpareWrites() int { return c.budget.spareWrites() }
 
-// Get reads one key.
+// Get reads one key. It returns ErrNotFound if the key does not exist.
 func (c *Client) Get(ctx context.Context, key string) (wire.KeyValue, error) {
 	var item wire.KeyValue
 	_, err := c.do(ctx, tuning.StoreTimeout, http.MethodGet, "/store/"+key, nil, &item)
 	return item, err
 }
 
-// Commit runs one compare-and-swap transaction; ErrConflict comes with the failed keys.
+// Commit runs one compare-and-swap transaction. With ErrConflict, the result holds the keys
+// whose conditions failed.
 func (c *Client) Commit(ctx context.Context, txn wire.Txn) (wire.TxnResult, error) {
 	var result wire.TxnResult
 	if txn.If == nil {
@@ -76,8 +77,8 @@
 	return result, err
 }
 
-// do sends one request within the budget, and returns the status of an answer that
-// was understood.
+// do sends one request within the budget and returns the response's status, 0 if there was
+// no response.
 func (c *Client) do(ctx context.Context, timeout time.Duration, method, uri string, body, out any) (int, error) {
 	if err := c.budget.awaitRequest(ctx); err != nil {
 		return 0, err
@@ -86,15 +87,15 @@
 	if err != nil {
 		return status, err
 	}
-	if cause := statusCause(status); cause != nil {
+	if cause := errorForStatus(status); cause != nil {
 		return status, &httpclient.StatusError{Method: method, URI: uri, Status: status, Err: cause}
 	}
 	return status, nil
 }
 
-// statusCause is what a status says of the request, nil if it was carried out as asked
-// or refused by a condition.
-func statusCause(status int) error {
+// errorForStatus returns the error that a response's status stands for. It returns nil for
+// 2xx, 409 (a condition failed) and 410.
+func errorForStatus(status int) error {
 	switch {
 	case status/100 == 2 || status == http.StatusConflict || status == http.StatusGone:
 		return nil
@@ -108,7 +109,7 @@
 	return httpclient.ErrNoResponse
 }
 
-// isTransient reports whether the same request may succeed when it is repeated.
+// isTransient reports whether a retry of the same request may succeed.
 func isTransient(err error) bool {
 	return errors.Is(err, ErrUnavailable) || errors.Is(err, httpclient.ErrNoResponse)
 }
--- a/internal/kvstore/fenced_writer.go
+++ b/internal/kvstore/fenced_writer.go
@@ -12,102 +12,106 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// ErrDeposed means that the writer's term is over.
+// ErrDeposed means that the writer's term has ended.
 var ErrDeposed = errors.New("no longer the leader")
 
-// TermRecord is the value of the term key. Fence is changed within a term
-// when the outcome of a transaction is unknown.
+// TermRecord is the value of the term key. Fence increases within a term, whenever the outcome
+// of a transaction is unknown.
 type TermRecord struct {
 	Term  uint64 `json:"term"`
 	Fence uint64 `json:"fence,omitempty"`
 }
 
-// Encode returns the value to be stored.
+// Encode returns the record as JSON.
 func (r TermRecord) Encode() json.RawMessage {
-	value, _ := json.Marshal(r) // two integers: it can't fail
+	value, _ := json.Marshal(r) // encoding integers can't fail
 	return value
 }
 
-// FencedWriter makes a leader's changes, one transaction at a time. Each has two
-// conditions: the leader key, so that it fails once the leader has changed, and the
-// term key, so that a transaction whose answer was lost and which was then
-// repeated cannot be applied a second time, later, over newer values.
+// FencedWriter writes a leader's changes, one transaction at a time. Each transaction has two
+// conditions. The condition on the leader key makes it fail once the leader has changed. The
+// condition on the term key prevents a delayed copy from overwriting newer values: when the
+// response to a transaction is lost, the transaction is retried, and the first copy may reach
+// the store later.
 //
-// A transaction that the store does not understand, as it has become stricter
-// than the settings say, is split until the change at fault is alone; that one is
-// left out. Ending the term instead would depose each leader in turn, as the
-// next one would send the same.
+// The store may reject a transaction as invalid when its limits have become stricter than the
+// settings. The writer then splits the transaction until the rejected change is alone, and
+// skips that change. It does not end the term, because each next leader would send the same
+// change and be deposed in turn.
 //
-// The steps do no I/O. Begin starts a group of changes. Then Txn is sent and its
-// result given to HandleResult, until the Outcome is Applied or Deposed; after
-// OutcomeUnknown the term key is read and given to ResolveUnknown instead. Commit does all of
-// this against a Store.
+// Begin, Txn, HandleResult and ResolveUnknown do no I/O. Begin starts a group of changes. The
+// caller then sends Txn and passes its result to HandleResult until the Outcome is Applied or
+// Deposed. After OutcomeUnknown it reads the term key and passes that to ResolveUnknown
+// instead. Commit runs these steps against a Store.
 type FencedWriter struct {
-	term      uint64
-	leaderKey wire.Compare
-	termKey   wire.Compare
-	lastFence uint64
-
-	current   []wire.Mutation   // what Txn writes
-	remaining [][]wire.Mutation // parts split off, to follow in this order
-	refused   []string          // keys of the changes left out
-	// newFence: an earlier try of the current changes got no answer. From then on the
-	// tries write lastFence to the term key: whichever is applied first, no other can be.
-	newFence bool
+	term            uint64
+	leaderCondition wire.Compare
+	termCondition   wire.Compare
+	lastFence       uint64
+
+	current   []wire.Mutation   // changes of the next transaction
+	remaining [][]wire.Mutation // parts split off, which are sent next in this order
+	refused   []string          // keys of the skipped changes
+	// writesFence is set when an attempt to write the current changes got no response. From
+	// then on each attempt also writes lastFence to the term key: once one of the attempts
+	// has been applied, the condition on the term key fails for all others.
+	writesFence bool
 }
 
 // NewFencedWriter returns a writer for a term whose leader and term keys have the
 // given versions.
 func NewFencedWriter(term, leaderVersion, termVersion uint64) *FencedWriter {
 	return &FencedWriter{
-		term:      term,
-		leaderKey: wire.Compare{Key: KeyLeader, Version: leaderVersion},
-		termKey:   wire.Compare{Key: KeyTerm, Version: termVersion},
+		term:            term,
+		leaderCondition: wire.Compare{Key: KeyLeader, Version: leaderVersion},
+		termCondition:   wire.Compare{Key: KeyTerm, Version: termVersion},
 	}
 }
 
-// Begin starts a group of changes; the one before must have been applied.
+// Begin starts a group of changes. The previous group must have been applied.
 func (w *FencedWriter) Begin(writes []wire.Mutation) {
-	w.current, w.remaining, w.refused, w.newFence = writes, nil, nil, false
+	w.current, w.remaining, w.refused, w.writesFence = writes, nil, nil, false
 }
 
-// Refused names the keys of the changes begun that were left out.
+// Refused returns the keys of the changes in the current group that the store refused and the
+// writer skipped.
 func (w *FencedWriter) Refused() []string { return w.refused }
 
-// Txn is the transaction to send.
+// Txn returns the next transaction to send.
 func (w *FencedWriter) Txn() wire.Txn {
-	txn := wire.Txn{If: []wire.Compare{w.leaderKey, w.termKey}, Then: w.current}
-	if w.newFence {
+	txn := wire.Txn{If: []wire.Compare{w.leaderCondition, w.termCondition}, Then: w.current}
+	if w.writesFence {
 		record := TermRecord{Term: w.term, Fence: w.lastFence}
 		txn.Then = append(slices.Clip(w.current), wire.Mutation{Put: KeyTerm, Value: record.Encode()})
 	}
 	return txn
 }
 
-// HandleResult applies the result of Txn.
+// HandleResult processes the result of the transaction that Txn returned.
 func (w *FencedWriter) HandleResult(result wire.TxnResult, err error) Outcome {
 	switch {
 	case err == nil:
-		if w.newFence {
-			w.termKey.Version = result.Revision
+		if w.writesFence {
+			w.termCondition.Version = result.Revision
 		}
 		return w.startNextPart()
 	case errors.Is(err, ErrConflict):
-		if !w.newFence || slices.Contains(result.FailedKeys, KeyLeader) {
+		if !w.writesFence || slices.Contains(result.FailedKeys, KeyLeader) {
 			return Deposed
 		}
-		// An earlier try may have been the one that was applied.
+		// An earlier attempt may have been applied and have changed the term key.
 		return OutcomeUnknown
 	case errors.Is(err, ErrInvalidRequest):
 		return w.splitCurrent()
-	case errors.Is(err, httpclient.ErrNoResponse) && !w.newFence:
-		w.newFence = true
+	case errors.Is(err, httpclient.ErrNoResponse) && !w.writesFence:
+		w.writesFence = true
 		w.lastFence++
 	}
 	return Retry
 }
 
-// ResolveUnknown applies what KeyTerm was read to be.
+// ResolveUnknown processes the result of reading KeyTerm. The transaction has been applied if
+// the key holds this writer's term and last fence.
 func (w *FencedWriter) ResolveUnknown(item wire.KeyValue, err error) Outcome {
 	var record TermRecord
 	switch {
@@ -120,23 +124,23 @@
 	case record != TermRecord{Term: w.term, Fence: w.lastFence}:
 		return Deposed
 	}
-	w.termKey.Version = item.Version
+	w.termCondition.Version = item.Version
 	return w.startNextPart()
 }
 
-// startNextPart goes on with the first of the parts that remain after a split.
+// startNextPart makes the next part of a split transaction current, if any remain.
 func (w *FencedWriter) startNextPart() Outcome {
 	if len(w.remaining) == 0 {
 		return Applied
 	}
-	w.current, w.remaining, w.newFence = w.remaining[0], w.remaining[1:], false
+	w.current, w.remaining, w.writesFence = w.remaining[0], w.remaining[1:], false
 	return ContinueSplit
 }
 
-// splitCurrent divides the changes of a transaction that was not understood, and was
-// thus not carried out. An earlier try without an answer may still be: the fence
-// stays with the first part. (If the first part is a change that can't be made,
-// that try can't either.)
+// splitCurrent halves a transaction that the store rejected as invalid and so did not apply,
+// or skips its only change. An earlier attempt without a response may still be applied, so
+// the first half keeps writing the fence. If the first half is a single change that the store
+// refuses, the store refuses that earlier attempt too.
 func (w *FencedWriter) splitCurrent() Outcome {
 	half := len(w.current) / 2
 	switch {
@@ -151,9 +155,9 @@
 	return Deposed
 }
 
-// Commit makes the changes durable or fails for good: it returns the keys of
-// those left out when the others are applied, ErrDeposed when they never will
-// be, or the context's error.
+// Commit writes the changes, with retries until the outcome is final. It returns the keys of
+// the skipped changes once all others are durable, ErrDeposed if the writer's term has ended,
+// or the context's error.
 func (w *FencedWriter) Commit(ctx context.Context, store Store, writes []wire.Mutation) ([]string, error) {
 	w.Begin(writes)
 	outcome := Retry
--- a/internal/kvstore/fenced_writer_test.go
+++ b/internal/kvstore/fenced_writer_test.go
@@ -20,7 +20,7 @@
 	return wire.Mutation{Put: key, Value: []byte(`"` + value + `"`)}
 }
 
-// newTerm sets up a key-value store with a leader of term 1.
+// newTerm returns a key-value store with a leader in term 1, and that leader's writer.
 func newTerm(t *testing.T) (*simulation.KeyValueStore, *kvstore.FencedWriter) {
 	t.Helper()
 	s := simulation.NewKeyValueStore()
@@ -31,21 +31,21 @@
 	return s, kvstore.NewFencedWriter(1, res.Revision, res.Revision)
 }
 
-// TestLateTransactionIsRejected: a transaction whose answer was lost is repeated and
-// followed by a newer one; its late copy must not bring the old value back.
+// TestLateTransactionIsRejected: a transaction without a response is retried and followed by a
+// newer one. The first copy reaches the store after that and must not restore the old value.
 func TestLateTransactionIsRejected(t *testing.T) {
 	s, w := newTerm(t)
 	w.Begin([]wire.Mutation{put("k", "old")})
 	late := w.Txn()
 	if o := w.HandleResult(wire.TxnResult{}, httpclient.ErrNoResponse); o != kvstore.Retry {
-		t.Fatal("a lost answer must be followed by another try, got", o)
+		t.Fatal("a lost response must lead to a retry, got", o)
 	}
 	if o := w.HandleResult(s.Commit(w.Txn())); o != kvstore.Applied {
-		t.Fatal("repeat:", o)
+		t.Fatal("retry:", o)
 	}
 	w.Begin([]wire.Mutation{put("k", "new")})
 	if o := w.HandleResult(s.Commit(w.Txn())); o != kvstore.Applied {
-		t.Fatal("next:", o)
+		t.Fatal("next transaction:", o)
 	}
 	if _, err := s.Commit(late); err == nil {
 		t.Fatal("the late copy was applied")
@@ -55,8 +55,9 @@
 	}
 }
 
-// TestUnknownOutcomeIsResolvedByReading: the second try was applied and its
-// answer lost as well; the third fails on its condition and a read resolves it.
+// TestUnknownOutcomeIsResolvedByReading: the second attempt is applied, but its response is lost
+// like the first one's. The third attempt fails on its condition; reading the term key then
+// shows that the changes were applied.
 func TestUnknownOutcomeIsResolvedByReading(t *testing.T) {
 	s, w := newTerm(t)
 	w.Begin([]wire.Mutation{put("k", "v")})
@@ -66,18 +67,18 @@
 	}
 	w.HandleResult(wire.TxnResult{}, httpclient.ErrNoResponse)
 	if o := w.HandleResult(s.Commit(w.Txn())); o != kvstore.OutcomeUnknown {
-		t.Fatal("third try:", o)
+		t.Fatal("third attempt:", o)
 	}
 	if o := w.ResolveUnknown(s.Get(kvstore.KeyTerm)); o != kvstore.Applied {
 		t.Fatal("resolved:", o)
 	}
 	w.Begin([]wire.Mutation{put("k", "w")})
 	if o := w.HandleResult(s.Commit(w.Txn())); o != kvstore.Applied {
-		t.Fatal("the next change:", o)
+		t.Fatal("next transaction:", o)
 	}
 }
 
-// TestWriterIsFencedBySuccessor: once the leader key has changed no write passes.
+// TestWriterIsFencedBySuccessor checks that no write is applied once the leader key has changed.
 func TestWriterIsFencedBySuccessor(t *testing.T) {
 	s, w := newTerm(t)
 	if _, err := s.Commit(wire.Txn{Then: []wire.Mutation{put(kvstore.KeyLeader, "other")}}); err != nil {
@@ -89,8 +90,9 @@
 	}
 }
 
-// TestLeaseEndsWithItsKeys: the simulated store itself, on which the simulated runs rely.
-func TestLeaseEndsWithItsKeys(t *testing.T) {
+// TestExpiredLeaseDeletesItsKeys tests the simulated store, on which the simulations rely: a key
+// is deleted when its lease expires, and an outage of the store restarts the lease's time.
+func TestExpiredLeaseDeletesItsKeys(t *testing.T) {
 	s := simulation.NewKeyValueStore()
 	now := time.Unix(0, 0)
 	id, _ := s.Grant(now, time.Second)
@@ -104,7 +106,7 @@
 	s.Down = false
 	s.Advance(now.Add(5900 * time.Millisecond))
 	if _, err := s.Get("k"); err != nil {
-		t.Fatal("after an outage a lease has its full time again")
+		t.Fatal("the lease expired early: an outage must restart its time to live")
 	}
 	s.Advance(now.Add(6 * time.Second))
 	if _, err := s.Get("k"); err == nil {
@@ -112,10 +114,10 @@
 	}
 }
 
-// TestRefusedChangeIsLeftOut: the store has become stricter than the settings
-// say, at any moment, also between a try without an answer and its repeat.
-// All changes that it takes are made, and only those that it can't are named.
-func TestRefusedChangeIsLeftOut(t *testing.T) {
+// TestRefusedChangeIsSkipped: the store's limits become stricter than the settings at any moment,
+// also between an attempt without a response and its retry. The writer must write every change
+// that the store accepts, and must report only those that it refuses.
+func TestRefusedChangeIsSkipped(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
 			s, w := newTerm(t)
@@ -135,20 +137,20 @@
 	}
 }
 
-// tooLong is a change that a store with a limit of 1 KB refuses.
-var tooLong = put("long", strings.Repeat("x", 2000))
+// oversized is a change that a store refuses if values are limited to 1 KB.
+var oversized = put("long", strings.Repeat("x", 2000))
 
-// faultyCommits makes changes through a writer whose answers get lost now and then.
+// faultyCommits writes changes through a writer and randomly loses requests and responses.
 type faultyCommits struct {
 	t        *testing.T
 	store    *simulation.KeyValueStore
 	writer   *kvstore.FencedWriter
 	rng      *rand.Rand
-	accepted []string   // keys that must be stored in the end
-	late     []wire.Txn // sent in this round without an answer, and not carried out yet
+	accepted []string   // keys that must be stored at the end
+	late     []wire.Txn // sent in this round without a response, and not applied yet
 }
 
-// commitRound makes a few changes, one of them too long now and then.
+// commitRound writes a few changes, at random with an oversized one among them.
 func (f *faultyCommits) commitRound(round int) {
 	f.t.Helper()
 	f.late = nil
@@ -158,9 +160,9 @@
 		writes = append(writes, put(key, "v"))
 		f.accepted = append(f.accepted, key)
 	}
-	withLong := f.rng.IntN(2) == 0
-	if withLong {
-		writes = append(writes, tooLong)
+	withOversized := f.rng.IntN(2) == 0
+	if withOversized {
+		writes = append(writes, oversized)
 	}
 	f.writer.Begin(writes)
 	outcome := kvstore.Retry
@@ -171,13 +173,13 @@
 		outcome = f.next(outcome)
 	}
 	refused := f.writer.Refused()
-	if round >= 2 && slices.Contains(refused, tooLong.Put) != withLong || round >= 2 && len(refused) > 1 {
+	if round >= 2 && slices.Contains(refused, oversized.Put) != withOversized || round >= 2 && len(refused) > 1 {
 		f.t.Fatalf("round %d: refused %v", round, refused)
 	}
 	f.checkLateCopies(round)
 }
 
-// next takes the step that an outcome asks for.
+// next performs the step that follows an outcome and returns the new outcome.
 func (f *faultyCommits) next(outcome kvstore.Outcome) kvstore.Outcome {
 	if outcome == kvstore.OutcomeUnknown {
 		return f.writer.ResolveUnknown(f.store.Get(kvstore.KeyTerm))
@@ -185,16 +187,17 @@
 	txn := f.writer.Txn()
 	switch f.rng.IntN(4) {
 	case 0:
-		f.late = append(f.late, txn) // carried out late, or never
+		f.late = append(f.late, txn) // applied late or never
 		return f.writer.HandleResult(wire.TxnResult{}, httpclient.ErrNoResponse)
 	case 1:
-		_, _ = f.store.Commit(txn) // its answer is lost
+		_, _ = f.store.Commit(txn) // its response is lost
 		return f.writer.HandleResult(wire.TxnResult{}, httpclient.ErrNoResponse)
 	}
 	return f.writer.HandleResult(f.store.Commit(txn))
 }
 
-// checkLateCopies carries out what was sent without an answer: it changes nothing any more.
+// checkLateCopies sends the transactions that got no response to the store, and checks that
+// they change nothing any more.
 func (f *faultyCommits) checkLateCopies(round int) {
 	f.t.Helper()
 	before := f.stored()
@@ -206,7 +209,7 @@
 	}
 }
 
-// stored are all keys.
+// stored returns all keys of the store.
 func (f *faultyCommits) stored() []wire.KeyValue {
 	f.t.Helper()
 	items, err := f.store.List("")
@@ -216,14 +219,14 @@
 	return items
 }
 
-// step is a result given to the writer, and the outcome expected of it.
+// step is a result passed to the writer, and the outcome that it must return.
 type step struct {
 	err     error
 	failed  []string // keys of a conflict
 	outcome kvstore.Outcome
 }
 
-// TestOutcomesOfResults: what each sequence of results means for the changes begun.
+// TestOutcomesOfResults checks the outcome of each result in a sequence.
 func TestOutcomesOfResults(t *testing.T) {
 	lost := step{err: httpclient.ErrNoResponse, outcome: kvstore.Retry}
 	invalid := func(o kvstore.Outcome) step { return step{err: kvstore.ErrInvalidRequest, outcome: o} }
@@ -235,39 +238,39 @@
 		refused []string
 	}{
 		{"applied at once", 2, []step{applied}, nil},
-		{"refused for now, then applied", 1, []step{{err: kvstore.ErrUnavailable, outcome: kvstore.Retry}, applied}, nil},
-		{"answers lost, then applied", 1, []step{lost, lost, applied}, nil},
+		{"unavailable, then applied", 1, []step{{err: kvstore.ErrUnavailable, outcome: kvstore.Retry}, applied}, nil},
+		{"responses lost, then applied", 1, []step{lost, lost, applied}, nil},
 		{
-			"condition failed at the first try", 1,
+			"condition failed at the first attempt", 1,
 			[]step{{err: kvstore.ErrConflict, failed: []string{kvstore.KeyTerm}, outcome: kvstore.Deposed}},
 			nil,
 		},
 		{
-			"another leader after a lost answer", 1,
+			"another leader after a lost response", 1,
 			[]step{lost, {err: kvstore.ErrConflict, failed: []string{kvstore.KeyLeader}, outcome: kvstore.Deposed}},
 			nil,
 		},
 		{
-			"term key changed after a lost answer", 1,
+			"term key changed after a lost response", 1,
 			[]step{lost, {err: kvstore.ErrConflict, failed: []string{kvstore.KeyTerm}, outcome: kvstore.OutcomeUnknown}},
 			nil,
 		},
-		{"one change not understood", 1, []step{invalid(kvstore.Applied)}, []string{"k0"}},
+		{"one invalid change", 1, []step{invalid(kvstore.Applied)}, []string{"k0"}},
 		{
-			"the first of two not understood", 2,
+			"the first of two invalid", 2,
 			[]step{invalid(kvstore.ContinueSplit), invalid(kvstore.ContinueSplit), applied},
 			[]string{"k0"},
 		},
 		{
-			"the second of two not understood", 2,
+			"the second of two invalid", 2,
 			[]step{invalid(kvstore.ContinueSplit), {outcome: kvstore.ContinueSplit}, invalid(kvstore.Applied)},
 			[]string{"k1"},
 		},
-		{"not understood without any change", 0, []step{invalid(kvstore.Deposed)}, nil},
+		{"invalid without any change", 0, []step{invalid(kvstore.Deposed)}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := kvstore.NewFencedWriter(1, 1, 1)
-			w.Begin(numbered(c.changes))
+			w.Begin(numberedWrites(c.changes))
 			for i, s := range c.steps {
 				if got := w.HandleResult(wire.TxnResult{Revision: 2, FailedKeys: s.failed}, s.err); got != s.outcome {
 					t.Fatalf("step %d: %v, want %v", i, got, s.outcome)
@@ -280,7 +283,7 @@
 	}
 }
 
-// TestUnknownOutcomes: what the term key read after a lost answer means.
+// TestUnknownOutcomes checks the outcome for each value of the term key after a lost response.
 func TestUnknownOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -294,12 +297,12 @@
 		{"another term", `{"term":4,"fence":1}`, nil, kvstore.Deposed},
 		{"not a record", `7`, nil, kvstore.Deposed},
 		{"no key", "", kvstore.ErrNotFound, kvstore.Deposed},
-		{"not read", "", kvstore.ErrUnavailable, kvstore.OutcomeUnknown},
-		{"answer lost", "", httpclient.ErrNoResponse, kvstore.OutcomeUnknown},
+		{"store unavailable", "", kvstore.ErrUnavailable, kvstore.OutcomeUnknown},
+		{"response lost", "", httpclient.ErrNoResponse, kvstore.OutcomeUnknown},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := kvstore.NewFencedWriter(3, 1, 1)
-			w.Begin(numbered(1))
+			w.Begin(numberedWrites(1))
 			w.HandleResult(wire.TxnResult{}, httpclient.ErrNoResponse)
 			if got := w.ResolveUnknown(wire.KeyValue{Value: []byte(c.value), Version: 9}, c.err); got != c.outcome {
 				t.Errorf("%v, want %v", got, c.outcome)
@@ -308,14 +311,14 @@
 				return
 			}
 			if txn := w.Txn(); txn.If[1] != (wire.Compare{Key: kvstore.KeyTerm, Version: 9}) {
-				t.Errorf("the next transaction's conditions: %+v", txn.If)
+				t.Errorf("conditions of the next transaction: %+v", txn.If)
 			}
 		})
 	}
 }
 
-// numbered are changes of the keys k0, k1 and so on.
-func numbered(n int) []wire.Mutation {
+// numberedWrites returns n changes, of the keys k0, k1 and so on.
+func numberedWrites(n int) []wire.Mutation {
 	var writes []wire.Mutation
 	for i := range n {
 		writes = append(writes, put(fmt.Sprintf("k%d", i), "v"))
--- a/internal/kvstore/lease.go
+++ b/internal/kvstore/lease.go
@@ -10,7 +10,7 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// Grant asks for a lease.
+// Grant creates a lease with the given time to live and returns its ID.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
 	request := wire.LeaseRequest{TTLMS: ttl.Milliseconds()}
 	var response wire.LeaseResponse
@@ -18,13 +18,13 @@
 	return response.Lease, err
 }
 
-// Renew renews a lease; ErrNotFound means that it has expired.
+// Renew restarts a lease's time to live. ErrNotFound means that the lease has expired.
 func (c *Client) Renew(ctx context.Context, lease uint64) error {
 	_, err := c.do(ctx, tuning.LeaseRenewTimeout, http.MethodPost, leaseURI(lease)+"/touch", struct{}{}, nil)
 	return err
 }
 
-// Revoke ends a lease.
+// Revoke ends a lease and deletes its keys.
 func (c *Client) Revoke(ctx context.Context, lease uint64) error {
 	_, err := c.do(ctx, tuning.LeaseRenewTimeout, http.MethodDelete, leaseURI(lease), nil, nil)
 	return err
--- a/internal/kvstore/list.go
+++ b/internal/kvstore/list.go
@@ -11,8 +11,9 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// List reads all keys with a prefix, page by page.
-func (c *Client) List(ctx context.Context, prefix string, each func(wire.KeyValue) error) error {
+// List reads all keys with a prefix, page by page, and calls visit for each one. It stops at
+// the first error of visit.
+func (c *Client) List(ctx context.Context, prefix string, visit func(wire.KeyValue) error) error {
 	after := ""
 	for {
 		page, err := c.readPage(ctx, prefix, after)
@@ -20,7 +21,7 @@
 			return err
 		}
 		for _, item := range page.Items {
-			if err := each(item); err != nil {
+			if err := visit(item); err != nil {
 				return err
 			}
 			after = item.Key
@@ -31,9 +32,9 @@
 	}
 }
 
-// readPage reads the keys that follow one key ("" for the first page). A page without
-// an answer is asked for again: a new leader that began anew each time would not
-// get through its pages while the store is slow.
+// readPage reads one page of keys, from the first key after the given one, or from the start
+// for "". It retries a page after a transient error: a new leader that restarted the whole
+// list each time would never finish it while the store is slow.
 func (c *Client) readPage(ctx context.Context, prefix, after string) (wire.KeyValuePage, error) {
 	query := url.Values{"starts": {prefix}, "limit": {strconv.Itoa(tuning.PageSize)}}
 	if after != "" {
--- a/internal/kvstore/list_test.go
+++ b/internal/kvstore/list_test.go
@@ -14,13 +14,14 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// pages serves the keys k/0, k/1 and so on, a few a request. Every page is refused once.
-type pages struct {
+// pagedStore serves the keys k/0, k/1 and so on in pages of perPage keys. It answers the first
+// request for each page with 503.
+type pagedStore struct {
 	keys, perPage int
-	requests      map[string]int // by the key that the page follows
+	requests      map[string]int // by the key after which the page starts
 }
 
-func (p *pages) handle(rc *fasthttp.RequestCtx) {
+func (p *pagedStore) handle(rc *fasthttp.RequestCtx) {
 	since := string(rc.QueryArgs().Peek("since"))
 	p.requests[since]++
 	if p.requests[since] == 1 {
@@ -38,10 +39,10 @@
 	rc.SetBodyString(fmt.Sprintf(`{"rows":[%s],"hasNext":%v}`, strings.Join(rows, ","), first+p.perPage < p.keys))
 }
 
-// TestListContinuesAfterARefusedPage: every page but the first try of it is
-// answered; each key comes once, and no page that was read is read again.
-func TestListContinuesAfterARefusedPage(t *testing.T) {
-	p := &pages{keys: 10, perPage: 3, requests: map[string]int{}}
+// TestListRetriesUnavailablePages: the store answers the second request for each page only. The
+// list must hold each key once, and a page that has been read must not be read again.
+func TestListRetriesUnavailablePages(t *testing.T) {
+	p := &pagedStore{keys: 10, perPage: 3, requests: map[string]int{}}
 	limits := config.KVStoreLimits{RPS: 1000, WriteRPS: 100, TxnOps: 10}
 	client := kvstore.NewClient(loopback.Serve(t, p.handle), limits, 1)
 	var got []string
--- a/internal/kvstore/outcome.go
+++ b/internal/kvstore/outcome.go
@@ -2,24 +2,25 @@
 
 import "fmt"
 
-// Outcome is what a result means for the changes that a FencedWriter has begun.
+// Outcome is the state of a FencedWriter's current changes after a result, and tells the
+// caller how to proceed.
 type Outcome int
 
-// Outcomes.
+// The outcomes of a result.
 const (
-	// Applied: all changes that the store takes are durable.
+	// Applied: all changes are durable, except those that the store refused.
 	Applied Outcome = iota
-	// Retry: send Txn once more, after a delay.
+	// Retry: send Txn again after a delay.
 	Retry
-	// ContinueSplit: send Txn, which goes on with the next part, at once.
+	// ContinueSplit: send Txn, which now returns the next part, without a delay.
 	ContinueSplit
-	// OutcomeUnknown: read KeyTerm, then ask ResolveUnknown.
+	// OutcomeUnknown: read KeyTerm and pass it to ResolveUnknown.
 	OutcomeUnknown
-	// Deposed: not applied now, and never will be.
+	// Deposed: the changes were not applied and never will be, as the term has ended.
 	Deposed
 )
 
-// String names the outcome.
+// String returns the outcome's name.
 func (o Outcome) String() string {
 	switch o {
 	case Applied:
--- a/internal/kvstore/store.go
+++ b/internal/kvstore/store.go
@@ -1,7 +1,6 @@
-// Package kvstore is the client of the consensus-backed key-value store: reads,
-// compare-and-swap transactions, leases and watches within this node's share of
-// the request budgets, and the fenced writer through which a leader makes its
-// changes.
+// Package kvstore is the client of the consensus-backed key-value store. It provides reads,
+// compare-and-swap transactions, leases and watches within this node's share of the store's
+// rate limits, and FencedWriter, through which a leader writes its changes.
 package kvstore
 
 import (
@@ -12,40 +11,43 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// Keys of the service.
+// Keys of the leader election.
 const (
-	// KeyLeader names the leader, on the leader's lease.
+	// KeyLeader holds the name of the current leader and is attached to the leader's lease.
 	KeyLeader = "leader"
-	// KeyTerm is the last term, and outlives every lease.
+	// KeyTerm holds the TermRecord of the latest term and is attached to no lease.
 	KeyTerm = "term"
 )
 
-// Errors of the key-value store. httpclient.ErrNoResponse stands for an unknown outcome.
+// Errors of the key-value store. After httpclient.ErrNoResponse, it is unknown whether the request
+// was executed.
 var (
-	// ErrUnavailable: 429 or 503, the request was not executed.
-	ErrUnavailable = errors.New("state service refused")
-	// ErrNotFound: no such key or lease.
+	// ErrUnavailable: the store responded with 429 or 503, or the context ended before the budget
+	// allowed the request. The request was not executed.
+	ErrUnavailable = errors.New("key-value store unavailable")
+	// ErrNotFound: the key or lease does not exist.
 	ErrNotFound = errors.New("not found")
-	// ErrConflict: a condition of the compare-and-swap failed.
-	ErrConflict = errors.New("guard failed")
-	// ErrInvalidRequest: the store did not understand the request.
+	// ErrConflict: a condition of the transaction failed, so nothing was changed.
+	ErrConflict = errors.New("transaction condition failed")
+	// ErrInvalidRequest: the store rejected the request as invalid and did not execute it.
 	ErrInvalidRequest = errors.New("malformed request")
 )
 
-// Store is what the service needs of the key-value store; tests replace it by a fake.
+// Store is the key-value store as the service uses it. Tests provide a fake.
 type Store interface {
 	// Get reads one key.
 	Get(ctx context.Context, key string) (wire.KeyValue, error)
-	// List calls each for all keys with a prefix, in the order of the keys.
-	List(ctx context.Context, prefix string, each func(wire.KeyValue) error) error
+	// List calls visit for all keys with a prefix, in key order.
+	List(ctx context.Context, prefix string, visit func(wire.KeyValue) error) error
 	// Commit runs one compare-and-swap transaction.
 	Commit(ctx context.Context, txn wire.Txn) (wire.TxnResult, error)
-	// Grant creates a lease.
+	// Grant creates a lease and returns its ID.
 	Grant(ctx context.Context, ttl time.Duration) (uint64, error)
-	// Renew gives a lease its full time again.
+	// Renew restarts a lease's time to live.
 	Renew(ctx context.Context, lease uint64) error
 	// Revoke ends a lease and deletes its keys.
 	Revoke(ctx context.Context, lease uint64) error
-	// Watch waits for a change below a prefix after a revision, for a bounded time.
-	Watch(ctx context.Context, prefix string, after uint64, block time.Duration) error
+	// Watch blocks until a key with the prefix has changed after the given revision, for
+	// maxWait at most.
+	Watch(ctx context.Context, prefix string, after uint64, maxWait time.Duration) error
 }
--- a/internal/kvstore/timeout.go
+++ b/internal/kvstore/timeout.go
@@ -9,24 +9,24 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// transactionTimeout is how long the answer to a transaction is awaited. A
-// leader's transactions go one after the other, and a repeat is fenced: waiting for
-// one that takes many times as long as usual only delays everything that users
-// wait for. Its timeout is therefore a multiple of the smoothed latency.
+// transactionTimeout computes the timeout of transactions. A leader sends its transactions one
+// after the other, so a slow one delays every change behind it that users wait for; and it can
+// retry safely, as its transactions are fenced. A leader's timeout is therefore a multiple of
+// the smoothed latency.
 type transactionTimeout struct {
 	mu      sync.Mutex
 	leading bool
-	latency time.Duration // smoothed, 0 before the first answer of the term
+	latency time.Duration // smoothed; 0 before the first response of the term
 }
 
-// reset begins a term or ends it.
+// reset discards the measured latency at the start or the end of a term.
 func (t *transactionTimeout) reset(leading bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.leading, t.latency = leading, 0
 }
 
-// current is the timeout of the next transaction.
+// current returns the timeout of the next transaction.
 func (t *transactionTimeout) current() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -36,8 +36,8 @@
 	return min(max(tuning.StoreTimeoutFactor*t.latency, tuning.StoreTimeoutMin), tuning.StoreTimeout)
 }
 
-// observe records the latency of a transaction and its error; without an answer, the
-// next one gets twice the time.
+// observe records the latency and the error of a transaction. A transaction without a response
+// doubles the next timeout. Other errors are ignored.
 func (t *transactionTimeout) observe(latency time.Duration, err error) {
 	latency = min(latency, tuning.StoreTimeout)
 	t.mu.Lock()
--- a/internal/kvstore/watch.go
+++ b/internal/kvstore/watch.go
@@ -10,14 +10,14 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Watch returns after a change below prefix that is newer than a revision, or when the
-// time has run out.
-func (c *Client) Watch(ctx context.Context, prefix string, after uint64, block time.Duration) error {
+// Watch blocks until a key with the prefix has changed after the given revision, for maxWait
+// at most.
+func (c *Client) Watch(ctx context.Context, prefix string, after uint64, maxWait time.Duration) error {
 	query := url.Values{
 		"starts":  {prefix},
 		"since":   {strconv.FormatUint(after, 10)},
-		"blockMs": {strconv.FormatInt(block.Milliseconds(), 10)},
+		"blockMs": {strconv.FormatInt(maxWait.Milliseconds(), 10)},
 	}
-	_, err := c.do(ctx, block+tuning.StoreTimeout, http.MethodGet, "/changes?"+query.Encode(), nil, nil)
+	_, err := c.do(ctx, maxWait+tuning.StoreTimeout, http.MethodGet, "/changes?"+query.Encode(), nil, nil)
 	return err
 }
