--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -10,11 +10,11 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// requestID is that of the only call on a connection.
+// requestID is the ID of the only call on a connection that Request opens.
 const requestID = 1
 
-// Request sends one call to a node from outside the cluster, such as an operator's command, and
-// waits for the answer until the context ends.
+// Request sends one call to a node and waits for the response until the context ends. It serves
+// callers outside the cluster, such as operators' commands.
 func Request(ctx context.Context, addr string, c Call) (Response, error) {
 	dialer := net.Dialer{Timeout: tuning.PeerDialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp4", addr)
@@ -22,40 +22,40 @@
 		return Response{}, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	// A deadline in the past ends the reading, and the writing.
-	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
-	out := newLineWriter(conn)
-	var sending sync.WaitGroup
-	sending.Go(func() { out.run(ctx) })
+	// A deadline in the past makes pending reads and writes fail.
+	stopDeadline := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
+	writer := newLineWriter(conn)
+	var senders sync.WaitGroup
+	senders.Go(func() { writer.run(ctx) })
 	defer func() {
-		stop()
+		stopDeadline()
 		cancel()
-		_ = conn.Close() // the answer was read, or will not be
-		sending.Wait()
+		_ = conn.Close() // nothing more is read from it
+		senders.Wait()
 	}()
 	c.ID = requestID
-	if err := out.write(&message{Call: &c}); err != nil {
+	if err := writer.write(&message{Call: &c}); err != nil {
 		return Response{}, err
 	}
-	answer, err := readAnswer(conn)
+	response, err := readResponse(conn)
 	if err != nil {
 		return Response{}, fmt.Errorf("%w from %s: %w", ErrNoResponse, addr, err)
 	}
-	return *answer, nil
+	return *response, nil
 }
 
-// readAnswer reads lines until the answer to the request comes.
-func readAnswer(conn net.Conn) (*Response, error) {
-	var answer *Response
+// readResponse reads lines until the response to the request arrives.
+func readResponse(conn net.Conn) (*Response, error) {
+	var response *Response
 	err := readLinesUntil(conn, tuning.OperatorTimeout, func(m *message) bool {
 		if m.Response != nil && m.Response.ID == requestID {
-			answer = m.Response
+			response = m.Response
 		}
-		return answer != nil
+		return response != nil
 	})
 	switch {
-	case answer != nil:
-		return answer, nil
+	case response != nil:
+		return response, nil
 	case err != nil:
 		return nil, err
 	}
--- a/internal/peer/membership.go
+++ b/internal/peer/heartbeats.go
@@ -7,18 +7,19 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// member is the last heartbeat of a peer.
-type member struct {
+// receivedHeartbeat is a peer's heartbeat with the time of its arrival.
+type receivedHeartbeat struct {
 	heartbeat  Heartbeat
 	receivedAt time.Time
 }
 
-// isRecent reports whether the heartbeat is not older than the peer's timeout.
-func (m *member) isRecent(now time.Time) bool {
+// isRecent reports whether the heartbeat arrived within the last PeerTimeout.
+func (m *receivedHeartbeat) isRecent(now time.Time) bool {
 	return now.Sub(m.receivedAt) <= tuning.PeerTimeout
 }
 
-// SendHeartbeats sends heartbeats at once, after a change of leadership.
+// SendHeartbeats makes all links send a heartbeat immediately, so that the peers learn of a change
+// of leadership without delay.
 func (h *Hub) SendHeartbeats() {
 	for _, l := range h.links {
 		select {
@@ -28,11 +29,11 @@
 	}
 }
 
-// recordHeartbeat records a peer's heartbeat. A policy counts only from a peer that leads
-// with the lease, and of its own term.
+// recordHeartbeat stores a peer's heartbeat. It passes on an admission policy only if the peer
+// holds the leader's lease and the policy is of the peer's own term.
 func (h *Hub) recordHeartbeat(b *Heartbeat) {
 	h.mu.Lock()
-	h.members[b.Node] = member{heartbeat: *b, receivedAt: time.Now()}
+	h.lastHeartbeats[b.Node] = receivedHeartbeat{heartbeat: *b, receivedAt: time.Now()}
 	h.mu.Unlock()
 	if !b.IsLeader {
 		return
@@ -43,32 +44,32 @@
 	}
 }
 
-// OfferedLoads are what the users of the peers within reach submit.
+// OfferedLoads returns the offered load of each peer whose last heartbeat is recent.
 func (h *Hub) OfferedLoads() []admission.NodeOfferedLoad {
 	now := time.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var all []admission.NodeOfferedLoad
+	var loads []admission.NodeOfferedLoad
 	for _, l := range h.links {
-		m := h.members[l.name]
+		m := h.lastHeartbeats[l.name]
 		if m.heartbeat.OfferedLoad != nil && m.isRecent(now) {
 			load := *m.heartbeat.OfferedLoad
 			load.Node = l.name
-			all = append(all, load)
+			loads = append(loads, load)
 		}
 	}
-	return all
+	return loads
 }
 
-// LinkedToLeader reports whether a peer that leads with the lease is directly in reach.
+// LinkedToLeader reports whether this node has a direct link to a leader that holds the lease.
 func (h *Hub) LinkedToLeader() bool { return h.route(false, false) != nil }
 
-// ReachesLeader reports whether a leader is in reach, directly or through a peer.
+// ReachesLeader reports whether calls can reach a leader, directly or through a peer.
 func (h *Hub) ReachesLeader() bool { return h.route(false, true) != nil }
 
-// route picks the link for a call: to the leader of the highest term, or, for a call that
-// may be relayed, to a peer that reaches one. A worker's heartbeat may also go to a
-// leader in its grace period.
+// route returns the link on which to send a call, or nil if there is none. It chooses the leader
+// of the highest term. If no leader is linked and the call may be relayed, it chooses a peer that
+// reaches one. A worker's heartbeat may also go to a leader in its grace period.
 func (h *Hub) route(isHeartbeat, mayRelay bool) *link {
 	now := time.Now()
 	h.mu.Lock()
@@ -76,7 +77,7 @@
 	var direct, relay *link
 	var highestTerm uint64
 	for _, l := range h.links {
-		m := h.members[l.name]
+		m := h.lastHeartbeats[l.name]
 		if !l.connected || !m.isRecent(now) {
 			continue
 		}
--- a/internal/peer/membership_test.go
+++ b/internal/peer/heartbeats_test.go
@@ -12,9 +12,9 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// TestPoliciesComeFromLeaders: a policy counts only from a peer that leads, and of its own
-// term; what a peer is offered counts under the name of its link, and only while its
-// heartbeats come.
+// TestPoliciesComeFromLeaders checks that the hub passes on a policy only from a leader, and only
+// of the leader's own term; and that it returns a peer's offered load under the name of the
+// peer's link, and only while the last heartbeat is recent.
 func TestPoliciesComeFromLeaders(t *testing.T) {
 	h := NewHub(zerolog.Nop(), []config.Peer{{Name: "n1"}, {Name: "n2"}})
 	h.OnLeaderTerm = func(uint64) {}
@@ -42,13 +42,13 @@
 	}
 }
 
-// TestRoutes: calls go to the leader of the highest term that is linked and whose heartbeats
-// are recent, workers' heartbeats also to one in its grace period, and calls that were not
-// relayed yet to a peer that reaches a leader.
-func TestRoutes(t *testing.T) {
+// TestRoute checks that calls go to the leader of the highest term that is linked and whose last
+// heartbeat is recent. Workers' heartbeats may also go to a leader in its grace period. Calls that
+// were not relayed yet may go to a peer that reaches a leader.
+func TestRoute(t *testing.T) {
 	now := time.Now()
 	old := now.Add(-2 * tuning.PeerTimeout)
-	leads := func(term uint64) Heartbeat { return Heartbeat{Term: term, IsLeader: true, InGracePeriod: true} }
+	leader := func(term uint64) Heartbeat { return Heartbeat{Term: term, IsLeader: true, InGracePeriod: true} }
 	inGrace := func(term uint64) Heartbeat { return Heartbeat{Term: term, InGracePeriod: true} }
 	relays := Heartbeat{ReachesLeader: true}
 	type peerState struct {
@@ -59,27 +59,27 @@
 	for _, c := range []struct {
 		name                        string
 		peers                       [2]peerState // n0 and n1
-		heartbeat, request, relayed string       // where each kind of call goes, "" for nowhere
+		heartbeat, request, relayed string       // destination of each kind of call; "" for none
 	}{
 		{"no leader", [2]peerState{{receivedAt: now}, {receivedAt: now}}, "", "", ""},
-		{"a leader", [2]peerState{{receivedAt: now}, {leads(4), now, false}}, "n1", "n1", "n1"},
-		{"two that say so", [2]peerState{{leads(5), now, false}, {leads(4), now, false}}, "n0", "n0", "n0"},
-		{"a leader not linked", [2]peerState{{receivedAt: now}, {leads(4), now, true}}, "", "", ""},
-		{"a leader of long ago", [2]peerState{{receivedAt: now}, {leads(4), old, false}}, "", "", ""},
-		{"one in its grace period", [2]peerState{{receivedAt: now}, {inGrace(4), now, false}}, "n1", "", ""},
-		{"a later leader", [2]peerState{{inGrace(4), now, false}, {leads(5), now, false}}, "n1", "n1", "n1"},
+		{"a leader", [2]peerState{{receivedAt: now}, {leader(4), now, false}}, "n1", "n1", "n1"},
+		{"two leaders", [2]peerState{{leader(5), now, false}, {leader(4), now, false}}, "n0", "n0", "n0"},
+		{"a leader not linked", [2]peerState{{receivedAt: now}, {leader(4), now, true}}, "", "", ""},
+		{"a leader without a recent heartbeat", [2]peerState{{receivedAt: now}, {leader(4), old, false}}, "", "", ""},
+		{"a leader in its grace period", [2]peerState{{receivedAt: now}, {inGrace(4), now, false}}, "n1", "", ""},
+		{"a leader of a later term", [2]peerState{{inGrace(4), now, false}, {leader(5), now, false}}, "n1", "n1", "n1"},
 		{"a relay", [2]peerState{{relays, now, false}, {receivedAt: now}}, "n0", "n0", ""},
-		{"a relay and one in its grace period", [2]peerState{{relays, now, false}, {inGrace(4), now, false}}, "n1", "n0", ""},
-		{"a relay and a leader", [2]peerState{{relays, now, false}, {leads(4), now, false}}, "n1", "n1", "n1"},
+		{"a relay and a leader in its grace period", [2]peerState{{relays, now, false}, {inGrace(4), now, false}}, "n1", "n0", ""},
+		{"a relay and a leader", [2]peerState{{relays, now, false}, {leader(4), now, false}}, "n1", "n1", "n1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := NewHub(zerolog.Nop(), []config.Peer{{Name: "n0"}, {Name: "n1"}})
 			for i, p := range c.peers {
 				h.links[i].connected = !p.unlinked
-				h.members[h.links[i].name] = member{p.heartbeat, p.receivedAt}
+				h.lastHeartbeats[h.links[i].name] = receivedHeartbeat{p.heartbeat, p.receivedAt}
 			}
 			for _, r := range []struct {
-				what                  string
+				call                  string
 				isHeartbeat, mayRelay bool
 				want                  string
 			}{
@@ -92,7 +92,7 @@
 					got = l.name
 				}
 				if got != r.want {
-					t.Errorf("%s goes to %q, want %q", r.what, got, r.want)
+					t.Errorf("%s goes to %q, want %q", r.call, got, r.want)
 				}
 			}
 			if h.ReachesLeader() != (c.request != "") || h.LinkedToLeader() != (c.relayed != "") {
--- a/internal/peer/hub.go
+++ b/internal/peer/hub.go
@@ -1,6 +1,6 @@
-// Package peer connects the nodes: it carries calls to the leader, as JSON lines on
-// one connection a direction, and tells each node by heartbeats what the others
-// know of the leader.
+// Package peer connects the nodes of a cluster. It forwards calls to the leader and exchanges
+// heartbeats, by which each node learns from the others who leads and how to reach the leader.
+// Messages are JSON lines, and each node opens its own connection to each peer.
 package peer
 
 import (
@@ -17,39 +17,41 @@
 )
 
 var (
-	// ErrUnreachable says that there is no way to a leader now.
+	// ErrUnreachable means that no leader can be reached at the moment.
 	ErrUnreachable = errors.New("no leader within reach")
-	// ErrNoResponse says that a connection has ended before the answer came.
+	// ErrNoResponse means that a connection ended before the response arrived.
 	ErrNoResponse = errors.New("no answer")
 )
 
-// Hub is the links to all peers and what their heartbeats say.
+// Hub holds the links to all peers and the last heartbeat of each.
 type Hub struct {
 	Log zerolog.Logger
 	// LocalHeartbeat returns this node's own heartbeat.
 	LocalHeartbeat func() Heartbeat
-	// OnLeaderTerm is called with the term of each peer that leads with the lease.
+	// OnLeaderTerm is called with the term of each heartbeat whose sender holds the leader's
+	// lease.
 	OnLeaderTerm func(term uint64)
-	// OnPolicy, if set, is called with the admission policy of a peer that leads.
+	// OnPolicy, if set, is called with each admission policy that a leader's heartbeat carries.
 	OnPolicy func(admission.Policy)
-	// Handle answers a peer's call.
+	// Handle executes a peer's call and returns the response.
 	Handle func(context.Context, Call) Response
 
-	mu      sync.Mutex
-	links   []*link
-	members map[string]member
+	mu             sync.Mutex
+	links          []*link
+	lastHeartbeats map[string]receivedHeartbeat
 }
 
 // NewHub returns a hub for the given peers.
 func NewHub(log zerolog.Logger, peers []config.Peer) *Hub {
-	h := &Hub{Log: log, members: map[string]member{}}
+	h := &Hub{Log: log, lastHeartbeats: map[string]receivedHeartbeat{}}
 	for _, p := range peers {
 		h.links = append(h.links, newLink(h, p))
 	}
 	return h
 }
 
-// Run serves ln and keeps the links connected until the context ends.
+// Run accepts connections on ln and keeps the links connected until the context ends. It closes
+// ln.
 func (h *Hub) Run(ctx context.Context, ln net.Listener) error {
 	g, ctx := errgroup.WithContext(ctx)
 	for _, l := range h.links {
@@ -69,7 +71,8 @@
 	return g.Wait()
 }
 
-// Forward sends a call towards the leader and waits for the answer.
+// Forward sends a call to the leader, directly or through a peer, and waits for the response. It
+// returns ErrUnreachable if there is no route.
 func (h *Hub) Forward(ctx context.Context, c Call) (Response, error) {
 	l := h.route(c.Op == OpHeartbeat, c.Hops == 0)
 	if l == nil {
--- a/internal/peer/hub_test.go
+++ b/internal/peer/hub_test.go
@@ -14,15 +14,15 @@
 	"switchshore.example/switchshore/internal/config"
 )
 
-// testHub is a hub on loopback.
+// testHub is a hub on a loopback address.
 type testHub struct {
 	*Hub
-	cancel context.CancelFunc
-	ended  chan error
+	cancel  context.CancelFunc
+	stopped chan error
 }
 
-// startHubs starts linked hubs. links names, for each, the others that it has a link to; the
-// last hub leads, and answers calls with handle.
+// startHubs starts linked hubs. links holds, for each hub, the indexes of the hubs that it links
+// to. The last hub leads, and responds to calls with handle.
 func startHubs(t *testing.T, links [][]int, handle func(context.Context, Call) Response) []*testHub {
 	t.Helper()
 	listeners := make([]net.Listener, len(links))
@@ -45,7 +45,7 @@
 	for i, h := range hubs {
 		ctx, cancel := context.WithCancel(context.Background())
 		h.cancel = cancel
-		go func() { h.ended <- h.Run(ctx, listeners[i]) }()
+		go func() { h.stopped <- h.Run(ctx, listeners[i]) }()
 		t.Cleanup(cancel)
 	}
 	return hubs
@@ -53,9 +53,9 @@
 
 func hubName(i int) string { return fmt.Sprint("n", i) }
 
-// newTestHub returns a hub that forwards calls.
+// newTestHub returns a hub that forwards all calls.
 func newTestHub(name string, peers []config.Peer) *testHub {
-	h := &testHub{Hub: NewHub(zerolog.Nop(), peers), ended: make(chan error, 1)}
+	h := &testHub{Hub: NewHub(zerolog.Nop(), peers), stopped: make(chan error, 1)}
 	h.LocalHeartbeat = func() Heartbeat { return Heartbeat{Node: name, ReachesLeader: h.LinkedToLeader()} }
 	h.OnLeaderTerm = func(uint64) {}
 	h.Handle = func(ctx context.Context, c Call) Response {
@@ -68,7 +68,7 @@
 	return h
 }
 
-// lead makes a hub, before it runs, the one of the leader.
+// lead makes the hub the leader's. It must be called before Run.
 func (h *testHub) lead(handle func(context.Context, Call) Response) {
 	follower := h.LocalHeartbeat
 	h.LocalHeartbeat = func() Heartbeat {
@@ -79,7 +79,7 @@
 	h.Handle = handle
 }
 
-// awaitLeader waits until a hub has a way to the leader.
+// awaitLeader waits until the hub reaches the leader.
 func (h *testHub) awaitLeader(t *testing.T) {
 	t.Helper()
 	for range 500 {
@@ -88,11 +88,11 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("no way to the leader")
+	t.Fatal("the hub does not reach the leader")
 }
 
-// TestCallsReachTheLeader: over a link of its own, or through one peer that has one; never
-// through two.
+// TestCallsReachTheLeader checks that a call reaches the leader on a direct link or through one
+// peer, and never through two.
 func TestCallsReachTheLeader(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -103,7 +103,7 @@
 		{"through a peer", [][]int{{1}, {0, 2}, {1}}, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			hops := make(chan int, 2) // of the calls that the leader got
+			hops := make(chan int, 2) // of the calls that the leader received
 			hubs := startHubs(t, c.links, func(_ context.Context, call Call) Response {
 				hops <- call.Hops
 				return Response{Status: http.StatusOK, Reason: call.Job}
@@ -115,19 +115,19 @@
 				t.Errorf("%+v, %v", response, err)
 			}
 			if got := <-hops; got != c.hops {
-				t.Errorf("the leader got a call of %d hops, want %d", got, c.hops)
+				t.Errorf("the leader received a call with %d hops, want %d", got, c.hops)
 			}
 			query.Hops = 1
 			if _, err := hubs[0].Forward(context.Background(), query); (c.hops == 1) != (err == nil) || err != nil && !errors.Is(err, ErrUnreachable) {
-				t.Errorf("a call that was relayed already: %v", err)
+				t.Errorf("a call that was already relayed: %v", err)
 			}
 		})
 	}
 }
 
-// TestHubEndsWithItsContext: also while it handles a call that would take for ever; the
-// caller does not wait for that one.
-func TestHubEndsWithItsContext(t *testing.T) {
+// TestHubStopsWithItsContext: a hub must stop when its context ends, even while it handles a call
+// that never finishes. The caller of that call must not wait any longer.
+func TestHubStopsWithItsContext(t *testing.T) {
 	handling := make(chan struct{})
 	hubs := startHubs(t, [][]int{{1}, {0}}, func(ctx context.Context, _ Call) Response {
 		close(handling)
@@ -135,18 +135,18 @@
 		return ErrorResponse(http.StatusServiceUnavailable, "ended")
 	})
 	hubs[0].awaitLeader(t)
-	answered := make(chan struct{})
+	returned := make(chan struct{})
 	go func() {
-		defer close(answered)
+		defer close(returned)
 		response, err := hubs[0].Forward(context.Background(), Call{Op: OpQuery})
 		if err == nil && response.Status != http.StatusServiceUnavailable {
-			t.Errorf("the caller was told %+v", response)
+			t.Errorf("the caller received %+v", response)
 		}
 	}()
 	<-handling
 	hubs[1].cancel()
-	if err := <-hubs[1].ended; err != nil {
-		t.Errorf("ended with %v", err)
+	if err := <-hubs[1].stopped; err != nil {
+		t.Errorf("Run returned %v", err)
 	}
-	<-answered
+	<-returned
 }
--- a/internal/peer/line_reader.go
+++ b/internal/peer/line_reader.go
@@ -10,19 +10,19 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// idleTimeoutConn is a connection whose reads fail when nothing comes for a while.
+// idleTimeoutConn is a connection whose reads fail if no data arrives within the timeout.
 type idleTimeoutConn struct {
 	net.Conn
 	timeout time.Duration
 }
 
-// Read reads what comes within the timeout.
+// Read implements net.Conn.
 func (c idleTimeoutConn) Read(b []byte) (int, error) {
-	_ = c.SetReadDeadline(time.Now().Add(c.timeout)) // fails only if the read does
+	_ = c.SetReadDeadline(time.Now().Add(c.timeout)) // if this fails, so does the read
 	return c.Conn.Read(b)
 }
 
-// readLines calls handle for every line until the connection ends or nothing comes for
+// readLines calls handle for every line until the connection ends or no data arrives for
 // PeerTimeout.
 func readLines(conn net.Conn, handle func(*message)) error {
 	return readLinesUntil(conn, tuning.PeerTimeout, func(m *message) bool {
@@ -31,8 +31,8 @@
 	})
 }
 
-// readLinesUntil calls handle for every line until it returns true, the connection ends, or
-// nothing comes for the timeout.
+// readLinesUntil calls handle for every line until handle returns true, the connection ends, or
+// no data arrives within the timeout.
 func readLinesUntil(conn net.Conn, timeout time.Duration, handle func(*message) (done bool)) error {
 	scanner := bufio.NewScanner(idleTimeoutConn{Conn: conn, timeout: timeout})
 	scanner.Buffer(make([]byte, 0, tuning.PeerBuffer), tuning.PeerMaxLine)
--- a/internal/peer/line_writer.go
+++ b/internal/peer/line_writer.go
@@ -13,28 +13,27 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// errTooManyPending says that a peer does not read what it is sent.
+// errTooManyPending means that a peer reads too slowly and its queue of lines is full.
 var errTooManyPending = fmt.Errorf("%w: too many lines pending", ErrUnreachable)
 
-// lineWriter writes whole lines. Lines that come while a write is under way,
-// or shortly after one, go out together: at some hundred heartbeats a second a
-// packet and a system call for each would cost more than their content. A
-// write that makes no progress ends the connection, and so does a peer that
-// reads nothing while lines accumulate.
+// lineWriter writes whole lines to a connection. It batches the lines that are added during a
+// write or shortly after one: at several hundred heartbeats per second, a packet and a system
+// call for each line would cost more than their content. It closes the connection if a write
+// times out, or if too many lines are pending because the peer does not read them.
 type lineWriter struct {
 	conn net.Conn
 	wake chan struct{}
 
 	mu      sync.Mutex
 	pending []byte
-	failed  error
+	failure error
 }
 
 func newLineWriter(conn net.Conn) *lineWriter {
 	return &lineWriter{conn: conn, wake: make(chan struct{}, 1)}
 }
 
-// write adds a line to those that run sends.
+// write queues a message as one line, which run sends.
 func (w *lineWriter) write(m *message) error {
 	line, err := json.Marshal(m)
 	if err != nil {
@@ -48,23 +47,24 @@
 	return err
 }
 
-// enqueue adds a line, unless the connection has failed; it fails with too many pending.
+// enqueue queues a line. It returns an error if the connection has failed, and closes the
+// connection if too much data is pending.
 func (w *lineWriter) enqueue(line []byte) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.failed == nil && len(w.pending) > tuning.PeerMaxPending {
-		w.failed = errTooManyPending
-		_ = w.conn.Close() // the connection has failed, whatever this says
+	if w.failure == nil && len(w.pending) > tuning.PeerMaxPending {
+		w.failure = errTooManyPending
+		_ = w.conn.Close() // the connection is unusable, with or without an error
 	}
-	if w.failed == nil {
+	if w.failure == nil {
 		w.pending = append(append(w.pending, line...), '\n')
 	}
-	return w.failed
+	return w.failure
 }
 
-// run sends the lines until the context ends or the connection fails.
+// run sends the queued lines until the context ends or the connection fails.
 func (w *lineWriter) run(ctx context.Context) {
-	var sending []byte
+	var batch []byte
 	for {
 		select {
 		case <-ctx.Done():
@@ -72,12 +72,12 @@
 		case <-w.wake:
 		}
 		w.mu.Lock()
-		sending, w.pending = w.pending, sending[:0]
+		batch, w.pending = w.pending, batch[:0]
 		w.mu.Unlock()
-		if len(sending) == 0 {
+		if len(batch) == 0 {
 			continue
 		}
-		if err := w.send(sending); err != nil {
+		if err := w.send(batch); err != nil {
 			return
 		}
 		if ctxtime.Sleep(ctx, tuning.PeerFlushDelay) != nil {
@@ -86,16 +86,16 @@
 	}
 }
 
-// send writes to the connection, and closes it if that fails.
+// send writes a batch of lines to the connection, and closes the connection if that fails.
 func (w *lineWriter) send(lines []byte) error {
-	_ = w.conn.SetWriteDeadline(time.Now().Add(tuning.PeerTimeout)) // fails only if the write does
+	_ = w.conn.SetWriteDeadline(time.Now().Add(tuning.PeerTimeout)) // if this fails, so does the write
 	_, err := w.conn.Write(lines)
 	if err == nil {
 		return nil
 	}
 	w.mu.Lock()
-	w.failed = err
+	w.failure = err
 	w.mu.Unlock()
-	_ = w.conn.Close() // the connection has failed, whatever this says
+	_ = w.conn.Close() // the connection is unusable, with or without an error
 	return err
 }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -10,11 +10,11 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// link is this node's connection to one peer.
+// link is this node's outgoing connection to one peer, which it re-establishes after failures.
 type link struct {
 	hub          *Hub
 	name, addr   string
-	heartbeatDue chan struct{} // a heartbeat is to be sent at once
+	heartbeatDue chan struct{} // requests a heartbeat ahead of the interval
 	connected    bool          // guarded by hub.mu
 	calls        pendingCalls
 }
@@ -23,7 +23,7 @@
 	return &link{hub: h, name: p.Name, addr: p.Addr, heartbeatDue: make(chan struct{}, 1)}
 }
 
-// run dials the peer again and again until the context ends.
+// run connects to the peer, and reconnects after each failure, until the context ends.
 func (l *link) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		conn, err := net.DialTimeout("tcp4", l.addr, tuning.PeerDialTimeout)
@@ -36,27 +36,28 @@
 	}
 }
 
-// serveConnection keeps one connection: heartbeats and calls out, heartbeats and answers
-// in. A connection on which nothing comes back for PeerTimeout is closed, as a network
-// partition gives no error.
+// serveConnection sends heartbeats and calls on a connection, and receives heartbeats and
+// responses, until the connection ends. It closes a connection on which nothing arrives for
+// PeerTimeout, because a network partition causes no error.
 func (l *link) serveConnection(ctx context.Context, conn net.Conn) {
 	ctx, c := newConnection(ctx, conn)
-	l.calls.open(c.out)
-	c.sending.Go(func() {
+	l.calls.open(c.writer)
+	c.senders.Go(func() {
 		defer c.cancel()
-		l.sendHeartbeats(ctx, c.out)
+		l.sendHeartbeats(ctx, c.writer)
 	})
-	_ = readLines(conn, l.receive) // however it ends, the peer is dialled again
+	_ = readLines(conn, l.handleMessage) // after any error, run reconnects
 	l.setConnected(false)
 	l.calls.close()
 	c.close()
 }
 
-// sendHeartbeats sends one at every interval, and at once when due, until the context ends.
-func (l *link) sendHeartbeats(ctx context.Context, out *lineWriter) {
+// sendHeartbeats sends a heartbeat at every interval, and immediately on heartbeatDue, until the
+// context ends or the connection fails.
+func (l *link) sendHeartbeats(ctx context.Context, writer *lineWriter) {
 	for ctx.Err() == nil {
-		own := l.hub.LocalHeartbeat()
-		if out.write(&message{Heartbeat: &own}) != nil {
+		heartbeat := l.hub.LocalHeartbeat()
+		if writer.write(&message{Heartbeat: &heartbeat}) != nil {
 			return
 		}
 		select {
@@ -67,8 +68,8 @@
 	}
 }
 
-// receive handles a line of the peer.
-func (l *link) receive(m *message) {
+// handleMessage processes a message of the peer.
+func (l *link) handleMessage(m *message) {
 	switch {
 	case m.Heartbeat != nil:
 		l.hub.recordHeartbeat(m.Heartbeat)
@@ -84,23 +85,23 @@
 	l.connected = connected
 }
 
-// call sends a call to the peer and waits for the answer.
+// call sends a call to the peer and waits for the response.
 func (l *link) call(ctx context.Context, c Call) (Response, error) {
-	answer, out := l.calls.add(&c)
-	if out == nil {
+	result, writer := l.calls.add(&c)
+	if writer == nil {
 		return Response{}, ErrUnreachable
 	}
-	if err := out.write(&message{Call: &c}); err != nil {
+	if err := writer.write(&message{Call: &c}); err != nil {
 		return Response{}, err
 	}
 	select {
-	case response, ok := <-answer:
+	case response, ok := <-result:
 		if !ok {
 			return Response{}, ErrUnreachable
 		}
 		return response, nil
 	case <-ctx.Done():
-		l.calls.remove(c.ID, answer)
+		l.calls.remove(c.ID, result)
 		return Response{}, ctx.Err()
 	}
 }
--- a/internal/peer/listener.go
+++ b/internal/peer/listener.go
@@ -11,13 +11,15 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Bounds of the connections that peers and operators may keep at a time.
+// Limits on open incoming connections: a number for each peer, and a number of additional ones
+// for operators.
 const (
 	connectionsPerPeer = 4
 	spareConnections   = 4
 )
 
-// acceptConnections serves peers until the context ends, which closes the listener.
+// acceptConnections accepts and serves connections until the context ends, when Run closes the
+// listener. It closes a connection beyond the limit at once.
 func (h *Hub) acceptConnections(ctx context.Context, ln net.Listener) {
 	var connections errgroup.Group
 	connections.SetLimit(len(h.links)*connectionsPerPeer + spareConnections)
@@ -39,43 +41,43 @@
 			return nil
 		})
 		if !started {
-			_ = conn.Close() // nothing was read or written
+			_ = conn.Close() // the connection was never used
 		}
 	}
 }
 
-// serveConnection answers the heartbeats and calls that come on one connection.
+// serveConnection responds to the heartbeats and calls on one connection until it ends.
 func (h *Hub) serveConnection(ctx context.Context, conn net.Conn) {
 	ctx, c := newConnection(ctx, conn)
 	var calls errgroup.Group
 	calls.SetLimit(tuning.PeerMaxCalls)
-	// However the reading ends, the peer dials again.
-	_ = readLines(conn, func(m *message) { h.handleMessage(ctx, &calls, c.out, m) })
+	// The error is ignored, as the peer reconnects after any of them.
+	_ = readLines(conn, func(m *message) { h.handleMessage(ctx, &calls, c.writer, m) })
 	c.close()
 	_ = calls.Wait() // none returns an error
 }
 
-// handleMessage answers one line. An answer that can't be written is lost with the
-// connection: the peer then gives up all calls that wait on it.
-func (h *Hub) handleMessage(ctx context.Context, calls *errgroup.Group, out *lineWriter, m *message) {
+// handleMessage responds to one message. A failure to write the response is ignored: the
+// connection has then ended, and the peer fails all calls that are in flight on it.
+func (h *Hub) handleMessage(ctx context.Context, calls *errgroup.Group, writer *lineWriter, m *message) {
 	switch {
 	case m.Heartbeat != nil:
 		h.recordHeartbeat(m.Heartbeat)
-		own := h.LocalHeartbeat()
-		_ = out.write(&message{Heartbeat: &own})
+		heartbeat := h.LocalHeartbeat()
+		_ = writer.write(&message{Heartbeat: &heartbeat})
 	case m.Call == nil:
 	case !m.Call.isComplete():
-		_ = out.write(&message{Response: &Response{ID: m.Call.ID, Status: http.StatusServiceUnavailable, Reason: "incomplete call"}})
+		_ = writer.write(&message{Response: &Response{ID: m.Call.ID, Status: http.StatusServiceUnavailable, Reason: "incomplete call"}})
 	default:
 		call := *m.Call
 		started := calls.TryGo(func() error {
 			response := h.Handle(ctx, call)
 			response.ID = call.ID
-			_ = out.write(&message{Response: &response})
+			_ = writer.write(&message{Response: &response})
 			return nil
 		})
 		if !started {
-			_ = out.write(&message{Response: &Response{ID: call.ID, Status: http.StatusServiceUnavailable}})
+			_ = writer.write(&message{Response: &Response{ID: call.ID, Status: http.StatusServiceUnavailable}})
 		}
 	}
 }
--- a/internal/peer/messages_test.go
+++ b/internal/peer/messages_test.go
@@ -11,10 +11,10 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// TestPreviousVersionsLines: what nodes of the version before the dependent jobs
-// send is understood in full, and read by those nodes as they wrote it when sent
-// back; a dependent job is refused by them, not carried out without what it needs.
-func TestPreviousVersionsLines(t *testing.T) {
+// TestPreviousVersionMessages: messages of nodes of the version without job dependencies must be
+// decoded without loss and encoded to the same text. Those nodes must reject a dependent job
+// rather than run it without its dependencies.
+func TestPreviousVersionMessages(t *testing.T) {
 	data, err := os.ReadFile("testdata/previous_version.jsonl")
 	if err != nil {
 		t.Fatal(err)
@@ -30,8 +30,8 @@
 				t.Errorf("incomplete: %s", text)
 			}
 		}
-		if again, _ := json.Marshal(&m); string(again) != strings.TrimSpace(text) {
-			t.Errorf("%s read as %s", text, again)
+		if encoded, _ := json.Marshal(&m); string(encoded) != strings.TrimSpace(text) {
+			t.Errorf("%s encoded as %s", text, encoded)
 		}
 	}
 	if calls != 4 {
@@ -40,12 +40,12 @@
 	job := &wire.Job{ID: "job-000001"}
 	plain, _ := json.Marshal(NewSubmitCall(job))
 	job.DependsOn = []string{"job-000002"}
-	chained, _ := json.Marshal(NewSubmitCall(job))
-	if simulation.PreviousVersionRefuses(plain) || !simulation.PreviousVersionRefuses(chained) {
-		t.Errorf("%s\n%s", plain, chained)
+	withDependencies, _ := json.Marshal(NewSubmitCall(job))
+	if simulation.PreviousVersionRefuses(plain) || !simulation.PreviousVersionRefuses(withDependencies) {
+		t.Errorf("%s\n%s", plain, withDependencies)
 	}
 	var c Call
-	if err := json.Unmarshal(chained, &c); err != nil || !c.isComplete() || len(c.Submission().DependsOn) != 1 {
+	if err := json.Unmarshal(withDependencies, &c); err != nil || !c.isComplete() || len(c.Submission().DependsOn) != 1 {
 		t.Errorf("%v %+v", err, c)
 	}
 }
--- a/internal/peer/peertest/peertest.go
+++ b/internal/peer/peertest/peertest.go
@@ -1,5 +1,4 @@
-// Package peertest is a fake node for tests of clients of the JSON-lines protocol between
-// nodes.
+// Package peertest provides a fake node for tests of clients of the protocol between nodes.
 package peertest
 
 import (
@@ -13,9 +12,9 @@
 	"switchshore.example/switchshore/internal/peer"
 )
 
-// Server answers calls on loopback until the test ends.
+// Server responds to calls on a loopback address until the test ends.
 type Server struct {
-	// Addr is the address that it listens on.
+	// Addr is the address on which the server listens.
 	Addr string
 
 	t       testing.TB
@@ -25,18 +24,18 @@
 	calls []peer.Call
 }
 
-// request and reply are the lines of a call and its response.
+// callLine and responseLine are the lines of a call and of its response.
 type (
-	request struct {
+	callLine struct {
 		Call *peer.Call `json:"call"`
 	}
-	reply struct {
+	responseLine struct {
 		Response *peer.Response `json:"answer"`
 	}
 )
 
-// Start starts a server that answers each call with what respond returns, and
-// closes the connection where that is nil.
+// Start starts a server that sends the result of respond to each call, or closes the connection
+// if the result is nil.
 func Start(t testing.TB, respond func(peer.Call) *peer.Response) *Server {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -55,14 +54,14 @@
 	return s
 }
 
-// Calls returns the calls that have come so far.
+// Calls returns the calls received so far.
 func (s *Server) Calls() []peer.Call {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]peer.Call(nil), s.calls...)
 }
 
-// accept serves one connection after the other, as clients in tests call one after the other.
+// accept serves one connection at a time, which suffices as clients in tests call sequentially.
 func (s *Server) accept(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -77,12 +76,12 @@
 	}
 }
 
-// serve answers the calls of a connection until its client closes it.
+// serve responds to the calls on a connection until the client closes it.
 func (s *Server) serve(conn net.Conn) {
 	defer conn.Close()
 	lines := bufio.NewScanner(conn)
 	for lines.Scan() {
-		var line request
+		var line callLine
 		if err := json.Unmarshal(lines.Bytes(), &line); err != nil || line.Call == nil {
 			s.t.Errorf("not a call: %s (%v)", lines.Bytes(), err)
 			return
@@ -95,7 +94,7 @@
 			return
 		}
 		response.ID = line.Call.ID
-		if err := json.NewEncoder(conn).Encode(reply{Response: response}); err != nil {
+		if err := json.NewEncoder(conn).Encode(responseLine{Response: response}); err != nil {
 			s.t.Error(err)
 			return
 		}
--- a/internal/peer/pending_calls.go
+++ b/internal/peer/pending_calls.go
@@ -6,64 +6,66 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// pendingCalls are the calls that wait for an answer over a link's connection.
+// pendingCalls holds the calls on a link's connection that have no response yet.
 type pendingCalls struct {
 	mu      sync.Mutex
-	out     *lineWriter // nil without a connection
+	writer  *lineWriter // nil without a connection
 	lastID  uint64
-	answers map[uint64]chan Response
+	results map[uint64]chan Response
 }
 
-// open lets calls go out over a connection.
-func (p *pendingCalls) open(out *lineWriter) {
+// open lets new calls use a connection.
+func (p *pendingCalls) open(writer *lineWriter) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.out = out
-	p.answers = map[uint64]chan Response{}
+	p.writer = writer
+	p.results = map[uint64]chan Response{}
 }
 
-// close ends all calls, as their connection has ended: their channels are closed.
+// close fails all calls after their connection has ended, by closing their channels.
 func (p *pendingCalls) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.out = nil
-	for id, answer := range p.answers {
-		delete(p.answers, id)
-		close(answer)
+	p.writer = nil
+	for id, result := range p.results {
+		delete(p.results, id)
+		close(result)
 	}
 }
 
-// add gives a call its ID; it returns where the answer will come and the writer to send
-// the call with, nil without a connection or with too many calls on it.
+// add assigns an ID to a call. It returns the channel that will receive the response and the
+// writer with which to send the call, or nil for both if there is no connection or too many calls
+// are in flight on it.
 func (p *pendingCalls) add(c *Call) (chan Response, *lineWriter) {
-	answer := make(chan Response, 1)
+	result := make(chan Response, 1)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.out == nil || len(p.answers) >= tuning.PeerMaxCalls {
+	if p.writer == nil || len(p.results) >= tuning.PeerMaxCalls {
 		return nil, nil
 	}
 	p.lastID++
 	c.ID = p.lastID
-	p.answers[c.ID] = answer
-	return answer, p.out
+	p.results[c.ID] = result
+	return result, p.writer
 }
 
-// resolve passes an answer on, unless its call was given up.
+// resolve delivers a response to its call. It drops a response whose call was removed.
 func (p *pendingCalls) resolve(r *Response) {
 	p.mu.Lock()
-	answer := p.answers[r.ID]
-	delete(p.answers, r.ID)
+	result := p.results[r.ID]
+	delete(p.results, r.ID)
 	p.mu.Unlock()
-	if answer != nil {
-		answer <- *r
+	if result != nil {
+		result <- *r
 	}
 }
 
-// remove gives a call up, unless its ID is that of another one on a later connection.
-func (p *pendingCalls) remove(id uint64, answer chan Response) {
+// remove discards a call whose caller no longer waits. The comparison of the channels prevents it
+// from removing a later connection's call with the same ID.
+func (p *pendingCalls) remove(id uint64, result chan Response) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.answers[id] == answer {
-		delete(p.answers, id)
+	if p.results[id] == result {
+		delete(p.results, id)
 	}
 }
