--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,5 +1,5 @@
-// Package cloud is the client of the cloud that provisions machines, within the
-// call budget of the leader, which alone calls it.
+// Package cloud is the client of the cloud that provisions the machines. Only the leader calls the
+// cloud, and the client keeps its calls within the leader's share of the rate limit.
 package cloud
 
 import (
@@ -15,7 +15,7 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// maxConnections bounds the sockets to the cloud.
+// maxConnections is the largest number of open connections to the cloud.
 const maxConnections = 16
 
 // Client is the HTTP client of the cloud.
@@ -24,7 +24,7 @@
 	budget *rate.Limiter
 }
 
-// NewClient returns a client for addr.
+// NewClient returns a client for addr that keeps to the leader's share of the limits.
 func NewClient(addr string, limits config.CloudLimits) *Client {
 	return &Client{
 		http:   httpclient.New(addr, maxConnections, tuning.ConnectionIdleTimeout),
@@ -32,34 +32,34 @@
 	}
 }
 
-// newBudget returns the leader's share of the cloud's limits. At most a second of it may be
-// used at once: an earlier leader may have used up the cloud's burst.
+// newBudget returns a limiter with the leader's share of the cloud's rate limit. Its burst is at
+// most one second at that rate, because a previous leader may have used up the cloud's burst.
 func newBudget(limits config.CloudLimits) *rate.Limiter {
 	perSecond := limits.RPS * tuning.CloudShare
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
 
-// MachineTypes reads the catalogue with current prices.
+// MachineTypes returns the offered machine types with their current prices.
 func (c *Client) MachineTypes(ctx context.Context) ([]wire.MachineType, error) {
 	var response wire.MachineTypes
 	err := c.do(ctx, http.MethodGet, "/machine_types", nil, &response)
 	return response.Types, err
 }
 
-// Provision asks for machines and returns their names; the request's ID makes repeats
-// idempotent.
+// Provision requests machines and returns their names. The request's ID makes retries idempotent.
 func (c *Client) Provision(ctx context.Context, r wire.ProvisionRequest) ([]string, error) {
 	var response wire.MachineNames
 	err := c.do(ctx, http.MethodPost, "/rentals", r, &response)
 	return response.Machines, err
 }
 
-// Release gives machines back: without an error they no longer run, nor does anything on them.
+// Release returns machines to the cloud. If there is no error, the machines and all tasks on them
+// have stopped.
 func (c *Client) Release(ctx context.Context, names []string) error {
 	return c.do(ctx, http.MethodPost, "/rentals/release", wire.MachineNames{Machines: names}, nil)
 }
 
-// do sends one request within the budget.
+// do sends one request within the budget and returns an error for every status except 2xx.
 func (c *Client) do(ctx context.Context, method, uri string, body, out any) error {
 	if err := c.budget.Wait(ctx); err != nil {
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
@@ -68,7 +68,7 @@
 	if err != nil {
 		return err
 	}
-	if cause := statusCause(status); cause != nil {
+	if cause := errorForStatus(status); cause != nil {
 		return &httpclient.StatusError{Method: method, URI: uri, Status: status, Err: cause}
 	}
 	return nil
--- a/internal/cloud/errors.go
+++ b/internal/cloud/errors.go
@@ -7,16 +7,18 @@
 	"switchshore.example/switchshore/internal/httpclient"
 )
 
-// Errors of the cloud. httpclient.ErrNoResponse stands for an unknown outcome.
+// Errors of the cloud. After httpclient.ErrNoResponse, it is unknown whether the request was
+// executed.
 var (
-	// ErrUnavailable: no capacity, too many calls or an outage; nothing was done.
+	// ErrUnavailable: the cloud lacks capacity, has an outage or limits the rate, or the context
+	// ended before the budget allowed the request. The request was not executed.
 	ErrUnavailable = errors.New("cloud refused")
-	// ErrInvalidRequest: the cloud did not understand the request; nothing was done.
+	// ErrInvalidRequest: the cloud rejected the request as invalid and did not execute it.
 	ErrInvalidRequest = errors.New("malformed request")
 )
 
-// statusCause is what a status says of the request, nil if it was carried out.
-func statusCause(status int) error {
+// errorForStatus returns the error that a response's status stands for, nil for 2xx.
+func errorForStatus(status int) error {
 	switch {
 	case status/100 == 2:
 		return nil
--- a/internal/cloud/errors_test.go
+++ b/internal/cloud/errors_test.go
@@ -8,8 +8,9 @@
 	"switchshore.example/switchshore/internal/httpclient"
 )
 
-// TestMeaningOfStatuses: only a status that says so counts as nothing done.
-func TestMeaningOfStatuses(t *testing.T) {
+// TestErrorForStatus checks that a request counts as not executed only if the status says so.
+// After any other status its outcome is unknown.
+func TestErrorForStatus(t *testing.T) {
 	for status, want := range map[int]error{
 		http.StatusOK:                  nil,
 		http.StatusCreated:             nil,
@@ -20,7 +21,7 @@
 		http.StatusConflict:            httpclient.ErrNoResponse,
 		http.StatusInternalServerError: httpclient.ErrNoResponse,
 	} {
-		if got := statusCause(status); !errors.Is(got, want) {
+		if got := errorForStatus(status); !errors.Is(got, want) {
 			t.Errorf("%d: %v, want %v", status, got, want)
 		}
 	}
--- a/internal/cloud/list.go
+++ b/internal/cloud/list.go
@@ -9,10 +9,10 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// listPageSize is the number of machines asked for at once (protocol: 500).
+// listPageSize is the number of machines per page, the largest that the protocol allows.
 const listPageSize = 500
 
-// ListMachines reads the whole machine list, page by page.
+// ListMachines returns all machines, and reads the list page by page.
 func (c *Client) ListMachines(ctx context.Context) ([]wire.ListedMachine, error) {
 	var all []wire.ListedMachine
 	after := ""
@@ -29,7 +29,8 @@
 	}
 }
 
-// listPage reads the machines whose names follow one, "" for the first page.
+// listPage reads one page of machines, from the first name after the given one, or from the start
+// for "".
 func (c *Client) listPage(ctx context.Context, after string) (wire.MachineList, error) {
 	query := url.Values{"limit": {strconv.Itoa(listPageSize)}}
 	if after != "" {
--- a/internal/cloud/list_test.go
+++ b/internal/cloud/list_test.go
@@ -14,10 +14,10 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// maxPage is the largest page that the cloud answers.
-const maxPage = 500
+// maxPageSize is the largest page that the cloud returns.
+const maxPageSize = 500
 
-// machineList serves the list of machines. Two machines end after the first page.
+// machineList serves the list of machines, and removes two machines after the first page.
 type machineList struct {
 	t        *testing.T
 	names    []string
@@ -26,13 +26,13 @@
 
 func (l *machineList) handle(rc *fasthttp.RequestCtx) {
 	since, limit := string(rc.QueryArgs().Peek("since")), rc.QueryArgs().GetUintOrZero("limit")
-	if limit < 1 || limit > maxPage {
+	if limit < 1 || limit > maxPageSize {
 		rc.SetStatusCode(fasthttp.StatusBadRequest)
 		return
 	}
 	l.requests++
 	if l.requests == 2 {
-		// Ended since the first page: one of it, and the last of it.
+		// Two machines of the first page are released after it was read: its first and its last.
 		l.names = append(append([]string{}, l.names[1:limit-1]...), l.names[limit:]...)
 	}
 	body, err := json.Marshal(l.page(since, limit))
@@ -42,7 +42,7 @@
 	rc.SetBody(body)
 }
 
-// page lists the machines that follow one.
+// page returns the machines whose names follow since.
 func (l *machineList) page(since string, limit int) wire.MachineList {
 	var page wire.MachineList
 	for _, name := range l.names {
@@ -58,9 +58,9 @@
 	return page
 }
 
-// TestListOfManyPages: 2,200 machines come in pages of at most 500, each once. A
-// machine that ends between two pages doesn't make the list skip another: what
-// is missing from a list is taken for ended.
+// TestListOfManyPages checks that 2,200 machines are listed once each, in pages of at most 500. A
+// machine that is released between two pages must not make the list skip another one, because
+// the service treats a machine missing from the list as released.
 func TestListOfManyPages(t *testing.T) {
 	l := &machineList{t: t}
 	for i := range 2200 {
--- a/internal/ctxtime/sleep.go
+++ b/internal/ctxtime/sleep.go
@@ -1,4 +1,4 @@
-// Package ctxtime has waits that end early with their context.
+// Package ctxtime provides waits that a context can end early.
 package ctxtime
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sleep waits for d, or until the context ends: then it returns the context's error.
+// Sleep waits for d and returns nil. If the context ends first, it returns the context's error.
 func Sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -1,5 +1,5 @@
-// Package httpclient is the HTTP client under those of the key-value store, the cloud
-// and the workers: one host, JSON bodies, no hidden retries.
+// Package httpclient is the HTTP client on which the clients of the key-value store, the cloud and
+// the workers are built. It sends and receives JSON and retries nothing by itself.
 package httpclient
 
 import (
@@ -15,13 +15,13 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Client talks to one host.
+// Client sends requests to one host.
 type Client struct {
 	host *fasthttp.HostClient
 }
 
-// New returns a client for addr with at most maxConnections, which are
-// closed when they are unused for the idle timeout.
+// New returns a client for addr with at most maxConnections connections. It closes a connection
+// that is unused for idleTimeout.
 func New(addr string, maxConnections int, idleTimeout time.Duration) *Client {
 	return &Client{host: &fasthttp.HostClient{
 		Addr:                          addr,
@@ -36,10 +36,11 @@
 	}}
 }
 
-// neverRetry leaves retries to the callers, which know what may be repeated.
+// neverRetry disables fasthttp's retries, as only the callers know which requests are safe to
+// retry.
 func neverRetry(*fasthttp.Request, int, error) (resetTimeout, retry bool) { return false, false }
 
-// dial connects within a bounded time.
+// dial connects to addr within PeerDialTimeout. Its errors are ErrNotSent.
 func dial(addr string) (net.Conn, error) {
 	conn, err := net.DialTimeout("tcp4", addr, tuning.PeerDialTimeout)
 	if err != nil {
@@ -48,9 +49,9 @@
 	return conn, nil
 }
 
-// Do sends a request with a JSON body (nil: none), decodes a 2xx or 409
-// response into out, and returns the status. Only ErrNoResponse leaves open
-// whether the request was carried out.
+// Do sends a request with a JSON body, or without a body if it is nil. It decodes the body of a
+// 2xx or 409 response into out and returns the status. After ErrNoResponse, except ErrNotSent, it
+// is unknown whether the request was executed.
 func (c *Client) Do(ctx context.Context, timeout time.Duration, method, uri string, body, out any) (int, error) {
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -80,7 +81,7 @@
 	return status, nil
 }
 
-// deadline is the end of the timeout, or of the context if that comes first.
+// deadline returns the end of the timeout or the context's deadline, whichever is earlier.
 func deadline(ctx context.Context, timeout time.Duration) time.Time {
 	end := time.Now().Add(timeout)
 	if d, ok := ctx.Deadline(); ok && d.Before(end) {
@@ -89,5 +90,5 @@
 	return end
 }
 
-// hasResult reports whether a response of the status has a body for the caller.
+// hasResult reports whether the body of a response with this status is decoded.
 func hasResult(status int) bool { return status/100 == 2 || status == fasthttp.StatusConflict }
--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -16,8 +16,8 @@
 	"switchshore.example/switchshore/internal/httpclient/loopback"
 )
 
-// respondAsAsked answers "/STATUS/BODY" with the status and the body.
-func respondAsAsked(rc *fasthttp.RequestCtx) {
+// echoStatusAndBody responds to "/STATUS/BODY" with that status and that body.
+func echoStatusAndBody(rc *fasthttp.RequestCtx) {
 	status, body, _ := strings.Cut(strings.TrimPrefix(string(rc.Path()), "/"), "/")
 	code, err := strconv.Atoi(status)
 	if err != nil {
@@ -27,10 +27,10 @@
 	rc.SetBodyString(body)
 }
 
-// TestResponses: a result is decoded from a success and a conflict only; what can't be
-// decoded leaves open what was done.
+// TestResponses checks that only a 2xx or 409 response is decoded, and that a body that can't be
+// decoded counts as no response.
 func TestResponses(t *testing.T) {
-	client := httpclient.New(loopback.Serve(t, respondAsAsked), 1, time.Second)
+	client := httpclient.New(loopback.Serve(t, echoStatusAndBody), 1, time.Second)
 	for _, c := range []struct {
 		uri    string
 		status int
@@ -52,9 +52,9 @@
 	}
 }
 
-// TestNoConnectionIsNotSent: without a connection a request certainly was not carried out;
-// callers who only ask whether there was a response are told that there was none.
-func TestNoConnectionIsNotSent(t *testing.T) {
+// TestConnectFailureIsErrNotSent checks that a failed connection gives ErrNotSent, as the request
+// can't have been executed, and that the error matches ErrNoResponse too.
+func TestConnectFailureIsErrNotSent(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -67,12 +67,12 @@
 	}
 }
 
-// TestStatusErrorIsItsMeaning: callers match the meaning and can get at the status.
-func TestStatusErrorIsItsMeaning(t *testing.T) {
-	meaning := errors.New("refused")
-	var err error = &httpclient.StatusError{Method: http.MethodGet, URI: "/x", Status: http.StatusTooManyRequests, Err: meaning}
+// TestStatusErrorWrapsItsCause checks that callers can match the wrapped error and read the status.
+func TestStatusErrorWrapsItsCause(t *testing.T) {
+	cause := errors.New("refused")
+	var err error = &httpclient.StatusError{Method: http.MethodGet, URI: "/x", Status: http.StatusTooManyRequests, Err: cause}
 	var status *httpclient.StatusError
-	if !errors.Is(err, meaning) || !errors.As(err, &status) || status.Status != http.StatusTooManyRequests {
+	if !errors.Is(err, cause) || !errors.As(err, &status) || status.Status != http.StatusTooManyRequests {
 		t.Errorf("%v", err)
 	}
 	if want := "refused: GET /x: status 429"; err.Error() != want {
--- a/internal/httpclient/errors.go
+++ b/internal/httpclient/errors.go
@@ -6,11 +6,10 @@
 )
 
 var (
-	// ErrNoResponse means that a request may or may not have been carried out.
+	// ErrNoResponse means that it is unknown whether a request was executed.
 	ErrNoResponse = errors.New("no answer")
-	// ErrNotSent means that there was no connection: a request was not and
-	// will not be carried out. It is an ErrNoResponse, too, for callers who
-	// do not distinguish them.
+	// ErrNotSent means that there was no connection, so the request was not and will not be
+	// executed. It wraps ErrNoResponse for callers that do not distinguish the two.
 	ErrNotSent = fmt.Errorf("%w: no connection", ErrNoResponse)
 )
 
@@ -21,7 +20,7 @@
 	Err    error
 }
 
-// Error names the request and the cause.
+// Error returns a text with the request and the cause.
 func (e *NoResponseError) Error() string {
 	return fmt.Sprintf("%v: %s %s: %v", ErrNoResponse, e.Method, e.URI, e.Err)
 }
@@ -29,19 +28,19 @@
 // Unwrap returns ErrNoResponse and the cause.
 func (e *NoResponseError) Unwrap() []error { return []error{ErrNoResponse, e.Err} }
 
-// StatusError is a response whose status says that the request was not carried out as asked.
+// StatusError is the error for a response whose status reports a failure.
 type StatusError struct {
 	Method string
 	URI    string
 	Status int
-	// Err is what the status means to the client that has asked.
+	// Err is the error that the calling client assigns to the status.
 	Err error
 }
 
-// Error names the meaning, the request and the status.
+// Error returns a text with Err, the request and the status.
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("%v: %s %s: status %d", e.Err, e.Method, e.URI, e.Status)
 }
 
-// Unwrap returns the meaning of the status.
+// Unwrap returns Err.
 func (e *StatusError) Unwrap() error { return e.Err }
--- a/internal/httpclient/loopback/loopback.go
+++ b/internal/httpclient/loopback/loopback.go
@@ -1,4 +1,4 @@
-// Package loopback serves HTTP on loopback in tests of HTTP clients.
+// Package loopback provides an HTTP server on a loopback address for tests of HTTP clients.
 package loopback
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Serve serves requests until the test ends, and returns the address.
+// Serve starts a server that runs until the test ends, and returns its address.
 func Serve(t testing.TB, handler fasthttp.RequestHandler) (addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -21,6 +21,6 @@
 		}
 	})
 	server := &fasthttp.Server{Handler: handler}
-	go func() { _ = server.Serve(ln) }() // it ends with the listener
+	go func() { _ = server.Serve(ln) }() // it returns when the listener is closed
 	return ln.Addr().String()
 }
--- a/internal/httpclient/pool.go
+++ b/internal/httpclient/pool.go
@@ -8,10 +8,10 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Pool holds clients for many hosts. Beyond a number of hosts the one unused
-// for longest is evicted, as each keeps a socket.
+// Pool holds clients for many hosts. As each client keeps connections open, the pool evicts the
+// least recently used host when it exceeds maxHosts.
 type Pool struct {
-	maxConnections int // a host
+	maxConnections int // per host
 	maxHosts       int
 
 	mu    sync.Mutex
@@ -21,10 +21,10 @@
 type pooledClient struct {
 	client   *Client
 	lastUsed time.Time
-	inFlight int // requests
+	inFlight int // number of requests
 }
 
-// NewPool returns a pool for maxHosts hosts, with at most maxConnections each.
+// NewPool returns a pool for maxHosts hosts with at most maxConnections connections each.
 func NewPool(maxConnections, maxHosts int) *Pool {
 	return &Pool{maxConnections: maxConnections, maxHosts: maxHosts, hosts: map[string]*pooledClient{}}
 }
@@ -36,7 +36,7 @@
 	return host.client.Do(ctx, timeout, method, uri, body, out)
 }
 
-// acquire returns the client for a host, for one request.
+// acquire returns a host's client for one request. The caller must release it.
 func (p *Pool) acquire(addr string) *pooledClient {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -52,7 +52,7 @@
 	return host
 }
 
-// release ends a request.
+// release records the end of a request.
 func (p *Pool) release(host *pooledClient) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -60,17 +60,17 @@
 	host.lastUsed = time.Now()
 }
 
-// evictIdle removes the host without a request in flight that is unused for longest, if
-// there is one. It is called under mu.
+// evictIdle removes the least recently used host that has no request in flight, if there is one.
+// The caller must hold mu.
 func (p *Pool) evictIdle() {
-	oldest := ""
+	leastRecent := ""
 	for addr, host := range p.hosts {
-		if host.inFlight == 0 && (oldest == "" || host.lastUsed.Before(p.hosts[oldest].lastUsed)) {
-			oldest = addr
+		if host.inFlight == 0 && (leastRecent == "" || host.lastUsed.Before(p.hosts[leastRecent].lastUsed)) {
+			leastRecent = addr
 		}
 	}
-	if oldest != "" {
-		p.hosts[oldest].client.host.CloseIdleConnections()
-		delete(p.hosts, oldest)
+	if leastRecent != "" {
+		p.hosts[leastRecent].client.host.CloseIdleConnections()
+		delete(p.hosts, leastRecent)
 	}
 }
--- a/internal/httpclient/pool_test.go
+++ b/internal/httpclient/pool_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestPoolKeepsItsBound: the host unused for longest is evicted, one with a
-// request in flight is not.
-func TestPoolKeepsItsBound(t *testing.T) {
+// TestPoolEvictsLeastRecentlyUsed checks that a full pool evicts the least recently used host, and
+// never one with a request in flight.
+func TestPoolEvictsLeastRecentlyUsed(t *testing.T) {
 	p := NewPool(1, 3)
 	busy := p.acquire("busy:1")
 	for i := range 20 {
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -1,6 +1,6 @@
 package wire
 
-// MachineType describes what the cloud provisions.
+// MachineType describes a machine type that the cloud offers.
 type MachineType struct {
 	Name        string   `json:"label"`
 	CPUs        float64  `json:"cores"`
@@ -14,12 +14,12 @@
 	Zones       []string `json:"berths"`
 }
 
-// MachineTypes is the cloud's catalogue.
+// MachineTypes lists the machine types that the cloud offers.
 type MachineTypes struct {
 	Types []MachineType `json:"builds"`
 }
 
-// ProvisionRequest asks for machines; a repeated RequestID provisions none.
+// ProvisionRequest requests machines. A retry with the same RequestID provisions no further ones.
 type ProvisionRequest struct {
 	RequestID string `json:"charter"`
 	Type      string `json:"build"`
@@ -28,7 +28,7 @@
 	Count     int    `json:"howMany"`
 }
 
-// MachineNames is the answer to a ProvisionRequest, and the body of a release.
+// MachineNames is the response to a ProvisionRequest, and the body of a release.
 type MachineNames struct {
 	Machines []string `json:"decks"`
 }
--- a/wire/doc.go
+++ b/wire/doc.go
@@ -1,9 +1,10 @@
-// Package wire holds the JSON messages that switchshore exchanges with its
+// Package wire defines the JSON messages that switchshore exchanges with its
 // users, the workers, the cloud and the key-value store. Clients may import it.
 //
-// The protocol has a vocabulary of its own. It is mapped to the usual terms
-// here, once, and appears nowhere else in the module: JSON names are in the
-// field tags of this package, JSON values in its constants.
+// The protocol's JSON names differ from the usual terms. The tables below map
+// them to Go names and terms. The rest of the module uses the Go names only:
+// the JSON names are in the field tags of this package, and the JSON values in
+// its constants.
 //
 // Jobs (jobs.go):
 //
@@ -32,7 +33,7 @@
 //	bearing       State                 job state; "aborted" is cancelled
 //	done          Done                  completed tasks
 //	running       Running               running tasks
-//	error         Error                 reason of a refusal
+//	error         Error                 reason of a rejection
 //
 // Heartbeats and commands (heartbeats.go):
 //
@@ -52,8 +53,8 @@
 //	bearing       State                 task state
 //	wake          ExitReason            why the task has exited; "halted" is stopped
 //	kept          CheckpointSaved       a checkpoint was saved on stopping
-//	call          Op                    operation: "run" starts, "kill" stops, "reap" forgets
-//	slackS        GracePeriodS          time that a stopped task has to save a checkpoint
+//	call          Op                    operation: "run" starts, "kill" stops, "reap" removes an exited task
+//	slackS        GracePeriodS          time in which a stopped task can save a checkpoint
 //	orders        Commands              commands to the worker
 //	harbormaster  HeartbeatTo           node to send heartbeats to
 //
@@ -101,5 +102,5 @@
 //	log           Events                events of a watch
 package wire
 
-// MaxBodyBytes is the largest request body and response line.
+// MaxBodyBytes is the maximum size of a request body and of a response line.
 const MaxBodyBytes = 64 << 10
--- a/wire/heartbeats.go
+++ b/wire/heartbeats.go
@@ -1,6 +1,6 @@
 package wire
 
-// PathHeartbeat is served to workers.
+// PathHeartbeat is the path to which workers send heartbeats.
 const PathHeartbeat = "/checkin"
 
 // Paths served by workers: direct commands, and the worker's status in the
@@ -12,24 +12,24 @@
 
 // Task states in heartbeats.
 const (
-	// TaskFetching waits for its image.
+	// TaskFetching is a task whose image is being fetched.
 	TaskFetching = "fetching"
 	TaskRunning  = "running"
-	// TaskSaving was stopped and is saving a checkpoint.
+	// TaskSaving is a stopped task that is saving a checkpoint.
 	TaskSaving = "saving"
 	TaskExited = "exited"
 )
 
-// Reasons of an exit. The last three are refusals of a start.
+// Exit reasons. The last three mean that the worker rejected a start.
 const (
 	ExitDone    = "done"
 	ExitStopped = "halted"
 	ExitError   = "error"
-	// ExitNoCapacity is a start on a machine without enough free resources.
+	// ExitNoCapacity: the machine has too few free resources.
 	ExitNoCapacity = "full"
-	// ExitTaskBusy is a start of a task that is on the machine with another attempt.
+	// ExitTaskBusy: another attempt of the task is on the machine.
 	ExitTaskBusy = "in_use"
-	// ExitUnknown is a start of a task of which the worker can't get the job.
+	// ExitUnknown: the worker can't get the task's job.
 	ExitUnknown = "unknown"
 )
 
@@ -43,10 +43,10 @@
 	AgentEpoch uint64 `json:"watch"`
 	// Sequence orders the worker's messages within an epoch.
 	Sequence uint64 `json:"knot"`
-	// FencingToken is the highest one that the worker has seen.
+	// FencingToken is the highest token that the worker has received.
 	FencingToken uint64 `json:"helm"`
-	// ReclaimNoticeS is the time until the cloud reclaims the machine; nil if
-	// no notice was given.
+	// ReclaimNoticeS is the time until the cloud reclaims the machine, or nil
+	// without a notice.
 	ReclaimNoticeS *float64     `json:"recallS"`
 	Tasks          []TaskStatus `json:"oars"`
 }
@@ -63,7 +63,8 @@
 // Command operations.
 const (
 	OpStart = "run"
-	// OpStop lets a task save a checkpoint if its grace period is long enough.
+	// OpStop stops a task, which saves a checkpoint if the grace period is long
+	// enough.
 	OpStop = "kill"
 	// OpForget removes an exited task from the heartbeats.
 	OpForget = "reap"
@@ -77,7 +78,7 @@
 	GracePeriodS *float64 `json:"slackS,omitempty"`
 }
 
-// HeartbeatResponse answers a heartbeat and renews the worker's lease.
+// HeartbeatResponse is the response to a heartbeat. It renews the worker's lease.
 type HeartbeatResponse struct {
 	FencingToken uint64    `json:"helm"`
 	Commands     []Command `json:"orders"`
--- a/wire/jobs.go
+++ b/wire/jobs.go
@@ -13,11 +13,12 @@
 	PathHealth   = "/up"
 )
 
-// MaxTasks is the largest task count of a job.
+// MaxTasks is the maximum number of tasks of a job.
 const MaxTasks = 100_000
 
-// MaxIDLength bounds the length of a job ID, in bytes: with the prefixes and
-// chunk numbers put around it, it has to stay below MaxKeyBytes.
+// MaxIDLength is the maximum length of a job ID in bytes. Keys of the key-value
+// store add prefixes and chunk numbers to the ID and must not exceed
+// MaxKeyBytes.
 const MaxIDLength = 160
 
 // Job states.
@@ -87,16 +88,17 @@
 	// CheckpointIntervalS is the progress after which a running task saves a
 	// checkpoint; 0 if its tasks save none.
 	CheckpointIntervalS float64 `json:"loglineS"`
-	// CheckpointSaveS is the time that a task takes to save when it is stopped.
+	// CheckpointSaveS is the time that a stopped task takes to save a
+	// checkpoint.
 	CheckpointSaveS float64 `json:"stowS"`
-	// DeadlineS is counted from the submission; nil is no deadline.
+	// DeadlineS is the deadline, counted from the submission; nil is none.
 	DeadlineS *float64 `json:"tideS,omitempty"`
-	// DependsOn names the jobs that have to be done before a task of this one
-	// starts, each once.
+	// DependsOn lists the jobs that must be done before a task of this job
+	// starts, without duplicates.
 	DependsOn []string `json:"awaits,omitempty"`
 }
 
-// JobStatus answers submissions, queries and cancellations.
+// JobStatus is the response to submissions, queries and cancellations.
 type JobStatus struct {
 	ID      string `json:"ref"`
 	State   string `json:"bearing"`
@@ -104,7 +106,7 @@
 	Running int    `json:"running"`
 }
 
-// Error is the body of refusals to users.
+// Error is the body of error responses to users.
 type Error struct {
 	Error string `json:"error"`
 }
@@ -126,7 +128,7 @@
 // TaskName joins a job ID and a task index.
 func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// SplitTask parses a task name.
+// SplitTask splits a task name into the job ID and the task index.
 func SplitTask(name string) (job string, index int, ok bool) {
 	cut := strings.LastIndexByte(name, '/')
 	if cut <= 0 {
--- a/wire/keyvalue.go
+++ b/wire/keyvalue.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// MaxKeyBytes is the length of the longest key of the key-value store.
+// MaxKeyBytes is the maximum length of a key of the key-value store.
 const MaxKeyBytes = 200
 
 // Compare is a condition of a transaction: the key's version, 0 if the key is absent.
@@ -27,21 +27,21 @@
 	return m.Put
 }
 
-// Txn is a compare-and-swap of several keys: all mutations are applied if all
-// conditions hold, and none otherwise.
+// Txn is a compare-and-swap transaction on several keys. All mutations are
+// applied if all conditions hold, and none otherwise.
 type Txn struct {
 	If   []Compare  `json:"guards"`
 	Then []Mutation `json:"writes"`
 }
 
-// TxnResult answers a transaction. FailedKeys is set on status 409.
+// TxnResult is the response to a transaction. FailedKeys is set with status 409.
 type TxnResult struct {
 	Revision   uint64   `json:"logpage"`
 	FailedKeys []string `json:"failed"`
 }
 
-// KeyValue is a stored key. Revision is set in place of the others if there
-// is no such key.
+// KeyValue is a key with its value. If the key does not exist, only Revision is
+// set.
 type KeyValue struct {
 	Key      string          `json:"path"`
 	Value    json.RawMessage `json:"v"`
@@ -57,12 +57,12 @@
 	Revision uint64     `json:"logpage"`
 }
 
-// LeaseRequest asks for a lease.
+// LeaseRequest requests a lease.
 type LeaseRequest struct {
 	TTLMS int64 `json:"lifeMs"`
 }
 
-// LeaseResponse names a lease.
+// LeaseResponse holds the ID of the granted lease.
 type LeaseResponse struct {
 	Lease uint64 `json:"mooring"`
 }
@@ -75,7 +75,8 @@
 	Delete  string          `json:"delete,omitempty"`
 }
 
-// WatchResponse answers a watch: the changes up to a revision of the store.
+// WatchResponse is the response to a watch: the changes up to a revision of the
+// store.
 type WatchResponse struct {
 	Revision uint64  `json:"logpage"`
 	Events   []Event `json:"log"`
--- a/wire/parse.go
+++ b/wire/parse.go
@@ -6,9 +6,9 @@
 	fast "github.com/goccy/go-json"
 )
 
-// jobFields mirrors Job with pointers, to tell a missing field from a zero one.
-// Its name is part of what users read when a value has the wrong type, as
-// encoding/json writes it into the error.
+// jobFields mirrors Job with pointers, to distinguish a missing field from a zero
+// value. Users see its name: encoding/json includes it in the error for a value
+// of the wrong type.
 type jobFields struct {
 	ID                  *string   `json:"ref"`
 	Class               *string   `json:"muster"`
@@ -33,8 +33,8 @@
 	DependsOn           []*string `json:"awaits"`
 }
 
-// ParseJob decodes and checks a submission. The error is a MalformedError or
-// a FieldError; either means 400.
+// ParseJob decodes and validates a submission. The error is a MalformedError or a
+// FieldError; either stands for status 400.
 func ParseJob(body []byte) (*Job, error) {
 	var fields *jobFields
 	if err := json.Unmarshal(body, &fields); err != nil {
@@ -60,7 +60,7 @@
 	return job, nil
 }
 
-// read checks each field by itself, in the order in which they are written here.
+// read validates each field by itself, in the order below, and returns the job.
 func (f *jobFields) read(r *fieldReader) *Job {
 	return &Job{
 		ID:                  r.text("ref", f.ID),
@@ -87,15 +87,15 @@
 	}
 }
 
-// ParseHeartbeat decodes and checks a worker's heartbeat. The error is a
-// MalformedError or a FieldError; either means 400.
+// ParseHeartbeat decodes and validates a worker's heartbeat. The error is a
+// MalformedError or a FieldError; either stands for status 400.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	if !json.Valid(body) {
 		return nil, &MalformedError{Cause: errNotJSON}
 	}
 	var h Heartbeat
-	// Some hundred heartbeats a second arrive: the faster decoder, behind the
-	// strict check.
+	// The faster decoder serves the several hundred heartbeats per second. It
+	// is less strict, hence the check above.
 	if err := fast.Unmarshal(body, &h); err != nil {
 		return nil, &MalformedError{Cause: err}
 	}
--- a/wire/validation.go
+++ b/wire/validation.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// FieldError is a field of a submission, or of settings, that is missing or invalid.
+// FieldError reports a field of a message or of the settings that is missing or
+// invalid.
 type FieldError struct {
 	Field  string
 	Reason string
@@ -14,7 +15,7 @@
 
 func (e *FieldError) Error() string { return "field " + e.Field + ": " + e.Reason }
 
-// MalformedError is a body that is not the JSON of its message.
+// MalformedError reports a body that can't be decoded as its message.
 type MalformedError struct {
 	Cause error
 }
@@ -23,15 +24,15 @@
 	return "malformed: " + publishedTypeNames.Replace(e.Cause.Error())
 }
 
-// publishedTypeNames keeps the names that the decoder's texts have always given to messages. Those
-// texts are answered with status 400, so they must not follow the Go names of the types.
+// publishedTypeNames maps Go type names in the decoder's error texts to the names published
+// earlier. Responses with status 400 contain these texts, so renaming a type must not change them.
 var publishedTypeNames = strings.NewReplacer(
 	"wire.Heartbeat", "wire.Report",
 	"wire.TaskStatus", "wire.TaskReport",
 	" Heartbeat.", " Report.",
 )
 
-// Unwrap returns what is wrong with the body.
+// Unwrap returns the cause.
 func (e *MalformedError) Unwrap() error { return e.Cause }
 
 var (
@@ -39,7 +40,7 @@
 	errNotJSON   = errors.New("not JSON")
 )
 
-// Reasons of a FieldError that several checks give.
+// Reasons of a FieldError that several checks share.
 const (
 	reasonMissing  = "missing"
 	reasonNegative = "must not be negative"
@@ -47,20 +48,20 @@
 	reasonUnknown  = "unknown"
 )
 
-// fieldReader reads the fields of a message and keeps the first error. Each
-// method takes the field's JSON name and its value, nil if it is missing.
+// fieldReader validates the fields of a message and keeps the first error. Each
+// method takes a field's JSON name and its value, which is nil if missing.
 type fieldReader struct {
 	err *FieldError
 }
 
-// fail keeps an error unless there is one already.
+// fail records an error, unless one is already recorded.
 func (r *fieldReader) fail(field, reason string) {
 	if r.err == nil {
 		r.err = &FieldError{Field: field, Reason: reason}
 	}
 }
 
-// text reads a text that is not empty.
+// text reads a required, non-empty string.
 func (r *fieldReader) text(field string, value *string) string {
 	if value == nil || *value == "" {
 		r.fail(field, reasonMissing)
@@ -69,7 +70,7 @@
 	return *value
 }
 
-// flag reads a truth value.
+// flag reads a required boolean.
 func (r *fieldReader) flag(field string, value *bool) bool {
 	if value == nil {
 		r.fail(field, reasonMissing)
@@ -78,7 +79,7 @@
 	return *value
 }
 
-// number reads an amount that is not negative.
+// number reads a required non-negative number.
 func (r *fieldReader) number(field string, value *float64) float64 {
 	if value == nil {
 		r.fail(field, reasonMissing)
@@ -90,7 +91,7 @@
 	return *value
 }
 
-// positive reads an amount above zero.
+// positive reads a required number above zero.
 func (r *fieldReader) positive(field string, value *float64) float64 {
 	n := r.number(field, value)
 	if value != nil && n == 0 {
@@ -99,7 +100,7 @@
 	return n
 }
 
-// tasks reads a task count.
+// tasks reads a required number of tasks.
 func (r *fieldReader) tasks(field string, value *int) int {
 	if value == nil {
 		r.fail(field, reasonMissing)
@@ -111,7 +112,7 @@
 	return *value
 }
 
-// optional reads a text that may be left out, but not empty.
+// optional reads a string that may be missing, but not empty.
 func (r *fieldReader) optional(field string, value *string) string {
 	if value == nil {
 		return ""
@@ -122,7 +123,7 @@
 	return *value
 }
 
-// types reads a list that may be left out, but not empty.
+// types reads a list that may be missing, but not empty.
 func (r *fieldReader) types(field string, value *[]string) []string {
 	if value == nil {
 		return nil
@@ -133,7 +134,7 @@
 	return *value
 }
 
-// deadline reads an amount that may be left out.
+// deadline reads an optional non-negative number.
 func (r *fieldReader) deadline(field string, value *float64) *float64 {
 	if value == nil {
 		return nil
@@ -142,7 +143,7 @@
 	return &seconds
 }
 
-// distinct reads a list of texts, each of them once.
+// distinct reads a list of strings and drops duplicates.
 func (r *fieldReader) distinct(field string, values []*string) []string {
 	var list []string
 	seen := map[string]bool{}
--- a/wire/validation_test.go
+++ b/wire/validation_test.go
@@ -23,18 +23,19 @@
 	if j.ID != "job-000412" || j.Tasks != 16 || j.Zone != "" || *j.DeadlineS != 900 || !j.OneZone {
 		t.Fatalf("%+v", j)
 	}
-	// What is forwarded and stored is read back the same.
+	// An encoded job, as it is forwarded and stored, must be parsed to the same job.
 	data, _ := json.Marshal(j)
-	again, err := wire.ParseJob(data)
+	reparsed, err := wire.ParseJob(data)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if data2, _ := json.Marshal(again); string(data) != string(data2) {
+	if data2, _ := json.Marshal(reparsed); string(data) != string(data2) {
 		t.Fatalf("%s\n%s", data, data2)
 	}
 }
 
-// TestParseJobDependencies: repeats count once, and a job without dependencies is encoded as before.
+// TestParseJobDependencies checks that duplicates are dropped, and that a job without dependencies
+// is encoded without the field.
 func TestParseJobDependencies(t *testing.T) {
 	want, _ := wire.ParseJob([]byte(submission))
 	plain, _ := json.Marshal(want)
@@ -49,20 +50,20 @@
 	}
 }
 
-func TestParseJobRefuses(t *testing.T) {
+func TestParseJobRejects(t *testing.T) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal([]byte(submission), &fields); err != nil {
 		t.Fatal(err)
 	}
 	optional := map[string]bool{"builds": true, "berth": true, "tideS": true, "later": true}
 	for name := range fields {
-		rest := map[string]json.RawMessage{}
+		remaining := map[string]json.RawMessage{}
 		for k, v := range fields {
 			if k != name {
-				rest[k] = v
+				remaining[k] = v
 			}
 		}
-		data, _ := json.Marshal(rest)
+		data, _ := json.Marshal(remaining)
 		if _, err := wire.ParseJob(data); (err == nil) != optional[name] {
 			t.Errorf("without %s: %v", name, err)
 		}
@@ -97,7 +98,7 @@
 	}
 }
 
-// TestErrorTexts: users read the texts, and programs the types.
+// TestErrorTexts checks the texts of the errors, which users see, and their types.
 func TestErrorTexts(t *testing.T) {
 	change := func(from, to string) []byte { return []byte(strings.Replace(submission, from, to, 1)) }
 	parseJob := func(body []byte) error {
