--- a/internal/kvstore/fenced_writer.go
+++ b/internal/kvstore/fenced_writer.go
@@ -34,8 +34,8 @@
 // response to a transaction is lost, the transaction is retried, and the first copy may reach
 // the store later.
 //
-// The store may reject a transaction as invalid when its limits have become stricter than the
-// settings. The writer then splits the transaction until the rejected change is alone, and
+// The store may refuse a transaction as invalid when its limits have become stricter than the
+// settings. The writer then splits the transaction until the refused change is alone, and
 // skips that change. It does not end the term, because each next leader would send the same
 // change and be deposed in turn.
 //
@@ -137,10 +137,10 @@
 	return ContinueSplit
 }
 
-// splitCurrent halves a transaction that the store rejected as invalid and so did not apply,
-// or skips its only change. An earlier attempt without a response may still be applied, so
-// the first half keeps writing the fence. If the first half is a single change that the store
-// refuses, the store refuses that earlier attempt too.
+// splitCurrent halves a transaction that the store refused as invalid and did not apply, or skips
+// it if it has a single change. An earlier attempt without a response may still be applied, so the
+// first half keeps writing the fence. If the first half is a single change that the store refuses,
+// the store refuses that earlier attempt too.
 func (w *FencedWriter) splitCurrent() Outcome {
 	half := len(w.current) / 2
 	switch {
--- a/internal/kvstore/fenced_writer_test.go
+++ b/internal/kvstore/fenced_writer_test.go
@@ -142,18 +142,18 @@
 
 // faultyCommits writes changes through a writer and randomly loses requests and responses.
 type faultyCommits struct {
-	t        *testing.T
-	store    *simulation.KeyValueStore
-	writer   *kvstore.FencedWriter
-	rng      *rand.Rand
-	accepted []string   // keys that must be stored at the end
-	late     []wire.Txn // sent in this round without a response, and not applied yet
+	t          *testing.T
+	store      *simulation.KeyValueStore
+	writer     *kvstore.FencedWriter
+	rng        *rand.Rand
+	accepted   []string   // keys that must be stored at the end
+	lateCopies []wire.Txn // sent in this round without a response, and not applied yet
 }
 
 // commitRound writes a few changes, at random with an oversized one among them.
 func (f *faultyCommits) commitRound(round int) {
 	f.t.Helper()
-	f.late = nil
+	f.lateCopies = nil
 	var writes []wire.Mutation
 	for i := range 1 + f.rng.IntN(7) {
 		key := fmt.Sprintf("k%d-%d", round, i)
@@ -170,7 +170,7 @@
 		if outcome == kvstore.Deposed {
 			f.t.Fatalf("round %d: deposed", round)
 		}
-		outcome = f.next(outcome)
+		outcome = f.nextOutcome(outcome)
 	}
 	refused := f.writer.Refused()
 	if round >= 2 && slices.Contains(refused, oversized.Put) != withOversized || round >= 2 && len(refused) > 1 {
@@ -179,15 +179,15 @@
 	f.checkLateCopies(round)
 }
 
-// next performs the step that follows an outcome and returns the new outcome.
-func (f *faultyCommits) next(outcome kvstore.Outcome) kvstore.Outcome {
+// nextOutcome performs the step that follows an outcome and returns the new outcome.
+func (f *faultyCommits) nextOutcome(outcome kvstore.Outcome) kvstore.Outcome {
 	if outcome == kvstore.OutcomeUnknown {
 		return f.writer.ResolveUnknown(f.store.Get(kvstore.KeyTerm))
 	}
 	txn := f.writer.Txn()
 	switch f.rng.IntN(4) {
 	case 0:
-		f.late = append(f.late, txn) // applied late or never
+		f.lateCopies = append(f.lateCopies, txn) // applied late or never
 		return f.writer.HandleResult(wire.TxnResult{}, httpclient.ErrNoResponse)
 	case 1:
 		_, _ = f.store.Commit(txn) // its response is lost
@@ -200,17 +200,17 @@
 // they change nothing any more.
 func (f *faultyCommits) checkLateCopies(round int) {
 	f.t.Helper()
-	before := f.stored()
-	for _, txn := range f.late {
+	before := f.storedItems()
+	for _, txn := range f.lateCopies {
 		_, _ = f.store.Commit(txn) // it may fail
 	}
-	if !reflect.DeepEqual(before, f.stored()) {
+	if !reflect.DeepEqual(before, f.storedItems()) {
 		f.t.Fatalf("round %d: a late copy was applied", round)
 	}
 }
 
-// stored returns all keys of the store.
-func (f *faultyCommits) stored() []wire.KeyValue {
+// storedItems returns all keys of the store with their values.
+func (f *faultyCommits) storedItems() []wire.KeyValue {
 	f.t.Helper()
 	items, err := f.store.List("")
 	if err != nil {
--- a/internal/peer/hub_test.go
+++ b/internal/peer/hub_test.go
@@ -41,7 +41,7 @@
 		}
 		hubs[i] = newTestHub(hubName(i), peers)
 	}
-	hubs[len(hubs)-1].lead(handle)
+	hubs[len(hubs)-1].makeLeader(handle)
 	for i, h := range hubs {
 		ctx, cancel := context.WithCancel(context.Background())
 		h.cancel = cancel
@@ -68,8 +68,8 @@
 	return h
 }
 
-// lead makes the hub the leader's. It must be called before Run.
-func (h *testHub) lead(handle func(context.Context, Call) Response) {
+// makeLeader makes the hub the leader's. It must be called before Run.
+func (h *testHub) makeLeader(handle func(context.Context, Call) Response) {
 	follower := h.LocalHeartbeat
 	h.LocalHeartbeat = func() Heartbeat {
 		b := follower()
