--- a/internal/api/heartbeats_test.go
+++ b/internal/api/heartbeats_test.go
@@ -20,7 +20,7 @@
 
 func (fakeService) Healthy() bool { return true }
 
-func (fakeService) Do(_ context.Context, c peer.Call) peer.Response {
+func (fakeService) Handle(_ context.Context, c peer.Call) peer.Response {
 	if c.Op == peer.OpHeartbeat {
 		return peer.Response{Status: http.StatusOK, Heartbeat: &wire.HeartbeatResponse{FencingToken: 1, Commands: []wire.Command{}}}
 	}
--- a/internal/api/respond.go
+++ b/internal/api/respond.go
@@ -13,7 +13,7 @@
 
 // do carries a call out and answers with its response.
 func (s *Server) do(rc *fasthttp.RequestCtx, c peer.Call) {
-	response := s.service.Do(s.ctx, c)
+	response := s.service.Handle(s.ctx, c)
 	var body []byte
 	switch {
 	case response.Heartbeat != nil:
--- a/internal/api/routes_test.go
+++ b/internal/api/routes_test.go
@@ -22,7 +22,7 @@
 
 func (s *recordingService) Healthy() bool { return s.healthy }
 
-func (s *recordingService) Do(_ context.Context, c peer.Call) peer.Response {
+func (s *recordingService) Handle(_ context.Context, c peer.Call) peer.Response {
 	s.last = c
 	return s.response
 }
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -22,8 +22,8 @@
 
 // Service carries requests out, here or at the leader.
 type Service interface {
-	// Do carries a call out and returns what the caller is told.
-	Do(ctx context.Context, c peer.Call) peer.Response
+	// Handle carries out a call and returns the response for the caller.
+	Handle(ctx context.Context, c peer.Call) peer.Response
 	// Healthy reports whether this node can take requests.
 	Healthy() bool
 }
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -39,7 +39,7 @@
 	}
 	leadership.LeaderVersion, leadership.TermVersion = version, version
 	leadership.WonAt = time.Now()
-	leadership.LeaseRenewed(sent)
+	leadership.MarkRenewed(sent)
 	return leadership, nil
 }
 
--- a/internal/election/leadership.go
+++ b/internal/election/leadership.go
@@ -24,13 +24,13 @@
 // NewLeadership returns a term confirmed by a renewal sent at the given time.
 func NewLeadership(term uint64, sent time.Time) *Leadership {
 	l := &Leadership{Term: term}
-	l.LeaseRenewed(sent)
+	l.MarkRenewed(sent)
 	return l
 }
 
-// LeaseRenewed extends the validity by a renewal that was sent at the given time
-// and has succeeded.
-func (l *Leadership) LeaseRenewed(sent time.Time) {
+// MarkRenewed records that a renewal sent at the given time succeeded, and extends the
+// validity accordingly.
+func (l *Leadership) MarkRenewed(sent time.Time) {
 	until := leaseValidUntil(sent)
 	l.validUntil.Store(&until)
 }
--- a/internal/election/leadership_test.go
+++ b/internal/election/leadership_test.go
@@ -14,7 +14,7 @@
 	const grace = 17 * time.Second
 	sent := time.Unix(1_700_000_000, 0)
 	expiry := sent.Add(tuning.LeaderLeaseTTL)
-	renewed := func(l *Leadership) { l.LeaseRenewed(sent.Add(time.Second)) }
+	renewed := func(l *Leadership) { l.MarkRenewed(sent.Add(time.Second)) }
 	for _, c := range []struct {
 		name    string
 		change  func(*Leadership)
--- a/internal/election/term.go
+++ b/internal/election/term.go
@@ -50,7 +50,7 @@
 		delay := tuning.LeaseRenewInterval
 		switch {
 		case err == nil:
-			l.LeaseRenewed(sent)
+			l.MarkRenewed(sent)
 		case errors.Is(err, kvstore.ErrNotFound):
 			e.Log.Info().Uint64("term", l.Term).Msg("leader lease lost")
 			return
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -69,7 +69,7 @@
 	}
 	n.hub.LocalHeartbeat = n.peerHeartbeat
 	n.hub.OnHigherTerm = n.endTermBefore
-	n.hub.Handle = n.Do
+	n.hub.Handle = n.Handle
 	return n
 }
 
--- a/internal/node/routing.go
+++ b/internal/node/routing.go
@@ -9,9 +9,9 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Do carries a call out if this node leads, or forwards it to the leader. A submission
-// that comes from a user goes through admission first, unless that is off.
-func (n *Node) Do(ctx context.Context, c peer.Call) peer.Response {
+// Handle carries out a call if this node leads, and forwards it to the leader otherwise. A
+// submission received from a user first passes admission control, if that is on.
+func (n *Node) Handle(ctx context.Context, c peer.Call) peer.Response {
 	if n.gate != nil && c.Op == peer.OpSubmit && c.Hops == 0 {
 		return n.admit(ctx, c)
 	}
--- a/internal/simulation/node_election.go
+++ b/internal/simulation/node_election.go
@@ -33,7 +33,7 @@
 		switch {
 		case n.leadership == nil:
 		case err == nil:
-			n.leadership.LeaseRenewed(sent)
+			n.leadership.MarkRenewed(sent)
 		case errors.Is(err, kvstore.ErrNotFound):
 			n.stepDown()
 		}
