--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -11,8 +11,9 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// admit takes a user's submission: the leader decides on its own, as it knows which jobs
-// are known already; any other node applies the leader's policy first.
+// admit handles a user's submission when admission control is on. The leader decides on its
+// own, because it knows which jobs it has accepted already. Any other node applies the leader's
+// policy before it forwards the submission.
 func (n *Node) admit(ctx context.Context, c peer.Call) peer.Response {
 	now := time.Now()
 	job := c.Submission()
@@ -22,7 +23,7 @@
 		return n.recordResponse(request, response)
 	}
 	if reason := leader.LimitViolation(n.gate.teams, job); reason != "" {
-		return n.rejectImpossible(ctx, c, reason)
+		return n.rejectUnsatisfiable(ctx, c, reason)
 	}
 	if isNew {
 		decision, revision := n.gate.decide(now, request)
@@ -31,22 +32,24 @@
 		}
 		c.Admission.Revision = revision
 	}
-	// Whatever becomes of the response: the job may have been accepted.
+	// Recorded before the call: the leader may accept the job even if its response is lost.
 	n.gate.recordAdmitted(request)
 	return n.recordResponse(request, n.forward(ctx, c))
 }
 
-// rejectImpossible answers a submission that the settings rule out: as the leader says, which
-// knows whether the job was accepted under other settings, or without one by the settings alone.
-func (n *Node) rejectImpossible(ctx context.Context, c peer.Call, reason string) peer.Response {
+// rejectUnsatisfiable handles a submission that the settings rule out. It forwards the
+// submission, because the leader may have accepted the job under other settings, and rejects
+// it for the given reason if no leader responds.
+func (n *Node) rejectUnsatisfiable(ctx context.Context, c peer.Call, reason string) peer.Response {
 	if response := n.forward(ctx, c); response.Status != http.StatusServiceUnavailable {
 		return response
 	}
 	return peer.Refused(http.StatusUnprocessableEntity, reason)
 }
 
-// rejectOverload turns a job away. One that was turned away before may have been accepted through
-// another node: the leader is asked about it first, if there are not too many.
+// rejectOverload rejects a submission because of overload. A job that was rejected before may
+// have been accepted through another node since, so it first queries the leader about the job,
+// within the limit on such queries.
 func (n *Node) rejectOverload(ctx context.Context, r *admission.Request, d admission.Decision) peer.Response {
 	if n.gate.mayQueryLeader(time.Now(), r) {
 		ctx, cancel := context.WithTimeout(ctx, tuning.AdmissionCheckTimeout)
@@ -57,10 +60,11 @@
 		}
 	}
 	rejected := leader.OverloadRejection(d)
-	return refusal(rejected.Status, rejected.Reason, rejected.RetryAfter)
+	return errorResponse(rejected.Status, rejected.Reason, rejected.RetryAfter)
 }
 
-// recordResponse notes what a user is told.
+// recordResponse records whether the submission was admitted or rejected, and returns the
+// response.
 func (n *Node) recordResponse(r *admission.Request, response peer.Response) peer.Response {
 	switch {
 	case response.Status == http.StatusTooManyRequests:
--- a/internal/node/admission_gate.go
+++ b/internal/node/admission_gate.go
@@ -10,7 +10,7 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// admissionGate is the node's part in admission, shared by the requests under way.
+// admissionGate makes the node's admission gate safe for concurrent requests.
 type admissionGate struct {
 	settings *admission.Settings
 	teams    []config.Team
@@ -32,7 +32,7 @@
 	g.gate.ApplyPolicy(now, p)
 }
 
-// offeredLoad are what the users of this node submit.
+// offeredLoad returns the load that users submit to this node.
 func (g *admissionGate) offeredLoad(node string) *admission.NodeOfferedLoad {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -40,7 +40,8 @@
 	return &load
 }
 
-// recordArrival counts a submission. isNew is false if the job may have been accepted already.
+// recordArrival counts a submission. isNew is false if only the leader can decide on it: the
+// job may have been accepted already, or its team is unknown.
 func (g *admissionGate) recordArrival(now time.Time, job *wire.Job) (r *admission.Request, isNew bool) {
 	r = leader.NewAdmissionRequest(g.settings, job)
 	g.mu.Lock()
@@ -48,28 +49,30 @@
 	return r, g.gate.RecordArrival(now, r)
 }
 
-// decide applies the leader's policy, and returns its revision.
+// decide applies the leader's policy to a request, and returns the decision and the policy's
+// revision.
 func (g *admissionGate) decide(now time.Time, r *admission.Request) (admission.Decision, uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.gate.Decide(now, r)
 }
 
-// mayQueryLeader reports whether the leader may be asked about a job, and counts it.
+// mayQueryLeader reports whether the leader may be queried about a rejected job, and counts
+// the query.
 func (g *admissionGate) mayQueryLeader(now time.Time, r *admission.Request) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.gate.MayQueryLeader(now, r)
 }
 
-// recordAdmitted notes that the job may have been accepted.
+// recordAdmitted records that the job may have been accepted.
 func (g *admissionGate) recordAdmitted(r *admission.Request) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.gate.RecordAdmitted(r)
 }
 
-// recordRejected notes that the user was told to come back later.
+// recordRejected records that the user was told to retry later.
 func (g *admissionGate) recordRejected(now time.Time, r *admission.Request) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/node/admission_loop.go
+++ b/internal/node/admission_loop.go
@@ -8,8 +8,8 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// admissionLoop tells the leader's state, once an interval, what the nodes are offered, and by
-// how much this loop itself comes too late.
+// admissionLoop updates the leader's admission control at intervals with the load offered to
+// all nodes and the delay of its own last wakeup.
 func (t *term) admissionLoop(ctx context.Context) error {
 	lag := time.Duration(0)
 	for {
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -15,23 +15,24 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// callCloud carries one call that provisions or releases machines through to an answer.
+// callCloud makes a call that provisions or releases machines, and retries it until it has a
+// result or the term ends.
 func (t *term) callCloud(ctx context.Context, call scaling.CloudCall) {
 	for ctx.Err() == nil {
 		machines, err := t.sendToCloud(ctx, call)
 		if err == nil {
-			t.cloudCallDone(call, machines)
+			t.recordCloudResult(call, machines)
 			return
 		}
-		t.node.log.Debug().Err(err).Msg("cloud call failed")
+		t.node.log.Debug().Err(err).Msg("cloud call to provision or release machines failed, retrying")
 		if ctxtime.Sleep(ctx, tuning.CloudRetryDelay) != nil {
 			return
 		}
 	}
 }
 
-// sendToCloud sends a call once. Machines that the cloud certainly does not provision
-// are an answer, too: none.
+// sendToCloud sends a call once. An error that rules out that machines were provisioned
+// counts as a result without machines.
 func (t *term) sendToCloud(ctx context.Context, call scaling.CloudCall) (machines []string, err error) {
 	if call.Op != scaling.CloudProvision {
 		return nil, t.node.cloud.Release(ctx, call.Release)
@@ -43,8 +44,8 @@
 	return machines, err
 }
 
-// cloudCallDone tells the leader's state that a call was carried out.
-func (t *term) cloudCallDone(call scaling.CloudCall, machines []string) {
+// recordCloudResult passes the result of a cloud call to the leader's state.
+func (t *term) recordCloudResult(call scaling.CloudCall, machines []string) {
 	now := time.Now()
 	t.node.mu.Lock()
 	if call.Op == scaling.CloudProvision {
@@ -56,7 +57,7 @@
 	signal(t.node.tickSignal)
 }
 
-// callWorker carries one direct call to a worker.
+// callWorker makes a direct call to a worker and passes its outcome to the leader's state.
 func (t *term) callWorker(ctx context.Context, call *leader.DirectCall) {
 	var heartbeat wire.Heartbeat
 	status, err := t.node.workers.Do(ctx, call.Addr, tuning.DirectTimeout, http.MethodPost, wire.PathCommands, call.Request, &heartbeat)
@@ -67,7 +68,8 @@
 	signal(t.node.tickSignal)
 }
 
-// directOutcome is what the answer to a direct call says of its commands.
+// directOutcome returns whether the commands of a direct call were delivered, given the status
+// and error of the call.
 func directOutcome(status int, err error) leader.DirectOutcome {
 	switch {
 	case errors.Is(err, httpclient.ErrNotSent):
--- a/internal/node/commit.go
+++ b/internal/node/commit.go
@@ -9,7 +9,7 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// commitLoop commits the leader's changes, one batch after the other.
+// commitLoop commits the leader's changes in batches, one after the other.
 func (t *term) commitLoop(ctx context.Context) error {
 	writer := kvstore.NewFencedWriter(t.leadership.Term, t.leadership.LeaderVersion, t.leadership.TermVersion)
 	for {
@@ -31,14 +31,15 @@
 	}
 }
 
-// nextBatch takes the changes to be committed now, nil for none.
+// nextBatch returns the next batch of changes to commit, or nil if there are none.
 func (t *term) nextBatch() *records.Batch {
 	t.node.mu.Lock()
 	defer t.node.mu.Unlock()
 	return t.state.NextBatch(t.node.store.MaxOps(), t.node.store.SpareWrites())
 }
 
-// awaitChanges waits for changes, and a moment longer, for more to go with them.
+// awaitChanges waits for changes, then for another interval in which more can join their
+// batch.
 func (t *term) awaitChanges(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -7,27 +7,27 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// health remembers when a leader was last within reach.
+// health tracks when a leader was last reachable from this node.
 type health struct {
-	mu            sync.Mutex
-	reachedLeader bool // once at least
-	lastReached   time.Time
+	mu          sync.Mutex
+	everReached bool
+	lastReached time.Time
 }
 
-// update records whether a leader is within reach, and reports whether one was within the
-// grace period.
+// update records whether a leader is reachable now, and reports whether one was during the
+// last grace period.
 func (h *health) update(now time.Time, reachesLeader bool, grace time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if reachesLeader {
-		h.reachedLeader, h.lastReached = true, now
+		h.everReached, h.lastReached = true, now
 	}
-	return h.reachedLeader && now.Sub(h.lastReached) < grace
+	return h.everReached && now.Sub(h.lastReached) < grace
 }
 
-// Healthy reports whether requests can be taken: a leader is within reach,
-// or was a moment ago. A node that knows of a leader which it can't reach becomes
-// unhealthy sooner than during a failover, as users are better off elsewhere.
+// Healthy reports whether this node can handle requests: a leader is reachable, or was during
+// the last grace period. The grace period is shorter if another node leads and is unreachable
+// than during a failover, because other nodes can then serve the users.
 func (n *Node) Healthy() bool {
 	now := time.Now()
 	reachesLeader := n.peerHeartbeat().IsLeader || n.hub.ReachesLeader()
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -13,7 +13,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// handleLocally carries a call out with this node's own state, if it leads.
+// handleLocally handles a call with the leader's state of this node. handled is false if
+// this node isn't allowed to answer it.
 func (n *Node) handleLocally(ctx context.Context, c peer.Call) (response peer.Response, handled bool) {
 	if c.Op == peer.OpHeartbeat {
 		return n.handleHeartbeat(c.Heartbeat)
@@ -26,7 +27,8 @@
 	return awaitResult(ctx, leadership, result), true
 }
 
-// handleHeartbeat answers a worker if this node leads, or may still answer heartbeats.
+// handleHeartbeat handles a worker's heartbeat if this node holds the lease or is in its
+// grace period.
 func (n *Node) handleHeartbeat(h *wire.Heartbeat) (response peer.Response, handled bool) {
 	now := time.Now()
 	n.mu.Lock()
@@ -40,13 +42,14 @@
 	return response, handled
 }
 
-// applyHeartbeat gives a worker's heartbeat to the leader's state. It is called under mu.
+// applyHeartbeat applies a worker's heartbeat to the leader's state. It revokes the leadership
+// if the heartbeat carries a later term. The caller must hold mu.
 func (n *Node) applyHeartbeat(now time.Time, h *wire.Heartbeat) (response peer.Response, handled bool) {
 	holdsLease := n.leadership.HoldsLease(now)
-	if !n.leadership.InGracePeriod(now, n.grace) {
+	if !n.leadership.InGracePeriod(now, n.gracePeriod) {
 		return peer.Response{}, false
 	}
-	answer, outcome := n.leader.HandleHeartbeat(now, h, holdsLease)
+	heartbeatResponse, outcome := n.leader.HandleHeartbeat(now, h, holdsLease)
 	switch outcome {
 	case leader.HeartbeatSuperseded:
 		n.leadership.Revoke()
@@ -54,12 +57,12 @@
 	case leader.HeartbeatStale:
 		return peer.Refused(http.StatusServiceUnavailable, "older than what is known"), true
 	}
-	return peer.Response{Status: http.StatusOK, Heartbeat: &answer}, true
+	return peer.Response{Status: http.StatusOK, Heartbeat: &heartbeatResponse}, true
 }
 
-// startRequest gives a request to the leader's state, and returns where its result will
-// come. Without the lease it does nothing and returns nil: users are answered only by the
-// node that certainly leads.
+// startRequest passes a request to the leader's state and returns the channel that receives
+// its result. Without the lease it does nothing and returns nil, because only the node that
+// certainly leads may answer users.
 func (n *Node) startRequest(c peer.Call) (<-chan peer.Response, *election.Leadership) {
 	now := time.Now()
 	n.mu.Lock()
@@ -84,15 +87,16 @@
 	return result, n.leadership
 }
 
-// awaitResult waits until a request has its result, which may take a commit.
+// awaitResult waits for the result of a request, which may require a commit. It returns 503
+// on a timeout, and for a result that can still change if the lease has expired meanwhile.
 func awaitResult(ctx context.Context, leadership *election.Leadership, result <-chan peer.Response) peer.Response {
 	timer := time.NewTimer(tuning.SubmitTimeout)
 	defer timer.Stop()
 	select {
 	case response := <-result:
 		if !response.IsTerminal() && !leadership.HoldsLease(time.Now()) {
-			// The process may have been suspended since, and another leader have told
-			// the user something newer.
+			// The process may have been suspended, and a later leader may have sent the
+			// user a newer state.
 			return peer.Refused(http.StatusServiceUnavailable, "no longer the leader")
 		}
 		return response
@@ -102,17 +106,18 @@
 	return peer.Refused(http.StatusServiceUnavailable, "state service does not answer")
 }
 
-// jobResponse is the leader's response about a job.
+// jobResponse converts the leader's response about a job to a response to the call.
 func jobResponse(job string, r leader.Response) peer.Response {
 	if r.Status/100 != 2 {
-		return refusal(r.Status, r.Reason, r.RetryAfter)
+		return errorResponse(r.Status, r.Reason, r.RetryAfter)
 	}
 	status := &wire.JobStatus{ID: job, State: r.State, Done: r.CompletedTasks, Running: r.RunningTasks}
 	return peer.Response{Status: r.Status, Job: status}
 }
 
-// refusal is a response other than success, with the time after which to come back.
-func refusal(status int, reason string, retryAfter int) peer.Response {
+// errorResponse returns a response with an error status, the reason and the number of
+// seconds after which the caller may retry.
+func errorResponse(status int, reason string, retryAfter int) peer.Response {
 	response := peer.Refused(status, reason)
 	response.RetryAfter = retryAfter
 	return response
--- a/internal/node/local_test.go
+++ b/internal/node/local_test.go
@@ -22,7 +22,7 @@
 func testNode() *Node {
 	return &Node{
 		hub:         peer.NewHub(zerolog.Nop(), nil),
-		grace:       10 * time.Second,
+		gracePeriod: 10 * time.Second,
 		tickSignal:  make(chan struct{}, 1),
 		writeSignal: make(chan struct{}, 1),
 	}
@@ -32,7 +32,7 @@
 func (n *Node) lead(renewed time.Time) {
 	params := config.Params{Workers: config.Workers{HeartbeatIntervalS: 3, LeaseS: 15, CancelDeadlineS: 45}}
 	n.leadership = election.NewLeadership(testTerm, renewed)
-	n.leader = leader.New(zerolog.Nop(), params, config.Operator{}, testTerm, renewed, n.grace)
+	n.leader = leader.New(zerolog.Nop(), params, config.Operator{}, testTerm, renewed, n.gracePeriod)
 	n.leader.FinishLoading(renewed)
 }
 
@@ -74,7 +74,7 @@
 			if handled != c.handled || response.Status != c.status {
 				t.Errorf("handled: %v, %+v", handled, response)
 			}
-			if revoked := n.leadership != nil && !n.leadership.InGracePeriod(c.renewed, n.grace); revoked != c.revoked {
+			if revoked := n.leadership != nil && !n.leadership.InGracePeriod(c.renewed, n.gracePeriod); revoked != c.revoked {
 				t.Errorf("revoked: %v", revoked)
 			}
 			if ticks := len(n.tickSignal) > 0; ticks != c.ticks {
@@ -90,7 +90,7 @@
 		n := testNode()
 		now := time.Now()
 		n.lead(now)
-		n.endTermBefore(term)
+		n.revokeTermBefore(term)
 		if got := n.leadership.HoldsLease(now); got != leads {
 			t.Errorf("a leader of term %d: still leads: %v", term, got)
 		}
--- a/internal/node/machines.go
+++ b/internal/node/machines.go
@@ -9,7 +9,7 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// machineTypesLoop reads the cloud's catalogue of machine types at intervals.
+// machineTypesLoop fetches the machine types that the cloud offers, at intervals.
 func (t *term) machineTypesLoop(ctx context.Context) error {
 	for {
 		delay := tuning.CatalogueInterval
@@ -28,7 +28,7 @@
 	}
 }
 
-// machineListLoop reads the cloud's list of machines at intervals.
+// machineListLoop fetches the cloud's list of machines at intervals.
 func (t *term) machineListLoop(ctx context.Context) error {
 	for {
 		if err := ctxtime.Sleep(ctx, t.updateMachineList(ctx)); err != nil {
@@ -37,17 +37,17 @@
 	}
 }
 
-// updateMachineList reads the list once, and returns the time until the next: less
-// when machines send no heartbeats.
+// updateMachineList fetches the list once and returns the delay until the next fetch, which is
+// shorter while heartbeats are missing.
 func (t *term) updateMachineList(ctx context.Context) time.Duration {
-	asked := time.Now()
+	requestedAt := time.Now()
 	list, err := t.node.cloud.ListMachines(ctx)
 	if err != nil {
 		return tuning.CloudRetryDelay
 	}
 	now := time.Now()
 	t.node.mu.Lock()
-	t.state.ApplyMachineList(asked, now, list)
+	t.state.ApplyMachineList(requestedAt, now, list)
 	urgent := t.state.HeartbeatsLate(now)
 	t.node.mu.Unlock()
 	signal(t.node.tickSignal)
@@ -57,8 +57,9 @@
 	return t.listInterval(tuning.ListIntervalFactor)
 }
 
-// listInterval is a multiple of the time by which the list may be out of date.
+// listInterval returns the maximum lag of the cloud's list times factor, at least
+// ListIntervalMin.
 func (t *term) listInterval(factor float64) time.Duration {
-	lag := seconds.Duration(t.node.config.Params.Cloud.ListLagS * factor)
-	return max(tuning.ListIntervalMin, lag)
+	interval := seconds.Duration(t.node.config.Params.Cloud.ListLagS * factor)
+	return max(tuning.ListIntervalMin, interval)
 }
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -6,7 +6,8 @@
 	"switchshore.example/switchshore/internal/peer"
 )
 
-// peerHeartbeat tells the peers what this node knows of the leader.
+// peerHeartbeat returns the heartbeat for the peers: this node's leadership or its connection
+// to the leader, the load that its users offer, and the leader's admission policy.
 func (n *Node) peerHeartbeat() peer.Heartbeat {
 	heartbeat := peer.Heartbeat{Node: n.config.Name, ReachesLeader: n.hub.LinkedToLeader()}
 	if n.gate != nil {
@@ -20,17 +21,17 @@
 	}
 	heartbeat.Term = n.leadership.Term
 	heartbeat.IsLeader = n.leadership.HoldsLease(now)
-	heartbeat.InGracePeriod = n.leadership.InGracePeriod(now, n.grace)
+	heartbeat.InGracePeriod = n.leadership.InGracePeriod(now, n.gracePeriod)
 	if heartbeat.IsLeader {
 		heartbeat.Policy = n.leader.AdmissionPolicy()
 	}
 	return heartbeat
 }
 
-// endTermBefore ends this node's term when a later one is known: its workers
-// would otherwise stay here for all of the grace period, and out of the new leader's
-// reach.
-func (n *Node) endTermBefore(term uint64) {
+// revokeTermBefore revokes this node's leadership if its term is earlier than the given one.
+// Otherwise its workers would stay connected to it for the whole grace period, where the new
+// leader can't reach them.
+func (n *Node) revokeTermBefore(term uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.leadership != nil && n.leadership.Term < term {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
-// Package node joins the parts into one process: it campaigns, leads or
-// forwards, and runs the loops that carry the leader's decisions to the key-value
-// store, the cloud and the workers.
+// Package node combines the parts of the scheduler into one process. A node campaigns for
+// leadership and forwards calls to the leader. While it leads, it handles calls itself and
+// applies the leader's decisions to the key-value store, the cloud and the workers.
 package node
 
 import (
@@ -23,7 +23,7 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Node is one process of the scheduler.
+// Node is one scheduler process.
 type Node struct {
 	log      zerolog.Logger
 	config   *config.Config
@@ -33,22 +33,22 @@
 	hub      *peer.Hub
 	workers  *httpclient.Pool
 	election *election.Election
-	// grace is how long heartbeats of workers are answered without the key-value store.
-	grace time.Duration
+	// gracePeriod is how long a leader that can't renew its lease still answers worker heartbeats.
+	gracePeriod time.Duration
 
-	// mu guards the leader's state; nothing is sent or awaited under it.
+	// mu guards leader and leadership. It is never held during a network call or a wait.
 	mu         sync.Mutex
 	leader     *leader.Leader       // nil unless this node leads
 	leadership *election.Leadership // nil unless this node leads
 
-	tickSignal  chan struct{} // something may be due
-	writeSignal chan struct{} // changes wait to be committed
+	tickSignal  chan struct{} // wakes tickLoop
+	writeSignal chan struct{} // wakes commitLoop
 
 	gate   *admissionGate // nil if admission control is off
 	health health
 }
 
-// New builds a node from checked settings.
+// New returns a node with the given settings, which must have been validated.
 func New(log zerolog.Logger, c *config.Config, o *config.Operator) *Node {
 	n := &Node{
 		log:         log,
@@ -58,7 +58,7 @@
 		cloud:       cloud.NewClient(c.Services.Cloud, c.Params.Cloud),
 		hub:         peer.NewHub(log, c.Peers),
 		workers:     httpclient.NewPool(tuning.DirectConnections, leader.DirectCallSockets(c.Params.Limits)),
-		grace:       leader.GracePeriod(c.Params.Workers),
+		gracePeriod: leader.GracePeriod(c.Params.Workers),
 		tickSignal:  make(chan struct{}, 1),
 		writeSignal: make(chan struct{}, 1),
 	}
@@ -68,7 +68,7 @@
 		n.hub.OnPolicy = n.gate.applyPolicy
 	}
 	n.hub.LocalHeartbeat = n.peerHeartbeat
-	n.hub.OnHigherTerm = n.endTermBefore
+	n.hub.OnHigherTerm = n.revokeTermBefore
 	n.hub.Handle = n.Handle
 	return n
 }
@@ -83,7 +83,7 @@
 	if err != nil {
 		return err
 	}
-	n.log.Info().Str("node", n.config.Name).Str("listen", n.config.Listen).Msg("serving")
+	n.log.Info().Str("node", n.config.Name).Str("listen", n.config.Listen).Msg("node serving requests")
 	g, ctx := errgroup.WithContext(ctx)
 	server := api.New(n.log, n, n.config.Params.Limits)
 	g.Go(func() error { return server.Run(ctx, users) })
@@ -92,7 +92,8 @@
 	return g.Wait()
 }
 
-// signal wakes the loop that waits for a channel, now or when it next waits.
+// signal wakes the loop that receives from ch. While the loop is busy, ch holds one signal
+// until it receives again, and drops the others.
 func signal(ch chan<- struct{}) {
 	select {
 	case ch <- struct{}{}:
--- a/internal/node/routing.go
+++ b/internal/node/routing.go
@@ -21,7 +21,8 @@
 	return n.forward(ctx, c)
 }
 
-// forward sends a call to the leader and waits for the response as long as the caller does.
+// forward sends a call to the leader and returns its response, or 503 if it doesn't arrive
+// before the caller's timeout.
 func (n *Node) forward(ctx context.Context, c peer.Call) peer.Response {
 	timeout := forwardTimeout(c.Op)
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -32,13 +33,13 @@
 	case err != nil:
 		return peer.Refused(http.StatusServiceUnavailable, "no leader within reach")
 	case !response.IsTerminal() && time.Since(sent) > timeout:
-		// This process may have been suspended, and the response be out of date.
+		// This process may have been suspended, and the response may be outdated.
 		return peer.Refused(http.StatusServiceUnavailable, "the leader's answer came late")
 	}
 	return response
 }
 
-// forwardTimeout is how long a caller waits for an operation.
+// forwardTimeout returns how long a caller waits for the response to an operation.
 func forwardTimeout(op peer.Operation) time.Duration {
 	switch op {
 	case peer.OpSubmit, peer.OpCancel, peer.OpDrain:
--- a/internal/node/summary.go
+++ b/internal/node/summary.go
@@ -1,6 +1,7 @@
 package node
 
-// logSummary writes the sums that operators read first.
+// logSummary logs the main figures of the leader's state for operators, and those of admission
+// control while it sheds load.
 func (t *term) logSummary() {
 	t.node.mu.Lock()
 	counts := t.state.Counts()
@@ -11,10 +12,10 @@
 		for _, s := range shares.Shed {
 			event = event.Float64(s.Team+"/"+s.Class, s.Admit)
 		}
-		event.Msg("shedding load")
+		event.Msg("admission control is shedding load")
 	}
 	t.node.log.Debug().Int("jobs", counts.Jobs).Int("ready", counts.ReadyTasks).Int("allocated", counts.AllocatedTasks).
 		Int("machines", counts.Machines).Int("up", counts.UpMachines).Int("spot", counts.SpotMachines).
 		Float64("cpus", counts.CPUs).Float64("used", counts.UsedCPUs).Float64("wanted", counts.WantedCPUs).
-		Int("writes", counts.PendingWrites).Int("dependency_steps", counts.DependencySteps).Int("scored_pairs", counts.ScoredPairs).Msg("summary")
+		Int("writes", counts.PendingWrites).Int("dependency_steps", counts.DependencySteps).Int("scored_pairs", counts.ScoredPairs).Msg("leader state summary")
 }
--- a/internal/node/term.go
+++ b/internal/node/term.go
@@ -16,7 +16,7 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// term is what runs while this node leads. The node's mu guards its state.
+// term runs the loops of one term in which this node leads. The node's mu guards state.
 type term struct {
 	node       *Node
 	state      *leader.Leader
@@ -27,7 +27,7 @@
 func (n *Node) leadTerm(ctx context.Context, leadership *election.Leadership) error {
 	n.store.SetLeading(true)
 	defer n.store.SetLeading(false)
-	state, err := n.load(ctx, leadership)
+	state, err := n.loadRecords(ctx, leadership)
 	if err != nil {
 		return err
 	}
@@ -45,7 +45,7 @@
 	return g.Wait()
 }
 
-// startLeading lets requests reach the leader's state, and tells the peers.
+// startLeading makes the leader's state available to calls and notifies the peers.
 func (n *Node) startLeading(state *leader.Leader, leadership *election.Leadership) {
 	n.mu.Lock()
 	n.leader, n.leadership = state, leadership
@@ -53,7 +53,8 @@
 	n.hub.SendHeartbeats()
 }
 
-// stopLeading ends the leader's state with all requests that wait in it, and tells the peers.
+// stopLeading withdraws the leader's state from calls, ends the requests that wait in it and
+// notifies the peers.
 func (n *Node) stopLeading(state *leader.Leader) {
 	n.mu.Lock()
 	n.leader, n.leadership = nil, nil
@@ -62,9 +63,9 @@
 	n.hub.SendHeartbeats()
 }
 
-// load reads all records, again and again until it succeeds. The reads come after the
-// leader key was taken, so no write of an earlier leader can come after them.
-func (n *Node) load(ctx context.Context, leadership *election.Leadership) (*leader.Leader, error) {
+// loadRecords reads all records, and retries until that succeeds. The reads follow the
+// acquisition of the leader key, so no earlier leader can write after them.
+func (n *Node) loadRecords(ctx context.Context, leadership *election.Leadership) (*leader.Leader, error) {
 	for {
 		state, err := n.readRecords(ctx, leadership)
 		if err == nil {
@@ -74,16 +75,16 @@
 		if errors.Is(err, records.ErrCorrupt) {
 			level, delay = zerolog.ErrorLevel, tuning.CorruptRecordRetryDelay
 		}
-		n.log.WithLevel(level).Err(err).Msg("loading records failed")
+		n.log.WithLevel(level).Err(err).Msg("loading records from the key-value store failed, retrying")
 		if err := ctxtime.Sleep(ctx, delay); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// readRecords reads all records once.
+// readRecords reads all records once and returns the leader's state built from them.
 func (n *Node) readRecords(ctx context.Context, leadership *election.Leadership) (*leader.Leader, error) {
-	state := leader.New(n.log, n.config.Params, *n.operator, leadership.Term, leadership.WonAt, n.grace)
+	state := leader.New(n.log, n.config.Params, *n.operator, leadership.Term, leadership.WonAt, n.gracePeriod)
 	for _, prefix := range records.LoadOrder {
 		err := n.store.List(ctx, prefix, func(item wire.KeyValue) error {
 			return state.LoadRecord(time.Now(), time.Now(), item)
--- a/internal/node/tick.go
+++ b/internal/node/tick.go
@@ -12,16 +12,16 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// actions are what one tick has made due.
+// actions are the calls and writes that are due after one tick.
 type actions struct {
 	cloudCalls  []scaling.CloudCall
 	directCalls []*leader.DirectCall
-	// hasWrites: changes wait to be committed.
+	// hasWrites is set if changes wait to be committed.
 	hasWrites bool
 }
 
-// tickLoop lets the leader's state decide on what is due, at intervals and when signalled.
-// It owns the calls that follow from it.
+// tickLoop ticks the leader's state at intervals and when signalled, and starts the actions
+// that are due. It returns after all calls that it started have ended.
 func (t *term) tickLoop(ctx context.Context) error {
 	ticker := time.NewTicker(tuning.TickInterval)
 	defer ticker.Stop()
@@ -36,7 +36,7 @@
 		case <-t.node.tickSignal:
 		}
 		now := time.Now()
-		t.start(ctx, calls, t.decide(now))
+		t.startActions(ctx, calls, t.nextActions(now))
 		if now.Sub(lastSummary) > tuning.SummaryInterval {
 			lastSummary = now
 			t.logSummary()
@@ -47,8 +47,9 @@
 	}
 }
 
-// decide asks the leader's state what time and changes have made due.
-func (t *term) decide(now time.Time) actions {
+// nextActions ticks the leader's state and returns the actions that are due. Without the lease
+// it returns no calls.
+func (t *term) nextActions(now time.Time) actions {
 	holdsLease := t.leadership.HoldsLease(now)
 	t.node.mu.Lock()
 	defer t.node.mu.Unlock()
@@ -63,8 +64,8 @@
 	return due
 }
 
-// start starts the calls that were decided on.
-func (t *term) start(ctx context.Context, calls *errgroup.Group, due actions) {
+// startActions starts the calls that are due, and wakes commitLoop if there are changes.
+func (t *term) startActions(ctx context.Context, calls *errgroup.Group, due actions) {
 	for _, call := range due.directCalls {
 		calls.Go(func() error {
 			t.callWorker(ctx, call)
