--- a/internal/api/heartbeats.go
+++ b/internal/api/heartbeats.go
@@ -10,54 +10,54 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// heartbeat takes a worker's heartbeat. Workers beyond the sockets that they may
-// keep are answered on a connection for the one heartbeat: sent on to a next node,
-// they would lose their leases when this one is the only node left, while the
-// others here kept their sockets.
-func (s *Server) heartbeat(rc *fasthttp.RequestCtx) {
+// handleHeartbeat handles a worker's heartbeat. If the limit for worker connections is reached,
+// it responds and closes the connection. If it redirected the worker to another node instead,
+// the worker's lease would expire when this is the only node left, because the other workers
+// keep their connections.
+func (s *Server) handleHeartbeat(rc *fasthttp.RequestCtx) {
 	heartbeat, err := wire.ParseHeartbeat(rc.PostBody())
 	if err != nil {
-		refuse(rc, fasthttp.StatusBadRequest, err.Error())
+		respondError(rc, fasthttp.StatusBadRequest, err.Error())
 		return
 	}
-	if !s.workers.keep(rc.Conn()) {
+	if !s.workers.tryKeep(rc.Conn()) {
 		rc.SetConnectionClose()
 	}
-	s.do(rc, peer.Call{Op: peer.OpHeartbeat, Heartbeat: heartbeat})
+	s.serveCall(rc, peer.Call{Op: peer.OpHeartbeat, Heartbeat: heartbeat})
 }
 
-// workerConnections counts the connections that workers keep.
+// workerConnections limits the connections that workers keep open.
 type workerConnections struct {
 	limit int
 
 	mu   sync.Mutex
-	open map[net.Conn]struct{}
+	kept map[net.Conn]struct{}
 }
 
 func newWorkerConnections(limit int) workerConnections {
-	return workerConnections{limit: limit, open: map[net.Conn]struct{}{}}
+	return workerConnections{limit: limit, kept: map[net.Conn]struct{}{}}
 }
 
-// keep counts a connection and reports whether it may be kept.
-func (w *workerConnections) keep(conn net.Conn) bool {
+// tryKeep reports whether a connection may be kept open, and counts it if so.
+func (w *workerConnections) tryKeep(conn net.Conn) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if _, known := w.open[conn]; known {
+	if _, known := w.kept[conn]; known {
 		return true
 	}
-	if len(w.open) >= w.limit {
+	if len(w.kept) >= w.limit {
 		return false
 	}
-	w.open[conn] = struct{}{}
+	w.kept[conn] = struct{}{}
 	return true
 }
 
-// onStateChange forgets a connection that has ended.
+// onStateChange removes a connection that has ended.
 func (w *workerConnections) onStateChange(conn net.Conn, state fasthttp.ConnState) {
 	if state != fasthttp.StateClosed && state != fasthttp.StateHijacked {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.open, conn)
+	delete(w.kept, conn)
 }
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -7,21 +7,21 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// submit takes a user's job.
-func (s *Server) submit(rc *fasthttp.RequestCtx) {
+// handleSubmission handles the submission of a job by a user.
+func (s *Server) handleSubmission(rc *fasthttp.RequestCtx) {
 	job, err := wire.ParseJob(rc.PostBody())
 	if err != nil {
-		refuse(rc, fasthttp.StatusBadRequest, err.Error())
+		respondError(rc, fasthttp.StatusBadRequest, err.Error())
 		return
 	}
-	s.do(rc, peer.Submit(job))
+	s.serveCall(rc, peer.Submit(job))
 }
 
-// job queries or cancels a job.
-func (s *Server) job(rc *fasthttp.RequestCtx, op peer.Operation, id string) {
+// handleJob handles a request to query or cancel a job.
+func (s *Server) handleJob(rc *fasthttp.RequestCtx, op peer.Operation, id string) {
 	if !wire.ValidID(id) {
-		refuse(rc, fasthttp.StatusNotFound, "no such job")
+		respondError(rc, fasthttp.StatusNotFound, "no such job")
 		return
 	}
-	s.do(rc, peer.Call{Op: op, Job: id})
+	s.serveCall(rc, peer.Call{Op: op, Job: id})
 }
--- a/internal/api/respond.go
+++ b/internal/api/respond.go
@@ -11,8 +11,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// do carries a call out and answers with its response.
-func (s *Server) do(rc *fasthttp.RequestCtx, c peer.Call) {
+// serveCall passes a call to the service and sends its response to the caller.
+func (s *Server) serveCall(rc *fasthttp.RequestCtx, c peer.Call) {
 	response := s.service.Handle(s.ctx, c)
 	var body []byte
 	switch {
@@ -26,13 +26,12 @@
 	respond(rc, response.Status, max(response.RetryAfter, tuning.RetryAfterS), body)
 }
 
-// refuse answers with a status other than success and the reason.
-func refuse(rc *fasthttp.RequestCtx, status int, reason string) {
+// respondError sends an error status with the reason.
+func respondError(rc *fasthttp.RequestCtx, status int, reason string) {
 	respond(rc, status, tuning.RetryAfterS, encode(wire.Error{Error: reason}))
 }
 
-// respond writes a response; the time after which to come back goes with a status that asks
-// for it.
+// respond writes a response. A 503 or 429 also carries Retry-After.
 func respond(rc *fasthttp.RequestCtx, status, retryAfterS int, body []byte) {
 	rc.SetStatusCode(status)
 	rc.SetContentType("application/json")
@@ -42,8 +41,8 @@
 	rc.SetBody(body)
 }
 
-// encode returns the body for a message of package wire.
+// encode returns a message of package wire as a JSON body.
 func encode(message any) []byte {
-	body, _ := json.Marshal(message) // texts, numbers and lists of them: it can't fail
+	body, _ := json.Marshal(message) // can't fail: strings, numbers and lists of them
 	return body
 }
--- a/internal/api/routes.go
+++ b/internal/api/routes.go
@@ -9,53 +9,54 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// jobPrefix is that of the paths of single jobs.
+// jobPrefix is the path prefix of requests about one job.
 const jobPrefix = wire.PathJobs + "/"
 
-// route finds the handler of a request.
+// route passes a request to the handler for its path.
 func (s *Server) route(rc *fasthttp.RequestCtx) {
 	path := string(rc.Path())
 	switch {
 	case path == wire.PathHeartbeat:
-		withMethod(rc, fasthttp.MethodPost, s.heartbeat)
+		requireMethod(rc, fasthttp.MethodPost, s.handleHeartbeat)
 	case path == wire.PathHealth:
-		withMethod(rc, fasthttp.MethodGet, s.health)
+		requireMethod(rc, fasthttp.MethodGet, s.handleHealth)
 	case path == wire.PathJobs:
-		withMethod(rc, fasthttp.MethodPost, s.submit)
+		requireMethod(rc, fasthttp.MethodPost, s.handleSubmission)
 	case strings.HasPrefix(path, jobPrefix):
 		s.routeJob(rc, path[len(jobPrefix):])
 	default:
-		refuse(rc, fasthttp.StatusNotFound, "not found")
+		respondError(rc, fasthttp.StatusNotFound, "not found")
 	}
 }
 
-// routeJob finds the handler of a request about one job: its ID, or its ID and an action.
+// routeJob passes a request about one job to its handler. The path, without the prefix, is a job
+// ID, or a job ID and an action.
 func (s *Server) routeJob(rc *fasthttp.RequestCtx, path string) {
 	id, action, hasAction := strings.Cut(path, "/")
 	switch {
 	case !hasAction:
-		withMethod(rc, fasthttp.MethodGet, func(rc *fasthttp.RequestCtx) { s.job(rc, peer.OpQuery, id) })
+		requireMethod(rc, fasthttp.MethodGet, func(rc *fasthttp.RequestCtx) { s.handleJob(rc, peer.OpQuery, id) })
 	case action == wire.CancelSuffix:
-		withMethod(rc, fasthttp.MethodPost, func(rc *fasthttp.RequestCtx) { s.job(rc, peer.OpCancel, id) })
+		requireMethod(rc, fasthttp.MethodPost, func(rc *fasthttp.RequestCtx) { s.handleJob(rc, peer.OpCancel, id) })
 	default:
-		refuse(rc, fasthttp.StatusNotFound, "not found")
+		respondError(rc, fasthttp.StatusNotFound, "not found")
 	}
 }
 
-// withMethod calls the handler if the request has the method, and answers 405 otherwise.
-func withMethod(rc *fasthttp.RequestCtx, method string, handler fasthttp.RequestHandler) {
+// requireMethod calls the handler if the request has the method, and responds with 405 otherwise.
+func requireMethod(rc *fasthttp.RequestCtx, method string, handler fasthttp.RequestHandler) {
 	if string(rc.Method()) != method {
 		rc.Response.Header.Set(fasthttp.HeaderAllow, method)
-		refuse(rc, fasthttp.StatusMethodNotAllowed, "method not allowed")
+		respondError(rc, fasthttp.StatusMethodNotAllowed, "method not allowed")
 		return
 	}
 	handler(rc)
 }
 
-// health answers a health check.
-func (s *Server) health(rc *fasthttp.RequestCtx) {
+// handleHealth responds to a health check.
+func (s *Server) handleHealth(rc *fasthttp.RequestCtx) {
 	if !s.service.Healthy() {
-		refuse(rc, fasthttp.StatusServiceUnavailable, "no leader within reach")
+		respondError(rc, fasthttp.StatusServiceUnavailable, "no leader within reach")
 		return
 	}
 	rc.SetStatusCode(fasthttp.StatusOK)
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -1,4 +1,4 @@
-// Package api serves users, workers and health checks over HTTP.
+// Package api is the HTTP server of a node for users, workers and health checks.
 package api
 
 import (
@@ -14,29 +14,29 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// Least numbers of connections, however small the process's limits are.
+// Minimum connection limits, used if the process's limits would allow fewer.
 const (
 	minConnections       = 16
 	minWorkerConnections = 8
 )
 
-// Service carries requests out, here or at the leader.
+// Service handles requests on this node or at the leader.
 type Service interface {
 	// Handle carries out a call and returns the response for the caller.
 	Handle(ctx context.Context, c peer.Call) peer.Response
-	// Healthy reports whether this node can take requests.
+	// Healthy reports whether this node can handle requests.
 	Healthy() bool
 }
 
-// Server is the HTTP side of a node.
+// Server is the HTTP server of a node.
 type Server struct {
 	service Service
 	http    *fasthttp.Server
 	workers workerConnections
-	ctx     context.Context // of Run, for the calls: fasthttp has none of its own
+	ctx     context.Context // context of Run, used for calls since fasthttp provides none
 }
 
-// New returns a server within the given limits.
+// New returns a server that limits its connections according to the process's limits.
 func New(log zerolog.Logger, service Service, limits config.ProcessLimits) *Server {
 	connections, workers := connectionLimits(limits)
 	s := &Server{service: service, workers: newWorkerConnections(workers)}
@@ -57,22 +57,22 @@
 	return s
 }
 
-// connectionLimits divides the process's sockets: all that may be open, and those that
-// workers may keep of them.
-func connectionLimits(limits config.ProcessLimits) (all, workers int) {
+// connectionLimits returns how many connections may be open in total, and how many of them
+// workers may keep open.
+func connectionLimits(limits config.ProcessLimits) (total, workers int) {
 	if limits.MaxConnections <= 0 {
 		return fasthttp.DefaultConcurrency, fasthttp.DefaultConcurrency
 	}
 	sockets := float64(limits.MaxConnections)
-	all = max(minConnections, int(sockets*tuning.SocketShare))
+	total = max(minConnections, int(sockets*tuning.SocketShare))
 	workers = max(minWorkerConnections, int(sockets*tuning.WorkerShare))
-	return all, workers
+	return total, workers
 }
 
-// Run serves ln until the context ends.
+// Run serves connections from ln until the context ends.
 func (s *Server) Run(ctx context.Context, ln net.Listener) error {
 	s.ctx = ctx
-	stop := context.AfterFunc(ctx, func() { _ = s.http.Shutdown() }) // Serve returns its error
+	stop := context.AfterFunc(ctx, func() { _ = s.http.Shutdown() }) // Serve returns any error
 	defer stop()
 	return s.http.Serve(ln)
 }
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -13,14 +13,15 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// campaign waits until the leader key is free and tries to take it once. It
-// returns nil without an error when another node holds or took the key.
+// campaign tries once to acquire the leader key. It returns nil without an error if another node
+// acquires the key first, or holds it; in the latter case it returns after the key has changed
+// or a timeout.
 func (e *Election) campaign(ctx context.Context) (*Leadership, error) {
-	leaderVersion, free, err := e.awaitVacancy(ctx)
+	leaderVersion, free, err := e.checkLeaderKey(ctx)
 	if err != nil || !free {
 		return nil, err
 	}
-	term, termVersion, err := e.lastTerm(ctx)
+	term, termVersion, err := e.readTerm(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -43,9 +44,10 @@
 	return leadership, nil
 }
 
-// awaitVacancy reports whether the leader key may be taken, and its version. While
-// another process holds it, it waits for a change, for a bounded time.
-func (e *Election) awaitVacancy(ctx context.Context) (version uint64, free bool, err error) {
+// checkLeaderKey reports whether the leader key can be acquired, and returns its version. If the
+// key does not exist, it first sleeps for a random time, to spread simultaneous campaigns. If
+// another node holds the key, it first waits up to WatchTimeout for a change.
+func (e *Election) checkLeaderKey(ctx context.Context) (version uint64, free bool, err error) {
 	leader, err := e.Store.Get(ctx, kvstore.KeyLeader)
 	e.otherNodeLeads.Store(false)
 	if errors.Is(err, kvstore.ErrNotFound) {
@@ -58,8 +60,8 @@
 	if err != nil {
 		return 0, false, err
 	}
-	// The key of this node's previous process can be taken over at once:
-	// a node runs one process, so that one is dead.
+	// A key held by this node's previous process can be acquired at once: a node runs one
+	// process at a time, so the previous one has ended.
 	if holder.Node == e.Node && holder.Nonce != e.nonce {
 		return leader.Version, true, nil
 	}
@@ -67,8 +69,8 @@
 	return 0, false, e.Store.Watch(ctx, kvstore.KeyLeader, leader.Version, tuning.WatchTimeout)
 }
 
-// lastTerm reads the last term and the version of its key, 0 for none.
-func (e *Election) lastTerm(ctx context.Context) (term, version uint64, err error) {
+// readTerm returns the last term, 0 if there was none, and the version of its key.
+func (e *Election) readTerm(ctx context.Context) (term, version uint64, err error) {
 	item, err := e.Store.Get(ctx, kvstore.KeyTerm)
 	if errors.Is(err, kvstore.ErrNotFound) {
 		return 0, item.Version, nil
@@ -80,7 +82,8 @@
 	return record.Term, item.Version, err
 }
 
-// commitCampaign tries to take the leader key, and returns its version if that was won.
+// commitCampaign commits the transaction of a campaign. If the campaign was won, it returns the
+// version of the leader key.
 func (e *Election) commitCampaign(ctx context.Context, txn wire.Txn, lease uint64) (version uint64, won bool, err error) {
 	result, err := e.Store.Commit(ctx, txn)
 	switch {
@@ -89,15 +92,15 @@
 	case errors.Is(err, httpclient.ErrNoResponse):
 		return e.resolveCampaign(ctx)
 	case errors.Is(err, kvstore.ErrConflict):
-		err = nil // another node was first
+		err = nil // another node acquired the key first
 	}
-	_ = e.Store.Revoke(ctx, lease) // failing that, the lease expires
+	_ = e.Store.Revoke(ctx, lease) // on an error, the lease expires by itself
 	return 0, false, err
 }
 
-// resolveCampaign finds out by reading whether a campaign without an answer was won:
-// either the key carries its nonce, or, should the transaction be applied later, nobody
-// renews its lease.
+// resolveCampaign reads the leader key after a campaign without a response. The campaign was
+// won if the key holds its nonce. If the transaction is applied after the read, nobody renews
+// its lease, so the key expires.
 func (e *Election) resolveCampaign(ctx context.Context) (version uint64, won bool, err error) {
 	leader, err := e.Store.Get(ctx, kvstore.KeyLeader)
 	if err != nil {
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,6 +1,6 @@
-// Package election makes one node at a time the leader: it holds a key on a
-// lease of the key-value store, and raises a persistent term in the same
-// transaction that takes the key. The term is the workers' fencing token.
+// Package election elects one node at a time as the leader. The leader holds a key that is
+// attached to a lease of the key-value store. The transaction that acquires the key also
+// increments a persistent term, which is the fencing token for the workers.
 package election
 
 import (
@@ -15,35 +15,36 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// nonceBits bounds a process's first nonce, so that it and those counted up from it are exact
-// also for a reader that takes a JSON number for a float64.
+// nonceBits bounds the first nonce of a process, so that it and its increments stay exact for
+// readers that decode JSON numbers as float64.
 const nonceBits = 52
 
-// Election campaigns for one node.
+// Election campaigns for the leadership on behalf of one node.
 type Election struct {
 	Store kvstore.Store
 	Node  string
 	Log   zerolog.Logger
-	// OnElected runs while the node leads; its context ends with the term.
+	// OnElected is called when the node has become the leader. The term ends when it returns,
+	// and its context ends with the term.
 	OnElected func(context.Context, *Leadership) error
 
-	// nonce tells the campaigns of this process from each other and from those of
-	// the node's previous process.
+	// nonce distinguishes the campaigns of this process from each other and from those of the
+	// node's previous process.
 	nonce          uint64
 	otherNodeLeads atomic.Bool
 }
 
-// OtherNodeLeads reports whether another node held the leader key when it was last
-// read, which a watch keeps recent.
+// OtherNodeLeads reports whether another node held the leader key at the last read. A watch on
+// the key keeps this up to date.
 func (e *Election) OtherNodeLeads() bool { return e.otherNodeLeads.Load() }
 
-// Run campaigns, leads and campaigns again until the context ends.
+// Run campaigns and, when elected, leads for a term, and repeats this until the context ends.
 func (e *Election) Run(ctx context.Context) error {
 	e.nonce = rand.Uint64() >> (64 - nonceBits)
 	for ctx.Err() == nil {
 		leadership, err := e.campaign(ctx)
 		if err != nil {
-			e.Log.Debug().Err(err).Msg("campaign failed")
+			e.Log.Debug().Err(err).Msg("leader campaign failed, retrying")
 			if err := ctxtime.Sleep(ctx, tuning.CampaignRetryDelay); err != nil {
 				return err
 			}
--- a/internal/election/record.go
+++ b/internal/election/record.go
@@ -14,32 +14,32 @@
 	Nonce uint64 `json:"nonce"`
 }
 
-// encode returns the value to be stored.
+// encode returns the record as the value to store.
 func (r LeaderRecord) encode() json.RawMessage {
-	value, _ := json.Marshal(r) // a text and an integer: it can't fail
+	value, _ := json.Marshal(r) // can't fail: a string and an integer
 	return value
 }
 
-// decodeLeader reads the value of the leader key.
+// decodeLeader decodes the value of the leader key.
 func decodeLeader(value json.RawMessage) (LeaderRecord, error) {
 	var record LeaderRecord
 	if err := json.Unmarshal(value, &record); err != nil {
-		return record, fmt.Errorf("leader record: %w", err)
+		return record, fmt.Errorf("decode leader record: %w", err)
 	}
 	return record, nil
 }
 
-// decodeTerm reads the value of the term key.
+// decodeTerm decodes the value of the term key.
 func decodeTerm(value json.RawMessage) (kvstore.TermRecord, error) {
 	var record kvstore.TermRecord
 	if err := json.Unmarshal(value, &record); err != nil {
-		return record, fmt.Errorf("term record: %w", err)
+		return record, fmt.Errorf("decode term record: %w", err)
 	}
 	return record, nil
 }
 
-// NewCampaignTxn takes the leader key on a lease and raises the term, if both
-// keys still have the versions read.
+// NewCampaignTxn returns a transaction that puts the leader key on a lease and stores the term,
+// provided that both keys still have the given versions.
 func NewCampaignTxn(record LeaderRecord, term, lease, leaderVersion, termVersion uint64) wire.Txn {
 	return wire.Txn{
 		If: []wire.Compare{
--- a/internal/election/term.go
+++ b/internal/election/term.go
@@ -11,38 +11,39 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// LeadershipAcquired is the log message of a node that has become the leader; tools that follow
-// the logs wait for it.
+// LeadershipAcquired is the log message of a node that has become the leader. Tools match it, so
+// it must not change.
 const LeadershipAcquired = "leadership acquired"
 
-// serveTerm runs OnElected and renews the lease until the term is known to be over.
+// serveTerm runs OnElected and renews the lease until either ends, then revokes the leadership,
+// waits for OnElected to return and releases the lease.
 func (e *Election) serveTerm(ctx context.Context, l *Leadership) {
 	e.Log.Info().Uint64("term", l.Term).Msg(LeadershipAcquired)
 	termCtx, endTerm := context.WithCancel(ctx)
 	defer endTerm()
-	var leading sync.WaitGroup
-	leading.Go(func() {
+	var elected sync.WaitGroup
+	elected.Go(func() {
 		defer endTerm()
 		e.runElected(termCtx, l)
 	})
 	e.renewLease(termCtx, l)
 	l.Revoke()
 	endTerm()
-	leading.Wait()
+	elected.Wait()
 	e.releaseLease(ctx, l)
 	e.Log.Info().Uint64("term", l.Term).Msg("leadership ended")
 }
 
-// runElected runs OnElected and logs its failure, unless the term has ended.
+// runElected runs OnElected and logs its error, unless the term has ended.
 func (e *Election) runElected(ctx context.Context, l *Leadership) {
 	if err := e.OnElected(ctx, l); err != nil && ctx.Err() == nil {
-		e.Log.Info().Err(err).Uint64("term", l.Term).Msg("leader loop failed")
+		e.Log.Info().Err(err).Uint64("term", l.Term).Msg("leader loop failed, ending term")
 	}
 }
 
-// renewLease renews the lease until the context ends, the lease has expired, or the
-// leadership is revoked as a later leader is known: keeping the state up would then cost
-// the work of a leader, for nothing.
+// renewLease renews the lease until the context ends, the lease has expired, or the leadership
+// is revoked because a later leader exists. In the last case, maintaining the leader's state
+// would be wasted work.
 func (e *Election) renewLease(ctx context.Context, l *Leadership) {
 	for ctx.Err() == nil {
 		sent := time.Now()
@@ -52,7 +53,7 @@
 		case err == nil:
 			l.MarkRenewed(sent)
 		case errors.Is(err, kvstore.ErrNotFound):
-			e.Log.Info().Uint64("term", l.Term).Msg("leader lease lost")
+			e.Log.Info().Uint64("term", l.Term).Msg("leader lease expired, ending term")
 			return
 		default:
 			delay = tuning.StoreRetryDelay
@@ -63,10 +64,10 @@
 	}
 }
 
-// releaseLease frees the leader key for the others after a term that ended by itself. The
-// term's context may have ended with the process's, so that the call has its own bound.
+// releaseLease revokes the lease after a term, so that other nodes can acquire the leader key
+// before the lease expires. The call has its own timeout, because the context may have ended.
 func (e *Election) releaseLease(ctx context.Context, l *Leadership) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), tuning.LeaseRenewTimeout)
 	defer cancel()
-	_ = e.Store.Revoke(ctx, l.lease) // failing that, the lease expires
+	_ = e.Store.Revoke(ctx, l.lease) // on an error, the lease expires by itself
 }
