--- a/internal/api/heartbeats_test.go
+++ b/internal/api/heartbeats_test.go
@@ -15,7 +15,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// fakeService answers every call as a leader with nothing to do would.
+// fakeService responds to every call with success: to heartbeats without commands, to others
+// with a queued job.
 type fakeService struct{}
 
 func (fakeService) Healthy() bool { return true }
@@ -29,14 +30,14 @@
 
 const heartbeatBody = `{"deck":"i-1","endpoint":"10.0.0.1:9000","build":"b","berth":"a","watch":1,"knot":1,"helm":0,"oars":[]}`
 
-// testServer is a server on loopback.
+// testServer is a server that listens on loopback.
 type testServer struct {
 	*Server
 	t    *testing.T
 	addr string
 }
 
-// startServer starts a server with a limit of connections, until the test ends.
+// startServer starts a server with a connection limit. It stops when the test ends.
 func startServer(t *testing.T, maxConnections int) *testServer {
 	t.Helper()
 	srv := New(zerolog.Nop(), fakeService{}, config.ProcessLimits{MaxConnections: maxConnections})
@@ -46,16 +47,16 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go func() { _ = srv.Run(ctx, ln) }() // it ends with the context
+	go func() { _ = srv.Run(ctx, ln) }() // ends with the context
 	return &testServer{Server: srv, t: t, addr: ln.Addr().String()}
 }
 
-// client is one that keeps one connection.
-func (s *testServer) client() *fasthttp.HostClient {
+// newClient returns a client that keeps one connection.
+func (s *testServer) newClient() *fasthttp.HostClient {
 	return &fasthttp.HostClient{Addr: s.addr, MaxConns: 1}
 }
 
-// send sends a request; it returns the status, and whether the connection ends with it.
+// send sends a request and returns the status and whether the server closes the connection.
 func (s *testServer) send(c *fasthttp.HostClient, method, path, body string) (status int, closed bool) {
 	s.t.Helper()
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
@@ -74,38 +75,38 @@
 	return s.send(c, "POST", wire.PathHeartbeat, heartbeatBody)
 }
 
-// TestWorkersLeaveConnectionsForUsers: when workers keep the sockets that they
-// may, all others are answered too, but their connections end with the answer,
-// and users and health checks are answered.
-func TestWorkersLeaveConnectionsForUsers(t *testing.T) {
+// TestWorkerConnectionLimit checks that when workers keep as many connections as they may, further
+// workers get a response and their connections are closed, so that users and health checks are
+// still served.
+func TestWorkerConnectionLimit(t *testing.T) {
 	srv := startServer(t, 50)
 	var workers []*fasthttp.HostClient
 	for range srv.workers.limit {
-		c := srv.client()
+		c := srv.newClient()
 		workers = append(workers, c)
 		if got, closed := srv.sendHeartbeat(c); got != 200 || closed {
 			t.Fatalf("worker %d: %d, closed: %v", len(workers), got, closed)
 		}
 	}
 	for range 2 * srv.http.Concurrency {
-		if got, closed := srv.sendHeartbeat(srv.client()); got != 200 || !closed {
-			t.Fatalf("one worker too many: %d, closed: %v", got, closed)
+		if got, closed := srv.sendHeartbeat(srv.newClient()); got != 200 || !closed {
+			t.Fatalf("worker above the limit: %d, closed: %v", got, closed)
 		}
 	}
 	if got, closed := srv.sendHeartbeat(workers[0]); got != 200 || closed {
-		t.Errorf("a worker that is here already: %d, closed: %v", got, closed)
+		t.Errorf("worker with a kept connection: %d, closed: %v", got, closed)
 	}
 	for _, path := range []string{wire.PathHealth, wire.PathJobs + "/job-000001"} {
-		if got, _ := srv.send(srv.client(), "GET", path, ""); got != 200 {
+		if got, _ := srv.send(srv.newClient(), "GET", path, ""); got != 200 {
 			t.Errorf("%s: %d", path, got)
 		}
 	}
-	// A connection that ends may be replaced.
+	// Another worker may keep its connection after one has been closed.
 	workers[0].CloseIdleConnections()
 	for range 500 {
-		if _, closed := srv.sendHeartbeat(srv.client()); !closed {
+		if _, closed := srv.sendHeartbeat(srv.newClient()); !closed {
 			return
 		}
 	}
-	t.Error("no connection kept after a worker has left")
+	t.Error("no connection is kept after a worker has closed its connection")
 }
--- a/internal/api/routes_test.go
+++ b/internal/api/routes_test.go
@@ -13,7 +13,7 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// recordingService answers every call with a response of its own, and remembers the last.
+// recordingService responds to every call with the same response, and records the last call.
 type recordingService struct {
 	healthy  bool
 	response peer.Response
@@ -27,8 +27,8 @@
 	return s.response
 }
 
-// request serves one request without a connection.
-func request(s Service, method, path, body string) *fasthttp.RequestCtx {
+// serveRequest serves one request without a connection.
+func serveRequest(s Service, method, path, body string) *fasthttp.RequestCtx {
 	rc := &fasthttp.RequestCtx{}
 	rc.Request.Header.SetMethod(method)
 	rc.Request.SetRequestURI(path)
@@ -37,7 +37,7 @@
 	return rc
 }
 
-// TestRoutes: which call each request becomes, and what is refused without one.
+// TestRoutes checks which call each request makes, and which status a request gets that makes none.
 func TestRoutes(t *testing.T) {
 	const job = wire.PathJobs + "/job-000001"
 	for _, c := range []struct {
@@ -61,7 +61,7 @@
 		{"GET", "/else", http.StatusNotFound, "", ""},
 	} {
 		service := &recordingService{healthy: true, response: peer.Response{Status: http.StatusAccepted}}
-		rc := request(service, c.method, c.path, "{")
+		rc := serveRequest(service, c.method, c.path, "{")
 		if got := rc.Response.StatusCode(); got != c.status || service.last.Op != c.op {
 			t.Errorf("%s %s: %d, call %q; want %d, %q", c.method, c.path, got, service.last.Op, c.status, c.op)
 		}
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestRetryAfter: a refusal for now says when to come back, in a second at least; other
-// responses don't.
+// TestRetryAfter checks that 503 and 429 carry a Retry-After of at least one second, and that other
+// responses carry none.
 func TestRetryAfter(t *testing.T) {
 	for _, c := range []struct {
 		response peer.Response
@@ -83,16 +83,16 @@
 		{peer.Response{Status: http.StatusUnprocessableEntity, RetryAfter: 7}, ""},
 		{peer.Response{Status: http.StatusOK, Job: &wire.JobStatus{}}, ""},
 	} {
-		rc := request(&recordingService{response: c.response}, "GET", wire.PathJobs+"/job-000001", "")
+		rc := serveRequest(&recordingService{response: c.response}, "GET", wire.PathJobs+"/job-000001", "")
 		if got := string(rc.Response.Header.Peek(fasthttp.HeaderRetryAfter)); got != c.want {
 			t.Errorf("%+v: Retry-After %q, want %q", c.response, got, c.want)
 		}
 	}
 }
 
-// TestUnhealthy: a node without a leader in reach says so to a health check.
+// TestUnhealthy checks that a node that reaches no leader fails the health check.
 func TestUnhealthy(t *testing.T) {
-	if got := request(&recordingService{}, "GET", wire.PathHealth, "").Response.StatusCode(); got != http.StatusServiceUnavailable {
+	if got := serveRequest(&recordingService{}, "GET", wire.PathHealth, "").Response.StatusCode(); got != http.StatusServiceUnavailable {
 		t.Errorf("status %d", got)
 	}
 }
--- a/internal/election/campaign_test.go
+++ b/internal/election/campaign_test.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	granted     = 7  // the lease that every campaign gets
-	keyVersion  = 40 // of keys set up by a test
-	wonRevision = 41
+	grantedLease = 7  // the lease of every campaign
+	keyVersion   = 40 // version of the keys that a test has set up
+	wonRevision  = 41 // revision of a committed campaign
 )
 
-// fakeStore is a key-value store with one campaign.
+// fakeStore is a key-value store for one campaign.
 type fakeStore struct {
-	kvstore.Store // nil: what a campaign has no need of
+	kvstore.Store // nil: a campaign doesn't call its other methods
 	values        map[string]json.RawMessage
 	commitErr     error
-	applied       bool // commits are, whatever commitErr says
+	applyCommits  bool // also if commitErr is set
 	renewErr      error
 	txns          []wire.Txn
 	calls         []string
@@ -41,11 +41,11 @@
 	return wire.KeyValue{Key: key, Value: value, Version: keyVersion}, nil
 }
 
-func (s *fakeStore) Grant(context.Context, time.Duration) (uint64, error) { return granted, nil }
+func (s *fakeStore) Grant(context.Context, time.Duration) (uint64, error) { return grantedLease, nil }
 
 func (s *fakeStore) Commit(_ context.Context, txn wire.Txn) (wire.TxnResult, error) {
 	s.txns = append(s.txns, txn)
-	if s.applied {
+	if s.applyCommits {
 		for _, change := range txn.Then {
 			s.values[change.Put] = change.Value
 		}
@@ -68,54 +68,56 @@
 	return nil
 }
 
-// TestCampaign: when the key is taken, and what each answer to the transaction means.
+// TestCampaign checks in which states of the leader key a campaign tries to acquire it, and which
+// result follows from each response to the transaction.
 func TestCampaign(t *testing.T) {
-	held := func(node string) map[string]json.RawMessage {
+	heldBy := func(node string) map[string]json.RawMessage {
 		return map[string]json.RawMessage{
 			kvstore.KeyLeader: LeaderRecord{Node: node, Nonce: 99}.encode(),
 			kvstore.KeyTerm:   kvstore.TermRecord{Term: 4}.Encode(),
 		}
 	}
 	for _, c := range []struct {
-		name      string
-		values    map[string]json.RawMessage
-		commitErr error
-		applied   bool
-		won       bool
-		term      uint64
-		version   uint64
-		calls     []string
-		elsewhere bool
+		name       string
+		values     map[string]json.RawMessage
+		commitErr  error
+		applied    bool
+		won        bool
+		term       uint64
+		version    uint64
+		calls      []string
+		otherLeads bool
 	}{
-		{name: "the first of all", applied: true, won: true, term: 1, version: wonRevision},
-		{name: "held by another node", values: held("n2"), calls: []string{"watch"}, elsewhere: true},
-		{name: "held by this node's previous process", values: held("n1"), applied: true, won: true, term: 5, version: wonRevision},
-		{name: "another was first", commitErr: kvstore.ErrConflict, calls: []string{"revoke"}},
-		{name: "answer lost, applied", commitErr: httpclient.ErrNoResponse, applied: true, won: true, term: 1, version: keyVersion},
-		{name: "answer lost, not applied", values: held("n1"), commitErr: httpclient.ErrNoResponse},
+		{name: "no earlier leader", applied: true, won: true, term: 1, version: wonRevision},
+		{name: "held by another node", values: heldBy("n2"), calls: []string{"watch"}, otherLeads: true},
+		{name: "held by this node's previous process", values: heldBy("n1"), applied: true, won: true, term: 5, version: wonRevision},
+		{name: "another node acquired the key first", commitErr: kvstore.ErrConflict, calls: []string{"revoke"}},
+		{name: "response lost, applied", commitErr: httpclient.ErrNoResponse, applied: true, won: true, term: 1, version: keyVersion},
+		{name: "response lost, not applied", values: heldBy("n1"), commitErr: httpclient.ErrNoResponse},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if c.values == nil {
 				c.values = map[string]json.RawMessage{}
 			}
-			store := &fakeStore{values: c.values, commitErr: c.commitErr, applied: c.applied}
+			store := &fakeStore{values: c.values, commitErr: c.commitErr, applyCommits: c.applied}
 			e := &Election{Store: store, Node: "n1", Log: zerolog.Nop()}
 			l, err := e.campaign(context.Background())
 			if err != nil || (l != nil) != c.won {
 				t.Fatalf("won: %v, error: %v", l != nil, err)
 			}
-			if c.won && (l.Term != c.term || l.LeaderVersion != c.version || l.TermVersion != c.version || l.lease != granted) {
+			if c.won && (l.Term != c.term || l.LeaderVersion != c.version || l.TermVersion != c.version || l.lease != grantedLease) {
 				t.Errorf("%+v", l)
 			}
-			if !slices.Equal(store.calls, c.calls) || e.OtherNodeLeads() != c.elsewhere {
+			if !slices.Equal(store.calls, c.calls) || e.OtherNodeLeads() != c.otherLeads {
 				t.Errorf("calls %v, another node leads: %v", store.calls, e.OtherNodeLeads())
 			}
 		})
 	}
 }
 
-// TestTermEnds: with the lease, with the leader's loop or with a later leader; then the
-// leader's loop has ended, the leadership is revoked and the lease released.
+// TestTermEnds checks that a term ends when the lease expires, when OnElected returns or when a
+// later leader is known. Afterwards OnElected has returned, the leadership is revoked and the
+// lease is released.
 func TestTermEnds(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -124,7 +126,7 @@
 		lasted   time.Duration
 	}{
 		{"lease expired", kvstore.ErrNotFound, func(ctx context.Context, _ *Leadership) { <-ctx.Done() }, 0},
-		{"loop failed", nil, func(context.Context, *Leadership) { time.Sleep(time.Minute) }, time.Minute},
+		{"OnElected returned", nil, func(context.Context, *Leadership) { time.Sleep(time.Minute) }, time.Minute},
 		{"later leader", nil, func(ctx context.Context, l *Leadership) {
 			l.Revoke()
 			<-ctx.Done()
@@ -137,20 +139,20 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				store := &fakeStore{renewErr: c.renewErr}
-				ended := false
+				returned := false
 				e := &Election{Store: store, Log: zerolog.Nop(), OnElected: func(ctx context.Context, l *Leadership) error {
 					c.elected(ctx, l)
-					ended = true
+					returned = true
 					return nil
 				}}
-				begun := time.Now()
-				l := NewLeadership(3, begun)
+				start := time.Now()
+				l := NewLeadership(3, start)
 				e.serveTerm(context.Background(), l)
-				if lasted := time.Since(begun); lasted != c.lasted {
+				if lasted := time.Since(start); lasted != c.lasted {
 					t.Errorf("lasted %v, want %v", lasted, c.lasted)
 				}
-				if !ended || l.HoldsLease(begun) || store.calls[len(store.calls)-1] != "revoke" {
-					t.Errorf("loop ended: %v, still leads: %v, calls %v", ended, l.HoldsLease(begun), store.calls)
+				if !returned || l.HoldsLease(start) || store.calls[len(store.calls)-1] != "revoke" {
+					t.Errorf("OnElected returned: %v, still leads: %v, calls %v", returned, l.HoldsLease(start), store.calls)
 				}
 			})
 		})
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -24,8 +24,8 @@
 	Store kvstore.Store
 	Node  string
 	Log   zerolog.Logger
-	// OnElected is called when the node has become the leader. The term ends when it returns,
-	// and its context ends with the term.
+	// OnElected is called when the node has become the leader. Its context ends with the term,
+	// and the term ends when OnElected returns.
 	OnElected func(context.Context, *Leadership) error
 
 	// nonce distinguishes the campaigns of this process from each other and from those of the
--- a/internal/election/leadership_test.go
+++ b/internal/election/leadership_test.go
@@ -7,9 +7,8 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// TestLeaseValidity: validity is counted from when the renewal was sent and ends
-// before the lease can; heartbeats are answered for the grace period after it, and
-// neither outlives the knowledge of a later leader.
+// TestLeaseValidity checks that validity counts from when the renewal was sent and ends before the
+// lease can expire, that the grace period follows it, and that a revocation ends both.
 func TestLeaseValidity(t *testing.T) {
 	const grace = 17 * time.Second
 	sent := time.Unix(1_700_000_000, 0)
@@ -22,8 +21,8 @@
 		holds   bool
 		inGrace bool
 	}{
-		{"when it was sent", nil, sent, true, true},
-		{"half way", nil, sent.Add(time.Second), true, true},
+		{"when the renewal was sent", nil, sent, true, true},
+		{"one second after the renewal", nil, sent.Add(time.Second), true, true},
 		{"a margin before the lease can expire", nil, expiry.Add(-tuning.LeaseSafetyMargin), false, true},
 		{"renewed", renewed, expiry.Add(-tuning.LeaseSafetyMargin), true, true},
 		{"renewed, a margin before it can expire", renewed, expiry.Add(time.Second - tuning.LeaseSafetyMargin), false, true},
--- a/internal/election/term.go
+++ b/internal/election/term.go
@@ -15,8 +15,8 @@
 // it must not change.
 const LeadershipAcquired = "leadership acquired"
 
-// serveTerm runs OnElected and renews the lease until either ends, then revokes the leadership,
-// waits for OnElected to return and releases the lease.
+// serveTerm runs OnElected and renews the lease until one of the two ends. It then revokes the
+// leadership, waits for OnElected to return and releases the lease.
 func (e *Election) serveTerm(ctx context.Context, l *Leadership) {
 	e.Log.Info().Uint64("term", l.Term).Msg(LeadershipAcquired)
 	termCtx, endTerm := context.WithCancel(ctx)
--- a/internal/node/bad_input_test.go
+++ b/internal/node/bad_input_test.go
@@ -8,83 +8,84 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// jobDone is the path of the job that TestBadInput has done before all else.
-const jobDone = wire.PathJobs + "/job-000001"
+// doneJobPath is the path of the job that TestBadInput runs to its end first.
+const doneJobPath = wire.PathJobs + "/job-000001"
 
-// request is a request and the status that it gets from a node that can decide.
+// request is a request and the status expected from a node that can decide on it.
 type request struct {
 	method, path, body string
 	status             int
 }
 
-// TestBadInput: at every node, also repeated, during a failover and an outage of
-// the key-value store, a malformed submission gets 400, one that can't run 422, an
-// unknown job 404, an accepted one 200 with its state and never something older.
-// Where a node can't decide it answers 503 with Retry-After. Nothing that is wrong is
-// ever called accepted.
+// TestBadInput checks the responses of every node to invalid requests: without faults, during
+// an outage of the key-value store and during failovers. A malformed submission gets 400, one
+// that can never run 422, an unknown job 404, and a job that is done 200 with that state, never
+// an older one. A node that can't decide responds with 503 and Retry-After. No invalid
+// submission is ever accepted.
 func TestBadInput(t *testing.T) {
-	c := start(t, 3)
+	c := startCluster(t, 3)
 	done := fmt.Sprintf(submission, "job-000001")
-	c.until(c.addrs[0], "POST", wire.PathJobs, done, 201, "")
-	c.until(c.addrs[0], "GET", jobDone, "", 200, wire.JobDone)
+	c.await(c.addrs[0], "POST", wire.PathJobs, done, 201, "")
+	c.await(c.addrs[0], "GET", doneJobPath, "", 200, wire.JobDone)
 	requests := append(malformedRequests(t, done), leaderRequests(t, done)...)
 	for _, addr := range c.addrs {
-		c.until(addr, "GET", jobDone, "", 200, wire.JobDone)
+		c.await(addr, "GET", doneJobPath, "", 200, wire.JobDone)
 	}
-	c.check("no fault", requests, c.addrs...)
+	c.checkResponses("no fault", requests, c.addrs...)
 	c.services.SetStoreDown(true)
-	c.until(c.addrs[0], "GET", jobDone, "", 503, "")
-	c.check("outage", requests, c.addrs...)
+	c.await(c.addrs[0], "GET", doneJobPath, "", 503, "")
+	c.checkResponses("outage", requests, c.addrs...)
 	c.services.SetStoreDown(false)
-	c.until(c.addrs[2], "GET", jobDone, "", 200, wire.JobDone)
+	c.await(c.addrs[2], "GET", doneJobPath, "", 200, wire.JobDone)
 	for i := range 2 {
 		c.stop[i]()
-		c.check("failover", requests, c.addrs[2])
-		<-c.ended[i]
-		c.check("failover", requests, c.addrs[2])
+		c.checkResponses("failover", requests, c.addrs[2])
+		<-c.stopped[i]
+		c.checkResponses("failover", requests, c.addrs[2])
 	}
-	c.until(c.addrs[2], "GET", jobDone, "", 200, wire.JobDone)
-	c.until(c.addrs[2], "GET", wire.PathJobs+"/job-999999", "", 404, "")
+	c.await(c.addrs[2], "GET", doneJobPath, "", 200, wire.JobDone)
+	c.await(c.addrs[2], "GET", wire.PathJobs+"/job-999999", "", 404, "")
 }
 
-// check sends requests to nodes; 503 may come for all that it takes a leader to know.
-func (c *cluster) check(when string, requests []request, addrs ...string) {
+// checkResponses sends requests to nodes and checks the responses. 503 with Retry-After is
+// allowed for every request that isn't malformed, as only a leader can decide on it.
+func (c *cluster) checkResponses(when string, requests []request, addrs ...string) {
 	c.t.Helper()
 	for _, addr := range addrs {
 		for _, r := range requests {
-			status, after, body := exchange(addr, r.method, r.path, r.body)
-			refused := status == 503 && after != "" && r.status != 400
-			if !refused && status != r.status {
+			status, retryAfter, body := exchange(addr, r.method, r.path, r.body)
+			undecided := status == 503 && retryAfter != "" && r.status != 400
+			if !undecided && status != r.status {
 				c.t.Fatalf("%s: %s %s %s: %d %s, want %d", when, r.method, r.path, r.body, status, body, r.status)
 			}
 			if status == 200 && !strings.Contains(string(body), `"`+wire.JobDone+`"`) {
-				c.t.Fatalf("%s: %s %s answered %s", when, r.method, r.path, body)
+				c.t.Fatalf("%s: %s %s: response %s, want state done", when, r.method, r.path, body)
 			}
 		}
 	}
 }
 
-// changed is a submission of another job with a part of the text replaced.
-func changed(t *testing.T, submission string, status int, from, to string) request {
+// modifiedRequest submits another job, with one part of the submission replaced.
+func modifiedRequest(t *testing.T, submission string, status int, from, to string) request {
 	t.Helper()
 	body := strings.Replace(strings.Replace(submission, "job-000001", "job-000002", 1), from, to, 1)
 	if !strings.Contains(body, to) || strings.Contains(body, from) {
-		t.Fatalf("%s is not in the submission", from)
+		t.Fatalf("replacing %s failed: it is not in the submission, or still there", from)
 	}
 	return request{"POST", wire.PathJobs, body, status}
 }
 
-// leaderRequests are those that it takes a leader to answer.
+// leaderRequests returns requests that only a leader can decide on.
 func leaderRequests(t *testing.T, done string) []request {
 	t.Helper()
 	requests := []request{
 		{"GET", wire.PathJobs + "/job-999999", "", 404},
 		{"POST", wire.PathJobs + "/job-999999/" + wire.CancelSuffix, "", 404},
-		{"GET", jobDone, "", 200},
+		{"GET", doneJobPath, "", 200},
 		{"POST", wire.PathJobs, done, 200},
-		{"POST", jobDone + "/" + wire.CancelSuffix, "", 200},
+		{"POST", doneJobPath + "/" + wire.CancelSuffix, "", 200},
 	}
-	for _, impossible := range [][2]string{
+	for _, replacement := range [][2]string{
 		{`"crew":"blue"`, `"crew":"green"`},
 		{`"cores":2`, `"cores":64`},
 		{`"cores":2`, `"cores":17`},
@@ -93,13 +94,13 @@
 		{`"builds":null`, `"builds":["none"]`},
 		{`"berth":null`, `"berth":"nowhere"`},
 	} {
-		requests = append(requests, changed(t, done, 422, impossible[0], impossible[1]))
+		requests = append(requests, modifiedRequest(t, done, 422, replacement[0], replacement[1]))
 	}
 	return requests
 }
 
-// malformedRequests are submissions that every node refuses: other texts than an object, and
-// each field absent, null or of another type.
+// malformedRequests returns submissions that every node rejects: bodies that aren't a JSON object,
+// an invalid job ID, and each field absent, null or of another type.
 func malformedRequests(t *testing.T, done string) []request {
 	t.Helper()
 	var requests []request
@@ -112,9 +113,9 @@
 	} {
 		name, _, _ := strings.Cut(field, ":")
 		requests = append(requests,
-			changed(t, done, 400, field+",", ""),
-			changed(t, done, 400, field, name+":null"),
-			changed(t, done, 400, field, name+":{}"))
+			modifiedRequest(t, done, 400, field+",", ""),
+			modifiedRequest(t, done, 400, field, name+":null"),
+			modifiedRequest(t, done, 400, field, name+":{}"))
 	}
 	return requests
 }
--- a/internal/node/calls_test.go
+++ b/internal/node/calls_test.go
@@ -10,8 +10,8 @@
 	"switchshore.example/switchshore/internal/leader"
 )
 
-// TestOutcomesOfDirectCalls: commands count as not delivered only if there was no connection.
-func TestOutcomesOfDirectCalls(t *testing.T) {
+// TestDirectOutcome checks that commands count as not delivered only if no connection was made.
+func TestDirectOutcome(t *testing.T) {
 	for _, c := range []struct {
 		status int
 		err    error
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -22,14 +22,14 @@
  "cores":2,"cards":0,"memoryGb":1,"hull":"img","imageGb":0.1,"builds":null,"berth":null,
  "together":false,"apart":false,"driftwood":true,"reckonS":0.1,"loglineS":0,"stowS":0,"tideS":null}`
 
-// cluster is a few whole nodes on loopback, with simulated services and workers.
+// cluster is a group of nodes on loopback, with simulated services and workers.
 type cluster struct {
-	t     *testing.T
-	addrs []string
-	peers []string
-	stop  []context.CancelFunc
-	ended []chan struct{}
-	// services are the key-value store and the cloud.
+	t       *testing.T
+	addrs   []string
+	peers   []string
+	stop    []context.CancelFunc
+	stopped []chan struct{}
+	// services simulates the key-value store and the cloud.
 	services *simulation.Server
 }
 
@@ -48,18 +48,19 @@
 	return ln.Addr().String()
 }
 
-func start(t *testing.T, size int) *cluster {
-	return startWith(t, size, &config.Operator{}, func(*config.Params) {})
+func startCluster(t *testing.T, size int) *cluster {
+	return startClusterWith(t, size, &config.Operator{}, func(*config.Params) {})
 }
 
-// startWith starts nodes with the operators' settings given, after a change of the others.
-func startWith(t *testing.T, size int, operator *config.Operator, change func(*config.Params)) *cluster {
+// startClusterWith starts nodes with the given operator settings, and with the other settings
+// modified by change.
+func startClusterWith(t *testing.T, size int, operator *config.Operator, change func(*config.Params)) *cluster {
 	services := simulation.NewServer(wire.MachineType{
 		Name: "std-8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootTimeS: 0.1, Zones: []string{"a"},
 	})
 	ln := listen(t)
 	t.Cleanup(func() { _ = ln.Close() })
-	go func() { _ = services.Serve(ln) }() // it ends with the listener
+	go func() { _ = services.Serve(ln) }() // ends with the listener
 	c := &cluster{t: t, services: services}
 	var peers []config.Peer
 	for i := range size {
@@ -78,7 +79,7 @@
 	return c
 }
 
-// nodeConfig is the configuration of one of the peers.
+// nodeConfig returns the configuration of the peer with the index self.
 func nodeConfig(addr string, peers []config.Peer, self int, services string) *config.Config {
 	cfg := &config.Config{
 		Name: peers[self].Name, Zone: "a", Listen: addr, PeerListen: peers[self].Addr,
@@ -101,17 +102,18 @@
 // startNode runs a node until the context ends or the node is stopped.
 func (c *cluster) startNode(ctx context.Context, cfg *config.Config, operator *config.Operator) {
 	ctx, stop := context.WithCancel(ctx)
-	ended := make(chan struct{})
-	c.stop, c.ended = append(c.stop, stop), append(c.ended, ended)
+	stopped := make(chan struct{})
+	c.stop, c.stopped = append(c.stop, stop), append(c.stopped, stopped)
 	go func() {
-		defer close(ended)
+		defer close(stopped)
 		if err := node.New(zerolog.Nop(), cfg, operator).Run(ctx); err != nil && !errors.Is(err, context.Canceled) {
 			c.t.Log(err)
 		}
 	}()
 }
 
-// runWorker is a worker that finishes every task at once.
+// runWorker simulates a worker that finishes every task at once. It uses the next node when one
+// doesn't respond with 200.
 func runWorker(ctx context.Context, row wire.ListedMachine, nodes []string) {
 	r := wire.Heartbeat{Machine: row.Name, Type: row.Type, Zone: row.Zone, Spot: row.Spot, AgentEpoch: 1, Tasks: []wire.TaskStatus{}}
 	for at := 0; ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
@@ -145,7 +147,7 @@
 	return status, data
 }
 
-// exchange sends a request; it returns status, Retry-After and body.
+// exchange sends a request and returns the status, Retry-After and body of the response.
 func exchange(addr, method, path, body string) (int, string, []byte) {
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -159,8 +161,8 @@
 	return res.StatusCode(), string(res.Header.Peek(fasthttp.HeaderRetryAfter)), append([]byte(nil), res.Body()...)
 }
 
-// until repeats a request until it gets the status and, if given, the state.
-func (c *cluster) until(addr, method, path, body string, status int, state string) {
+// await repeats a request until the response has the status and, if given, the state.
+func (c *cluster) await(addr, method, path, body string, status int, state string) {
 	c.t.Helper()
 	var got int
 	var js wire.JobStatus
@@ -177,9 +179,9 @@
 	c.t.Fatalf("%s %s: %d %+v, want %d %s", method, path, got, js, status, state)
 }
 
-// untilAccepted repeats a submission until it is accepted: the first answer that says so may
-// be the one to a repeat.
-func (c *cluster) untilAccepted(addr, body string) {
+// awaitAccepted repeats a submission until it is accepted. The status may be that of a repeated
+// submission, because the first acceptance may have got no response.
+func (c *cluster) awaitAccepted(addr, body string) {
 	c.t.Helper()
 	var status int
 	for range 600 {
@@ -188,5 +190,5 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	c.t.Fatalf("not accepted: %d", status)
+	c.t.Fatalf("submission not accepted: %d", status)
 }
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -20,7 +20,7 @@
 
 const drainFile = `<drain name="maintenance"><selector><zone>%s</zone></selector><batchSize>2</batchSize></drain>`
 
-// writeDrain writes a drain of a zone into a file.
+// writeDrain writes the specification of a drain of a zone to a file and returns its path.
 func writeDrain(t *testing.T, zone string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "drain.xml")
@@ -30,8 +30,8 @@
 	return path
 }
 
-// showState asks a node for a drain's state, "" if it can't tell.
-func showState(node string) drain.State {
+// drainState returns a drain's state from a node, or "" if it has none to report.
+func drainState(node string) drain.State {
 	var out bytes.Buffer
 	client := &operatorcli.Client{Addr: node, JSON: true, Out: &out}
 	var status drain.Status
@@ -41,14 +41,14 @@
 	return status.State
 }
 
-// TestDrainCommands: an operator's commands reach the leader through any node, also after another
-// one has ended; what is wrong is refused in one line.
+// TestDrainCommands checks that an operator's commands reach the leader through any node, also
+// after one of the nodes has stopped, and that invalid commands get an error of one line.
 func TestDrainCommands(t *testing.T) {
 	ctx := context.Background()
 	operator := &config.Operator{Drains: &drain.Budgets{Window: time.Minute}}
-	c := startWith(t, 3, operator, func(*config.Params) {})
-	c.until(c.addrs[0], "POST", wire.PathJobs, fmt.Sprintf(submission, "job-000001"), 201, "")
-	c.until(c.addrs[0], "GET", wire.PathJobs+"/job-000001", "", 200, wire.JobDone)
+	c := startClusterWith(t, 3, operator, func(*config.Params) {})
+	c.await(c.addrs[0], "POST", wire.PathJobs, fmt.Sprintf(submission, "job-000001"), 201, "")
+	c.await(c.addrs[0], "GET", wire.PathJobs+"/job-000001", "", 200, wire.JobDone)
 	var out bytes.Buffer
 	client := &operatorcli.Client{Addr: c.peers[1], Out: &out}
 	for range 2 {
@@ -68,19 +68,19 @@
 		}
 	}
 	c.stop[0]()
-	<-c.ended[0]
-	end := time.Now().Add(2 * time.Minute)
-	for showState(c.peers[2]) != drain.Done {
-		if time.Now().After(end) {
-			t.Fatalf("the drain is %q", showState(c.peers[2]))
+	<-c.stopped[0]
+	deadline := time.Now().Add(2 * time.Minute)
+	for drainState(c.peers[2]) != drain.Done {
+		if time.Now().After(deadline) {
+			t.Fatalf("the drain is %q", drainState(c.peers[2]))
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
 	client.Addr = c.peers[2]
 	if err := client.Do(ctx, drain.Pause, "maintenance"); !errors.Is(err, operatorcli.ErrRefused) {
-		t.Errorf("a drain that is done was paused: %v", err)
+		t.Errorf("pausing a drain that is done: %v", err)
 	}
-	if err := client.Do(ctx, drain.Cancel, "maintenance"); err != nil || showState(c.peers[1]) != drain.Cancelled {
-		t.Errorf("%v, %s", err, showState(c.peers[1]))
+	if err := client.Do(ctx, drain.Cancel, "maintenance"); err != nil || drainState(c.peers[1]) != drain.Cancelled {
+		t.Errorf("cancelling a drain that is done: %v, state %s", err, drainState(c.peers[1]))
 	}
 }
--- a/internal/node/health_test.go
+++ b/internal/node/health_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// TestHealthOutlastsAFailover: a node is healthy from when it first reaches a leader until a
-// grace period after it last did.
-func TestHealthOutlastsAFailover(t *testing.T) {
+// TestHealthGracePeriod checks that a node is healthy from when it first reaches a leader until
+// the grace period after it last reached one, so that a failover doesn't make it unhealthy.
+func TestHealthGracePeriod(t *testing.T) {
 	const grace = 10 * time.Second
-	begun := time.Unix(1_700_000_000, 0)
+	start := time.Unix(1_700_000_000, 0)
 	var h health
 	for _, c := range []struct {
 		after   time.Duration
@@ -23,7 +23,7 @@
 		{12 * time.Second, true, true},
 		{21 * time.Second, false, true},
 	} {
-		if got := h.update(begun.Add(c.after), c.reaches, grace); got != c.healthy {
+		if got := h.update(start.Add(c.after), c.reaches, grace); got != c.healthy {
 			t.Errorf("after %v: healthy: %v", c.after, got)
 		}
 	}
--- a/internal/node/local_test.go
+++ b/internal/node/local_test.go
@@ -18,8 +18,8 @@
 
 const testTerm = 5
 
-// testNode is a node without any peer, store or cloud.
-func testNode() *Node {
+// newTestNode returns a node without peers, key-value store or cloud.
+func newTestNode() *Node {
 	return &Node{
 		hub:         peer.NewHub(zerolog.Nop(), nil),
 		gracePeriod: 10 * time.Second,
@@ -28,17 +28,17 @@
 	}
 }
 
-// lead makes the node the leader of testTerm by a lease renewed at the given time.
-func (n *Node) lead(renewed time.Time) {
+// makeLeader makes the node the leader of testTerm, with a lease renewed at the given time.
+func (n *Node) makeLeader(renewed time.Time) {
 	params := config.Params{Workers: config.Workers{HeartbeatIntervalS: 3, LeaseS: 15, CancelDeadlineS: 45}}
 	n.leadership = election.NewLeadership(testTerm, renewed)
 	n.leader = leader.New(zerolog.Nop(), params, config.Operator{}, testTerm, renewed, n.gracePeriod)
 	n.leader.FinishLoading(renewed)
 }
 
-// TestWhoHandlesCalls: a user's request only the holder of the lease, a worker's heartbeat
-// also a leader in its grace period; anyone else forwards them.
-func TestWhoHandlesCalls(t *testing.T) {
+// TestHandleLocally checks that only the holder of the lease handles a user's request, and that
+// a leader in its grace period also handles worker heartbeats. Other nodes forward them.
+func TestHandleLocally(t *testing.T) {
 	heartbeat := func(token uint64) peer.Call {
 		return peer.Call{Op: peer.OpHeartbeat, Heartbeat: &wire.Heartbeat{
 			Machine: "m1", Addr: "m1:9", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: 1, FencingToken: token,
@@ -66,9 +66,9 @@
 		{name: "query, grace period", renewed: inGrace, call: query},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			n := testNode()
+			n := newTestNode()
 			if !c.renewed.IsZero() {
-				n.lead(c.renewed)
+				n.makeLeader(c.renewed)
 			}
 			response, handled := n.handleLocally(context.Background(), c.call)
 			if handled != c.handled || response.Status != c.status {
@@ -84,22 +84,23 @@
 	}
 }
 
-// TestLaterTermEndsLeadership: of a peer that leads; an earlier or the same one doesn't.
-func TestLaterTermEndsLeadership(t *testing.T) {
+// TestRevokeTermBefore checks that a later term of a peer revokes the leadership, and that an
+// earlier or the same term doesn't.
+func TestRevokeTermBefore(t *testing.T) {
 	for term, leads := range map[uint64]bool{testTerm - 1: true, testTerm: true, testTerm + 1: false} {
-		n := testNode()
+		n := newTestNode()
 		now := time.Now()
-		n.lead(now)
+		n.makeLeader(now)
 		n.revokeTermBefore(term)
 		if got := n.leadership.HoldsLease(now); got != leads {
-			t.Errorf("a leader of term %d: still leads: %v", term, got)
+			t.Errorf("peer with term %d: still leads: %v", term, got)
 		}
 	}
 }
 
-// TestResultsThatComeLate: once the lease has expired only a result that stays true for good
-// is passed on, and none is awaited for longer than the caller does.
-func TestResultsThatComeLate(t *testing.T) {
+// TestAwaitResult checks that after the lease has expired only a terminal result is returned, and
+// that waiting ends when the caller's context does.
+func TestAwaitResult(t *testing.T) {
 	now := time.Now()
 	valid, expired := election.NewLeadership(testTerm, now), election.NewLeadership(testTerm, now.Add(-time.Minute))
 	ended, cancel := context.WithCancel(context.Background())
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -8,23 +8,24 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// TestNodesOverLoopback follows a user through real sockets: submission at
-// each node, the same again, done, cancellation, refusals, and the end of
-// every node in turn but the last.
+// TestNodesOverLoopback sends a user's requests over real sockets: it submits jobs to each node,
+// repeats the submissions, waits until the jobs are done and cancels them, submits a job with
+// dependencies and sends invalid requests. Then it stops all nodes but the last, one after the
+// other, and checks after each that the last one still knows and runs jobs.
 func TestNodesOverLoopback(t *testing.T) {
-	c := start(t, 3)
+	c := startCluster(t, 3)
 	for i, addr := range c.addrs {
 		id := fmt.Sprintf("job-%06d", i)
-		c.until(addr, "POST", wire.PathJobs, fmt.Sprintf(submission, id), 201, "")
-		c.until(addr, "POST", wire.PathJobs, fmt.Sprintf(submission, id), 200, "")
-		c.until(c.addrs[0], "GET", wire.PathJobs+"/"+id, "", 200, wire.JobDone)
-		c.until(addr, "POST", wire.PathJobs+"/"+id+"/"+wire.CancelSuffix, "", 200, wire.JobDone)
+		c.await(addr, "POST", wire.PathJobs, fmt.Sprintf(submission, id), 201, "")
+		c.await(addr, "POST", wire.PathJobs, fmt.Sprintf(submission, id), 200, "")
+		c.await(c.addrs[0], "GET", wire.PathJobs+"/"+id, "", 200, wire.JobDone)
+		c.await(addr, "POST", wire.PathJobs+"/"+id+"/"+wire.CancelSuffix, "", 200, wire.JobDone)
 	}
-	const third = `"tideS":null,"awaits":["job-000000","job-000002"]}`
-	chained := strings.Replace(fmt.Sprintf(submission, "job-000100"), `"tideS":null}`, third, 1)
+	const dependencies = `"tideS":null,"awaits":["job-000000","job-000002"]}`
+	dependent := strings.Replace(fmt.Sprintf(submission, "job-000100"), `"tideS":null}`, dependencies, 1)
 	for _, addr := range c.addrs {
-		c.until(addr, "POST", wire.PathJobs, chained, map[bool]int{true: 201, false: 200}[addr == c.addrs[0]], "")
-		c.until(addr, "GET", wire.PathJobs+"/job-000100", "", 200, wire.JobDone)
+		c.await(addr, "POST", wire.PathJobs, dependent, map[bool]int{true: 201, false: 200}[addr == c.addrs[0]], "")
+		c.await(addr, "GET", wire.PathJobs+"/job-000100", "", 200, wire.JobDone)
 	}
 	addr := c.addrs[1]
 	for _, r := range []struct {
@@ -38,8 +39,8 @@
 		{"GET", wire.PathJobs, "", 405},
 		{"POST", wire.PathJobs, "{", 400},
 		{"POST", wire.PathJobs, fmt.Sprintf(submission, "else"), 400},
-		{"POST", wire.PathJobs, strings.NewReplacer("job-000100", "job-000101", "job-000002", "job-999999").Replace(chained), 422},
-		{"POST", wire.PathJobs, strings.NewReplacer("job-000100", "job-000101", `"job-000002"`, "2").Replace(chained), 400},
+		{"POST", wire.PathJobs, strings.NewReplacer("job-000100", "job-000101", "job-000002", "job-999999").Replace(dependent), 422},
+		{"POST", wire.PathJobs, strings.NewReplacer("job-000100", "job-000101", `"job-000002"`, "2").Replace(dependent), 400},
 		{"POST", wire.PathHeartbeat, "{}", 400},
 		{"POST", wire.PathJobs + "/job-999999/" + wire.CancelSuffix, "", 404},
 	} {
@@ -49,11 +50,11 @@
 	}
 	for i := range 2 {
 		c.stop[i]()
-		<-c.ended[i]
+		<-c.stopped[i]
 		last := c.addrs[2]
-		c.until(last, "GET", wire.PathJobs+"/job-000000", "", 200, wire.JobDone)
+		c.await(last, "GET", wire.PathJobs+"/job-000000", "", 200, wire.JobDone)
 		id := fmt.Sprintf("job-00001%d", i)
-		c.until(last, "POST", wire.PathJobs, fmt.Sprintf(submission, id), 201, "")
-		c.until(last, "GET", wire.PathJobs+"/"+id, "", 200, wire.JobDone)
+		c.await(last, "POST", wire.PathJobs, fmt.Sprintf(submission, id), 201, "")
+		c.await(last, "GET", wire.PathJobs+"/"+id, "", 200, wire.JobDone)
 	}
 }
