--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -24,11 +24,11 @@
 
 // cluster is a group of nodes on loopback, with simulated services and workers.
 type cluster struct {
-	t       *testing.T
-	addrs   []string
-	peers   []string
-	stop    []context.CancelFunc
-	stopped []chan struct{}
+	t         *testing.T
+	addrs     []string
+	peerAddrs []string
+	stop      []context.CancelFunc
+	stopped   []chan struct{}
 	// services simulates the key-value store and the cloud.
 	services *simulation.Server
 }
@@ -66,7 +66,7 @@
 	for i := range size {
 		c.addrs = append(c.addrs, freeAddr(t))
 		peers = append(peers, config.Peer{Name: fmt.Sprint("n", i), Addr: freeAddr(t)})
-		c.peers = append(c.peers, peers[i].Addr)
+		c.peerAddrs = append(c.peerAddrs, peers[i].Addr)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -116,13 +116,13 @@
 // doesn't respond with 200.
 func runWorker(ctx context.Context, row wire.ListedMachine, nodes []string) {
 	r := wire.Heartbeat{Machine: row.Name, Type: row.Type, Zone: row.Zone, Spot: row.Spot, AgentEpoch: 1, Tasks: []wire.TaskStatus{}}
-	for at := 0; ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
+	for current := 0; ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
 		r.Sequence++
 		data, _ := json.Marshal(r)
-		status, body := send(nodes[at], fasthttp.MethodPost, wire.PathHeartbeat, string(data))
+		status, body := send(nodes[current], fasthttp.MethodPost, wire.PathHeartbeat, string(data))
 		var a wire.HeartbeatResponse
 		if status != 200 || json.Unmarshal(body, &a) != nil {
-			at = (at + 1) % len(nodes)
+			current = (current + 1) % len(nodes)
 			continue
 		}
 		r.FencingToken = a.FencingToken
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -50,7 +50,7 @@
 	c.await(c.addrs[0], "POST", wire.PathJobs, fmt.Sprintf(submission, "job-000001"), 201, "")
 	c.await(c.addrs[0], "GET", wire.PathJobs+"/job-000001", "", 200, wire.JobDone)
 	var out bytes.Buffer
-	client := &operatorcli.Client{Addr: c.peers[1], Out: &out}
+	client := &operatorcli.Client{Addr: c.peerAddrs[1], Out: &out}
 	for range 2 {
 		if err := client.Apply(ctx, writeDrain(t, "a")); err != nil {
 			t.Fatal(err)
@@ -70,17 +70,17 @@
 	c.stop[0]()
 	<-c.stopped[0]
 	deadline := time.Now().Add(2 * time.Minute)
-	for drainState(c.peers[2]) != drain.Done {
+	for drainState(c.peerAddrs[2]) != drain.Done {
 		if time.Now().After(deadline) {
-			t.Fatalf("the drain is %q", drainState(c.peers[2]))
+			t.Fatalf("the drain is %q", drainState(c.peerAddrs[2]))
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	client.Addr = c.peers[2]
+	client.Addr = c.peerAddrs[2]
 	if err := client.Do(ctx, drain.Pause, "maintenance"); !errors.Is(err, operatorcli.ErrRefused) {
 		t.Errorf("pausing a drain that is done: %v", err)
 	}
-	if err := client.Do(ctx, drain.Cancel, "maintenance"); err != nil || drainState(c.peers[1]) != drain.Cancelled {
-		t.Errorf("cancelling a drain that is done: %v, state %s", err, drainState(c.peers[1]))
+	if err := client.Do(ctx, drain.Cancel, "maintenance"); err != nil || drainState(c.peerAddrs[1]) != drain.Cancelled {
+		t.Errorf("cancelling a drain that is done: %v, state %s", err, drainState(c.peerAddrs[1]))
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -25,14 +25,14 @@
 
 // Node is one scheduler process.
 type Node struct {
-	log      zerolog.Logger
-	config   *config.Config
-	operator *config.Operator
-	store    *kvstore.Client
-	cloud    *cloud.Client
-	hub      *peer.Hub
-	workers  *httpclient.Pool
-	election *election.Election
+	log           zerolog.Logger
+	config        *config.Config
+	operator      *config.Operator
+	store         *kvstore.Client
+	cloud         *cloud.Client
+	hub           *peer.Hub
+	workerClients *httpclient.Pool
+	election      *election.Election
 	// gracePeriod is how long a leader that can't renew its lease still answers worker heartbeats.
 	gracePeriod time.Duration
 
@@ -51,16 +51,16 @@
 // New returns a node with the given settings, which must have been validated.
 func New(log zerolog.Logger, c *config.Config, o *config.Operator) *Node {
 	n := &Node{
-		log:         log,
-		config:      c,
-		operator:    o,
-		store:       kvstore.NewClient(c.Services.KVStore, c.Params.KVStore, len(c.Peers)+1),
-		cloud:       cloud.NewClient(c.Services.Cloud, c.Params.Cloud),
-		hub:         peer.NewHub(log, c.Peers),
-		workers:     httpclient.NewPool(tuning.DirectConnections, leader.DirectCallSockets(c.Params.Limits)),
-		gracePeriod: leader.GracePeriod(c.Params.Workers),
-		tickSignal:  make(chan struct{}, 1),
-		writeSignal: make(chan struct{}, 1),
+		log:           log,
+		config:        c,
+		operator:      o,
+		store:         kvstore.NewClient(c.Services.KVStore, c.Params.KVStore, len(c.Peers)+1),
+		cloud:         cloud.NewClient(c.Services.Cloud, c.Params.Cloud),
+		hub:           peer.NewHub(log, c.Peers),
+		workerClients: httpclient.NewPool(tuning.DirectConnections, leader.DirectCallSockets(c.Params.Limits)),
+		gracePeriod:   leader.GracePeriod(c.Params.Workers),
+		tickSignal:    make(chan struct{}, 1),
+		writeSignal:   make(chan struct{}, 1),
 	}
 	n.election = &election.Election{Store: n.store, Node: c.Name, Log: log, OnElected: n.leadTerm}
 	if settings := o.AdmissionSettings(&c.Params); settings != nil {
@@ -75,25 +75,25 @@
 
 // Run serves until the context ends or a listener fails.
 func (n *Node) Run(ctx context.Context) error {
-	users, err := net.Listen("tcp4", n.config.Listen)
+	userListener, err := net.Listen("tcp4", n.config.Listen)
 	if err != nil {
 		return err
 	}
-	peers, err := net.Listen("tcp4", n.config.PeerListen)
+	peerListener, err := net.Listen("tcp4", n.config.PeerListen)
 	if err != nil {
 		return err
 	}
 	n.log.Info().Str("node", n.config.Name).Str("listen", n.config.Listen).Msg("node serving requests")
 	g, ctx := errgroup.WithContext(ctx)
 	server := api.New(n.log, n, n.config.Params.Limits)
-	g.Go(func() error { return server.Run(ctx, users) })
-	g.Go(func() error { return n.hub.Run(ctx, peers) })
+	g.Go(func() error { return server.Run(ctx, userListener) })
+	g.Go(func() error { return n.hub.Run(ctx, peerListener) })
 	g.Go(func() error { return n.election.Run(ctx) })
 	return g.Wait()
 }
 
-// signal wakes the loop that receives from ch. While the loop is busy, ch holds one signal
-// until it receives again, and drops the others.
+// signal wakes the loop that receives from ch. While the loop is busy, ch keeps one
+// signal for the next receive, and further signals are dropped.
 func signal(ch chan<- struct{}) {
 	select {
 	case ch <- struct{}{}:
