--- a/internal/node/routing.go
+++ b/internal/node/routing.go
@@ -9,9 +9,9 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Do carries a call out if this node leads, or forwards it to the leader. A submission
-// that comes from a user goes through admission first, unless that is off.
-func (n *Node) Do(ctx context.Context, c peer.Call) peer.Response {
+// Handle carries out a call if this node leads, and forwards it to the leader otherwise. A
+// submission received from a user first passes admission control, if that is on.
+func (n *Node) Handle(ctx context.Context, c peer.Call) peer.Response {
 	if n.gate != nil && c.Op == peer.OpSubmit && c.Hops == 0 {
 		return n.admit(ctx, c)
 	}
@@ -21,7 +21,8 @@
 	return n.forward(ctx, c)
 }
 
-// forward sends a call to the leader and waits for the response as long as the caller does.
+// forward sends a call to the leader and returns its response, or 503 if it doesn't arrive
+// before the caller's timeout.
 func (n *Node) forward(ctx context.Context, c peer.Call) peer.Response {
 	timeout := forwardTimeout(c.Op)
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -32,13 +33,13 @@
 	case err != nil:
 		return peer.ErrorResponse(http.StatusServiceUnavailable, "no leader within reach")
 	case !response.IsTerminal() && time.Since(sent) > timeout:
-		// This process may have been suspended, and the response be out of date.
+		// This process may have been suspended, and the response may be outdated.
 		return peer.ErrorResponse(http.StatusServiceUnavailable, "the leader's answer came late")
 	}
 	return response
 }
 
-// forwardTimeout is how long a caller waits for an operation.
+// forwardTimeout returns how long a caller waits for the response to an operation.
 func forwardTimeout(op peer.Operation) time.Duration {
 	switch op {
 	case peer.OpSubmit, peer.OpCancel, peer.OpDrain:
