--- a/cmd/loadtest/main_test.go
+++ b/cmd/loadtest/main_test.go
@@ -49,7 +49,7 @@
 	params := &config.Params{Teams: []config.Team{{Name: "blue"}}}
 	drains := (&drainCommand{Lost: 100}).operatorFile()
 	for _, file := range []string{admissionOn.operator, admissionOff.operator, drains} {
-		if _, err := config.ParseOperator([]byte(file), params); err != nil {
+		if _, err := config.ParseOperatorSettings([]byte(file), params); err != nil {
 			t.Errorf("%s: %v", file, err)
 		}
 	}
--- a/cmd/switchshore/serve.go
+++ b/cmd/switchshore/serve.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	operator, err := config.LoadOperator(c.Operator, &settings.Params)
+	operator, err := config.LoadOperatorSettings(c.Operator, &settings.Params)
 	if err != nil {
 		return err
 	}
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -82,7 +82,7 @@
 func (r *Request) agingFactor() float64 {
 	waited := r.Waited
 	if r.Dependent {
-		waited = max(waited, tuning.AdmissionDependentAge)
+		waited = max(waited, tuning.AdmissionDependentWait)
 	}
 	waited = min(max(waited, 0), tuning.AdmissionRetryWindow)
 	return 1 + waited.Seconds()/tuning.AdmissionAgingUnit.Seconds()
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -31,7 +31,7 @@
 		t.Error("an unknown team is known")
 	}
 	r := NewRegulator(s, 1, begin)
-	odd := OfferedLoad{Key: Key{"blue", "made up"}, Count: 100, Boosted: 100, Weight: 100}
+	odd := OfferedLoad{Key: Key{"blue", "made up"}, Count: 100, AgingFactorSum: 100, PriorityWeightSum: 100}
 	r.Update(begin, begin, LeaderLoad{}, []NodeOfferedLoad{{Node: "a", Started: 1}})
 	r.Update(begin.Add(time.Second), begin, LeaderLoad{}, []NodeOfferedLoad{{Node: "a", Started: 1, Loads: []OfferedLoad{odd}}})
 	if len(r.demands) != 0 {
--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -38,7 +38,7 @@
 // wasFiltered reports whether the node that has received the job has applied a
 // recent policy: to apply another revision here would shed twice.
 func (r *Regulator) wasFiltered(claim *Claim) bool {
-	return claim != nil && claim.Revision > 0 && claim.Revision+tuning.AdmissionRevisions >= r.policy.Revision
+	return claim != nil && claim.Revision > 0 && claim.Revision+tuning.AdmissionMaxRevisionLag >= r.policy.Revision
 }
 
 // limiterOf returns the limiter of a key; a key without one gets the part of one team
@@ -55,7 +55,7 @@
 // hasTaskCapacity reserves a part of the unfinished tasks for teams that use less than
 // their share of them: a few huge jobs of one team must not block the others.
 func (r *Regulator) hasTaskCapacity(request *Request, tasks TaskLoad) bool {
-	if float64(tasks.All+request.Tasks) <= tuning.MaxActiveTasks*(1-tuning.AdmissionTaskReserveShare) {
+	if float64(tasks.Total+request.Tasks) <= tuning.MaxActiveTasks*(1-tuning.AdmissionTaskReserveShare) {
 		return true
 	}
 	weight := 0.0
@@ -70,7 +70,7 @@
 // setLimiter returns the limiter, or a new one for nil, with the rate at which jobs of
 // a key may be admitted, whatever the followers forward.
 func setLimiter(now time.Time, limiter *rate.Limiter, perSecond float64) *rate.Limiter {
-	burst := max(1, int(math.Ceil(perSecond*tuning.AdmissionBurst.Seconds())))
+	burst := max(1, int(math.Ceil(perSecond*tuning.AdmissionBurstTime.Seconds())))
 	if limiter == nil {
 		return rate.NewLimiter(rate.Limit(perSecond), burst)
 	}
--- a/internal/admission/budget.go
+++ b/internal/admission/budget.go
@@ -21,18 +21,18 @@
 			return
 		}
 		r.shedding = true
-		r.budget = admitted / min(r.pressure, tuning.AdmissionMaxDecrease)
+		r.budget = admitted / min(r.pressure, tuning.AdmissionMaxDecreaseFactor)
 		r.calmSince = now
 	case r.pressure > 1:
-		r.budget = min(r.budget, max(admitted, 1)) / min(r.pressure, tuning.AdmissionMaxDecrease)
+		r.budget = min(r.budget, max(admitted, 1)) / min(r.pressure, tuning.AdmissionMaxDecreaseFactor)
 	default:
-		r.budget = r.budget*tuning.AdmissionGrowth + tuning.AdmissionStep
+		r.budget = r.budget*tuning.AdmissionGrowthFactor + tuning.AdmissionGrowthStep
 	}
 	r.budget = min(max(r.budget, tuning.AdmissionMinBudget), r.settings.WritesPerSecond)
 	if r.pressure > 1 || r.offeredRate() > r.budget {
 		r.calmSince = now
 	}
-	if now.Sub(r.calmSince) >= tuning.AdmissionCalmPeriod {
+	if now.Sub(r.calmSince) >= tuning.AdmissionRecoveryPeriod {
 		r.shedding = false
 	}
 }
--- a/internal/admission/fairshare.go
+++ b/internal/admission/fairshare.go
@@ -58,8 +58,8 @@
 	return granted
 }
 
-// MaxMin divides capacity among equals by max-min fairness.
-func MaxMin(capacity float64, demands []float64) []float64 {
+// MaxMinFairShares divides capacity among equals by max-min fairness.
+func MaxMinFairShares(capacity float64, demands []float64) []float64 {
 	claimants := make([]claimant, len(demands))
 	for i, d := range demands {
 		claimants[i] = claimant{demand: d, weight: 1}
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -36,10 +36,10 @@
 type OfferedLoad struct {
 	Key
 	Count int64 `json:"count"`
-	// Boosted is the sum of their aging factors.
-	Boosted float64 `json:"boosted"`
-	// Weight is the sum of the weights of their priorities.
-	Weight float64 `json:"weight"`
+	// AgingFactorSum is the sum of their aging factors.
+	AgingFactorSum float64 `json:"boosted"`
+	// PriorityWeightSum is the sum of the weights of their priorities.
+	PriorityWeightSum float64 `json:"weight"`
 }
 
 // NodeOfferedLoad is the offered load of a node. Counts only grow while Started is the same.
@@ -67,9 +67,9 @@
 func NewGate(s *Settings, started uint64) *Gate {
 	g := &Gate{
 		settings: s, started: started, offered: map[Key]*OfferedLoad{}, historyByTeam: map[string]*jobHistory{},
-		leaderQueries: rate.NewLimiter(tuning.AdmissionChecksPerSecond, tuning.AdmissionChecksPerSecond),
+		leaderQueries: rate.NewLimiter(tuning.AdmissionLeaderQueriesPerSecond, tuning.AdmissionLeaderQueriesPerSecond),
 	}
-	size := max(tuning.AdmissionMaxRemembered/max(len(s.Teams), 1), 1)
+	size := max(tuning.AdmissionMaxTrackedJobs/max(len(s.Teams), 1), 1)
 	for _, t := range s.Teams {
 		rejected, _ := simplelru.NewLRU[string, time.Time](size, nil) // the only error is a size below one
 		admitted, _ := simplelru.NewLRU[string, struct{}](size, nil)  // the same
@@ -159,11 +159,11 @@
 		offered[r.Key] = o
 	}
 	o.Count++
-	o.Boosted += r.agingFactor()
-	o.Weight += priorityWeight(r.PriorityRank)
+	o.AgingFactorSum += r.agingFactor()
+	o.PriorityWeightSum += priorityWeight(r.PriorityRank)
 }
 
 // priorityWeight is the weight of a job in the division of its team's share.
 func priorityWeight(rank int) float64 {
-	return float64(int(1) << max(0, tuning.AdmissionLowestRank-rank))
+	return float64(int(1) << max(0, tuning.AdmissionLowestPriorityRank-rank))
 }
--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -48,7 +48,7 @@
 	request := func(team, id string) *Request { return &Request{ID: id, Key: Key{team, "urgent"}} }
 	g.RecordRejected(begin, request("green", "job-1"))
 	g.RecordAdmitted(request("green", "job-2"))
-	for i := range 3 * tuning.AdmissionMaxRemembered {
+	for i := range 3 * tuning.AdmissionMaxTrackedJobs {
 		r := request("blue", fmt.Sprint("job-9", i))
 		g.RecordRejected(begin, r)
 		g.RecordAdmitted(r)
@@ -58,7 +58,7 @@
 	for _, m := range g.historyByTeam {
 		remembered += m.rejected.Len() + m.admitted.Len()
 	}
-	if remembered > 2*tuning.AdmissionMaxRemembered {
+	if remembered > 2*tuning.AdmissionMaxTrackedJobs {
 		t.Errorf("%d ids remembered", remembered)
 	}
 	later := begin.Add(20 * time.Second)
--- a/internal/admission/load.go
+++ b/internal/admission/load.go
@@ -9,17 +9,17 @@
 
 // LeaderLoad is the load of a leader at a time.
 type LeaderLoad struct {
-	// Waiting is the number of writes that users wait for and that are not durable.
-	Waiting int
-	// Written counts such writes sent to the key-value store in this term.
-	Written int64
+	// PendingWrites is the number of writes that users wait for and that are not durable.
+	PendingWrites int
+	// SentWrites counts such writes sent to the key-value store in this term.
+	SentWrites int64
 	// Lag is the delay of the leader's periodic work, for want of processor time.
 	Lag time.Duration
 }
 
 // TaskLoad is the number of unfinished tasks of all teams, and of the submitting one.
 type TaskLoad struct {
-	All, Team int
+	Total, Team int
 }
 
 // demand is what is submitted under a key per second, smoothed.
@@ -34,7 +34,7 @@
 		d.count *= decay
 		d.boosted *= decay
 		d.weight *= decay
-		if d.count < tuning.AdmissionMinOfferRate {
+		if d.count < tuning.AdmissionMinOfferedRate {
 			delete(r.demands, k)
 		}
 	}
@@ -77,22 +77,22 @@
 			r.demands[o.Key] = d
 		}
 		d.count += float64(o.Count-was.Count) * perSecond
-		d.boosted += max(0, o.Boosted-was.Boosted) * perSecond
-		d.weight += max(0, o.Weight-was.Weight) * perSecond
+		d.boosted += max(0, o.AgingFactorSum-was.AgingFactorSum) * perSecond
+		d.weight += max(0, o.PriorityWeightSum-was.PriorityWeightSum) * perSecond
 	}
 }
 
 // measurePressure relates the load to its targets: above 1 there is too much.
 func (r *Regulator) measurePressure(passed time.Duration, load LeaderLoad) {
-	if written := load.Written - r.written; load.Waiting > 0 && written > 0 && passed > 0 {
+	if written := load.SentWrites - r.written; load.PendingWrites > 0 && written > 0 && passed > 0 {
 		// Only a queue shows the capacity of the key-value store, and nothing does
 		// during an outage.
 		drained := float64(written) / passed.Seconds()
 		r.capacity += (min(drained, r.settings.WritesPerSecond) - r.capacity) * tuning.AdmissionCapacityWeight
 	}
-	r.written = load.Written
+	r.written = load.SentWrites
 	r.previousPressure = r.pressure
-	delay := float64(load.Waiting) / max(r.capacity, 1)
+	delay := float64(load.PendingWrites) / max(r.capacity, 1)
 	r.pressure = max(delay/tuning.AdmissionTargetDelay.Seconds(), load.Lag.Seconds()/tuning.AdmissionTargetLag.Seconds())
 }
 
--- a/internal/admission/regulator.go
+++ b/internal/admission/regulator.go
@@ -114,13 +114,13 @@
 type Summary struct {
 	Shedding         bool
 	Pressure, Budget float64
-	// Offered is the rate of submissions per second, retries included; Shed are the
+	// OfferedRate is the rate of submissions per second, retries included; Shed are the
 	// keys of which not everything is admitted.
-	Offered float64
-	Shed    []Share
+	OfferedRate   float64
+	ReducedShares []Share
 }
 
 // Summary returns the figures of the last update.
 func (r *Regulator) Summary() Summary {
-	return Summary{Shedding: r.shedding, Pressure: r.pressure, Budget: r.budget, Offered: r.offeredRate(), Shed: r.policy.Shares}
+	return Summary{Shedding: r.shedding, Pressure: r.pressure, Budget: r.budget, OfferedRate: r.offeredRate(), ReducedShares: r.policy.Shares}
 }
--- a/internal/admission/regulator_test.go
+++ b/internal/admission/regulator_test.go
@@ -41,7 +41,7 @@
 	for _, c := range o.counts {
 		n.Loads = append(n.Loads, *c)
 	}
-	o.Update(o.at, o.at, LeaderLoad{Waiting: waiting, Written: o.written + 40}, []NodeOfferedLoad{n})
+	o.Update(o.at, o.at, LeaderLoad{PendingWrites: waiting, SentWrites: o.written + 40}, []NodeOfferedLoad{n})
 	return admitted
 }
 
@@ -99,7 +99,7 @@
 			}
 		}
 	}
-	if most := budget*tuning.AdmissionBurst.Seconds() + 1; float64(admitted) > most {
+	if most := budget*tuning.AdmissionBurstTime.Seconds() + 1; float64(admitted) > most {
 		t.Errorf("%d admitted at once with a budget of %.1f a second", admitted, budget)
 	}
 }
@@ -153,7 +153,7 @@
 	r := NewRegulator(settings(), 1, begin)
 	asks := func(team string, all, own int) bool {
 		request := Request{ID: "job-1", Key: Key{team, "urgent"}, Tasks: 100_000}
-		return r.Admit(begin, &request, &Claim{}, TaskLoad{All: all, Team: own}).Admitted
+		return r.Admit(begin, &request, &Claim{}, TaskLoad{Total: all, Team: own}).Admitted
 	}
 	if most := int(tuning.MaxActiveTasks * (1 - tuning.AdmissionTaskReserveShare)); !asks("blue", most-100_000, most-100_000) || asks("blue", most, most) {
 		t.Error("blue takes the capacity reserved for others, or may not borrow")
@@ -190,7 +190,7 @@
 		if d := r.demands[k]; d != nil {
 			before = d.count * math.Exp(-tuning.AdmissionInterval.Seconds()/tuning.AdmissionOfferedLoadDecay.Seconds())
 		}
-		o := OfferedLoad{Key: k, Count: count, Boosted: float64(count), Weight: float64(count)}
+		o := OfferedLoad{Key: k, Count: count, AgingFactorSum: float64(count), PriorityWeightSum: float64(count)}
 		r.Update(at, at, LeaderLoad{}, []NodeOfferedLoad{{Node: "a", Started: started, Loads: []OfferedLoad{o}}})
 		if d := r.demands[k]; d != nil {
 			return (d.count - before) * tuning.AdmissionOfferedLoadDecay.Seconds()
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -65,7 +65,7 @@
 	}
 	sockets := float64(limits.MaxConnections)
 	all = max(minConnections, int(sockets*tuning.SocketShare))
-	workers = max(minWorkerConnections, int(sockets*tuning.WorkerShare))
+	workers = max(minWorkerConnections, int(sockets*tuning.WorkerSocketShare))
 	return all, workers
 }
 
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -35,7 +35,7 @@
 // newBudget returns the leader's share of the cloud's limits. At most a second of it may be
 // used at once: an earlier leader may have used up the cloud's burst.
 func newBudget(limits config.CloudLimits) *rate.Limiter {
-	perSecond := limits.RPS * tuning.CloudShare
+	perSecond := limits.RPS * tuning.CloudCallShare
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
 
--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -137,7 +137,7 @@
 }
 
 // AdmissionSettings returns the settings of admission control, nil if it is off.
-func (o *Operator) AdmissionSettings(p *Params) *admission.Settings {
+func (o *OperatorSettings) AdmissionSettings(p *Params) *admission.Settings {
 	if o.Admission == nil {
 		return nil
 	}
--- a/internal/config/errors_test.go
+++ b/internal/config/errors_test.go
@@ -17,7 +17,7 @@
 		return err
 	}
 	parseOperator := func(text string) error {
-		_, err := config.ParseOperator([]byte(text), &config.Params{Teams: []config.Team{{Name: "blue"}}})
+		_, err := config.ParseOperatorSettings([]byte(text), &config.Params{Teams: []config.Team{{Name: "blue"}}})
 		return err
 	}
 	for _, c := range []struct {
@@ -56,7 +56,7 @@
 			t.Errorf("%v is of field %+v, want %s", err, invalid, c.field)
 		}
 	}
-	if err := parseOperator(""); !errors.Is(err, config.ErrNoElement) {
+	if err := parseOperator(""); !errors.Is(err, config.ErrNoRootElement) {
 		t.Errorf("%v", err)
 	}
 	if err := parseOperator("<switchshore/><switchshore/>"); !errors.Is(err, config.ErrExtraContent) {
@@ -84,7 +84,7 @@
 	check(path, "facts.workers.lease_s", err)
 	for field, value := range map[string]string{"max": "1.5", "keepIdleSeconds": "soon", "planHorizonSeconds": "-1"} {
 		path := write("operator.xml", "<switchshore><machines><"+field+">"+value+"</"+field+"></machines></switchshore>")
-		_, err := config.LoadOperator(path, &config.Params{})
+		_, err := config.LoadOperatorSettings(path, &config.Params{})
 		check(path, "machines/"+field, err)
 	}
 	missing := filepath.Join(t.TempDir(), "missing")
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -14,8 +14,8 @@
 	"switchshore.example/switchshore/internal/drain"
 )
 
-// Operator is the operators' own settings. A field that is zero has its default, or is off.
-type Operator struct {
+// OperatorSettings is the operators' own settings. A field that is zero has its default, or is off.
+type OperatorSettings struct {
 	// MaxMachines bounds the machines provisioned at a time; the default is no bound.
 	MaxMachines int
 	// ScaleInIdleS is how long an idle machine is kept, in seconds.
@@ -39,31 +39,31 @@
 	Drains    *drainsElement    `xml:"drains"`
 }
 
-// LoadOperator reads and checks the operators' file for a deployment. An empty path gives the
+// LoadOperatorSettings reads and checks the operators' file for a deployment. An empty path gives the
 // defaults.
-func LoadOperator(path string, p *Params) (*Operator, error) {
+func LoadOperatorSettings(path string, p *Params) (*OperatorSettings, error) {
 	if path == "" {
-		return &Operator{}, nil
+		return &OperatorSettings{}, nil
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("operator settings: %w", err)
 	}
-	o, err := ParseOperator(data, p)
+	o, err := ParseOperatorSettings(data, p)
 	if err != nil {
 		return nil, fmt.Errorf("operator settings %s: %w", path, err)
 	}
 	return o, nil
 }
 
-// ParseOperator decodes and checks the operators' file for a deployment. The error is a
+// ParseOperatorSettings decodes and checks the operators' file for a deployment. The error is a
 // FieldError, ErrNoElement, ErrExtraContent, or that of the XML decoder.
-func ParseOperator(data []byte, p *Params) (*Operator, error) {
+func ParseOperatorSettings(data []byte, p *Params) (*OperatorSettings, error) {
 	file, err := decodeOperator(data)
 	if err != nil {
 		return nil, err
 	}
-	o := &Operator{}
+	o := &OperatorSettings{}
 	maxMachines, err := parseAmount("machines/max", file.MaxMachines)
 	if err != nil {
 		return nil, err
@@ -89,8 +89,8 @@
 
 // Errors of an operators' file as a whole.
 var (
-	ErrNoElement    = errors.New("no switchshore element")
-	ErrExtraContent = errors.New("more than the switchshore element")
+	ErrNoRootElement = errors.New("no switchshore element")
+	ErrExtraContent  = errors.New("more than the switchshore element")
 )
 
 // decodeOperator decodes the one element that the file consists of.
@@ -99,7 +99,7 @@
 	decoder := xml.NewDecoder(bytes.NewReader(data))
 	err := decoder.Decode(&file)
 	if errors.Is(err, io.EOF) {
-		return nil, ErrNoElement
+		return nil, ErrNoRootElement
 	}
 	if err != nil {
 		return nil, err
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -10,12 +10,12 @@
 
 // TestParseOperator: a file is read as written, and other documents are refused.
 func TestParseOperator(t *testing.T) {
-	o, err := config.ParseOperator([]byte(`<switchshore><machines><max>9</max></machines></switchshore>`), &config.Params{})
+	o, err := config.ParseOperatorSettings([]byte(`<switchshore><machines><max>9</max></machines></switchshore>`), &config.Params{})
 	if err != nil || o.MaxMachines != 9 {
 		t.Fatalf("%+v %v", o, err)
 	}
 	for _, bad := range []string{"", "<other/>", `<switchshore><machines><max>-1</max></machines></switchshore>`} {
-		if _, err := config.ParseOperator([]byte(bad), &config.Params{}); err == nil {
+		if _, err := config.ParseOperatorSettings([]byte(bad), &config.Params{}); err == nil {
 			t.Errorf("%q accepted", bad)
 		}
 	}
@@ -29,8 +29,8 @@
 		Objectives: []config.Objective{{Class: "urgent"}, {Class: "urgent"}, {Class: "nightly"}, {}},
 		KVStore:    config.KVStoreLimits{WriteRPS: 80},
 	}
-	parse := func(inner string) (*config.Operator, error) {
-		return config.ParseOperator([]byte("<switchshore>"+inner+"</switchshore>"), p)
+	parse := func(inner string) (*config.OperatorSettings, error) {
+		return config.ParseOperatorSettings([]byte("<switchshore>"+inner+"</switchshore>"), p)
 	}
 	o, err := parse(`<!-- on --><admission><team name="blue" weight="2" floor="0.25"><class name="urgent" weight="4"/></team></admission>`)
 	if err != nil {
@@ -63,7 +63,7 @@
 		}
 	}
 	for _, file := range []string{"<switchshore><admission>", "<switchshore/><admission/>", "<switchshore/>more"} {
-		if _, err := config.ParseOperator([]byte(file), p); err == nil {
+		if _, err := config.ParseOperatorSettings([]byte(file), p); err == nil {
 			t.Errorf("%s accepted", file)
 		}
 	}
@@ -73,8 +73,8 @@
 // of each mistake names the field.
 func TestDrainsElement(t *testing.T) {
 	p := &config.Params{Teams: []config.Team{{Name: "blue"}, {Name: "green"}}}
-	parse := func(text string) (*config.Operator, error) {
-		return config.ParseOperator([]byte("<switchshore>"+text+"</switchshore>"), p)
+	parse := func(text string) (*config.OperatorSettings, error) {
+		return config.ParseOperatorSettings([]byte("<switchshore>"+text+"</switchshore>"), p)
 	}
 	o, err := parse(`<drains windowSeconds="120"><budget team="blue" evictions="0"/><budget maxUnavailable="3" lostSeconds="9.5"/></drains>`)
 	if err != nil {
--- a/internal/jobs/failures.go
+++ b/internal/jobs/failures.go
@@ -59,5 +59,5 @@
 // FailsEverywhere reports whether the job itself seems to be at fault: its tasks have failed on
 // FailsEverywhereMachines machines, and none is done.
 func (j *Job) FailsEverywhere() bool {
-	return len(j.failedOn) >= tuning.FailsEverywhereMachines && j.CompletedTasks() == 0
+	return len(j.failedOn) >= tuning.FaultyJobMachines && j.CompletedTasks() == 0
 }
--- a/internal/jobs/tasks_test.go
+++ b/internal/jobs/tasks_test.go
@@ -122,7 +122,7 @@
 
 func TestJobFailsEverywhereUntilATaskIsDone(t *testing.T) {
 	j := newActiveJob("job-1", 2)
-	for i := range tuning.FailsEverywhereMachines {
+	for i := range tuning.FaultyJobMachines {
 		if j.FailsEverywhere() {
 			t.Fatalf("reported after %d machines", i)
 		}
--- a/internal/leader/admission.go
+++ b/internal/leader/admission.go
@@ -33,7 +33,7 @@
 
 // newAdmissionControl returns the term's admission control, which is off unless the operators
 // have enabled it.
-func newAdmissionControl(p *config.Params, o *config.Operator, term uint64, now time.Time) *admissionControl {
+func newAdmissionControl(p *config.Params, o *config.OperatorSettings, term uint64, now time.Time) *admissionControl {
 	c := &admissionControl{settings: o.AdmissionSettings(p), unfinishedByTeam: map[string]int{}}
 	if c.settings != nil {
 		c.regulator = admission.NewRegulator(c.settings, term, now)
@@ -53,7 +53,7 @@
 		return nil
 	}
 	request := NewAdmissionRequest(c.settings, spec)
-	tasks := admission.TaskLoad{All: c.unfinished, Team: c.unfinishedByTeam[spec.Team]}
+	tasks := admission.TaskLoad{Total: c.unfinished, Team: c.unfinishedByTeam[spec.Team]}
 	decision := c.regulator.Admit(now, request, claim, tasks)
 	if decision.Admitted {
 		return nil
@@ -77,13 +77,13 @@
 	}
 	wasShedding := l.admission.regulator.Shedding()
 	l.admission.regulator.Update(now, wall, admission.LeaderLoad{
-		Waiting: l.writes.Interactive.Len(),
-		Written: l.writes.Interactive.Dequeued(),
-		Lag:     lag,
+		PendingWrites: l.writes.Interactive.Len(),
+		SentWrites:    l.writes.Interactive.Dequeued(),
+		Lag:           lag,
 	}, nodes)
 	if shedding := l.admission.regulator.Shedding(); shedding != wasShedding {
 		s := l.admission.regulator.Summary()
-		l.log.Info().Bool("shedding", shedding).Float64("pressure", s.Pressure).Float64("offered", s.Offered).
+		l.log.Info().Bool("shedding", shedding).Float64("pressure", s.Pressure).Float64("offered", s.OfferedRate).
 			Float64("budget", s.Budget).Msg("admission control changed")
 	}
 }
--- a/internal/leader/admission_test.go
+++ b/internal/leader/admission_test.go
@@ -19,7 +19,7 @@
 // changes have waited for long. One job, job-1, is accepted.
 func sheddingLeader(t *testing.T) *testLeader {
 	t.Helper()
-	operator := config.Operator{Admission: &config.Admission{}}
+	operator := config.OperatorSettings{Admission: &config.Admission{}}
 	l := &testLeader{
 		Leader: leader.New(zerolog.Nop(), params, operator, 5, start, leader.GracePeriod(params.Workers)),
 		t:      t, now: start, store: map[string]json.RawMessage{},
--- a/internal/leader/benchmark_test.go
+++ b/internal/leader/benchmark_test.go
@@ -40,7 +40,7 @@
 	b.Helper()
 	settings := params
 	settings.Teams = []config.Team{{Name: "blue"}} // without a limit
-	l := leader.New(zerolog.Nop(), settings, config.Operator{}, 1, start, leader.GracePeriod(settings.Workers))
+	l := leader.New(zerolog.Nop(), settings, config.OperatorSettings{}, 1, start, leader.GracePeriod(settings.Workers))
 	l.FinishLoading(start)
 	l.SetMachineTypes([]wire.MachineType{bigType})
 	c := &benchmarkCluster{Leader: l, b: b, now: start}
--- a/internal/leader/direct_calls.go
+++ b/internal/leader/direct_calls.go
@@ -104,7 +104,7 @@
 	if l.MaxConnections <= 0 {
 		return tuning.DirectMaxCalls
 	}
-	return max(1, int(float64(l.MaxConnections)*tuning.DirectShare))
+	return max(1, int(float64(l.MaxConnections)*tuning.DirectSocketShare))
 }
 
 // DirectCallDone applies the outcome of a direct call, with the heartbeat in the agent's reply
--- a/internal/leader/drain_test.go
+++ b/internal/leader/drain_test.go
@@ -17,8 +17,8 @@
 )
 
 // drainOperator turns drains on with a budget for all teams.
-func drainOperator(b drain.Budget) config.Operator {
-	return config.Operator{Drains: &drain.Budgets{Window: 10 * time.Minute, Default: b}}
+func drainOperator(b drain.Budget) config.OperatorSettings {
+	return config.OperatorSettings{Drains: &drain.Budgets{Window: 10 * time.Minute, Default: b}}
 }
 
 var ample = drain.Budget{MaxUnavailable: 10, Evictions: 10, LostS: 10_000}
@@ -68,7 +68,7 @@
 }
 
 // leaderWithTask is a leader with one task that runs on m1 and has done so for a while.
-func leaderWithTask(t *testing.T, operator config.Operator) (*testLeader, wire.TaskStatus) {
+func leaderWithTask(t *testing.T, operator config.OperatorSettings) (*testLeader, wire.TaskStatus) {
 	t.Helper()
 	l := newLeaderWith(t, operator, 5, start, map[string]json.RawMessage{})
 	l.submit("job-1")
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -46,10 +46,10 @@
 
 func newLeader(t *testing.T, term uint64, now time.Time, store map[string]json.RawMessage) *testLeader {
 	t.Helper()
-	return newLeaderWith(t, config.Operator{}, term, now, store)
+	return newLeaderWith(t, config.OperatorSettings{}, term, now, store)
 }
 
-func newLeaderWith(t *testing.T, operator config.Operator, term uint64, now time.Time, store map[string]json.RawMessage) *testLeader {
+func newLeaderWith(t *testing.T, operator config.OperatorSettings, term uint64, now time.Time, store map[string]json.RawMessage) *testLeader {
 	t.Helper()
 	c := leader.New(zerolog.Nop(), params, operator, term, now, leader.GracePeriod(params.Workers))
 	for _, prefix := range records.LoadOrder {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -26,7 +26,7 @@
 type Leader struct {
 	log          zerolog.Logger
 	params       config.Params
-	operator     config.Operator
+	operator     config.OperatorSettings
 	term         uint64
 	attemptCount uint64 // attempt numbers assigned so far
 	timing       machines.Timing
@@ -72,7 +72,7 @@
 
 // New returns an empty state for a term that begins at now. grace is how long a leader that
 // can't reach the key-value store keeps responding to heartbeats.
-func New(log zerolog.Logger, p config.Params, o config.Operator, term uint64, now time.Time, grace time.Duration) *Leader {
+func New(log zerolog.Logger, p config.Params, o config.OperatorSettings, term uint64, now time.Time, grace time.Duration) *Leader {
 	l := &Leader{
 		log:                log,
 		params:             p,
--- a/internal/leader/records_test.go
+++ b/internal/leader/records_test.go
@@ -98,7 +98,7 @@
 	l.accept(spec("job-1"), dependentJob("job-2", "job-1"), dependentJob("job-3", "job-2"))
 	load := func(store map[string]json.RawMessage) (*leader.Leader, string, error) {
 		var logs bytes.Buffer
-		c := leader.New(zerolog.New(&logs), params, config.Operator{}, 6, l.now, 0)
+		c := leader.New(zerolog.New(&logs), params, config.OperatorSettings{}, 6, l.now, 0)
 		for _, prefix := range records.LoadOrder {
 			for _, key := range slices.Sorted(maps.Keys(store)) {
 				if !strings.HasPrefix(key, prefix) {
@@ -186,7 +186,7 @@
 	l.accept(spec("job-1"), spec("job-2"))
 	params.KVStore.ValueKB = 0.05 // less than any start record takes
 	var logs bytes.Buffer
-	c := leader.New(zerolog.New(&logs), params, config.Operator{}, 6, l.now, 0)
+	c := leader.New(zerolog.New(&logs), params, config.OperatorSettings{}, 6, l.now, 0)
 	for _, id := range []string{"job-1", "job-2"} {
 		if err := c.LoadRecord(l.now, l.now, wire.KeyValue{Key: "j/" + id, Value: l.store["j/"+id]}); err != nil {
 			t.Fatal(err)
--- a/internal/leader/recovery_test.go
+++ b/internal/leader/recovery_test.go
@@ -110,7 +110,7 @@
 func TestSuccessorKnowsTheCatalogue(t *testing.T) {
 	l, _ := running(t)
 	l.commit()
-	next := leader.New(zerolog.Nop(), params, config.Operator{}, 6, l.now, 0)
+	next := leader.New(zerolog.Nop(), params, config.OperatorSettings{}, 6, l.now, 0)
 	for key, value := range l.store {
 		if strings.HasPrefix(key, records.MachineTypesKey) {
 			if err := next.LoadRecord(l.now, l.now, wire.KeyValue{Key: key, Value: value}); err != nil {
--- a/internal/leader/requests_test.go
+++ b/internal/leader/requests_test.go
@@ -101,7 +101,7 @@
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
-	fresh := leader.New(zerolog.Nop(), params, config.Operator{}, 1, start, 0)
+	fresh := leader.New(zerolog.Nop(), params, config.OperatorSettings{}, 1, start, 0)
 	var got leader.Response
 	fresh.Submit(start, start, spec("job-1"), func(v leader.Response) { got = v })
 	if got.Status != 503 {
@@ -114,7 +114,7 @@
 func TestGuestTeam(t *testing.T) {
 	with := params
 	with.Teams = append(slices.Clone(params.Teams), config.Team{Name: "guests"})
-	c := leader.New(zerolog.Nop(), with, config.Operator{}, 5, start, 0)
+	c := leader.New(zerolog.Nop(), with, config.OperatorSettings{}, 5, start, 0)
 	c.SetMachineTypes([]wire.MachineType{bigType})
 	l := &testLeader{Leader: c, t: t, now: start, store: map[string]json.RawMessage{}}
 	j := spec("job-1")
--- a/internal/loadtest/summary.go
+++ b/internal/loadtest/summary.go
@@ -104,7 +104,7 @@
 		demands[i] = submitted[team]
 	}
 	sum, squares := 0.0, 0.0
-	for i, fair := range admission.MaxMin(total, demands) {
+	for i, fair := range admission.MaxMinFairShares(total, demands) {
 		if fair > 0 {
 			x := accepted[teams[i]] / fair
 			sum += x
--- a/internal/machines/capacity.go
+++ b/internal/machines/capacity.go
@@ -47,7 +47,7 @@
 	if !now.Before(c.reservedUntil) || rank < c.reservedRank {
 		c.reservedRank = rank
 	}
-	c.reservedUntil = now.Add(tuning.PreemptReservation)
+	c.reservedUntil = now.Add(tuning.PreemptReservationTime)
 }
 
 // Reservation returns the lowest priority for which free resources are reserved now; reserved is
--- a/internal/machines/failures.go
+++ b/internal/machines/failures.go
@@ -39,4 +39,4 @@
 
 // isFaulty reports whether tasks of so many jobs have failed in a row that the machine counts as
 // faulty.
-func (f *failures) isFaulty() bool { return len(f.failedJobs) >= tuning.QuarantineJobs }
+func (f *failures) isFaulty() bool { return len(f.failedJobs) >= tuning.FaultyMachineJobs }
--- a/internal/machines/machine_test.go
+++ b/internal/machines/machine_test.go
@@ -61,17 +61,17 @@
 			m.RecordHeartbeat(start, &wire.Heartbeat{ReclaimNoticeS: &notice})
 		}, want: machines.CordonReclaimed},
 		"some responses ignored": {change: func(m *machines.Machine) {
-			for range tuning.MaxIgnoredResponses - 1 {
+			for range tuning.MaxIneffectiveResponses - 1 {
 				m.RecordIgnoredResponse(start)
 			}
 		}},
 		"responses ignored": {change: func(m *machines.Machine) {
-			for range tuning.MaxIgnoredResponses {
+			for range tuning.MaxIneffectiveResponses {
 				m.RecordIgnoredResponse(start)
 			}
 		}, want: machines.CordonUnresponsive},
 		"start observed": {change: func(m *machines.Machine) {
-			for range tuning.MaxIgnoredResponses {
+			for range tuning.MaxIneffectiveResponses {
 				m.RecordIgnoredResponse(start)
 			}
 			m.RecordStartObserved()
@@ -87,10 +87,10 @@
 
 func TestQuarantineAfterFailuresOfSeveralJobs(t *testing.T) {
 	m := newReportingMachine(start)
-	for i := range tuning.QuarantineJobs {
+	for i := range tuning.FaultyMachineJobs {
 		id := fmt.Sprintf("job-%d", i)
 		m.AvoidJob(id)
-		if quarantined := m.AddFailedJob(id); quarantined != (i == tuning.QuarantineJobs-1) {
+		if quarantined := m.AddFailedJob(id); quarantined != (i == tuning.FaultyMachineJobs-1) {
 			t.Errorf("after %d jobs: %v", i+1, quarantined)
 		}
 	}
@@ -264,7 +264,7 @@
 	if rank, reserved := m.Reservation(start); rank != 1 || !reserved {
 		t.Errorf("rank %d, reserved: %v", rank, reserved)
 	}
-	later := start.Add(tuning.PreemptReservation)
+	later := start.Add(tuning.PreemptReservationTime)
 	m.Reserve(later, 2)
 	if rank, reserved := m.Reservation(later); rank != 2 || !reserved {
 		t.Errorf("after the first reservation: rank %d, reserved: %v", rank, reserved)
--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -49,7 +49,7 @@
 // another node: the leader is asked about it first, if there are not too many.
 func (n *Node) rejectOverload(ctx context.Context, r *admission.Request, d admission.Decision) peer.Response {
 	if n.gate.mayQueryLeader(time.Now(), r) {
-		ctx, cancel := context.WithTimeout(ctx, tuning.AdmissionCheckTimeout)
+		ctx, cancel := context.WithTimeout(ctx, tuning.AdmissionLeaderQueryTimeout)
 		defer cancel()
 		query := peer.Call{Op: peer.OpQuery, Job: r.ID}
 		if response := n.forward(ctx, query); response.Status == http.StatusOK {
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -49,11 +49,11 @@
 }
 
 func start(t *testing.T, size int) *cluster {
-	return startWith(t, size, &config.Operator{}, func(*config.Params) {})
+	return startWith(t, size, &config.OperatorSettings{}, func(*config.Params) {})
 }
 
 // startWith starts nodes with the operators' settings given, after a change of the others.
-func startWith(t *testing.T, size int, operator *config.Operator, change func(*config.Params)) *cluster {
+func startWith(t *testing.T, size int, operator *config.OperatorSettings, change func(*config.Params)) *cluster {
 	services := simulation.NewServer(wire.MachineType{
 		Name: "std-8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootTimeS: 0.1, Zones: []string{"a"},
 	})
@@ -99,7 +99,7 @@
 }
 
 // startNode runs a node until the context ends or the node is stopped.
-func (c *cluster) startNode(ctx context.Context, cfg *config.Config, operator *config.Operator) {
+func (c *cluster) startNode(ctx context.Context, cfg *config.Config, operator *config.OperatorSettings) {
 	ctx, stop := context.WithCancel(ctx)
 	ended := make(chan struct{})
 	c.stop, c.ended = append(c.stop, stop), append(c.ended, ended)
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -45,7 +45,7 @@
 // one has ended; what is wrong is refused in one line.
 func TestDrainCommands(t *testing.T) {
 	ctx := context.Background()
-	operator := &config.Operator{Drains: &drain.Budgets{Window: time.Minute}}
+	operator := &config.OperatorSettings{Drains: &drain.Budgets{Window: time.Minute}}
 	c := startWith(t, 3, operator, func(*config.Params) {})
 	c.until(c.addrs[0], "POST", wire.PathJobs, fmt.Sprintf(submission, "job-000001"), 201, "")
 	c.until(c.addrs[0], "GET", wire.PathJobs+"/job-000001", "", 200, wire.JobDone)
--- a/internal/node/local_test.go
+++ b/internal/node/local_test.go
@@ -32,7 +32,7 @@
 func (n *Node) lead(renewed time.Time) {
 	params := config.Params{Workers: config.Workers{HeartbeatIntervalS: 3, LeaseS: 15, CancelDeadlineS: 45}}
 	n.leadership = election.NewLeadership(testTerm, renewed)
-	n.leader = leader.New(zerolog.Nop(), params, config.Operator{}, testTerm, renewed, n.grace)
+	n.leader = leader.New(zerolog.Nop(), params, config.OperatorSettings{}, testTerm, renewed, n.grace)
 	n.leader.FinishLoading(renewed)
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -27,7 +27,7 @@
 type Node struct {
 	log      zerolog.Logger
 	config   *config.Config
-	operator *config.Operator
+	operator *config.OperatorSettings
 	store    *kvstore.Client
 	cloud    *cloud.Client
 	hub      *peer.Hub
@@ -49,7 +49,7 @@
 }
 
 // New builds a node from checked settings.
-func New(log zerolog.Logger, c *config.Config, o *config.Operator) *Node {
+func New(log zerolog.Logger, c *config.Config, o *config.OperatorSettings) *Node {
 	n := &Node{
 		log:         log,
 		config:      c,
--- a/internal/node/overload_test.go
+++ b/internal/node/overload_test.go
@@ -27,7 +27,7 @@
 // jobs away at once, with a time to come back; what is wrong gets the same answers as ever,
 // an accepted job is known, and another team's jobs are accepted when they come back.
 func TestOverloadOverLoopback(t *testing.T) {
-	c := startWith(t, 3, &config.Operator{Admission: &config.Admission{}}, func(p *config.Params) {
+	c := startWith(t, 3, &config.OperatorSettings{Admission: &config.Admission{}}, func(p *config.Params) {
 		p.KVStore.WriteRPS = 20
 		p.Teams = append(p.Teams, config.Team{Name: "green", CPUs: 8, CPUsMax: 16})
 	})
--- a/internal/node/summary.go
+++ b/internal/node/summary.go
@@ -7,8 +7,8 @@
 	shares, on := t.state.AdmissionSummary()
 	t.node.mu.Unlock()
 	if on && shares.Shedding {
-		event := t.node.log.Info().Float64("pressure", shares.Pressure).Float64("budget", shares.Budget).Float64("offered", shares.Offered)
-		for _, s := range shares.Shed {
+		event := t.node.log.Info().Float64("pressure", shares.Pressure).Float64("budget", shares.Budget).Float64("offered", shares.OfferedRate)
+		for _, s := range shares.ReducedShares {
 			event = event.Float64(s.Team+"/"+s.Class, s.Admit)
 		}
 		event.Msg("shedding load")
--- a/internal/placement/order.go
+++ b/internal/placement/order.go
@@ -8,7 +8,9 @@
 )
 
 // urgencyBucket returns the urgency in whole units of tuning.UrgencyStepS.
-func (j *PendingJob) urgencyBucket() float64 { return math.Floor(j.Urgency / tuning.UrgencyStepS) }
+func (j *PendingJob) urgencyBucket() float64 {
+	return math.Floor(j.Urgency / tuning.UrgencyResolutionS)
+}
 
 // comparePrecedence orders jobs: aged jobs first, by their waits, then by priority,
 // then jobs within their team's guarantee, then by urgency. Jobs that compare as
--- a/internal/preemption/pass.go
+++ b/internal/preemption/pass.go
@@ -72,7 +72,7 @@
 // tuning.PreemptMaxLoss.
 func (p *pass) addCandidate(a *machines.Attempt) {
 	lossS := a.UnsavedProgressS(p.now)
-	if lossS > tuning.PreemptMaxLoss.Seconds() {
+	if lossS > tuning.PreemptMaxLostProgress.Seconds() {
 		return
 	}
 	if a.Job.ReadyTasks() == 0 {
--- a/internal/scaling/scale_out.go
+++ b/internal/scaling/scale_out.go
@@ -15,7 +15,7 @@
 // ScaleOut returns the provision calls for the wanted machines, up to the limit of calls in
 // flight.
 func (s *Scaler) ScaleOut(now time.Time, wanted map[autoscale.Offer]int) []CloudCall {
-	limit := max(1, int(s.config.CloudRPS*tuning.CloudShare*tuning.ProvisionsInFlight))
+	limit := max(1, int(s.config.CloudRPS*tuning.CloudCallShare*tuning.ProvisionsInFlight))
 	var calls []CloudCall
 	for _, o := range slices.SortedFunc(maps.Keys(wanted), compareOffers) {
 		if len(s.pending) >= limit {
@@ -66,7 +66,7 @@
 	p := s.pending[r.RequestID]
 	delete(s.pending, r.RequestID)
 	if p != nil && received < r.Count {
-		s.unavailable[p.Offer] = now.Add(tuning.UnavailableOfferBackoff)
+		s.unavailable[p.Offer] = now.Add(tuning.UnavailableOfferingBackoff)
 	}
 	return p
 }
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -67,7 +67,7 @@
 	s, _ := newScaler()
 	call := s.Provision(start, spot, 3, "")
 	s.FinishProvision(start, call.Provision, 2)
-	backoffEnd := start.Add(tuning.UnavailableOfferBackoff)
+	backoffEnd := start.Add(tuning.UnavailableOfferingBackoff)
 	for name, test := range map[string]struct {
 		now   time.Time
 		offer autoscale.Offer
--- a/internal/simulation/admission_test.go
+++ b/internal/simulation/admission_test.go
@@ -35,7 +35,7 @@
 	p.Objectives = []config.Objective{{Kind: "finished", Class: "urgent", WithinS: 60}, {Kind: "finished", Class: "nightly", WithinS: 250}}
 	p.KVStore.WriteRPS = 30
 	sim := simulation.New(seed, 3+2*int(seed%2), p, machineType)
-	sim.Operator = config.Operator{Admission: &config.Admission{}}
+	sim.Operator = config.OperatorSettings{Admission: &config.Admission{}}
 	sim.LimitWriteRate = true
 	sim.ExchangeNodeHeartbeats()
 	return &flood{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(seed, 3))}
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -101,7 +101,7 @@
 
 // settings are the operators' settings of the node: of the previous version, and of a node where
 // admission control or drains are off, without them.
-func (n *node) settings() config.Operator {
+func (n *node) settings() config.OperatorSettings {
 	operator := n.sim.Operator
 	if n.previousVersion || n.admissionOff {
 		operator.Admission = nil
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -14,7 +14,7 @@
 type Simulation struct {
 	Params config.Params
 	// Operator are the operators' settings of all nodes.
-	Operator config.Operator
+	Operator config.OperatorSettings
 	// LimitWriteRate lets the leader keep to the write budget of the settings; without it the
 	// key-value store takes any rate.
 	LimitWriteRate bool
--- a/internal/tuning/cloud.go
+++ b/internal/tuning/cloud.go
@@ -6,8 +6,8 @@
 const (
 	// CloudTimeout bounds a call; the cloud answers in a fraction of a second.
 	CloudTimeout = 5 * time.Second
-	// CloudShare is the share of the call budget that the leader uses.
-	CloudShare = 0.9
+	// CloudCallShare is the share of the call budget that the leader uses.
+	CloudCallShare = 0.9
 	// ListIntervalFactor is the interval of machine lists, as a multiple of the
 	// list's lag.
 	ListIntervalFactor = 0.6
@@ -18,9 +18,9 @@
 	ListIntervalMin = 2 * time.Second
 	// CatalogueInterval is the interval of price updates.
 	CatalogueInterval = 60 * time.Second
-	// UnavailableOfferBackoff is how long an offer is not asked for after it had
+	// UnavailableOfferingBackoff is how long an offer is not asked for after it had
 	// no capacity; a refusal costs one call.
-	UnavailableOfferBackoff = 6 * time.Second
+	UnavailableOfferingBackoff = 6 * time.Second
 	// CloudRetryDelay is the pause after a call that failed.
 	CloudRetryDelay = 1 * time.Second
 	// MaxProvisionCount bounds the machines of a provision call (protocol: 50).
--- a/internal/tuning/placement.go
+++ b/internal/tuning/placement.go
@@ -41,9 +41,9 @@
 	AgingThreshold = 80 * time.Second
 	// AgedTaskShare is the share of a job's tasks that go first then.
 	AgedTaskShare = 0.05
-	// UrgencyStepS is the difference in slack, in seconds, below which jobs of one
+	// UrgencyResolutionS is the difference in slack, in seconds, below which jobs of one
 	// priority count as equally urgent and the speedup decides.
-	UrgencyStepS = 20.0
+	UrgencyResolutionS = 20.0
 	// SizeWeight is the cost in slack, in seconds, of each second that a job would
 	// keep all machines busy.
 	SizeWeight = 6.0
@@ -84,11 +84,11 @@
 	// FullMachineBackoff is how long a machine that refused a start for want of
 	// capacity gets no new ones.
 	FullMachineBackoff = 3 * time.Second
-	// QuarantineJobs is the number of different jobs whose tasks must fail on a
+	// FaultyMachineJobs is the number of different jobs whose tasks must fail on a
 	// machine in a row before it is quarantined as faulty.
-	QuarantineJobs = 2
-	// FailsEverywhereMachines is the number of machines on which a job must have
+	FaultyMachineJobs = 2
+	// FaultyJobMachines is the number of machines on which a job must have
 	// failed, and succeeded on none, to be at fault itself: it hardly meets two
 	// faulty machines.
-	FailsEverywhereMachines = 2
+	FaultyJobMachines = 2
 )
--- a/internal/tuning/preemption.go
+++ b/internal/tuning/preemption.go
@@ -7,9 +7,9 @@
 	// PreemptExitWait is the remaining time below which a running task is waited
 	// for rather than preempted.
 	PreemptExitWait = 3 * time.Second
-	// PreemptMaxLoss is the most progress since its last checkpoint that a task may
+	// PreemptMaxLostProgress is the most progress since its last checkpoint that a task may
 	// lose by preemption.
-	PreemptMaxLoss = 8 * time.Second
+	PreemptMaxLostProgress = 8 * time.Second
 	// PreemptDelayCost is the cost of preempting a task whose job has no other task
 	// waiting, on top of the lost progress: about the time that it waits then.
 	PreemptDelayCost = 15 * time.Second
@@ -24,10 +24,10 @@
 	// the waiting tasks for which all machines are searched.
 	PreemptMaxStops    = 16
 	PreemptMaxSearches = 48
-	// PreemptReservation is how long capacity that is being freed is reserved
+	// PreemptReservationTime is how long capacity that is being freed is reserved
 	// against lower priorities: a stopped task's exit is reported within half a
 	// second, or with the next heartbeat if the direct call failed.
-	PreemptReservation = 4 * time.Second
+	PreemptReservationTime = 4 * time.Second
 	// PreemptInterval is the interval of preemption: stopped tasks take about as
 	// long to exit, and each search visits every task on every machine.
 	PreemptInterval = 250 * time.Millisecond
--- a/internal/tuning/requests.go
+++ b/internal/tuning/requests.go
@@ -23,8 +23,8 @@
 	// SocketShare is the share of the socket limit for connections of users and
 	// workers, WorkerShare that which workers can take: the difference keeps users
 	// and health checks answered when all machines connect to this node.
-	SocketShare = 0.6
-	WorkerShare = 0.42
+	SocketShare       = 0.6
+	WorkerSocketShare = 0.42
 	// ConnectionIdleTimeout closes connections that were unused for this long;
 	// workers and users send a request every few seconds.
 	ConnectionIdleTimeout = 90 * time.Second
--- a/internal/tuning/workers.go
+++ b/internal/tuning/workers.go
@@ -14,8 +14,8 @@
 	DirectConnections = 1
 	// DirectMaxCalls bounds the direct calls in flight if there is no socket limit.
 	DirectMaxCalls = 64
-	// DirectShare is the share of the socket limit for direct calls.
-	DirectShare = 0.25
+	// DirectSocketShare is the share of the socket limit for direct calls.
+	DirectSocketShare = 0.25
 	// WorkerIdleTimeout closes connections for direct calls that were unused for
 	// this long: about two heartbeat intervals. The HTTP client keeps a goroutine
 	// for as long, also for a connection that was evicted: with 90 s they were
@@ -52,9 +52,9 @@
 	// unreachable, for the zone to count as partitioned: far more than fail by chance.
 	PartitionedShare    = 0.25
 	PartitionedMachines = 4
-	// MaxIgnoredResponses is the number of answers in a row whose starts had no
+	// MaxIneffectiveResponses is the number of answers in a row whose starts had no
 	// effect after which a machine is cordoned: single ones are lost.
-	MaxIgnoredResponses = 3
+	MaxIneffectiveResponses = 3
 	// MaxStaleHeartbeats is the number of heartbeats older than the newest, with
 	// none newer between them, that a machine whose lease has expired may send
 	// before it is replaced: a few late copies follow every partition.
