--- a/internal/tuning/drains.go
+++ b/internal/tuning/drains.go
@@ -4,43 +4,42 @@
 
 // Drains of machines.
 const (
-	// DrainStepInterval is the interval of the running drain's steps: heartbeats
-	// bring no more news than that, and each step stores one charge at most.
+	// DrainStepInterval is the interval between steps of the running drain: machine
+	// states change no faster with heartbeats, and a step stores at most one charge.
 	DrainStepInterval = time.Second
-	// DrainBatchInterval is how often the next batch is chosen while there is none,
-	// as that visits every machine.
+	// DrainBatchInterval is the interval between attempts to choose a batch while the
+	// drain has none; each attempt visits every machine.
 	DrainBatchInterval = 3 * time.Second
 	// DrainCompletionWait is how long a batch waits for tasks without checkpoints to
-	// end: most tasks of today's deployments run for less than that.
+	// end: most tasks of current deployments run for less time.
 	DrainCompletionWait = 60 * time.Second
-	// DrainCheckpointWait is the same for tasks with checkpoints: waiting longer than
-	// a save and a new start take gains nothing.
+	// DrainCheckpointWait is how long a batch waits for tasks with checkpoints to end:
+	// a longer wait costs more time than a save and a restart.
 	DrainCheckpointWait = 10 * time.Second
-	// ReplacementTimeout is how long a batch waits for its replacements before the
-	// drain is paused: several boots, late ones included.
+	// ReplacementTimeout is how long a batch waits for its replacement machines before
+	// the drain is paused: enough for several boots, including slow ones.
 	ReplacementTimeout = 10 * time.Minute
-	// MaxDrainRecords bounds the drains that are kept, ended ones included: beyond
-	// it, a new drain replaces the oldest of those.
+	// MaxDrainRecords bounds the number of stored drains, including ended ones. At the
+	// limit, a new drain replaces the oldest ended one.
 	MaxDrainRecords = 100
-	// DrainMachineNameBytes is the length of a machine's name assumed for the size
-	// of batches, in bytes.
+	// DrainMachineNameBytes is the length of a machine name, in bytes, that is assumed
+	// when batches are sized.
 	DrainMachineNameBytes = 32
 	// DrainDeliveryLeases is the number of worker leases within which a stop takes
-	// effect after its charge: one until it is delivered or the epoch over, and one
-	// for a failover in between.
+	// effect after its charge: one until the stop is delivered or the agent epoch has
+	// ended, and one for a failover in between.
 	DrainDeliveryLeases = 2
 )
 
 // Disruption budgets.
 const (
-	// DrainWindow is the window of the budgets unless the operators set another;
-	// DrainWindowMin and DrainWindowMax bound what they may set, so that a ledger in
-	// memory suffices.
+	// DrainWindow is the default window of the budgets. DrainWindowMin and
+	// DrainWindowMax bound the operators' setting, so that the ledger fits in memory.
 	DrainWindow    = 10 * time.Minute
 	DrainWindowMin = 10 * time.Second
 	DrainWindowMax = 24 * time.Hour
-	// DrainMaxUnavailable, DrainMaxEvictions and DrainMaxLostTime are a team's budget
-	// unless the operators set another: small, so that first drains are careful.
+	// DrainMaxUnavailable, DrainMaxEvictions and DrainMaxLostTime are the default
+	// budget of a team: small, so that first drains disrupt little.
 	DrainMaxUnavailable = 10
 	DrainMaxEvictions   = 100
 	DrainMaxLostTime    = 20 * time.Minute
