--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -2,10 +2,10 @@
 // leader measures the load (Regulator), divides a budget of new jobs among teams
 // and their classes by weighted max-min fairness, and publishes the result as a
 // Policy. Every node applies the policy to a job in the same way (Gate), by a hash
-// of the job's ID and the policy's revision. The leader decides finally.
+// of the job's ID and the policy's revision. The leader makes the final decision.
 //
-// The package reads no clock and does no I/O: times are passed in, and callers
-// serialise access.
+// The package reads no clock and does no I/O: callers pass times in and serialise
+// access.
 package admission
 
 import (
@@ -15,25 +15,25 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Key identifies what has a share of its own: a class of jobs of a team.
+// Key identifies a class of jobs of a team, the unit that gets a share of the budget.
 type Key struct {
 	Team  string `json:"team"`
 	Class string `json:"class"`
 }
 
-// OtherClass stands for all classes that the settings don't name, so that names
-// from outside can't fill tables.
+// OtherClass stands for all classes that the settings don't name, so that class
+// names in submissions can't grow the tables without limit.
 const OtherClass = ""
 
-// Team is what determines a team's share.
+// Team has the settings that determine a team's share.
 type Team struct {
 	Name string
 	// GuaranteedCPUs is the team's guaranteed quota.
 	GuaranteedCPUs float64
-	// Weight and Floor are set by the operators; 0 is the default: weight 1, and the
-	// team's part of all guarantees.
+	// Weight and Floor are set by the operators. 0 is the default: a weight of 1, and
+	// a floor in proportion to GuaranteedCPUs.
 	Weight, Floor float64
-	// Classes has the weights and floors that the operators set for single classes.
+	// Classes has the weights and floors that the operators set for individual classes.
 	Classes []Class
 }
 
@@ -46,14 +46,13 @@
 // Settings are the teams and classes of a deployment.
 type Settings struct {
 	Teams []Team
-	// Classes are the names of all classes known.
+	// Classes are the names of all known classes.
 	Classes []string
 	// WritesPerSecond is the largest write rate of the key-value store.
 	WritesPerSecond float64
 }
 
-// Key returns the key that a job of a team and class counts under, and whether the
-// team is known.
+// Key returns the key of jobs of a team and class, and whether the team is known.
 func (s *Settings) Key(team, class string) (Key, bool) {
 	known := slices.ContainsFunc(s.Teams, func(t Team) bool { return t.Name == team })
 	if !slices.Contains(s.Classes, class) {
@@ -62,23 +61,24 @@
 	return Key{team, class}, known
 }
 
-// Request is a submission of a job that may be new.
+// Request is the submission of a job that may be new.
 type Request struct {
 	ID  string
 	Key Key
 	// PriorityRank is the job's priority, 0 being the highest.
 	PriorityRank int
 	Tasks        int
-	// Dependent: the job depends on others, which were accepted before.
+	// Dependent is set if the job depends on other jobs, which were accepted before.
 	Dependent bool
-	// Waited is the time since the job was first rejected, as far as the node that
-	// has received it knows.
+	// Waited is the time since the first rejection of the job that the receiving node
+	// knows of.
 	Waited time.Duration
 }
 
-// agingFactor is how many times as likely to be admitted as a new job it is: it
-// grows with the time since the first rejection. A job that depends on accepted
-// ones counts as having waited already.
+// agingFactor returns how many times as likely as a new job this one is to be
+// admitted. It grows with the time since the first rejection, up to
+// AdmissionRetryWindow. Dependent jobs count as having waited for at least
+// AdmissionDependentWait.
 func (r *Request) agingFactor() float64 {
 	waited := r.Waited
 	if r.Dependent {
@@ -95,13 +95,13 @@
 	RetryAfterS int
 }
 
-// Claim is what the node that has received a submission reports to the leader.
-// Nodes of versions without admission send none.
+// Claim is the report of the node that received a submission to the leader. Nodes
+// of versions without admission control send none.
 type Claim struct {
 	WaitedMS int64 `json:"waitedMs,omitempty"`
-	// Revision is that of the policy that has admitted the job, 0 if none was known.
+	// Revision is that of the policy that admitted the job, 0 if the node had none.
 	Revision uint64 `json:"revision,omitempty"`
 }
 
-// Waited is the time since the job was first rejected.
+// Waited returns the time since the job was first rejected.
 func (c *Claim) Waited() time.Duration { return time.Duration(c.WaitedMS) * time.Millisecond }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -7,7 +7,7 @@
 
 var begin = time.Unix(1_700_000_000, 0)
 
-// settings has three teams, of which guests has no guarantee.
+// settings returns settings with three teams, of which guests has no guarantee.
 func settings() *Settings {
 	return &Settings{
 		Teams: []Team{
@@ -20,8 +20,8 @@
 	}
 }
 
-// TestKeysAreBounded: classes that the settings don't name share one key, and offers of
-// peers under keys of their own making are left out.
+// TestKeysAreBounded checks that classes which the settings don't name share one key, and
+// that load which peers report under unknown keys is ignored.
 func TestKeysAreBounded(t *testing.T) {
 	s := settings()
 	if k, known := s.Key("blue", "made up"); !known || k.Class != OtherClass {
@@ -31,9 +31,9 @@
 		t.Error("an unknown team is known")
 	}
 	r := NewRegulator(s, 1, begin)
-	odd := OfferedLoad{Key: Key{"blue", "made up"}, Count: 100, AgingFactorSum: 100, PriorityWeightSum: 100}
+	unknownKey := OfferedLoad{Key: Key{"blue", "made up"}, Count: 100, AgingFactorSum: 100, PriorityWeightSum: 100}
 	r.Update(begin, begin, LeaderLoad{}, []NodeOfferedLoad{{Node: "a", Started: 1}})
-	r.Update(begin.Add(time.Second), begin, LeaderLoad{}, []NodeOfferedLoad{{Node: "a", Started: 1, Loads: []OfferedLoad{odd}}})
+	r.Update(begin.Add(time.Second), begin, LeaderLoad{}, []NodeOfferedLoad{{Node: "a", Started: 1, Loads: []OfferedLoad{unknownKey}}})
 	if len(r.demands) != 0 {
 		t.Errorf("%+v", r.demands)
 	}
--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -9,11 +9,11 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Admit decides on a new job. claim is what the node that has received it reports,
-// nil from nodes without admission.
+// Admit decides whether a new job is admitted. claim is the report of the node that
+// received it, nil from nodes without admission control.
 func (r *Regulator) Admit(now time.Time, request *Request, claim *Claim, tasks TaskLoad) Decision {
 	if claim == nil {
-		countRequest(r.uncounted, request)
+		countRequest(r.unclaimed, request)
 	} else {
 		request.Waited = claim.Waited()
 	}
@@ -22,12 +22,12 @@
 		return rejection(request.ID, r.policy.Revision, 0)
 	}
 	if r.shedding {
-		if !r.wasFiltered(claim) {
+		if !r.appliedRecentPolicy(claim) {
 			if d := r.policy.Decide(request); !d.Admitted {
 				return d
 			}
 		}
-		if !r.limiterOf(now, request.Key).AllowN(now, 1) {
+		if !r.limiterFor(now, request.Key).AllowN(now, 1) {
 			return rejection(request.ID, r.policy.Revision, share)
 		}
 	}
@@ -35,25 +35,26 @@
 	return Decision{Admitted: true}
 }
 
-// wasFiltered reports whether the node that has received the job has applied a
-// recent policy: to apply another revision here would shed twice.
-func (r *Regulator) wasFiltered(claim *Claim) bool {
+// appliedRecentPolicy reports whether the node that received the job has applied a
+// recent policy. Applying another revision to it as well would shed the load twice.
+func (r *Regulator) appliedRecentPolicy(claim *Claim) bool {
 	return claim != nil && claim.Revision > 0 && claim.Revision+tuning.AdmissionMaxRevisionLag >= r.policy.Revision
 }
 
-// limiterOf returns the limiter of a key; a key without one gets the part of one team
-// among all.
-func (r *Regulator) limiterOf(now time.Time, k Key) *rate.Limiter {
+// limiterFor returns the limiter of a key. A key without one gets a new limiter with
+// the share of a team of weight 1.
+func (r *Regulator) limiterFor(now time.Time, k Key) *rate.Limiter {
 	limiter := r.limiters[k]
 	if limiter == nil {
-		limiter = setLimiter(now, nil, r.budget/max(r.weights, 1))
+		limiter = configureLimiter(now, nil, r.budget/max(r.teamWeightSum, 1))
 		r.limiters[k] = limiter
 	}
 	return limiter
 }
 
-// hasTaskCapacity reserves a part of the unfinished tasks for teams that use less than
-// their share of them: a few huge jobs of one team must not block the others.
+// hasTaskCapacity reports whether the unfinished tasks leave room for those of the
+// request. Part of MaxActiveTasks is reserved for teams that use less than their
+// share: a few huge jobs of one team must not block the others.
 func (r *Regulator) hasTaskCapacity(request *Request, tasks TaskLoad) bool {
 	if float64(tasks.Total+request.Tasks) <= tuning.MaxActiveTasks*(1-tuning.AdmissionTaskReserveShare) {
 		return true
@@ -64,12 +65,12 @@
 			weight = weightOf(t.Weight)
 		}
 	}
-	return float64(tasks.Team+request.Tasks) <= tuning.MaxActiveTasks*weight/r.weights
+	return float64(tasks.Team+request.Tasks) <= tuning.MaxActiveTasks*weight/r.teamWeightSum
 }
 
-// setLimiter returns the limiter, or a new one for nil, with the rate at which jobs of
-// a key may be admitted, whatever the followers forward.
-func setLimiter(now time.Time, limiter *rate.Limiter, perSecond float64) *rate.Limiter {
+// configureLimiter sets the limiter's rate, or returns a new limiter if it is nil. The
+// limiter bounds the admitted jobs of a key, however many the followers forward.
+func configureLimiter(now time.Time, limiter *rate.Limiter, perSecond float64) *rate.Limiter {
 	burst := max(1, int(math.Ceil(perSecond*tuning.AdmissionBurstTime.Seconds())))
 	if limiter == nil {
 		return rate.NewLimiter(rate.Limit(perSecond), burst)
--- a/internal/admission/fairshare.go
+++ b/internal/admission/fairshare.go
@@ -5,44 +5,44 @@
 	"slices"
 )
 
-// claimant is a participant of a division: a team, or a class within one.
+// claimant is a participant in a division: a team, or a class within one.
 type claimant struct {
 	demand float64
-	// reserved is granted before anyone gets more than its own.
+	// reserved is granted before any claimant gets more than its reservation.
 	reserved float64
 	weight   float64
 }
 
-// divide divides capacity by weighted max-min fairness: first what is reserved,
-// then the rest in proportion to the weights. Nobody gets more than its demand,
-// and what one leaves goes to the others.
+// divide divides capacity by weighted max-min fairness: first the reservations,
+// then the rest in proportion to the weights. No claimant gets more than its
+// demand, and the part that one doesn't need goes to the others.
 func divide(capacity float64, claimants []claimant) []float64 {
 	granted := divideReserved(capacity, claimants)
-	rest := capacity
-	weights := 0.0
-	var open []int
+	remaining := capacity
+	weightSum := 0.0
+	var unsatisfied []int
 	for i, c := range claimants {
-		rest -= granted[i]
+		remaining -= granted[i]
 		if c.demand > granted[i] {
-			open = append(open, i)
-			weights += c.weight
+			unsatisfied = append(unsatisfied, i)
+			weightSum += c.weight
 		}
 	}
-	// The smallest demand for its weight is served first: if it is met, what is left
-	// of its part goes to the others.
-	need := func(i int) float64 { return (claimants[i].demand - granted[i]) / claimants[i].weight }
-	slices.SortFunc(open, func(a, b int) int { return cmp.Compare(need(a), need(b)) })
-	for _, i := range open {
-		more := min(claimants[i].demand-granted[i], max(0, rest)*claimants[i].weight/weights)
-		granted[i] += more
-		rest -= more
-		weights -= claimants[i].weight
+	// Claimants with the smallest unmet demand per weight come first: if such a demand
+	// is met, the rest of its part is left for the others.
+	unmetPerWeight := func(i int) float64 { return (claimants[i].demand - granted[i]) / claimants[i].weight }
+	slices.SortFunc(unsatisfied, func(a, b int) int { return cmp.Compare(unmetPerWeight(a), unmetPerWeight(b)) })
+	for _, i := range unsatisfied {
+		extra := min(claimants[i].demand-granted[i], max(0, remaining)*claimants[i].weight/weightSum)
+		granted[i] += extra
+		remaining -= extra
+		weightSum -= claimants[i].weight
 	}
 	return granted
 }
 
-// divideReserved grants what is reserved, or less in proportion if that exceeds
-// the capacity.
+// divideReserved grants the reservations, up to the demands. If their sum exceeds
+// the capacity, all are reduced in proportion.
 func divideReserved(capacity float64, claimants []claimant) []float64 {
 	granted := make([]float64, len(claimants))
 	total := 0.0
@@ -58,7 +58,7 @@
 	return granted
 }
 
-// MaxMinFairShares divides capacity among equals by max-min fairness.
+// MaxMinFairShares divides capacity by max-min fairness with equal weights.
 func MaxMinFairShares(capacity float64, demands []float64) []float64 {
 	claimants := make([]claimant, len(demands))
 	for i, d := range demands {
--- a/internal/admission/fairshare_test.go
+++ b/internal/admission/fairshare_test.go
@@ -6,43 +6,43 @@
 	"testing"
 )
 
-// TestDivideIsMaxMinFair checks, for random claims, the properties of weighted max-min
-// fairness: nothing beyond demand or capacity, no capacity unused while there is demand,
-// what is reserved first, and nobody could get more without taking from one who has less
-// for its weight.
+// TestDivideIsMaxMinFair checks the properties of weighted max-min fairness for random
+// claimants: grants don't exceed demand or capacity, no capacity is unused while demand is
+// unmet, reservations are granted first, and no claimant could get more except from one
+// that has less for its weight.
 func TestDivideIsMaxMinFair(t *testing.T) {
-	const tiny = 1e-9
+	const epsilon = 1e-9
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 2000 {
 		capacity := rng.Float64() * 100
-		claims := make([]claimant, 1+rng.IntN(8))
+		claimants := make([]claimant, 1+rng.IntN(8))
 		demand, reserved := 0.0, 0.0
-		for i := range claims {
-			claims[i] = claimant{demand: rng.Float64() * 60, weight: 0.1 + rng.Float64()*5}
+		for i := range claimants {
+			claimants[i] = claimant{demand: rng.Float64() * 60, weight: 0.1 + rng.Float64()*5}
 			if rng.IntN(2) == 0 {
-				claims[i].reserved = rng.Float64() * capacity / float64(len(claims))
+				claimants[i].reserved = rng.Float64() * capacity / float64(len(claimants))
 			}
-			demand += claims[i].demand
-			reserved += claims[i].reserved
+			demand += claimants[i].demand
+			reserved += claimants[i].reserved
 		}
-		granted := divide(capacity, claims)
+		granted := divide(capacity, claimants)
 		sum := 0.0
 		for i, g := range granted {
 			sum += g
-			if g > claims[i].demand+tiny || g+tiny < min(claims[i].demand, claims[i].reserved) {
-				t.Fatalf("%+v got %v of %v", claims[i], g, capacity)
+			if g > claimants[i].demand+epsilon || g+epsilon < min(claimants[i].demand, claimants[i].reserved) {
+				t.Fatalf("%+v got %v of %v", claimants[i], g, capacity)
 			}
 		}
 		if want := min(capacity, demand); math.Abs(sum-want) > 1e-6 {
-			t.Fatalf("%v of %v handed out", sum, want)
+			t.Fatalf("%v of %v granted", sum, want)
 		}
 		extra := func(i int) float64 {
-			return (granted[i] - min(claims[i].demand, claims[i].reserved)) / claims[i].weight
+			return (granted[i] - min(claimants[i].demand, claimants[i].reserved)) / claimants[i].weight
 		}
-		for i := range claims {
-			for k := range claims {
-				if granted[i]+1e-6 < claims[i].demand && extra(i)+1e-6 < extra(k) {
-					t.Fatalf("%+v wants more than %v, while %+v got %v", claims[i], granted[i], claims[k], granted[k])
+		for i := range claimants {
+			for j := range claimants {
+				if granted[i]+1e-6 < claimants[i].demand && extra(i)+1e-6 < extra(j) {
+					t.Fatalf("%+v wants more than %v, while %+v got %v", claimants[i], granted[i], claimants[j], granted[j])
 				}
 			}
 		}
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -9,48 +9,49 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Gate is a node's part in admission, across terms: it counts the submissions of
-// its users, remembers which jobs it has rejected and since when, and applies the
-// leader's policy.
+// Gate is a node's part in admission control, across terms. It counts the submissions
+// that the node receives, records the jobs that it has rejected with the time of the
+// first rejection, and applies the leader's policy.
 type Gate struct {
 	settings      *Settings
 	policy        Policy
 	expires       time.Time
 	started       uint64
 	offered       map[Key]*OfferedLoad
-	historyByTeam map[string]*jobHistory
+	histories     map[string]*jobHistory
 	leaderQueries *rate.Limiter
 }
 
-// jobHistory is what a node remembers of one team's jobs. Each team has tables of
-// its own, so that a flood of IDs evicts only those of its own team.
+// jobHistory has the rejected and admitted jobs of one team. Each team has tables of
+// its own, so that a flood of IDs evicts only entries of the same team.
 type jobHistory struct {
-	// rejected has the time of the first rejection of jobs that may be retried.
+	// rejected has jobs that may be retried, with the time of their first rejection.
 	rejected *simplelru.LRU[string, time.Time]
-	// admitted has jobs that were forwarded and may have been accepted: they are never
-	// rejected as new ones.
+	// admitted has jobs that were forwarded and may have been accepted: they must not
+	// be rejected as new jobs.
 	admitted *simplelru.LRU[string, struct{}]
 }
 
-// OfferedLoad counts the submissions of a key since a node's start.
+// OfferedLoad counts the submissions of a key since the node started.
 type OfferedLoad struct {
 	Key
 	Count int64 `json:"count"`
-	// AgingFactorSum is the sum of their aging factors.
+	// AgingFactorSum is the sum of the submissions' aging factors.
 	AgingFactorSum float64 `json:"boosted"`
-	// PriorityWeightSum is the sum of the weights of their priorities.
+	// PriorityWeightSum is the sum of the weights of the submissions' priorities.
 	PriorityWeightSum float64 `json:"weight"`
 }
 
-// NodeOfferedLoad is the offered load of a node. Counts only grow while Started is the same.
+// NodeOfferedLoad is the offered load of a node. Started identifies the process; the
+// counts never decrease while it stays the same.
 type NodeOfferedLoad struct {
 	Node    string        `json:"node"`
 	Started uint64        `json:"started"`
 	Loads   []OfferedLoad `json:"offers,omitempty"`
 }
 
-// olderThan reports whether the counts are from before others of the same process:
-// a message that was delayed.
+// olderThan reports whether the counts are older than others of the same process,
+// because their message was delayed.
 func (n *NodeOfferedLoad) olderThan(other *NodeOfferedLoad) bool {
 	return n.Started == other.Started && n.total() < other.total()
 }
@@ -62,23 +63,23 @@
 	return count
 }
 
-// NewGate returns the gate of a node; started distinguishes its counts from those of
-// an earlier process.
+// NewGate returns the gate of a node. started distinguishes its counts from those of
+// earlier processes.
 func NewGate(s *Settings, started uint64) *Gate {
 	g := &Gate{
-		settings: s, started: started, offered: map[Key]*OfferedLoad{}, historyByTeam: map[string]*jobHistory{},
+		settings: s, started: started, offered: map[Key]*OfferedLoad{}, histories: map[string]*jobHistory{},
 		leaderQueries: rate.NewLimiter(tuning.AdmissionLeaderQueriesPerSecond, tuning.AdmissionLeaderQueriesPerSecond),
 	}
 	size := max(tuning.AdmissionMaxTrackedJobs/max(len(s.Teams), 1), 1)
 	for _, t := range s.Teams {
 		rejected, _ := simplelru.NewLRU[string, time.Time](size, nil) // the only error is a size below one
 		admitted, _ := simplelru.NewLRU[string, struct{}](size, nil)  // the same
-		g.historyByTeam[t.Name] = &jobHistory{rejected: rejected, admitted: admitted}
+		g.histories[t.Name] = &jobHistory{rejected: rejected, admitted: admitted}
 	}
 	return g
 }
 
-// ApplyPolicy takes over a policy unless it is no newer than the present one: a
+// ApplyPolicy replaces the current policy by a newer one. It ignores any other: a
 // delayed copy must not extend the time for which a policy is applied.
 func (g *Gate) ApplyPolicy(now time.Time, p Policy) {
 	if p.newerThan(&g.policy) {
@@ -88,27 +89,27 @@
 }
 
 // RecordArrival counts a submission and sets how long it has waited. It returns
-// false if the job may have been accepted already, or its team is unknown: then
-// only the leader can decide.
+// false if the job may have been accepted already or its team is unknown: only the
+// leader can decide on such a job.
 func (g *Gate) RecordArrival(now time.Time, r *Request) bool {
-	m := g.historyByTeam[r.Key.Team]
-	if m == nil || m.admitted.Contains(r.ID) {
+	h := g.histories[r.Key.Team]
+	if h == nil || h.admitted.Contains(r.ID) {
 		return false
 	}
-	if since, ok := m.rejected.Peek(r.ID); ok {
+	if since, ok := h.rejected.Peek(r.ID); ok {
 		if now.Sub(since) < tuning.AdmissionRetryWindow {
 			r.Waited = now.Sub(since)
 		} else {
-			// The user has given up since: this is a new submission.
-			m.rejected.Remove(r.ID)
+			// The user's retries have ended since: this is a new submission.
+			h.rejected.Remove(r.ID)
 		}
 	}
 	countRequest(g.offered, r)
 	return true
 }
 
-// Decide applies the present policy. Without one, or with one that has expired,
-// every job is forwarded to the leader. The revision is that of the policy applied,
+// Decide applies the current policy. Without one, or with an expired one, it admits
+// every job, so that the leader decides. The revision is that of the applied policy,
 // 0 for none.
 func (g *Gate) Decide(now time.Time, r *Request) (d Decision, revision uint64) {
 	if !now.Before(g.expires) {
@@ -117,32 +118,33 @@
 	return g.policy.Decide(r), g.policy.Revision
 }
 
-// MayQueryLeader reports whether the leader may be asked about a job that was
-// rejected before and may have been accepted through another node since.
+// MayQueryLeader reports whether the node may query the leader about a job that was
+// rejected before and may have been accepted through another node since. The rate of
+// queries is limited.
 func (g *Gate) MayQueryLeader(now time.Time, r *Request) bool {
 	return r.Waited > 0 && g.leaderQueries.AllowN(now, 1)
 }
 
-// RecordAdmitted records that a job is forwarded.
+// RecordAdmitted records that a job is forwarded to the leader.
 func (g *Gate) RecordAdmitted(r *Request) {
-	if m := g.historyByTeam[r.Key.Team]; m != nil {
-		m.admitted.Add(r.ID, struct{}{})
+	if h := g.histories[r.Key.Team]; h != nil {
+		h.admitted.Add(r.ID, struct{}{})
 	}
 }
 
-// RecordRejected records that a job was rejected, here or by the leader.
+// RecordRejected records that this node or the leader has rejected a job.
 func (g *Gate) RecordRejected(now time.Time, r *Request) {
-	m := g.historyByTeam[r.Key.Team]
-	if m == nil {
+	h := g.histories[r.Key.Team]
+	if h == nil {
 		return
 	}
-	m.admitted.Remove(r.ID)
-	if !m.rejected.Contains(r.ID) {
-		m.rejected.Add(r.ID, now)
+	h.admitted.Remove(r.ID)
+	if !h.rejected.Contains(r.ID) {
+		h.rejected.Add(r.ID, now)
 	}
 }
 
-// OfferedLoad returns the submissions counted so far.
+// OfferedLoad returns the counts of submissions so far.
 func (g *Gate) OfferedLoad(node string) NodeOfferedLoad {
 	n := NodeOfferedLoad{Node: node, Started: g.started}
 	for _, o := range g.offered {
@@ -163,7 +165,7 @@
 	o.PriorityWeightSum += priorityWeight(r.PriorityRank)
 }
 
-// priorityWeight is the weight of a job in the division of its team's share.
+// priorityWeight returns the weight of a priority in the division of a team's budget.
 func priorityWeight(rank int) float64 {
 	return float64(int(1) << max(0, tuning.AdmissionLowestPriorityRank-rank))
 }
--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -8,42 +8,43 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// TestGateIgnoresOldPolicies: delayed, repeated and reordered policies change nothing and
-// extend nothing; one that is not renewed expires, and then every job is forwarded.
+// TestGateIgnoresOldPolicies checks that delayed, repeated and reordered policies neither
+// replace nor extend the current one, and that a policy which isn't renewed expires, so that
+// every job is forwarded.
 func TestGateIgnoresOldPolicies(t *testing.T) {
-	none := []Share{{Key{"blue", "urgent"}, 0}}
-	life := tuning.AdmissionPolicyTTL
+	admitNone := []Share{{Key{"blue", "urgent"}, 0}}
+	ttl := tuning.AdmissionPolicyTTL
 	g := NewGate(settings(), 1)
-	asks := func(at time.Duration) bool {
+	admits := func(at time.Duration) bool {
 		d, _ := g.Decide(begin.Add(at), &Request{ID: "job-1", Key: Key{"blue", "urgent"}})
 		return d.Admitted
 	}
-	if !asks(0) {
-		t.Fatal("refused without a policy")
+	if !admits(0) {
+		t.Fatal("rejected without a policy")
 	}
-	current := Policy{Term: 4, Revision: 100, TTLMS: life.Milliseconds(), Shares: none}
+	current := Policy{Term: 4, Revision: 100, TTLMS: ttl.Milliseconds(), Shares: admitNone}
 	g.ApplyPolicy(begin, current)
-	if asks(0) {
+	if admits(0) {
 		t.Fatal("the policy is not applied")
 	}
-	g.ApplyPolicy(begin.Add(life-1), current)
-	g.ApplyPolicy(begin.Add(life-1), Policy{Term: 4, Revision: 99, TTLMS: life.Milliseconds(), Shares: none})
-	g.ApplyPolicy(begin.Add(life-1), Policy{Term: 3, Revision: 900, TTLMS: life.Milliseconds(), Shares: none})
-	if !asks(life) {
-		t.Error("a copy or an older policy prolonged the one that has expired")
+	g.ApplyPolicy(begin.Add(ttl-1), current)
+	g.ApplyPolicy(begin.Add(ttl-1), Policy{Term: 4, Revision: 99, TTLMS: ttl.Milliseconds(), Shares: admitNone})
+	g.ApplyPolicy(begin.Add(ttl-1), Policy{Term: 3, Revision: 900, TTLMS: ttl.Milliseconds(), Shares: admitNone})
+	if !admits(ttl) {
+		t.Error("a copy or an older policy extended the expired one")
 	}
-	g.ApplyPolicy(begin.Add(life), Policy{Term: 5, Revision: 90, TTLMS: time.Hour.Milliseconds(), Shares: none})
-	if asks(life) {
+	g.ApplyPolicy(begin.Add(ttl), Policy{Term: 5, Revision: 90, TTLMS: time.Hour.Milliseconds(), Shares: admitNone})
+	if admits(ttl) {
 		t.Error("a later term's policy is not applied")
 	}
-	if !asks(2 * life) {
-		t.Error("a policy lives for longer than any may")
+	if !admits(2 * ttl) {
+		t.Error("a policy is applied for longer than AdmissionPolicyTTL")
 	}
 }
 
-// TestGateRemembersWithinBounds: IDs from outside can't fill the memory, and a flood of one
-// team evicts no other team's; accepted jobs are not rejected as new.
-func TestGateRemembersWithinBounds(t *testing.T) {
+// TestGateHistoryIsBounded checks that the number of tracked job IDs is bounded, that a flood
+// of one team evicts no entries of another team, and that accepted jobs don't count as new.
+func TestGateHistoryIsBounded(t *testing.T) {
 	g := NewGate(settings(), 1)
 	request := func(team, id string) *Request { return &Request{ID: id, Key: Key{team, "urgent"}} }
 	g.RecordRejected(begin, request("green", "job-1"))
@@ -54,29 +55,29 @@
 		g.RecordAdmitted(r)
 	}
 	g.RecordRejected(begin, request("nobody", "job-3"))
-	remembered := 0
-	for _, m := range g.historyByTeam {
-		remembered += m.rejected.Len() + m.admitted.Len()
+	tracked := 0
+	for _, m := range g.histories {
+		tracked += m.rejected.Len() + m.admitted.Len()
 	}
-	if remembered > 2*tuning.AdmissionMaxTrackedJobs {
-		t.Errorf("%d ids remembered", remembered)
+	if tracked > 2*tuning.AdmissionMaxTrackedJobs {
+		t.Errorf("%d job IDs are tracked", tracked)
 	}
 	later := begin.Add(20 * time.Second)
 	if r := request("green", "job-1"); !g.RecordArrival(later, r) || r.Waited != 20*time.Second {
-		t.Errorf("forgotten for another team's flood: waited %v", r.Waited)
+		t.Errorf("the entry was evicted by another team's flood: waited %v", r.Waited)
 	}
 	if g.RecordArrival(later, request("green", "job-2")) {
-		t.Error("a job that was let through counts as new")
+		t.Error("an admitted job counts as new")
 	}
 	g.RecordRejected(later, request("green", "job-2"))
 	if !g.RecordArrival(later, request("green", "job-2")) {
-		t.Error("a job that the leader has refused doesn't count as new")
+		t.Error("a job that the leader has rejected doesn't count as new")
 	}
 	if r := request("green", "job-1"); !g.RecordArrival(begin.Add(time.Hour), r) || r.Waited != 0 {
-		t.Errorf("a new try an hour later counts as having waited %v", r.Waited)
+		t.Errorf("a new submission an hour later counts as having waited %v", r.Waited)
 	}
-	offers := g.OfferedLoad("n").Loads
-	if len(offers) != 1 || offers[0].Count != 3 {
-		t.Errorf("%+v", offers)
+	loads := g.OfferedLoad("n").Loads
+	if len(loads) != 1 || loads[0].Count != 3 {
+		t.Errorf("%+v", loads)
 	}
 }
--- a/internal/admission/policy_test.go
+++ b/internal/admission/policy_test.go
@@ -9,38 +9,38 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// TestTicketsAreSpread: a share admits about its part of all jobs in each revision, and
-// each single job within a bounded number of revisions, so that its chance grows with
-// each that it has missed.
-func TestTicketsAreSpread(t *testing.T) {
+// TestSamplingValuesAreSpread checks that a share admits about its part of all jobs, and
+// that each job is admitted within a bounded number of revisions, so that its chance grows
+// with each revision that has rejected it.
+func TestSamplingValuesAreSpread(t *testing.T) {
 	for _, share := range []float64{0.5, 0.1, 0.02} {
-		admitted, worst := 0, 0
+		admitted, maxRejections := 0, 0
 		const jobs, revisions = 300, 400
 		for job := range jobs {
 			id := fmt.Sprintf("job-%06d", job)
-			missed := 0
+			rejections := 0
 			for revision := range uint64(revisions) {
-				if ticket(id, 1_700_000_000+revision) < share {
+				if samplingValue(id, 1_700_000_000+revision) < share {
 					admitted++
-					missed = 0
+					rejections = 0
 					continue
 				}
-				missed++
-				worst = max(worst, missed)
+				rejections++
+				maxRejections = max(maxRejections, rejections)
 			}
 		}
 		if got := float64(admitted) / (jobs * revisions); math.Abs(got-share) > share/10 {
 			t.Errorf("a share of %v admits %v", share, got)
 		}
-		if bound := int(3 / share); worst > bound {
-			t.Errorf("with a share of %v a job missed %d revisions, at most %d wanted", share, worst, bound)
+		if bound := int(3 / share); maxRejections > bound {
+			t.Errorf("with a share of %v a job was rejected in %d successive revisions, want at most %d", share, maxRejections, bound)
 		}
 	}
 }
 
-// TestAgingRaisesTheChance: waiting, and depending on accepted jobs, makes a job likelier to be
-// admitted; a claimed wait counts up to the time for which users retry.
-func TestAgingRaisesTheChance(t *testing.T) {
+// TestAgingIncreasesAdmission checks that jobs which have waited, or depend on accepted jobs,
+// are admitted more often, and that a claimed wait counts only up to AdmissionRetryWindow.
+func TestAgingIncreasesAdmission(t *testing.T) {
 	p := Policy{Revision: 7, Shares: []Share{{Key{"blue", "urgent"}, 0.05}}}
 	admitted := func(waited time.Duration, dependent bool) (n int) {
 		for job := range 4000 {
@@ -53,19 +53,19 @@
 	}
 	fresh, old, oldest := admitted(0, false), admitted(20*time.Second, false), admitted(tuning.AdmissionRetryWindow, false)
 	if old < 2*fresh || oldest <= old {
-		t.Errorf("admitted %d, %d after 20 s, %d after all of the time for retries", fresh, old, oldest)
+		t.Errorf("admitted %d, %d after 20 s, %d after the retry window", fresh, old, oldest)
 	}
-	if forever := admitted(1000*time.Hour, false); forever != oldest {
-		t.Errorf("a claim of 1000 hours admits %d instead of %d", forever, oldest)
+	if beyondWindow := admitted(1000*time.Hour, false); beyondWindow != oldest {
+		t.Errorf("a claim of 1000 hours admits %d instead of %d", beyondWindow, oldest)
 	}
 	if dependent := admitted(0, true); dependent < 2*fresh {
 		t.Errorf("dependent jobs: %d instead of %d", dependent, fresh)
 	}
 }
 
-// TestRetryAfterSpreads: retries are spread over the time allowed for them, and none comes
-// at once.
-func TestRetryAfterSpreads(t *testing.T) {
+// TestRetryAfterIsSpread checks that retries are spread over AdmissionRetryMaxS seconds, and
+// that none is immediate.
+func TestRetryAfterIsSpread(t *testing.T) {
 	seen := map[int]int{}
 	for job := range 1000 {
 		d := rejection(fmt.Sprintf("job-%d", job), 5, 0.01)
@@ -76,7 +76,7 @@
 	}
 	for after := 1; after <= int(tuning.AdmissionRetryMaxS); after++ {
 		if seen[after] < 60 || seen[after] > 180 {
-			t.Errorf("%d of 1000 come back after %d s", seen[after], after)
+			t.Errorf("%d of 1000 retry after %d s", seen[after], after)
 		}
 	}
 }
--- a/internal/admission/regulator_test.go
+++ b/internal/admission/regulator_test.go
@@ -9,8 +9,8 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// overload is a regulator under a flood: blue submits 200 new jobs a second, the other
-// teams two each.
+// overload is a regulator under overload: team blue submits 200 new jobs per second, the
+// other teams two each.
 type overload struct {
 	*Regulator
 	at     time.Time
@@ -22,9 +22,9 @@
 	return &overload{Regulator: NewRegulator(settings(), term, at), at: at, counts: map[Key]*OfferedLoad{}}
 }
 
-// second simulates a second with a number of waiting writes; it returns how many jobs
-// were admitted by team.
-func (o *overload) second(waiting int) map[string]int {
+// simulateSecond simulates one second with a number of pending writes. It returns the number
+// of admitted jobs by team.
+func (o *overload) simulateSecond(pendingWrites int) map[string]int {
 	admitted := map[string]int{}
 	for team, n := range map[string]int{"blue": 200, "green": 2, "guests": 2} {
 		for range n {
@@ -41,27 +41,27 @@
 	for _, c := range o.counts {
 		n.Loads = append(n.Loads, *c)
 	}
-	o.Update(o.at, o.at, LeaderLoad{PendingWrites: waiting, SentWrites: o.written + 40}, []NodeOfferedLoad{n})
+	o.Update(o.at, o.at, LeaderLoad{PendingWrites: pendingWrites, SentWrites: o.sentWrites + 40}, []NodeOfferedLoad{n})
 	return admitted
 }
 
-// TestFloodIsShed: under pressure the flooding team gets what the others leave, who lose
-// little; without pressure and submissions shedding ends.
+// TestFloodIsShed checks that under pressure the flooding team gets what the other teams
+// leave and these lose little, and that shedding ends without pressure and submissions.
 func TestFloodIsShed(t *testing.T) {
 	o := newOverload(1, begin)
-	o.second(0)
+	o.simulateSecond(0)
 	if o.Shedding() {
-		t.Fatal("sheds without pressure")
+		t.Fatal("sheds load without pressure")
 	}
 	for range 3 {
-		o.second(80)
+		o.simulateSecond(80)
 	}
 	if !o.Shedding() {
-		t.Fatal("doesn't shed")
+		t.Fatal("doesn't shed load under pressure")
 	}
 	totals := map[string]int{}
 	for range 20 {
-		for team, n := range o.second(15) {
+		for team, n := range o.simulateSecond(15) {
 			totals[team] += n
 		}
 	}
@@ -78,16 +78,17 @@
 		o.Update(o.at, o.at, LeaderLoad{}, nil)
 	}
 	if o.Shedding() || len(o.Policy().Shares) > 0 {
-		t.Error("continues to shed with nothing to shed")
+		t.Error("continues to shed without load")
 	}
 }
 
-// TestBurstsAtTwoNodesStayWithinThePolicy: followers that forward far too much at the same
-// time, by whatever recent revision, get no more admitted than the budget allows.
-func TestBurstsAtTwoNodesStayWithinThePolicy(t *testing.T) {
+// TestBurstsAtTwoNodesStayWithinTheBudget checks that followers which forward far too many
+// jobs at once, after applying any recent revision, get no more admitted than the budget
+// allows.
+func TestBurstsAtTwoNodesStayWithinTheBudget(t *testing.T) {
 	o := newOverload(1, begin)
 	for range 5 {
-		o.second(80)
+		o.simulateSecond(80)
 	}
 	budget := o.Summary().Budget
 	admitted := 0
@@ -99,72 +100,73 @@
 			}
 		}
 	}
-	if most := budget*tuning.AdmissionBurstTime.Seconds() + 1; float64(admitted) > most {
-		t.Errorf("%d admitted at once with a budget of %.1f a second", admitted, budget)
+	if limit := budget*tuning.AdmissionBurstTime.Seconds() + 1; float64(admitted) > limit {
+		t.Errorf("%d admitted at once with a budget of %.1f per second", admitted, budget)
 	}
 }
 
-// TestClaimsOfOtherNodes: a submission without a claim comes from a node that counts nothing,
-// and the decision by an old policy is too old: the leader applies its own.
-func TestClaimsOfOtherNodes(t *testing.T) {
+// TestMissingAndOutdatedClaims checks that the leader counts submissions without a claim,
+// which come from nodes without admission control, and that it applies its own policy to
+// them and to jobs admitted under an outdated revision.
+func TestMissingAndOutdatedClaims(t *testing.T) {
 	o := newOverload(1, begin)
 	for range 5 {
-		o.second(80)
+		o.simulateSecond(80)
 	}
-	before := len(o.uncounted)
-	refused := 0
+	before := len(o.unclaimed)
+	rejected := 0
 	for i := range 200 {
 		for _, claim := range []*Claim{nil, {Revision: 1}} {
 			request := Request{ID: fmt.Sprint("job-7", i), Key: Key{"guests", "nightly"}, Tasks: 1}
 			o.policy.Shares = []Share{{request.Key, 0}}
 			if !o.Admit(o.at, &request, claim, TaskLoad{}).Admitted {
-				refused++
+				rejected++
 			}
 		}
 	}
-	if before != 0 || o.uncounted[Key{"guests", "nightly"}].Count != 200 || refused != 400 {
-		t.Errorf("%d before, %+v, %d refused", before, o.uncounted, refused)
+	if before != 0 || o.unclaimed[Key{"guests", "nightly"}].Count != 200 || rejected != 400 {
+		t.Errorf("%d before, %+v, %d rejected", before, o.unclaimed, rejected)
 	}
 }
 
-// TestRevisionsGoOnWithTheNextLeader: a leader of a later term continues the revisions of the
-// former one, as far as the clocks agree; a wrong clock takes none back within a term.
-func TestRevisionsGoOnWithTheNextLeader(t *testing.T) {
+// TestRevisionsContinueInTheNextTerm checks that a successor continues its predecessor's
+// revisions if their clocks agree, and that a wrong clock doesn't decrease them within a term.
+func TestRevisionsContinueInTheNextTerm(t *testing.T) {
 	o := newOverload(1, begin)
 	for range 10 {
-		o.second(80)
+		o.simulateSecond(80)
 	}
 	next := newOverload(2, o.at)
-	next.second(80)
+	next.simulateSecond(80)
 	if a, b := o.Policy().Revision, next.Policy().Revision; b < a || b > a+2 {
 		t.Errorf("revision %d after %d", b, a)
 	}
-	was := next.Policy().Revision
+	previous := next.Policy().Revision
 	next.at = next.at.Add(tuning.AdmissionInterval)
 	next.Update(next.at, begin.Add(-time.Hour), LeaderLoad{}, nil)
-	if next.Policy().Revision <= was {
-		t.Error("a revision was taken back")
+	if next.Policy().Revision <= previous {
+		t.Error("the revision decreased")
 	}
 }
 
-// TestHugeJobsLeaveTaskCapacity: unfinished tasks of one team leave capacity for those of
-// the others.
+// TestHugeJobsLeaveTaskCapacity checks that one team's unfinished tasks leave capacity for
+// those of the other teams.
 func TestHugeJobsLeaveTaskCapacity(t *testing.T) {
 	r := NewRegulator(settings(), 1, begin)
-	asks := func(team string, all, own int) bool {
+	admits := func(team string, all, own int) bool {
 		request := Request{ID: "job-1", Key: Key{team, "urgent"}, Tasks: 100_000}
 		return r.Admit(begin, &request, &Claim{}, TaskLoad{Total: all, Team: own}).Admitted
 	}
-	if most := int(tuning.MaxActiveTasks * (1 - tuning.AdmissionTaskReserveShare)); !asks("blue", most-100_000, most-100_000) || asks("blue", most, most) {
-		t.Error("blue takes the capacity reserved for others, or may not borrow")
-	} else if !asks("green", most, 0) {
+	if limit := int(tuning.MaxActiveTasks * (1 - tuning.AdmissionTaskReserveShare)); !admits("blue", limit-100_000, limit-100_000) || admits("blue", limit, limit) {
+		t.Error("blue uses the capacity reserved for others, or may not exceed its own share")
+	} else if !admits("green", limit, 0) {
 		t.Error("green is blocked by blue's tasks")
 	}
 }
 
-// TestLagSheds: a leader whose periodic work lags sheds, too; one that was suspended once
-// doesn't.
-func TestLagSheds(t *testing.T) {
+// TestLagStartsShedding checks that a leader whose periodic work lags starts shedding, but
+// not after a single suspension of its process.
+func TestLagStartsShedding(t *testing.T) {
 	r := NewRegulator(settings(), 1, begin)
 	for i, c := range []struct {
 		lag  time.Duration
@@ -178,9 +180,9 @@
 	}
 }
 
-// TestCountsOfRestartedNodesAndLateMessages: a restarted node counts from zero, and
-// a delayed copy of counts takes nothing back.
-func TestCountsOfRestartedNodesAndLateMessages(t *testing.T) {
+// TestCountsOfRestartedNodesAndDelayedMessages checks that a restarted node counts from zero,
+// and that a delayed copy of older counts is ignored.
+func TestCountsOfRestartedNodesAndDelayedMessages(t *testing.T) {
 	k := Key{"blue", "urgent"}
 	at := begin
 	r := NewRegulator(settings(), 1, at)
@@ -188,12 +190,12 @@
 		at = at.Add(tuning.AdmissionInterval)
 		before := 0.0
 		if d := r.demands[k]; d != nil {
-			before = d.count * math.Exp(-tuning.AdmissionInterval.Seconds()/tuning.AdmissionOfferedLoadDecay.Seconds())
+			before = d.rate * math.Exp(-tuning.AdmissionInterval.Seconds()/tuning.AdmissionOfferedLoadDecay.Seconds())
 		}
 		o := OfferedLoad{Key: k, Count: count, AgingFactorSum: float64(count), PriorityWeightSum: float64(count)}
 		r.Update(at, at, LeaderLoad{}, []NodeOfferedLoad{{Node: "a", Started: started, Loads: []OfferedLoad{o}}})
 		if d := r.demands[k]; d != nil {
-			return (d.count - before) * tuning.AdmissionOfferedLoadDecay.Seconds()
+			return (d.rate - before) * tuning.AdmissionOfferedLoadDecay.Seconds()
 		}
 		return 0
 	}
