--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -9,13 +9,13 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Admission has the shares of teams under overload that the operators set.
+// Admission has the operators' settings for the shares of teams under overload.
 type Admission struct {
 	Teams []AdmissionShare
 }
 
-// AdmissionShare is the weight and floor of a team, or of a class within one; zero is the
-// default.
+// AdmissionShare is the weight and floor of a team, or of a class within a team; zero
+// is the default.
 type AdmissionShare struct {
 	Name    string
 	Weight  float64
@@ -23,7 +23,7 @@
 	Classes []AdmissionShare
 }
 
-// admissionElement is the element as written.
+// admissionElement is the XML element of the admission settings.
 type admissionElement struct {
 	Teams []shareElement `xml:"team"`
 	Other []struct {
@@ -31,7 +31,7 @@
 	} `xml:",any"`
 }
 
-// shareElement is a team, or a class within one, as written.
+// shareElement is the XML element of a team or a class.
 type shareElement struct {
 	Name    string         `xml:"name,attr"`
 	Weight  string         `xml:"weight,attr"`
@@ -42,10 +42,11 @@
 	} `xml:",any"`
 }
 
-// maxWeight bounds weights: larger ones are typing errors.
+// maxWeight bounds weights: larger ones are probably typing errors.
 const maxWeight = 1000
 
-// parse checks the element against the deployment's teams and classes; nil is off.
+// parse parses the element and checks it against the deployment's teams and classes.
+// Without an element, it returns nil: admission control is off.
 func (e *admissionElement) parse(p *Params) (*Admission, error) {
 	if e == nil {
 		return nil, nil
@@ -71,37 +72,37 @@
 	return &Admission{Teams: shares}, nil
 }
 
-// parseShares parses the shares of teams or classes, each of the known names at most once;
-// the sum of their floors is at most maxFloors.
+// parseShares parses the shares of teams or classes. Each must have one of the known names,
+// no name may occur twice, and the sum of the floors is at most maxFloors.
 func parseShares(field string, elements []shareElement, known []string, maxFloors float64) ([]AdmissionShare, error) {
 	var shares []AdmissionShare
 	seen := map[string]bool{}
 	floors := 0.0
 	for _, e := range elements {
-		at := fmt.Sprintf("%s[%s]", field, e.Name)
+		path := fmt.Sprintf("%s[%s]", field, e.Name)
 		switch {
 		case len(e.Other) > 0:
-			return nil, &FieldError{Field: at + "/" + e.Other[0].XMLName.Local, Reason: reasonUnknownElement}
+			return nil, &FieldError{Field: path + "/" + e.Other[0].XMLName.Local, Reason: reasonUnknownElement}
 		case !slices.Contains(known, e.Name):
-			return nil, &FieldError{Field: at + "/name", Reason: reasonNotInSettings}
+			return nil, &FieldError{Field: path + "/name", Reason: reasonNotInSettings}
 		case seen[e.Name]:
-			return nil, &FieldError{Field: at, Reason: reasonTwice}
+			return nil, &FieldError{Field: path, Reason: reasonDuplicate}
 		}
 		seen[e.Name] = true
-		share, err := e.share(at)
+		share, err := e.parseShare(path)
 		if err != nil {
 			return nil, err
 		}
 		if floors += share.Floor; floors > maxFloors {
-			return nil, &FieldError{Field: at + "/floor", Reason: fmt.Sprintf("floors must not sum up to more than %g", maxFloors)}
+			return nil, &FieldError{Field: path + "/floor", Reason: fmt.Sprintf("floors must not sum up to more than %g", maxFloors)}
 		}
 		shares = append(shares, share)
 	}
 	return shares, nil
 }
 
-// share parses the weight and the floor.
-func (e *shareElement) share(field string) (AdmissionShare, error) {
+// parseShare parses the weight and the floor of one team or class.
+func (e *shareElement) parseShare(field string) (AdmissionShare, error) {
 	weight, err := parseAmount(field+"/weight", e.Weight)
 	if err != nil {
 		return AdmissionShare{}, err
@@ -116,7 +117,6 @@
 	return AdmissionShare{Name: e.Name, Weight: weight, Floor: floor}, nil
 }
 
-// teamNames returns the names of the teams.
 func (p *Params) teamNames() []string {
 	names := make([]string, len(p.Teams))
 	for i, t := range p.Teams {
@@ -125,7 +125,7 @@
 	return names
 }
 
-// Classes returns the names of the classes that have objectives, each once.
+// Classes returns the names of the classes that have objectives, without duplicates.
 func (p *Params) Classes() []string {
 	var names []string
 	for _, o := range p.Objectives {
@@ -136,7 +136,7 @@
 	return names
 }
 
-// AdmissionSettings returns the settings of admission control, nil if it is off.
+// AdmissionSettings returns the settings of admission control, or nil if it is off.
 func (o *OperatorSettings) AdmissionSettings(p *Params) *admission.Settings {
 	if o.Admission == nil {
 		return nil
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -8,10 +8,10 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// FieldError is a setting that is missing or invalid.
+// FieldError is the error for a missing or invalid setting.
 type FieldError = wire.FieldError
 
-// Reasons of a FieldError that several checks give.
+// Reasons of a FieldError that several checks use.
 const (
 	reasonMissing          = "missing"
 	reasonNegative         = "must not be negative"
@@ -19,24 +19,24 @@
 	reasonNotWhole         = "must be a whole number"
 	reasonUnknownElement   = "unknown element"
 	reasonUnknownAttribute = "unknown attribute"
-	reasonTwice            = "given twice"
+	reasonDuplicate        = "given twice"
 	reasonNotInSettings    = "not in the platform's settings"
 )
 
-// checker keeps the first error.
+// checker records the first error of a series of checks.
 type checker struct {
 	err error
 }
 
-// require keeps an error if a condition doesn't hold.
+// require records an error if ok is false and no check has failed before.
 func (c *checker) require(ok bool, field, reason string) {
 	if !ok && c.err == nil {
 		c.err = &FieldError{Field: field, Reason: reason}
 	}
 }
 
-// addr checks an IP address with a port.
-func (c *checker) addr(value, field string) {
+// requireAddr checks that value is an IP address with a port.
+func (c *checker) requireAddr(value, field string) {
 	if value == "" {
 		c.require(false, field, reasonMissing)
 		return
@@ -45,8 +45,8 @@
 	c.require(err == nil && net.ParseIP(host) != nil, field, "must be an IP address with a port")
 }
 
-// positive checks a number above zero.
-func (c *checker) positive(value float64, field string) {
+// requirePositive checks that value is finite and above zero.
+func (c *checker) requirePositive(value float64, field string) {
 	c.require(value > 0, field, "must be above zero")
 	c.require(!math.IsInf(value, 0), field, "must be finite")
 }
@@ -56,14 +56,14 @@
 	k := &checker{}
 	k.require(c.Name != "", "label", reasonMissing)
 	k.require(c.Zone != "", "domain", reasonMissing)
-	k.addr(c.Listen, "client_listen")
-	k.addr(c.PeerListen, "peer_bind")
+	k.requireAddr(c.Listen, "client_listen")
+	k.requireAddr(c.PeerListen, "peer_bind")
 	for i, p := range c.Peers {
 		k.require(p.Name != "" && p.Name != c.Name, fmt.Sprintf("peers[%d].label", i), "missing or this node's own")
-		k.addr(p.Addr, fmt.Sprintf("peers[%d].addr", i))
+		k.requireAddr(p.Addr, fmt.Sprintf("peers[%d].addr", i))
 	}
-	k.addr(c.Services.Cloud, "services.cloud")
-	k.addr(c.Services.KVStore, "services.state")
+	k.requireAddr(c.Services.Cloud, "services.cloud")
+	k.requireAddr(c.Services.KVStore, "services.state")
 	c.Params.check(k)
 	return k.err
 }
@@ -71,13 +71,13 @@
 // check checks the deployment's parameters.
 func (p *Params) check(k *checker) {
 	checkTeams(k, p.Teams)
-	k.positive(p.Workers.HeartbeatIntervalS, "facts.workers.report_s")
-	k.positive(p.Workers.LeaseS, "facts.workers.lease_s")
-	k.positive(p.Workers.CancelDeadlineS, "facts.workers.cancel_s")
+	k.requirePositive(p.Workers.HeartbeatIntervalS, "facts.workers.report_s")
+	k.requirePositive(p.Workers.LeaseS, "facts.workers.lease_s")
+	k.requirePositive(p.Workers.CancelDeadlineS, "facts.workers.cancel_s")
 	k.require(p.Workers.CancelDeadlineS > p.Workers.LeaseS, "facts.workers.cancel_s", "must be above lease_s")
 	p.KVStore.check(k, "facts.state")
 	p.KVStore.Tightest().check(k, "facts.state.next")
-	k.positive(p.Cloud.RPS, "facts.cloud.rps")
+	k.requirePositive(p.Cloud.RPS, "facts.cloud.rps")
 	k.require(p.Cloud.ListLagS >= 0 && !math.IsInf(p.Cloud.ListLagS, 0), "facts.cloud.list_lag_s", reasonNegative)
 	k.require(p.Limits.MemoryMB >= 0, "facts.resources.memory_mb", reasonNegative)
 	k.require(p.Limits.MaxConnections >= 0, "facts.resources.fd_limit", reasonNegative)
@@ -96,10 +96,10 @@
 	}
 }
 
-// check checks the limits of a table of the file.
+// check checks the limits, which the file has in the given table.
 func (s KVStoreLimits) check(k *checker, table string) {
-	k.positive(s.RPS, table+".rps")
-	k.positive(s.WriteRPS, table+".write_rps")
+	k.requirePositive(s.RPS, table+".rps")
+	k.requirePositive(s.WriteRPS, table+".write_rps")
 	k.require(s.ValueKB >= 1, table+".value_kb", "must be at least 1")
 	k.require(s.TxnOps >= 4, table+".txn_ops", "must be at least 4")
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,9 +1,10 @@
 // Package config reads and checks the platform's settings (TOML, Load) and the
-// operators' own (XML, LoadOperator). An invalid setting is a FieldError, whose field is
-// written as in the file.
+// operators' settings (XML, LoadOperatorSettings). The error for an invalid setting is
+// a FieldError, which names the field as in the file.
 package config
 
-// Config is the platform's settings file: this node and its surroundings.
+// Config is the platform's settings file. It describes this node, its peers and
+// services, and the deployment.
 type Config struct {
 	Name       string   `toml:"label"`
 	Zone       string   `toml:"domain"`
@@ -14,7 +15,7 @@
 	Params     Params   `toml:"facts"`
 }
 
-// Peer is another controller.
+// Peer is another controller node.
 type Peer struct {
 	Name string `toml:"label"`
 	Zone string `toml:"domain"`
@@ -27,7 +28,7 @@
 	KVStore string `toml:"state"`
 }
 
-// Params describes the deployment; it is the same on all nodes.
+// Params are the parameters of the deployment. They are the same on all nodes.
 type Params struct {
 	Nodes        int           `toml:"initial_size"`
 	Zones        []string      `toml:"zones"`
@@ -40,7 +41,7 @@
 	Limits       ProcessLimits `toml:"resources"`
 }
 
-// Team is a team's quota: what it is guaranteed, and its limit (Max).
+// Team is a team's quota: its guaranteed resources, and its limits (Max).
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -49,7 +50,7 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective is a service-level objective on the start or the end of a class of jobs.
+// Objective is a service-level objective for the start or the end of a class of jobs.
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
@@ -71,12 +72,13 @@
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
 	TxnOps   int     `toml:"txn_ops"`
-	// Upcoming holds the limits that the store will have from some time on,
-	// without notice; those left out don't change.
+	// Upcoming has the limits that the store will have after a change at an
+	// unannounced time. Limits left out don't change.
 	Upcoming UpcomingKVStoreLimits `toml:"next"`
 }
 
-// UpcomingKVStoreLimits has limits of the key-value store that will come; nil is no change.
+// UpcomingKVStoreLimits has limits of the key-value store after a change; a nil limit
+// doesn't change.
 type UpcomingKVStoreLimits struct {
 	RPS      *float64 `toml:"rps"`
 	WriteRPS *float64 `toml:"write_rps"`
@@ -84,24 +86,24 @@
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// Tightest returns limits that hold before and after the change: its time is not
-// known, and requests above the limits are refused.
+// Tightest returns limits that are valid both before and after the change: the time of
+// the change is unknown, and the store refuses requests above its limits.
 func (s KVStoreLimits) Tightest() KVStoreLimits {
-	next := s.Upcoming
+	upcoming := s.Upcoming
 	return KVStoreLimits{
-		RPS:      tighter(s.RPS, next.RPS),
-		WriteRPS: tighter(s.WriteRPS, next.WriteRPS),
-		ValueKB:  tighter(s.ValueKB, next.ValueKB),
-		TxnOps:   tighter(s.TxnOps, next.TxnOps),
+		RPS:      smallerLimit(s.RPS, upcoming.RPS),
+		WriteRPS: smallerLimit(s.WriteRPS, upcoming.WriteRPS),
+		ValueKB:  smallerLimit(s.ValueKB, upcoming.ValueKB),
+		TxnOps:   smallerLimit(s.TxnOps, upcoming.TxnOps),
 	}
 }
 
-// tighter returns the smaller limit.
-func tighter[N int | float64](now N, next *N) N {
-	if next == nil {
-		return now
+// smallerLimit returns the smaller of both limits; a nil upcoming limit is no change.
+func smallerLimit[N int | float64](current N, upcoming *N) N {
+	if upcoming == nil {
+		return current
 	}
-	return min(now, *next)
+	return min(current, *upcoming)
 }
 
 // CloudLimits has the limits of the cloud.
@@ -110,7 +112,7 @@
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// ProcessLimits has the resources of this process; 0 is no limit.
+// ProcessLimits has the resource limits of this process; 0 is no limit.
 type ProcessLimits struct {
 	CPUShare       float64 `toml:"core_share"`
 	MemoryMB       float64 `toml:"memory_mb"`
--- a/internal/config/drains.go
+++ b/internal/config/drains.go
@@ -15,7 +15,7 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// drainsElement is the element that turns drains on, as written.
+// drainsElement is the XML element that turns drains on.
 type drainsElement struct {
 	Window  string          `xml:"windowSeconds,attr"`
 	Attrs   []xml.Attr      `xml:",any,attr"`
@@ -25,7 +25,8 @@
 	} `xml:",any"`
 }
 
-// budgetElement is the budget of a team or, without one, the default, as written.
+// budgetElement is the XML element of a team's budget, or of the default budget if it
+// names no team.
 type budgetElement struct {
 	Team           string     `xml:"team,attr"`
 	MaxUnavailable string     `xml:"maxUnavailable,attr"`
@@ -34,7 +35,8 @@
 	Attrs          []xml.Attr `xml:",any,attr"`
 }
 
-// parse checks the element against the deployment's teams; nil is off.
+// parse parses the element and checks it against the deployment's teams. Without an
+// element, it returns nil: drains are off.
 func (e *drainsElement) parse(p *Params) (*drain.Budgets, error) {
 	if e == nil {
 		return nil, nil
@@ -45,12 +47,12 @@
 	case len(e.Attrs) > 0:
 		return nil, &FieldError{Field: "drains/" + e.Attrs[0].Name.Local, Reason: reasonUnknownAttribute}
 	}
-	window, err := e.window()
+	window, err := e.parseWindow()
 	if err != nil {
 		return nil, err
 	}
 	b := &drain.Budgets{Window: window, Teams: map[string]drain.Budget{}}
-	if b.Default, err = e.defaultBudget(); err != nil {
+	if b.Default, err = e.parseDefaultBudget(); err != nil {
 		return nil, err
 	}
 	for _, element := range e.Budgets {
@@ -61,8 +63,8 @@
 	return b, nil
 }
 
-// window parses the window of the budgets.
-func (e *drainsElement) window() (time.Duration, error) {
+// parseWindow parses the window of the budgets and checks its bounds.
+func (e *drainsElement) parseWindow() (time.Duration, error) {
 	const field = "drains/windowSeconds"
 	amount, err := parseAmount(field, e.Window)
 	if err != nil {
@@ -79,25 +81,26 @@
 	return window, nil
 }
 
-// defaultBudget parses the budget of the teams without one of their own; the last one counts.
-func (e *drainsElement) defaultBudget() (drain.Budget, error) {
-	builtIn := drain.Budget{
+// parseDefaultBudget returns the budget of teams without a budget of their own. If several
+// elements name no team, the last one applies.
+func (e *drainsElement) parseDefaultBudget() (drain.Budget, error) {
+	defaults := drain.Budget{
 		MaxUnavailable: tuning.DrainMaxUnavailable, Evictions: tuning.DrainMaxEvictions, LostS: tuning.DrainMaxLostTime.Seconds(),
 	}
-	budget := builtIn
+	budget := defaults
 	for _, element := range e.Budgets {
 		if element.Team != "" {
 			continue
 		}
 		var err error
-		if budget, err = element.parse("drains/budget", builtIn); err != nil {
+		if budget, err = element.parse("drains/budget", defaults); err != nil {
 			return drain.Budget{}, err
 		}
 	}
 	return budget, nil
 }
 
-// addTo adds a team's own budget.
+// addTo adds a team's budget to b. It ignores an element that names no team.
 func (e *budgetElement) addTo(b *drain.Budgets, p *Params) error {
 	if e.Team == "" {
 		return nil
@@ -106,15 +109,15 @@
 	if !slices.Contains(p.teamNames(), e.Team) {
 		return &FieldError{Field: field + "/team", Reason: reasonNotInSettings}
 	}
-	if _, twice := b.Teams[e.Team]; twice {
-		return &FieldError{Field: field, Reason: reasonTwice}
+	if _, duplicate := b.Teams[e.Team]; duplicate {
+		return &FieldError{Field: field, Reason: reasonDuplicate}
 	}
-	own, err := e.parse(field, b.Default)
-	b.Teams[e.Team] = own
+	budget, err := e.parse(field, b.Default)
+	b.Teams[e.Team] = budget
 	return err
 }
 
-// parse parses a budget; what is left out is as in the default.
+// parse parses the element into budget, which has the values for omitted attributes.
 func (e *budgetElement) parse(field string, budget drain.Budget) (drain.Budget, error) {
 	if len(e.Attrs) > 0 {
 		return budget, &FieldError{Field: field + "/" + e.Attrs[0].Name.Local, Reason: reasonUnknownAttribute}
@@ -132,10 +135,10 @@
 		}
 		budget.LostS = value
 	}
-	return budget, withinField(field, budget.Validate())
+	return budget, prefixField(field, budget.Validate())
 }
 
-// parseCount parses a whole number into target, unless the text is empty.
+// parseCount parses a whole number into target. An empty text leaves target unchanged.
 func parseCount(field, text string, target *int) error {
 	if text == "" {
 		return nil
@@ -148,11 +151,12 @@
 	return nil
 }
 
-// withinField puts the path of the element before the field of a FieldError.
-func withinField(path string, err error) error {
-	var invalid *FieldError
-	if errors.As(err, &invalid) {
-		return &FieldError{Field: path + "/" + invalid.Field, Reason: invalid.Reason}
+// prefixField prepends the path of the element to the field of a FieldError. Other
+// errors are returned unchanged.
+func prefixField(path string, err error) error {
+	var fieldErr *FieldError
+	if errors.As(err, &fieldErr) {
+		return &FieldError{Field: path + "/" + fieldErr.Field, Reason: fieldErr.Reason}
 	}
 	return err
 }
--- a/internal/config/errors_test.go
+++ b/internal/config/errors_test.go
@@ -10,7 +10,8 @@
 	"switchshore.example/switchshore/internal/config"
 )
 
-// TestErrorTexts: operators read the texts, and programs the types.
+// TestErrorTexts checks the texts of errors, which operators read, and their types, which
+// programs use.
 func TestErrorTexts(t *testing.T) {
 	parse := func(text string) error {
 		_, err := config.Parse([]byte(text))
@@ -23,7 +24,7 @@
 	for _, c := range []struct {
 		parse      func(string) error
 		text, want string
-		field      string // empty if the whole file is at fault
+		field      string // empty if the error is about the whole file
 	}{
 		{parse, strings.Replace(settings, `label = "n0"`, "", 1), "field label: missing", "label"},
 		{parse, strings.Replace(settings, "lease_s = 17.0", "lease_s = 0.0", 1), "field facts.workers.lease_s: must be above zero", "facts.workers.lease_s"},
@@ -53,7 +54,7 @@
 		}
 		var invalid *config.FieldError
 		if errors.As(err, &invalid) != (c.field != "") || invalid != nil && invalid.Field != c.field {
-			t.Errorf("%v is of field %+v, want %s", err, invalid, c.field)
+			t.Errorf("%v has field error %+v, want field %s", err, invalid, c.field)
 		}
 	}
 	if err := parseOperator(""); !errors.Is(err, config.ErrNoRootElement) {
@@ -64,7 +65,7 @@
 	}
 }
 
-// TestErrorsNameTheFile: an error names the file that is invalid, and the field.
+// TestErrorsNameTheFile checks that errors name the invalid file and the field.
 func TestErrorsNameTheFile(t *testing.T) {
 	write := func(name, text string) string {
 		path := filepath.Join(t.TempDir(), name)
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -9,7 +9,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Load reads and checks the settings file at path.
+// Load reads and checks the platform's settings file at path.
 func Load(path string) (*Config, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -22,12 +22,12 @@
 	return c, nil
 }
 
-// Parse decodes and checks settings; unknown fields are ignored. The error is a
-// FieldError, within a PositionError if the field can't be decoded.
+// Parse decodes and checks the platform's settings. It ignores unknown fields. The
+// error is a FieldError, wrapped in a PositionError if decoding fails.
 func Parse(data []byte) (*Config, error) {
 	c := &Config{}
 	if err := toml.Unmarshal(data, c); err != nil {
-		return nil, positionOf(err)
+		return nil, withPosition(err)
 	}
 	if err := c.check(); err != nil {
 		return nil, err
@@ -36,7 +36,7 @@
 	return c, nil
 }
 
-// PositionError is an error at a position of the settings file.
+// PositionError is a FieldError with its position in the settings file.
 type PositionError struct {
 	Line, Column int
 	Err          *FieldError
@@ -46,13 +46,12 @@
 	return fmt.Sprintf("line %d, column %d: %s", e.Line, e.Column, e.Err.Error())
 }
 
-// Unwrap returns the field and the reason.
+// Unwrap returns the FieldError.
 func (e *PositionError) Unwrap() error { return e.Err }
 
-// messageNames replaces names of this package in the decoder's messages, which
-// quote the Go type and field. Operators get the messages of the versions in
-// which the types had these names; a renamed type or field needs an entry here
-// (TestMessagesNameTheField).
+// messageNames replaces the names of Go types and fields in the decoder's messages by
+// their names in earlier versions, so that the messages to operators stay the same. A
+// renamed type or field needs an entry here (TestDecoderMessagesKeepNames).
 var messageNames = strings.NewReplacer(
 	"config.UpcomingKVStoreLimits", "config.StateNext",
 	"config.KVStoreLimits.Upcoming", "config.State.Next",
@@ -66,15 +65,15 @@
 	"config.Workers.CancelDeadlineS", "config.Workers.CancelS",
 )
 
-// positionOf turns an error of the decoder into a PositionError.
-func positionOf(err error) error {
-	var decode *toml.DecodeError
-	if !errors.As(err, &decode) {
+// withPosition converts an error of the TOML decoder into a PositionError.
+func withPosition(err error) error {
+	var decodeErr *toml.DecodeError
+	if !errors.As(err, &decodeErr) {
 		return err
 	}
-	line, column := decode.Position()
+	line, column := decodeErr.Position()
 	return &PositionError{
 		Line: line, Column: column,
-		Err: &FieldError{Field: strings.Join(decode.Key(), "."), Reason: messageNames.Replace(decode.Error())},
+		Err: &FieldError{Field: strings.Join(decodeErr.Key(), "."), Reason: messageNames.Replace(decodeErr.Error())},
 	}
 }
--- a/internal/config/load_test.go
+++ b/internal/config/load_test.go
@@ -47,7 +47,7 @@
 list_lag_s = 5.0
 `
 
-// TestParse: settings are read as written, and unknown ones ignored.
+// TestParse checks that settings are read, and that unknown ones are ignored.
 func TestParse(t *testing.T) {
 	c, err := config.Parse([]byte(settings))
 	if err != nil {
@@ -58,7 +58,7 @@
 	}
 }
 
-// TestErrorsNameTheField: the error of each invalid setting names it on one line.
+// TestErrorsNameTheField checks that the error for an invalid setting names it, on one line.
 func TestErrorsNameTheField(t *testing.T) {
 	for _, c := range [][3]string{
 		{`label = "n0"`, ``, "label"},
@@ -79,8 +79,8 @@
 	}
 }
 
-// TestUpcomingLimits: the tighter of both limits applies at all times; without the table, or
-// a field of it, nothing changes.
+// TestUpcomingLimits checks that the tighter of both limits applies, that limits missing from
+// the table don't change, and that the upcoming limits are validated.
 func TestUpcomingLimits(t *testing.T) {
 	before, err := config.Parse([]byte(settings))
 	if err != nil {
@@ -95,10 +95,10 @@
 	if c.Params.KVStore != want {
 		t.Errorf("%+v, want %+v", c.Params.KVStore, want)
 	}
-	for _, wrong := range []string{"write_rps = 0.0", "value_kb = -1.0", "txn_ops = 2", "rps = 0.0"} {
-		field, _, _ := strings.Cut(wrong, " ")
-		if _, err := config.Parse([]byte(settings + "[facts.state.next]\n" + wrong + "\n")); err == nil || !strings.Contains(err.Error(), "facts.state.next."+field) {
-			t.Errorf("%s: %v", wrong, err)
+	for _, invalid := range []string{"write_rps = 0.0", "value_kb = -1.0", "txn_ops = 2", "rps = 0.0"} {
+		field, _, _ := strings.Cut(invalid, " ")
+		if _, err := config.Parse([]byte(settings + "[facts.state.next]\n" + invalid + "\n")); err == nil || !strings.Contains(err.Error(), "facts.state.next."+field) {
+			t.Errorf("%s: %v", invalid, err)
 		}
 	}
 }
--- a/internal/config/messages_test.go
+++ b/internal/config/messages_test.go
@@ -7,9 +7,9 @@
 	"switchshore.example/switchshore/internal/config"
 )
 
-// TestMessagesNameTheField: a value of the wrong type is reported under names that don't change
-// when the types and fields of this package do.
-func TestMessagesNameTheField(t *testing.T) {
+// TestDecoderMessagesKeepNames checks that the message for a value of the wrong type keeps
+// its type and field names when the types and fields of this package are renamed.
+func TestDecoderMessagesKeepNames(t *testing.T) {
 	for path, name := range map[string]string{
 		"label":                      "config.Config.Name",
 		"domain":                     "config.Config.Zone",
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -14,21 +14,22 @@
 	"switchshore.example/switchshore/internal/drain"
 )
 
-// OperatorSettings is the operators' own settings. A field that is zero has its default, or is off.
+// OperatorSettings has the operators' settings. A zero field has its default, or turns
+// the feature off.
 type OperatorSettings struct {
-	// MaxMachines bounds the machines provisioned at a time; the default is no bound.
+	// MaxMachines bounds the machines provisioned at the same time; 0 is no bound.
 	MaxMachines int
 	// ScaleInIdleS is how long an idle machine is kept, in seconds.
 	ScaleInIdleS float64
-	// StartWithinS is the time within which waiting work should start, in seconds.
+	// StartWithinS is the time within which waiting tasks should start, in seconds.
 	StartWithinS float64
-	// Admission turns on fair admission under overload.
+	// Admission turns on admission control under overload.
 	Admission *Admission
-	// Drains turns on drains of machines, with the budgets of the teams.
+	// Drains turns on drains of machines, and has the teams' disruption budgets.
 	Drains *drain.Budgets
 }
 
-// operatorFile is the file as written; a field left out is empty.
+// operatorFile is the operators' file with unparsed values; omitted fields are empty.
 type operatorFile struct {
 	XMLName      xml.Name `xml:"switchshore"`
 	MaxMachines  string   `xml:"machines>max"`
@@ -39,8 +40,8 @@
 	Drains    *drainsElement    `xml:"drains"`
 }
 
-// LoadOperatorSettings reads and checks the operators' file for a deployment. An empty path gives the
-// defaults.
+// LoadOperatorSettings reads and checks the operators' file for a deployment. It returns
+// the defaults if path is empty.
 func LoadOperatorSettings(path string, p *Params) (*OperatorSettings, error) {
 	if path == "" {
 		return &OperatorSettings{}, nil
@@ -56,8 +57,8 @@
 	return o, nil
 }
 
-// ParseOperatorSettings decodes and checks the operators' file for a deployment. The error is a
-// FieldError, ErrNoElement, ErrExtraContent, or that of the XML decoder.
+// ParseOperatorSettings decodes and checks the operators' file for a deployment. The error
+// is a FieldError, ErrNoRootElement, ErrExtraContent, or an error of the XML decoder.
 func ParseOperatorSettings(data []byte, p *Params) (*OperatorSettings, error) {
 	file, err := decodeOperator(data)
 	if err != nil {
@@ -87,13 +88,13 @@
 	return o, nil
 }
 
-// Errors of an operators' file as a whole.
+// Errors for the structure of an operators' file.
 var (
 	ErrNoRootElement = errors.New("no switchshore element")
 	ErrExtraContent  = errors.New("more than the switchshore element")
 )
 
-// decodeOperator decodes the one element that the file consists of.
+// decodeOperator decodes the root element and checks that nothing follows it.
 func decodeOperator(data []byte) (*operatorFile, error) {
 	var file operatorFile
 	decoder := xml.NewDecoder(bytes.NewReader(data))
@@ -104,14 +105,14 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := checkRest(decoder); err != nil {
+	if err := checkNoExtraContent(decoder); err != nil {
 		return nil, err
 	}
 	return &file, nil
 }
 
-// checkRest checks that only comments and white space are left.
-func checkRest(decoder *xml.Decoder) error {
+// checkNoExtraContent checks that only comments and white space follow.
+func checkNoExtraContent(decoder *xml.Decoder) error {
 	for {
 		token, err := decoder.Token()
 		if errors.Is(err, io.EOF) {
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -8,8 +8,9 @@
 	"switchshore.example/switchshore/internal/config"
 )
 
-// TestParseOperator: a file is read as written, and other documents are refused.
-func TestParseOperator(t *testing.T) {
+// TestParseOperatorSettings checks that a valid file is read, and that invalid ones are
+// rejected.
+func TestParseOperatorSettings(t *testing.T) {
 	o, err := config.ParseOperatorSettings([]byte(`<switchshore><machines><max>9</max></machines></switchshore>`), &config.Params{})
 	if err != nil || o.MaxMachines != 9 {
 		t.Fatalf("%+v %v", o, err)
@@ -21,8 +22,8 @@
 	}
 }
 
-// TestAdmissionElement: weights and floors are read, and the error of each mistake names the
-// field on one line. Without the element admission control is off.
+// TestAdmissionElement checks that weights and floors are read, that the error for an invalid
+// value names the field on one line, and that admission control is off without the element.
 func TestAdmissionElement(t *testing.T) {
 	p := &config.Params{
 		Teams:      []config.Team{{Name: "blue", CPUs: 8}, {Name: "green"}},
@@ -69,8 +70,9 @@
 	}
 }
 
-// TestDrainsElement: budgets are read as written, for all teams and for single ones, and the error
-// of each mistake names the field.
+// TestDrainsElement checks that budgets for all teams and for single teams are read, that the
+// error for an invalid value names the field on one line, and that drains are off without the
+// element.
 func TestDrainsElement(t *testing.T) {
 	p := &config.Params{Teams: []config.Team{{Name: "blue"}, {Name: "green"}}}
 	parse := func(text string) (*config.OperatorSettings, error) {
--- a/internal/tuning/admission.go
+++ b/internal/tuning/admission.go
@@ -16,7 +16,8 @@
 	// AdmissionShedPressure is the multiple of the targets at which load shedding
 	// begins: a smaller burst is served before a rejected user would retry.
 	AdmissionShedPressure = 2.5
-	// AdmissionMaxDecreaseFactor is the largest factor by which one update divides the budget.
+	// AdmissionMaxDecreaseFactor is the largest factor by which one update divides the
+	// budget.
 	AdmissionMaxDecreaseFactor = 2.0
 	// In each interval without pressure the budget is multiplied by
 	// AdmissionGrowthFactor, and then grows by AdmissionGrowthStep jobs per second.
