--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -17,7 +17,7 @@
 // OperatorSettings has the operators' settings. A zero field has its default, or turns
 // the feature off.
 type OperatorSettings struct {
-	// MaxMachines bounds the machines provisioned at the same time; 0 is no bound.
+	// MaxMachines bounds the number of provisioned machines; 0 is no bound.
 	MaxMachines int
 	// ScaleInIdleS is how long an idle machine is kept, in seconds.
 	ScaleInIdleS float64
