--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -65,7 +65,7 @@
 	}
 	sockets := float64(limits.MaxConnections)
 	total = max(minConnections, int(sockets*tuning.SocketShare))
-	workers = max(minWorkerConnections, int(sockets*tuning.WorkerShare))
+	workers = max(minWorkerConnections, int(sockets*tuning.WorkerSocketShare))
 	return total, workers
 }
 
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -35,7 +35,7 @@
 // newBudget returns a limiter with the leader's share of the cloud's rate limit. Its burst is at
 // most one second at that rate, because a previous leader may have used up the cloud's burst.
 func newBudget(limits config.CloudLimits) *rate.Limiter {
-	perSecond := limits.RPS * tuning.CloudShare
+	perSecond := limits.RPS * tuning.CloudCallShare
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
 
--- a/internal/config/errors_test.go
+++ b/internal/config/errors_test.go
@@ -10,20 +10,21 @@
 	"switchshore.example/switchshore/internal/config"
 )
 
-// TestErrorTexts: operators read the texts, and programs the types.
+// TestErrorTexts checks the texts of errors, which operators read, and their types, which
+// programs use.
 func TestErrorTexts(t *testing.T) {
 	parse := func(text string) error {
 		_, err := config.Parse([]byte(text))
 		return err
 	}
 	parseOperator := func(text string) error {
-		_, err := config.ParseOperator([]byte(text), &config.Params{Teams: []config.Team{{Name: "blue"}}})
+		_, err := config.ParseOperatorSettings([]byte(text), &config.Params{Teams: []config.Team{{Name: "blue"}}})
 		return err
 	}
 	for _, c := range []struct {
 		parse      func(string) error
 		text, want string
-		field      string // empty if the whole file is at fault
+		field      string // empty if the error is about the whole file
 	}{
 		{parse, strings.Replace(settings, `label = "n0"`, "", 1), "field label: missing", "label"},
 		{parse, strings.Replace(settings, "lease_s = 17.0", "lease_s = 0.0", 1), "field facts.workers.lease_s: must be above zero", "facts.workers.lease_s"},
@@ -53,10 +54,10 @@
 		}
 		var invalid *config.FieldError
 		if errors.As(err, &invalid) != (c.field != "") || invalid != nil && invalid.Field != c.field {
-			t.Errorf("%v is of field %+v, want %s", err, invalid, c.field)
+			t.Errorf("%v has field error %+v, want field %s", err, invalid, c.field)
 		}
 	}
-	if err := parseOperator(""); !errors.Is(err, config.ErrNoElement) {
+	if err := parseOperator(""); !errors.Is(err, config.ErrNoRootElement) {
 		t.Errorf("%v", err)
 	}
 	if err := parseOperator("<switchshore/><switchshore/>"); !errors.Is(err, config.ErrExtraContent) {
@@ -64,7 +65,7 @@
 	}
 }
 
-// TestErrorsNameTheFile: an error names the file that is invalid, and the field.
+// TestErrorsNameTheFile checks that errors name the invalid file and the field.
 func TestErrorsNameTheFile(t *testing.T) {
 	write := func(name, text string) string {
 		path := filepath.Join(t.TempDir(), name)
@@ -84,7 +85,7 @@
 	check(path, "facts.workers.lease_s", err)
 	for field, value := range map[string]string{"max": "1.5", "keepIdleSeconds": "soon", "planHorizonSeconds": "-1"} {
 		path := write("operator.xml", "<switchshore><machines><"+field+">"+value+"</"+field+"></machines></switchshore>")
-		_, err := config.LoadOperator(path, &config.Params{})
+		_, err := config.LoadOperatorSettings(path, &config.Params{})
 		check(path, "machines/"+field, err)
 	}
 	missing := filepath.Join(t.TempDir(), "missing")
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -8,29 +8,30 @@
 	"switchshore.example/switchshore/internal/config"
 )
 
-// TestParseOperator: a file is read as written, and other documents are refused.
-func TestParseOperator(t *testing.T) {
-	o, err := config.ParseOperator([]byte(`<switchshore><machines><max>9</max></machines></switchshore>`), &config.Params{})
+// TestParseOperatorSettings checks that a valid file is read, and that invalid ones are
+// rejected.
+func TestParseOperatorSettings(t *testing.T) {
+	o, err := config.ParseOperatorSettings([]byte(`<switchshore><machines><max>9</max></machines></switchshore>`), &config.Params{})
 	if err != nil || o.MaxMachines != 9 {
 		t.Fatalf("%+v %v", o, err)
 	}
 	for _, bad := range []string{"", "<other/>", `<switchshore><machines><max>-1</max></machines></switchshore>`} {
-		if _, err := config.ParseOperator([]byte(bad), &config.Params{}); err == nil {
+		if _, err := config.ParseOperatorSettings([]byte(bad), &config.Params{}); err == nil {
 			t.Errorf("%q accepted", bad)
 		}
 	}
 }
 
-// TestAdmissionElement: weights and floors are read, and the error of each mistake names the
-// field on one line. Without the element admission control is off.
+// TestAdmissionElement checks that weights and floors are read, that the error for an invalid
+// value names the field on one line, and that admission control is off without the element.
 func TestAdmissionElement(t *testing.T) {
 	p := &config.Params{
 		Teams:      []config.Team{{Name: "blue", CPUs: 8}, {Name: "green"}},
 		Objectives: []config.Objective{{Class: "urgent"}, {Class: "urgent"}, {Class: "nightly"}, {}},
 		KVStore:    config.KVStoreLimits{WriteRPS: 80},
 	}
-	parse := func(inner string) (*config.Operator, error) {
-		return config.ParseOperator([]byte("<switchshore>"+inner+"</switchshore>"), p)
+	parse := func(inner string) (*config.OperatorSettings, error) {
+		return config.ParseOperatorSettings([]byte("<switchshore>"+inner+"</switchshore>"), p)
 	}
 	o, err := parse(`<!-- on --><admission><team name="blue" weight="2" floor="0.25"><class name="urgent" weight="4"/></team></admission>`)
 	if err != nil {
@@ -63,18 +64,19 @@
 		}
 	}
 	for _, file := range []string{"<switchshore><admission>", "<switchshore/><admission/>", "<switchshore/>more"} {
-		if _, err := config.ParseOperator([]byte(file), p); err == nil {
+		if _, err := config.ParseOperatorSettings([]byte(file), p); err == nil {
 			t.Errorf("%s accepted", file)
 		}
 	}
 }
 
-// TestDrainsElement: budgets are read as written, for all teams and for single ones, and the error
-// of each mistake names the field.
+// TestDrainsElement checks that budgets for all teams and for single teams are read, that the
+// error for an invalid value names the field on one line, and that drains are off without the
+// element.
 func TestDrainsElement(t *testing.T) {
 	p := &config.Params{Teams: []config.Team{{Name: "blue"}, {Name: "green"}}}
-	parse := func(text string) (*config.Operator, error) {
-		return config.ParseOperator([]byte("<switchshore>"+text+"</switchshore>"), p)
+	parse := func(text string) (*config.OperatorSettings, error) {
+		return config.ParseOperatorSettings([]byte("<switchshore>"+text+"</switchshore>"), p)
 	}
 	o, err := parse(`<drains windowSeconds="120"><budget team="blue" evictions="0"/><budget maxUnavailable="3" lostSeconds="9.5"/></drains>`)
 	if err != nil {
--- a/internal/leader/drain_test.go
+++ b/internal/leader/drain_test.go
@@ -17,8 +17,8 @@
 )
 
 // drainOperator returns operator settings that turn drains on, with one budget for all teams.
-func drainOperator(b drain.Budget) config.Operator {
-	return config.Operator{Drains: &drain.Budgets{Window: 10 * time.Minute, Default: b}}
+func drainOperator(b drain.Budget) config.OperatorSettings {
+	return config.OperatorSettings{Drains: &drain.Budgets{Window: 10 * time.Minute, Default: b}}
 }
 
 var ampleBudget = drain.Budget{MaxUnavailable: 10, Evictions: 10, LostS: 10_000}
@@ -68,7 +68,7 @@
 }
 
 // leaderForDrain returns a leader and a task that has run on m1 for 40 s.
-func leaderForDrain(t *testing.T, operator config.Operator) (*testLeader, wire.TaskStatus) {
+func leaderForDrain(t *testing.T, operator config.OperatorSettings) (*testLeader, wire.TaskStatus) {
 	t.Helper()
 	l := newLeaderWith(t, operator, 5, start, map[string]json.RawMessage{})
 	l.submit("job-1")
--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -52,7 +52,7 @@
 // within the limit on such queries.
 func (n *Node) rejectOverload(ctx context.Context, r *admission.Request, d admission.Decision) peer.Response {
 	if n.gate.mayQueryLeader(time.Now(), r) {
-		ctx, cancel := context.WithTimeout(ctx, tuning.AdmissionCheckTimeout)
+		ctx, cancel := context.WithTimeout(ctx, tuning.AdmissionLeaderQueryTimeout)
 		defer cancel()
 		query := peer.Call{Op: peer.OpQuery, Job: r.ID}
 		if response := n.forward(ctx, query); response.Status == http.StatusOK {
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -49,12 +49,12 @@
 }
 
 func startCluster(t *testing.T, size int) *cluster {
-	return startClusterWith(t, size, &config.Operator{}, func(*config.Params) {})
+	return startClusterWith(t, size, &config.OperatorSettings{}, func(*config.Params) {})
 }
 
 // startClusterWith starts nodes with the given operator settings, and with the other settings
 // modified by change.
-func startClusterWith(t *testing.T, size int, operator *config.Operator, change func(*config.Params)) *cluster {
+func startClusterWith(t *testing.T, size int, operator *config.OperatorSettings, change func(*config.Params)) *cluster {
 	services := simulation.NewServer(wire.MachineType{
 		Name: "std-8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootTimeS: 0.1, Zones: []string{"a"},
 	})
@@ -100,7 +100,7 @@
 }
 
 // startNode runs a node until the context ends or the node is stopped.
-func (c *cluster) startNode(ctx context.Context, cfg *config.Config, operator *config.Operator) {
+func (c *cluster) startNode(ctx context.Context, cfg *config.Config, operator *config.OperatorSettings) {
 	ctx, stop := context.WithCancel(ctx)
 	stopped := make(chan struct{})
 	c.stop, c.stopped = append(c.stop, stop), append(c.stopped, stopped)
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -45,7 +45,7 @@
 // after one of the nodes has stopped, and that invalid commands get an error of one line.
 func TestDrainCommands(t *testing.T) {
 	ctx := context.Background()
-	operator := &config.Operator{Drains: &drain.Budgets{Window: time.Minute}}
+	operator := &config.OperatorSettings{Drains: &drain.Budgets{Window: time.Minute}}
 	c := startClusterWith(t, 3, operator, func(*config.Params) {})
 	c.await(c.addrs[0], "POST", wire.PathJobs, fmt.Sprintf(submission, "job-000001"), 201, "")
 	c.await(c.addrs[0], "GET", wire.PathJobs+"/job-000001", "", 200, wire.JobDone)
--- a/internal/node/local_test.go
+++ b/internal/node/local_test.go
@@ -32,7 +32,7 @@
 func (n *Node) makeLeader(renewed time.Time) {
 	params := config.Params{Workers: config.Workers{HeartbeatIntervalS: 3, LeaseS: 15, CancelDeadlineS: 45}}
 	n.leadership = election.NewLeadership(testTerm, renewed)
-	n.leader = leader.New(zerolog.Nop(), params, config.Operator{}, testTerm, renewed, n.gracePeriod)
+	n.leader = leader.New(zerolog.Nop(), params, config.OperatorSettings{}, testTerm, renewed, n.gracePeriod)
 	n.leader.FinishLoading(renewed)
 }
 
--- a/internal/node/overload_test.go
+++ b/internal/node/overload_test.go
@@ -28,7 +28,7 @@
 // responses as without overload, that accepted jobs stay known, and that another team's jobs are
 // accepted after retries.
 func TestOverloadOverLoopback(t *testing.T) {
-	c := startClusterWith(t, 3, &config.Operator{Admission: &config.Admission{}}, func(p *config.Params) {
+	c := startClusterWith(t, 3, &config.OperatorSettings{Admission: &config.Admission{}}, func(p *config.Params) {
 		p.KVStore.WriteRPS = 20
 		p.Teams = append(p.Teams, config.Team{Name: "green", CPUs: 8, CPUsMax: 16})
 	})
