--- a/internal/kvstore/fenced_writer_test.go
+++ b/internal/kvstore/fenced_writer_test.go
@@ -93,7 +93,7 @@
 func TestLeaseEndsWithItsKeys(t *testing.T) {
 	s := simulation.NewKeyValueStore()
 	now := time.Unix(0, 0)
-	id, _ := s.Grant(now, time.Second)
+	id, _ := s.GrantLease(now, time.Second)
 	w := put("k", "v")
 	w.Lease = id
 	if _, err := s.Commit(wire.Txn{Then: []wire.Mutation{w}}); err != nil {
--- a/internal/simulation/admission_test.go
+++ b/internal/simulation/admission_test.go
@@ -55,7 +55,7 @@
 		if shape != nil {
 			shape(j)
 		}
-		f.SubmitWithPatience(at, j, func(o simulation.SubmissionOutcome) { f.outcomes = append(f.outcomes, o) })
+		f.SubmitWithRetryWindow(at, j, func(o simulation.SubmissionOutcome) { f.outcomes = append(f.outcomes, o) })
 	}
 }
 
@@ -106,7 +106,7 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	if left := f.Invariants.Unfinished(); len(left) > 0 {
+	if left := f.Invariants.UnfinishedJobs(); len(left) > 0 {
 		f.t.Errorf("jobs did not end: %v", left)
 	}
 	if len(f.outcomes) != f.number {
@@ -157,24 +157,24 @@
 	observed []simulation.Observation
 }{
 	"the leader crashes twice": {func(f *flood) {
-		f.At(35*second, func() { f.CrashLeader(second) })
-		f.At(55*second, func() { f.CrashLeader(second / 5) })
+		f.ScheduleAt(35*second, func() { f.CrashLeader(second) })
+		f.ScheduleAt(55*second, func() { f.CrashLeader(second / 5) })
 	}, 2, nil},
 	"an isolated leader": {func(f *flood) {
-		f.At(35*second, func() { f.Inject(simulation.LeaderIsolated, 20*second) })
+		f.ScheduleAt(35*second, func() { f.Inject(simulation.LeaderIsolated, 20*second) })
 	}, 2, nil},
 	"all controllers crash": {func(f *flood) {
-		f.At(40*second, func() { f.CrashAll(2 * second) })
+		f.ScheduleAt(40*second, func() { f.CrashAll(2 * second) })
 	}, 2, nil},
 	"responses to writes are lost": {func(f *flood) {
-		f.At(30*second, func() { f.Inject(simulation.WriteResponsesLost, 10*second) })
+		f.ScheduleAt(30*second, func() { f.Inject(simulation.WriteResponsesLost, 10*second) })
 	}, 1, []simulation.Observation{simulation.WriteResponseLost}},
-	"admission control is off at one node": {func(f *flood) { f.AdmissionOff(1) }, 1, nil},
+	"admission control is off at one node": {func(f *flood) { f.DisableAdmission(1) }, 1, nil},
 	"a rolling upgrade": {func(f *flood) {
 		f.RollingUpgrade(25*second, 12*second)
 	}, 2, nil},
 	"partitioned nodes": {func(f *flood) {
-		f.At(20*second, func() { f.InjectFaults(simulation.NodesPartitioned) })
+		f.ScheduleAt(20*second, func() { f.InjectFaults(simulation.NodesPartitioned) })
 	}, 1, nil},
 }
 
@@ -209,7 +209,7 @@
 func TestNothingIsShedWithoutOverload(t *testing.T) {
 	f := newFlood(t, 900)
 	f.normalLoad(80 * second)
-	f.At(40*second, func() { f.CrashLeader(second) })
+	f.ScheduleAt(40*second, func() { f.CrashLeader(second) })
 	f.run()
 	if n := f.Observed[simulation.ShedByFollower] + f.Observed[simulation.ShedByLeader]; n > 0 {
 		t.Errorf("%d submissions rejected", n)
--- a/internal/simulation/agent_process.go
+++ b/internal/simulation/agent_process.go
@@ -35,7 +35,7 @@
 // agentNames are the names of the machines with agents, in order.
 func (sim *Simulation) agentNames() []string {
 	var names []string
-	for _, id := range sim.Cloud.Names() {
+	for _, id := range sim.Cloud.MachineNames() {
 		if sim.fleet.agents[id] != nil {
 			names = append(names, id)
 		}
--- a/internal/simulation/client_faults.go
+++ b/internal/simulation/client_faults.go
@@ -10,8 +10,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// PollStorm lets users, for a time, poll eight times as often.
-func (c *clients) PollStorm(span time.Duration) { c.pollStormUntil = c.sim.now.Add(span) }
+// StartPollStorm lets users, for a time, poll eight times as often.
+func (c *clients) StartPollStorm(span time.Duration) { c.pollStormUntil = c.sim.now.Add(span) }
 
 // EnableFollowUps lets users, for a time, query all nodes within milliseconds of the response that
 // a job was accepted, done or cancelled, repeat the submission, and cancel some jobs right after
@@ -70,7 +70,7 @@
 		if count == 0 {
 			return
 		}
-		machines := sim.Invariants.MachinesRunning(job.ID)
+		machines := sim.Invariants.MachinesOfJob(job.ID)
 		if len(machines) == 0 || sim.Invariants.HasCancellationRequest(job.ID) {
 			continue
 		}
@@ -89,9 +89,9 @@
 // firstInvalidJob is the number of the first job that only invalid requests name.
 const firstInvalidJob = 900_001
 
-// InvalidRequests lets users, for a time, repeat submissions, cancel jobs that are done, query and
+// SendInvalidRequests lets users, for a time, repeat submissions, cancel jobs that are done, query and
 // cancel jobs that nobody submitted, and submit some that can never run.
-func (c *clients) InvalidRequests(span time.Duration) {
+func (c *clients) SendInvalidRequests(span time.Duration) {
 	until := c.sim.now.Add(span)
 	number := firstInvalidJob
 	var next func()
@@ -144,7 +144,7 @@
 	}
 	job := c.submitted[sim.rng.IntN(len(c.submitted))]
 	c.send(sim.anyNode(), c.submission(job, ignoreResponse))
-	if sim.Invariants.ReportedDone(job.ID) {
+	if sim.Invariants.IsReportedDone(job.ID) {
 		c.send(sim.anyNode(), c.cancellation(job, ignoreResponse))
 	}
 }
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -29,13 +29,13 @@
 // request until it succeeds, poll the job's state, and cancel it later if cancelAfter is set.
 func (c *clients) Submit(after time.Duration, job *wire.Job, cancelAfter time.Duration) {
 	c.sim.after(after, func() {
-		if !c.sim.Invariants.Accepted(job.DependsOn) {
+		if !c.sim.Invariants.AllAccepted(job.DependsOn) {
 			c.Submit(time.Second, job, cancelAfter)
 			return
 		}
 		c.jobs[job.ID] = job
 		c.submitted = append(c.submitted, job)
-		c.sim.Invariants.JobSubmitted(job)
+		c.sim.Invariants.RecordSubmission(job)
 		c.submit(job)
 		c.pollLoop(job)
 		if cancelAfter > 0 {
@@ -67,7 +67,7 @@
 
 // requestCancellation lets a user cancel a job, and repeat the request until it succeeds.
 func (c *clients) requestCancellation(job *wire.Job) {
-	c.sim.Invariants.CancellationRequested(job.ID)
+	c.sim.Invariants.RecordCancellationRequest(job.ID)
 	c.cancel(job)
 }
 
@@ -118,12 +118,12 @@
 	Tries     int
 }
 
-// SubmitWithPatience lets a user submit a job as the protocol says: retry when the response says
+// SubmitWithRetryWindow lets a user submit a job as the protocol says: retry when the response says
 // so, for a minute in total, and poll the job's state once it is accepted.
-func (c *clients) SubmitWithPatience(after time.Duration, job *wire.Job, done func(SubmissionOutcome)) {
+func (c *clients) SubmitWithRetryWindow(after time.Duration, job *wire.Job, done func(SubmissionOutcome)) {
 	c.sim.after(after, func() {
 		c.jobs[job.ID] = job
-		c.sim.Invariants.JobSubmitted(job)
+		c.sim.Invariants.RecordSubmission(job)
 		c.submitPatiently(&SubmissionOutcome{Job: job, SubmittedAt: c.sim.elapsed()}, done)
 	})
 }
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -96,13 +96,13 @@
 	return boot
 }
 
-// Names are the names of all machines, in order.
-func (c *Cloud) Names() []string { return slices.Sorted(maps.Keys(c.machines)) }
+// MachineNames are the names of all machines, in order.
+func (c *Cloud) MachineNames() []string { return slices.Sorted(maps.Keys(c.machines)) }
 
 // List is the list of machines as it was some time ago.
 func (c *Cloud) List(now time.Time, lag time.Duration) []wire.ListedMachine {
 	var list []wire.ListedMachine
-	for _, id := range c.Names() {
+	for _, id := range c.MachineNames() {
 		machine := c.machines[id]
 		if age := now.Add(-lag).Sub(machine.provisionedAt); age >= 0 {
 			listed := machine.ListedMachine
--- a/internal/simulation/cloud_calls.go
+++ b/internal/simulation/cloud_calls.go
@@ -130,5 +130,7 @@
 	return count
 }
 
-// SlowBoots lets machines provisioned within a time boot late or never.
-func (sim *Simulation) SlowBoots(span time.Duration) { sim.Cloud.SlowBootsUntil = sim.now.Add(span) }
+// SlowDownBoots lets machines provisioned within a time boot late or never.
+func (sim *Simulation) SlowDownBoots(span time.Duration) {
+	sim.Cloud.SlowBootsUntil = sim.now.Add(span)
+}
--- a/internal/simulation/dependencies_test.go
+++ b/internal/simulation/dependencies_test.go
@@ -92,7 +92,7 @@
 		sim := simulation.New(seed, 3, loweredLimitParams(), machineType)
 		sim.FaultRate, sim.VersionFlipRate = 1+float64(seed%3), 0.5
 		submitDependentJobs(sim, seed, 0, 0)
-		sim.InjectFaults(simulation.NodeCrash, simulation.NodesFlap, simulation.MachineDies, simulation.StoreSlow)
+		sim.InjectFaults(simulation.NodeCrash, simulation.NodeCrashLoop, simulation.MachineFails, simulation.StoreSlow)
 		runToEnd(t, sim)
 	})
 }
--- a/internal/simulation/drain_budgets.go
+++ b/internal/simulation/drain_budgets.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// Evicted notes that a running task was stopped.
-func (c *DrainBudgetChecker) Evicted(now time.Time, team, task string, attempt uint64, lostS float64) {
+// RecordEviction notes that a running task was stopped.
+func (c *DrainBudgetChecker) RecordEviction(now time.Time, team, task string, attempt uint64, lostS float64) {
 	c.evictions = append(c.evictions, eviction{now, team, lostS})
 	c.unavailable[task] = evictedTask{team, attempt}
 }
--- a/internal/simulation/drain_monitor.go
+++ b/internal/simulation/drain_monitor.go
@@ -28,8 +28,8 @@
 	m.budgets = NewDrainBudgetChecker(budgets)
 }
 
-// DrainsOff turns drains off at the first nodes.
-func (m *drainMonitor) DrainsOff(nodes int) {
+// DisableDrains turns drains off at the first nodes.
+func (m *drainMonitor) DisableDrains(nodes int) {
 	for _, n := range m.sim.nodes[:nodes] {
 		n.drainsOff = true
 	}
@@ -40,13 +40,13 @@
 	if m.budgets == nil {
 		return nil
 	}
-	return m.budgets.Check(m.sim.now, agents, m.sim.Invariants.TaskSettled)
+	return m.budgets.Check(m.sim.now, agents, m.sim.Invariants.IsTaskEnded)
 }
 
 // taskStopped is called when an agent is about to stop a running task.
 func (m *drainMonitor) taskStopped(a *agentProcess, task *Task, saves bool) {
 	sim := m.sim
-	if m.budgets == nil || !m.budgets.cordoned[a.ID] || sim.Invariants.TaskSettled(task.Name) {
+	if m.budgets == nil || !m.budgets.cordoned[a.ID] || sim.Invariants.IsTaskEnded(task.Name) {
 		return
 	}
 	if a.ReclaimNotice != nil && !m.budgets.charged[task.Attempt] {
@@ -60,7 +60,7 @@
 	}
 	sim.Observed[DrainEviction]++
 	id, _, _ := wire.SplitTask(task.Name)
-	m.budgets.Evicted(sim.now, sim.clients.jobs[id].Team, task.Name, task.Attempt, lostS)
+	m.budgets.RecordEviction(sim.now, sim.clients.jobs[id].Team, task.Name, task.Attempt, lostS)
 	if m.OnEviction != nil {
 		m.OnEviction()
 	}
--- a/internal/simulation/drain_test.go
+++ b/internal/simulation/drain_test.go
@@ -53,7 +53,7 @@
 	return func() {
 		if left > 0 && rng.IntN(2) == 0 {
 			left--
-			sim.Soon(func() { sim.CrashLeader(down) })
+			sim.ScheduleNow(func() { sim.CrashLeader(down) })
 		}
 	}
 }
@@ -102,50 +102,50 @@
 		sim.OnRelease = crashSometimes(sim, seed, second)
 	}, []simulation.Observation{simulation.SecondTerm}, nil},
 	{"two failovers within a batch, the old leader in its grace period", maintenance, 120 * second, func(sim *simulation.Simulation, _ uint64) {
-		sim.At(75*second, func() { sim.Inject(simulation.LeaderIsolated, 25*second) })
-		sim.At(82*second, func() { sim.CrashLeader(second) })
+		sim.ScheduleAt(75*second, func() { sim.Inject(simulation.LeaderIsolated, 25*second) })
+		sim.ScheduleAt(82*second, func() { sim.CrashLeader(second) })
 	}, []simulation.Observation{simulation.SecondTerm}, nil},
 	{"all controllers down for longer than a lease", maintenance, 120 * second, func(sim *simulation.Simulation, _ uint64) {
-		sim.At(80*second, func() { sim.CrashAll(25 * second) })
+		sim.ScheduleAt(80*second, func() { sim.CrashAll(25 * second) })
 	}, []simulation.Observation{simulation.SecondTerm}, nil},
 	{"the store is down during a batch, and refuses the leader alone", maintenance, 120 * second, func(sim *simulation.Simulation, _ uint64) {
-		sim.At(70*second, func() { sim.Inject(simulation.StoreOutage, 30*second) })
-		sim.At(130*second, func() { sim.Inject(simulation.StoreRefusesLeader, 20*second) })
+		sim.ScheduleAt(70*second, func() { sim.Inject(simulation.StoreOutage, 30*second) })
+		sim.ScheduleAt(130*second, func() { sim.Inject(simulation.StoreRefusesLeader, 20*second) })
 	}, nil, nil},
 	{"responses to writes lost, and writes delayed", maintenance, 120 * second, func(sim *simulation.Simulation, _ uint64) {
-		sim.At(50*second, func() { sim.Inject(simulation.WriteResponsesLost, 60*second) })
-		sim.At(110*second, func() { sim.Inject(simulation.WritesDelayed, 60*second) })
+		sim.ScheduleAt(50*second, func() { sim.Inject(simulation.WriteResponsesLost, 60*second) })
+		sim.ScheduleAt(110*second, func() { sim.Inject(simulation.WritesDelayed, 60*second) })
 	}, []simulation.Observation{simulation.WriteResponseLost, simulation.DelayedTransaction}, nil},
 	{"the drained zone is partitioned, machines hang or get no responses", maintenance, 120 * second, func(sim *simulation.Simulation, _ uint64) {
-		sim.At(70*second, func() { sim.LoseResponsesToBusyMachines(0.3, 40*second) })
-		sim.At(90*second, func() { sim.Inject(simulation.ZonePartitioned, 30*second) })
-		sim.At(130*second, func() {
+		sim.ScheduleAt(70*second, func() { sim.LoseResponsesToBusyMachines(0.3, 40*second) })
+		sim.ScheduleAt(90*second, func() { sim.Inject(simulation.ZonePartitioned, 30*second) })
+		sim.ScheduleAt(130*second, func() {
 			sim.InjectFaults(simulation.MachineHangs, simulation.MachinePartitioned, simulation.HeartbeatsDuplicated)
 		})
 	}, []simulation.Observation{simulation.BusyMachineResponsesLost}, nil},
 	{"replacements boot late or never, or are reclaimed", withReplacement, 200 * second, func(sim *simulation.Simulation, _ uint64) {
-		sim.At(50*second, func() { sim.SlowBoots(100 * second) })
-		sim.At(90*second, func() { sim.Inject(simulation.SpotReclaimed, 0) })
-		sim.At(120*second, func() { sim.Inject(simulation.SpotReclaimed, 0) })
+		sim.ScheduleAt(50*second, func() { sim.SlowDownBoots(100 * second) })
+		sim.ScheduleAt(90*second, func() { sim.Inject(simulation.SpotReclaimed, 0) })
+		sim.ScheduleAt(120*second, func() { sim.Inject(simulation.SpotReclaimed, 0) })
 	}, nil, nil},
 	{"jobs cancelled while their machines are drained", maintenance, 120 * second, func(sim *simulation.Simulation, _ uint64) {
 		for i := range 8 {
-			sim.At(time.Duration(60+10*i)*second, func() { sim.CancelRunning(2, 0) })
+			sim.ScheduleAt(time.Duration(60+10*i)*second, func() { sim.CancelRunning(2, 0) })
 		}
-		sim.At(85*second, func() { sim.CrashLeader(second) })
+		sim.ScheduleAt(85*second, func() { sim.CrashLeader(second) })
 	}, []simulation.Observation{simulation.CancelledWhileRunning, simulation.SecondTerm}, nil},
 	{"teams at their limits, a guarantee, a failover", maintenance, 60 * second, func(sim *simulation.Simulation, _ uint64) {
-		sim.At(90*second, func() { sim.CrashLeader(second) })
+		sim.ScheduleAt(90*second, func() { sim.CrashLeader(second) })
 	}, []simulation.Observation{simulation.SecondTerm}, manyTasks},
 	{"a node with drains off leads in between", maintenance, 120 * second, func(sim *simulation.Simulation, _ uint64) {
-		sim.DrainsOff(1)
-		sim.At(80*second, func() { sim.CrashLeader(5 * second) })
-		sim.At(120*second, func() { sim.CrashLeader(5 * second) })
+		sim.DisableDrains(1)
+		sim.ScheduleAt(80*second, func() { sim.CrashLeader(5 * second) })
+		sim.ScheduleAt(120*second, func() { sim.CrashLeader(5 * second) })
 	}, []simulation.Observation{simulation.SecondTerm}, nil},
 	{"the previous version leads in between", maintenance, 120 * second, func(sim *simulation.Simulation, _ uint64) {
 		sim.VersionFlipRate = 0.6
 		for i := range 5 {
-			sim.At(time.Duration(65+25*i)*second, func() { sim.CrashLeader(3 * second) })
+			sim.ScheduleAt(time.Duration(65+25*i)*second, func() { sim.CrashLeader(3 * second) })
 		}
 	}, []simulation.Observation{simulation.SecondTerm}, nil},
 	{"anything", maintenance, 120 * second, func(sim *simulation.Simulation, _ uint64) { sim.InjectFaults() }, nil, nil},
@@ -198,10 +198,10 @@
 		note := func(r drain.Response) { statuses = append(statuses, r.Status) }
 		sim.RequestDrain(drainBegins, apply(maintenance()), note)
 		sim.RequestDrain(70*second, request(drain.Pause), note)
-		sim.At(72*second, func() { sim.CrashLeader(second) })
+		sim.ScheduleAt(72*second, func() { sim.CrashLeader(second) })
 		sim.RequestDrain(90*second, request(drain.Resume), note)
 		sim.RequestDrain(110*second, request(drain.Cancel), note)
-		sim.At(111*second, func() { sim.CrashLeader(second) })
+		sim.ScheduleAt(111*second, func() { sim.CrashLeader(second) })
 		later := maintenance()
 		later.Name, later.BatchSize = "later", 1
 		later.Selector = drain.Selector{Zone: "b"}
@@ -239,7 +239,7 @@
 		checker := simulation.NewDrainBudgetChecker(&drain.Budgets{Window: time.Minute, Default: c.budget})
 		agent := simulation.NewAgent(at, wire.ListedMachine{Name: "m2"}, machineType, time.Hour)
 		evict := func(task string) error {
-			checker.Evicted(at, "blue", task, 1, c.lostS)
+			checker.RecordEviction(at, "blue", task, 1, c.lostS)
 			if c.back {
 				agent.Tasks[task] = &simulation.Task{Name: task, Attempt: 2, State: wire.TaskRunning}
 			}
@@ -266,12 +266,12 @@
 		f.normalLoad(120 * second)
 		f.submit("blue", "nightly", 30, 20*second, 80*second, nil)
 		f.RequestDrain(15*second, apply(maintenance()), nil)
-		f.At(48*second, func() {
+		f.ScheduleAt(48*second, func() {
 			if r := f.DrainRecord("maintenance"); r == nil || r.Batch != nil || r.Counts.Batches > 0 {
 				t.Errorf("a batch began under overload: %+v", r)
 			}
 		})
-		f.At(50*second, func() { f.CrashLeader(second) })
+		f.ScheduleAt(50*second, func() { f.CrashLeader(second) })
 		f.run(simulation.ShedByFollower, simulation.ShedByLeader)
 		if r := f.DrainRecord("maintenance"); r == nil || r.State != drain.Done {
 			t.Errorf("not drained: %+v", r)
--- a/internal/simulation/event_loop.go
+++ b/internal/simulation/event_loop.go
@@ -59,11 +59,11 @@
 	heap.Push(&l.queue, &event{l.now.Add(d), l.sequence, run})
 }
 
-// At schedules a call at a time since the start of the run.
-func (l *eventLoop) At(d time.Duration, run func()) { l.after(d-l.elapsed(), run) }
+// ScheduleAt schedules a call at a time since the start of the run.
+func (l *eventLoop) ScheduleAt(d time.Duration, run func()) { l.after(d-l.elapsed(), run) }
 
-// Soon schedules a call after the current event.
-func (l *eventLoop) Soon(run func()) { l.after(0, run) }
+// ScheduleNow schedules a call after the current event.
+func (l *eventLoop) ScheduleNow(run func()) { l.after(0, run) }
 
 // next advances the time to the next event and returns it, nil if there is none until the end.
 func (l *eventLoop) next(end time.Time) *event {
--- a/internal/simulation/fault_injection.go
+++ b/internal/simulation/fault_injection.go
@@ -78,7 +78,7 @@
 		n.crash(f.drawDownTime())
 	case AllNodesCrash:
 		f.crashAll(f.drawDownTime)
-	case NodesFlap:
+	case NodeCrashLoop:
 		for range 4 {
 			sim.after(sim.between(0, 4000), func() { n.crash(sim.between(1, 300)) })
 		}
@@ -125,7 +125,7 @@
 		a.responsesLostUntil = now.Add(2 * span)
 	case MachineHangs:
 		a.hungUntil = now.Add(span)
-	case MachineDies:
+	case MachineFails:
 		f.sim.removeMachine(a.ID)
 	case SpotReclaimed:
 		f.reclaimSpotMachines()
@@ -203,7 +203,7 @@
 	case CancelledAtCompletion:
 		sim.CancelAtCompletion(0.3, span)
 	case InvalidSubmissions:
-		sim.InvalidRequests(span)
+		sim.SendInvalidRequests(span)
 	}
 }
 
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -7,8 +7,8 @@
 const (
 	NodeCrash Fault = iota
 	AllNodesCrash
-	// NodesFlap: a node crashes several times, and is up again within a fraction of a second.
-	NodesFlap
+	// NodeCrashLoop: a node crashes several times, and is up again within a fraction of a second.
+	NodeCrashLoop
 	// StoreOutage: the key-value store is down for all.
 	StoreOutage
 	// StoreUnreachable: one node gets no response from the key-value store.
@@ -34,8 +34,8 @@
 	MachineResponsesLost
 	// MachineHangs: it does nothing, and continues later.
 	MachineHangs
-	// MachineDies: it fails, or is reclaimed without a notice.
-	MachineDies
+	// MachineFails: it fails, or is reclaimed without a notice.
+	MachineFails
 	// SpotReclaimed: spot machines are reclaimed, with a notice.
 	SpotReclaimed
 	// AgentReplaced: a new agent on the same machine knows nothing.
--- a/internal/simulation/helpers_test.go
+++ b/internal/simulation/helpers_test.go
@@ -98,7 +98,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if left := sim.Invariants.Unfinished(); len(left) > 0 {
+	if left := sim.Invariants.UnfinishedJobs(); len(left) > 0 {
 		t.Fatalf("jobs did not end: %v", left)
 	}
 	if sim.Invariants.StartCount() == 0 {
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -57,26 +57,26 @@
 	return c.jobs[id]
 }
 
-// JobSubmitted notes that a user submits a job.
-func (c *InvariantChecker) JobSubmitted(job *wire.Job) {
+// RecordSubmission notes that a user submits a job.
+func (c *InvariantChecker) RecordSubmission(job *wire.Job) {
 	if c.jobs[job.ID] == nil {
 		c.jobs[job.ID] = &observedJob{job: job, finishedTasks: map[string]bool{}}
 	}
 }
 
-// CancellationRequested notes that a user requests a job's cancellation.
-func (c *InvariantChecker) CancellationRequested(id string) { c.jobs[id].cancelRequested = true }
+// RecordCancellationRequest notes that a user requests a job's cancellation.
+func (c *InvariantChecker) RecordCancellationRequest(id string) { c.jobs[id].cancelRequested = true }
 
 // HasCancellationRequest reports whether a job's user has requested its cancellation.
 func (c *InvariantChecker) HasCancellationRequest(id string) bool { return c.jobs[id].cancelRequested }
 
-// Accepted reports whether the users of all the jobs were told of their acceptance.
-func (c *InvariantChecker) Accepted(ids []string) bool {
+// AllAccepted reports whether the users of all the jobs were told of their acceptance.
+func (c *InvariantChecker) AllAccepted(ids []string) bool {
 	return !slices.ContainsFunc(ids, func(id string) bool { return c.jobs[id] == nil || !c.jobs[id].accepted })
 }
 
-// ReportedDone reports whether a job's user was told that it is done.
-func (c *InvariantChecker) ReportedDone(id string) bool { return c.jobs[id].reportedDone }
+// IsReportedDone reports whether a job's user was told that it is done.
+func (c *InvariantChecker) IsReportedDone(id string) bool { return c.jobs[id].reportedDone }
 
 // CancelledCount is the number of jobs whose users were told that they are cancelled.
 func (c *InvariantChecker) CancelledCount() int {
@@ -89,8 +89,8 @@
 	return count
 }
 
-// Unfinished are the accepted jobs that were neither cancelled nor reported done, in order.
-func (c *InvariantChecker) Unfinished() []string {
+// UnfinishedJobs are the accepted jobs that were neither cancelled nor reported done, in order.
+func (c *InvariantChecker) UnfinishedJobs() []string {
 	var ids []string
 	for id, j := range c.jobs {
 		if j.accepted && !j.cancelRequested && !j.reportedDone && !j.isCancelled() {
@@ -101,15 +101,15 @@
 	return ids
 }
 
-// TaskSettled reports whether a task is not to run any more: it has completed, or its job was
+// IsTaskEnded reports whether a task is not to run any more: it has completed, or its job was
 // cancelled or is done.
-func (c *InvariantChecker) TaskSettled(task string) bool {
+func (c *InvariantChecker) IsTaskEnded(task string) bool {
 	j := c.jobOf(task)
 	return j == nil || j.cancelRequested || j.reportedDone || j.finishedTasks[task]
 }
 
-// MachinesRunning are the machines that tasks of a job are on, in order.
-func (c *InvariantChecker) MachinesRunning(id string) []string {
+// MachinesOfJob are the machines that tasks of a job are on, in order.
+func (c *InvariantChecker) MachinesOfJob(id string) []string {
 	var machines []string
 	for task, machine := range c.taskMachine {
 		if job, _, _ := wire.SplitTask(task); job == id && !slices.Contains(machines, machine) {
--- a/internal/simulation/invariants_responses.go
+++ b/internal/simulation/invariants_responses.go
@@ -26,9 +26,9 @@
 	return r.Status == http.StatusNotFound || r.Submission && invalid
 }
 
-// ResponseReceived checks a response, in the order in which the user receives those of all nodes.
+// CheckResponse checks a response, in the order in which the user receives those of all nodes.
 // One that was sent before the user received the last one crossed it, and is ignored.
-func (c *InvariantChecker) ResponseReceived(r ObservedResponse) error {
+func (c *InvariantChecker) CheckResponse(r ObservedResponse) error {
 	j := c.jobs[r.Job]
 	if j == nil {
 		if succeeded(r.Status) {
@@ -58,9 +58,9 @@
 	active := r.State == wire.JobQueued || r.State == wire.JobRunning
 	switch {
 	case j.reportedDone && r.State != wire.JobDone, j.isCancelled() && r.State != wire.JobCancelled:
-		return violated(FinalStatesStay, "%s is called %s", r.Job, r.State)
+		return violated(TerminalStatesKept, "%s is called %s", r.Job, r.State)
 	case r.State == wire.JobCancelled && !j.cancelRequested && !requested:
-		return violated(FinalStatesStay, "%s is called cancelled, and its user did not cancel it", r.Job)
+		return violated(TerminalStatesKept, "%s is called cancelled, and its user did not cancel it", r.Job)
 	case active && !confirmedAt.IsZero() && sinceConfirmed > c.CancelDeadline:
 		return violated(CancelledWithDependency, "%s is called %s %v after a job before it was cancelled", r.Job, r.State, sinceConfirmed)
 	case r.State == wire.JobCancelled && !j.isCancelled():
@@ -100,9 +100,9 @@
 	return a
 }
 
-// CheckJobsAnswered finds an accepted job about which no request has succeeded for long; settled is
+// CheckRequestsSucceed finds an accepted job about which no request has succeeded for long; settled is
 // when all faults were over.
-func (c *InvariantChecker) CheckJobsAnswered(now, settled time.Time) error {
+func (c *InvariantChecker) CheckRequestsSucceed(now, settled time.Time) error {
 	if now.Sub(settled) < maxUnanswered {
 		return nil
 	}
--- a/internal/simulation/invariants_starvation.go
+++ b/internal/simulation/invariants_starvation.go
@@ -79,7 +79,7 @@
 
 // allReportedDone reports whether the users of all the jobs were told that they are done.
 func (c *InvariantChecker) allReportedDone(ids []string) bool {
-	return !slices.ContainsFunc(ids, func(id string) bool { return !c.ReportedDone(id) })
+	return !slices.ContainsFunc(ids, func(id string) bool { return !c.IsReportedDone(id) })
 }
 
 // withinTeamLimit reports whether one more task of a job fits into its team's limit.
--- a/internal/simulation/invariants_tasks.go
+++ b/internal/simulation/invariants_tasks.go
@@ -98,7 +98,7 @@
 		}
 		zones[j.job.ID][machines[machine].Machine.Zone]++
 		if j.isCancelled() && now.Sub(j.cancelConfirmedAt) > c.CancelDeadline {
-			return nil, violated(StopsWhenCancelled, "%s on %s", task, machine)
+			return nil, violated(StoppedWhenCancelled, "%s on %s", task, machine)
 		}
 	}
 	for _, team := range c.Teams {
--- a/internal/simulation/invariants_test.go
+++ b/internal/simulation/invariants_test.go
@@ -24,7 +24,7 @@
 		InvariantChecker: simulation.NewInvariantChecker([]config.Team{{Name: "blue", CPUsMax: 8}}, 45*time.Second),
 		now:              time.Unix(1_700_000_000, 0), job: j, agents: map[string]*simulation.Agent{},
 	}
-	c.JobSubmitted(j)
+	c.RecordSubmission(j)
 	return c
 }
 
@@ -66,14 +66,14 @@
 func (c *invariantCase) submitted(status int, state string) error {
 	sentAt := c.now
 	c.now = c.now.Add(10 * time.Millisecond)
-	return c.ResponseReceived(simulation.ObservedResponse{
+	return c.CheckResponse(simulation.ObservedResponse{
 		SentAt: sentAt, ReceivedAt: c.now, Job: "job-1", Status: status, State: state, Submission: true,
 	})
 }
 
 // queried is a response to a query of a job's state, sent and received now.
 func (c *invariantCase) queried(id string, status int, state string) error {
-	return c.ResponseReceived(simulation.ObservedResponse{
+	return c.CheckResponse(simulation.ObservedResponse{
 		SentAt: c.now, ReceivedAt: c.now, Job: id, Status: status, State: state,
 	})
 }
@@ -121,7 +121,7 @@
 	"ran_cancelled": func(c *invariantCase) []error {
 		// The machine hangs, and continues the task later.
 		c.put(c.agent("m1", "a", true), "job-1/0", wire.TaskRunning, "")
-		c.CancellationRequested("job-1")
+		c.RecordCancellationRequest("job-1")
 		errs := []error{c.check(), c.submitted(200, wire.JobCancelled)}
 		c.now = c.now.Add(44 * time.Second)
 		errs = append(errs, c.check())
@@ -129,12 +129,12 @@
 		return append(errs, c.check())
 	},
 	"started_cancelled": func(c *invariantCase) []error {
-		c.CancellationRequested("job-1")
+		c.RecordCancellationRequest("job-1")
 		order := []wire.Command{{Op: wire.OpStop, Task: "job-1/0"}, {Op: wire.OpStart, Task: "job-1/0"}}
 		return []error{c.CheckCommands(c.now, order), c.submitted(200, wire.JobCancelled), c.CheckCommands(c.now, order[:1]), c.CheckCommands(c.now, order)}
 	},
 	"too_early": func(c *invariantCase) []error {
-		c.JobSubmitted(&wire.Job{ID: "job-2", Team: "blue", Tasks: 1, CPUs: 1, Spot: true, DependsOn: []string{"job-1"}})
+		c.RecordSubmission(&wire.Job{ID: "job-2", Team: "blue", Tasks: 1, CPUs: 1, Spot: true, DependsOn: []string{"job-1"}})
 		a := c.agent("m1", "a", true)
 		before := c.check()
 		c.put(a, "job-2/0", wire.TaskRunning, "")
@@ -154,9 +154,9 @@
 		settled := c.now
 		errs := []error{c.submitted(201, wire.JobQueued)}
 		c.now = c.now.Add(74 * time.Second)
-		errs = append(errs, c.CheckJobsAnswered(c.now, settled))
+		errs = append(errs, c.CheckRequestsSucceed(c.now, settled))
 		c.now = c.now.Add(2 * time.Second)
-		return append(errs, c.CheckJobsAnswered(c.now, settled))
+		return append(errs, c.CheckRequestsSucceed(c.now, settled))
 	},
 	"invented": func(c *invariantCase) []error {
 		return []error{c.queried("job-2", 404, ""), c.queried("job-2", 200, wire.JobQueued)}
@@ -171,9 +171,9 @@
 	"went_back: job-1 is called queued": func(c *invariantCase) []error {
 		// An older response that crossed the newer one is ignored; one that was sent after
 		// the user received the newer one is not.
-		c.CancellationRequested("job-1")
+		c.RecordCancellationRequest("job-1")
 		crossed := c.now
-		errs := []error{c.submitted(200, wire.JobCancelled), c.ResponseReceived(simulation.ObservedResponse{
+		errs := []error{c.submitted(200, wire.JobCancelled), c.CheckResponse(simulation.ObservedResponse{
 			SentAt: crossed, ReceivedAt: c.now.Add(time.Millisecond), Job: "job-1", Status: 200, State: wire.JobRunning,
 		})}
 		c.now = c.now.Add(time.Second)
@@ -190,8 +190,8 @@
 		return []error{c.submitted(201, wire.JobQueued), c.submitted(200, wire.JobCancelled)}
 	},
 	"orphaned": func(c *invariantCase) []error {
-		c.JobSubmitted(&wire.Job{ID: "job-2", Team: "blue", Tasks: 1, CPUs: 1, Spot: true, DependsOn: []string{"job-1"}})
-		c.CancellationRequested("job-1")
+		c.RecordSubmission(&wire.Job{ID: "job-2", Team: "blue", Tasks: 1, CPUs: 1, Spot: true, DependsOn: []string{"job-1"}})
+		c.RecordCancellationRequest("job-1")
 		errs := []error{c.submitted(200, wire.JobCancelled), c.queried("job-2", 200, wire.JobQueued)}
 		c.now = c.now.Add(46 * time.Second)
 		return append(errs, c.queried("job-2", 200, wire.JobQueued))
--- a/internal/simulation/key_value_store.go
+++ b/internal/simulation/key_value_store.go
@@ -161,8 +161,8 @@
 	})
 }
 
-// Grant creates a lease.
-func (s *KeyValueStore) Grant(now time.Time, ttl time.Duration) (uint64, error) {
+// GrantLease creates a lease.
+func (s *KeyValueStore) GrantLease(now time.Time, ttl time.Duration) (uint64, error) {
 	if s.Down {
 		return 0, kvstore.ErrUnavailable
 	}
@@ -171,8 +171,8 @@
 	return s.lastLeaseID, nil
 }
 
-// Renew renews a lease.
-func (s *KeyValueStore) Renew(now time.Time, id uint64) error {
+// RenewLease renews a lease.
+func (s *KeyValueStore) RenewLease(now time.Time, id uint64) error {
 	if s.Down {
 		return kvstore.ErrUnavailable
 	}
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -52,7 +52,7 @@
 	return net.loop.between(1, 50)
 }
 
-// SlowLinks makes messages between agents and controllers slow for a time.
-func (sim *Simulation) SlowLinks(span time.Duration) {
+// SlowDownLinks makes messages between agents and controllers slow for a time.
+func (sim *Simulation) SlowDownLinks(span time.Duration) {
 	sim.network.slowLinksUntil = sim.now.Add(span)
 }
--- a/internal/simulation/node_admission.go
+++ b/internal/simulation/node_admission.go
@@ -10,8 +10,8 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// AdmissionOff turns admission control off at the first nodes.
-func (sim *Simulation) AdmissionOff(nodes int) {
+// DisableAdmission turns admission control off at the first nodes.
+func (sim *Simulation) DisableAdmission(nodes int) {
 	for _, n := range sim.nodes[:nodes] {
 		n.admissionOff = true
 	}
--- a/internal/simulation/node_election.go
+++ b/internal/simulation/node_election.go
@@ -29,7 +29,7 @@
 func (n *node) renewLease(again func(time.Duration)) {
 	sim, sent, lease := n.sim, n.clock(), n.lease
 	sim.trace(boundaryStoreLease, n, "renew", lease)
-	n.callStore(func() error { return sim.Store.Renew(sim.now, lease) }, func(err error) {
+	n.callStore(func() error { return sim.Store.RenewLease(sim.now, lease) }, func(err error) {
 		switch {
 		case n.leadership == nil:
 		case err == nil:
@@ -94,7 +94,7 @@
 	c.record = election.LeaderRecord{Node: n.name, Nonce: n.nonce}
 	n.sim.trace(boundaryStoreLease, n, "grant")
 	n.callStore(func() (err error) {
-		c.lease, err = n.sim.Store.Grant(n.sim.now, tuning.LeaderLeaseTTL)
+		c.lease, err = n.sim.Store.GrantLease(n.sim.now, tuning.LeaderLeaseTTL)
 		return err
 	}, func(err error) {
 		if err != nil {
--- a/internal/simulation/operations_faults_test.go
+++ b/internal/simulation/operations_faults_test.go
@@ -17,26 +17,26 @@
 var operationsFaults = []faultScenario{
 	{"controllers down for a minute", func(sim *simulation.Simulation, seed uint64) {
 		submitRandomJobs(sim, seed, 25, 120*second, 0.3, nil)
-		sim.At(40*second, func() { sim.EnableFollowUps(150 * second) })
-		sim.At(60*second, func() { sim.CrashAll(70 * second) })
+		sim.ScheduleAt(40*second, func() { sim.EnableFollowUps(150 * second) })
+		sim.ScheduleAt(60*second, func() { sim.CrashAll(70 * second) })
 	}, []simulation.Observation{simulation.SecondTerm, simulation.FollowUpQuery}},
 	{"a frozen leader", func(sim *simulation.Simulation, seed uint64) {
 		submitRandomJobs(sim, seed, 30, 150*second, 0.3, nil)
-		sim.At(30*second, func() { sim.EnableFollowUps(200 * second) })
+		sim.ScheduleAt(30*second, func() { sim.EnableFollowUps(200 * second) })
 		for i, span := range []time.Duration{2, 35, 11, 4} {
-			sim.At(time.Duration(40+40*i)*second, func() { sim.Inject(simulation.LeaderFrozen, span*second) })
-			sim.At(time.Duration(40+40*i)*second, func() { sim.CancelRunning(2, 0) })
+			sim.ScheduleAt(time.Duration(40+40*i)*second, func() { sim.Inject(simulation.LeaderFrozen, span*second) })
+			sim.ScheduleAt(time.Duration(40+40*i)*second, func() { sim.CancelRunning(2, 0) })
 		}
 	}, []simulation.Observation{simulation.SecondTerm, simulation.FollowUpQuery, simulation.CancelledWhileRunning}},
 	{"machines boot late or never", func(sim *simulation.Simulation, seed uint64) {
 		submitRandomJobs(sim, seed, 30, 120*second, 0.1, nil)
-		sim.At(0, func() { sim.SlowBoots(150 * second) })
-		sim.At(50*second, func() { sim.CrashLeader(second) })
+		sim.ScheduleAt(0, func() { sim.SlowDownBoots(150 * second) })
+		sim.ScheduleAt(50*second, func() { sim.CrashLeader(second) })
 	}, []simulation.Observation{simulation.SecondTerm}},
 	{"a poll storm", func(sim *simulation.Simulation, seed uint64) {
 		submitRandomJobs(sim, seed, 30, 120*second, 0.2, nil)
-		sim.At(30*second, func() { sim.PollStorm(120 * second) })
-		sim.At(60*second, func() { sim.CrashLeader(second) })
+		sim.ScheduleAt(30*second, func() { sim.StartPollStorm(120 * second) })
+		sim.ScheduleAt(60*second, func() { sim.CrashLeader(second) })
 	}, []simulation.Observation{simulation.SecondTerm, simulation.PollStormQuery}},
 	{"guests", func(sim *simulation.Simulation, seed uint64) {
 		submitRandomJobs(sim, seed, 20, 120*second, 0.1, nil)
@@ -51,7 +51,7 @@
 		shortSingleTask(rng, huge)
 		huge.Team, huge.Priority, huge.Tasks, huge.CPUs = "guests", wire.PriorityNormal, 400, 0.5
 		sim.Submit(50*second, huge, 0)
-		sim.At(70*second, func() { sim.CrashLeader(second) })
+		sim.ScheduleAt(70*second, func() { sim.CrashLeader(second) })
 	}, []simulation.Observation{simulation.SecondTerm}},
 	{"jobs that fail on every machine", func(sim *simulation.Simulation, seed uint64) {
 		submitRandomJobs(sim, seed, 25, 120*second, 0, nil)
@@ -61,24 +61,24 @@
 			sim.FailOnEveryMachine(j)
 			sim.Submit(time.Duration(rng.IntN(60_000))*time.Millisecond, j, 250*second)
 		}
-		sim.At(60*second, func() { sim.CrashLeader(second) })
+		sim.ScheduleAt(60*second, func() { sim.CrashLeader(second) })
 	}, []simulation.Observation{simulation.SecondTerm, simulation.CancellationConfirmed}},
 	{"controllers down and frozen, machines late or without heartbeats", func(sim *simulation.Simulation, seed uint64) {
 		submitRandomJobs(sim, seed, 30, 150*second, 0.2, nil)
-		sim.At(0, func() { sim.SlowBoots(150 * second) })
-		sim.At(50*second, func() { sim.InjectFaults(simulation.MachineHeartbeatsLost) })
-		sim.At(60*second, func() { sim.CrashAll(65 * second) })
-		sim.At(160*second, func() { sim.Inject(simulation.LeaderFrozen, 30*second) })
-		sim.At(163*second, func() { sim.CancelRunning(4, 15*second) })
+		sim.ScheduleAt(0, func() { sim.SlowDownBoots(150 * second) })
+		sim.ScheduleAt(50*second, func() { sim.InjectFaults(simulation.MachineHeartbeatsLost) })
+		sim.ScheduleAt(60*second, func() { sim.CrashAll(65 * second) })
+		sim.ScheduleAt(160*second, func() { sim.Inject(simulation.LeaderFrozen, 30*second) })
+		sim.ScheduleAt(163*second, func() { sim.CancelRunning(4, 15*second) })
 	}, []simulation.Observation{simulation.SecondTerm, simulation.HeartbeatLost, simulation.CancelledWhileRunning}},
 	{"a poll storm during failovers", func(sim *simulation.Simulation, seed uint64) {
 		submitRandomJobs(sim, seed, 30, 150*second, 0.2, nil)
-		sim.At(30*second, func() { sim.PollStorm(150 * second) })
-		sim.At(30*second, func() { sim.EnableFollowUps(150 * second) })
-		sim.At(30*second, func() { sim.CancelAtCompletion(0.3, 150*second) })
-		sim.At(30*second, func() { sim.Inject(simulation.HeartbeatsReplayedToNextLeader, 120*second) })
+		sim.ScheduleAt(30*second, func() { sim.StartPollStorm(150 * second) })
+		sim.ScheduleAt(30*second, func() { sim.EnableFollowUps(150 * second) })
+		sim.ScheduleAt(30*second, func() { sim.CancelAtCompletion(0.3, 150*second) })
+		sim.ScheduleAt(30*second, func() { sim.Inject(simulation.HeartbeatsReplayedToNextLeader, 120*second) })
 		for i := range 6 {
-			sim.At(time.Duration(40+17*i)*second, func() { sim.CrashLeader(second / 2) })
+			sim.ScheduleAt(time.Duration(40+17*i)*second, func() { sim.CrashLeader(second / 2) })
 		}
 	}, []simulation.Observation{simulation.FifthTerm, simulation.PollStormQuery, simulation.FollowUpQuery}},
 	{"guests at their limit while a zone is partitioned", func(sim *simulation.Simulation, seed uint64) {
@@ -90,11 +90,11 @@
 			j.Team, j.Priority = "limited", wire.PriorityIdle
 			sim.Submit(time.Duration(rng.IntN(40_000))*time.Millisecond, j, 0)
 		}
-		sim.At(60*second, func() { sim.Inject(simulation.ZonePartitioned, 40*second) })
-		sim.At(62*second, func() { sim.CrashLeader(second) })
-		sim.At(66*second, func() { sim.CancelRunning(4, 15*second) })
-		sim.At(120*second, func() { sim.Inject(simulation.LeaderIsolated, 40*second) })
-		sim.At(124*second, func() { sim.CancelRunning(3, 0) })
+		sim.ScheduleAt(60*second, func() { sim.Inject(simulation.ZonePartitioned, 40*second) })
+		sim.ScheduleAt(62*second, func() { sim.CrashLeader(second) })
+		sim.ScheduleAt(66*second, func() { sim.CancelRunning(4, 15*second) })
+		sim.ScheduleAt(120*second, func() { sim.Inject(simulation.LeaderIsolated, 40*second) })
+		sim.ScheduleAt(124*second, func() { sim.CancelRunning(3, 0) })
 	}, []simulation.Observation{simulation.SecondTerm, simulation.CancelledWhileRunning}},
 	{"jobs that fail on every machine while spot machines are reclaimed", func(sim *simulation.Simulation, seed uint64) {
 		submitRandomJobs(sim, seed, 25, 120*second, 0.1, nil)
@@ -105,12 +105,12 @@
 			sim.FailOnEveryMachine(j)
 			sim.Submit(time.Duration(rng.IntN(60_000))*time.Millisecond, j, 250*second)
 		}
-		sim.At(0, func() { sim.InvalidRequests(150 * second) })
+		sim.ScheduleAt(0, func() { sim.SendInvalidRequests(150 * second) })
 		for i := range 6 {
-			sim.At(time.Duration(30+20*i)*second, func() { sim.Inject(simulation.SpotReclaimed, 0) })
+			sim.ScheduleAt(time.Duration(30+20*i)*second, func() { sim.Inject(simulation.SpotReclaimed, 0) })
 		}
-		sim.At(80*second, func() { sim.Inject(simulation.StoreOutage, 50*second) })
-		sim.At(140*second, func() { sim.CrashLeader(second) })
+		sim.ScheduleAt(80*second, func() { sim.Inject(simulation.StoreOutage, 50*second) })
+		sim.ScheduleAt(140*second, func() { sim.CrashLeader(second) })
 	}, []simulation.Observation{simulation.SecondTerm, simulation.CancellationConfirmed, simulation.InvalidRequest}},
 }
 
--- a/internal/simulation/random_faults_test.go
+++ b/internal/simulation/random_faults_test.go
@@ -44,7 +44,7 @@
 		"partitioned zones": {simulation.ZonePartitioned, simulation.NodeCrash},
 		"responses lost":    {simulation.MachineResponsesLost},
 		"replaced agents":   {simulation.AgentReplaced, simulation.MachinePartitioned},
-		"flapping nodes":    {simulation.NodesFlap, simulation.AllNodesCrash},
+		"flapping nodes":    {simulation.NodeCrashLoop, simulation.AllNodesCrash},
 	} {
 		t.Run(name, func(t *testing.T) {
 			eachSeed(t, 8, func(t *testing.T, seed uint64) { runRandomFaults(t, 500+seed, 2, kinds...) })
--- a/internal/simulation/server_store.go
+++ b/internal/simulation/server_store.go
@@ -31,7 +31,7 @@
 	case path == "/leases":
 		var r wire.LeaseRequest
 		if decode(rc, &r) {
-			id, err := s.Store.Grant(now, time.Duration(r.TTLMS)*time.Millisecond)
+			id, err := s.Store.GrantLease(now, time.Duration(r.TTLMS)*time.Millisecond)
 			writeResponse(rc, err, wire.LeaseResponse{Lease: id})
 		}
 	case isLease:
@@ -52,7 +52,7 @@
 		s.Store.revoke(id)
 		return nil
 	}
-	return s.Store.Renew(now, id)
+	return s.Store.RenewLease(now, id)
 }
 
 // handleWatch answers once there is a newer revision or the time has run out.
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -102,7 +102,7 @@
 	if !sim.now.After(settled) {
 		return nil
 	}
-	if err := sim.Invariants.CheckJobsAnswered(sim.now, settled); err != nil {
+	if err := sim.Invariants.CheckRequestsSucceed(sim.now, settled); err != nil {
 		return err
 	}
 	return sim.Invariants.CheckNoStarvation(sim.now, agents)
--- a/internal/simulation/violation.go
+++ b/internal/simulation/violation.go
@@ -14,8 +14,8 @@
 	WithinQuota Invariant = "quota"
 	// PlacedAsRequired: a task starts where its job allows.
 	PlacedAsRequired Invariant = "wrong_place"
-	// StopsWhenCancelled: no task is on a machine for long after the cancellation was confirmed.
-	StopsWhenCancelled Invariant = "ran_cancelled"
+	// StoppedWhenCancelled: no task is on a machine for long after the cancellation was confirmed.
+	StoppedWhenCancelled Invariant = "ran_cancelled"
 	// NoStartWhenCancelled: no start is commanded after the cancellation was confirmed.
 	NoStartWhenCancelled Invariant = "started_cancelled"
 	// AcceptedJobsKept: an accepted job stays known, and requests about it are answered.
@@ -24,8 +24,8 @@
 	OnlySubmittedJobs Invariant = "invented"
 	// DoneWhenCompleted: a job is reported done only when all its tasks have completed.
 	DoneWhenCompleted Invariant = "not_done"
-	// FinalStatesStay: a job that was reported done or cancelled stays so.
-	FinalStatesStay Invariant = "went_back"
+	// TerminalStatesKept: a job that was reported done or cancelled stays so.
+	TerminalStatesKept Invariant = "went_back"
 	// DependenciesFirst: no task starts before the jobs that its job depends on are done.
 	DependenciesFirst Invariant = "too_early"
 	// CancelledWithDependency: a job is cancelled with one that it depends on.
