--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -256,11 +256,11 @@
 		cpus += otherJob.CPUs
 		memoryGB += otherJob.MemoryGB
 	}
-	if cpus > a.Type.CPUs+rounding || memoryGB > a.Type.MemoryGB+rounding {
+	if cpus > a.Type.CPUs+roundingTolerance || memoryGB > a.Type.MemoryGB+roundingTolerance {
 		return wire.ExitNoCapacity
 	}
 	return ""
 }
 
-// rounding is by how much sums of resources may exceed their bound.
-const rounding = 1e-6
+// roundingTolerance is by how much sums of resources may exceed their bound.
+const roundingTolerance = 1e-6
--- a/internal/simulation/agent_calls.go
+++ b/internal/simulation/agent_calls.go
@@ -10,10 +10,10 @@
 
 // agentCall is a leader's direct call to an agent.
 type agentCall struct {
-	node      *node
-	leader    *leader.Leader
-	call      *leader.DirectCall
-	connected *agentProcess // the agent at the time of the call
+	node   *node
+	leader *leader.Leader
+	call   *leader.DirectCall
+	agent  *agentProcess // the agent at the time of the call
 }
 
 // callAgent sends a leader's direct call to an agent; it may arrive minutes late.
@@ -23,9 +23,9 @@
 	sim.trace(boundaryAgentCall, n, call.Machine, call.Addr, call.Request)
 	c := &agentCall{n, l, call, sim.fleet.agents[call.Machine]}
 	switch {
-	case c.connected == nil:
-		c.done(tuning.DirectTimeout, leader.DirectNotDelivered, nil)
-	case !c.connected.reachableFrom(n.zone) || sim.faultsAllowed() && sim.chance(0.05):
+	case c.agent == nil:
+		c.reportOutcome(tuning.DirectTimeout, leader.DirectNotDelivered, nil)
+	case !c.agent.reachableFrom(n.zone) || sim.faultsAllowed() && sim.chance(0.05):
 		c.timeOut()
 	default:
 		n.after(sim.between(1, 20), c.execute)
@@ -36,16 +36,16 @@
 func (c *agentCall) timeOut() {
 	sim := c.node.sim
 	if sim.chance(0.3) {
-		c.done(tuning.DirectTimeout, leader.DirectNotDelivered, nil)
+		c.reportOutcome(tuning.DirectTimeout, leader.DirectNotDelivered, nil)
 		return
 	}
-	sim.after(c.connected.reachableAfter()+sim.between(0, 60_000), func() {
+	sim.after(c.agent.timeUntilReachable()+sim.between(0, 60_000), func() {
 		// A connection ends with its agent: a new one gets no delayed command.
-		if sim.fleet.agents[c.call.Machine] == c.connected {
-			c.deliver(c.connected)
+		if sim.fleet.agents[c.call.Machine] == c.agent {
+			c.deliver(c.agent)
 		}
 	})
-	c.done(tuning.DirectTimeout, leader.DirectUnknown, nil)
+	c.reportOutcome(tuning.DirectTimeout, leader.DirectUnknown, nil)
 }
 
 // execute delivers the call to the machine's present agent and returns its heartbeat to the leader.
@@ -53,11 +53,11 @@
 	sim := c.node.sim
 	a := sim.fleet.agents[c.call.Machine]
 	if a == nil {
-		c.done(tuning.DirectTimeout, leader.DirectUnknown, nil)
+		c.reportOutcome(tuning.DirectTimeout, leader.DirectUnknown, nil)
 		return
 	}
 	heartbeat := c.deliver(a)
-	c.done(sim.between(1, 100), leader.DirectReplied, heartbeat)
+	c.reportOutcome(sim.between(1, 100), leader.DirectReplied, heartbeat)
 }
 
 // deliver lets an agent execute the commands, and returns its next heartbeat.
@@ -66,8 +66,8 @@
 	return a.NextHeartbeat()
 }
 
-// done reports the outcome to the leader after a time, if it still leads.
-func (c *agentCall) done(delay time.Duration, outcome leader.DirectOutcome, heartbeat *wire.Heartbeat) {
+// reportOutcome reports the outcome to the leader after a time, if it still leads.
+func (c *agentCall) reportOutcome(delay time.Duration, outcome leader.DirectOutcome, heartbeat *wire.Heartbeat) {
 	c.node.after(delay, func() {
 		if c.node.leader == c.leader {
 			c.leader.DirectCallDone(c.node.clock(), c.call, outcome, heartbeat)
--- a/internal/simulation/agent_heartbeats.go
+++ b/internal/simulation/agent_heartbeats.go
@@ -37,7 +37,7 @@
 	a.lastHeartbeatAt = sim.now
 	a.inFlight = true
 	a.nextHeartbeatAt = sim.now.Add(seconds.Duration(sim.Params.Workers.HeartbeatIntervalS * (0.75 + 0.5*sim.rng.Float64())))
-	h.send(sim.nodes[a.targetNode])
+	h.send(sim.nodes[a.nodeIndex])
 }
 
 func (a *agentProcess) isHeartbeatDue() bool {
@@ -47,17 +47,17 @@
 
 // tryNextNode lets an agent without a response turn to the next node a little later.
 func (a *agentProcess) tryNextNode() {
-	a.targetNode = (a.targetNode + 1) % len(a.sim.nodes)
+	a.nodeIndex = (a.nodeIndex + 1) % len(a.sim.nodes)
 	a.nextHeartbeatAt = a.sim.now.Add(nextNodeDelay)
 }
 
 // agentHeartbeat is one heartbeat on its way, of which copies may arrive late.
 type agentHeartbeat struct {
-	sim     *Simulation
-	agent   *agentProcess
-	message *wire.Heartbeat
-	sentAt  time.Time
-	settled bool // answered or timed out
+	sim      *Simulation
+	agent    *agentProcess
+	message  *wire.Heartbeat
+	sentAt   time.Time
+	finished bool // answered or timed out
 }
 
 // send brings the heartbeat to its node, and copies of it to where the faults ask for.
@@ -136,18 +136,18 @@
 // respond brings the response to the agent, if it still waits and can be reached.
 func (h *agentHeartbeat) respond(target *node, response wire.HeartbeatResponse) {
 	a := h.agent
-	if h.settled || a.ended || !a.reachableFrom(target.zone) {
+	if h.finished || a.ended || !a.reachableFrom(target.zone) {
 		return
 	}
-	h.settled = true
+	h.finished = true
 	a.inFlight = false
 	a.HandleHeartbeatResponse(h.sim.now, h.sentAt, h.message.AgentEpoch, response)
 }
 
 // timeOut ends the wait for the response.
 func (h *agentHeartbeat) timeOut() {
-	if !h.settled {
-		h.settled = true
+	if !h.finished {
+		h.finished = true
 		h.agent.inFlight = false
 		h.agent.tryNextNode()
 	}
@@ -166,6 +166,6 @@
 // redirectAgentsTo lets all agents send their heartbeats to one node, as if they reached no other.
 func (sim *Simulation) redirectAgentsTo(n *node) {
 	for _, id := range sim.agentNames() {
-		sim.fleet.agents[id].targetNode = n.id
+		sim.fleet.agents[id].nodeIndex = n.id
 	}
 }
--- a/internal/simulation/agent_process.go
+++ b/internal/simulation/agent_process.go
@@ -20,7 +20,7 @@
 type agentProcess struct {
 	*Agent
 	sim             *Simulation
-	targetNode      int // to which it sends its heartbeats
+	nodeIndex       int // to which it sends its heartbeats
 	inFlight        bool
 	lastHeartbeatAt time.Time
 	nextHeartbeatAt time.Time
@@ -62,16 +62,16 @@
 	a := &agentProcess{Agent: NewAgent(sim.now, machine.ListedMachine, sim.Cloud.Type, lease), sim: sim}
 	a.LookUpJob = func(id string) *wire.Job { return sim.clients.jobs[id] }
 	a.RunTime = func(job *wire.Job) time.Duration { return seconds.Duration(job.EstimateS * (0.5 + sim.rng.Float64())) }
-	a.OnStop = func(task *Task, saves bool) { sim.taskStopped(a, task, saves) }
+	a.OnStop = func(task *Task, saves bool) { sim.recordStop(a, task, saves) }
 	a.FailsJob = func(id string) bool { return sim.clients.failing[id] }
 	a.Faulty = sim.faultsAllowed() && sim.chance(0.05)
-	a.targetNode = sim.rng.IntN(len(sim.nodes))
+	a.nodeIndex = sim.rng.IntN(len(sim.nodes))
 	sim.fleet.agents[a.ID] = a
 	a.heartbeatLoop()
 }
 
-// hasNoAgent reports whether a machine still exists and no agent runs on it.
-func (sim *Simulation) hasNoAgent(machine *cloudMachine) bool {
+// needsAgent reports whether a machine still exists and no agent runs on it.
+func (sim *Simulation) needsAgent(machine *cloudMachine) bool {
 	return sim.Cloud.machines[machine.Name] == machine && sim.fleet.agents[machine.Name] == nil
 }
 
@@ -86,7 +86,7 @@
 	machine := a.sim.Cloud.machines[a.ID]
 	a.end()
 	a.sim.after(a.sim.between(50, 3000), func() {
-		if machine != nil && a.sim.hasNoAgent(machine) {
+		if machine != nil && a.sim.needsAgent(machine) {
 			a.sim.startAgent(machine)
 		}
 	})
@@ -99,8 +99,8 @@
 	return !affected && !a.sim.network.zonesPartitioned(zone, a.Machine.Zone)
 }
 
-// reachableAfter is the time until the last of the faults that keep messages from the agent is over.
-func (a *agentProcess) reachableAfter() time.Duration {
+// timeUntilReachable is the time until the last of the faults that keep messages from the agent is over.
+func (a *agentProcess) timeUntilReachable() time.Duration {
 	now := a.sim.now
 	return max(a.partitionedUntil.Sub(now), a.responsesLostUntil.Sub(now), a.hungUntil.Sub(now),
 		a.sim.network.partitionedZoneUntil.Sub(now), 0)
--- a/internal/simulation/client_faults.go
+++ b/internal/simulation/client_faults.go
@@ -18,8 +18,8 @@
 // the acceptance.
 func (c *clients) EnableFollowUps(span time.Duration) { c.followUpsUntil = c.sim.now.Add(span) }
 
-// followUp is called with every response that a user receives.
-func (c *clients) followUp(job *wire.Job, response leader.Response) {
+// sendFollowUps is called with every response that a user receives.
+func (c *clients) sendFollowUps(job *wire.Job, response leader.Response) {
 	sim := c.sim
 	if !succeeded(response.Status) || !sim.now.Before(c.followUpsUntil) || c.jobs[job.ID] != job {
 		return
@@ -29,17 +29,17 @@
 		state = wire.JobQueued // both are accepted
 	}
 	key := job.ID + " " + state
-	if c.followedUp[key] {
+	if c.followUpsSent[key] {
 		return
 	}
-	c.followedUp[key] = true
+	c.followUpsSent[key] = true
 	sim.Observed[FollowUpQuery]++
 	for range 3 {
 		for _, n := range sim.nodes {
 			sim.after(sim.between(0, 30), func() { c.send(n, c.query(job, ignoreResponse)) })
 		}
 	}
-	sim.after(sim.between(0, 10), func() { c.send(sim.anyNode(), c.submission(job, ignoreResponse)) })
+	sim.after(sim.between(0, 10), func() { c.send(sim.drawNode(), c.submission(job, ignoreResponse)) })
 	if state == wire.JobQueued && sim.chance(0.1) {
 		c.requestCancellation(job)
 	}
@@ -86,14 +86,14 @@
 	}
 }
 
-// firstInvalidJob is the number of the first job that only invalid requests name.
-const firstInvalidJob = 900_001
+// firstInvalidJobNumber is the number of the first job that only invalid requests name.
+const firstInvalidJobNumber = 900_001
 
 // SendInvalidRequests lets users, for a time, repeat submissions, cancel jobs that are done, query and
 // cancel jobs that nobody submitted, and submit some that can never run.
 func (c *clients) SendInvalidRequests(span time.Duration) {
 	until := c.sim.now.Add(span)
-	number := firstInvalidJob
+	number := firstInvalidJobNumber
 	var next func()
 	next = func() {
 		if !c.sim.now.Before(until) {
@@ -120,17 +120,17 @@
 	switch sim.rng.IntN(7) {
 	case 0:
 		unknown.Team = "nobody's"
-		c.send(sim.anyNode(), c.submission(unknown, unprocessable))
+		c.send(sim.drawNode(), c.submission(unknown, unprocessable))
 	case 1:
 		unknown.CPUs = 1000
-		c.send(sim.anyNode(), c.submission(unknown, unprocessable))
+		c.send(sim.drawNode(), c.submission(unknown, unprocessable))
 	case 2:
 		unknown.Zone = "nowhere"
-		c.send(sim.anyNode(), c.submission(unknown, unprocessable))
+		c.send(sim.drawNode(), c.submission(unknown, unprocessable))
 	case 3:
-		c.send(sim.anyNode(), c.query(unknown, notFound))
+		c.send(sim.drawNode(), c.query(unknown, notFound))
 	case 4:
-		c.send(sim.anyNode(), c.cancellation(unknown, notFound))
+		c.send(sim.drawNode(), c.cancellation(unknown, notFound))
 	default:
 		c.repeatRequest()
 	}
@@ -143,9 +143,9 @@
 		return
 	}
 	job := c.submitted[sim.rng.IntN(len(c.submitted))]
-	c.send(sim.anyNode(), c.submission(job, ignoreResponse))
+	c.send(sim.drawNode(), c.submission(job, ignoreResponse))
 	if sim.Invariants.IsReportedDone(job.ID) {
-		c.send(sim.anyNode(), c.cancellation(job, ignoreResponse))
+		c.send(sim.drawNode(), c.cancellation(job, ignoreResponse))
 	}
 }
 
--- a/internal/simulation/client_requests.go
+++ b/internal/simulation/client_requests.go
@@ -35,10 +35,10 @@
 // pendingRequest is a request that was sent to a node and whose user waits for the response.
 type pendingRequest struct {
 	request
-	clients *clients
-	sim     *Simulation
-	target  *node
-	settled bool
+	clients  *clients
+	sim      *Simulation
+	target   *node
+	finished bool
 }
 
 // send sends a request to a node. All responses are checked against the invariants.
@@ -50,8 +50,8 @@
 
 // finish gives the user the first response.
 func (p *pendingRequest) finish(response leader.Response) {
-	if !p.settled {
-		p.settled = true
+	if !p.finished {
+		p.finished = true
 		p.done(response)
 	}
 }
@@ -59,7 +59,7 @@
 // arrive is called as the request gets to its node, which forwards it to the leader.
 func (p *pendingRequest) arrive() {
 	sim := p.sim
-	if sim.network.zonesPartitioned(p.target.zone, outside) {
+	if sim.network.zonesPartitioned(p.target.zone, noZone) {
 		return
 	}
 	leading := sim.leaderFor(p.target)
@@ -68,8 +68,8 @@
 		return
 	}
 	check := p.target.admit(leading, p.request)
-	if check.refused != nil {
-		sim.after(sim.between(1, 20), func() { p.finish(*check.refused) })
+	if check.rejection != nil {
+		sim.after(sim.between(1, 20), func() { p.finish(*check.rejection) })
 		return
 	}
 	term := leading.leadership
@@ -89,7 +89,7 @@
 
 // receive is called as the leader's response gets to the user.
 func (p *pendingRequest) receive(from *node, sentAt time.Time, response leader.Response) {
-	if p.settled {
+	if p.finished {
 		return
 	}
 	sim, id := p.sim, p.job.ID
@@ -100,5 +100,5 @@
 		Status: response.Status, State: response.State, Submission: p.submission,
 	}))
 	p.finish(response)
-	p.clients.followUp(p.job, response)
+	p.clients.sendFollowUps(p.job, response)
 }
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -18,11 +18,11 @@
 
 	pollStormUntil time.Time
 	followUpsUntil time.Time
-	followedUp     map[string]bool // jobs with the states that were followed up
+	followUpsSent  map[string]bool // jobs with the states that were followed up
 }
 
 func newClients(sim *Simulation) *clients {
-	return &clients{sim: sim, jobs: map[string]*wire.Job{}, failing: map[string]bool{}, followedUp: map[string]bool{}}
+	return &clients{sim: sim, jobs: map[string]*wire.Job{}, failing: map[string]bool{}, followUpsSent: map[string]bool{}}
 }
 
 // Submit lets a user submit a job after a time and once its dependencies are accepted, repeat the
@@ -36,7 +36,7 @@
 		c.jobs[job.ID] = job
 		c.submitted = append(c.submitted, job)
 		c.sim.Invariants.RecordSubmission(job)
-		c.submit(job)
+		c.submitUntilAccepted(job)
 		c.pollLoop(job)
 		if cancelAfter > 0 {
 			c.sim.after(cancelAfter, func() { c.requestCancellation(job) })
@@ -44,18 +44,18 @@
 	})
 }
 
-// submit repeats a submission until it succeeds, and sometimes once more.
-func (c *clients) submit(job *wire.Job) {
-	c.send(c.sim.anyNode(), c.submission(job, func(response leader.Response) {
+// submitUntilAccepted repeats a submission until it succeeds, and sometimes once more.
+func (c *clients) submitUntilAccepted(job *wire.Job) {
+	c.send(c.sim.drawNode(), c.submission(job, func(response leader.Response) {
 		if !succeeded(response.Status) || c.sim.chance(0.05) {
-			c.sim.after(c.sim.between(1000, 5000), func() { c.submit(job) })
+			c.sim.after(c.sim.between(1000, 5000), func() { c.submitUntilAccepted(job) })
 		}
 	}))
 }
 
 // pollLoop lets a user query a job's state every few seconds.
 func (c *clients) pollLoop(job *wire.Job) {
-	c.send(c.sim.anyNode(), c.query(job, func(leader.Response) {
+	c.send(c.sim.drawNode(), c.query(job, func(leader.Response) {
 		pause := c.sim.between(3000, 6000)
 		if c.sim.now.Before(c.pollStormUntil) {
 			pause /= 8
@@ -68,13 +68,13 @@
 // requestCancellation lets a user cancel a job, and repeat the request until it succeeds.
 func (c *clients) requestCancellation(job *wire.Job) {
 	c.sim.Invariants.RecordCancellationRequest(job.ID)
-	c.cancel(job)
+	c.cancelUntilConfirmed(job)
 }
 
-func (c *clients) cancel(job *wire.Job) {
-	c.send(c.sim.anyNode(), c.cancellation(job, func(response leader.Response) {
+func (c *clients) cancelUntilConfirmed(job *wire.Job) {
+	c.send(c.sim.drawNode(), c.cancellation(job, func(response leader.Response) {
 		if !succeeded(response.Status) {
-			c.sim.after(c.sim.between(1000, 3000), func() { c.cancel(job) })
+			c.sim.after(c.sim.between(1000, 3000), func() { c.cancelUntilConfirmed(job) })
 		}
 	}))
 }
@@ -124,35 +124,35 @@
 	c.sim.after(after, func() {
 		c.jobs[job.ID] = job
 		c.sim.Invariants.RecordSubmission(job)
-		c.submitPatiently(&SubmissionOutcome{Job: job, SubmittedAt: c.sim.elapsed()}, done)
+		c.submitWithinWindow(&SubmissionOutcome{Job: job, SubmittedAt: c.sim.elapsed()}, done)
 	})
 }
 
-func (c *clients) submitPatiently(outcome *SubmissionOutcome, done func(SubmissionOutcome)) {
+func (c *clients) submitWithinWindow(outcome *SubmissionOutcome, done func(SubmissionOutcome)) {
 	outcome.Tries++
-	c.send(c.sim.anyNode(), c.submission(outcome.Job, func(response leader.Response) {
+	c.send(c.sim.drawNode(), c.submission(outcome.Job, func(response leader.Response) {
 		outcome.SettledAt = c.sim.elapsed()
 		pause := max(time.Duration(response.RetryAfter)*time.Second, time.Second) + c.sim.between(0, 300)
 		switch {
 		case succeeded(response.Status):
 			outcome.Accepted = true
 			done(*outcome)
-			c.patientPollLoop(outcome.Job)
+			c.slowingPollLoop(outcome.Job)
 		case outcome.SettledAt+pause-outcome.SubmittedAt > tuning.AdmissionRetryWindow:
 			done(*outcome)
 		default:
-			c.sim.after(pause, func() { c.submitPatiently(outcome, done) })
+			c.sim.after(pause, func() { c.submitWithinWindow(outcome, done) })
 		}
 	}))
 }
 
-// patientPollLoop lets a user query a job's state, and less often once it is terminal.
-func (c *clients) patientPollLoop(job *wire.Job) {
-	c.send(c.sim.anyNode(), c.query(job, func(response leader.Response) {
+// slowingPollLoop lets a user query a job's state, and less often once it is terminal.
+func (c *clients) slowingPollLoop(job *wire.Job) {
+	c.send(c.sim.drawNode(), c.query(job, func(response leader.Response) {
 		pause := c.sim.between(3000, 6000)
 		if response.IsTerminal() {
 			pause *= 5
 		}
-		c.sim.after(pause, func() { c.patientPollLoop(job) })
+		c.sim.after(pause, func() { c.slowingPollLoop(job) })
 	}))
 }
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -11,8 +11,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// neverBoots is a boot time longer than any run.
-const neverBoots = 1000 * time.Hour
+// unreachableBootTime is a boot time longer than any run.
+const unreachableBootTime = 1000 * time.Hour
 
 // Cloud is an in-memory cloud with one machine type. An offer is a zone with spot or ordinary
 // machines.
@@ -48,7 +48,7 @@
 	if names, repeated := c.provisioned[r.RequestID]; repeated {
 		return names
 	}
-	count := min(r.Count, c.Capacity-c.used(r.Zone, r.Spot))
+	count := min(r.Count, c.Capacity-c.machineCount(r.Zone, r.Spot))
 	if count <= 0 || c.Down {
 		return nil
 	}
@@ -65,8 +65,8 @@
 	return names
 }
 
-// used is the number of machines of an offer.
-func (c *Cloud) used(zone string, spot bool) int {
+// machineCount is the number of machines of an offer.
+func (c *Cloud) machineCount(zone string, spot bool) int {
 	count := 0
 	for _, machine := range c.machines {
 		if machine.Zone == zone && machine.Spot == spot {
@@ -80,12 +80,12 @@
 func (c *Cloud) drawBootTime(now time.Time, rng *rand.Rand) time.Duration {
 	boot := seconds.Duration(c.Type.BootTimeS * (0.6 + 0.9*rng.Float64()))
 	if rng.IntN(20) == 0 {
-		boot = neverBoots
+		boot = unreachableBootTime
 	}
 	if now.Before(c.SlowBootsUntil) {
 		switch rng.IntN(4) {
 		case 0:
-			boot = neverBoots
+			boot = unreachableBootTime
 		case 1, 2:
 			boot *= 3
 		}
--- a/internal/simulation/cloud_calls.go
+++ b/internal/simulation/cloud_calls.go
@@ -24,7 +24,7 @@
 	sim.trace(boundaryCloudCall, n, call.Op, call.Provision, call.Release)
 	c := &cloudCall{node: n, leader: l, call: call}
 	n.after(sim.between(50, 200), func() {
-		if sim.network.zonesPartitioned(n.zone, outside) || sim.faultsAllowed() && sim.chance(0.1) {
+		if sim.network.zonesPartitioned(n.zone, noZone) || sim.faultsAllowed() && sim.chance(0.1) {
 			c.timeOut()
 			return
 		}
@@ -84,7 +84,7 @@
 	sent := n.clock()
 	lag := seconds.Duration(sim.Params.Cloud.ListLagS * (0.5 + sim.rng.Float64()))
 	machines := sim.Cloud.List(sim.now, lag)
-	if !sim.network.zonesPartitioned(n.zone, outside) {
+	if !sim.network.zonesPartitioned(n.zone, noZone) {
 		n.after(sim.between(20, 200), func() {
 			if n.leader == l {
 				l.ApplyMachineList(sent, n.clock(), machines)
@@ -102,7 +102,7 @@
 			continue
 		}
 		sim.after(max(0, machine.bootedAt.Sub(sim.now)), func() {
-			if !sim.hasNoAgent(machine) {
+			if !sim.needsAgent(machine) {
 				return
 			}
 			machine.State = wire.MachineRunning
--- a/internal/simulation/drain_budgets.go
+++ b/internal/simulation/drain_budgets.go
@@ -46,44 +46,44 @@
 
 // Check compares the evictions within the window, and the tasks that are unavailable now, with the
 // budgets; settled reports whether a task is not to run any more.
-func (c *DrainBudgetChecker) Check(now time.Time, agents []*Agent, settled func(task string) bool) error {
+func (c *DrainBudgetChecker) Check(now time.Time, agents []*Agent, ended func(task string) bool) error {
 	if len(c.unavailable) > 0 {
-		c.removeResumed(agents, settled)
+		c.removeAvailable(agents, ended)
 	}
 	unavailable := map[string]int{}
 	for _, t := range c.unavailable {
 		unavailable[t.team]++
 	}
-	for team, use := range c.usedInWindow(now) {
+	for team, usage := range c.usageInWindow(now) {
 		budget := c.Budgets.For(team)
 		switch {
 		case unavailable[team] > budget.MaxUnavailable:
 			return violated(WithinDrainBudget, "%d tasks of %s are unavailable, allowed are %d", unavailable[team], team, budget.MaxUnavailable)
-		case use.Evictions > budget.Evictions:
-			return violated(WithinDrainBudget, "%d evictions of %s in a window, allowed are %d", use.Evictions, team, budget.Evictions)
-		case use.LostS > budget.LostS:
-			return violated(WithinDrainBudget, "%g s of %s lost in a window, allowed are %g", use.LostS, team, budget.LostS)
+		case usage.Evictions > budget.Evictions:
+			return violated(WithinDrainBudget, "%d evictions of %s in a window, allowed are %d", usage.Evictions, team, budget.Evictions)
+		case usage.LostS > budget.LostS:
+			return violated(WithinDrainBudget, "%g s of %s lost in a window, allowed are %g", usage.LostS, team, budget.LostS)
 		}
 	}
 	return nil
 }
 
-// usedInWindow sums up the evictions within the window, by team.
-func (c *DrainBudgetChecker) usedInWindow(now time.Time) map[string]drain.Usage {
-	used := map[string]drain.Usage{}
+// usageInWindow sums up the evictions within the window, by team.
+func (c *DrainBudgetChecker) usageInWindow(now time.Time) map[string]drain.Usage {
+	usages := map[string]drain.Usage{}
 	for _, e := range c.evictions {
 		if now.Sub(e.at) < c.Budgets.Window {
-			use := used[e.team]
-			used[e.team] = drain.Usage{Evictions: use.Evictions + 1, LostS: use.LostS + e.lostS}
+			usage := usages[e.team]
+			usages[e.team] = drain.Usage{Evictions: usage.Evictions + 1, LostS: usage.LostS + e.lostS}
 		}
 	}
-	return used
+	return usages
 }
 
-// removeResumed removes the tasks that run again, or are not to run any more.
-func (c *DrainBudgetChecker) removeResumed(agents []*Agent, settled func(task string) bool) {
+// removeAvailable removes the tasks that run again, or are not to run any more.
+func (c *DrainBudgetChecker) removeAvailable(agents []*Agent, ended func(task string) bool) {
 	for task := range c.unavailable {
-		if settled(task) {
+		if ended(task) {
 			delete(c.unavailable, task)
 		}
 	}
--- a/internal/simulation/drain_monitor.go
+++ b/internal/simulation/drain_monitor.go
@@ -9,8 +9,8 @@
 
 // Prefixes of the stored records of drains and of their charges.
 const (
-	drainRecords = "e/"
-	drainCharges = "b/"
+	drainRecordPrefix = "e/"
+	drainChargePrefix = "b/"
 )
 
 // drainMonitor follows drains by what is stored and by which tasks the agents stop.
@@ -31,7 +31,7 @@
 // DisableDrains turns drains off at the first nodes.
 func (m *drainMonitor) DisableDrains(nodes int) {
 	for _, n := range m.sim.nodes[:nodes] {
-		n.drainsOff = true
+		n.drainsDisabled = true
 	}
 }
 
@@ -43,8 +43,8 @@
 	return m.budgets.Check(m.sim.now, agents, m.sim.Invariants.IsTaskEnded)
 }
 
-// taskStopped is called when an agent is about to stop a running task.
-func (m *drainMonitor) taskStopped(a *agentProcess, task *Task, saves bool) {
+// recordStop is called when an agent is about to stop a running task.
+func (m *drainMonitor) recordStop(a *agentProcess, task *Task, saves bool) {
 	sim := m.sim
 	if m.budgets == nil || !m.budgets.cordoned[a.ID] || sim.Invariants.IsTaskEnded(task.Name) {
 		return
@@ -66,21 +66,21 @@
 	}
 }
 
-// transactionCommitted reads from a transaction which machines are cordoned, and which attempts are
+// recordTransaction reads from a transaction which machines are cordoned, and which attempts are
 // to be evicted.
-func (m *drainMonitor) transactionCommitted(txn wire.Txn) {
+func (m *drainMonitor) recordTransaction(txn wire.Txn) {
 	for _, change := range txn.Then {
-		name, isDrain := strings.CutPrefix(change.Put, drainRecords)
+		name, isDrain := strings.CutPrefix(change.Put, drainRecordPrefix)
 		if isDrain && m.budgets != nil {
-			m.drainStored(name, change.Value)
+			m.recordDrain(name, change.Value)
 		}
-		if strings.HasPrefix(change.Put, drainCharges) {
-			m.chargeStored(change.Value)
+		if strings.HasPrefix(change.Put, drainChargePrefix) {
+			m.recordCharge(change.Value)
 		}
 	}
 }
 
-func (m *drainMonitor) chargeStored(value []byte) {
+func (m *drainMonitor) recordCharge(value []byte) {
 	charge, err := drain.DecodeCharge(value)
 	if err != nil {
 		m.sim.fail(err)
@@ -95,7 +95,7 @@
 	}
 }
 
-func (m *drainMonitor) drainStored(name string, value []byte) {
+func (m *drainMonitor) recordDrain(name string, value []byte) {
 	record, err := drain.DecodeRecord(name, value)
 	if err != nil {
 		m.sim.fail(err)
@@ -114,7 +114,7 @@
 
 // DrainRecord is the stored record of a drain, nil if there is none.
 func (m *drainMonitor) DrainRecord(name string) *drain.Record {
-	item, err := m.sim.Store.Get(drainRecords + name)
+	item, err := m.sim.Store.Get(drainRecordPrefix + name)
 	if err != nil {
 		return nil
 	}
--- a/internal/simulation/fault_injection.go
+++ b/internal/simulation/fault_injection.go
@@ -42,7 +42,7 @@
 
 // Inject lets a fault begin, at a node or machine that is drawn.
 func (f *faultInjector) Inject(kind Fault, span time.Duration) {
-	n, a := f.sim.anyNode(), f.drawAgent()
+	n, a := f.sim.drawNode(), f.drawAgent()
 	switch {
 	case kind <= lastNodeFault:
 		f.injectNodeFault(kind, n, span)
@@ -87,18 +87,18 @@
 	case StoreUnreachable:
 		n.storeUnreachableUntil = until
 	case LeaderStoreUnreachable:
-		sim.eachLeader(func(n *node) { n.storeUnreachableUntil = until })
+		sim.forEachLeader(func(n *node) { n.storeUnreachableUntil = until })
 	case StoreSlow:
 		sim.storeLink.slowUntil = until
 	case LeaderFrozen:
-		sim.eachLeader(func(n *node) { n.frozenUntil = until })
+		sim.forEachLeader(func(n *node) { n.frozenUntil = until })
 	case LeaderIsolated:
-		sim.eachLeader(func(n *node) {
+		sim.forEachLeader(func(n *node) {
 			n.isolate(span)
 			sim.redirectAgentsTo(n)
 		})
 	case NodesPartitioned:
-		sim.network.partitionNodes(n, sim.anyNode(), span)
+		sim.network.partitionNodes(n, sim.drawNode(), span)
 	case ZonePartitioned:
 		zones := sim.Cloud.Type.Zones
 		f.partitionZone(zones[sim.rng.IntN(len(zones))], until)
@@ -159,7 +159,7 @@
 	case FastBoots:
 		sim.Cloud.FastBootsUntil = until
 	case StoreRefusesLeader:
-		sim.eachLeader(func(n *node) { n.storeRefusesUntil = until })
+		sim.forEachLeader(func(n *node) { n.storeRefusesUntil = until })
 	case OutageAfterCancellation:
 		f.outageAfterCancellation()
 	case RepeatedFailovers:
@@ -175,7 +175,7 @@
 // to the old leader.
 func (f *faultInjector) outageAfterCancellation() {
 	sim := f.sim
-	sim.eachLeader(func(n *node) {
+	sim.forEachLeader(func(n *node) {
 		n.storeRefusesUntil = sim.now.Add(14 * time.Second)
 		sim.redirectAgentsTo(n)
 	})
@@ -209,7 +209,7 @@
 
 // CrashLeader ends the leader's process, and starts it again after a time.
 func (f *faultInjector) CrashLeader(down time.Duration) {
-	f.sim.eachLeader(func(n *node) { n.crash(down) })
+	f.sim.forEachLeader(func(n *node) { n.crash(down) })
 }
 
 // CrashAll ends all controllers' processes, and starts them again after a time.
@@ -226,22 +226,22 @@
 // PartitionBusyMachines separates a share of the machines with tasks, at least one, from all else.
 func (f *faultInjector) PartitionBusyMachines(share float64, span time.Duration) {
 	until := f.sim.now.Add(span)
-	f.eachBusyMachine(share, BusyMachinePartitioned, func(a *agentProcess) { a.partitionedUntil = until })
+	f.forEachBusyMachine(share, BusyMachinePartitioned, func(a *agentProcess) { a.partitionedUntil = until })
 }
 
 // LoseResponsesToBusyMachines lets the heartbeats of such machines arrive, and no response or
 // command get back.
 func (f *faultInjector) LoseResponsesToBusyMachines(share float64, span time.Duration) {
 	until := f.sim.now.Add(span)
-	f.eachBusyMachine(share, BusyMachineResponsesLost, func(a *agentProcess) { a.responsesLostUntil = until })
+	f.forEachBusyMachine(share, BusyMachineResponsesLost, func(a *agentProcess) { a.responsesLostUntil = until })
 }
 
-func (f *faultInjector) eachBusyMachine(share float64, what Observation, do func(*agentProcess)) {
+func (f *faultInjector) forEachBusyMachine(share float64, observation Observation, do func(*agentProcess)) {
 	first := true
 	for _, id := range f.sim.agentNames() {
 		if f.sim.Invariants.HasTasksOn(id) && (first || f.sim.chance(share)) {
 			first = false
-			f.sim.Observed[what]++
+			f.sim.Observed[observation]++
 			do(f.sim.fleet.agents[id])
 		}
 	}
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -20,7 +20,7 @@
 	taskMachine map[string]string // machine by task that is on it
 	startCount  int
 	// waiting are the jobs that wait although they could start.
-	waiting       map[string]waitStart
+	waiting       map[string]waitRecord
 	lastWaitCheck time.Time
 }
 
@@ -31,7 +31,7 @@
 	cancelRequested   bool
 	cancelConfirmedAt time.Time // zero if it is not
 	reportedDone      bool
-	finishedTasks     map[string]bool
+	completedTasks    map[string]bool
 	completed         bool // all tasks have completed
 	lastResponseAt    time.Time
 	lastSuccessAt     time.Time
@@ -40,14 +40,14 @@
 // isCancelled reports whether the user was told that the job is cancelled.
 func (j *observedJob) isCancelled() bool { return !j.cancelConfirmedAt.IsZero() }
 
-// allTasksFinished reports whether every task of the job has completed.
-func (j *observedJob) allTasksFinished() bool { return len(j.finishedTasks) == j.job.Tasks }
+// allTasksCompleted reports whether every task of the job has completed.
+func (j *observedJob) allTasksCompleted() bool { return len(j.completedTasks) == j.job.Tasks }
 
 // NewInvariantChecker returns a checker that knows no jobs.
 func NewInvariantChecker(teams []config.Team, cancelDeadline time.Duration) *InvariantChecker {
 	return &InvariantChecker{
 		Teams: teams, CancelDeadline: cancelDeadline,
-		jobs: map[string]*observedJob{}, taskMachine: map[string]string{}, waiting: map[string]waitStart{},
+		jobs: map[string]*observedJob{}, taskMachine: map[string]string{}, waiting: map[string]waitRecord{},
 	}
 }
 
@@ -60,7 +60,7 @@
 // RecordSubmission notes that a user submits a job.
 func (c *InvariantChecker) RecordSubmission(job *wire.Job) {
 	if c.jobs[job.ID] == nil {
-		c.jobs[job.ID] = &observedJob{job: job, finishedTasks: map[string]bool{}}
+		c.jobs[job.ID] = &observedJob{job: job, completedTasks: map[string]bool{}}
 	}
 }
 
@@ -105,7 +105,7 @@
 // cancelled or is done.
 func (c *InvariantChecker) IsTaskEnded(task string) bool {
 	j := c.jobOf(task)
-	return j == nil || j.cancelRequested || j.reportedDone || j.finishedTasks[task]
+	return j == nil || j.cancelRequested || j.reportedDone || j.completedTasks[task]
 }
 
 // MachinesOfJob are the machines that tasks of a job are on, in order.
--- a/internal/simulation/invariants_responses.go
+++ b/internal/simulation/invariants_responses.go
@@ -7,8 +7,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// maxUnanswered is how long requests about a job may go without success once all faults are over.
-const maxUnanswered = 75 * time.Second
+// maxTimeWithoutSuccess is how long requests about a job may go without success once all faults are over.
+const maxTimeWithoutSuccess = 75 * time.Second
 
 // ObservedResponse is a response to a request about a job, as its user receives it.
 type ObservedResponse struct {
@@ -20,8 +20,8 @@
 	Submission bool // it answers a submission
 }
 
-// refusesJob reports whether the response says that the job is unknown or invalid.
-func (r *ObservedResponse) refusesJob() bool {
+// rejectsJob reports whether the response says that the job is unknown or invalid.
+func (r *ObservedResponse) rejectsJob() bool {
 	invalid := r.Status == http.StatusBadRequest || r.Status == http.StatusUnprocessableEntity
 	return r.Status == http.StatusNotFound || r.Submission && invalid
 }
@@ -40,7 +40,7 @@
 		return nil
 	}
 	j.lastResponseAt = r.ReceivedAt
-	if j.accepted && r.refusesJob() {
+	if j.accepted && r.rejectsJob() {
 		return violated(AcceptedJobsKept, "%s answered %d", r.Job, r.Status)
 	}
 	if !succeeded(r.Status) {
@@ -66,8 +66,8 @@
 	case r.State == wire.JobCancelled && !j.isCancelled():
 		j.cancelConfirmedAt = r.ReceivedAt
 	case r.State == wire.JobDone:
-		if !j.allTasksFinished() {
-			return violated(DoneWhenCompleted, "%s is called done with %d of %d tasks", r.Job, len(j.finishedTasks), j.job.Tasks)
+		if !j.allTasksCompleted() {
+			return violated(DoneWhenCompleted, "%s is called done with %d of %d tasks", r.Job, len(j.completedTasks), j.job.Tasks)
 		}
 		j.reportedDone = true
 	}
@@ -102,14 +102,14 @@
 
 // CheckRequestsSucceed finds an accepted job about which no request has succeeded for long; settled is
 // when all faults were over.
-func (c *InvariantChecker) CheckRequestsSucceed(now, settled time.Time) error {
-	if now.Sub(settled) < maxUnanswered {
+func (c *InvariantChecker) CheckRequestsSucceed(now, faultsOverAt time.Time) error {
+	if now.Sub(faultsOverAt) < maxTimeWithoutSuccess {
 		return nil
 	}
 	for id, j := range c.jobs {
-		unanswered := now.Sub(j.lastSuccessAt)
-		if j.accepted && !j.cancelRequested && unanswered > maxUnanswered {
-			return violated(AcceptedJobsKept, "no question about %s answered for %v", id, unanswered)
+		sinceSuccess := now.Sub(j.lastSuccessAt)
+		if j.accepted && !j.cancelRequested && sinceSuccess > maxTimeWithoutSuccess {
+			return violated(AcceptedJobsKept, "no question about %s answered for %v", id, sinceSuccess)
 		}
 	}
 	return nil
--- a/internal/simulation/invariants_starvation.go
+++ b/internal/simulation/invariants_starvation.go
@@ -15,9 +15,9 @@
 	waitCheckInterval = time.Second
 )
 
-// waitStart is since when a job has waited, and how many of its tasks were on machines at the last
+// waitRecord is since when a job has waited, and how many of its tasks were on machines at the last
 // check.
-type waitStart struct {
+type waitRecord struct {
 	since       time.Time
 	listedTasks int
 }
@@ -30,19 +30,19 @@
 		return nil
 	}
 	c.lastWaitCheck = now
-	o := c.occupancy(agents)
+	o := c.newOccupancy(agents)
 	for id, j := range c.jobs {
-		if !c.couldStart(now, agents, o, j) {
+		if !c.canStart(now, agents, o, j) {
 			delete(c.waiting, id)
 			continue
 		}
 		listed := len(o.listed[id])
 		start, waited := c.waiting[id]
 		if !waited || listed > start.listedTasks {
-			c.waiting[id] = waitStart{now, listed}
+			c.waiting[id] = waitRecord{now, listed}
 			continue
 		}
-		c.waiting[id] = waitStart{start.since, listed}
+		c.waiting[id] = waitRecord{start.since, listed}
 		if wait := now.Sub(start.since); wait > maxWait {
 			return violated(NoStarvation, "%s for %v, though a machine has capacity", id, wait)
 		}
@@ -50,12 +50,12 @@
 	return nil
 }
 
-// couldStart reports whether a task of a job waits and could start now.
-func (c *InvariantChecker) couldStart(now time.Time, agents []*Agent, o occupancy, j *observedJob) bool {
+// canStart reports whether a task of a job waits and could start now.
+func (c *InvariantChecker) canStart(now time.Time, agents []*Agent, o occupancy, j *observedJob) bool {
 	if !c.hasWaitingTask(j, o.listed[j.job.ID]) || !c.withinTeamLimit(j.job, o.usedCPUs) {
 		return false
 	}
-	return slices.ContainsFunc(agents, func(a *Agent) bool { return o.admits(now, a, j.job) })
+	return slices.ContainsFunc(agents, func(a *Agent) bool { return o.fits(now, a, j.job) })
 }
 
 // hasWaitingTask reports whether a task of a job is to be started: one that has neither completed
@@ -68,13 +68,13 @@
 	if len(listed) == 0 {
 		return true
 	}
-	startedOrFinished := len(j.finishedTasks)
+	startedOrCompleted := len(j.completedTasks)
 	for task := range listed {
-		if !j.finishedTasks[task] {
-			startedOrFinished++
+		if !j.completedTasks[task] {
+			startedOrCompleted++
 		}
 	}
-	return startedOrFinished < j.job.Tasks
+	return startedOrCompleted < j.job.Tasks
 }
 
 // allReportedDone reports whether the users of all the jobs were told that they are done.
@@ -97,8 +97,8 @@
 	free     map[*Agent]placement.Resources
 }
 
-// occupancy sums up what all machines list.
-func (c *InvariantChecker) occupancy(agents []*Agent) occupancy {
+// newOccupancy sums up what all machines list.
+func (c *InvariantChecker) newOccupancy(agents []*Agent) occupancy {
 	o := occupancy{
 		listed: map[string]map[string]bool{}, zones: map[string]map[string]int{},
 		usedCPUs: map[string]float64{}, free: map[*Agent]placement.Resources{},
@@ -130,8 +130,8 @@
 	return placement.Resources{CPUs: job.CPUs, GPUs: job.GPUs, MemoryGB: job.MemoryGB}
 }
 
-// admits reports whether one more task of a job could start on a machine now.
-func (o occupancy) admits(now time.Time, a *Agent, job *wire.Job) bool {
+// fits reports whether one more task of a job could start on a machine now.
+func (o occupancy) fits(now time.Time, a *Agent, job *wire.Job) bool {
 	zone, zones := a.Machine.Zone, o.zones[job.ID]
 	switch {
 	case a.Faulty, a.ReclaimNotice != nil, now.After(a.LeaseEnd):
--- a/internal/simulation/invariants_tasks.go
+++ b/internal/simulation/invariants_tasks.go
@@ -59,7 +59,7 @@
 		}
 		for _, t := range a.sortedTasks() {
 			if t.State == wire.TaskExited && t.ExitReason == wire.ExitDone {
-				c.taskCompleted(t.Name)
+				c.recordCompletion(t.Name)
 			}
 			if !t.IsExecuting() {
 				continue
@@ -73,10 +73,10 @@
 	return executing, nil
 }
 
-func (c *InvariantChecker) taskCompleted(task string) {
+func (c *InvariantChecker) recordCompletion(task string) {
 	j := c.jobOf(task)
-	j.finishedTasks[task] = true
-	if len(j.finishedTasks) < j.job.Tasks || j.completed {
+	j.completedTasks[task] = true
+	if len(j.completedTasks) < j.job.Tasks || j.completed {
 		return
 	}
 	j.completed = true
@@ -102,7 +102,7 @@
 		}
 	}
 	for _, team := range c.Teams {
-		if used := usedCPUs[team.Name]; team.CPUsMax > 0 && used > team.CPUsMax+rounding {
+		if used := usedCPUs[team.Name]; team.CPUsMax > 0 && used > team.CPUsMax+roundingTolerance {
 			return nil, violated(WithinQuota, "%s uses %v of %v", team.Name, used, team.CPUsMax)
 		}
 	}
@@ -115,7 +115,7 @@
 	switch {
 	case !allowsMachine(job, a):
 		return violated(PlacedAsRequired, "%s on %s", task, a.ID)
-	case !c.allFinished(job.DependsOn):
+	case !c.allCompleted(job.DependsOn):
 		return violated(DependenciesFirst, "%s on %s before %v are done", task, a.ID, job.DependsOn)
 	case job.OneZone && len(zones) > 1:
 		return violated(PlacedAsRequired, "%s, a job for one zone, in %v", task, zones)
@@ -139,7 +139,7 @@
 // maxPerZone is how many tasks of a job that is spread may be in one zone.
 func maxPerZone(job *wire.Job) int { return (job.Tasks + 1) / 2 }
 
-// allFinished reports whether all tasks of the jobs have completed.
-func (c *InvariantChecker) allFinished(ids []string) bool {
-	return !slices.ContainsFunc(ids, func(id string) bool { return c.jobs[id] == nil || !c.jobs[id].allTasksFinished() })
+// allCompleted reports whether all tasks of the jobs have completed.
+func (c *InvariantChecker) allCompleted(ids []string) bool {
+	return !slices.ContainsFunc(ids, func(id string) bool { return c.jobs[id] == nil || !c.jobs[id].allTasksCompleted() })
 }
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// outside is the place of what is in no zone: clients, the cloud's API and the key-value store.
-const outside = ""
+// noZone is the place of what is in no zone: clients, the cloud's API and the key-value store.
+const noZone = ""
 
 // network is which parts of the cluster can reach each other, and how long messages take.
 type network struct {
@@ -17,7 +17,7 @@
 // nodePair are the numbers of two nodes, the lower one first.
 type nodePair [2]int
 
-func pairOf(a, b *node) nodePair { return nodePair{min(a.id, b.id), max(a.id, b.id)} }
+func newNodePair(a, b *node) nodePair { return nodePair{min(a.id, b.id), max(a.id, b.id)} }
 
 func newNetwork(loop *eventLoop) *network {
 	return &network{loop: loop, partitionedPairs: map[nodePair]bool{}}
@@ -25,13 +25,13 @@
 
 // partitionNodes keeps two nodes from reaching each other for a time.
 func (net *network) partitionNodes(a, b *node, span time.Duration) {
-	pair := pairOf(a, b)
+	pair := newNodePair(a, b)
 	net.partitionedPairs[pair] = true
 	net.loop.after(span, func() { delete(net.partitionedPairs, pair) })
 }
 
 // nodesPartitioned reports whether two nodes can't reach each other.
-func (net *network) nodesPartitioned(a, b *node) bool { return net.partitionedPairs[pairOf(a, b)] }
+func (net *network) nodesPartitioned(a, b *node) bool { return net.partitionedPairs[newNodePair(a, b)] }
 
 // partitionZone separates a zone from all other places.
 func (net *network) partitionZone(zone string, until time.Time) {
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -18,7 +18,7 @@
 	id          int
 	name        string
 	zone        string
-	drift       float64 // of its clock, as a share of the time that passes
+	clockDrift  float64 // of its clock, as a share of the time that passes
 	up          bool
 	incarnation int // incremented by every crash; what belongs to an earlier one is void
 
@@ -34,18 +34,18 @@
 	storeRefusesUntil     time.Time // the key-value store answers 503 to this node
 	frozenUntil           time.Time // the process is suspended, while its clocks run on
 
-	previousVersion bool // runs the version without dependent jobs
-	drainsOff       bool // its operators have not turned drains on
-	admissionOff    bool // its operators have not turned admission control on
-	gate            *admission.Gate
-	peerOffers      map[string]admission.NodeOfferedLoad // from the latest heartbeats of the other nodes
+	previousVersion   bool // runs the version without dependent jobs
+	drainsDisabled    bool // its operators have not turned drains on
+	admissionDisabled bool // its operators have not turned admission control on
+	gate              *admission.Gate
+	peerLoads         map[string]admission.NodeOfferedLoad // from the latest heartbeats of the other nodes
 }
 
 // newNode returns a node whose process is up.
 func newNode(sim *Simulation, id int, zone string) *node {
 	return &node{
 		sim: sim, id: id, name: fmt.Sprintf("node-%d", id), zone: zone, up: true,
-		drift: (sim.rng.Float64() - 0.5) * 0.001, peerOffers: map[string]admission.NodeOfferedLoad{},
+		clockDrift: (sim.rng.Float64() - 0.5) * 0.001, peerLoads: map[string]admission.NodeOfferedLoad{},
 	}
 }
 
@@ -64,7 +64,7 @@
 // clock is the node's monotonic clock.
 func (n *node) clock() time.Time {
 	elapsed := n.sim.elapsed()
-	return n.sim.start.Add(elapsed + time.Duration(float64(elapsed)*n.drift))
+	return n.sim.start.Add(elapsed + time.Duration(float64(elapsed)*n.clockDrift))
 }
 
 // isRunning reports whether the process is up and has not crashed since the given incarnation.
@@ -84,7 +84,7 @@
 			n.previousVersion = !n.previousVersion
 		}
 		n.up = true
-		n.gate, n.peerOffers = nil, map[string]admission.NodeOfferedLoad{}
+		n.gate, n.peerLoads = nil, map[string]admission.NodeOfferedLoad{}
 		n.electionStep(n.incarnation)
 	})
 }
@@ -103,10 +103,10 @@
 // admission control or drains are off, without them.
 func (n *node) settings() config.Operator {
 	operator := n.sim.Operator
-	if n.previousVersion || n.admissionOff {
+	if n.previousVersion || n.admissionDisabled {
 		operator.Admission = nil
 	}
-	if n.previousVersion || n.drainsOff {
+	if n.previousVersion || n.drainsDisabled {
 		operator.Drains = nil
 	}
 	return operator
@@ -120,11 +120,11 @@
 	return n.sim.Params.KVStore.Tightest()
 }
 
-// anyNode draws the node to which the load balancer sends a client.
-func (sim *Simulation) anyNode() *node { return sim.nodes[sim.rng.IntN(len(sim.nodes))] }
+// drawNode draws the node to which the load balancer sends a client.
+func (sim *Simulation) drawNode() *node { return sim.nodes[sim.rng.IntN(len(sim.nodes))] }
 
-// eachLeader calls do for every node that leads, or still believes so.
-func (sim *Simulation) eachLeader(do func(*node)) {
+// forEachLeader calls do for every node that leads, or still believes so.
+func (sim *Simulation) forEachLeader(do func(*node)) {
 	for _, n := range sim.nodes {
 		if n.leader != nil {
 			do(n)
@@ -146,23 +146,23 @@
 
 // findLeader is the leader of the highest term to which the node can forward a request, itself if
 // it leads; entitled tells which leaders may respond.
-func (n *node) findLeader(entitled func(*node) bool) *node {
+func (n *node) findLeader(mayRespond func(*node) bool) *node {
 	if !n.up {
 		return nil
 	}
-	if n.leader != nil && entitled(n) {
+	if n.leader != nil && mayRespond(n) {
 		return n
 	}
-	var best *node
+	var newest *node
 	for _, other := range n.sim.nodes {
-		if other.leader == nil || !entitled(other) || !n.canForwardTo(other) {
+		if other.leader == nil || !mayRespond(other) || !n.canForwardTo(other) {
 			continue
 		}
-		if best == nil || other.leadership.Term > best.leadership.Term {
-			best = other
+		if newest == nil || other.leadership.Term > newest.leadership.Term {
+			newest = other
 		}
 	}
-	return best
+	return newest
 }
 
 // canForwardTo reports whether another node gets the requests that this one forwards.
--- a/internal/simulation/node_admission.go
+++ b/internal/simulation/node_admission.go
@@ -13,7 +13,7 @@
 // DisableAdmission turns admission control off at the first nodes.
 func (sim *Simulation) DisableAdmission(nodes int) {
 	for _, n := range sim.nodes[:nodes] {
-		n.admissionOff = true
+		n.admissionDisabled = true
 	}
 }
 
@@ -37,11 +37,11 @@
 
 // admissionCheck is a submission's passage through the gate of the node that it has reached.
 type admissionCheck struct {
-	sim     *Simulation
-	gate    *admission.Gate // nil if there is nothing to check
-	request *admission.Request
-	claim   *admission.Claim
-	refused *leader.Response
+	sim       *Simulation
+	gate      *admission.Gate // nil if there is nothing to check
+	request   *admission.Request
+	claim     *admission.Claim
+	rejection *leader.Response
 }
 
 // admit takes a request through the gate of the node reached, as the real node does.
@@ -62,7 +62,7 @@
 	if isNew && leader.LimitViolation(n.sim.Params.Teams, r.job) == "" {
 		decision, revision := gate.Decide(now, check.request)
 		if !decision.Admitted {
-			check.refuse(decision)
+			check.reject(decision)
 			return check
 		}
 		check.claim.Revision = revision
@@ -71,11 +71,11 @@
 	return check
 }
 
-// refuse turns the submission away at a follower.
-func (check *admissionCheck) refuse(decision admission.Decision) {
+// reject turns the submission away at a follower.
+func (check *admissionCheck) reject(decision admission.Decision) {
 	check.sim.Observed[ShedByFollower]++
 	check.gate.RecordRejected(check.sim.now, check.request)
-	check.refused = &leader.Response{Status: http.StatusTooManyRequests, RetryAfter: decision.RetryAfterS}
+	check.rejection = &leader.Response{Status: http.StatusTooManyRequests, RetryAfter: decision.RetryAfterS}
 }
 
 // recordResponse lets the gate record the leader's response.
@@ -98,7 +98,7 @@
 	}
 	offers := []admission.NodeOfferedLoad{gate.OfferedLoad(n.name)}
 	for _, other := range n.sim.nodes {
-		if offer, known := n.peerOffers[other.name]; known {
+		if offer, known := n.peerLoads[other.name]; known {
 			offers = append(offers, offer)
 		}
 	}
@@ -137,7 +137,7 @@
 		delay += sim.between(500, 20_000)
 	}
 	to.after(delay, func() {
-		to.peerOffers[n.name] = offers
+		to.peerLoads[n.name] = offers
 		if receiver := to.admissionGate(); receiver != nil && policy != nil {
 			receiver.ApplyPolicy(to.clock(), *policy)
 		}
--- a/internal/simulation/node_election.go
+++ b/internal/simulation/node_election.go
@@ -17,16 +17,16 @@
 	if !n.isRunning(incarnation) {
 		return
 	}
-	again := func(d time.Duration) { n.after(d, func() { n.electionStep(incarnation) }) }
+	retry := func(d time.Duration) { n.after(d, func() { n.electionStep(incarnation) }) }
 	if n.leadership != nil {
-		n.renewLease(again)
+		n.renewLease(retry)
 		return
 	}
-	n.readLeader(again)
+	n.readLeader(retry)
 }
 
 // renewLease renews the leader's lease and steps down if it has expired.
-func (n *node) renewLease(again func(time.Duration)) {
+func (n *node) renewLease(retry func(time.Duration)) {
 	sim, sent, lease := n.sim, n.clock(), n.lease
 	sim.trace(boundaryStoreLease, n, "renew", lease)
 	n.callStore(func() error { return sim.Store.RenewLease(sim.now, lease) }, func(err error) {
@@ -37,12 +37,12 @@
 		case errors.Is(err, kvstore.ErrNotFound):
 			n.stepDown()
 		}
-		again(tuning.LeaseRenewInterval)
+		retry(tuning.LeaseRenewInterval)
 	})
 }
 
 // readLeader reads the leader's and the term's record, and campaigns if no other node leads.
-func (n *node) readLeader(again func(time.Duration)) {
+func (n *node) readLeader(retry func(time.Duration)) {
 	sim := n.sim
 	sim.trace(boundaryStoreRead, n, kvstore.KeyLeader, kvstore.KeyTerm)
 	var holder, term wire.KeyValue
@@ -54,20 +54,20 @@
 	}, func(err error) {
 		unavailable := errors.Is(holderErr, kvstore.ErrUnavailable) || errors.Is(termErr, kvstore.ErrUnavailable)
 		if err != nil || unavailable {
-			again(tuning.CampaignRetryDelay)
+			retry(tuning.CampaignRetryDelay)
 			return
 		}
-		if holderErr == nil && !n.isOwnEarlier(holder) {
-			again(sim.between(100, 400))
+		if holderErr == nil && !n.isFromEarlierIncarnation(holder) {
+			retry(sim.between(100, 400))
 			return
 		}
-		n.campaign(holder.Version, term, again)
+		n.campaign(holder.Version, term, retry)
 	})
 }
 
-// isOwnEarlier reports whether a leader's record was left behind by an earlier incarnation of the
+// isFromEarlierIncarnation reports whether a leader's record was left behind by an earlier incarnation of the
 // node.
-func (n *node) isOwnEarlier(holder wire.KeyValue) bool {
+func (n *node) isFromEarlierIncarnation(holder wire.KeyValue) bool {
 	var record election.LeaderRecord
 	_ = json.Unmarshal(holder.Value, &record) // an unreadable record is another node's
 	return record.Node == n.name && record.Nonce != n.nonce
@@ -80,14 +80,14 @@
 	term   uint64
 	sent   time.Time
 	lease  uint64
-	again  func(time.Duration)
+	retry  func(time.Duration)
 }
 
 // campaign requests a lease and then the leadership.
-func (n *node) campaign(leaderVersion uint64, term wire.KeyValue, again func(time.Duration)) {
+func (n *node) campaign(leaderVersion uint64, term wire.KeyValue, retry func(time.Duration)) {
 	var last kvstore.TermRecord
 	_ = json.Unmarshal(term.Value, &last) // there is none before the first term
-	c := &campaign{node: n, term: last.Term + 1, sent: n.clock(), again: again}
+	c := &campaign{node: n, term: last.Term + 1, sent: n.clock(), retry: retry}
 	// The transaction may be executed late, even after its process has ended. The nonce tells it
 	// from those of later incarnations.
 	n.nonce = n.sim.rng.Uint64()
@@ -98,7 +98,7 @@
 		return err
 	}, func(err error) {
 		if err != nil {
-			again(tuning.CampaignRetryDelay)
+			retry(tuning.CampaignRetryDelay)
 			return
 		}
 		c.commit(leaderVersion, term.Version)
@@ -111,11 +111,11 @@
 	c.node.commit(txn, func(result wire.TxnResult, err error) {
 		switch {
 		case err == nil:
-			c.won(result.Revision)
+			c.startTerm(result.Revision)
 		case errors.Is(err, httpclient.ErrNoResponse):
 			c.resolveUnknown()
 		default:
-			c.again(tuning.CampaignRetryDelay)
+			c.retry(tuning.CampaignRetryDelay)
 		}
 	})
 }
@@ -131,15 +131,15 @@
 	}, func(err error) {
 		var holder election.LeaderRecord
 		if err == nil && json.Unmarshal(item.Value, &holder) == nil && holder == c.record {
-			c.won(item.Version)
+			c.startTerm(item.Version)
 			return
 		}
-		c.again(tuning.CampaignRetryDelay)
+		c.retry(tuning.CampaignRetryDelay)
 	})
 }
 
-// won starts the term.
-func (c *campaign) won(version uint64) {
+// startTerm starts the term.
+func (c *campaign) startTerm(version uint64) {
 	c.node.startTerm(election.NewLeadership(c.term, c.sent), c.lease, version)
-	c.again(tuning.LeaseRenewInterval)
+	c.retry(tuning.LeaseRenewInterval)
 }
--- a/internal/simulation/node_leader.go
+++ b/internal/simulation/node_leader.go
@@ -12,7 +12,7 @@
 
 // startTerm loads the stored records and begins to lead; version is that of the leader's record.
 func (n *node) startTerm(leadership *election.Leadership, lease, version uint64) {
-	won := n.clock()
+	electedAt := n.clock()
 	n.leadership, n.lease = leadership, lease
 	n.callStore(func() error { return nil }, func(err error) {
 		if n.leadership != leadership {
@@ -21,7 +21,7 @@
 		params := n.sim.Params
 		params.KVStore = n.storeLimits()
 		grace := leader.GracePeriod(params.Workers)
-		l := leader.New(zerolog.Nop(), params, n.settings(), leadership.Term, won, grace)
+		l := leader.New(zerolog.Nop(), params, n.settings(), leadership.Term, electedAt, grace)
 		if !n.loadRecords(l, err) {
 			n.stepDown()
 			return
@@ -48,14 +48,14 @@
 
 func (n *node) loadRecord(l *leader.Leader, item wire.KeyValue) {
 	if n.previousVersion {
-		known, found := PreviousVersionReads(item)
-		if !found {
+		readItem, readable := PreviousVersionReads(item)
+		if !readable {
 			return
 		}
-		item = known
+		item = readItem
 	}
 	if err := l.LoadRecord(n.clock(), n.sim.now, item); err != nil {
-		n.sim.failure = err
+		n.sim.firstError = err
 	}
 }
 
--- a/internal/simulation/node_writes.go
+++ b/internal/simulation/node_writes.go
@@ -51,9 +51,9 @@
 // nextBatch takes the changes to be written now, nil if there are none.
 func (n *node) nextBatch(l *leader.Leader) *records.Batch {
 	limits := n.storeLimits()
-	most, spare := min(maxBatch, limits.TxnOps-1), n.sim.rng.IntN(5)
+	maxOps, spare := min(maxBatch, limits.TxnOps-1), n.sim.rng.IntN(5)
 	if !n.sim.LimitWriteRate {
-		return l.NextBatch(most, spare)
+		return l.NextBatch(maxOps, spare)
 	}
 	perSecond := limits.WriteRPS * tuning.StoreWriteShare
 	n.budget.refill(n.sim.now, perSecond)
@@ -61,7 +61,7 @@
 	if tokens < 1 {
 		return nil
 	}
-	batch := l.NextBatch(min(most, int(tokens)), max(0, int(tokens-perSecond/4)))
+	batch := l.NextBatch(min(maxOps, int(tokens)), max(0, int(tokens-perSecond/4)))
 	if batch != nil {
 		n.budget.tokens -= float64(len(batch.Mutations))
 	}
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -16,13 +16,13 @@
 }
 
 func (sim *Simulation) tryDrainRequest(request *drain.Request, done func(drain.Response)) {
-	settled := false
+	finished := false
 	finish := func(response drain.Response) {
-		if settled {
+		if finished {
 			return
 		}
-		settled = true
-		if noDrains(response.Status) || sim.chance(0.2) {
+		finished = true
+		if drainsUnavailable(response.Status) || sim.chance(0.2) {
 			// There is no leader with drains, or the response is lost.
 			sim.RequestDrain(sim.between(500, 3000), request, done)
 			return
@@ -32,7 +32,7 @@
 		}
 	}
 	sim.after(operatorTimeout, func() { finish(drain.Response{Status: http.StatusServiceUnavailable}) })
-	n := sim.leaderFor(sim.anyNode())
+	n := sim.leaderFor(sim.drawNode())
 	if n == nil || n.previousVersion {
 		return
 	}
@@ -47,7 +47,7 @@
 	})
 }
 
-// noDrains reports whether a status is that of a node without a leader or with drains off.
-func noDrains(status int) bool {
+// drainsUnavailable reports whether a status is that of a node without a leader or with drains off.
+func drainsUnavailable(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusForbidden
 }
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -31,12 +31,12 @@
 	*faultInjector
 	*drainMonitor
 
-	network   *network
-	storeLink storeLink
-	nodes     []*node
-	fleet     fleet
-	digest    traceDigest
-	failure   error // the first violation of an invariant, which ends the run
+	network    *network
+	storeLink  storeLink
+	nodes      []*node
+	fleet      fleet
+	digest     traceDigest
+	firstError error // the first violation of an invariant, which ends the run
 }
 
 // cloudCapacity is how many machines of each offer the cloud has, unless a test sets it.
@@ -59,7 +59,7 @@
 	sim.clients = newClients(sim)
 	sim.faultInjector = &faultInjector{sim: sim}
 	sim.drainMonitor = &drainMonitor{sim: sim}
-	sim.Store.OnCommit = sim.transactionCommitted
+	sim.Store.OnCommit = sim.recordTransaction
 	for id := range nodes {
 		n := newNode(sim, id, machineType.Zones[id%len(machineType.Zones)])
 		sim.nodes = append(sim.nodes, n)
@@ -74,7 +74,7 @@
 	sim.faultsEnd = sim.start.Add(faultsFor)
 	sim.after(faultsFor, sim.finishUpgrade)
 	end := sim.start.Add(duration)
-	for sim.failure == nil {
+	for sim.firstError == nil {
 		e := sim.next(end)
 		if e == nil {
 			return nil
@@ -84,12 +84,12 @@
 		e.run()
 		sim.fail(sim.checkInvariants(agents))
 	}
-	return fmt.Errorf("after %v: %w", sim.elapsed(), sim.failure)
+	return fmt.Errorf("after %v: %w", sim.elapsed(), sim.firstError)
 }
 
 // checkInvariants checks what must hold after every event, with the agents that there were before.
 func (sim *Simulation) checkInvariants(agents []*Agent) error {
-	if sim.failure != nil {
+	if sim.firstError != nil {
 		return nil
 	}
 	if err := sim.Invariants.CheckTasks(sim.now, agents); err != nil {
@@ -98,11 +98,11 @@
 	if err := sim.checkDrains(agents); err != nil {
 		return err
 	}
-	settled := sim.faultsEnd.Add(maxFaultOverrun)
-	if !sim.now.After(settled) {
+	faultsOverAt := sim.faultsEnd.Add(maxFaultOverrun)
+	if !sim.now.After(faultsOverAt) {
 		return nil
 	}
-	if err := sim.Invariants.CheckRequestsSucceed(sim.now, settled); err != nil {
+	if err := sim.Invariants.CheckRequestsSucceed(sim.now, faultsOverAt); err != nil {
 		return err
 	}
 	return sim.Invariants.CheckNoStarvation(sim.now, agents)
@@ -110,7 +110,7 @@
 
 // fail notes the first error, which ends the run.
 func (sim *Simulation) fail(err error) {
-	if sim.failure == nil {
-		sim.failure = err
+	if sim.firstError == nil {
+		sim.firstError = err
 	}
 }
--- a/internal/simulation/store_link.go
+++ b/internal/simulation/store_link.go
@@ -19,8 +19,8 @@
 	writesDelayed messageFault
 }
 
-// storeSlowdown is by how much requests take longer while the store is slow.
-const storeSlowdown = 40
+// storeSlowdownFactor is by how much requests take longer while the store is slow.
+const storeSlowdownFactor = 40
 
 // messageFault is a fault that affects a share of all messages until a time.
 type messageFault struct {
@@ -92,7 +92,7 @@
 	lost := sim.faultsAllowed() && sim.chance(0.02)
 	latency := sim.between(1, 10)
 	if sim.now.Before(sim.storeLink.slowUntil) {
-		latency *= storeSlowdown
+		latency *= storeSlowdownFactor
 	}
 	sim.after(latency, func() {
 		err := execute()
