--- a/internal/simulation/admission_test.go
+++ b/internal/simulation/admission_test.go
@@ -77,7 +77,7 @@
 		if o.SubmittedAt >= from && o.SubmittedAt < until {
 			asked++
 		}
-		if o.Accepted && o.SettledAt >= from && o.SettledAt < until {
+		if o.Accepted && o.FinishedAt >= from && o.FinishedAt < until {
 			accepted++
 		}
 	}
--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -19,34 +19,34 @@
 	ExitReason      string
 	CheckpointSaved bool
 	StateEndsAt     time.Time
-	StartedAt       time.Time // when it began to run
+	StartedAt       time.Time // when it began to run, after its image was fetched
 }
 
-// IsExecuting reports whether the task runs or saves its progress, which is what the protocol's
-// invariants count.
+// IsExecuting reports whether the task runs or saves its progress. The protocol's invariants count
+// the tasks in these states.
 func (t *Task) IsExecuting() bool { return t.State == wire.TaskRunning || t.State == wire.TaskSaving }
 
 // exit ends the task.
 func (t *Task) exit(reason string) { t.State, t.ExitReason = wire.TaskExited, reason }
 
-// Agent is one machine with its agent. It reads no clock: the time is passed in.
+// Agent is one machine with its agent. It reads no clock; callers pass the time.
 type Agent struct {
 	ID      string
 	Machine wire.ListedMachine
 	Type    wire.MachineType
 	Lease   time.Duration
-	// LookUpJob returns what a user has uploaded for a job, nil if nothing.
+	// LookUpJob returns the job that a user has uploaded under an id, or nil.
 	LookUpJob func(id string) *wire.Job
-	// RunTime tells for how long a task of a job runs.
+	// RunTime returns the run time of a task of a job.
 	RunTime func(*wire.Job) time.Duration
-	// SavedProgress, if set, tells the run time that a task has saved, on whatever machine; without
-	// it a task that is started again runs for its whole time.
+	// SavedProgress, if set, returns the run time that a task has saved on any machine. Without it,
+	// a restarted task runs for its full run time.
 	SavedProgress func(task string) time.Duration
-	// Faulty agents fail all tasks.
+	// Faulty makes all tasks fail on this machine.
 	Faulty bool
-	// FailsJob, if set, tells jobs that fail on every machine.
+	// FailsJob, if set, reports whether a job fails on every machine.
 	FailsJob func(id string) bool
-	// OnStop, if set, is called when a running task is about to be stopped.
+	// OnStop, if set, is called before a running task is stopped.
 	OnStop func(t *Task, saves bool)
 
 	Epoch         uint64
@@ -55,9 +55,9 @@
 	LeaseEnd      time.Time
 	ReclaimNotice *float64
 	Tasks         map[string]*Task // by name and attempt
-	Completed     map[string]bool  // tasks whose results are kept
+	Completed     map[string]bool  // tasks whose results this machine keeps
 	CachedImages  map[string]bool
-	// StateChanged is set by every change that the next heartbeat reports.
+	// StateChanged tells that the next heartbeat will report a change.
 	StateChanged bool
 }
 
@@ -69,19 +69,21 @@
 	}
 }
 
-// attemptKey identifies an attempt: exited ones stay listed beside later ones of the same task.
+// attemptKey identifies an attempt. The task name alone is not enough, because exited attempts stay
+// listed beside later ones of the same task.
 func attemptKey(name string, attempt uint64) string {
 	return name + "#" + strconv.FormatUint(attempt, 10)
 }
 
-// sortedTasks are all attempts, by task and number.
+// sortedTasks returns all attempts, sorted by task and number.
 func (a *Agent) sortedTasks() []*Task {
 	return slices.SortedFunc(maps.Values(a.Tasks), func(t, other *Task) int {
 		return cmp.Or(cmp.Compare(t.Name, other.Name), cmp.Compare(t.Attempt, other.Attempt))
 	})
 }
 
-// Advance lets time pass: images are fetched, tasks complete and save, the lease may expire.
+// Advance updates the agent to the given time: it finishes image fetches, runs and checkpoints, and
+// discards all tasks if the lease has expired.
 func (a *Agent) Advance(now time.Time) {
 	if now.After(a.LeaseEnd) {
 		a.Epoch++
@@ -111,7 +113,8 @@
 	}
 }
 
-// imageFetched lets a task run once its image is there.
+// imageFetched starts a task whose image has been fetched, or ends it if it has completed already
+// or is to fail.
 func (a *Agent) imageFetched(now time.Time, t *Task) {
 	job := a.jobOf(t.Name)
 	a.CachedImages[job.Image] = true
@@ -125,7 +128,7 @@
 	}
 }
 
-// remainingRunTime is for how long a task that starts now runs.
+// remainingRunTime returns how long a task that starts now will run.
 func (a *Agent) remainingRunTime(task string, job *wire.Job) time.Duration {
 	left := a.RunTime(job)
 	if a.SavedProgress != nil {
@@ -134,13 +137,13 @@
 	return max(0, left)
 }
 
-// jobOf is the job of a task, nil if nothing was uploaded for it.
+// jobOf returns the job of a task, or nil if it was not uploaded.
 func (a *Agent) jobOf(task string) *wire.Job {
 	id, _, _ := wire.SplitTask(task)
 	return a.LookUpJob(id)
 }
 
-// NextHeartbeat is the agent's next heartbeat.
+// NextHeartbeat returns the agent's next heartbeat.
 func (a *Agent) NextHeartbeat() *wire.Heartbeat {
 	a.Sequence++
 	heartbeat := &wire.Heartbeat{
@@ -172,8 +175,8 @@
 	a.execute(now, response.Commands)
 }
 
-// HandleCommandRequest applies a direct call: commands are executed if the fencing token is not
-// outdated and the epoch is the agent's.
+// HandleCommandRequest handles a direct call: it executes the commands unless the fencing token is
+// outdated or the epoch is not the agent's.
 func (a *Agent) HandleCommandRequest(now time.Time, r wire.CommandRequest) {
 	if r.FencingToken < a.FencingToken || r.AgentEpoch != a.Epoch {
 		return
@@ -202,8 +205,8 @@
 	}
 }
 
-// stopTask stops a task, which saves its progress first if the grace period allows it. One that
-// saves already goes on, unless there is no grace period.
+// stopTask stops a task, which saves its progress first if the grace period is long enough. A task
+// that is saving already continues to save, unless the grace period is zero.
 func (a *Agent) stopTask(now time.Time, t *Task, gracePeriodS *float64) {
 	job := a.jobOf(t.Name)
 	grace := 0.0
@@ -223,7 +226,7 @@
 	}
 }
 
-// startTask returns a new attempt, which has exited already if it can't be started.
+// startTask returns a new attempt, which is in the exited state if it can't be started.
 func (a *Agent) startTask(now time.Time, command wire.Command) *Task {
 	t := &Task{Name: command.Task, Attempt: command.Attempt}
 	job := a.jobOf(command.Task)
@@ -242,7 +245,7 @@
 	return t
 }
 
-// startFailure is why a task can't be started, "" if it can.
+// startFailure returns the reason why a task can't be started, or "" if it can.
 func (a *Agent) startFailure(task string, job *wire.Job) string {
 	cpus, memoryGB := job.CPUs, job.MemoryGB
 	for _, other := range a.Tasks {
@@ -262,5 +265,5 @@
 	return ""
 }
 
-// roundingTolerance is by how much sums of resources may exceed their bound.
+// roundingTolerance is the excess over a limit that sums of resources may have by rounding errors.
 const roundingTolerance = 1e-6
--- a/internal/simulation/agent_calls.go
+++ b/internal/simulation/agent_calls.go
@@ -16,7 +16,7 @@
 	agent  *agentProcess // the agent at the time of the call
 }
 
-// callAgent sends a leader's direct call to an agent; it may arrive minutes late.
+// callAgent sends a leader's direct call to an agent. The call may arrive minutes late.
 func (n *node) callAgent(l *leader.Leader, call *leader.DirectCall) {
 	sim := n.sim
 	sim.fail(sim.Invariants.CheckCommands(sim.now, call.Request.Commands))
@@ -32,7 +32,7 @@
 	}
 }
 
-// timeOut lets the call fail: it is not delivered, or delivered late without a response.
+// timeOut makes the call fail: it is either not delivered, or delivered late without a reply.
 func (c *agentCall) timeOut() {
 	sim := c.node.sim
 	if sim.chance(0.3) {
@@ -40,7 +40,7 @@
 		return
 	}
 	sim.after(c.agent.timeUntilReachable()+sim.between(0, 60_000), func() {
-		// A connection ends with its agent: a new one gets no delayed command.
+		// The connection ends with its agent, so a new agent never receives the delayed commands.
 		if sim.fleet.agents[c.call.Machine] == c.agent {
 			c.deliver(c.agent)
 		}
@@ -48,7 +48,7 @@
 	c.reportOutcome(tuning.DirectTimeout, leader.DirectUnknown, nil)
 }
 
-// execute delivers the call to the machine's present agent and returns its heartbeat to the leader.
+// execute delivers the call to the machine's current agent and returns its heartbeat to the leader.
 func (c *agentCall) execute() {
 	sim := c.node.sim
 	a := sim.fleet.agents[c.call.Machine]
@@ -60,13 +60,13 @@
 	c.reportOutcome(sim.between(1, 100), leader.DirectReplied, heartbeat)
 }
 
-// deliver lets an agent execute the commands, and returns its next heartbeat.
+// deliver makes an agent execute the commands and returns its next heartbeat.
 func (c *agentCall) deliver(a *agentProcess) *wire.Heartbeat {
 	a.HandleCommandRequest(a.sim.now, c.call.Request)
 	return a.NextHeartbeat()
 }
 
-// reportOutcome reports the outcome to the leader after a time, if it still leads.
+// reportOutcome passes the outcome to the leader after a delay, if it still leads.
 func (c *agentCall) reportOutcome(delay time.Duration, outcome leader.DirectOutcome, heartbeat *wire.Heartbeat) {
 	c.node.after(delay, func() {
 		if c.node.leader == c.leader {
--- a/internal/simulation/agent_heartbeats.go
+++ b/internal/simulation/agent_heartbeats.go
@@ -8,7 +8,7 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// Times of the agents' heartbeats.
+// Timing of the agents' heartbeats.
 const (
 	agentPollInterval    = 100 * time.Millisecond
 	minHeartbeatInterval = 500 * time.Millisecond
@@ -16,8 +16,8 @@
 	nextNodeDelay        = time.Second
 )
 
-// heartbeatLoop sends the agent's heartbeats, one at a time: every few seconds, and half a second
-// after the last one if something has changed.
+// heartbeatLoop sends the agent's heartbeats one at a time: one every heartbeat interval, and
+// earlier after a change, but at least minHeartbeatInterval after the last one.
 func (a *agentProcess) heartbeatLoop() {
 	if a.ended {
 		return
@@ -45,22 +45,24 @@
 	return !now.Before(a.nextHeartbeatAt) || a.StateChanged && now.Sub(a.lastHeartbeatAt) >= minHeartbeatInterval
 }
 
-// tryNextNode lets an agent without a response turn to the next node a little later.
+// tryNextNode makes an agent that got no response send its next heartbeat to the next node, after a
+// short delay.
 func (a *agentProcess) tryNextNode() {
 	a.nodeIndex = (a.nodeIndex + 1) % len(a.sim.nodes)
 	a.nextHeartbeatAt = a.sim.now.Add(nextNodeDelay)
 }
 
-// agentHeartbeat is one heartbeat on its way, of which copies may arrive late.
+// agentHeartbeat is a heartbeat in transit, copies of which may arrive late.
 type agentHeartbeat struct {
 	sim      *Simulation
 	agent    *agentProcess
 	message  *wire.Heartbeat
 	sentAt   time.Time
-	finished bool // answered or timed out
+	finished bool // responded to or timed out
 }
 
-// send brings the heartbeat to its node, and copies of it to where the faults ask for.
+// send delivers the heartbeat to its node after a delay, and copies of it as the active faults
+// demand.
 func (h *agentHeartbeat) send(target *node) {
 	sim := h.sim
 	sim.after(heartbeatTimeout, h.timeOut)
@@ -73,7 +75,7 @@
 	}
 	target.after(sim.network.agentDelay(), deliver)
 	if sim.faultsAllowed() && sim.chance(0.02) {
-		// It arrives once more, up to several leases later.
+		// The heartbeat arrives a second time, up to several lease durations later.
 		sim.after(sim.between(100, 90_000), deliver)
 	}
 	if sim.affects(sim.fleet.heartbeatsDuplicated) {
@@ -85,7 +87,7 @@
 	}
 }
 
-// partitionedUntil reports whether the agent can't reach a node, and until when.
+// partitionedUntil reports whether the agent is partitioned from a node, and until when.
 func (h *agentHeartbeat) partitionedUntil(target *node) (until time.Time, partitioned bool) {
 	net := h.sim.network
 	if net.zonesPartitioned(target.zone, h.agent.Machine.Zone) {
@@ -94,8 +96,8 @@
 	return h.agent.partitionedUntil, h.sim.now.Before(h.agent.partitionedUntil)
 }
 
-// deliver gives the heartbeat, or a copy of it, to a node; target is the node that it was sent to.
-// Nobody waits for the response to a copy.
+// deliver delivers the heartbeat, or a copy of it, to a node; target is the node to which the agent
+// sent it. The response to a copy is dropped.
 func (h *agentHeartbeat) deliver(at, target *node, copied bool) {
 	sim := h.sim
 	n := sim.leaderForHeartbeat(at)
@@ -121,7 +123,7 @@
 	}
 }
 
-// observe counts what a test may require to have happened.
+// observe counts the observations that a heartbeat's outcome makes.
 func (h *agentHeartbeat) observe(outcome leader.HeartbeatOutcome, authority, copied bool) {
 	switch {
 	case copied && outcome == leader.HeartbeatStale:
@@ -133,7 +135,7 @@
 	}
 }
 
-// respond brings the response to the agent, if it still waits and can be reached.
+// respond delivers the response to the agent, if it still waits for it and can be reached.
 func (h *agentHeartbeat) respond(target *node, response wire.HeartbeatResponse) {
 	a := h.agent
 	if h.finished || a.ended || !a.reachableFrom(target.zone) {
@@ -153,7 +155,7 @@
 	}
 }
 
-// replayHeartbeats gives copies of earlier heartbeats to all nodes, as a term starts.
+// replayHeartbeats delivers copies of earlier heartbeats to all nodes when a term starts.
 func (sim *Simulation) replayHeartbeats() {
 	for _, deliver := range sim.fleet.replays {
 		for _, n := range sim.nodes {
@@ -163,7 +165,7 @@
 	sim.fleet.replays = nil
 }
 
-// redirectAgentsTo lets all agents send their heartbeats to one node, as if they reached no other.
+// redirectAgentsTo makes all agents send their next heartbeats to one node.
 func (sim *Simulation) redirectAgentsTo(n *node) {
 	for _, id := range sim.agentNames() {
 		sim.fleet.agents[id].nodeIndex = n.id
--- a/internal/simulation/agent_process.go
+++ b/internal/simulation/agent_process.go
@@ -7,12 +7,12 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// fleet is the agents of all machines that have booted, and what befalls their heartbeats.
+// fleet holds the agents of all machines that have booted, and the faults of their heartbeats.
 type fleet struct {
 	agents               map[string]*agentProcess // by machine
 	heartbeatsDuplicated messageFault
 	heartbeatsReplayed   messageFault
-	// replays are copies of heartbeats for the next leader.
+	// replays deliver copies of heartbeats, to be called when the next term starts.
 	replays []func(*node)
 }
 
@@ -20,19 +20,19 @@
 type agentProcess struct {
 	*Agent
 	sim             *Simulation
-	nodeIndex       int // to which it sends its heartbeats
+	nodeIndex       int // index of the node to which it sends its heartbeats
 	inFlight        bool
 	lastHeartbeatAt time.Time
 	nextHeartbeatAt time.Time
 	ended           bool
 
-	partitionedUntil    time.Time // nothing gets to it or from it
+	partitionedUntil    time.Time // no message to or from it is delivered
 	responsesLostUntil  time.Time // its heartbeats arrive, responses and commands do not
-	heartbeatsLostUntil time.Time // it reaches no controller, direct calls reach it
+	heartbeatsLostUntil time.Time // its heartbeats are lost, direct calls arrive
 	hungUntil           time.Time // it does nothing
 }
 
-// agentNames are the names of the machines with agents, in order.
+// agentNames returns the sorted names of the machines with agents.
 func (sim *Simulation) agentNames() []string {
 	var names []string
 	for _, id := range sim.Cloud.MachineNames() {
@@ -43,7 +43,7 @@
 	return names
 }
 
-// advanceAgents lets time pass for all agents that don't hang, and returns all.
+// advanceAgents advances all agents that don't hang to the present time, and returns all agents.
 func (sim *Simulation) advanceAgents() []*Agent {
 	var agents []*Agent
 	for _, id := range sim.agentNames() {
@@ -70,7 +70,7 @@
 	a.heartbeatLoop()
 }
 
-// needsAgent reports whether a machine still exists and no agent runs on it.
+// needsAgent reports whether a machine still exists and has no agent.
 func (sim *Simulation) needsAgent(machine *cloudMachine) bool {
 	return sim.Cloud.machines[machine.Name] == machine && sim.fleet.agents[machine.Name] == nil
 }
@@ -81,7 +81,7 @@
 	delete(a.sim.fleet.agents, a.ID)
 }
 
-// replace ends the agent and starts a new one, which knows nothing, on the same machine.
+// replace ends the agent and starts a new one without its state on the same machine.
 func (a *agentProcess) replace() {
 	machine := a.sim.Cloud.machines[a.ID]
 	a.end()
@@ -92,14 +92,14 @@
 	})
 }
 
-// reachableFrom reports whether a message from a place gets to the agent and is handled.
+// reachableFrom reports whether the agent receives and handles a message from a zone.
 func (a *agentProcess) reachableFrom(zone string) bool {
 	now := a.sim.now
 	affected := now.Before(a.partitionedUntil) || now.Before(a.responsesLostUntil) || now.Before(a.hungUntil)
 	return !affected && !a.sim.network.zonesPartitioned(zone, a.Machine.Zone)
 }
 
-// timeUntilReachable is the time until the last of the faults that keep messages from the agent is over.
+// timeUntilReachable returns the time until the last fault that blocks messages to the agent ends.
 func (a *agentProcess) timeUntilReachable() time.Duration {
 	now := a.sim.now
 	return max(a.partitionedUntil.Sub(now), a.responsesLostUntil.Sub(now), a.hungUntil.Sub(now),
--- a/internal/simulation/client_faults.go
+++ b/internal/simulation/client_faults.go
@@ -10,15 +10,16 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// StartPollStorm lets users, for a time, poll eight times as often.
+// StartPollStorm makes users poll eight times as often for a time.
 func (c *clients) StartPollStorm(span time.Duration) { c.pollStormUntil = c.sim.now.Add(span) }
 
-// EnableFollowUps lets users, for a time, query all nodes within milliseconds of the response that
-// a job was accepted, done or cancelled, repeat the submission, and cancel some jobs right after
-// the acceptance.
+// EnableFollowUps makes users send further requests for a time, within milliseconds of a response
+// that a job was accepted, done or cancelled: they query all nodes, repeat the submission, and
+// cancel some of the jobs that were just accepted.
 func (c *clients) EnableFollowUps(span time.Duration) { c.followUpsUntil = c.sim.now.Add(span) }
 
-// sendFollowUps is called with every response that a user receives.
+// sendFollowUps handles every response that a user receives, and sends the requests that
+// EnableFollowUps describes.
 func (c *clients) sendFollowUps(job *wire.Job, response leader.Response) {
 	sim := c.sim
 	if !succeeded(response.Status) || !sim.now.Before(c.followUpsUntil) || c.jobs[job.ID] != job {
@@ -26,7 +27,7 @@
 	}
 	state := response.State
 	if state == wire.JobRunning {
-		state = wire.JobQueued // both are accepted
+		state = wire.JobQueued // both mean that the job was accepted
 	}
 	key := job.ID + " " + state
 	if c.followUpsSent[key] {
@@ -45,8 +46,8 @@
 	}
 }
 
-// CancelAtCompletion lets users, for a time, cancel a share of the jobs at the moment at which
-// their last task completes.
+// CancelAtCompletion makes users cancel a share of the jobs, for a time, just when their last task
+// completes.
 func (c *clients) CancelAtCompletion(share float64, span time.Duration) {
 	sim := c.sim
 	until := sim.now.Add(span)
@@ -58,11 +59,11 @@
 	}
 }
 
-// maxHungMachines is how many machines of cancelled jobs hang at most.
+// maxHungMachines is the maximum number of machines of cancelled jobs that hang.
 const maxHungMachines = 8
 
-// CancelRunning lets users cancel, within a fifth of a second, so many jobs that have tasks on
-// machines; some of these machines hang for a time.
+// CancelRunning makes users cancel count jobs with executing tasks within a fifth of a second. Some
+// of the machines of these tasks hang for a time.
 func (c *clients) CancelRunning(count int, hang time.Duration) {
 	sim := c.sim
 	hung := map[string]bool{}
@@ -86,11 +87,12 @@
 	}
 }
 
-// firstInvalidJobNumber is the number of the first job that only invalid requests name.
+// firstInvalidJobNumber is the number of the first job that only invalid requests refer to.
 const firstInvalidJobNumber = 900_001
 
-// SendInvalidRequests lets users, for a time, repeat submissions, cancel jobs that are done, query and
-// cancel jobs that nobody submitted, and submit some that can never run.
+// SendInvalidRequests makes users send invalid requests for a time: they repeat submissions, cancel
+// jobs that are done, query and cancel jobs that were not submitted, and submit jobs that can never
+// run.
 func (c *clients) SendInvalidRequests(span time.Duration) {
 	until := c.sim.now.Add(span)
 	number := firstInvalidJobNumber
@@ -107,8 +109,8 @@
 	next()
 }
 
-// sendInvalidRequest draws a request that must be refused or change nothing, about the unknown job
-// of the given number or a submitted one.
+// sendInvalidRequest sends a random request that must be rejected or have no effect, about an
+// unknown job with the given number or a submitted job.
 func (c *clients) sendInvalidRequest(number int) {
 	sim := c.sim
 	unknown := &wire.Job{
@@ -136,7 +138,7 @@
 	}
 }
 
-// repeatRequest repeats the submission of a job, and cancels it if it is done.
+// repeatRequest repeats the submission of a random job, and cancels the job if it is done.
 func (c *clients) repeatRequest() {
 	sim := c.sim
 	if len(c.submitted) == 0 {
@@ -149,12 +151,13 @@
 	}
 }
 
-// expectStatus lets a run fail if a response has another status, unless there is no leader.
+// expectStatus returns a callback that fails the run if a response has another status. It allows
+// the responses to requests that no leader handled.
 func (c *clients) expectStatus(id string, status int) func(leader.Response) {
 	allowed := []int{status, unavailable.Status, timedOut.Status}
 	return func(response leader.Response) {
 		if !slices.Contains(allowed, response.Status) {
-			c.sim.fail(fmt.Errorf("invalid request: %s answered %d instead of %d", id, response.Status, status))
+			c.sim.fail(fmt.Errorf("invalid request: response about %s has status %d instead of %d", id, response.Status, status))
 		}
 	}
 }
--- a/internal/simulation/client_requests.go
+++ b/internal/simulation/client_requests.go
@@ -12,16 +12,16 @@
 // clientTimeout is how long a client waits for a response.
 const clientTimeout = 5 * time.Second
 
-// Responses that no leader gives.
+// Responses to requests that no leader handled.
 var (
 	unavailable = leader.Response{Status: http.StatusServiceUnavailable}
 	timedOut    = leader.Response{Status: http.StatusGatewayTimeout}
 )
 
-// succeeded reports whether a status is one of success.
+// succeeded reports whether a status code means success.
 func succeeded(status int) bool { return status/100 == 2 }
 
-// ignoreResponse is for requests that are sent only to be checked.
+// ignoreResponse is the callback for requests whose responses only the invariant checks need.
 func ignoreResponse(leader.Response) {}
 
 // request is a user's request about a job.
@@ -32,7 +32,7 @@
 	done       func(leader.Response)
 }
 
-// pendingRequest is a request that was sent to a node and whose user waits for the response.
+// pendingRequest is a request that was sent to a node and waits for its response.
 type pendingRequest struct {
 	request
 	clients  *clients
@@ -41,14 +41,14 @@
 	finished bool
 }
 
-// send sends a request to a node. All responses are checked against the invariants.
+// send sends a request to a node. Every response is checked against the invariants.
 func (c *clients) send(target *node, r request) {
 	p := &pendingRequest{request: r, clients: c, sim: c.sim, target: target}
 	target.after(c.sim.between(1, 20), p.arrive)
 	c.sim.after(clientTimeout, func() { p.finish(timedOut) })
 }
 
-// finish gives the user the first response.
+// finish passes the first response to the user and ignores later ones.
 func (p *pendingRequest) finish(response leader.Response) {
 	if !p.finished {
 		p.finished = true
@@ -56,7 +56,7 @@
 	}
 }
 
-// arrive is called as the request gets to its node, which forwards it to the leader.
+// arrive handles the request's arrival at its node, which forwards it to the leader.
 func (p *pendingRequest) arrive() {
 	sim := p.sim
 	if sim.network.zonesPartitioned(p.target.zone, noZone) {
@@ -76,8 +76,8 @@
 	p.execute(leading, check.claim, func(response leader.Response) {
 		check.recordResponse(response)
 		leading.after(sim.between(0, 2), func() {
-			// As in the real node, a response that is not terminal is sent only while the leader
-			// still holds its lease: it may have been frozen since it decided.
+			// Like the real node, send a response that is not terminal only while the leader still
+			// holds its lease, because it may have been frozen since its decision.
 			if !response.IsTerminal() && !term.HoldsLease(leading.clock()) {
 				response = unavailable
 			}
@@ -87,7 +87,7 @@
 	})
 }
 
-// receive is called as the leader's response gets to the user.
+// receive handles the arrival of the leader's response at the user.
 func (p *pendingRequest) receive(from *node, sentAt time.Time, response leader.Response) {
 	if p.finished {
 		return
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -9,24 +9,25 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// clients are the users, who submit, poll and cancel jobs at any node.
+// clients simulates the users, who submit, poll and cancel jobs at any node.
 type clients struct {
 	sim       *Simulation
-	jobs      map[string]*wire.Job // uploaded, by id
+	jobs      map[string]*wire.Job // uploaded jobs, by id
 	submitted []*wire.Job          // by Submit, in order
 	failing   map[string]bool      // jobs that fail on every machine
 
 	pollStormUntil time.Time
 	followUpsUntil time.Time
-	followUpsSent  map[string]bool // jobs with the states that were followed up
+	followUpsSent  map[string]bool // job ids with the states already followed up
 }
 
 func newClients(sim *Simulation) *clients {
 	return &clients{sim: sim, jobs: map[string]*wire.Job{}, failing: map[string]bool{}, followUpsSent: map[string]bool{}}
 }
 
-// Submit lets a user submit a job after a time and once its dependencies are accepted, repeat the
-// request until it succeeds, poll the job's state, and cancel it later if cancelAfter is set.
+// Submit makes a user submit a job after a time, once its dependencies are accepted. The user
+// repeats the submission until it succeeds, polls the job's state, and cancels it later if
+// cancelAfter is set.
 func (c *clients) Submit(after time.Duration, job *wire.Job, cancelAfter time.Duration) {
 	c.sim.after(after, func() {
 		if !c.sim.Invariants.AllAccepted(job.DependsOn) {
@@ -44,7 +45,7 @@
 	})
 }
 
-// submitUntilAccepted repeats a submission until it succeeds, and sometimes once more.
+// submitUntilAccepted repeats a submission until it succeeds, and sometimes once more after that.
 func (c *clients) submitUntilAccepted(job *wire.Job) {
 	c.send(c.sim.drawNode(), c.submission(job, func(response leader.Response) {
 		if !succeeded(response.Status) || c.sim.chance(0.05) {
@@ -53,7 +54,7 @@
 	}))
 }
 
-// pollLoop lets a user query a job's state every few seconds.
+// pollLoop makes a user query a job's state every few seconds.
 func (c *clients) pollLoop(job *wire.Job) {
 	c.send(c.sim.drawNode(), c.query(job, func(leader.Response) {
 		pause := c.sim.between(3000, 6000)
@@ -65,7 +66,7 @@
 	}))
 }
 
-// requestCancellation lets a user cancel a job, and repeat the request until it succeeds.
+// requestCancellation makes a user cancel a job and repeat the request until it succeeds.
 func (c *clients) requestCancellation(job *wire.Job) {
 	c.sim.Invariants.RecordCancellationRequest(job.ID)
 	c.cancelUntilConfirmed(job)
@@ -79,11 +80,11 @@
 	}))
 }
 
-// submission is the request to accept a job.
+// submission returns the request to submit a job.
 func (c *clients) submission(job *wire.Job, done func(leader.Response)) request {
 	return request{job, true, func(n *node, claim *admission.Claim, respond func(leader.Response)) {
 		if n.previousVersion && len(job.DependsOn) > 0 {
-			// As forwarded by a node of a later version.
+			// A later version forwards the request in a form that the previous version rejects.
 			respond(unavailable)
 			return
 		}
@@ -91,35 +92,36 @@
 	}, done}
 }
 
-// cancellation is the request to cancel a job.
+// cancellation returns the request to cancel a job.
 func (c *clients) cancellation(job *wire.Job, done func(leader.Response)) request {
 	return request{job, false, func(n *node, _ *admission.Claim, respond func(leader.Response)) {
 		n.leader.Cancel(n.clock(), job.ID, respond)
 	}, done}
 }
 
-// query is the request for a job's state.
+// query returns the request for a job's state.
 func (c *clients) query(job *wire.Job, done func(leader.Response)) request {
 	return request{job, false, func(n *node, _ *admission.Claim, respond func(leader.Response)) {
 		respond(n.leader.Query(job.ID))
 	}, done}
 }
 
-// FailOnEveryMachine makes a job one that fails on every machine.
+// FailOnEveryMachine makes the tasks of a job fail on every machine.
 func (c *clients) FailOnEveryMachine(job *wire.Job) { c.failing[job.ID] = true }
 
-// SubmissionOutcome is what became of a submission whose user keeps to the protocol.
+// SubmissionOutcome is the outcome of a submission whose user follows the protocol.
 type SubmissionOutcome struct {
 	Job         *wire.Job
-	SubmittedAt time.Duration // since the start
+	SubmittedAt time.Duration // since the start of the run
 	Accepted    bool
-	// SettledAt is when it was accepted, or given up after the users' patience.
-	SettledAt time.Duration
-	Tries     int
+	// FinishedAt is when the job was accepted or the user gave up, since the start of the run.
+	FinishedAt time.Duration
+	Tries      int
 }
 
-// SubmitWithRetryWindow lets a user submit a job as the protocol says: retry when the response says
-// so, for a minute in total, and poll the job's state once it is accepted.
+// SubmitWithRetryWindow makes a user submit a job as the protocol requires: the user retries after
+// the time in the response, for at most a minute in total, and polls the job's state once it is
+// accepted.
 func (c *clients) SubmitWithRetryWindow(after time.Duration, job *wire.Job, done func(SubmissionOutcome)) {
 	c.sim.after(after, func() {
 		c.jobs[job.ID] = job
@@ -131,14 +133,14 @@
 func (c *clients) submitWithinWindow(outcome *SubmissionOutcome, done func(SubmissionOutcome)) {
 	outcome.Tries++
 	c.send(c.sim.drawNode(), c.submission(outcome.Job, func(response leader.Response) {
-		outcome.SettledAt = c.sim.elapsed()
+		outcome.FinishedAt = c.sim.elapsed()
 		pause := max(time.Duration(response.RetryAfter)*time.Second, time.Second) + c.sim.between(0, 300)
 		switch {
 		case succeeded(response.Status):
 			outcome.Accepted = true
 			done(*outcome)
 			c.slowingPollLoop(outcome.Job)
-		case outcome.SettledAt+pause-outcome.SubmittedAt > tuning.AdmissionRetryWindow:
+		case outcome.FinishedAt+pause-outcome.SubmittedAt > tuning.AdmissionRetryWindow:
 			done(*outcome)
 		default:
 			c.sim.after(pause, func() { c.submitWithinWindow(outcome, done) })
@@ -146,7 +148,7 @@
 	}))
 }
 
-// slowingPollLoop lets a user query a job's state, and less often once it is terminal.
+// slowingPollLoop makes a user query a job's state, less often once it is terminal.
 func (c *clients) slowingPollLoop(job *wire.Job) {
 	c.send(c.sim.drawNode(), c.query(job, func(response leader.Response) {
 		pause := c.sim.between(3000, 6000)
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -11,27 +11,27 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// unreachableBootTime is a boot time longer than any run.
+// unreachableBootTime is the boot time of machines that never boot: it exceeds any run.
 const unreachableBootTime = 1000 * time.Hour
 
-// Cloud is an in-memory cloud with one machine type. An offer is a zone with spot or ordinary
-// machines.
+// Cloud is an in-memory cloud with one machine type. It has one offering of spot and one of
+// on-demand machines in each zone.
 type Cloud struct {
 	Type     wire.MachineType
-	Capacity int // machines of each offer
+	Capacity int // machines of each offering
 	Down     bool
-	// SlowBootsUntil: of the machines provisioned before then half take three times as long to
-	// boot, and a quarter never do.
+	// SlowBootsUntil: of the machines provisioned before this time, half take three times as long
+	// to boot and a quarter never boot.
 	SlowBootsUntil time.Time
-	// FastBootsUntil: machines provisioned before then have booted within two seconds.
+	// FastBootsUntil: machines provisioned before this time boot within two seconds.
 	FastBootsUntil time.Time
 
 	machines    map[string]*cloudMachine
-	provisioned map[string][]string // machines by request, which may be repeated
+	provisioned map[string][]string // machines by request id, because requests may be repeated
 	nextID      int
 }
 
-// cloudMachine is a machine that is provisioned.
+// cloudMachine is a machine that exists in the cloud.
 type cloudMachine struct {
 	wire.ListedMachine
 	provisionedAt time.Time
@@ -43,7 +43,7 @@
 	return &Cloud{Type: t, Capacity: capacity, machines: map[string]*cloudMachine{}, provisioned: map[string][]string{}}
 }
 
-// Provision adds machines and returns their names, none if there is no capacity.
+// Provision creates machines and returns their names, or nil if there is no capacity.
 func (c *Cloud) Provision(now time.Time, rng *rand.Rand, r wire.ProvisionRequest) []string {
 	if names, repeated := c.provisioned[r.RequestID]; repeated {
 		return names
@@ -65,7 +65,7 @@
 	return names
 }
 
-// machineCount is the number of machines of an offer.
+// machineCount returns the number of machines of an offering.
 func (c *Cloud) machineCount(zone string, spot bool) int {
 	count := 0
 	for _, machine := range c.machines {
@@ -76,7 +76,7 @@
 	return count
 }
 
-// drawBootTime draws how long a machine provisioned now takes to boot; one in twenty never does.
+// drawBootTime draws the boot time of a machine provisioned now; one in twenty never boots.
 func (c *Cloud) drawBootTime(now time.Time, rng *rand.Rand) time.Duration {
 	boot := seconds.Duration(c.Type.BootTimeS * (0.6 + 0.9*rng.Float64()))
 	if rng.IntN(20) == 0 {
@@ -96,10 +96,10 @@
 	return boot
 }
 
-// MachineNames are the names of all machines, in order.
+// MachineNames returns the sorted names of all machines.
 func (c *Cloud) MachineNames() []string { return slices.Sorted(maps.Keys(c.machines)) }
 
-// List is the list of machines as it was some time ago.
+// List returns the machines that had been provisioned lag before now.
 func (c *Cloud) List(now time.Time, lag time.Duration) []wire.ListedMachine {
 	var list []wire.ListedMachine
 	for _, id := range c.MachineNames() {
--- a/internal/simulation/cloud_calls.go
+++ b/internal/simulation/cloud_calls.go
@@ -18,7 +18,7 @@
 	provisioned []string
 }
 
-// callCloud sends a leader's call to the cloud, and repeats it until it is answered.
+// callCloud sends a leader's call to the cloud and repeats it until it gets a response.
 func (n *node) callCloud(l *leader.Leader, call scaling.CloudCall) {
 	sim := n.sim
 	sim.trace(boundaryCloudCall, n, call.Op, call.Provision, call.Release)
@@ -33,7 +33,7 @@
 	})
 }
 
-// timeOut lets the call get no response, though it may be executed much later.
+// timeOut makes the call get no response. The cloud may still execute it much later.
 func (c *cloudCall) timeOut() {
 	sim := c.node.sim
 	if sim.chance(0.5) {
@@ -46,7 +46,7 @@
 	})
 }
 
-// execute carries the call out in the cloud.
+// execute executes the call in the cloud.
 func (c *cloudCall) execute() {
 	sim := c.node.sim
 	if c.call.Op == scaling.CloudProvision {
@@ -62,7 +62,7 @@
 	}
 }
 
-// respond brings the cloud's response to the leader, if it still leads.
+// respond delivers the cloud's response to the leader, if it still leads.
 func (c *cloudCall) respond() {
 	if c.node.leader != c.leader {
 		return
@@ -111,7 +111,7 @@
 	}
 }
 
-// removeMachine ends a machine and its agent.
+// removeMachine removes a machine and ends its agent.
 func (sim *Simulation) removeMachine(id string) {
 	delete(sim.Cloud.machines, id)
 	if a := sim.fleet.agents[id]; a != nil {
@@ -119,7 +119,7 @@
 	}
 }
 
-// MachinesInZone is the number of machines that the cloud has in a zone.
+// MachinesInZone returns the number of machines that the cloud has in a zone.
 func (sim *Simulation) MachinesInZone(zone string) int {
 	count := 0
 	for _, machine := range sim.Cloud.machines {
@@ -130,7 +130,7 @@
 	return count
 }
 
-// SlowDownBoots lets machines provisioned within a time boot late or never.
+// SlowDownBoots makes some of the machines that are provisioned within a time boot late or never.
 func (sim *Simulation) SlowDownBoots(span time.Duration) {
 	sim.Cloud.SlowBootsUntil = sim.now.Add(span)
 }
--- a/internal/simulation/drain_budgets.go
+++ b/internal/simulation/drain_budgets.go
@@ -7,15 +7,16 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// DrainBudgetChecker checks that drains keep to the disruption budgets, by what the agents execute.
-// A stop of a running task counts as an eviction if its machine is, or ever was, in a batch.
+// DrainBudgetChecker checks that drains stay within the disruption budgets, from the tasks that the
+// agents execute. The stop of a running task counts as an eviction if its machine is, or ever was,
+// in a cordoned batch of a drain.
 type DrainBudgetChecker struct {
 	Budgets *drain.Budgets
 
-	cordoned    map[string]bool // machines that were in a batch
+	cordoned    map[string]bool // machines that are or were in a cordoned batch
 	charged     map[uint64]bool // attempts in stored charges
 	evictions   []eviction
-	unavailable map[string]evictedTask // by name, until they run again
+	unavailable map[string]evictedTask // evicted tasks by name, until they run again
 }
 
 // eviction is a running task that was stopped.
@@ -25,7 +26,7 @@
 	lostS float64
 }
 
-// evictedTask is a task that was stopped and does not run again yet.
+// evictedTask is an evicted task that has not run since.
 type evictedTask struct {
 	team    string
 	attempt uint64
@@ -38,14 +39,14 @@
 	}
 }
 
-// RecordEviction notes that a running task was stopped.
+// RecordEviction records that a drain stopped a running task.
 func (c *DrainBudgetChecker) RecordEviction(now time.Time, team, task string, attempt uint64, lostS float64) {
 	c.evictions = append(c.evictions, eviction{now, team, lostS})
 	c.unavailable[task] = evictedTask{team, attempt}
 }
 
-// Check compares the evictions within the window, and the tasks that are unavailable now, with the
-// budgets; settled reports whether a task is not to run any more.
+// Check returns a violation if the evictions within the window, or the tasks that are unavailable
+// now, exceed a team's budget; ended reports whether a task must not run any more.
 func (c *DrainBudgetChecker) Check(now time.Time, agents []*Agent, ended func(task string) bool) error {
 	if len(c.unavailable) > 0 {
 		c.removeAvailable(agents, ended)
@@ -58,17 +59,17 @@
 		budget := c.Budgets.For(team)
 		switch {
 		case unavailable[team] > budget.MaxUnavailable:
-			return violated(WithinDrainBudget, "%d tasks of %s are unavailable, allowed are %d", unavailable[team], team, budget.MaxUnavailable)
+			return violated(WithinDrainBudget, "%d tasks of %s are unavailable, the budget allows %d", unavailable[team], team, budget.MaxUnavailable)
 		case usage.Evictions > budget.Evictions:
-			return violated(WithinDrainBudget, "%d evictions of %s in a window, allowed are %d", usage.Evictions, team, budget.Evictions)
+			return violated(WithinDrainBudget, "%d evictions of %s in a window, the budget allows %d", usage.Evictions, team, budget.Evictions)
 		case usage.LostS > budget.LostS:
-			return violated(WithinDrainBudget, "%g s of %s lost in a window, allowed are %g", usage.LostS, team, budget.LostS)
+			return violated(WithinDrainBudget, "%g s of %s lost in a window, the budget allows %g", usage.LostS, team, budget.LostS)
 		}
 	}
 	return nil
 }
 
-// usageInWindow sums up the evictions within the window, by team.
+// usageInWindow returns the sums of the evictions within the window, by team.
 func (c *DrainBudgetChecker) usageInWindow(now time.Time) map[string]drain.Usage {
 	usages := map[string]drain.Usage{}
 	for _, e := range c.evictions {
@@ -80,7 +81,8 @@
 	return usages
 }
 
-// removeAvailable removes the tasks that run again, or are not to run any more.
+// removeAvailable removes the tasks that run again, or must not run any more, from the unavailable
+// ones.
 func (c *DrainBudgetChecker) removeAvailable(agents []*Agent, ended func(task string) bool) {
 	for task := range c.unavailable {
 		if ended(task) {
--- a/internal/simulation/drain_monitor.go
+++ b/internal/simulation/drain_monitor.go
@@ -7,35 +7,35 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// Prefixes of the stored records of drains and of their charges.
+// Key prefixes of the stored records of drains and of their charges.
 const (
 	drainRecordPrefix = "e/"
 	drainChargePrefix = "b/"
 )
 
-// drainMonitor follows drains by what is stored and by which tasks the agents stop.
+// drainMonitor observes drains through the stored records and the tasks that the agents stop.
 type drainMonitor struct {
 	sim     *Simulation
-	budgets *DrainBudgetChecker // nil if drains are off
-	// OnCharge, OnEviction and OnRelease, if set, are called as a charge is stored, an agent stops a
-	// task of a drained machine, and the cloud has released machines.
+	budgets *DrainBudgetChecker // nil if drains are disabled
+	// OnCharge, OnEviction and OnRelease, if set, are called when a charge is stored, when an agent
+	// stops a task of a drained machine, and when the cloud has released machines.
 	OnCharge, OnEviction, OnRelease func()
 }
 
-// EnableDrains turns drains on at all nodes and checks the budgets after every event.
+// EnableDrains enables drains at all nodes, and the check of the budgets after every event.
 func (m *drainMonitor) EnableDrains(budgets *drain.Budgets) {
 	m.sim.Operator.Drains = budgets
 	m.budgets = NewDrainBudgetChecker(budgets)
 }
 
-// DisableDrains turns drains off at the first nodes.
+// DisableDrains disables drains at the given number of nodes.
 func (m *drainMonitor) DisableDrains(nodes int) {
 	for _, n := range m.sim.nodes[:nodes] {
 		n.drainsDisabled = true
 	}
 }
 
-// checkDrains checks the budgets.
+// checkDrains checks the disruption budgets, if drains are enabled.
 func (m *drainMonitor) checkDrains(agents []*Agent) error {
 	if m.budgets == nil {
 		return nil
@@ -43,14 +43,16 @@
 	return m.budgets.Check(m.sim.now, agents, m.sim.Invariants.IsTaskEnded)
 }
 
-// recordStop is called when an agent is about to stop a running task.
+// recordStop records that an agent is about to stop a running task, which is an eviction if a drain
+// has cordoned the machine.
 func (m *drainMonitor) recordStop(a *agentProcess, task *Task, saves bool) {
 	sim := m.sim
 	if m.budgets == nil || !m.budgets.cordoned[a.ID] || sim.Invariants.IsTaskEnded(task.Name) {
 		return
 	}
 	if a.ReclaimNotice != nil && !m.budgets.charged[task.Attempt] {
-		// The cloud is about to reclaim the machine: its tasks save whatever is drained.
+		// The cloud is about to reclaim the machine, so its tasks save their progress whether or
+		// not it is drained.
 		return
 	}
 	lostS := sim.now.Sub(task.StartedAt).Seconds()
@@ -66,8 +68,8 @@
 	}
 }
 
-// recordTransaction reads from a transaction which machines are cordoned, and which attempts are
-// to be evicted.
+// recordTransaction records the machines that a transaction cordons and the attempts that it
+// charges.
 func (m *drainMonitor) recordTransaction(txn wire.Txn) {
 	for _, change := range txn.Then {
 		name, isDrain := strings.CutPrefix(change.Put, drainRecordPrefix)
@@ -112,7 +114,7 @@
 	}
 }
 
-// DrainRecord is the stored record of a drain, nil if there is none.
+// DrainRecord returns the stored record of a drain, or nil if there is none.
 func (m *drainMonitor) DrainRecord(name string) *drain.Record {
 	item, err := m.sim.Store.Get(drainRecordPrefix + name)
 	if err != nil {
--- a/internal/simulation/event_loop.go
+++ b/internal/simulation/event_loop.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// event is a function that is called at a simulated time.
+// event is a function to be called at a simulated time.
 type event struct {
 	at       time.Time
-	sequence int // order of scheduling, which decides between events of one time
+	sequence int // orders events of the same time by when they were scheduled
 	run      func()
 }
 
-// eventQueue is a heap of events, the next one first.
+// eventQueue is a heap of events with the earliest first.
 type eventQueue []*event
 
 // Len implements heap.Interface.
@@ -38,8 +38,8 @@
 	return last
 }
 
-// eventLoop runs events in the order of their simulated times, and draws all random numbers of a
-// run from one seed. A run is repeatable as long as events and draws keep their order.
+// eventLoop orders events by their simulated times and draws all random numbers of a run from one
+// seed. A run is reproducible as long as the order of events and of draws does not change.
 type eventLoop struct {
 	rng      *rand.Rand
 	start    time.Time
@@ -53,7 +53,7 @@
 	return &eventLoop{rng: rand.New(rand.NewPCG(seed, 1)), start: start, now: start}
 }
 
-// after schedules a call a duration from now.
+// after schedules a call at a duration from now.
 func (l *eventLoop) after(d time.Duration, run func()) {
 	l.sequence++
 	heap.Push(&l.queue, &event{l.now.Add(d), l.sequence, run})
@@ -65,7 +65,8 @@
 // ScheduleNow schedules a call after the current event.
 func (l *eventLoop) ScheduleNow(run func()) { l.after(0, run) }
 
-// next advances the time to the next event and returns it, nil if there is none until the end.
+// next advances the time to the next event and returns it, or nil if no event is left before the
+// end.
 func (l *eventLoop) next(end time.Time) *event {
 	if l.queue.Len() == 0 {
 		return nil
@@ -78,13 +79,13 @@
 	return e
 }
 
-// elapsed is the time since the start of the run.
+// elapsed returns the time since the start of the run.
 func (l *eventLoop) elapsed() time.Duration { return l.now.Sub(l.start) }
 
-// between draws a duration, both bounds in milliseconds.
+// between draws a random duration; both bounds are in milliseconds and inclusive.
 func (l *eventLoop) between(from, to int) time.Duration {
 	return time.Duration(from+l.rng.IntN(to-from+1)) * time.Millisecond
 }
 
-// chance draws whether something of the given probability happens.
+// chance draws true with the given probability.
 func (l *eventLoop) chance(probability float64) bool { return l.rng.Float64() < probability }
--- a/internal/simulation/fault_injection.go
+++ b/internal/simulation/fault_injection.go
@@ -6,23 +6,24 @@
 	"switchshore.example/switchshore/internal/seconds"
 )
 
-// maxFaultOverrun is how long the last faults may outlast the end of fault injection.
+// maxFaultOverrun is the maximum time for which faults last after the end of fault injection.
 const maxFaultOverrun = 90 * time.Second
 
-// faultInjector lets faults begin at places and for times that are drawn.
+// faultInjector injects faults at random places and for random times.
 type faultInjector struct {
 	sim *Simulation
-	// FaultRate is how often faults begin, 0 for never.
+	// FaultRate is a factor for the frequency of faults; 0 disables them.
 	FaultRate float64
-	// VersionFlipRate is how often a process that crashes comes back with the other version.
+	// VersionFlipRate is the probability that a crashed process restarts with the other version.
 	VersionFlipRate float64
-	faultsEnd       time.Time // no fault begins after it
+	faultsEnd       time.Time // no fault begins after this time
 }
 
 // faultsAllowed reports whether faults may begin now.
 func (f *faultInjector) faultsAllowed() bool { return f.FaultRate > 0 && f.sim.now.Before(f.faultsEnd) }
 
-// InjectFaults injects random faults of the given kinds, or of all, until faults end.
+// InjectFaults injects random faults of the given kinds, or of all kinds if none is given, until
+// faults are no longer allowed.
 func (f *faultInjector) InjectFaults(kinds ...Fault) {
 	sim := f.sim
 	var next func()
@@ -40,7 +41,7 @@
 	sim.after(sim.between(1000, 20_000), next)
 }
 
-// Inject lets a fault begin, at a node or machine that is drawn.
+// Inject begins a fault at a random node or machine.
 func (f *faultInjector) Inject(kind Fault, span time.Duration) {
 	n, a := f.sim.drawNode(), f.drawAgent()
 	switch {
@@ -57,7 +58,7 @@
 	}
 }
 
-// drawAgent draws an agent, nil if there is none.
+// drawAgent draws an agent, or returns nil if there is none.
 func (f *faultInjector) drawAgent() *agentProcess {
 	names := f.sim.agentNames()
 	if len(names) == 0 {
@@ -66,10 +67,10 @@
 	return f.sim.fleet.agents[names[f.sim.rng.IntN(len(names))]]
 }
 
-// drawDownTime draws for how long a process that crashes is down.
+// drawDownTime draws the time until a crashed process restarts.
 func (f *faultInjector) drawDownTime() time.Duration { return f.sim.between(50, 5000) }
 
-// injectNodeFault lets a fault of a controller or its connections begin.
+// injectNodeFault begins a fault of a controller or its connections.
 func (f *faultInjector) injectNodeFault(kind Fault, n *node, span time.Duration) {
 	sim := f.sim
 	until := sim.now.Add(span)
@@ -105,7 +106,8 @@
 	}
 }
 
-// partitionZone separates a zone from all other places, its nodes from the key-value store too.
+// partitionZone separates a zone from everything outside, and its nodes from the key-value store
+// too.
 func (f *faultInjector) partitionZone(zone string, until time.Time) {
 	f.sim.network.partitionZone(zone, until)
 	for _, n := range f.sim.nodes {
@@ -115,7 +117,7 @@
 	}
 }
 
-// injectMachineFault lets a fault of one machine, or of the spot machines, begin.
+// injectMachineFault begins a fault of one machine or of the spot machines.
 func (f *faultInjector) injectMachineFault(kind Fault, a *agentProcess, span time.Duration) {
 	now := f.sim.now
 	switch kind {
@@ -136,10 +138,10 @@
 	}
 }
 
-// reclaimNoticeS is the notice before a spot machine is reclaimed, in seconds.
+// reclaimNoticeS is the announced time until a spot machine is reclaimed, in seconds.
 const reclaimNoticeS = 5.0
 
-// reclaimSpotMachines reclaims half of the spot machines, with a notice.
+// reclaimSpotMachines reclaims about half of the spot machines after a notice.
 func (f *faultInjector) reclaimSpotMachines() {
 	sim := f.sim
 	for _, id := range sim.agentNames() {
@@ -151,7 +153,7 @@
 	}
 }
 
-// injectServiceFault lets a fault of the cloud, or of the leader with the key-value store, begin.
+// injectServiceFault begins a fault of the cloud, or of the leader with the key-value store.
 func (f *faultInjector) injectServiceFault(kind Fault, span time.Duration) {
 	sim := f.sim
 	until := sim.now.Add(span)
@@ -169,10 +171,10 @@
 	}
 }
 
-// outageAfterCancellation is an overlap of faults that breaks a scheduler whose old leader goes on
-// too long: the key-value store refuses the leader alone, users cancel at the next leader, and then
-// the store refuses all for longer than a cancellation may take, while agents send their heartbeats
-// to the old leader.
+// outageAfterCancellation injects overlapping faults that break a scheduler whose deposed leader
+// continues to lead for too long. The key-value store refuses the leader alone, users cancel jobs
+// at the next leader, and then the store refuses all nodes for longer than the cancellation
+// deadline, while agents send their heartbeats to the old leader.
 func (f *faultInjector) outageAfterCancellation() {
 	sim := f.sim
 	sim.forEachLeader(func(n *node) {
@@ -183,7 +185,7 @@
 	sim.after(sim.between(3000, 5000), func() { sim.storeOutage(seconds.Duration(sim.Params.Workers.CancelDeadlineS + 12)) })
 }
 
-// injectMessageFault lets a fault of messages, or requests at the wrong moment, begin.
+// injectMessageFault begins a fault of messages, or unfavourably timed requests of users.
 func (f *faultInjector) injectMessageFault(kind Fault, span time.Duration) {
 	sim := f.sim
 	until := sim.now.Add(span)
@@ -202,17 +204,17 @@
 		sim.CancelRunning(3, span/2)
 	case CancelledAtCompletion:
 		sim.CancelAtCompletion(0.3, span)
-	case InvalidSubmissions:
+	case InvalidRequests:
 		sim.SendInvalidRequests(span)
 	}
 }
 
-// CrashLeader ends the leader's process, and starts it again after a time.
+// CrashLeader ends the leader's process and restarts it after a time.
 func (f *faultInjector) CrashLeader(down time.Duration) {
 	f.sim.forEachLeader(func(n *node) { n.crash(down) })
 }
 
-// CrashAll ends all controllers' processes, and starts them again after a time.
+// CrashAll ends all controllers' processes and restarts them after a time.
 func (f *faultInjector) CrashAll(down time.Duration) {
 	f.crashAll(func() time.Duration { return down })
 }
@@ -223,14 +225,14 @@
 	}
 }
 
-// PartitionBusyMachines separates a share of the machines with tasks, at least one, from all else.
+// PartitionBusyMachines isolates a share of the machines with tasks, at least one, for a time.
 func (f *faultInjector) PartitionBusyMachines(share float64, span time.Duration) {
 	until := f.sim.now.Add(span)
 	f.forEachBusyMachine(share, BusyMachinePartitioned, func(a *agentProcess) { a.partitionedUntil = until })
 }
 
-// LoseResponsesToBusyMachines lets the heartbeats of such machines arrive, and no response or
-// command get back.
+// LoseResponsesToBusyMachines drops the responses and direct calls to a share of the machines with
+// tasks, at least one, for a time. Their heartbeats arrive.
 func (f *faultInjector) LoseResponsesToBusyMachines(share float64, span time.Duration) {
 	until := f.sim.now.Add(span)
 	f.forEachBusyMachine(share, BusyMachineResponsesLost, func(a *agentProcess) { a.responsesLostUntil = until })
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -1,80 +1,84 @@
 package simulation
 
-// Fault is a kind of fault.
+// Fault is a kind of fault that the simulation injects.
 type Fault int
 
 // Faults of controllers and of their connections.
 const (
 	NodeCrash Fault = iota
 	AllNodesCrash
-	// NodeCrashLoop: a node crashes several times, and is up again within a fraction of a second.
+	// NodeCrashLoop: a node crashes several times and restarts within a fraction of a second each
+	// time.
 	NodeCrashLoop
-	// StoreOutage: the key-value store is down for all.
+	// StoreOutage: the key-value store is down for all nodes.
 	StoreOutage
 	// StoreUnreachable: one node gets no response from the key-value store.
 	StoreUnreachable
 	StoreSlow
 	LeaderStoreUnreachable
-	// LeaderFrozen: the leader is suspended while its clocks run on.
+	// LeaderFrozen: the leader's process is suspended while its clocks continue.
 	LeaderFrozen
-	// LeaderIsolated: the leader reaches neither the store nor other controllers, but its agents.
+	// LeaderIsolated: the leader reaches its agents, but neither the key-value store nor other
+	// nodes.
 	LeaderIsolated
 	// NodesPartitioned: two nodes can't reach each other.
 	NodesPartitioned
-	// ZonePartitioned: a zone is separated from everything, and some messages are delayed.
+	// ZonePartitioned: a zone is separated from everything outside it, and some messages are
+	// delayed.
 	ZonePartitioned
 	lastNodeFault = ZonePartitioned
 )
 
 // Faults of machines and their agents.
 const (
-	// MachinePartitioned: it has no network; messages may arrive late.
+	// MachinePartitioned: a machine has no network; messages may arrive late.
 	MachinePartitioned Fault = lastNodeFault + 1 + iota
-	// MachineResponsesLost: its heartbeats arrive, responses and commands do not.
+	// MachineResponsesLost: a machine's heartbeats arrive, responses and commands to it do not.
 	MachineResponsesLost
-	// MachineHangs: it does nothing, and continues later.
+	// MachineHangs: a machine does nothing for a time, and then continues.
 	MachineHangs
-	// MachineFails: it fails, or is reclaimed without a notice.
+	// MachineFails: a machine fails or is reclaimed without a notice.
 	MachineFails
-	// SpotReclaimed: spot machines are reclaimed, with a notice.
+	// SpotReclaimed: spot machines are reclaimed after a notice.
 	SpotReclaimed
-	// AgentReplaced: a new agent on the same machine knows nothing.
+	// AgentReplaced: a new agent without the state of the old one starts on the same machine.
 	AgentReplaced
-	// MachineHeartbeatsLost: it reaches no controller, direct calls reach it.
+	// MachineHeartbeatsLost: a machine's heartbeats are lost, direct calls to it arrive.
 	MachineHeartbeatsLost
 	lastMachineFault = MachineHeartbeatsLost
 )
 
 // Faults of the cloud, and of the leader with the key-value store.
 const (
-	// FastBoots: new machines have booted within two seconds.
+	// FastBoots: new machines boot within two seconds.
 	FastBoots Fault = lastMachineFault + 1 + iota
-	// StoreRefusesLeader: the key-value store answers 503 to the leader alone.
+	// StoreRefusesLeader: the key-value store responds with 503 to the leader alone.
 	StoreRefusesLeader
-	// OutageAfterCancellation: and then to all, for longer than a cancellation may take.
+	// OutageAfterCancellation: the key-value store refuses first the leader, and then, after
+	// cancellations, all nodes for longer than the cancellation deadline.
 	OutageAfterCancellation
-	// RepeatedFailovers: ten in two minutes.
+	// RepeatedFailovers: the leader crashes ten times in about two minutes.
 	RepeatedFailovers
 	lastServiceFault = RepeatedFailovers
 )
 
-// Faults of messages, and requests of users at the wrong moment.
+// Faults of messages, and unfavourably timed requests of users.
 const (
-	// WriteResponsesLost: transactions are executed at once, their responses are lost.
+	// WriteResponsesLost: transactions are executed at once, but their responses are lost.
 	WriteResponsesLost Fault = lastServiceFault + 1 + iota
 	// WritesDelayed: transactions are executed late, after newer ones.
 	WritesDelayed
-	// HeartbeatsDuplicated: copies arrive again, up to some leases later.
+	// HeartbeatsDuplicated: copies of heartbeats arrive up to several lease durations later.
 	HeartbeatsDuplicated
-	// HeartbeatsReplayedToNextLeader: copies arrive just as the next term starts.
+	// HeartbeatsReplayedToNextLeader: copies of heartbeats arrive when the next term starts.
 	HeartbeatsReplayedToNextLeader
 	// FollowUpQueries: users query all nodes after every response.
 	FollowUpQueries
-	// RunningJobsCancelled: many jobs, some of whose machines hang.
+	// RunningJobsCancelled: users cancel several running jobs, some of whose machines hang.
 	RunningJobsCancelled
-	// CancelledAtCompletion: jobs are cancelled just as their last task completes.
+	// CancelledAtCompletion: users cancel jobs just when their last task completes.
 	CancelledAtCompletion
-	// InvalidSubmissions: requests are repeated, invalid or impossible.
-	InvalidSubmissions
-	numberOfFaults = int(InvalidSubmissions) + 1
+	// InvalidRequests: users repeat requests and send invalid ones.
+	InvalidRequests
+	numberOfFaults = int(InvalidRequests) + 1
 )
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -8,28 +8,28 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// InvariantChecker checks the protocol's invariants after every event, from what users and agents
-// observe.
+// InvariantChecker checks the protocol's invariants after every event, from the responses to users
+// and the state of the agents.
 type InvariantChecker struct {
 	Teams          []config.Team
 	CancelDeadline time.Duration
-	// OnJobCompleted, if set, is called with every job whose last task has just completed.
+	// OnJobCompleted, if set, is called when the last task of a job completes.
 	OnJobCompleted func(id string)
 
 	jobs        map[string]*observedJob
-	taskMachine map[string]string // machine by task that is on it
+	taskMachine map[string]string // machine by executing task
 	startCount  int
-	// waiting are the jobs that wait although they could start.
+	// waiting holds the jobs that wait although they could start.
 	waiting       map[string]waitRecord
 	lastWaitCheck time.Time
 }
 
-// observedJob is what the users and agents know about a submitted job.
+// observedJob is the state of a submitted job as observed by users and on agents.
 type observedJob struct {
 	job               *wire.Job
 	accepted          bool
 	cancelRequested   bool
-	cancelConfirmedAt time.Time // zero if it is not
+	cancelConfirmedAt time.Time // zero if not confirmed
 	reportedDone      bool
 	completedTasks    map[string]bool
 	completed         bool // all tasks have completed
@@ -51,26 +51,26 @@
 	}
 }
 
-// jobOf is the job of a task, nil if nobody submitted it.
+// jobOf returns the job of a task, or nil if it was not submitted.
 func (c *InvariantChecker) jobOf(task string) *observedJob {
 	id, _, _ := wire.SplitTask(task)
 	return c.jobs[id]
 }
 
-// RecordSubmission notes that a user submits a job.
+// RecordSubmission records that a user submits a job.
 func (c *InvariantChecker) RecordSubmission(job *wire.Job) {
 	if c.jobs[job.ID] == nil {
 		c.jobs[job.ID] = &observedJob{job: job, completedTasks: map[string]bool{}}
 	}
 }
 
-// RecordCancellationRequest notes that a user requests a job's cancellation.
+// RecordCancellationRequest records that a user requests a job's cancellation.
 func (c *InvariantChecker) RecordCancellationRequest(id string) { c.jobs[id].cancelRequested = true }
 
 // HasCancellationRequest reports whether a job's user has requested its cancellation.
 func (c *InvariantChecker) HasCancellationRequest(id string) bool { return c.jobs[id].cancelRequested }
 
-// AllAccepted reports whether the users of all the jobs were told of their acceptance.
+// AllAccepted reports whether the users of all the jobs were told that they are accepted.
 func (c *InvariantChecker) AllAccepted(ids []string) bool {
 	return !slices.ContainsFunc(ids, func(id string) bool { return c.jobs[id] == nil || !c.jobs[id].accepted })
 }
@@ -78,7 +78,7 @@
 // IsReportedDone reports whether a job's user was told that it is done.
 func (c *InvariantChecker) IsReportedDone(id string) bool { return c.jobs[id].reportedDone }
 
-// CancelledCount is the number of jobs whose users were told that they are cancelled.
+// CancelledCount returns the number of jobs whose users were told that they are cancelled.
 func (c *InvariantChecker) CancelledCount() int {
 	count := 0
 	for _, j := range c.jobs {
@@ -89,7 +89,8 @@
 	return count
 }
 
-// UnfinishedJobs are the accepted jobs that were neither cancelled nor reported done, in order.
+// UnfinishedJobs returns the sorted ids of the accepted jobs that were neither cancelled nor
+// reported done.
 func (c *InvariantChecker) UnfinishedJobs() []string {
 	var ids []string
 	for id, j := range c.jobs {
@@ -101,14 +102,14 @@
 	return ids
 }
 
-// IsTaskEnded reports whether a task is not to run any more: it has completed, or its job was
-// cancelled or is done.
+// IsTaskEnded reports whether a task must not run any more: it has completed, its cancellation was
+// requested, or its job was reported done.
 func (c *InvariantChecker) IsTaskEnded(task string) bool {
 	j := c.jobOf(task)
 	return j == nil || j.cancelRequested || j.reportedDone || j.completedTasks[task]
 }
 
-// MachinesOfJob are the machines that tasks of a job are on, in order.
+// MachinesOfJob returns the sorted names of the machines that execute tasks of a job.
 func (c *InvariantChecker) MachinesOfJob(id string) []string {
 	var machines []string
 	for task, machine := range c.taskMachine {
@@ -120,7 +121,7 @@
 	return machines
 }
 
-// HasTasksOn reports whether a task is on a machine.
+// HasTasksOn reports whether a machine executes a task.
 func (c *InvariantChecker) HasTasksOn(machine string) bool {
 	for _, m := range c.taskMachine {
 		if m == machine {
@@ -130,5 +131,5 @@
 	return false
 }
 
-// StartCount is the number of starts observed.
+// StartCount returns the number of observed starts of tasks.
 func (c *InvariantChecker) StartCount() int { return c.startCount }
--- a/internal/simulation/invariants_responses.go
+++ b/internal/simulation/invariants_responses.go
@@ -7,7 +7,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// maxTimeWithoutSuccess is how long requests about a job may go without success once all faults are over.
+// maxTimeWithoutSuccess is the maximum time without a successful request about a job after the end
+// of all faults.
 const maxTimeWithoutSuccess = 75 * time.Second
 
 // ObservedResponse is a response to a request about a job, as its user receives it.
@@ -17,7 +18,7 @@
 	Job        string
 	Status     int
 	State      string
-	Submission bool // it answers a submission
+	Submission bool // it responds to a submission
 }
 
 // rejectsJob reports whether the response says that the job is unknown or invalid.
@@ -26,13 +27,14 @@
 	return r.Status == http.StatusNotFound || r.Submission && invalid
 }
 
-// CheckResponse checks a response, in the order in which the user receives those of all nodes.
-// One that was sent before the user received the last one crossed it, and is ignored.
+// CheckResponse checks a response. Responses must be passed in the order in which the user receives
+// them from all nodes. A response that was sent before the user received the previous one is
+// ignored, because their order says nothing about the order of the states.
 func (c *InvariantChecker) CheckResponse(r ObservedResponse) error {
 	j := c.jobs[r.Job]
 	if j == nil {
 		if succeeded(r.Status) {
-			return violated(OnlySubmittedJobs, "%s answered %d", r.Job, r.Status)
+			return violated(OnlySubmittedJobs, "response about %s with status %d", r.Job, r.Status)
 		}
 		return nil
 	}
@@ -41,7 +43,7 @@
 	}
 	j.lastResponseAt = r.ReceivedAt
 	if j.accepted && r.rejectsJob() {
-		return violated(AcceptedJobsKept, "%s answered %d", r.Job, r.Status)
+		return violated(AcceptedJobsKept, "response about %s with status %d", r.Job, r.Status)
 	}
 	if !succeeded(r.Status) {
 		return nil
@@ -51,23 +53,23 @@
 	return c.checkState(j, r)
 }
 
-// checkState checks the state of a job that its user is told.
+// checkState checks the state of a job that a response reports.
 func (c *InvariantChecker) checkState(j *observedJob, r ObservedResponse) error {
 	requested, confirmedAt := c.dependencyCancelled(j)
 	sinceConfirmed := r.ReceivedAt.Sub(confirmedAt)
 	active := r.State == wire.JobQueued || r.State == wire.JobRunning
 	switch {
 	case j.reportedDone && r.State != wire.JobDone, j.isCancelled() && r.State != wire.JobCancelled:
-		return violated(TerminalStatesKept, "%s is called %s", r.Job, r.State)
+		return violated(TerminalStatesKept, "%s is reported as %s", r.Job, r.State)
 	case r.State == wire.JobCancelled && !j.cancelRequested && !requested:
-		return violated(TerminalStatesKept, "%s is called cancelled, and its user did not cancel it", r.Job)
+		return violated(TerminalStatesKept, "%s is reported as cancelled although its user did not cancel it", r.Job)
 	case active && !confirmedAt.IsZero() && sinceConfirmed > c.CancelDeadline:
-		return violated(CancelledWithDependency, "%s is called %s %v after a job before it was cancelled", r.Job, r.State, sinceConfirmed)
+		return violated(CancelledWithDependency, "%s is reported as %s %v after the cancellation of a dependency", r.Job, r.State, sinceConfirmed)
 	case r.State == wire.JobCancelled && !j.isCancelled():
 		j.cancelConfirmedAt = r.ReceivedAt
 	case r.State == wire.JobDone:
 		if !j.allTasksCompleted() {
-			return violated(DoneWhenCompleted, "%s is called done with %d of %d tasks", r.Job, len(j.completedTasks), j.job.Tasks)
+			return violated(DoneWhenCompleted, "%s is reported as done with %d of %d tasks completed", r.Job, len(j.completedTasks), j.job.Tasks)
 		}
 		j.reportedDone = true
 	}
@@ -75,7 +77,7 @@
 }
 
 // dependencyCancelled reports whether the cancellation of a direct or indirect dependency of a job
-// was requested, and when the first one was confirmed, zero if none was.
+// was requested, and returns when the first cancellation was confirmed, zero if none was.
 func (c *InvariantChecker) dependencyCancelled(j *observedJob) (requested bool, confirmedAt time.Time) {
 	for _, id := range j.job.DependsOn {
 		dependency := c.jobs[id]
@@ -92,7 +94,7 @@
 	return requested, confirmedAt
 }
 
-// earlier is the earlier of two times, of which a zero one does not count.
+// earlier returns the earlier of two times, ignoring zero times.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
@@ -100,8 +102,8 @@
 	return a
 }
 
-// CheckRequestsSucceed finds an accepted job about which no request has succeeded for long; settled is
-// when all faults were over.
+// CheckRequestsSucceed returns a violation if no request about an accepted job has succeeded for
+// maxTimeWithoutSuccess; faultsOverAt is when the last fault ended.
 func (c *InvariantChecker) CheckRequestsSucceed(now, faultsOverAt time.Time) error {
 	if now.Sub(faultsOverAt) < maxTimeWithoutSuccess {
 		return nil
@@ -109,7 +111,7 @@
 	for id, j := range c.jobs {
 		sinceSuccess := now.Sub(j.lastSuccessAt)
 		if j.accepted && !j.cancelRequested && sinceSuccess > maxTimeWithoutSuccess {
-			return violated(AcceptedJobsKept, "no question about %s answered for %v", id, sinceSuccess)
+			return violated(AcceptedJobsKept, "no request about %s succeeded for %v", id, sinceSuccess)
 		}
 	}
 	return nil
--- a/internal/simulation/invariants_starvation.go
+++ b/internal/simulation/invariants_starvation.go
@@ -10,21 +10,23 @@
 )
 
 const (
-	// maxWait is how long a job may wait while it could start, once all faults are over.
+	// maxWait is the maximum time for which a job may wait while it could start, after the end of
+	// all faults.
 	maxWait           = 90 * time.Second
 	waitCheckInterval = time.Second
 )
 
-// waitRecord is since when a job has waited, and how many of its tasks were on machines at the last
-// check.
+// waitRecord holds since when a job has waited, and how many of its tasks machines listed at the
+// last check.
 type waitRecord struct {
 	since       time.Time
 	listedTasks int
 }
 
-// CheckNoStarvation finds a job of which a task has waited for long, without the start of any other
-// of the job, while a machine that fits had capacity and its team was below its limit. It must be
-// called only once all faults are over, and checks once a second.
+// CheckNoStarvation returns a violation if a task of a job has waited for more than maxWait,
+// without the start of any other task of the job, while a suitable machine had capacity and the
+// team was below its limit. It checks at most once a second, and must be called only after the end
+// of all faults.
 func (c *InvariantChecker) CheckNoStarvation(now time.Time, agents []*Agent) error {
 	if now.Sub(c.lastWaitCheck) < waitCheckInterval {
 		return nil
@@ -44,13 +46,13 @@
 		}
 		c.waiting[id] = waitRecord{start.since, listed}
 		if wait := now.Sub(start.since); wait > maxWait {
-			return violated(NoStarvation, "%s for %v, though a machine has capacity", id, wait)
+			return violated(NoStarvation, "%s for %v although a machine has capacity", id, wait)
 		}
 	}
 	return nil
 }
 
-// canStart reports whether a task of a job waits and could start now.
+// canStart reports whether a task of a job waits and can start now.
 func (c *InvariantChecker) canStart(now time.Time, agents []*Agent, o occupancy, j *observedJob) bool {
 	if !c.hasWaitingTask(j, o.listed[j.job.ID]) || !c.withinTeamLimit(j.job, o.usedCPUs) {
 		return false
@@ -58,9 +60,9 @@
 	return slices.ContainsFunc(agents, func(a *Agent) bool { return o.fits(now, a, j.job) })
 }
 
-// hasWaitingTask reports whether a task of a job is to be started: one that has neither completed
-// nor is listed by a machine. What completed on a machine that was lost may have to run again, so
-// as long as nothing is listed, what its user was told counts.
+// hasWaitingTask reports whether a job has a task that has neither completed nor is listed by a
+// machine. Tasks that completed on a lost machine may have to run again, so a job without listed
+// tasks has a waiting task unless its user was told that it is done.
 func (c *InvariantChecker) hasWaitingTask(j *observedJob, listed map[string]bool) bool {
 	if !j.accepted || j.cancelRequested || j.reportedDone || !c.allReportedDone(j.job.DependsOn) {
 		return false
@@ -89,7 +91,8 @@
 	})
 }
 
-// occupancy is what machines list that has not exited, tasks that fetch their image included.
+// occupancy sums up the tasks that machines list and that have not exited, including those that
+// fetch their image.
 type occupancy struct {
 	listed   map[string]map[string]bool // tasks, by job
 	zones    map[string]map[string]int  // number of tasks, by job and zone
@@ -97,7 +100,7 @@
 	free     map[*Agent]placement.Resources
 }
 
-// newOccupancy sums up what all machines list.
+// newOccupancy returns the occupancy of all machines.
 func (c *InvariantChecker) newOccupancy(agents []*Agent) occupancy {
 	o := occupancy{
 		listed: map[string]map[string]bool{}, zones: map[string]map[string]int{},
@@ -125,12 +128,12 @@
 	o.free[a] = o.free[a].Add(taskResources(job), -1)
 }
 
-// taskResources are the resources that one task of a job uses.
+// taskResources returns the resources that one task of a job uses.
 func taskResources(job *wire.Job) placement.Resources {
 	return placement.Resources{CPUs: job.CPUs, GPUs: job.GPUs, MemoryGB: job.MemoryGB}
 }
 
-// fits reports whether one more task of a job could start on a machine now.
+// fits reports whether one more task of a job can start on a machine now.
 func (o occupancy) fits(now time.Time, a *Agent, job *wire.Job) bool {
 	zone, zones := a.Machine.Zone, o.zones[job.ID]
 	switch {
--- a/internal/simulation/invariants_tasks.go
+++ b/internal/simulation/invariants_tasks.go
@@ -7,19 +7,20 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// CheckCommands checks the commands that a leader gives: no start of a job whose user was told that
-// it is cancelled.
+// CheckCommands checks that a leader's commands do not start a task of a job whose user was told
+// that it is cancelled.
 func (c *InvariantChecker) CheckCommands(now time.Time, commands []wire.Command) error {
 	for _, command := range commands {
 		j := c.jobOf(command.Task)
 		if command.Op == wire.OpStart && j != nil && j.isCancelled() {
-			return violated(NoStartWhenCancelled, "a start of %s is ordered %v after the confirmation", command.Task, now.Sub(j.cancelConfirmedAt))
+			return violated(NoStartWhenCancelled, "start of %s commanded %v after the cancellation was confirmed", command.Task, now.Sub(j.cancelConfirmedAt))
 		}
 	}
 	return nil
 }
 
-// CheckTasks checks the tasks on all machines, and those that have started since the last call.
+// CheckTasks checks the tasks on all machines, and in addition those that have started since the
+// last call.
 func (c *InvariantChecker) CheckTasks(now time.Time, agents []*Agent) error {
 	executing, err := c.executingTasks(now, agents)
 	if err != nil {
@@ -47,13 +48,13 @@
 	return nil
 }
 
-// executingTasks are the machines of the tasks that execute, by task. It notes those that have
-// completed.
+// executingTasks returns the machines of the executing tasks, by task, and records the tasks that
+// have completed.
 func (c *InvariantChecker) executingTasks(now time.Time, agents []*Agent) (map[string]string, error) {
 	executing := map[string]string{}
 	for _, a := range agents {
 		if now.After(a.LeaseEnd) {
-			// An agent that hangs and whose lease has expired kills all its tasks before it does
+			// An agent whose lease expired while it hung kills all its tasks before it does
 			// anything else.
 			continue
 		}
@@ -85,7 +86,7 @@
 	}
 }
 
-// checkExecuting checks cancellations and the teams' limits, and returns the numbers of executing
+// checkExecuting checks cancellations and the teams' limits, and returns the number of executing
 // tasks by job and zone.
 func (c *InvariantChecker) checkExecuting(now time.Time, executing map[string]string, machines map[string]*Agent) (map[string]map[string]int, error) {
 	usedCPUs := map[string]float64{} // by team
@@ -109,8 +110,8 @@
 	return zones, nil
 }
 
-// checkStart checks the place and the time of a start; zones counts the executing tasks of the job,
-// this one included.
+// checkStart checks that a task was allowed to start on a machine at this time; zones counts the
+// executing tasks of the job by zone, including this one.
 func (c *InvariantChecker) checkStart(task string, job *wire.Job, a *Agent, zones map[string]int) error {
 	switch {
 	case !allowsMachine(job, a):
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// allowsMachine reports whether a job may run on a machine of this kind and zone.
+// allowsMachine reports whether a job may run on a machine of this type and zone, spot or not.
 func allowsMachine(job *wire.Job, a *Agent) bool {
 	switch {
 	case a.Machine.Spot && !job.Spot:
@@ -136,7 +137,7 @@
 	return len(job.MachineTypes) == 0 || slices.Contains(job.MachineTypes, a.Machine.Type)
 }
 
-// maxPerZone is how many tasks of a job that is spread may be in one zone.
+// maxPerZone returns the maximum number of tasks in one zone for a job that is spread over zones.
 func maxPerZone(job *wire.Job) int { return (job.Tasks + 1) / 2 }
 
 // allCompleted reports whether all tasks of the jobs have completed.
--- a/internal/simulation/invariants_test.go
+++ b/internal/simulation/invariants_test.go
@@ -144,13 +144,13 @@
 
 // responseViolations are steps of which the last ones violate an invariant by what users are told, by the start of the violation's text.
 var responseViolations = map[string]invariantSteps{
-	"forgotten: job-1 answered 404": func(c *invariantCase) []error {
+	"forgotten: response about job-1 with status 404": func(c *invariantCase) []error {
 		return []error{c.submitted(503, ""), c.submitted(404, ""), c.submitted(201, wire.JobQueued), c.submitted(404, "")}
 	},
-	"forgotten: job-1 answered 422": func(c *invariantCase) []error {
+	"forgotten: response about job-1 with status 422": func(c *invariantCase) []error {
 		return []error{c.submitted(422, ""), c.submitted(201, wire.JobQueued), c.submitted(422, "")}
 	},
-	"forgotten: no question": func(c *invariantCase) []error {
+	"forgotten: no request": func(c *invariantCase) []error {
 		settled := c.now
 		errs := []error{c.submitted(201, wire.JobQueued)}
 		c.now = c.now.Add(74 * time.Second)
@@ -168,7 +168,7 @@
 		}
 		return []error{c.submitted(200, wire.JobRunning), c.submitted(200, wire.JobDone)}
 	},
-	"went_back: job-1 is called queued": func(c *invariantCase) []error {
+	"went_back: job-1 is reported as queued": func(c *invariantCase) []error {
 		// An older response that crossed the newer one is ignored; one that was sent after
 		// the user received the newer one is not.
 		c.RecordCancellationRequest("job-1")
@@ -179,14 +179,14 @@
 		c.now = c.now.Add(time.Second)
 		return append(errs, c.submitted(200, wire.JobQueued))
 	},
-	"went_back: job-1 is called running": func(c *invariantCase) []error {
+	"went_back: job-1 is reported as running": func(c *invariantCase) []error {
 		for _, task := range []string{"job-1/0", "job-1/1", "job-1/2"} {
 			c.put(c.agent("m1", "a", true), task, wire.TaskExited, wire.ExitDone)
 			_ = c.check()
 		}
 		return []error{c.submitted(200, wire.JobRunning), c.submitted(200, wire.JobDone), c.submitted(200, wire.JobRunning)}
 	},
-	"went_back: job-1 is called cancelled, and its user did not": func(c *invariantCase) []error {
+	"went_back: job-1 is reported as cancelled although its user did not": func(c *invariantCase) []error {
 		return []error{c.submitted(201, wire.JobQueued), c.submitted(200, wire.JobCancelled)}
 	},
 	"orphaned": func(c *invariantCase) []error {
--- a/internal/simulation/key_value_store.go
+++ b/internal/simulation/key_value_store.go
@@ -11,25 +11,25 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// storedItem is the value of a key; it is deleted when its lease, if any, expires.
+// storedItem is the value of a key, which is deleted when its lease, if any, expires.
 type storedItem struct {
 	item  wire.KeyValue
 	lease uint64
 }
 
-// storeLease is a lease that has been granted.
+// storeLease is a granted lease.
 type storeLease struct {
 	ttl       time.Duration
 	expiresAt time.Time
 }
 
-// KeyValueStore is an in-memory key-value store with transactions on conditions and leases. It
-// reads no clock: the time is passed in.
+// KeyValueStore is an in-memory key-value store with conditional transactions and leases. It reads
+// no clock; callers pass the time.
 type KeyValueStore struct {
 	Down bool
-	// Limits hold for values and transactions, if set.
+	// Limits, if set, are the limits of values and transactions.
 	Limits config.KVStoreLimits
-	// OnCommit, if set, is called with every transaction that was executed.
+	// OnCommit, if set, is called with every executed transaction.
 	OnCommit func(wire.Txn)
 
 	items       map[string]*storedItem
@@ -43,7 +43,8 @@
 	return &KeyValueStore{items: map[string]*storedItem{}, leases: map[uint64]*storeLease{}, revision: 1}
 }
 
-// Advance expires leases. During an outage none expires, and after it each has its full time again.
+// Advance expires leases. During an outage no lease expires, and after it each has its full TTL
+// again.
 func (s *KeyValueStore) Advance(now time.Time) {
 	for id, lease := range s.leases {
 		if s.Down {
@@ -77,7 +78,7 @@
 	return stored.item, nil
 }
 
-// List reads the keys with a prefix, in order.
+// List returns the items whose keys have a prefix, sorted by key.
 func (s *KeyValueStore) List(prefix string) ([]wire.KeyValue, error) {
 	if s.Down {
 		return nil, kvstore.ErrUnavailable
@@ -114,7 +115,8 @@
 	return wire.TxnResult{Revision: s.revision}, nil
 }
 
-// failedConditions are the keys that have another version than the transaction requires.
+// failedConditions returns the keys whose version differs from that in the transaction's
+// conditions.
 func (s *KeyValueStore) failedConditions(txn wire.Txn) []string {
 	var failed []string
 	for _, condition := range txn.If {
@@ -149,7 +151,7 @@
 	}
 }
 
-// exceedsLimits reports whether a transaction is above the limits.
+// exceedsLimits reports whether a transaction exceeds the limits.
 func (s *KeyValueStore) exceedsLimits(txn wire.Txn) bool {
 	limits := s.Limits
 	if limits.TxnOps > 0 && (len(txn.Then) > limits.TxnOps || len(txn.If) > 4*limits.TxnOps) {
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// noZone is the place of what is in no zone: clients, the cloud's API and the key-value store.
+// noZone is the zone of clients, the cloud's API and the key-value store, which are in none.
 const noZone = ""
 
-// network is which parts of the cluster can reach each other, and how long messages take.
+// network decides which parts of the cluster can reach each other and how long messages take.
 type network struct {
 	loop                 *eventLoop
 	partitionedPairs     map[nodePair]bool
-	partitionedZone      string // can reach nothing but itself
+	partitionedZone      string // can communicate only within itself
 	partitionedZoneUntil time.Time
 	slowLinksUntil       time.Time
 }
 
-// nodePair are the numbers of two nodes, the lower one first.
+// nodePair holds the ids of two nodes, the lower one first.
 type nodePair [2]int
 
 func newNodePair(a, b *node) nodePair { return nodePair{min(a.id, b.id), max(a.id, b.id)} }
@@ -23,7 +23,7 @@
 	return &network{loop: loop, partitionedPairs: map[nodePair]bool{}}
 }
 
-// partitionNodes keeps two nodes from reaching each other for a time.
+// partitionNodes blocks messages between two nodes for a time.
 func (net *network) partitionNodes(a, b *node, span time.Duration) {
 	pair := newNodePair(a, b)
 	net.partitionedPairs[pair] = true
@@ -33,12 +33,12 @@
 // nodesPartitioned reports whether two nodes can't reach each other.
 func (net *network) nodesPartitioned(a, b *node) bool { return net.partitionedPairs[newNodePair(a, b)] }
 
-// partitionZone separates a zone from all other places.
+// partitionZone separates a zone from all other zones and from what is in no zone.
 func (net *network) partitionZone(zone string, until time.Time) {
 	net.partitionedZone, net.partitionedZoneUntil = zone, until
 }
 
-// zonesPartitioned reports whether two zones, or a zone and the outside, can't reach each other.
+// zonesPartitioned reports whether two zones can't reach each other; either may be noZone.
 func (net *network) zonesPartitioned(a, b string) bool {
 	active := net.loop.now.Before(net.partitionedZoneUntil)
 	return active && a != b && (a == net.partitionedZone || b == net.partitionedZone)
@@ -52,7 +52,7 @@
 	return net.loop.between(1, 50)
 }
 
-// SlowDownLinks makes messages between agents and controllers slow for a time.
+// SlowDownLinks delays messages between agents and controllers for a time.
 func (sim *Simulation) SlowDownLinks(span time.Duration) {
 	sim.network.slowLinksUntil = sim.now.Add(span)
 }
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -12,36 +12,36 @@
 	"switchshore.example/switchshore/internal/records"
 )
 
-// node is a controller process. It takes the same steps as the real one, driven by events.
+// node is a simulated controller process. It performs the same steps as the real one, as events.
 type node struct {
 	sim         *Simulation
 	id          int
 	name        string
 	zone        string
-	clockDrift  float64 // of its clock, as a share of the time that passes
+	clockDrift  float64 // deviation of its clock per unit of elapsed time
 	up          bool
-	incarnation int // incremented by every crash; what belongs to an earlier one is void
+	incarnation int // incremented by every crash; callbacks of earlier incarnations are dropped
 
 	nonce      uint64
 	leadership *election.Leadership
 	leader     *leader.Leader
 	lease      uint64
 	writer     *kvstore.FencedWriter
-	batch      *records.Batch // being written
+	batch      *records.Batch // being written, or nil
 	budget     writeBudget
 
 	storeUnreachableUntil time.Time // requests to the key-value store get no response
-	storeRefusesUntil     time.Time // the key-value store answers 503 to this node
-	frozenUntil           time.Time // the process is suspended, while its clocks run on
+	storeRefusesUntil     time.Time // the key-value store responds with 503 to this node
+	frozenUntil           time.Time // the process is suspended while its clocks continue
 
 	previousVersion   bool // runs the version without dependent jobs
-	drainsDisabled    bool // its operators have not turned drains on
-	admissionDisabled bool // its operators have not turned admission control on
+	drainsDisabled    bool // the settings of this node have no drains
+	admissionDisabled bool // the settings of this node have no admission control
 	gate              *admission.Gate
 	peerLoads         map[string]admission.NodeOfferedLoad // from the latest heartbeats of the other nodes
 }
 
-// newNode returns a node whose process is up.
+// newNode returns a node whose process is running.
 func newNode(sim *Simulation, id int, zone string) *node {
 	return &node{
 		sim: sim, id: id, name: fmt.Sprintf("node-%d", id), zone: zone, up: true,
@@ -49,8 +49,8 @@
 	}
 }
 
-// after calls run on the node after a time: if the node is frozen then, once it resumes. So a
-// frozen leader sends what it decided before only then.
+// after calls run on the node after a time, or once the node resumes if it is frozen then. A frozen
+// leader thus sends its earlier decisions only after it has resumed.
 func (n *node) after(d time.Duration, run func()) {
 	n.sim.after(d, func() {
 		if n.sim.now.Before(n.frozenUntil) {
@@ -61,7 +61,7 @@
 	})
 }
 
-// clock is the node's monotonic clock.
+// clock returns the time of the node's monotonic clock.
 func (n *node) clock() time.Time {
 	elapsed := n.sim.elapsed()
 	return n.sim.start.Add(elapsed + time.Duration(float64(elapsed)*n.clockDrift))
@@ -70,7 +70,7 @@
 // isRunning reports whether the process is up and has not crashed since the given incarnation.
 func (n *node) isRunning(incarnation int) bool { return n.up && n.incarnation == incarnation }
 
-// crash ends the process and starts it again after a time.
+// crash ends the process and restarts it after a time.
 func (n *node) crash(down time.Duration) {
 	if !n.up {
 		return
@@ -99,8 +99,8 @@
 	}
 }
 
-// settings are the operators' settings of the node: of the previous version, and of a node where
-// admission control or drains are off, without them.
+// settings returns the operators' settings of the node, without admission control and drains if the
+// node runs the previous version or they are disabled there.
 func (n *node) settings() config.Operator {
 	operator := n.sim.Operator
 	if n.previousVersion || n.admissionDisabled {
@@ -112,7 +112,8 @@
 	return operator
 }
 
-// storeLimits are the limits of the key-value store that the node's version keeps to.
+// storeLimits returns the limits of the key-value store that the node's version respects: the
+// previous version knows no announced limits.
 func (n *node) storeLimits() config.KVStoreLimits {
 	if n.previousVersion {
 		return n.sim.Params.KVStore
@@ -120,10 +121,10 @@
 	return n.sim.Params.KVStore.Tightest()
 }
 
-// drawNode draws the node to which the load balancer sends a client.
+// drawNode draws the node to which the load balancer sends a client's request.
 func (sim *Simulation) drawNode() *node { return sim.nodes[sim.rng.IntN(len(sim.nodes))] }
 
-// forEachLeader calls do for every node that leads, or still believes so.
+// forEachLeader calls do for every node that leads or has not noticed yet that it was deposed.
 func (sim *Simulation) forEachLeader(do func(*node)) {
 	for _, n := range sim.nodes {
 		if n.leader != nil {
@@ -132,20 +133,20 @@
 	}
 }
 
-// leaderFor is the leader that responds to a client's request at a node, nil if there is none.
+// leaderFor returns the leader that responds to a client's request sent to a node, or nil.
 func (sim *Simulation) leaderFor(target *node) *node {
 	return target.findLeader(func(n *node) bool { return n.leadership.HoldsLease(n.clock()) })
 }
 
-// leaderForHeartbeat is the leader that responds to an agent's heartbeat at a node, nil if there
-// is none. It may be in its grace period.
+// leaderForHeartbeat returns the leader that responds to an agent's heartbeat sent to a node, or
+// nil. It may be in its grace period.
 func (sim *Simulation) leaderForHeartbeat(target *node) *node {
 	grace := leader.GracePeriod(sim.Params.Workers)
 	return target.findLeader(func(n *node) bool { return n.leadership.InGracePeriod(n.clock(), grace) })
 }
 
-// findLeader is the leader of the highest term to which the node can forward a request, itself if
-// it leads; entitled tells which leaders may respond.
+// findLeader returns the node itself if it leads, else the leader of the highest term to which it
+// can forward a request, or nil; mayRespond selects the leaders that may respond.
 func (n *node) findLeader(mayRespond func(*node) bool) *node {
 	if !n.up {
 		return nil
@@ -165,7 +166,7 @@
 	return newest
 }
 
-// canForwardTo reports whether another node gets the requests that this one forwards.
+// canForwardTo reports whether requests that the node forwards reach another node.
 func (n *node) canForwardTo(other *node) bool {
 	net := n.sim.network
 	responsive := other.up && !n.sim.now.Before(other.frozenUntil)
--- a/internal/simulation/node_admission.go
+++ b/internal/simulation/node_admission.go
@@ -10,20 +10,20 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// DisableAdmission turns admission control off at the first nodes.
+// DisableAdmission disables admission control at the given number of nodes.
 func (sim *Simulation) DisableAdmission(nodes int) {
 	for _, n := range sim.nodes[:nodes] {
 		n.admissionDisabled = true
 	}
 }
 
-// admissionSettings are the node's settings of admission control, nil if it is off.
+// admissionSettings returns the node's settings of admission control, or nil if it is disabled.
 func (n *node) admissionSettings() *admission.Settings {
 	operator := n.settings()
 	return operator.AdmissionSettings(&n.sim.Params)
 }
 
-// admissionGate is the node's gate, nil if admission control is off there.
+// admissionGate returns the node's admission gate, or nil if admission control is disabled there.
 func (n *node) admissionGate() *admission.Gate {
 	settings := n.admissionSettings()
 	if settings == nil {
@@ -35,16 +35,16 @@
 	return n.gate
 }
 
-// admissionCheck is a submission's passage through the gate of the node that it has reached.
+// admissionCheck is the check of a submission at the gate of the node that received it.
 type admissionCheck struct {
 	sim       *Simulation
-	gate      *admission.Gate // nil if there is nothing to check
+	gate      *admission.Gate // nil if the request is not checked
 	request   *admission.Request
 	claim     *admission.Claim
 	rejection *leader.Response
 }
 
-// admit takes a request through the gate of the node reached, as the real node does.
+// admit checks a request at the gate of the node that received it, as the real node does.
 func (n *node) admit(leading *node, r request) *admissionCheck {
 	check := &admissionCheck{sim: n.sim}
 	gate := n.admissionGate()
@@ -71,14 +71,14 @@
 	return check
 }
 
-// reject turns the submission away at a follower.
+// reject rejects the submission at a follower.
 func (check *admissionCheck) reject(decision admission.Decision) {
 	check.sim.Observed[ShedByFollower]++
 	check.gate.RecordRejected(check.sim.now, check.request)
 	check.rejection = &leader.Response{Status: http.StatusTooManyRequests, RetryAfter: decision.RetryAfterS}
 }
 
-// recordResponse lets the gate record the leader's response.
+// recordResponse records the leader's response at the gate.
 func (check *admissionCheck) recordResponse(response leader.Response) {
 	switch {
 	case check.gate == nil:
@@ -90,7 +90,7 @@
 	}
 }
 
-// updateAdmission tells a leader the offered load of all nodes.
+// updateAdmission passes the offered load of all nodes to a leader.
 func (n *node) updateAdmission(l *leader.Leader) {
 	gate := n.admissionGate()
 	if gate == nil {
@@ -105,9 +105,9 @@
 	l.UpdateAdmission(n.clock(), n.sim.now, 0, offers)
 }
 
-// ExchangeNodeHeartbeats lets all nodes send each other, every heartbeat interval, their offered
-// load and the leader's policy. Heartbeats between partitioned nodes are delayed, and arrive in
-// any order.
+// ExchangeNodeHeartbeats makes all nodes send each other their offered load and the leader's policy
+// in every heartbeat interval. Heartbeats between partitioned nodes are delayed and may be
+// reordered.
 func (sim *Simulation) ExchangeNodeHeartbeats() {
 	for _, n := range sim.nodes {
 		for _, other := range sim.nodes {
@@ -144,8 +144,8 @@
 	})
 }
 
-// withSortedLoads returns an offered load in the order of teams and classes. A node sends it in any
-// order, which must not enter the trace digest.
+// withSortedLoads returns an offered load sorted by team and class. A node sends it in any order,
+// which must not influence the trace digest.
 func withSortedLoads(l admission.NodeOfferedLoad) admission.NodeOfferedLoad {
 	l.Loads = slices.SortedFunc(slices.Values(l.Loads), func(a, b admission.OfferedLoad) int {
 		return cmp.Or(cmp.Compare(a.Team, b.Team), cmp.Compare(a.Class, b.Class))
--- a/internal/simulation/node_election.go
+++ b/internal/simulation/node_election.go
@@ -12,7 +12,7 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// electionStep campaigns for the leadership or renews its lease, again and again.
+// electionStep campaigns for the leadership, or renews its lease, and schedules the next step.
 func (n *node) electionStep(incarnation int) {
 	if !n.isRunning(incarnation) {
 		return
@@ -25,7 +25,7 @@
 	n.readLeader(retry)
 }
 
-// renewLease renews the leader's lease and steps down if it has expired.
+// renewLease renews the leader's lease, or steps down if it has expired.
 func (n *node) renewLease(retry func(time.Duration)) {
 	sim, sent, lease := n.sim, n.clock(), n.lease
 	sim.trace(boundaryStoreLease, n, "renew", lease)
@@ -41,7 +41,7 @@
 	})
 }
 
-// readLeader reads the leader's and the term's record, and campaigns if no other node leads.
+// readLeader reads the records of the leader and the term, and campaigns if no other node leads.
 func (n *node) readLeader(retry func(time.Duration)) {
 	sim := n.sim
 	sim.trace(boundaryStoreRead, n, kvstore.KeyLeader, kvstore.KeyTerm)
@@ -65,15 +65,15 @@
 	})
 }
 
-// isFromEarlierIncarnation reports whether a leader's record was left behind by an earlier incarnation of the
-// node.
+// isFromEarlierIncarnation reports whether a leader's record was written by an earlier incarnation
+// of the node.
 func (n *node) isFromEarlierIncarnation(holder wire.KeyValue) bool {
 	var record election.LeaderRecord
-	_ = json.Unmarshal(holder.Value, &record) // an unreadable record is another node's
+	_ = json.Unmarshal(holder.Value, &record) // an unreadable record counts as that of another node
 	return record.Node == n.name && record.Nonce != n.nonce
 }
 
-// campaign is one attempt of a node to become the leader.
+// campaign is an attempt of a node to become the leader.
 type campaign struct {
 	node   *node
 	record election.LeaderRecord
@@ -83,13 +83,13 @@
 	retry  func(time.Duration)
 }
 
-// campaign requests a lease and then the leadership.
+// campaign requests a lease and then tries to become the leader.
 func (n *node) campaign(leaderVersion uint64, term wire.KeyValue, retry func(time.Duration)) {
 	var last kvstore.TermRecord
-	_ = json.Unmarshal(term.Value, &last) // there is none before the first term
+	_ = json.Unmarshal(term.Value, &last) // the record does not exist before the first term
 	c := &campaign{node: n, term: last.Term + 1, sent: n.clock(), retry: retry}
-	// The transaction may be executed late, even after its process has ended. The nonce tells it
-	// from those of later incarnations.
+	// The transaction may be executed late, even after its process has ended. The nonce
+	// distinguishes it from the transactions of later incarnations.
 	n.nonce = n.sim.rng.Uint64()
 	c.record = election.LeaderRecord{Node: n.name, Nonce: n.nonce}
 	n.sim.trace(boundaryStoreLease, n, "grant")
@@ -105,7 +105,7 @@
 	})
 }
 
-// commit writes the leader's and the term's record.
+// commit writes the records of the leader and the term.
 func (c *campaign) commit(leaderVersion, termVersion uint64) {
 	txn := election.NewCampaignTxn(c.record, c.term, c.lease, leaderVersion, termVersion)
 	c.node.commit(txn, func(result wire.TxnResult, err error) {
@@ -138,7 +138,7 @@
 	})
 }
 
-// startTerm starts the term.
+// startTerm starts the term that the campaign has won.
 func (c *campaign) startTerm(version uint64) {
 	c.node.startTerm(election.NewLeadership(c.term, c.sent), c.lease, version)
 	c.retry(tuning.LeaseRenewInterval)
--- a/internal/simulation/node_leader.go
+++ b/internal/simulation/node_leader.go
@@ -10,7 +10,7 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// startTerm loads the stored records and begins to lead; version is that of the leader's record.
+// startTerm loads the stored records and starts leading; version is that of the leader's record.
 func (n *node) startTerm(leadership *election.Leadership, lease, version uint64) {
 	electedAt := n.clock()
 	n.leadership, n.lease = leadership, lease
@@ -30,7 +30,7 @@
 	})
 }
 
-// loadRecords reads all stored records into a new leader, and reports whether they could be read;
+// loadRecords loads all stored records into a new leader and reports whether they could be read;
 // err is the error of the request for them.
 func (n *node) loadRecords(l *leader.Leader, err error) bool {
 	for _, prefix := range records.LoadOrder {
@@ -55,11 +55,11 @@
 		item = readItem
 	}
 	if err := l.LoadRecord(n.clock(), n.sim.now, item); err != nil {
-		n.sim.firstError = err
+		n.sim.failure = err
 	}
 }
 
-// lead begins the loops of a leader that has loaded its records.
+// lead starts the loops of a leader that has loaded its records.
 func (n *node) lead(l *leader.Leader, writer *kvstore.FencedWriter) {
 	sim := n.sim
 	l.FinishLoading(n.clock())
@@ -72,7 +72,7 @@
 	sim.replayHeartbeats()
 }
 
-// tickLoop lets the leader decide, and executes its calls to the cloud and to agents.
+// tickLoop runs the leader's periodic decisions and sends its calls to the cloud and to agents.
 func (n *node) tickLoop(l *leader.Leader) {
 	if n.leader != l {
 		return
@@ -104,7 +104,7 @@
 	n.clearLeadership()
 }
 
-// clearLeadership forgets everything that belongs to the node's leadership.
+// clearLeadership discards the state of the node's leadership.
 func (n *node) clearLeadership() {
 	n.leadership, n.leader, n.writer, n.batch = nil, nil, nil, nil
 }
--- a/internal/simulation/node_writes.go
+++ b/internal/simulation/node_writes.go
@@ -10,22 +10,22 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// maxBatch is the most changes that a leader writes in one transaction.
+// maxBatch is the maximum number of changes that a leader writes in one transaction.
 const maxBatch = 8
 
-// writeBudget is a token bucket of changes that the leader may write.
+// writeBudget is a token bucket that limits the rate of changes that the leader writes.
 type writeBudget struct {
 	tokens    float64
 	updatedAt time.Time
 }
 
-// refill adds the changes allowed since the last call, up to half a second's worth.
+// refill adds the tokens since the last call, up to those of half a second.
 func (b *writeBudget) refill(now time.Time, perSecond float64) {
 	b.tokens = min(b.tokens+perSecond*now.Sub(b.updatedAt).Seconds(), perSecond/2)
 	b.updatedAt = now
 }
 
-// commitLoop commits the leader's changes, one batch after the other.
+// commitLoop commits the leader's changes, one batch at a time.
 func (n *node) commitLoop(l *leader.Leader) {
 	if n.leader != l {
 		return
@@ -48,7 +48,7 @@
 	})
 }
 
-// nextBatch takes the changes to be written now, nil if there are none.
+// nextBatch returns the changes to be written now, or nil if there are none.
 func (n *node) nextBatch(l *leader.Leader) *records.Batch {
 	limits := n.storeLimits()
 	maxOps, spare := min(maxBatch, limits.TxnOps-1), n.sim.rng.IntN(5)
@@ -68,7 +68,7 @@
 	return batch
 }
 
-// handleOutcome continues after a transaction of the leader.
+// handleOutcome continues the commit loop after a transaction of the leader.
 func (n *node) handleOutcome(l *leader.Leader, outcome kvstore.Outcome) {
 	switch outcome {
 	case kvstore.Applied:
--- a/internal/simulation/observations.go
+++ b/internal/simulation/observations.go
@@ -1,16 +1,16 @@
 package simulation
 
-// Observation is an event that a test may require to have happened: a test of a fault that did not
-// occur would show nothing.
+// Observation is a kind of event that a test may require to have occurred, because a test of a
+// fault that did not occur proves nothing.
 type Observation string
 
 // Observations of clients.
 const (
 	// FollowUpQuery: a user queried all nodes right after a response.
 	FollowUpQuery Observation = "follow-up query"
-	// PollStormQuery: a user polled far more often than usual.
+	// PollStormQuery: a user polled at an increased rate.
 	PollStormQuery Observation = "poll storm query"
-	// InvalidRequest: a user repeated a request, or sent an invalid or impossible one.
+	// InvalidRequest: a user repeated a request or sent an invalid one.
 	InvalidRequest Observation = "invalid request"
 	// CancelledAtLastTask: a job was cancelled as its last task completed.
 	CancelledAtLastTask Observation = "cancelled at the last task"
@@ -26,25 +26,26 @@
 
 // Observations of agents and their heartbeats.
 const (
-	// StaleHeartbeatIgnored: a late copy of a heartbeat was recognised as such.
+	// StaleHeartbeatIgnored: a leader recognised and ignored a late copy of a heartbeat.
 	StaleHeartbeatIgnored Observation = "stale heartbeat ignored"
-	// DuplicateHeartbeatApplied: a late copy of a heartbeat was the first that a leader received.
+	// DuplicateHeartbeatApplied: a leader applied a late copy because it had not received the
+	// heartbeat before.
 	DuplicateHeartbeatApplied Observation = "duplicate heartbeat applied"
 	// HeartbeatInGracePeriod: a leader whose lease had expired responded to a heartbeat.
 	HeartbeatInGracePeriod Observation = "heartbeat in the grace period"
-	// HeartbeatLost: an agent reached no controller.
+	// HeartbeatLost: an agent's heartbeat reached no controller.
 	HeartbeatLost Observation = "heartbeat lost"
 	// BusyMachinePartitioned: a machine with tasks was partitioned.
 	BusyMachinePartitioned Observation = "busy machine partitioned"
-	// BusyMachineResponsesLost: a machine with tasks got no responses.
+	// BusyMachineResponsesLost: a machine with tasks began to get no responses.
 	BusyMachineResponsesLost Observation = "busy machine without responses"
 )
 
 // Observations of controllers and their writes.
 const (
-	// WriteResponseLost: a transaction was executed, and its response was lost.
+	// WriteResponseLost: a transaction was executed, but its response was lost.
 	WriteResponseLost Observation = "write response lost"
-	// DelayedTransaction: a transaction was executed after newer ones.
+	// DelayedTransaction: a transaction was executed late.
 	DelayedTransaction Observation = "delayed transaction"
 	// TermStarted counts the terms.
 	TermStarted Observation = "term started"
@@ -59,7 +60,7 @@
 	DrainCharge Observation = "drain charge"
 	// DrainEviction: an agent stopped a running task of a drained machine.
 	DrainEviction Observation = "drain eviction"
-	// DrainCheckpoint: such a task saved its progress.
+	// DrainCheckpoint: a task that an agent stopped on a drained machine saved its progress.
 	DrainCheckpoint Observation = "drain checkpoint"
 	// DrainPaused: a drain was paused.
 	DrainPaused Observation = "drain paused"
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -7,10 +7,11 @@
 	"switchshore.example/switchshore/internal/drain"
 )
 
-// operatorTimeout is how long an operator waits for a response.
+// operatorTimeout is the time for which an operator waits for a response.
 const operatorTimeout = 5 * time.Second
 
-// RequestDrain lets an operator send a request after a time, and repeat it until it is answered.
+// RequestDrain makes an operator send a drain request after a time and repeat it until a response
+// arrives.
 func (sim *Simulation) RequestDrain(after time.Duration, request *drain.Request, done func(drain.Response)) {
 	sim.after(after, func() { sim.tryDrainRequest(request, done) })
 }
@@ -23,7 +24,7 @@
 		}
 		finished = true
 		if drainsUnavailable(response.Status) || sim.chance(0.2) {
-			// There is no leader with drains, or the response is lost.
+			// No leader with enabled drains was reached, or the response is lost.
 			sim.RequestDrain(sim.between(500, 3000), request, done)
 			return
 		}
@@ -47,7 +48,8 @@
 	})
 }
 
-// drainsUnavailable reports whether a status is that of a node without a leader or with drains off.
+// drainsUnavailable reports whether a status code means that there is no leader or that drains are
+// disabled.
 func drainsUnavailable(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusForbidden
 }
--- a/internal/simulation/previous_version.go
+++ b/internal/simulation/previous_version.go
@@ -9,10 +9,11 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// The version before dependent jobs, frozen: how it reads stored records, and which it writes. It
-// decided by the same rules otherwise, so a simulated node runs it by leading behind these filters.
+// This file describes how the last version without dependent jobs reads and writes stored records.
+// It is frozen. The version's other rules are the same as the present ones, so a simulated node
+// runs it by applying these filters to the records that its leader reads and writes.
 
-// previousVersionJob is the job as the previous version stored it.
+// previousVersionJob is a job in the form in which the previous version stores it.
 type previousVersionJob struct {
 	ID          string   `json:"ref"`
 	Class       string   `json:"muster"`
@@ -42,7 +43,8 @@
 	previousVersionDoneKey  = regexp.MustCompile(`^d/[^/]+/[0-9]+$`)
 )
 
-// PreviousVersionReads returns a record as the previous version reads it, false if it ignores it.
+// PreviousVersionReads returns a record as the previous version reads it, and false if that version
+// ignores the record.
 func PreviousVersionReads(item wire.KeyValue) (wire.KeyValue, bool) {
 	known := func(prefix string) bool { return strings.HasPrefix(item.Key, prefix) }
 	if !slices.ContainsFunc(previousVersionPrefixes, known) {
@@ -60,8 +62,8 @@
 	return item, true
 }
 
-// PreviousVersionWrites are those of a leader's changes that the previous version makes: it does not
-// touch keys that it does not know.
+// PreviousVersionWrites returns those of a leader's changes that the previous version writes: it
+// does not change keys that it does not know.
 func PreviousVersionWrites(writes []wire.Mutation) []wire.Mutation {
 	return slices.DeleteFunc(slices.Clone(writes), func(change wire.Mutation) bool {
 		return previousVersionSkips(change.Key())
@@ -76,8 +78,8 @@
 	return strings.HasPrefix(key, "d/") && !previousVersionDoneKey.MatchString(key)
 }
 
-// PreviousVersionRefuses reports whether a call between nodes, as JSON, is incomplete to
-// the previous version, which then answers 503 at once.
+// PreviousVersionRefuses reports whether a call between nodes, as JSON, is incomplete for the
+// previous version, which then responds with 503 at once.
 func PreviousVersionRefuses(call []byte) bool {
 	var c struct {
 		Op     string           `json:"op"`
--- a/internal/simulation/server.go
+++ b/internal/simulation/server.go
@@ -15,7 +15,7 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// watchPollInterval is how often a blocked watch looks for a new revision.
+// watchPollInterval is the interval at which a blocked watch checks for a new revision.
 const watchPollInterval = 20 * time.Millisecond
 
 // Server serves a key-value store and a cloud over HTTP in real time, for tests of whole nodes.
@@ -24,7 +24,7 @@
 	Store *KeyValueStore
 	Cloud *Cloud
 	rng   *rand.Rand
-	// OnBoot, if set, is called in a goroutine of its own with every machine that is provisioned.
+	// OnBoot, if set, is called with every provisioned machine, each time in a new goroutine.
 	OnBoot func(wire.ListedMachine)
 }
 
@@ -33,7 +33,7 @@
 	return &Server{Store: NewKeyValueStore(), Cloud: NewCloud(t, cloudCapacity), rng: rand.New(rand.NewPCG(1, 1))}
 }
 
-// SetStoreDown begins or ends an outage of the key-value store.
+// SetStoreDown starts or ends an outage of the key-value store.
 func (s *Server) SetStoreDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,7 +48,7 @@
 	return s.Cloud.machines[name] != nil
 }
 
-// ReleaseZone removes all machines of a zone, and returns how many there were.
+// ReleaseZone removes all machines of a zone and returns their number.
 func (s *Server) ReleaseZone(zone string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,12 +57,12 @@
 	return before - len(s.Cloud.machines)
 }
 
-// Serve answers requests to both services until the listener is closed.
+// Serve handles requests to both services until the listener is closed.
 func (s *Server) Serve(ln net.Listener) error {
 	return (&fasthttp.Server{Handler: s.handle}).Serve(ln)
 }
 
-// writeResponse writes a body as JSON, with the status that stands for an error.
+// writeResponse writes a body as JSON, with the status code for the error.
 func writeResponse(rc *fasthttp.RequestCtx, err error, body any) {
 	data, marshalErr := json.Marshal(body)
 	if marshalErr != nil {
@@ -87,7 +87,8 @@
 	return fasthttp.StatusBadRequest
 }
 
-// decode reads the body of a request, and answers 400 if it is not valid.
+// decode decodes the JSON body of a request. If the body is invalid, it writes a response with
+// status 400 and returns false.
 func decode(rc *fasthttp.RequestCtx, body any) bool {
 	if err := json.Unmarshal(rc.PostBody(), body); err != nil {
 		writeResponse(rc, err, nil)
@@ -96,7 +97,7 @@
 	return true
 }
 
-// handle answers one request.
+// handle handles a request to either service.
 func (s *Server) handle(rc *fasthttp.RequestCtx) {
 	if string(rc.Path()) == "/changes" {
 		s.handleWatch(rc)
--- a/internal/simulation/server_cloud.go
+++ b/internal/simulation/server_cloud.go
@@ -9,7 +9,7 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// handleCloud answers a request to the cloud, false if it is to another service.
+// handleCloud handles a request to the cloud, and returns false for other requests.
 func (s *Server) handleCloud(rc *fasthttp.RequestCtx, now time.Time) bool {
 	switch path := string(rc.Path()); {
 	case path == "/machine_types":
@@ -26,7 +26,7 @@
 	return true
 }
 
-// handleProvision provisions machines, which boot at once.
+// handleProvision provisions machines and calls OnBoot for each at once.
 func (s *Server) handleProvision(rc *fasthttp.RequestCtx, now time.Time) {
 	var r wire.ProvisionRequest
 	if !decode(rc, &r) {
--- a/internal/simulation/server_store.go
+++ b/internal/simulation/server_store.go
@@ -10,7 +10,7 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// handleStore answers a request to the key-value store, false if it is to another service.
+// handleStore handles a request to the key-value store, and returns false for other requests.
 func (s *Server) handleStore(rc *fasthttp.RequestCtx, now time.Time) bool {
 	path := string(rc.Path())
 	key, isKey := strings.CutPrefix(path, "/store/")
@@ -55,7 +55,8 @@
 	return s.Store.RenewLease(now, id)
 }
 
-// handleWatch answers once there is a newer revision or the time has run out.
+// handleWatch handles a watch request: it responds when there is a newer revision or when the
+// requested time has passed.
 func (s *Server) handleWatch(rc *fasthttp.RequestCtx) {
 	args := rc.QueryArgs()
 	since, err := strconv.ParseUint(string(args.Peek("since")), 10, 64)
@@ -79,7 +80,7 @@
 	}
 }
 
-// revision is the store's present revision.
+// revision returns the store's current revision.
 func (s *Server) revision() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -9,21 +9,21 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// Simulation runs clients, agents, a cloud and a key-value store against a few controllers in
-// simulated time, with faults drawn from a seed.
+// Simulation runs clients, agents, a cloud and a key-value store against several controllers in
+// simulated time, with random faults drawn from a seed.
 type Simulation struct {
 	Params config.Params
-	// Operator are the operators' settings of all nodes.
+	// Operator holds the operators' settings of all nodes.
 	Operator config.Operator
-	// LimitWriteRate lets the leader keep to the write budget of the settings; without it the
-	// key-value store takes any rate.
+	// LimitWriteRate makes the leader limit its writes to its share of the key-value store's write
+	// rate. The simulated store itself accepts any rate.
 	LimitWriteRate bool
 
 	Invariants *InvariantChecker
 	Store      *KeyValueStore
 	Cloud      *Cloud
-	// Observed counts what has happened, by name: a test of a fault that did not occur would show
-	// nothing.
+	// Observed counts events by name, so that a test can require that the fault that it tests has
+	// occurred.
 	Observed map[Observation]int
 
 	*eventLoop
@@ -31,15 +31,15 @@
 	*faultInjector
 	*drainMonitor
 
-	network    *network
-	storeLink  storeLink
-	nodes      []*node
-	fleet      fleet
-	digest     traceDigest
-	firstError error // the first violation of an invariant, which ends the run
+	network   *network
+	storeLink storeLink
+	nodes     []*node
+	fleet     fleet
+	digest    traceDigest
+	failure   error // ends the run, for example a violation of an invariant
 }
 
-// cloudCapacity is how many machines of each offer the cloud has, unless a test sets it.
+// cloudCapacity is the default number of machines that the cloud has of each offering.
 const cloudCapacity = 4
 
 // New returns a simulation with the given number of controllers and one machine type.
@@ -68,13 +68,13 @@
 	return sim
 }
 
-// Run simulates a duration, the first part of it with faults, and returns the first violation of
-// an invariant.
+// Run simulates a duration and returns the first violation of an invariant. Faults begin only
+// during faultsFor from the start.
 func (sim *Simulation) Run(duration, faultsFor time.Duration) error {
 	sim.faultsEnd = sim.start.Add(faultsFor)
 	sim.after(faultsFor, sim.finishUpgrade)
 	end := sim.start.Add(duration)
-	for sim.firstError == nil {
+	for sim.failure == nil {
 		e := sim.next(end)
 		if e == nil {
 			return nil
@@ -84,12 +84,13 @@
 		e.run()
 		sim.fail(sim.checkInvariants(agents))
 	}
-	return fmt.Errorf("after %v: %w", sim.elapsed(), sim.firstError)
+	return fmt.Errorf("after %v: %w", sim.elapsed(), sim.failure)
 }
 
-// checkInvariants checks what must hold after every event, with the agents that there were before.
+// checkInvariants checks the invariants after an event; agents are those that existed before the
+// event.
 func (sim *Simulation) checkInvariants(agents []*Agent) error {
-	if sim.firstError != nil {
+	if sim.failure != nil {
 		return nil
 	}
 	if err := sim.Invariants.CheckTasks(sim.now, agents); err != nil {
@@ -108,9 +109,9 @@
 	return sim.Invariants.CheckNoStarvation(sim.now, agents)
 }
 
-// fail notes the first error, which ends the run.
+// fail records the first error, which ends the run.
 func (sim *Simulation) fail(err error) {
-	if sim.firstError == nil {
-		sim.firstError = err
+	if sim.failure == nil {
+		sim.failure = err
 	}
 }
--- a/internal/simulation/store_link.go
+++ b/internal/simulation/store_link.go
@@ -10,8 +10,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// storeLink is what befalls the requests of all nodes to the key-value store. A request may be
-// lost, executed minutes later, or executed with its response lost.
+// storeLink holds the faults that affect the requests of all nodes to the key-value store. A
+// request may be lost, executed minutes later, or executed with its response lost.
 type storeLink struct {
 	slowUntil     time.Time
 	downUntil     time.Time
@@ -19,7 +19,7 @@
 	writesDelayed messageFault
 }
 
-// storeSlowdownFactor is by how much requests take longer while the store is slow.
+// storeSlowdownFactor multiplies the latency of requests while the store is slow.
 const storeSlowdownFactor = 40
 
 // messageFault is a fault that affects a share of all messages until a time.
@@ -28,7 +28,7 @@
 	until time.Time
 }
 
-// affects draws whether a fault affects a message sent now.
+// affects draws whether a fault affects a message that is sent now.
 func (l *eventLoop) affects(fault messageFault) bool {
 	return l.now.Before(fault.until) && l.chance(fault.share)
 }
@@ -46,15 +46,15 @@
 	})
 }
 
-// LowerStoreLimits lets the key-value store keep to its present limits, and to the announced ones
-// after a time.
+// LowerStoreLimits makes the key-value store enforce its present limits, and after a time the
+// announced ones.
 func (sim *Simulation) LowerStoreLimits(after time.Duration) {
 	sim.Store.Limits = sim.Params.KVStore
 	sim.after(after, func() { sim.Store.Limits = sim.Params.KVStore.Tightest() })
 }
 
-// callStore sends a request of the node to the key-value store. done is called with the response,
-// unless the process has crashed in between.
+// callStore sends a request of the node to the key-value store. It calls done with the error of the
+// response, unless the process has crashed in the meantime.
 func (n *node) callStore(execute func() error, done func(error)) {
 	sim, incarnation := n.sim, n.incarnation
 	respond := func(delay time.Duration, err error) {
@@ -75,9 +75,9 @@
 		respond(sim.between(1, 20), kvstore.ErrUnavailable)
 	case sim.now.Before(n.storeUnreachableUntil):
 		if sim.chance(0.5) {
-			// Delayed in the network, to be delivered when the partition ends or much later.
+			// The request is delayed in the network until the partition ends or much later.
 			sim.after(n.storeUnreachableUntil.Sub(sim.now)+sim.between(0, 60_000), func() {
-				_ = execute() // nobody waits for the response
+				_ = execute() // the caller has timed out
 			})
 		}
 		respond(tuning.StoreTimeout, httpclient.ErrNoResponse)
@@ -107,8 +107,8 @@
 	})
 }
 
-// commit sends a transaction. Its response may be lost though it is executed at once, or it may
-// be executed late, after newer ones of the same node.
+// commit sends a transaction. Its response may be lost although it is executed at once, or it may
+// be executed late, after newer transactions of the same node.
 func (n *node) commit(txn wire.Txn, done func(wire.TxnResult, error)) {
 	sim := n.sim
 	sim.trace(boundaryTransaction, n, txn)
@@ -122,7 +122,7 @@
 		case sim.affects(sim.storeLink.writesDelayed):
 			sim.Observed[DelayedTransaction]++
 			sim.after(sim.between(2000, 12_000), func() {
-				_, _ = sim.Store.Commit(txn) // nobody waits for the response any more
+				_, _ = sim.Store.Commit(txn) // the caller has timed out
 			})
 			return httpclient.ErrNoResponse
 		}
--- a/internal/simulation/trace_digest.go
+++ b/internal/simulation/trace_digest.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// boundary names a place at which messages leave or enter the service.
+// boundary names an interface through which messages leave or enter the service.
 type boundary string
 
 // Boundaries whose messages the trace digest covers. The values are hashed.
@@ -25,9 +25,10 @@
 	boundaryNodeHeartbeat    boundary = "controller heartbeat"
 )
 
-// traceDigest is a running hash over all messages that cross the service's boundary in one run. Two
-// versions of the service whose digests of a run are equal have sent the same bytes at the same
-// simulated times, so a change that must not alter behaviour can be checked by it.
+// traceDigest is a running hash over all messages that cross the service's boundary in one run. If
+// two versions of the service have equal digests of a run, they have sent the same bytes at the
+// same simulated times. A comparison of digests thus verifies that a change does not alter
+// behaviour.
 type traceDigest struct {
 	hash     hash.Hash
 	messages int
@@ -39,7 +40,7 @@
 func (d *traceDigest) record(at time.Time, where boundary, node string, message ...any) {
 	body, err := json.Marshal(message)
 	if err != nil {
-		panic(fmt.Sprintf("trace digest: %s: %v", where, err)) // only messages of the wire are recorded
+		panic(fmt.Sprintf("trace digest: %s: %v", where, err)) // recorded messages are always encodable
 	}
 	d.messages++
 	fmt.Fprintf(d.hash, "%d %s %s %s\n", at.UnixNano(), where, node, body)
@@ -50,8 +51,8 @@
 	sim.digest.record(sim.now, where, n.name, message...)
 }
 
-// TraceDigest is the hash over all messages that crossed the service's boundary so far, and their
-// number.
+// TraceDigest returns the hash over all messages that have crossed the service's boundary so far,
+// and their number.
 func (sim *Simulation) TraceDigest() (digest string, messages int) {
 	return hex.EncodeToString(sim.digest.hash.Sum(nil)), sim.digest.messages
 }
--- a/internal/simulation/upgrade.go
+++ b/internal/simulation/upgrade.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// upgradeDownTime is how long a node is down for its upgrade.
+// upgradeDownTime is the time for which a node is down during its upgrade.
 const upgradeDownTime = 4 * time.Second
 
-// RollingUpgrade starts every node with the previous version and, from a time on, restarts one
-// after the other with the present version. It returns when the last one is back.
+// RollingUpgrade starts every node with the previous version and restarts the nodes one after the
+// other with the present version, beginning at from. It returns a time by which all nodes run
+// again.
 func (sim *Simulation) RollingUpgrade(from, interval time.Duration) time.Duration {
 	for i, n := range sim.nodes {
 		n.previousVersion = true
@@ -18,7 +19,7 @@
 	return from + time.Duration(len(sim.nodes))*interval + upgradeDownTime
 }
 
-// finishUpgrade restarts the nodes that still run the previous version with the present one.
+// finishUpgrade restarts all nodes that still run the previous version with the present one.
 func (sim *Simulation) finishUpgrade() {
 	for _, n := range sim.nodes {
 		if n.previousVersion {
--- a/internal/simulation/violation.go
+++ b/internal/simulation/violation.go
@@ -2,41 +2,43 @@
 
 import "fmt"
 
-// Invariant names something that must always hold. The values are the protocol's names, and for
-// what only this project requires, names alike.
+// Invariant is a condition that must always hold. The values are the protocol's names where it has
+// one, and similar names for conditions that only this project requires.
 type Invariant string
 
 // Invariants.
 const (
-	// RunsOnce: a task is on one machine at a time.
+	// RunsOnce: a task executes on at most one machine at a time.
 	RunsOnce Invariant = "ran_twice"
 	// WithinQuota: a team uses no more than its limit.
 	WithinQuota Invariant = "quota"
-	// PlacedAsRequired: a task starts where its job allows.
+	// PlacedAsRequired: a task starts only on a machine that its job allows.
 	PlacedAsRequired Invariant = "wrong_place"
-	// StoppedWhenCancelled: no task is on a machine for long after the cancellation was confirmed.
+	// StoppedWhenCancelled: no task executes past the deadline after its cancellation was
+	// confirmed.
 	StoppedWhenCancelled Invariant = "ran_cancelled"
-	// NoStartWhenCancelled: no start is commanded after the cancellation was confirmed.
+	// NoStartWhenCancelled: no command starts a task after its cancellation was confirmed.
 	NoStartWhenCancelled Invariant = "started_cancelled"
-	// AcceptedJobsKept: an accepted job stays known, and requests about it are answered.
+	// AcceptedJobsKept: an accepted job is never lost, and requests about it keep succeeding.
 	AcceptedJobsKept Invariant = "forgotten"
-	// OnlySubmittedJobs: no job is known that nobody submitted.
+	// OnlySubmittedJobs: no request about a job that was not submitted succeeds.
 	OnlySubmittedJobs Invariant = "invented"
 	// DoneWhenCompleted: a job is reported done only when all its tasks have completed.
 	DoneWhenCompleted Invariant = "not_done"
-	// TerminalStatesKept: a job that was reported done or cancelled stays so.
+	// TerminalStatesKept: a job that was reported done or cancelled keeps that state, and is
+	// reported cancelled only if it, or a dependency, was cancelled.
 	TerminalStatesKept Invariant = "went_back"
-	// DependenciesFirst: no task starts before the jobs that its job depends on are done.
+	// DependenciesFirst: no task starts before all dependencies of its job are done.
 	DependenciesFirst Invariant = "too_early"
-	// CancelledWithDependency: a job is cancelled with one that it depends on.
+	// CancelledWithDependency: the cancellation of a job also cancels its dependents in time.
 	CancelledWithDependency Invariant = "orphaned"
-	// NoStarvation: no job waits for long while it could start.
+	// NoStarvation: no job waits for long while it can start.
 	NoStarvation Invariant = "left_waiting"
-	// WithinDrainBudget: drains keep to the disruption budgets.
+	// WithinDrainBudget: drains stay within the disruption budgets.
 	WithinDrainBudget Invariant = "budget"
 )
 
-// Violation is the error of an invariant that did not hold.
+// Violation is the error that reports a violated invariant.
 type Violation struct {
 	Invariant Invariant
 	Detail    string
@@ -45,7 +47,7 @@
 // Error implements error.
 func (v *Violation) Error() string { return string(v.Invariant) + ": " + v.Detail }
 
-// violated returns a violation with a formatted detail.
+// violated returns a violation of an invariant with a formatted detail.
 func violated(invariant Invariant, format string, args ...any) error {
 	return &Violation{invariant, fmt.Sprintf(format, args...)}
 }
