--- a/internal/simulation/agent.go
+++ b/internal/simulation/agent.go
@@ -114,7 +114,7 @@
 }
 
 // imageFetched starts a task whose image has been fetched, or ends it if it has completed already
-// or is to fail.
+// or must fail.
 func (a *Agent) imageFetched(now time.Time, t *Task) {
 	job := a.jobOf(t.Name)
 	a.CachedImages[job.Image] = true
--- a/internal/simulation/agent_process.go
+++ b/internal/simulation/agent_process.go
@@ -12,7 +12,7 @@
 	agents               map[string]*agentProcess // by machine
 	heartbeatsDuplicated messageFault
 	heartbeatsReplayed   messageFault
-	// replays deliver copies of heartbeats, to be called when the next term starts.
+	// replays holds functions that deliver copies of heartbeats when the next term starts.
 	replays []func(*node)
 }
 
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -43,7 +43,7 @@
 // allTasksCompleted reports whether every task of the job has completed.
 func (j *observedJob) allTasksCompleted() bool { return len(j.completedTasks) == j.job.Tasks }
 
-// NewInvariantChecker returns a checker that knows no jobs.
+// NewInvariantChecker returns a checker without jobs.
 func NewInvariantChecker(teams []config.Team, cancelDeadline time.Duration) *InvariantChecker {
 	return &InvariantChecker{
 		Teams: teams, CancelDeadline: cancelDeadline,
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -33,7 +33,7 @@
 // nodesPartitioned reports whether two nodes can't reach each other.
 func (net *network) nodesPartitioned(a, b *node) bool { return net.partitionedPairs[newNodePair(a, b)] }
 
-// partitionZone separates a zone from all other zones and from what is in no zone.
+// partitionZone separates a zone from all other zones and from noZone.
 func (net *network) partitionZone(zone string, until time.Time) {
 	net.partitionedZone, net.partitionedZoneUntil = zone, until
 }
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -113,7 +113,7 @@
 }
 
 // storeLimits returns the limits of the key-value store that the node's version respects: the
-// previous version knows no announced limits.
+// previous version ignores announced limits.
 func (n *node) storeLimits() config.KVStoreLimits {
 	if n.previousVersion {
 		return n.sim.Params.KVStore
