--- a/internal/simulation/agent_process.go
+++ b/internal/simulation/agent_process.go
@@ -7,12 +7,12 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// fleet is the agents of all machines that have booted, and what befalls their heartbeats.
+// fleet holds the agents of all machines that have booted, and the faults of their heartbeats.
 type fleet struct {
 	agents               map[string]*agentProcess // by machine
 	heartbeatsDuplicated messageFault
 	heartbeatsReplayed   messageFault
-	// replays are copies of heartbeats for the next leader.
+	// replays holds functions that deliver copies of heartbeats when the next term starts.
 	replays []func(*node)
 }
 
@@ -20,22 +20,22 @@
 type agentProcess struct {
 	*Agent
 	sim             *Simulation
-	targetNode      int // to which it sends its heartbeats
+	nodeIndex       int // index of the node to which it sends its heartbeats
 	inFlight        bool
 	lastHeartbeatAt time.Time
 	nextHeartbeatAt time.Time
 	ended           bool
 
-	partitionedUntil    time.Time // nothing gets to it or from it
+	partitionedUntil    time.Time // no message to or from it is delivered
 	responsesLostUntil  time.Time // its heartbeats arrive, responses and commands do not
-	heartbeatsLostUntil time.Time // it reaches no controller, direct calls reach it
+	heartbeatsLostUntil time.Time // its heartbeats are lost, direct calls arrive
 	hungUntil           time.Time // it does nothing
 }
 
-// agentNames are the names of the machines with agents, in order.
+// agentNames returns the sorted names of the machines with agents.
 func (sim *Simulation) agentNames() []string {
 	var names []string
-	for _, id := range sim.Cloud.Names() {
+	for _, id := range sim.Cloud.MachineNames() {
 		if sim.fleet.agents[id] != nil {
 			names = append(names, id)
 		}
@@ -43,7 +43,7 @@
 	return names
 }
 
-// advanceAgents lets time pass for all agents that don't hang, and returns all.
+// advanceAgents advances all agents that don't hang to the present time, and returns all agents.
 func (sim *Simulation) advanceAgents() []*Agent {
 	var agents []*Agent
 	for _, id := range sim.agentNames() {
@@ -62,16 +62,16 @@
 	a := &agentProcess{Agent: NewAgent(sim.now, machine.ListedMachine, sim.Cloud.Type, lease), sim: sim}
 	a.LookUpJob = func(id string) *wire.Job { return sim.clients.jobs[id] }
 	a.RunTime = func(job *wire.Job) time.Duration { return seconds.Duration(job.EstimateS * (0.5 + sim.rng.Float64())) }
-	a.OnStop = func(task *Task, saves bool) { sim.taskStopped(a, task, saves) }
+	a.OnStop = func(task *Task, saves bool) { sim.recordStop(a, task, saves) }
 	a.FailsJob = func(id string) bool { return sim.clients.failing[id] }
 	a.Faulty = sim.faultsAllowed() && sim.chance(0.05)
-	a.targetNode = sim.rng.IntN(len(sim.nodes))
+	a.nodeIndex = sim.rng.IntN(len(sim.nodes))
 	sim.fleet.agents[a.ID] = a
 	a.heartbeatLoop()
 }
 
-// hasNoAgent reports whether a machine still exists and no agent runs on it.
-func (sim *Simulation) hasNoAgent(machine *cloudMachine) bool {
+// needsAgent reports whether a machine still exists and has no agent.
+func (sim *Simulation) needsAgent(machine *cloudMachine) bool {
 	return sim.Cloud.machines[machine.Name] == machine && sim.fleet.agents[machine.Name] == nil
 }
 
@@ -81,26 +81,26 @@
 	delete(a.sim.fleet.agents, a.ID)
 }
 
-// replace ends the agent and starts a new one, which knows nothing, on the same machine.
+// replace ends the agent and starts a new one without its state on the same machine.
 func (a *agentProcess) replace() {
 	machine := a.sim.Cloud.machines[a.ID]
 	a.end()
 	a.sim.after(a.sim.between(50, 3000), func() {
-		if machine != nil && a.sim.hasNoAgent(machine) {
+		if machine != nil && a.sim.needsAgent(machine) {
 			a.sim.startAgent(machine)
 		}
 	})
 }
 
-// reachableFrom reports whether a message from a place gets to the agent and is handled.
+// reachableFrom reports whether the agent receives and handles a message from a zone.
 func (a *agentProcess) reachableFrom(zone string) bool {
 	now := a.sim.now
 	affected := now.Before(a.partitionedUntil) || now.Before(a.responsesLostUntil) || now.Before(a.hungUntil)
 	return !affected && !a.sim.network.zonesPartitioned(zone, a.Machine.Zone)
 }
 
-// reachableAfter is the time until the last of the faults that keep messages from the agent is over.
-func (a *agentProcess) reachableAfter() time.Duration {
+// timeUntilReachable returns the time until the last fault that blocks messages to the agent ends.
+func (a *agentProcess) timeUntilReachable() time.Duration {
 	now := a.sim.now
 	return max(a.partitionedUntil.Sub(now), a.responsesLostUntil.Sub(now), a.hungUntil.Sub(now),
 		a.sim.network.partitionedZoneUntil.Sub(now), 0)
--- a/internal/simulation/invariants_test.go
+++ b/internal/simulation/invariants_test.go
@@ -24,7 +24,7 @@
 		InvariantChecker: simulation.NewInvariantChecker([]config.Team{{Name: "blue", CPUsMax: 8}}, 45*time.Second),
 		now:              time.Unix(1_700_000_000, 0), job: j, agents: map[string]*simulation.Agent{},
 	}
-	c.JobSubmitted(j)
+	c.RecordSubmission(j)
 	return c
 }
 
@@ -66,14 +66,14 @@
 func (c *invariantCase) submitted(status int, state string) error {
 	sentAt := c.now
 	c.now = c.now.Add(10 * time.Millisecond)
-	return c.ResponseReceived(simulation.ObservedResponse{
+	return c.CheckResponse(simulation.ObservedResponse{
 		SentAt: sentAt, ReceivedAt: c.now, Job: "job-1", Status: status, State: state, Submission: true,
 	})
 }
 
 // queried is a response to a query of a job's state, sent and received now.
 func (c *invariantCase) queried(id string, status int, state string) error {
-	return c.ResponseReceived(simulation.ObservedResponse{
+	return c.CheckResponse(simulation.ObservedResponse{
 		SentAt: c.now, ReceivedAt: c.now, Job: id, Status: status, State: state,
 	})
 }
@@ -121,7 +121,7 @@
 	"ran_cancelled": func(c *invariantCase) []error {
 		// The machine hangs, and continues the task later.
 		c.put(c.agent("m1", "a", true), "job-1/0", wire.TaskRunning, "")
-		c.CancellationRequested("job-1")
+		c.RecordCancellationRequest("job-1")
 		errs := []error{c.check(), c.submitted(200, wire.JobCancelled)}
 		c.now = c.now.Add(44 * time.Second)
 		errs = append(errs, c.check())
@@ -129,12 +129,12 @@
 		return append(errs, c.check())
 	},
 	"started_cancelled": func(c *invariantCase) []error {
-		c.CancellationRequested("job-1")
+		c.RecordCancellationRequest("job-1")
 		order := []wire.Command{{Op: wire.OpStop, Task: "job-1/0"}, {Op: wire.OpStart, Task: "job-1/0"}}
 		return []error{c.CheckCommands(c.now, order), c.submitted(200, wire.JobCancelled), c.CheckCommands(c.now, order[:1]), c.CheckCommands(c.now, order)}
 	},
 	"too_early": func(c *invariantCase) []error {
-		c.JobSubmitted(&wire.Job{ID: "job-2", Team: "blue", Tasks: 1, CPUs: 1, Spot: true, DependsOn: []string{"job-1"}})
+		c.RecordSubmission(&wire.Job{ID: "job-2", Team: "blue", Tasks: 1, CPUs: 1, Spot: true, DependsOn: []string{"job-1"}})
 		a := c.agent("m1", "a", true)
 		before := c.check()
 		c.put(a, "job-2/0", wire.TaskRunning, "")
@@ -144,19 +144,19 @@
 
 // responseViolations are steps of which the last ones violate an invariant by what users are told, by the start of the violation's text.
 var responseViolations = map[string]invariantSteps{
-	"forgotten: job-1 answered 404": func(c *invariantCase) []error {
+	"forgotten: response about job-1 with status 404": func(c *invariantCase) []error {
 		return []error{c.submitted(503, ""), c.submitted(404, ""), c.submitted(201, wire.JobQueued), c.submitted(404, "")}
 	},
-	"forgotten: job-1 answered 422": func(c *invariantCase) []error {
+	"forgotten: response about job-1 with status 422": func(c *invariantCase) []error {
 		return []error{c.submitted(422, ""), c.submitted(201, wire.JobQueued), c.submitted(422, "")}
 	},
-	"forgotten: no question": func(c *invariantCase) []error {
+	"forgotten: no request": func(c *invariantCase) []error {
 		settled := c.now
 		errs := []error{c.submitted(201, wire.JobQueued)}
 		c.now = c.now.Add(74 * time.Second)
-		errs = append(errs, c.CheckJobsAnswered(c.now, settled))
+		errs = append(errs, c.CheckRequestsSucceed(c.now, settled))
 		c.now = c.now.Add(2 * time.Second)
-		return append(errs, c.CheckJobsAnswered(c.now, settled))
+		return append(errs, c.CheckRequestsSucceed(c.now, settled))
 	},
 	"invented": func(c *invariantCase) []error {
 		return []error{c.queried("job-2", 404, ""), c.queried("job-2", 200, wire.JobQueued)}
@@ -168,30 +168,30 @@
 		}
 		return []error{c.submitted(200, wire.JobRunning), c.submitted(200, wire.JobDone)}
 	},
-	"went_back: job-1 is called queued": func(c *invariantCase) []error {
+	"went_back: job-1 is reported as queued": func(c *invariantCase) []error {
 		// An older response that crossed the newer one is ignored; one that was sent after
 		// the user received the newer one is not.
-		c.CancellationRequested("job-1")
+		c.RecordCancellationRequest("job-1")
 		crossed := c.now
-		errs := []error{c.submitted(200, wire.JobCancelled), c.ResponseReceived(simulation.ObservedResponse{
+		errs := []error{c.submitted(200, wire.JobCancelled), c.CheckResponse(simulation.ObservedResponse{
 			SentAt: crossed, ReceivedAt: c.now.Add(time.Millisecond), Job: "job-1", Status: 200, State: wire.JobRunning,
 		})}
 		c.now = c.now.Add(time.Second)
 		return append(errs, c.submitted(200, wire.JobQueued))
 	},
-	"went_back: job-1 is called running": func(c *invariantCase) []error {
+	"went_back: job-1 is reported as running": func(c *invariantCase) []error {
 		for _, task := range []string{"job-1/0", "job-1/1", "job-1/2"} {
 			c.put(c.agent("m1", "a", true), task, wire.TaskExited, wire.ExitDone)
 			_ = c.check()
 		}
 		return []error{c.submitted(200, wire.JobRunning), c.submitted(200, wire.JobDone), c.submitted(200, wire.JobRunning)}
 	},
-	"went_back: job-1 is called cancelled, and its user did not": func(c *invariantCase) []error {
+	"went_back: job-1 is reported as cancelled although its user did not": func(c *invariantCase) []error {
 		return []error{c.submitted(201, wire.JobQueued), c.submitted(200, wire.JobCancelled)}
 	},
 	"orphaned": func(c *invariantCase) []error {
-		c.JobSubmitted(&wire.Job{ID: "job-2", Team: "blue", Tasks: 1, CPUs: 1, Spot: true, DependsOn: []string{"job-1"}})
-		c.CancellationRequested("job-1")
+		c.RecordSubmission(&wire.Job{ID: "job-2", Team: "blue", Tasks: 1, CPUs: 1, Spot: true, DependsOn: []string{"job-1"}})
+		c.RecordCancellationRequest("job-1")
 		errs := []error{c.submitted(200, wire.JobCancelled), c.queried("job-2", 200, wire.JobQueued)}
 		c.now = c.now.Add(46 * time.Second)
 		return append(errs, c.queried("job-2", 200, wire.JobQueued))
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -12,45 +12,45 @@
 	"switchshore.example/switchshore/internal/records"
 )
 
-// node is a controller process. It takes the same steps as the real one, driven by events.
+// node is a simulated controller process. It performs the same steps as the real one, as events.
 type node struct {
 	sim         *Simulation
 	id          int
 	name        string
 	zone        string
-	drift       float64 // of its clock, as a share of the time that passes
+	clockDrift  float64 // deviation of its clock per unit of elapsed time
 	up          bool
-	incarnation int // incremented by every crash; what belongs to an earlier one is void
+	incarnation int // incremented by every crash; callbacks of earlier incarnations are dropped
 
 	nonce      uint64
 	leadership *election.Leadership
 	leader     *leader.Leader
 	lease      uint64
 	writer     *kvstore.FencedWriter
-	batch      *records.Batch // being written
+	batch      *records.Batch // being written, or nil
 	budget     writeBudget
 
 	storeUnreachableUntil time.Time // requests to the key-value store get no response
-	storeRefusesUntil     time.Time // the key-value store answers 503 to this node
-	frozenUntil           time.Time // the process is suspended, while its clocks run on
-
-	previousVersion bool // runs the version without dependent jobs
-	drainsOff       bool // its operators have not turned drains on
-	admissionOff    bool // its operators have not turned admission control on
-	gate            *admission.Gate
-	peerOffers      map[string]admission.NodeOfferedLoad // from the latest heartbeats of the other nodes
+	storeRefusesUntil     time.Time // the key-value store responds with 503 to this node
+	frozenUntil           time.Time // the process is suspended while its clocks continue
+
+	previousVersion   bool // runs the version without dependent jobs
+	drainsDisabled    bool // the settings of this node have no drains
+	admissionDisabled bool // the settings of this node have no admission control
+	gate              *admission.Gate
+	peerLoads         map[string]admission.NodeOfferedLoad // from the latest heartbeats of the other nodes
 }
 
-// newNode returns a node whose process is up.
+// newNode returns a node whose process is running.
 func newNode(sim *Simulation, id int, zone string) *node {
 	return &node{
 		sim: sim, id: id, name: fmt.Sprintf("node-%d", id), zone: zone, up: true,
-		drift: (sim.rng.Float64() - 0.5) * 0.001, peerOffers: map[string]admission.NodeOfferedLoad{},
+		clockDrift: (sim.rng.Float64() - 0.5) * 0.001, peerLoads: map[string]admission.NodeOfferedLoad{},
 	}
 }
 
-// after calls run on the node after a time: if the node is frozen then, once it resumes. So a
-// frozen leader sends what it decided before only then.
+// after calls run on the node after a time, or once the node resumes if it is frozen then. A frozen
+// leader thus sends its earlier decisions only after it has resumed.
 func (n *node) after(d time.Duration, run func()) {
 	n.sim.after(d, func() {
 		if n.sim.now.Before(n.frozenUntil) {
@@ -61,16 +61,16 @@
 	})
 }
 
-// clock is the node's monotonic clock.
+// clock returns the time of the node's monotonic clock.
 func (n *node) clock() time.Time {
 	elapsed := n.sim.elapsed()
-	return n.sim.start.Add(elapsed + time.Duration(float64(elapsed)*n.drift))
+	return n.sim.start.Add(elapsed + time.Duration(float64(elapsed)*n.clockDrift))
 }
 
 // isRunning reports whether the process is up and has not crashed since the given incarnation.
 func (n *node) isRunning(incarnation int) bool { return n.up && n.incarnation == incarnation }
 
-// crash ends the process and starts it again after a time.
+// crash ends the process and restarts it after a time.
 func (n *node) crash(down time.Duration) {
 	if !n.up {
 		return
@@ -84,7 +84,7 @@
 			n.previousVersion = !n.previousVersion
 		}
 		n.up = true
-		n.gate, n.peerOffers = nil, map[string]admission.NodeOfferedLoad{}
+		n.gate, n.peerLoads = nil, map[string]admission.NodeOfferedLoad{}
 		n.electionStep(n.incarnation)
 	})
 }
@@ -99,20 +99,21 @@
 	}
 }
 
-// settings are the operators' settings of the node: of the previous version, and of a node where
-// admission control or drains are off, without them.
+// settings returns the operators' settings of the node, without admission control and drains if the
+// node runs the previous version or they are disabled there.
 func (n *node) settings() config.OperatorSettings {
 	operator := n.sim.Operator
-	if n.previousVersion || n.admissionOff {
+	if n.previousVersion || n.admissionDisabled {
 		operator.Admission = nil
 	}
-	if n.previousVersion || n.drainsOff {
+	if n.previousVersion || n.drainsDisabled {
 		operator.Drains = nil
 	}
 	return operator
 }
 
-// storeLimits are the limits of the key-value store that the node's version keeps to.
+// storeLimits returns the limits of the key-value store that the node's version respects: the
+// previous version ignores announced limits.
 func (n *node) storeLimits() config.KVStoreLimits {
 	if n.previousVersion {
 		return n.sim.Params.KVStore
@@ -120,11 +121,11 @@
 	return n.sim.Params.KVStore.Tightest()
 }
 
-// anyNode draws the node to which the load balancer sends a client.
-func (sim *Simulation) anyNode() *node { return sim.nodes[sim.rng.IntN(len(sim.nodes))] }
+// drawNode draws the node to which the load balancer sends a client's request.
+func (sim *Simulation) drawNode() *node { return sim.nodes[sim.rng.IntN(len(sim.nodes))] }
 
-// eachLeader calls do for every node that leads, or still believes so.
-func (sim *Simulation) eachLeader(do func(*node)) {
+// forEachLeader calls do for every node that leads or has not noticed yet that it was deposed.
+func (sim *Simulation) forEachLeader(do func(*node)) {
 	for _, n := range sim.nodes {
 		if n.leader != nil {
 			do(n)
@@ -132,40 +133,40 @@
 	}
 }
 
-// leaderFor is the leader that responds to a client's request at a node, nil if there is none.
+// leaderFor returns the leader that responds to a client's request sent to a node, or nil.
 func (sim *Simulation) leaderFor(target *node) *node {
 	return target.findLeader(func(n *node) bool { return n.leadership.HoldsLease(n.clock()) })
 }
 
-// leaderForHeartbeat is the leader that responds to an agent's heartbeat at a node, nil if there
-// is none. It may be in its grace period.
+// leaderForHeartbeat returns the leader that responds to an agent's heartbeat sent to a node, or
+// nil. It may be in its grace period.
 func (sim *Simulation) leaderForHeartbeat(target *node) *node {
 	grace := leader.GracePeriod(sim.Params.Workers)
 	return target.findLeader(func(n *node) bool { return n.leadership.InGracePeriod(n.clock(), grace) })
 }
 
-// findLeader is the leader of the highest term to which the node can forward a request, itself if
-// it leads; entitled tells which leaders may respond.
-func (n *node) findLeader(entitled func(*node) bool) *node {
+// findLeader returns the node itself if it leads, else the leader of the highest term to which it
+// can forward a request, or nil; mayRespond selects the leaders that may respond.
+func (n *node) findLeader(mayRespond func(*node) bool) *node {
 	if !n.up {
 		return nil
 	}
-	if n.leader != nil && entitled(n) {
+	if n.leader != nil && mayRespond(n) {
 		return n
 	}
-	var best *node
+	var newest *node
 	for _, other := range n.sim.nodes {
-		if other.leader == nil || !entitled(other) || !n.canForwardTo(other) {
+		if other.leader == nil || !mayRespond(other) || !n.canForwardTo(other) {
 			continue
 		}
-		if best == nil || other.leadership.Term > best.leadership.Term {
-			best = other
+		if newest == nil || other.leadership.Term > newest.leadership.Term {
+			newest = other
 		}
 	}
-	return best
+	return newest
 }
 
-// canForwardTo reports whether another node gets the requests that this one forwards.
+// canForwardTo reports whether requests that the node forwards reach another node.
 func (n *node) canForwardTo(other *node) bool {
 	net := n.sim.network
 	responsive := other.up && !n.sim.now.Before(other.frozenUntil)
--- a/internal/simulation/node_leader.go
+++ b/internal/simulation/node_leader.go
@@ -10,9 +10,9 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// startTerm loads the stored records and begins to lead; version is that of the leader's record.
+// startTerm loads the stored records and starts leading; version is that of the leader's record.
 func (n *node) startTerm(leadership *election.Leadership, lease, version uint64) {
-	won := n.clock()
+	electedAt := n.clock()
 	n.leadership, n.lease = leadership, lease
 	n.callStore(func() error { return nil }, func(err error) {
 		if n.leadership != leadership {
@@ -21,7 +21,7 @@
 		params := n.sim.Params
 		params.KVStore = n.storeLimits()
 		grace := leader.GracePeriod(params.Workers)
-		l := leader.New(zerolog.Nop(), params, n.settings(), leadership.Term, won, grace)
+		l := leader.New(zerolog.Nop(), params, n.settings(), leadership.Term, electedAt, grace)
 		if !n.loadRecords(l, err) {
 			n.stepDown()
 			return
@@ -30,7 +30,7 @@
 	})
 }
 
-// loadRecords reads all stored records into a new leader, and reports whether they could be read;
+// loadRecords loads all stored records into a new leader and reports whether they could be read;
 // err is the error of the request for them.
 func (n *node) loadRecords(l *leader.Leader, err error) bool {
 	for _, prefix := range records.LoadOrder {
@@ -48,18 +48,18 @@
 
 func (n *node) loadRecord(l *leader.Leader, item wire.KeyValue) {
 	if n.previousVersion {
-		known, found := PreviousVersionReads(item)
-		if !found {
+		readItem, readable := PreviousVersionReads(item)
+		if !readable {
 			return
 		}
-		item = known
+		item = readItem
 	}
 	if err := l.LoadRecord(n.clock(), n.sim.now, item); err != nil {
 		n.sim.failure = err
 	}
 }
 
-// lead begins the loops of a leader that has loaded its records.
+// lead starts the loops of a leader that has loaded its records.
 func (n *node) lead(l *leader.Leader, writer *kvstore.FencedWriter) {
 	sim := n.sim
 	l.FinishLoading(n.clock())
@@ -72,7 +72,7 @@
 	sim.replayHeartbeats()
 }
 
-// tickLoop lets the leader decide, and executes its calls to the cloud and to agents.
+// tickLoop runs the leader's periodic decisions and sends its calls to the cloud and to agents.
 func (n *node) tickLoop(l *leader.Leader) {
 	if n.leader != l {
 		return
@@ -104,7 +104,7 @@
 	n.clearLeadership()
 }
 
-// clearLeadership forgets everything that belongs to the node's leadership.
+// clearLeadership discards the state of the node's leadership.
 func (n *node) clearLeadership() {
 	n.leadership, n.leader, n.writer, n.batch = nil, nil, nil, nil
 }
--- a/internal/simulation/server_store.go
+++ b/internal/simulation/server_store.go
@@ -10,7 +10,7 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// handleStore answers a request to the key-value store, false if it is to another service.
+// handleStore handles a request to the key-value store, and returns false for other requests.
 func (s *Server) handleStore(rc *fasthttp.RequestCtx, now time.Time) bool {
 	path := string(rc.Path())
 	key, isKey := strings.CutPrefix(path, "/store/")
@@ -31,7 +31,7 @@
 	case path == "/leases":
 		var r wire.LeaseRequest
 		if decode(rc, &r) {
-			id, err := s.Store.Grant(now, time.Duration(r.TTLMS)*time.Millisecond)
+			id, err := s.Store.GrantLease(now, time.Duration(r.TTLMS)*time.Millisecond)
 			writeResponse(rc, err, wire.LeaseResponse{Lease: id})
 		}
 	case isLease:
@@ -52,10 +52,11 @@
 		s.Store.revoke(id)
 		return nil
 	}
-	return s.Store.Renew(now, id)
+	return s.Store.RenewLease(now, id)
 }
 
-// handleWatch answers once there is a newer revision or the time has run out.
+// handleWatch handles a watch request: it responds when there is a newer revision or when the
+// requested time has passed.
 func (s *Server) handleWatch(rc *fasthttp.RequestCtx) {
 	args := rc.QueryArgs()
 	since, err := strconv.ParseUint(string(args.Peek("since")), 10, 64)
@@ -79,7 +80,7 @@
 	}
 }
 
-// revision is the store's present revision.
+// revision returns the store's current revision.
 func (s *Server) revision() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
