--- a/cmd/loadtest/archive.go
+++ b/cmd/loadtest/archive.go
@@ -10,22 +10,22 @@
 )
 
 // archive packs a folder into a compressed file: logs and histories of a run together.
-func archive(folder, path string) error {
+func archive(dir, path string) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return err
 	}
-	return errors.Join(writeArchive(file, folder), file.Close())
+	return errors.Join(writeArchive(file, dir), file.Close())
 }
 
 // writeArchive writes a folder as a compressed tar stream.
-func writeArchive(w io.Writer, folder string) error {
+func writeArchive(w io.Writer, dir string) error {
 	compressed, err := zstd.NewWriter(w)
 	if err != nil {
 		return err
 	}
 	files := tar.NewWriter(compressed)
-	if err := files.AddFS(os.DirFS(folder)); err != nil {
+	if err := files.AddFS(os.DirFS(dir)); err != nil {
 		return errors.Join(err, compressed.Close())
 	}
 	return errors.Join(files.Close(), compressed.Close())
--- a/cmd/loadtest/drain.go
+++ b/cmd/loadtest/drain.go
@@ -37,10 +37,10 @@
 const (
 	drainedZone = "a"
 	// drainAt is when the zone is drained or removed; the leader is killed twice after it.
-	drainAt     = 60 * time.Second
-	firstKill   = 75 * time.Second
-	secondKill  = 115 * time.Second
-	drainWindow = 60 * time.Second
+	drainAt      = 60 * time.Second
+	firstKillAt  = 75 * time.Second
+	secondKillAt = 115 * time.Second
+	drainWindow  = 60 * time.Second
 	// drainCheckpointInterval is that of the nightly jobs.
 	drainCheckpointInterval = 5 * time.Second
 	drainTaskRunTime        = 25 * time.Second
@@ -51,11 +51,11 @@
 
 // drainVariant is one of the two runs.
 type drainVariant struct {
-	name      string
-	removeAll bool // instead of a drain
-	timing    *loadtest.DrainTiming
-	released  int // machines that were removed
-	result    *runResult
+	name             string
+	releaseAtOnce    bool // instead of a drain
+	timing           *loadtest.DrainTiming
+	releasedMachines int // machines that were removed
+	result           *runResult
 }
 
 // Run runs both variants at the same time and reports the results.
@@ -67,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	variants := []*drainVariant{{name: "drained"}, {name: "at-once", removeAll: true}}
+	variants := []*drainVariant{{name: "drained"}, {name: "at-once", releaseAtOnce: true}}
 	var group errgroup.Group
 	for _, v := range variants {
 		group.Go(func() error { return o.runVariant(ctx, binary, v) })
@@ -92,7 +92,7 @@
 // runVariant runs a variant and saves its files.
 func (o *drainCommand) runVariant(ctx context.Context, binary string, v *drainVariant) (err error) {
 	v.result, err = o.run(ctx, binary, clusterRun{
-		name: v.name, operator: o.operatorFile(), during: v.emptyZone,
+		name: v.name, operator: o.operatorFile(), concurrent: v.disruptZone,
 		cluster: loadtest.ClusterOptions{
 			Machines: 12, WriteRPS: 100, HeartbeatInterval: time.Second,
 			Zones: []string{drainedZone, "b"}, RunTime: actualRunTime,
@@ -100,17 +100,17 @@
 		load: loadtest.LoadOptions{
 			Duration: time.Duration(o.Seconds) * time.Second, JobsPerSecond: o.Rate, Seed: o.Seed,
 			TasksPerJob: 4, TaskRunTime: drainTaskRunTime, CheckpointInterval: drainCheckpointInterval,
-			OnePriority: true, KillLeaderAt: []time.Duration{firstKill, secondKill},
+			EqualPriority: true, KillLeaderAt: []time.Duration{firstKillAt, secondKillAt},
 		},
 	})
 	if err != nil {
 		return err
 	}
-	folder := o.folder(v.name)
-	if err := loadtest.SaveHistory(filepath.Join(folder, tasksName), v.result.tasks); err != nil {
+	dir := o.dir(v.name)
+	if err := loadtest.SaveHistory(filepath.Join(dir, taskEventsFileName), v.result.tasks); err != nil {
 		return err
 	}
-	return archive(folder, folder+".tar.zst")
+	return archive(dir, dir+".tar.zst")
 }
 
 // actualRunTime is that of a job's tasks: one job in four runs far longer than estimated.
@@ -123,13 +123,13 @@
 	return seconds.Duration(job.EstimateS * factor)
 }
 
-// emptyZone drains the zone, or removes its machines at once, when it is time.
-func (v *drainVariant) emptyZone(ctx context.Context, cluster *loadtest.Cluster) (err error) {
+// disruptZone drains the zone, or removes its machines at once, when it is time.
+func (v *drainVariant) disruptZone(ctx context.Context, cluster *loadtest.Cluster) (err error) {
 	if err := ctxtime.Sleep(ctx, drainAt); err != nil {
 		return err
 	}
-	if v.removeAll {
-		v.released = cluster.ReleaseZone(drainedZone)
+	if v.releaseAtOnce {
+		v.releasedMachines = cluster.ReleaseZone(drainedZone)
 		return nil
 	}
 	v.timing, err = cluster.Drain(ctx, &drain.Spec{
@@ -147,7 +147,7 @@
 		if err != nil {
 			return err
 		}
-		if !v.removeAll {
+		if !v.releaseAtOnce {
 			exceeded = loadtest.CheckBudgets(result.Disruptions, &drain.Budgets{Window: drainWindow, Default: o.budget()})
 			result.Problems = append(result.Problems, exceeded...)
 		}
@@ -165,12 +165,12 @@
 
 // check checks a variant's histories.
 func (o *drainCommand) check(v *drainVariant) (*loadtest.Result, error) {
-	plan := loadtest.Plan{Begin: warmUp, End: time.Duration(o.Seconds) * time.Second, Window: progressWindow}
-	result, err := loadtest.NewResult("zone "+v.name, v.result.exchanges, plan)
+	options := loadtest.CheckOptions{Begin: warmUp, End: time.Duration(o.Seconds) * time.Second, Window: progressWindow}
+	result, err := loadtest.NewResult("zone "+v.name, v.result.exchanges, options)
 	if err != nil {
 		return nil, err
 	}
-	result.Disruptions = loadtest.Disruptions(v.result.tasks, drainedZone, drainWindow)
+	result.Disruptions = loadtest.DisruptionsByTeam(v.result.tasks, drainedZone, drainWindow)
 	return result, nil
 }
 
@@ -179,7 +179,7 @@
 	fmt.Printf("%s: %d answers, %d problems\n", result.Name, len(v.result.exchanges), len(result.Problems))
 	for _, d := range result.Disruptions {
 		fmt.Printf("  %-7s stopped %3d (saved %3d), lost with machines %3d, run time lost %v; most unavailable %d, in a window %d evictions, %v lost\n",
-			d.Team, d.Stopped, d.Saved, d.Lost, d.LostTime.Round(time.Second), d.MostUnavailable, d.MostEvictions, d.MostLost.Round(time.Second))
+			d.Team, d.Stopped, d.Saved, d.Lost, d.LostTime.Round(time.Second), d.MaxUnavailable, d.MaxEvictions, d.MaxLostTime.Round(time.Second))
 	}
 	for _, c := range result.Classes {
 		fmt.Printf("  %-7s %-8s accepted %4d of %4d, done %4d, p50 %v\n", c.Team, c.Class, c.Accepted, c.Submitted, c.Done, c.DoneP50)
@@ -190,8 +190,8 @@
 
 // printTiming prints how the zone was emptied.
 func (v *drainVariant) printTiming() {
-	if v.removeAll {
-		fmt.Printf("  %d machines taken away at once\n", v.released)
+	if v.releaseAtOnce {
+		fmt.Printf("  %d machines taken away at once\n", v.releasedMachines)
 		return
 	}
 	fmt.Printf("  drained in %v: %+v\n", v.timing.Total.Round(time.Second), v.timing.Status.Counts)
--- a/cmd/loadtest/main_test.go
+++ b/cmd/loadtest/main_test.go
@@ -24,13 +24,13 @@
 		"overload --machines 4001", "overload --machines=-1",
 		"drain --seconds 119", "drain --seconds 601", "drain --rate 0", "drain --rate 2.1", "drain --lost=-1",
 	} {
-		folder := filepath.Join(t.TempDir(), "out")
+		dir := filepath.Join(t.TempDir(), "out")
 		var c commands
 		parser, err := kong.New(&c)
 		if err != nil {
 			t.Fatal(err)
 		}
-		command, err := parser.Parse(append(strings.Fields(args), "--out", folder))
+		command, err := parser.Parse(append(strings.Fields(args), "--out", dir))
 		if err != nil {
 			t.Fatalf("%s: %v", args, err)
 		}
@@ -38,7 +38,7 @@
 		if err := command.Run(); err == nil || !strings.Contains(err.Error(), "must be") {
 			t.Errorf("%s: %v", args, err)
 		}
-		if _, err := os.Stat(folder); err == nil {
+		if _, err := os.Stat(dir); err == nil {
 			t.Errorf("%s: something was written", args)
 		}
 	}
@@ -68,11 +68,11 @@
 
 // TestArchive: the files of a folder can be read from its archive.
 func TestArchive(t *testing.T) {
-	folder, path := t.TempDir(), filepath.Join(t.TempDir(), "run.tar.zst")
-	if err := os.WriteFile(filepath.Join(folder, "node-0.log"), []byte("started\n"), 0o600); err != nil {
+	dir, path := t.TempDir(), filepath.Join(t.TempDir(), "run.tar.zst")
+	if err := os.WriteFile(filepath.Join(dir, "node-0.log"), []byte("started\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := archive(folder, path); err != nil {
+	if err := archive(dir, path); err != nil {
 		t.Fatal(err)
 	}
 	file, err := os.Open(path)
--- a/cmd/loadtest/overload.go
+++ b/cmd/loadtest/overload.go
@@ -33,10 +33,10 @@
 const (
 	fleetTasksPerJob = 1000
 	fleetTaskRunTime = 60 * time.Second
-	// cpusPerMachine are those of the cluster's machine type; fleetSurplus is the submitted work
+	// cpusPerMachine are those of the cluster's machine type; fleetLoadFactor is the submitted work
 	// relative to the fleet's capacity.
-	cpusPerMachine = 8
-	fleetSurplus   = 3
+	cpusPerMachine  = 8
+	fleetLoadFactor = 3
 )
 
 // variant is one of the two runs.
@@ -101,9 +101,9 @@
 	if err != nil {
 		return err
 	}
-	capacity := float64(o.Machines*cpusPerMachine) / fleetTaskRunTime.Seconds() / fleetTasksPerJob // jobs a second
+	capacityPerSecond := float64(o.Machines*cpusPerMachine) / fleetTaskRunTime.Seconds() / fleetTasksPerJob // jobs a second
 	load := loadtest.LoadOptions{
-		Duration: o.duration(), JobsPerSecond: capacity * fleetSurplus, Seed: o.Seed,
+		Duration: o.duration(), JobsPerSecond: capacityPerSecond * fleetLoadFactor, Seed: o.Seed,
 		TasksPerJob: fleetTasksPerJob, TaskRunTime: fleetTaskRunTime,
 		KillLeaderAt: []time.Duration{o.duration() / 2},
 	}
@@ -117,9 +117,9 @@
 func (o *overloadCommand) runVariant(ctx context.Context, binary string, v variant, cluster loadtest.ClusterOptions, load loadtest.LoadOptions) error {
 	result, err := o.run(ctx, binary, clusterRun{
 		name: v.name, operator: v.operator, cluster: cluster, load: load,
-		during: func(ctx context.Context, c *loadtest.Cluster) error {
+		concurrent: func(ctx context.Context, c *loadtest.Cluster) error {
 			if ctxtime.Sleep(ctx, load.Duration-time.Second) == nil {
-				fmt.Println(v.name, "sockets:", c.Sockets())
+				fmt.Println(v.name, "sockets:", c.OpenFiles())
 			}
 			return nil
 		},
@@ -128,7 +128,7 @@
 		return err
 	}
 	for _, u := range result.usage {
-		fmt.Printf("%s node %d: %v of processor time, %d MiB at most\n", v.name, u.Node, u.CPU.Round(time.Second), u.MaxMemory)
+		fmt.Printf("%s node %d: %v of processor time, %d MiB at most\n", v.name, u.Node, u.CPU.Round(time.Second), u.MaxMemoryMiB)
 	}
 	return nil
 }
@@ -159,15 +159,15 @@
 	if err != nil {
 		return nil, err
 	}
-	plan := loadtest.Plan{Begin: warmUp, End: o.duration(), Window: progressWindow, Objectives: loadtest.Objectives}
-	result, err := loadtest.NewResult("admission "+v.name, history, plan)
+	options := loadtest.CheckOptions{Begin: warmUp, End: o.duration(), Window: progressWindow, Objectives: loadtest.Objectives}
+	result, err := loadtest.NewResult("admission "+v.name, history, options)
 	if err != nil {
 		return nil, err
 	}
-	fmt.Printf("%s: %d answers, Jain %.3f, %d problems\n", result.Name, len(history), result.Jain, len(result.Problems))
+	fmt.Printf("%s: %d answers, Jain %.3f, %d problems\n", result.Name, len(history), result.JainIndex, len(result.Problems))
 	for _, c := range result.Classes {
 		fmt.Printf("  %-7s %-8s asked %6d accepted %6d given up %6d tries %7d p50 %v p95 %v, done %d p50 %v\n",
-			c.Team, c.Class, c.Submitted, c.Accepted, c.Abandoned, c.Tries, c.P50, c.P95, c.Done, c.DoneP50)
+			c.Team, c.Class, c.Submitted, c.Accepted, c.Abandoned, c.SubmitRequests, c.AcceptP50, c.AcceptP95, c.Done, c.DoneP50)
 	}
 	printProblems(result.Problems)
 	return result, nil
--- a/cmd/loadtest/run.go
+++ b/cmd/loadtest/run.go
@@ -28,10 +28,10 @@
 	pollSlack = 30 * time.Second
 )
 
-// historyName is the file of a run's exchanges, tasksName that of its tasks.
+// historyFileName is the file of a run's exchanges, taskEventsFileName that of its tasks.
 const (
-	historyName = "history.parquet"
-	tasksName   = "tasks.parquet"
+	historyFileName    = "history.parquet"
+	taskEventsFileName = "tasks.parquet"
 )
 
 // clusterRun is one run of a cluster under load.
@@ -40,15 +40,15 @@
 	operator string // the operators' file
 	cluster  loadtest.ClusterOptions
 	load     loadtest.LoadOptions
-	// during, if set, runs beside the load.
-	during func(context.Context, *loadtest.Cluster) error
+	// concurrent, if set, runs beside the load.
+	concurrent func(context.Context, *loadtest.Cluster) error
 }
 
 // runResult is what a run has recorded.
 type runResult struct {
 	exchanges []loadtest.Exchange
 	tasks     []loadtest.TaskEvent
-	usage     []loadtest.Usage
+	usage     []loadtest.ResourceUsage
 }
 
 // build builds the controllers' binary.
@@ -65,24 +65,24 @@
 	return binary, command.Run()
 }
 
-// folder is where a run writes its files.
-func (o *commonOptions) folder(name string) string { return filepath.Join(o.Out, name) }
+// dir is where a run writes its files.
+func (o *commonOptions) dir(name string) string { return filepath.Join(o.Out, name) }
 
 // historyFile is the file of a run's exchanges.
 func (o *commonOptions) historyFile(name string) string {
-	return filepath.Join(o.folder(name), historyName)
+	return filepath.Join(o.dir(name), historyFileName)
 }
 
 // prepare makes an empty folder for a run, writes the operators' file there and returns its path.
 func (o *commonOptions) prepare(r clusterRun) (operatorPath string, err error) {
-	folder := o.folder(r.name)
-	if err := os.RemoveAll(folder); err != nil {
+	dir := o.dir(r.name)
+	if err := os.RemoveAll(dir); err != nil {
 		return "", err
 	}
-	if err := os.MkdirAll(folder, 0o755); err != nil {
+	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return "", err
 	}
-	operatorPath = filepath.Join(folder, "operator.xml")
+	operatorPath = filepath.Join(dir, "operator.xml")
 	return operatorPath, os.WriteFile(operatorPath, []byte(r.operator), 0o600)
 }
 
@@ -94,7 +94,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.load.Duration+loadtest.LongestObjective()+pollSlack)
 	defer cancel()
-	cluster, err := loadtest.StartCluster(ctx, binary, operatorPath, o.folder(r.name), r.cluster)
+	cluster, err := loadtest.StartCluster(ctx, binary, operatorPath, o.dir(r.name), r.cluster)
 	if err != nil {
 		return nil, err
 	}
@@ -106,7 +106,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", r.name, err)
 	}
-	result.usage = cluster.Usage()
+	result.usage = cluster.ResourceUsage()
 	return result, loadtest.SaveHistory(o.historyFile(r.name), result.exchanges)
 }
 
@@ -114,15 +114,15 @@
 func (result *runResult) measure(ctx context.Context, cluster *loadtest.Cluster, r clusterRun) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var beside errgroup.Group
-	if r.during != nil {
-		beside.Go(func() error { return r.during(ctx, cluster) })
+	var group errgroup.Group
+	if r.concurrent != nil {
+		group.Go(func() error { return r.concurrent(ctx, cluster) })
 	}
 	var err error
 	if result.exchanges, err = loadtest.RunLoad(ctx, cluster, r.load); err != nil {
 		cancel()
 	}
-	return errors.Join(err, beside.Wait())
+	return errors.Join(err, group.Wait())
 }
 
 // writeReport writes the results as a page in the folder of the run.
--- a/internal/loadtest/agents.go
+++ b/internal/loadtest/agents.go
@@ -25,7 +25,7 @@
 	machine.Addr = unusedAddress
 	agent := c.newAgent(machine)
 	recorder := c.recordTasks(agent)
-	defer recorder.machineLost()
+	defer recorder.recordMachineLost()
 	client := &fasthttp.Client{MaxConnsPerHost: 1}
 	target := int(agent.LeaseEnd.UnixNano() % nodeCount)
 	for c.ctx.Err() == nil && c.services.HasMachine(machine.Name) {
@@ -61,10 +61,10 @@
 		panic(err) // it has fields of basic types only
 	}
 	response := sendHTTP(client, addr, http.MethodPost, wire.PathHeartbeat, body, heartbeatTimeout)
-	var answer wire.HeartbeatResponse
-	if response.status != http.StatusOK || json.Unmarshal(response.body, &answer) != nil {
+	var decoded wire.HeartbeatResponse
+	if response.status != http.StatusOK || json.Unmarshal(response.body, &decoded) != nil {
 		return false
 	}
-	agent.HandleHeartbeatResponse(time.Now(), sent, agent.Epoch, answer)
+	agent.HandleHeartbeatResponse(time.Now(), sent, agent.Epoch, decoded)
 	return true
 }
--- a/internal/loadtest/check.go
+++ b/internal/loadtest/check.go
@@ -10,8 +10,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// Plan is what a history is checked against.
-type Plan struct {
+// CheckOptions is what a history is checked against.
+type CheckOptions struct {
 	// Begin and End bound the load. Every class must make progress in each Window in between.
 	Begin, End, Window time.Duration
 	// Objectives are what accepted jobs are promised.
@@ -21,10 +21,10 @@
 // Check returns the problems of a history: a job without exactly one final response, one that is
 // lost or leaves a final state, an accepted one that does not end, a class that makes no progress,
 // or of which fewer jobs are done in time than its objective promises.
-func Check(history []Exchange, plan Plan) []string {
+func Check(history []Exchange, options CheckOptions) []string {
 	problems := checkJobs(history)
-	problems = append(problems, checkProgress(history, plan)...)
-	for _, o := range plan.Objectives {
+	problems = append(problems, checkProgress(history, options)...)
+	for _, o := range options.Objectives {
 		problems = append(problems, checkObjective(history, o)...)
 	}
 	return problems
@@ -41,13 +41,13 @@
 		if e.Class != o.Class {
 			continue
 		}
-		since, accepted := acceptedAt[e.Job]
+		start, accepted := acceptedAt[e.Job]
 		switch {
 		case e.accepted() && !accepted:
 			acceptedAt[e.Job] = e.receivedAt()
 		case accepted && e.State == wire.JobDone && !done[e.Job]:
 			done[e.Job] = true
-			if e.receivedAt()-since <= o.Within {
+			if e.receivedAt()-start <= o.Within {
 				inTime++
 			}
 		}
@@ -99,9 +99,9 @@
 			return "given up after it was accepted"
 		}
 		j.abandoned = true
-	case j.accepted && refusesJob(e.Status):
+	case j.accepted && contradictsAcceptance(e.Status):
 		return fmt.Sprintf("accepted, and then answered %d", e.Status)
-	case !succeeded(int(e.Status)):
+	case !isSuccess(int(e.Status)):
 		return ""
 	case e.Op == OpQuery && !j.accepted && !j.abandoned:
 		return "known before it was accepted"
@@ -114,8 +114,8 @@
 	return ""
 }
 
-// refusesJob reports whether a status says that a job is unknown or invalid.
-func refusesJob(status int32) bool {
+// contradictsAcceptance reports whether a status says that a job is unknown or invalid.
+func contradictsAcceptance(status int32) bool {
 	return slices.Contains([]int32{http.StatusBadRequest, http.StatusNotFound, http.StatusUnprocessableEntity}, status)
 }
 
@@ -123,13 +123,13 @@
 type windowCounts struct{ submitted, accepted []int }
 
 // checkProgress finds windows in which submissions of a class were made and none was accepted.
-func checkProgress(history []Exchange, plan Plan) []string {
+func checkProgress(history []Exchange, options CheckOptions) []string {
 	var problems []string
-	counts := countByWindow(history, plan)
+	counts := countByWindow(history, options)
 	for _, class := range slices.Sorted(maps.Keys(counts)) {
 		for i, submitted := range counts[class].submitted {
 			if submitted > 0 && counts[class].accepted[i] == 0 {
-				begin := plan.Begin + time.Duration(i)*plan.Window
+				begin := options.Begin + time.Duration(i)*options.Window
 				problems = append(problems, fmt.Sprintf("%s: none of %d tries accepted from %v", class, submitted, begin))
 			}
 		}
@@ -138,17 +138,17 @@
 }
 
 // countByWindow counts the submissions by team's class and window.
-func countByWindow(history []Exchange, plan Plan) map[string]windowCounts {
-	windows := int((plan.End - plan.Begin) / plan.Window)
+func countByWindow(history []Exchange, options CheckOptions) map[string]windowCounts {
+	windows := int((options.End - options.Begin) / options.Window)
 	counts := map[string]windowCounts{}
 	for i := range history {
 		e := &history[i]
-		window := int((e.receivedAt() - plan.Begin) / plan.Window)
-		if e.Op != OpSubmit || e.receivedAt() < plan.Begin || window >= windows {
+		window := int((e.receivedAt() - options.Begin) / options.Window)
+		if e.Op != OpSubmit || e.receivedAt() < options.Begin || window >= windows {
 			continue
 		}
-		class, known := counts[e.teamClass()]
-		if !known {
+		class, found := counts[e.teamClass()]
+		if !found {
 			class = windowCounts{make([]int, windows), make([]int, windows)}
 			counts[e.teamClass()] = class
 		}
--- a/internal/loadtest/check_test.go
+++ b/internal/loadtest/check_test.go
@@ -10,14 +10,14 @@
 	"switchshore.example/switchshore/wire"
 )
 
-var plan = Plan{Begin: 0, End: 20 * time.Second, Window: 10 * time.Second, Objectives: []Objective{{"urgent", 11 * time.Second, 1}}}
+var checkOptions = CheckOptions{Begin: 0, End: 20 * time.Second, Window: 10 * time.Second, Objectives: []Objective{{"urgent", 11 * time.Second, 1}}}
 
 func submitted(job string, at int64, status int32) Exchange {
-	a := Exchange{SentMS: at, Op: OpSubmit, Job: job, Team: "blue", Class: "urgent", Status: status}
+	e := Exchange{SentMS: at, Op: OpSubmit, Job: job, Team: "blue", Class: "urgent", Status: status}
 	if status/100 == 2 {
-		a.State = wire.JobQueued
+		e.State = wire.JobQueued
 	}
-	return a
+	return e
 }
 
 func queried(job string, at int64, status int32, state string) Exchange {
@@ -35,9 +35,9 @@
 	}
 }
 
-// TestEachCheckFires: a valid history has no problem, and each kind of problem is found.
-func TestEachCheckFires(t *testing.T) {
-	if problems := Check(validHistory(), plan); len(problems) > 0 {
+// TestCheckFindsEachProblem: a valid history has no problem, and each kind of problem is found.
+func TestCheckFindsEachProblem(t *testing.T) {
+	if problems := Check(validHistory(), checkOptions); len(problems) > 0 {
 		t.Fatal(problems)
 	}
 	for name, c := range map[string]struct {
@@ -58,12 +58,12 @@
 			return h
 		}, "urgent: 1 of 2 accepted jobs done within 11s"},
 		"no progress": {func(h []Exchange) []Exchange {
-			refused, end := submitted("job-4", 17_000, 429), Exchange{SentMS: 18_000, Op: OpGiveUp, Job: "job-4", Team: "blue", Class: "nightly"}
-			refused.Class = "nightly"
-			return append(h, refused, end)
+			rejected, giveUp := submitted("job-4", 17_000, 429), Exchange{SentMS: 18_000, Op: OpGiveUp, Job: "job-4", Team: "blue", Class: "nightly"}
+			rejected.Class = "nightly"
+			return append(h, rejected, giveUp)
 		}, "blue/nightly: none of 1 tries accepted from 10s"},
 	} {
-		if found := strings.Join(Check(c.change(validHistory()), plan), "\n"); !strings.Contains(found, c.want) {
+		if found := strings.Join(Check(c.change(validHistory()), checkOptions), "\n"); !strings.Contains(found, c.want) {
 			t.Errorf("%s: found %q", name, found)
 		}
 	}
@@ -82,11 +82,11 @@
 	if err != nil || len(read) != len(written) || read[0] != validHistory()[0] {
 		t.Fatalf("%v %+v", err, read)
 	}
-	rows := Summarise(read)
-	if len(rows) != 1 || rows[0].Submitted != 3 || rows[0].Accepted != 2 || rows[0].Abandoned != 1 || rows[0].P50 != 0 || rows[0].P95 != 3*time.Second {
+	rows := SummarizeByClass(read)
+	if len(rows) != 1 || rows[0].Submitted != 3 || rows[0].Accepted != 2 || rows[0].Abandoned != 1 || rows[0].AcceptP50 != 0 || rows[0].AcceptP95 != 3*time.Second {
 		t.Errorf("%+v", rows)
 	}
-	result, err := NewResult("test", read, plan)
+	result, err := NewResult("test", read, checkOptions)
 	if err != nil || len(result.Problems) > 0 {
 		t.Fatalf("%v %+v", err, result)
 	}
@@ -102,8 +102,8 @@
 // TestJain: the index is 1 if all teams have what max-min fairness gives them, also if one submits far
 // more, and falls when a flood displaces the others.
 func TestJain(t *testing.T) {
-	fair := Jain([]ClassSummary{{Team: "a", Submitted: 1000, Accepted: 50}, {Team: "b", Submitted: 30, Accepted: 30}})
-	displaced := Jain([]ClassSummary{{Team: "a", Submitted: 1000, Accepted: 78}, {Team: "b", Submitted: 30, Accepted: 2}})
+	fair := JainIndex([]ClassSummary{{Team: "a", Submitted: 1000, Accepted: 50}, {Team: "b", Submitted: 30, Accepted: 30}})
+	displaced := JainIndex([]ClassSummary{{Team: "a", Submitted: 1000, Accepted: 78}, {Team: "b", Submitted: 30, Accepted: 2}})
 	if fair < 0.999 || displaced > 0.8 {
 		t.Errorf("fair %v, displaced %v", fair, displaced)
 	}
--- a/internal/loadtest/cluster.go
+++ b/internal/loadtest/cluster.go
@@ -33,7 +33,7 @@
 	ctx         context.Context
 	binary      string
 	operator    string
-	folder      string
+	dir         string
 	options     ClusterOptions
 	clientAddrs []string
 	peerAddrs   []string // for operators' requests
@@ -47,14 +47,14 @@
 	leader     int // -1 if unknown
 	taskEvents []TaskEvent
 	progress   map[string]time.Duration // saved run time, by task
-	usage      []Usage
+	usage      []ResourceUsage
 }
 
 // StartCluster starts the controllers, which run until the context ends; operator is the path of the
 // operators' file, or "".
-func StartCluster(ctx context.Context, binary, operator, folder string, options ClusterOptions) (*Cluster, error) {
+func StartCluster(ctx context.Context, binary, operator, dir string, options ClusterOptions) (*Cluster, error) {
 	c := &Cluster{
-		ctx: ctx, binary: binary, operator: operator, folder: folder, options: options, startedAt: time.Now(),
+		ctx: ctx, binary: binary, operator: operator, dir: dir, options: options, startedAt: time.Now(),
 		jobs: map[string]*wire.Job{}, progress: map[string]time.Duration{},
 		processes: make([]*exec.Cmd, nodeCount), leader: -1,
 		services: simulation.NewServer(wire.MachineType{
@@ -93,8 +93,8 @@
 // Wait waits for the end of all processes, after the context has ended.
 func (c *Cluster) Wait() { c.background.Wait() }
 
-// upload makes a job known to the agents.
-func (c *Cluster) upload(job *wire.Job) {
+// addJob makes a job known to the agents.
+func (c *Cluster) addJob(job *wire.Job) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.jobs[job.ID] = job
--- a/internal/loadtest/disruption.go
+++ b/internal/loadtest/disruption.go
@@ -16,26 +16,26 @@
 	// with their machines.
 	Stopped, Saved, Lost int
 	LostTime             time.Duration
-	// MostUnavailable is the largest number of stopped tasks that did not run again yet,
-	// MostEvictions and MostLost are the largest sums within a window.
-	MostUnavailable, MostEvictions int
-	MostLost                       time.Duration
+	// MaxUnavailable is the largest number of stopped tasks that did not run again yet,
+	// MaxEvictions and MostLost are the largest sums within a window.
+	MaxUnavailable, MaxEvictions int
+	MaxLostTime                  time.Duration
 }
 
-// disruption is a Disruption that is being summed up.
-type disruption struct {
+// disruptionCounter is a Disruption that is being summed up.
+type disruptionCounter struct {
 	Disruption
 	unavailable map[string]bool // stopped tasks
 	recent      []TaskEvent     // stops within the window
 }
 
-// Disruptions sums up, by team, what a history of tasks shows of a zone.
-func Disruptions(history []TaskEvent, zone string, window time.Duration) []Disruption {
-	teams := map[string]*disruption{}
+// DisruptionsByTeam sums up, by team, what a history of tasks shows of a zone.
+func DisruptionsByTeam(history []TaskEvent, zone string, window time.Duration) []Disruption {
+	teams := map[string]*disruptionCounter{}
 	for _, e := range history {
 		d := teams[e.Team]
 		if d == nil {
-			d = &disruption{Disruption: Disruption{Team: e.Team}, unavailable: map[string]bool{}}
+			d = &disruptionCounter{Disruption: Disruption{Team: e.Team}, unavailable: map[string]bool{}}
 			teams[e.Team] = d
 		}
 		switch {
@@ -53,8 +53,8 @@
 }
 
 // add counts a task that was stopped or lost.
-func (d *disruption) add(e TaskEvent, window time.Duration) {
-	d.LostTime += lostTime(e)
+func (d *disruptionCounter) add(e TaskEvent, window time.Duration) {
+	d.LostTime += sumLostTime(e)
 	if e.Event == TaskLost {
 		d.Lost++
 		return
@@ -68,13 +68,13 @@
 	for time.Duration(e.AtMS-d.recent[0].AtMS)*time.Millisecond >= window {
 		d.recent = d.recent[1:]
 	}
-	d.MostUnavailable = max(d.MostUnavailable, len(d.unavailable))
-	d.MostEvictions = max(d.MostEvictions, len(d.recent))
-	d.MostLost = max(d.MostLost, lostTime(d.recent...))
+	d.MaxUnavailable = max(d.MaxUnavailable, len(d.unavailable))
+	d.MaxEvictions = max(d.MaxEvictions, len(d.recent))
+	d.MaxLostTime = max(d.MaxLostTime, sumLostTime(d.recent...))
 }
 
-// lostTime is the run time that some events lost.
-func lostTime(events ...TaskEvent) time.Duration {
+// sumLostTime is the run time that some events lost.
+func sumLostTime(events ...TaskEvent) time.Duration {
 	sum := time.Duration(0)
 	for _, e := range events {
 		sum += time.Duration(e.LostMS) * time.Millisecond
@@ -87,9 +87,9 @@
 	var problems []string
 	for _, d := range disruptions {
 		b := budgets.For(d.Team)
-		if d.MostUnavailable > b.MaxUnavailable || d.MostEvictions > b.Evictions || d.MostLost.Seconds() > b.LostS {
+		if d.MaxUnavailable > b.MaxUnavailable || d.MaxEvictions > b.Evictions || d.MaxLostTime.Seconds() > b.LostS {
 			problems = append(problems, fmt.Sprintf("%s: %d unavailable of %d, %d evictions of %d, %v lost of %gs", d.Team,
-				d.MostUnavailable, b.MaxUnavailable, d.MostEvictions, b.Evictions, d.MostLost, b.LostS))
+				d.MaxUnavailable, b.MaxUnavailable, d.MaxEvictions, b.Evictions, d.MaxLostTime, b.LostS))
 		}
 	}
 	return problems
--- a/internal/loadtest/disruption_test.go
+++ b/internal/loadtest/disruption_test.go
@@ -9,8 +9,8 @@
 )
 
 // event is an event of a task of team blue in zone a, which lost some run time.
-func event(at time.Duration, task, what string, lost time.Duration) TaskEvent {
-	return TaskEvent{AtMS: at.Milliseconds(), Zone: "a", Task: task, Team: "blue", Event: what, LostMS: lost.Milliseconds()}
+func event(at time.Duration, task, kind string, lost time.Duration) TaskEvent {
+	return TaskEvent{AtMS: at.Milliseconds(), Zone: "a", Task: task, Team: "blue", Event: kind, LostMS: lost.Milliseconds()}
 }
 
 // TestDisruptionsAndBudgets: stops count until the task runs again, and within the window; a lost
@@ -24,15 +24,15 @@
 		other, event(4*second, "job-1/0", TaskStarted, 0), event(5*second, "job-1/2", TaskLost, 30*second),
 		event(40*second, "job-1/3", TaskStopped, 5*second), event(70*second, "job-1/4", TaskStopped, 7*second),
 	}
-	found := Disruptions(history, "a", time.Minute)
+	found := DisruptionsByTeam(history, "a", time.Minute)
 	want := Disruption{
-		Team: "blue", Stopped: 4, Saved: 1, Lost: 1, LostTime: 52 * second, MostUnavailable: 3, MostEvictions: 3, MostLost: 15 * second,
+		Team: "blue", Stopped: 4, Saved: 1, Lost: 1, LostTime: 52 * second, MaxUnavailable: 3, MaxEvictions: 3, MaxLostTime: 15 * second,
 	}
 	if len(found) != 1 || found[0] != want {
 		t.Fatalf("%+v", found)
 	}
-	kept := drain.Budget{MaxUnavailable: 3, Evictions: 3, LostS: 15}
-	if p := CheckBudgets(found, &drain.Budgets{Default: kept}); len(p) > 0 {
+	sufficient := drain.Budget{MaxUnavailable: 3, Evictions: 3, LostS: 15}
+	if p := CheckBudgets(found, &drain.Budgets{Default: sufficient}); len(p) > 0 {
 		t.Error(p)
 	}
 	for _, b := range []drain.Budget{{MaxUnavailable: 2, Evictions: 3, LostS: 15}, {MaxUnavailable: 3, Evictions: 2, LostS: 15}, {MaxUnavailable: 3, Evictions: 3, LostS: 14}} {
--- a/internal/loadtest/drain.go
+++ b/internal/loadtest/drain.go
@@ -48,9 +48,9 @@
 		switch {
 		case err != nil:
 			// Another controller may answer.
-		case succeeded(response.Status) && len(response.Drains) == 1:
+		case isSuccess(response.Status) && len(response.Drains) == 1:
 			return response.Drains[0], nil
-		case refused(response.Status):
+		case isClientError(response.Status):
 			return drain.Status{}, &RefusedError{response.Status, response.Reason}
 		}
 		if err := ctxtime.Sleep(ctx, pollInterval); err != nil {
--- a/internal/loadtest/history.go
+++ b/internal/loadtest/history.go
@@ -33,7 +33,7 @@
 }
 
 // accepted reports whether the response says that the job is accepted.
-func (e *Exchange) accepted() bool { return e.Op == OpSubmit && succeeded(int(e.Status)) }
+func (e *Exchange) accepted() bool { return e.Op == OpSubmit && isSuccess(int(e.Status)) }
 
 // teamClass is the team and class that the exchange counts under.
 func (e *Exchange) teamClass() string { return e.Team + "/" + e.Class }
--- a/internal/loadtest/http.go
+++ b/internal/loadtest/http.go
@@ -13,11 +13,11 @@
 	body       []byte
 }
 
-// succeeded reports whether a status is one of success.
-func succeeded(status int) bool { return status/100 == 2 }
+// isSuccess reports whether a status is one of success.
+func isSuccess(status int) bool { return status/100 == 2 }
 
-// refused reports whether a status says that the request itself is at fault.
-func refused(status int) bool { return status/100 == 4 }
+// isClientError reports whether a status says that the request itself is at fault.
+func isClientError(status int) bool { return status/100 == 4 }
 
 // sendHTTP sends a request to an address on loopback.
 func sendHTTP(client *fasthttp.Client, addr, method, path string, body []byte, timeout time.Duration) httpResponse {
--- a/internal/loadtest/load.go
+++ b/internal/loadtest/load.go
@@ -26,8 +26,8 @@
 	TaskRunTime   time.Duration
 	// CheckpointInterval is that of the tasks of the class "nightly", 0 for no checkpoints.
 	CheckpointInterval time.Duration
-	// OnePriority gives all jobs the same priority, so that none is preempted.
-	OnePriority bool
+	// EqualPriority gives all jobs the same priority, so that none is preempted.
+	EqualPriority bool
 	// KillLeaderAt are the times at which the leader is killed.
 	KillLeaderAt []time.Duration
 	// Flood lets a script of one team submit as many jobs again, and two teams in bursts.
@@ -114,10 +114,10 @@
 func (g *loadGenerator) submitStream(ctx context.Context, s jobStream) {
 	perSecond := g.options.JobsPerSecond * s.rateShare
 	for time.Since(g.startedAt) < g.options.Duration {
-		if ctxtime.Sleep(ctx, g.drawInterval(perSecond)) != nil {
+		if ctxtime.Sleep(ctx, g.randomInterval(perSecond)) != nil {
 			return
 		}
-		g.startUser(ctx, g.newJob(s), g.anyNode())
+		g.startUser(ctx, g.newJob(s), g.randomNode())
 	}
 }
 
@@ -142,25 +142,25 @@
 		ID: id, Class: s.class, Team: s.team, Kind: wire.KindArray, Priority: s.priority, Tasks: g.options.TasksPerJob,
 		CPUs: 1, MemoryGB: 1, Image: "img", ImageGB: 0.1, Spot: true, EstimateS: g.options.TaskRunTime.Seconds(),
 	}
-	if g.options.OnePriority {
+	if g.options.EqualPriority {
 		job.Priority = wire.PriorityNormal
 	}
 	if s.class == "nightly" && g.options.CheckpointInterval > 0 {
 		job.CheckpointIntervalS, job.CheckpointSaveS = g.options.CheckpointInterval.Seconds(), checkpointSaveTime.Seconds()
 	}
-	g.cluster.upload(job)
+	g.cluster.addJob(job)
 	return job
 }
 
-// drawInterval draws the time to the next of events of a rate.
-func (g *loadGenerator) drawInterval(perSecond float64) time.Duration {
+// randomInterval draws the time to the next of events of a rate.
+func (g *loadGenerator) randomInterval(perSecond float64) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return seconds.Duration(g.rng.ExpFloat64() / perSecond)
 }
 
-// anyNode draws a controller.
-func (g *loadGenerator) anyNode() int32 {
+// randomNode draws a controller.
+func (g *loadGenerator) randomNode() int32 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.rng.Int32N(nodeCount)
--- a/internal/loadtest/plot.go
+++ b/internal/loadtest/plot.go
@@ -20,8 +20,8 @@
 	plotHeight = 9 * vg.Centimeter
 )
 
-// acceptedByTeam are the jobs accepted a second, over time.
-func acceptedByTeam(history []Exchange) map[string]plotter.XYs {
+// acceptRateByTeam are the jobs accepted a second, over time.
+func acceptRateByTeam(history []Exchange) map[string]plotter.XYs {
 	lines := map[string]plotter.XYs{}
 	seen := map[string]bool{}
 	for i := range history {
@@ -40,8 +40,8 @@
 	return lines
 }
 
-// waitsByTeam are the distributions of the times from the first try to the acceptance.
-func waitsByTeam(history []Exchange) map[string]plotter.XYs {
+// acceptTimeByTeam are the distributions of the times from the first try to the acceptance.
+func acceptTimeByTeam(history []Exchange) map[string]plotter.XYs {
 	first := map[string]int64{}
 	waits := map[string][]float64{}
 	seen := map[string]bool{}
@@ -65,8 +65,8 @@
 	return lines
 }
 
-// drawLines plots lines as a PNG image that is embedded in the page.
-func drawLines(title, x, y string, lines map[string]plotter.XYs) (template.URL, error) {
+// plotLines plots lines as a PNG image that is embedded in the page.
+func plotLines(title, x, y string, lines map[string]plotter.XYs) (template.URL, error) {
 	p := plot.New()
 	p.Legend.Top, p.Legend.Left = true, true
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
--- a/internal/loadtest/process.go
+++ b/internal/loadtest/process.go
@@ -21,11 +21,11 @@
 // ErrNoLeader is returned when no controller is known to lead.
 var ErrNoLeader = errors.New("no controller leads")
 
-// Usage is what a controller's process has used when it ended.
-type Usage struct {
-	Node      int
-	CPU       time.Duration
-	MaxMemory int64 // MiB
+// ResourceUsage is what a controller's process has used when it ended.
+type ResourceUsage struct {
+	Node         int
+	CPU          time.Duration
+	MaxMemoryMiB int64 // MiB
 }
 
 // startNode starts a controller. Its log is kept, and tells when it leads.
@@ -100,24 +100,24 @@
 
 // recordUsage records what a process that has ended has used.
 func (c *Cluster) recordUsage(node int, state *os.ProcessState) {
-	usage := Usage{Node: node, CPU: state.UserTime() + state.SystemTime()}
+	usage := ResourceUsage{Node: node, CPU: state.UserTime() + state.SystemTime()}
 	if r, ok := state.SysUsage().(*syscall.Rusage); ok {
-		usage.MaxMemory = r.Maxrss / 1024
+		usage.MaxMemoryMiB = r.Maxrss / 1024
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.usage = append(c.usage, usage)
 }
 
-// Usage is what the processes that have ended have used.
-func (c *Cluster) Usage() []Usage {
+// ResourceUsage is what the processes that have ended have used.
+func (c *Cluster) ResourceUsage() []ResourceUsage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.usage
 }
 
-// Sockets is the number of files and sockets that each controller has open now.
-func (c *Cluster) Sockets() []int {
+// OpenFiles is the number of files and sockets that each controller has open now.
+func (c *Cluster) OpenFiles() []int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	open := make([]int, nodeCount)
--- a/internal/loadtest/settings.go
+++ b/internal/loadtest/settings.go
@@ -133,5 +133,5 @@
 
 // path is a file of a controller.
 func (c *Cluster) path(node int, extension string) string {
-	return filepath.Join(c.folder, fmt.Sprintf("node-%d.%s", node, extension))
+	return filepath.Join(c.dir, fmt.Sprintf("node-%d.%s", node, extension))
 }
--- a/internal/loadtest/settings_test.go
+++ b/internal/loadtest/settings_test.go
@@ -12,7 +12,7 @@
 // its own and the other controllers as peers.
 func TestSettingsAreValid(t *testing.T) {
 	options := ClusterOptions{WriteRPS: 40, HeartbeatInterval: time.Second, Zones: []string{"a", "b"}}
-	c := &Cluster{folder: t.TempDir(), options: options}
+	c := &Cluster{dir: t.TempDir(), options: options}
 	if err := c.writeSettings("127.0.0.1:1"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/loadtest/summary.go
+++ b/internal/loadtest/summary.go
@@ -14,30 +14,30 @@
 type ClassSummary struct {
 	Team, Class                    string
 	Submitted, Accepted, Abandoned int // jobs
-	Tries                          int
-	// P50 and P95 are times from the first try to the acceptance, of accepted jobs.
-	P50, P95 time.Duration
+	SubmitRequests                 int
+	// AcceptP50 and AcceptP95 are times from the first try to the acceptance, of accepted jobs.
+	AcceptP50, AcceptP95 time.Duration
 	// Done are the jobs reported done, DoneP50 the time from the first try to that.
 	Done    int
 	DoneP50 time.Duration
 }
 
-// summary is a ClassSummary that is being made.
-type summary struct {
+// summaryBuilder is a ClassSummary that is being made.
+type summaryBuilder struct {
 	ClassSummary
 	acceptTimes, doneTimes []time.Duration
 }
 
-// Summarise sums a history up, by team and class.
-func Summarise(history []Exchange) []ClassSummary {
-	classes := map[string]*summary{}
+// SummarizeByClass sums a history up, by team and class.
+func SummarizeByClass(history []Exchange) []ClassSummary {
+	classes := map[string]*summaryBuilder{}
 	firstSent := map[string]time.Duration{}
 	accepted := map[string]bool{}
 	for i := range history {
 		e := &history[i]
 		s := classes[e.teamClass()]
 		if s == nil {
-			s = &summary{ClassSummary: ClassSummary{Team: e.Team, Class: e.Class}}
+			s = &summaryBuilder{ClassSummary: ClassSummary{Team: e.Team, Class: e.Class}}
 			classes[e.teamClass()] = s
 		}
 		if _, known := firstSent[e.Job]; !known {
@@ -48,19 +48,19 @@
 	}
 	var summaries []ClassSummary
 	for _, class := range slices.Sorted(maps.Keys(classes)) {
-		summaries = append(summaries, classes[class].finish())
+		summaries = append(summaries, classes[class].build())
 	}
 	return summaries
 }
 
 // add counts an exchange that ended a time after the job's first try; accepted are the jobs that
 // were counted as accepted.
-func (s *summary) add(e *Exchange, sinceFirst time.Duration, accepted map[string]bool) {
+func (s *summaryBuilder) add(e *Exchange, sinceFirst time.Duration, accepted map[string]bool) {
 	switch {
 	case e.Op == OpGiveUp:
 		s.Abandoned++
 	case e.Op == OpSubmit:
-		s.Tries++
+		s.SubmitRequests++
 		if e.accepted() && !accepted[e.Job] {
 			accepted[e.Job] = true
 			s.Accepted++
@@ -72,9 +72,9 @@
 	}
 }
 
-// finish computes the quantiles.
-func (s *summary) finish() ClassSummary {
-	s.P50, s.P95 = quantile(s.acceptTimes, 0.5), quantile(s.acceptTimes, 0.95)
+// build computes the quantiles.
+func (s *summaryBuilder) build() ClassSummary {
+	s.AcceptP50, s.AcceptP95 = quantile(s.acceptTimes, 0.5), quantile(s.acceptTimes, 0.95)
 	s.Done, s.DoneP50 = len(s.doneTimes), quantile(s.doneTimes, 0.5)
 	return s.ClassSummary
 }
@@ -88,9 +88,9 @@
 	return sorted[int(math.Ceil(share*float64(len(sorted))))-1]
 }
 
-// Jain is Jain's fairness index over the teams: of the accepted jobs of each, relative to those that
+// JainIndex is JainIndex's fairness index over the teams: of the accepted jobs of each, relative to those that
 // it would have if all accepted jobs were shared by max-min fairness. 1 is the fairest.
-func Jain(summaries []ClassSummary) float64 {
+func JainIndex(summaries []ClassSummary) float64 {
 	submitted, accepted := map[string]float64{}, map[string]float64{}
 	total := 0.0
 	for _, s := range summaries {
--- a/internal/loadtest/tasks.go
+++ b/internal/loadtest/tasks.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// machineLost records all running tasks as lost, unless the measurement has ended.
-func (r *taskRecorder) machineLost() {
+// recordMachineLost records all running tasks as lost, unless the measurement has ended.
+func (r *taskRecorder) recordMachineLost() {
 	if r.cluster.ctx.Err() != nil {
 		return
 	}
--- a/internal/loadtest/user.go
+++ b/internal/loadtest/user.go
@@ -52,7 +52,7 @@
 		if ctxtime.Sleep(ctx, delay) != nil {
 			return false
 		}
-		node = g.anyNode()
+		node = g.randomNode()
 	}
 	return false
 }
@@ -67,7 +67,7 @@
 // poll queries an accepted job until it ends.
 func (g *loadGenerator) poll(ctx context.Context, job *wire.Job) {
 	for ctxtime.Sleep(ctx, userPollInterval+g.jitter(time.Second)) == nil {
-		query := Exchange{Op: OpQuery, Job: job.ID, Team: job.Team, Class: job.Class, Node: g.anyNode()}
+		query := Exchange{Op: OpQuery, Job: job.ID, Team: job.Team, Class: job.Class, Node: g.randomNode()}
 		e := g.send(query, http.MethodGet, wire.PathJobs+"/"+job.ID, nil, queryTimeout)
 		if e.Status == http.StatusOK && wire.IsTerminal(e.State) {
 			return
