--- a/cmd/loadtest/archive.go
+++ b/cmd/loadtest/archive.go
@@ -9,7 +9,7 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// archive packs a folder into a compressed file: logs and histories of a run together.
+// archive packs a directory, such as the logs and histories of a run, into a zstd-compressed tar file.
 func archive(dir, path string) error {
 	file, err := os.Create(path)
 	if err != nil {
@@ -18,7 +18,7 @@
 	return errors.Join(writeArchive(file, dir), file.Close())
 }
 
-// writeArchive writes a folder as a compressed tar stream.
+// writeArchive writes a directory as a zstd-compressed tar stream.
 func writeArchive(w io.Writer, dir string) error {
 	compressed, err := zstd.NewWriter(w)
 	if err != nil {
--- a/cmd/loadtest/drain.go
+++ b/cmd/loadtest/drain.go
@@ -19,7 +19,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// drainCommand measures a drain under load, and compares it with the loss of the zone at once.
+// drainCommand measures the drain of a zone under load and compares it with the release of all machines
+// of the zone at once.
 type drainCommand struct {
 	commonOptions
 	Seconds int     `help:"How long the load lasts, 120 to 600." default:"180"`
@@ -27,7 +28,7 @@
 	Lost    float64 `help:"Run time that each team may lose in a minute, in seconds." default:"100"`
 }
 
-// Bounds of the options.
+// Limits of the options.
 const (
 	minDrainSeconds = 120
 	maxDrainSeconds = 600
@@ -36,29 +37,29 @@
 
 const (
 	drainedZone = "a"
-	// drainAt is when the zone is drained or removed; the leader is killed twice after it.
+	// drainAt is when the drain starts or the zone is released. The leader is killed twice after it.
 	drainAt      = 60 * time.Second
 	firstKillAt  = 75 * time.Second
 	secondKillAt = 115 * time.Second
 	drainWindow  = 60 * time.Second
-	// drainCheckpointInterval is that of the nightly jobs.
+	// drainCheckpointInterval is the checkpoint interval of the nightly jobs.
 	drainCheckpointInterval = 5 * time.Second
 	drainTaskRunTime        = 25 * time.Second
 )
 
-// drainOperatorFormat is the operators' file.
+// drainOperatorFormat is the format of the operator settings.
 const drainOperatorFormat = `<switchshore><admission/><drains windowSeconds="%g"><budget maxUnavailable="%d" evictions="%d" lostSeconds="%g"/></drains></switchshore>`
 
-// drainVariant is one of the two runs.
+// drainVariant is one of the two runs that are compared.
 type drainVariant struct {
 	name             string
-	releaseAtOnce    bool // instead of a drain
+	releaseAtOnce    bool // release the zone instead of draining it
 	timing           *loadtest.DrainTiming
-	releasedMachines int // machines that were removed
+	releasedMachines int // number of machines released at once
 	result           *runResult
 }
 
-// Run runs both variants at the same time and reports the results.
+// Run runs both variants concurrently and reports the results.
 func (o *drainCommand) Run(ctx context.Context) error {
 	if o.Seconds < minDrainSeconds || o.Seconds > maxDrainSeconds || o.Rate <= 0 || o.Rate > maxDrainRate || o.Lost < 0 {
 		return fmt.Errorf("--seconds must be %d to %d, --rate above 0 and at most %d, --lost not below 0", minDrainSeconds, maxDrainSeconds, maxDrainRate)
@@ -78,18 +79,18 @@
 	return o.report(variants)
 }
 
-// budget is that of each team.
+// budget returns the disruption budget of each team.
 func (o *drainCommand) budget() drain.Budget {
 	return drain.Budget{MaxUnavailable: 8, Evictions: 30, LostS: o.Lost}
 }
 
-// operatorFile is the operators' file with the budget.
+// operatorFile returns the operator settings with the budget.
 func (o *drainCommand) operatorFile() string {
 	b := o.budget()
 	return fmt.Sprintf(drainOperatorFormat, drainWindow.Seconds(), b.MaxUnavailable, b.Evictions, b.LostS)
 }
 
-// runVariant runs a variant and saves its files.
+// runVariant runs a variant, saves its task history and packs its files.
 func (o *drainCommand) runVariant(ctx context.Context, binary string, v *drainVariant) (err error) {
 	v.result, err = o.run(ctx, binary, clusterRun{
 		name: v.name, operator: o.operatorFile(), concurrent: v.disruptZone,
@@ -113,17 +114,17 @@
 	return archive(dir, dir+".tar.zst")
 }
 
-// actualRunTime is that of a job's tasks: one job in four runs far longer than estimated.
+// actualRunTime returns how long a job's tasks run: for one job in four, four times as long as estimated.
 func actualRunTime(job *wire.Job) time.Duration {
 	number, err := strconv.Atoi(strings.TrimPrefix(job.ID, "job-"))
 	if err != nil {
-		number = 0 // not an id of the load
+		number = 0 // not a job of the load generator
 	}
 	factor := []float64{0.5, 1, 1, 4}[number%4]
 	return seconds.Duration(job.EstimateS * factor)
 }
 
-// disruptZone drains the zone, or removes its machines at once, when it is time.
+// disruptZone drains the zone, or releases its machines at once, after drainAt.
 func (v *drainVariant) disruptZone(ctx context.Context, cluster *loadtest.Cluster) (err error) {
 	if err := ctxtime.Sleep(ctx, drainAt); err != nil {
 		return err
@@ -138,7 +139,8 @@
 	return err
 }
 
-// report prints and draws both runs; a budget that is exceeded is an error.
+// report prints the results of both runs and writes the report. It returns an error if the drain
+// exceeded a budget.
 func (o *drainCommand) report(variants []*drainVariant) error {
 	var results []*loadtest.Result
 	var exceeded []string
@@ -163,7 +165,7 @@
 	return nil
 }
 
-// check checks a variant's histories.
+// check checks a variant's exchanges and computes its disruptions.
 func (o *drainCommand) check(v *drainVariant) (*loadtest.Result, error) {
 	options := loadtest.CheckOptions{Begin: warmUp, End: time.Duration(o.Seconds) * time.Second, Window: progressWindow}
 	result, err := loadtest.NewResult("zone "+v.name, v.result.exchanges, options)
@@ -188,7 +190,7 @@
 	printProblems(result.Problems)
 }
 
-// printTiming prints how the zone was emptied.
+// printTiming prints the duration and the waits of the drain, or the number of machines released.
 func (v *drainVariant) printTiming() {
 	if v.releaseAtOnce {
 		fmt.Printf("  %d machines taken away at once\n", v.releasedMachines)
--- a/cmd/loadtest/main.go
+++ b/cmd/loadtest/main.go
@@ -1,6 +1,6 @@
-// Command loadtest measures controllers under load: clusters of three controllers each, as
-// processes on loopback with a simulated cloud, store and agents. It is bounded in rate and time,
-// and writes histories and a report.
+// Command loadtest measures controllers under load. It runs clusters of three controllers each, as
+// processes on loopback with a simulated cloud, key-value store and agents, at a limited rate and for a
+// limited time, and writes the recorded histories and a report.
 package main
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// commands are the measurements.
+// commands are the subcommands, one for each load test.
 type commands struct {
 	Overload overloadCommand `cmd:"" help:"Admission control under overload, on and off; or what a fleet of many machines costs."`
 	Drain    drainCommand    `cmd:"" help:"A zone drained with replacement while the leader is killed twice, and the same zone taken away at once."`
--- a/cmd/loadtest/main_test.go
+++ b/cmd/loadtest/main_test.go
@@ -17,7 +17,7 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// TestOptionsOutOfBounds: a measurement beyond its bounds is refused before anything is started.
+// TestOptionsOutOfBounds: options outside their limits are rejected before any file is written.
 func TestOptionsOutOfBounds(t *testing.T) {
 	for _, args := range []string{
 		"overload --seconds 59", "overload --seconds 1201", "overload --rate 0", "overload --rate 101",
@@ -39,12 +39,12 @@
 			t.Errorf("%s: %v", args, err)
 		}
 		if _, err := os.Stat(dir); err == nil {
-			t.Errorf("%s: something was written", args)
+			t.Errorf("%s: the output directory was created", args)
 		}
 	}
 }
 
-// TestOperatorFilesAreValid: the service accepts the operators' files of all runs.
+// TestOperatorFilesAreValid: the service accepts the operator settings of all runs.
 func TestOperatorFilesAreValid(t *testing.T) {
 	params := &config.Params{Teams: []config.Team{{Name: "blue"}}}
 	drains := (&drainCommand{Lost: 100}).operatorFile()
@@ -55,7 +55,7 @@
 	}
 }
 
-// TestActualRunTime: one job in four runs far longer than estimated.
+// TestActualRunTime: one job in four runs four times as long as estimated.
 func TestActualRunTime(t *testing.T) {
 	for id, want := range map[string]time.Duration{
 		"job-000004": 5 * time.Second, "job-000005": 10 * time.Second, "job-000007": 40 * time.Second,
@@ -66,7 +66,7 @@
 	}
 }
 
-// TestArchive: the files of a folder can be read from its archive.
+// TestArchive: an archived file can be read back with its name and content.
 func TestArchive(t *testing.T) {
 	dir, path := t.TempDir(), filepath.Join(t.TempDir(), "run.tar.zst")
 	if err := os.WriteFile(filepath.Join(dir, "node-0.log"), []byte("started\n"), 0o600); err != nil {
--- a/cmd/loadtest/overload.go
+++ b/cmd/loadtest/overload.go
@@ -11,8 +11,9 @@
 	"switchshore.example/switchshore/internal/loadtest"
 )
 
-// overloadCommand measures admission control: two clusters of three controllers each, one with
-// admission control on and one with it off, get the same load, several times their capacity.
+// overloadCommand measures admission control. Two clusters of three controllers each, one with
+// admission control enabled and one with it disabled, get the same load of several times their
+// capacity.
 type overloadCommand struct {
 	commonOptions
 	Seconds  int     `help:"How long the load lasts, at most 1200." default:"600"`
@@ -21,7 +22,7 @@
 	Report   bool    `help:"Only check the histories that are there and write the report."`
 }
 
-// Bounds of a run: it shares the machine with whatever else runs there.
+// Limits of the options, because a run shares its host with other processes.
 const (
 	minSeconds  = 60
 	maxSeconds  = 1200
@@ -33,13 +34,13 @@
 const (
 	fleetTasksPerJob = 1000
 	fleetTaskRunTime = 60 * time.Second
-	// cpusPerMachine are those of the cluster's machine type; fleetLoadFactor is the submitted work
-	// relative to the fleet's capacity.
+	// cpusPerMachine is the number of CPUs of the cluster's machine type. fleetLoadFactor is the submitted
+	// work divided by the fleet's capacity.
 	cpusPerMachine  = 8
 	fleetLoadFactor = 3
 )
 
-// variant is one of the two runs.
+// variant is one of the two runs that are compared.
 type variant struct{ name, operator string }
 
 var (
@@ -47,7 +48,7 @@
 	admissionOff = variant{"off", "<switchshore/>"}
 )
 
-// Run measures, and writes the report.
+// Run measures both variants and writes the report, or measures a fleet if Machines is set.
 func (o *overloadCommand) Run(ctx context.Context) error {
 	if err := o.validate(); err != nil {
 		return err
@@ -63,7 +64,7 @@
 	return o.report()
 }
 
-// validate checks the options against the bounds.
+// validate returns an error if an option is outside its limits.
 func (o *overloadCommand) validate() error {
 	if o.Seconds < minSeconds || o.Seconds > maxSeconds || o.Rate <= 0 || o.Rate > maxRate {
 		return fmt.Errorf("--seconds must be %d to %d, --rate above 0 and at most %d", minSeconds, maxSeconds, maxRate)
@@ -74,10 +75,10 @@
 	return nil
 }
 
-// duration is how long the load lasts.
+// duration returns how long jobs are submitted.
 func (o *overloadCommand) duration() time.Duration { return time.Duration(o.Seconds) * time.Second }
 
-// measure runs both variants at the same time.
+// measure runs both variants concurrently.
 func (o *overloadCommand) measure(ctx context.Context) error {
 	binary, err := o.build(ctx)
 	if err != nil {
@@ -95,7 +96,8 @@
 	return group.Wait()
 }
 
-// measureFleet keeps a fleet of the given size busy and prints what that costs the controllers.
+// measureFleet keeps a fleet of o.Machines machines busy and prints the resource usage of the
+// controllers.
 func (o *overloadCommand) measureFleet(ctx context.Context) error {
 	binary, err := o.build(ctx)
 	if err != nil {
@@ -113,7 +115,8 @@
 	return o.runVariant(ctx, binary, admissionOn, cluster, load)
 }
 
-// runVariant runs one variant and prints what its controllers have used.
+// runVariant runs one variant. It prints the number of open files shortly before the load ends, and the
+// resource usage of the controllers at the end.
 func (o *overloadCommand) runVariant(ctx context.Context, binary string, v variant, cluster loadtest.ClusterOptions, load loadtest.LoadOptions) error {
 	result, err := o.run(ctx, binary, clusterRun{
 		name: v.name, operator: v.operator, cluster: cluster, load: load,
@@ -133,8 +136,8 @@
 	return nil
 }
 
-// report checks the histories and writes the page; a problem in the run with admission control on is
-// an error.
+// report checks the histories and writes the report. It returns an error if the run with admission
+// control has problems.
 func (o *overloadCommand) report() error {
 	on, err := o.checkVariant(admissionOn)
 	if err != nil {
@@ -153,7 +156,7 @@
 	return nil
 }
 
-// checkVariant checks a variant's history and prints the result.
+// checkVariant checks a variant's saved history and prints the result.
 func (o *overloadCommand) checkVariant(v variant) (*loadtest.Result, error) {
 	history, err := loadtest.LoadHistory(o.historyFile(v.name))
 	if err != nil {
--- a/cmd/loadtest/run.go
+++ b/cmd/loadtest/run.go
@@ -14,17 +14,17 @@
 	"switchshore.example/switchshore/internal/loadtest"
 )
 
-// commonOptions are the options of all measurements.
+// commonOptions are the options that all subcommands share.
 type commonOptions struct {
 	Seed uint64 `help:"Seed of the load." default:"1"`
 	Out  string `help:"Folder for binary, settings, logs, histories and the report." default:"target/loadtest"`
 }
 
-// Bounds of the progress check, and of a run.
+// Times of the checks and of a run.
 const (
 	progressWindow = 30 * time.Second
 	warmUp         = 30 * time.Second
-	// pollSlack is how long after a job's end its user may learn of it.
+	// pollSlack is the additional time of a run in which users can learn that their jobs have ended.
 	pollSlack = 30 * time.Second
 )
 
@@ -34,24 +34,24 @@
 	taskEventsFileName = "tasks.parquet"
 )
 
-// clusterRun is one run of a cluster under load.
+// clusterRun describes a run of a cluster under load.
 type clusterRun struct {
-	name     string // also of its folder
-	operator string // the operators' file
+	name     string // also the name of its directory
+	operator string // content of the operator settings
 	cluster  loadtest.ClusterOptions
 	load     loadtest.LoadOptions
-	// concurrent, if set, runs beside the load.
+	// concurrent, if set, runs concurrently with the load.
 	concurrent func(context.Context, *loadtest.Cluster) error
 }
 
-// runResult is what a run has recorded.
+// runResult holds the recorded data of a run.
 type runResult struct {
 	exchanges []loadtest.Exchange
 	tasks     []loadtest.TaskEvent
 	usage     []loadtest.ResourceUsage
 }
 
-// build builds the controllers' binary.
+// build builds the controllers' binary and returns its path.
 func (o *commonOptions) build(ctx context.Context) (string, error) {
 	binary, err := filepath.Abs(filepath.Join(o.Out, "switchshore"))
 	if err != nil {
@@ -65,15 +65,16 @@
 	return binary, command.Run()
 }
 
-// dir is where a run writes its files.
+// dir returns the directory of a run's files.
 func (o *commonOptions) dir(name string) string { return filepath.Join(o.Out, name) }
 
-// historyFile is the file of a run's exchanges.
+// historyFile returns the path of a run's exchanges.
 func (o *commonOptions) historyFile(name string) string {
 	return filepath.Join(o.dir(name), historyFileName)
 }
 
-// prepare makes an empty folder for a run, writes the operators' file there and returns its path.
+// prepare creates an empty directory for a run and writes the operator settings there. It returns their
+// path.
 func (o *commonOptions) prepare(r clusterRun) (operatorPath string, err error) {
 	dir := o.dir(r.name)
 	if err := os.RemoveAll(dir); err != nil {
@@ -86,7 +87,7 @@
 	return operatorPath, os.WriteFile(operatorPath, []byte(r.operator), 0o600)
 }
 
-// run runs a cluster under load, and saves the history of the exchanges.
+// run runs a cluster under load and saves the history of the exchanges.
 func (o *commonOptions) run(ctx context.Context, binary string, r clusterRun) (*runResult, error) {
 	operatorPath, err := o.prepare(r)
 	if err != nil {
@@ -110,7 +111,7 @@
 	return result, loadtest.SaveHistory(o.historyFile(r.name), result.exchanges)
 }
 
-// measure runs the load and what goes on beside it.
+// measure runs the load and r.concurrent, which is cancelled if the load fails.
 func (result *runResult) measure(ctx context.Context, cluster *loadtest.Cluster, r clusterRun) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -125,7 +126,7 @@
 	return errors.Join(err, group.Wait())
 }
 
-// writeReport writes the results as a page in the folder of the run.
+// writeReport writes the results to an HTML page with the given name in the output directory.
 func (o *commonOptions) writeReport(name string, results []*loadtest.Result) error {
 	file, err := os.Create(filepath.Join(o.Out, name))
 	if err != nil {
@@ -134,7 +135,7 @@
 	return errors.Join(loadtest.WriteReport(file, results), file.Close())
 }
 
-// maxPrintedProblems bounds the problems that are printed; the report has all.
+// maxPrintedProblems is the number of problems that are printed. The report lists all.
 const maxPrintedProblems = 10
 
 func printProblems(problems []string) {
--- a/internal/loadtest/agents.go
+++ b/internal/loadtest/agents.go
@@ -13,14 +13,15 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// unusedAddress is the address of all agents: nothing listens there, so that commands come with the
-// responses to heartbeats only.
+// unusedAddress is the address that all agents announce. Nothing listens there, so agents receive
+// commands only in the responses to their heartbeats.
 const unusedAddress = "127.0.0.1:1"
 
-// heartbeatTimeout is how long an agent waits for a response.
+// heartbeatTimeout is how long an agent waits for the response to a heartbeat.
 const heartbeatTimeout = 4 * time.Second
 
-// runAgent simulates the agent of a machine until the machine is released or the context ends.
+// runAgent simulates the agent of a machine until the machine is released or the context ends. After
+// a failed heartbeat it switches to the next controller.
 func (c *Cluster) runAgent(machine wire.ListedMachine) {
 	machine.Addr = unusedAddress
 	agent := c.newAgent(machine)
@@ -40,7 +41,7 @@
 	}
 }
 
-// newAgent returns an agent whose tasks run as the options say.
+// newAgent returns an agent whose tasks run for the time that ClusterOptions.RunTime returns.
 func (c *Cluster) newAgent(machine wire.ListedMachine) *simulation.Agent {
 	agent := simulation.NewAgent(time.Now(), machine, c.services.Cloud.Type, agentLease)
 	agent.LookUpJob = c.job
@@ -52,13 +53,13 @@
 	return agent
 }
 
-// sendHeartbeat sends an agent's heartbeat to a controller and applies the response, and reports
-// whether there was one.
+// sendHeartbeat sends an agent's heartbeat to a controller and applies the response. It reports
+// whether it received a valid response.
 func (c *Cluster) sendHeartbeat(client *fasthttp.Client, addr string, agent *simulation.Agent) bool {
 	sent := time.Now()
 	body, err := json.Marshal(agent.NextHeartbeat())
 	if err != nil {
-		panic(err) // it has fields of basic types only
+		panic(err) // a heartbeat can always be encoded
 	}
 	response := sendHTTP(client, addr, http.MethodPost, wire.PathHeartbeat, body, heartbeatTimeout)
 	var decoded wire.HeartbeatResponse
--- a/internal/loadtest/check.go
+++ b/internal/loadtest/check.go
@@ -10,17 +10,18 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// CheckOptions is what a history is checked against.
+// CheckOptions are the period and the objectives that a history is checked against.
 type CheckOptions struct {
-	// Begin and End bound the load. Every class must make progress in each Window in between.
+	// Begin and End bound the checked period. In each Window of it in which a class submits jobs, at
+	// least one of its submissions must be accepted.
 	Begin, End, Window time.Duration
-	// Objectives are what accepted jobs are promised.
+	// Objectives are the deadlines that a share of the accepted jobs of a class must meet.
 	Objectives []Objective
 }
 
-// Check returns the problems of a history: a job without exactly one final response, one that is
-// lost or leaves a final state, an accepted one that does not end, a class that makes no progress,
-// or of which fewer jobs are done in time than its objective promises.
+// Check returns the problems of a history: jobs that were neither accepted nor given up, accepted
+// jobs that are unknown later, leave a final state or don't end, classes that make no progress, and
+// classes that miss their objective.
 func Check(history []Exchange, options CheckOptions) []string {
 	problems := checkJobs(history)
 	problems = append(problems, checkProgress(history, options)...)
@@ -30,8 +31,8 @@
 	return problems
 }
 
-// checkObjective finds a class of which too few of the accepted jobs were done in time, counted
-// from the acceptance: before it no controller knows the job.
+// checkObjective returns a problem if too few accepted jobs of a class were done in time. The time
+// runs from the acceptance because no controller knows the job before.
 func checkObjective(history []Exchange, o Objective) []string {
 	acceptedAt := map[string]time.Duration{}
 	done := map[string]bool{}
@@ -59,13 +60,13 @@
 		o.Class, inTime, len(acceptedAt), o.Within, o.Share)}
 }
 
-// observedJob is what a job's user has been told so far.
+// observedJob is a job's state according to the responses to its user.
 type observedJob struct {
 	accepted, abandoned bool
 	state               string
 }
 
-// checkJobs finds jobs whose responses contradict each other, or that do not end.
+// checkJobs returns the jobs whose responses contradict each other and those that don't end.
 func checkJobs(history []Exchange) []string {
 	var problems []string
 	jobs := map[string]*observedJob{}
@@ -91,7 +92,7 @@
 	return problems
 }
 
-// apply adds an exchange and returns its problem, or "".
+// apply updates the job with an exchange. It returns the contradiction to earlier exchanges, or "".
 func (j *observedJob) apply(e *Exchange) string {
 	switch {
 	case e.Op == OpGiveUp:
@@ -114,15 +115,16 @@
 	return ""
 }
 
-// contradictsAcceptance reports whether a status says that a job is unknown or invalid.
+// contradictsAcceptance reports whether a status means that a job is unknown or invalid, which must
+// not happen after it was accepted.
 func contradictsAcceptance(status int32) bool {
 	return slices.Contains([]int32{http.StatusBadRequest, http.StatusNotFound, http.StatusUnprocessableEntity}, status)
 }
 
-// windowCounts are the submissions of a team's class and how many of them were accepted, by window.
+// windowCounts are the numbers of submit requests of a team's class and of accepted ones, by window.
 type windowCounts struct{ submitted, accepted []int }
 
-// checkProgress finds windows in which submissions of a class were made and none was accepted.
+// checkProgress returns the windows in which a team's class submitted jobs and none was accepted.
 func checkProgress(history []Exchange, options CheckOptions) []string {
 	var problems []string
 	counts := countByWindow(history, options)
@@ -137,7 +139,7 @@
 	return problems
 }
 
-// countByWindow counts the submissions by team's class and window.
+// countByWindow counts the submit requests of each team's class by window.
 func countByWindow(history []Exchange, options CheckOptions) map[string]windowCounts {
 	windows := int((options.End - options.Begin) / options.Window)
 	counts := map[string]windowCounts{}
--- a/internal/loadtest/check_test.go
+++ b/internal/loadtest/check_test.go
@@ -24,7 +24,7 @@
 	return Exchange{SentMS: at, Op: OpQuery, Job: job, Team: "blue", Class: "urgent", Status: status, State: state}
 }
 
-// validHistory is a history without problems.
+// validHistory returns a history without problems.
 func validHistory() []Exchange {
 	return []Exchange{
 		submitted("job-1", 0, 429), submitted("job-1", 2000, 503), submitted("job-1", 3000, 201),
@@ -35,7 +35,7 @@
 	}
 }
 
-// TestCheckFindsEachProblem: a valid history has no problem, and each kind of problem is found.
+// TestCheckFindsEachProblem: Check finds no problem in a valid history, and finds each kind of problem.
 func TestCheckFindsEachProblem(t *testing.T) {
 	if problems := Check(validHistory(), checkOptions); len(problems) > 0 {
 		t.Fatal(problems)
@@ -44,15 +44,15 @@
 		change func([]Exchange) []Exchange
 		want   string
 	}{
-		"never answered for good": {func(h []Exchange) []Exchange { return h[:len(h)-1] }, "job-2: no final answer"},
-		"never over":              {func(h []Exchange) []Exchange { return append(h[:8:8], h[9:]...) }, "job-1: accepted, and not over"},
-		"given up though accepted": {func(h []Exchange) []Exchange {
+		"no final response": {func(h []Exchange) []Exchange { return h[:len(h)-1] }, "job-2: no final answer"},
+		"never ends":        {func(h []Exchange) []Exchange { return append(h[:8:8], h[9:]...) }, "job-1: accepted, and not over"},
+		"given up after acceptance": {func(h []Exchange) []Exchange {
 			return append(h, Exchange{SentMS: 17_000, Op: OpGiveUp, Job: "job-1", Team: "blue", Class: "urgent"})
 		}, "given up after it was accepted"},
-		"forgotten":    {func(h []Exchange) []Exchange { return append(h, queried("job-1", 17_000, 404, "")) }, "answered 404"},
-		"refused late": {func(h []Exchange) []Exchange { return append(h, submitted("job-1", 17_000, 422)) }, "answered 422"},
-		"invented":     {func(h []Exchange) []Exchange { return append(h, queried("job-9", 17_000, 200, wire.JobDone)) }, "known before"},
-		"went back":    {func(h []Exchange) []Exchange { return append(h, queried("job-1", 17_000, 200, wire.JobRunning)) }, "called done, and then running"},
+		"unknown after acceptance":  {func(h []Exchange) []Exchange { return append(h, queried("job-1", 17_000, 404, "")) }, "answered 404"},
+		"rejected after acceptance": {func(h []Exchange) []Exchange { return append(h, submitted("job-1", 17_000, 422)) }, "answered 422"},
+		"known before acceptance":   {func(h []Exchange) []Exchange { return append(h, queried("job-9", 17_000, 200, wire.JobDone)) }, "known before"},
+		"leaves its final state":    {func(h []Exchange) []Exchange { return append(h, queried("job-1", 17_000, 200, wire.JobRunning)) }, "called done, and then running"},
 		"done too late": {func(h []Exchange) []Exchange {
 			h[8].SentMS = 14_001
 			return h
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestHistoryRoundTrip: what is written to the columnar file is read again, in the order of the
-// responses, and can be summed up and drawn.
+// TestHistoryRoundTrip: a history written to a Parquet file is read back in the order of the responses,
+// and its summary and report can be computed.
 func TestHistoryRoundTrip(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "history.parquet")
 	written := validHistory()
@@ -95,7 +95,7 @@
 		t.Errorf("%v: %.200s", err, page.String())
 	}
 	if _, err := LoadHistory(filepath.Join(t.TempDir(), "none")); err == nil {
-		t.Error("a missing history was read")
+		t.Error("a missing history was loaded")
 	}
 }
 
--- a/internal/loadtest/cluster.go
+++ b/internal/loadtest/cluster.go
@@ -14,21 +14,22 @@
 // nodeCount is the number of controllers of a cluster.
 const nodeCount = 3
 
-// ClusterOptions are what a cluster is made for.
+// ClusterOptions configure a cluster.
 type ClusterOptions struct {
-	// Machines bounds the cloud's machines of each kind, spot and ordinary.
+	// Machines is the cloud's capacity in each offering: a zone with spot or on-demand machines.
 	Machines int
-	// WriteRPS is the write rate of the key-value store in the settings, in changes a second.
+	// WriteRPS is the limit on writes to the key-value store in the settings, in changes a second.
 	WriteRPS float64
-	// HeartbeatInterval is that of the agents.
+	// HeartbeatInterval is the time between two heartbeats of an agent.
 	HeartbeatInterval time.Duration
-	// RunTime tells for how long a job's tasks run; as estimated if it is nil.
+	// RunTime returns how long each task of a job runs. If it is nil, tasks run as long as estimated.
 	RunTime func(*wire.Job) time.Duration
-	// Zones are those of the machines.
+	// Zones are the zones in which the cloud offers machines.
 	Zones []string
 }
 
-// Cluster is a few controllers, as processes on loopback, with a simulated cloud, store and agents.
+// Cluster runs nodeCount controllers as processes on loopback, with a simulated cloud, key-value store
+// and agents.
 type Cluster struct {
 	ctx         context.Context
 	binary      string
@@ -36,7 +37,7 @@
 	dir         string
 	options     ClusterOptions
 	clientAddrs []string
-	peerAddrs   []string // for operators' requests
+	peerAddrs   []string // also serve operators' requests
 	services    *simulation.Server
 	startedAt   time.Time
 	background  sync.WaitGroup
@@ -50,8 +51,8 @@
 	usage      []ResourceUsage
 }
 
-// StartCluster starts the controllers, which run until the context ends; operator is the path of the
-// operators' file, or "".
+// StartCluster starts the controllers, which run until the context ends. operator is the path of the
+// operator settings; if it is "", the controllers start without them.
 func StartCluster(ctx context.Context, binary, operator, dir string, options ClusterOptions) (*Cluster, error) {
 	c := &Cluster{
 		ctx: ctx, binary: binary, operator: operator, dir: dir, options: options, startedAt: time.Now(),
@@ -79,33 +80,34 @@
 	return c, nil
 }
 
-// serve serves store and cloud until the context ends, and returns their address.
+// serve serves the simulated key-value store and cloud until the context ends. It returns their
+// address.
 func (c *Cluster) serve() (string, error) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
-	context.AfterFunc(c.ctx, func() { _ = ln.Close() }) // nobody is left who needs it
-	go func() { _ = c.services.Serve(ln) }()            // ends with the listener
+	context.AfterFunc(c.ctx, func() { _ = ln.Close() }) // the run is over: the error has no effect
+	go func() { _ = c.services.Serve(ln) }()            // returns when the listener is closed
 	return ln.Addr().String(), nil
 }
 
-// Wait waits for the end of all processes, after the context has ended.
+// Wait waits until all controllers have ended. The context must have ended before.
 func (c *Cluster) Wait() { c.background.Wait() }
 
-// addJob makes a job known to the agents.
+// addJob stores a job, so that agents can look it up.
 func (c *Cluster) addJob(job *wire.Job) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.jobs[job.ID] = job
 }
 
-// job is what a user has uploaded, nil if nothing.
+// job returns a submitted job, or nil if the ID is unknown.
 func (c *Cluster) job(id string) *wire.Job {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.jobs[id]
 }
 
-// ReleaseZone removes all machines of a zone at once, and returns how many there were.
+// ReleaseZone releases all machines of a zone at once. It returns their number.
 func (c *Cluster) ReleaseZone(zone string) int { return c.services.ReleaseZone(zone) }
--- a/internal/loadtest/disruption.go
+++ b/internal/loadtest/disruption.go
@@ -9,27 +9,28 @@
 	"switchshore.example/switchshore/internal/drain"
 )
 
-// Disruption is what happened to a team's running tasks on machines of a zone.
+// Disruption counts a team's tasks that were stopped or lost on machines of a zone.
 type Disruption struct {
 	Team string
-	// Stopped were stopped by command, Saved are those of them that saved their progress, Lost ended
-	// with their machines.
+	// Stopped is the number of tasks stopped by command, Saved the number of those that saved their
+	// progress, and Lost the number of tasks that ended because their machine was released or lost.
 	Stopped, Saved, Lost int
 	LostTime             time.Duration
-	// MaxUnavailable is the largest number of stopped tasks that did not run again yet,
-	// MaxEvictions and MostLost are the largest sums within a window.
+	// MaxUnavailable is the largest number of stopped tasks that had not restarted, at any time.
+	// MaxEvictions and MaxLostTime are the largest number of stops and the largest sum of the run time
+	// lost by them within a window.
 	MaxUnavailable, MaxEvictions int
 	MaxLostTime                  time.Duration
 }
 
-// disruptionCounter is a Disruption that is being summed up.
+// disruptionCounter computes a Disruption from task events.
 type disruptionCounter struct {
 	Disruption
-	unavailable map[string]bool // stopped tasks
+	unavailable map[string]bool // stopped tasks that have not restarted
 	recent      []TaskEvent     // stops within the window
 }
 
-// DisruptionsByTeam sums up, by team, what a history of tasks shows of a zone.
+// DisruptionsByTeam returns the disruptions in a zone by team, sorted by name.
 func DisruptionsByTeam(history []TaskEvent, zone string, window time.Duration) []Disruption {
 	teams := map[string]*disruptionCounter{}
 	for _, e := range history {
@@ -52,7 +53,7 @@
 	return sorted
 }
 
-// add counts a task that was stopped or lost.
+// add counts a task that was stopped or lost. Only stops count against the budgets.
 func (d *disruptionCounter) add(e TaskEvent, window time.Duration) {
 	d.LostTime += sumLostTime(e)
 	if e.Event == TaskLost {
@@ -73,7 +74,7 @@
 	d.MaxLostTime = max(d.MaxLostTime, sumLostTime(d.recent...))
 }
 
-// sumLostTime is the run time that some events lost.
+// sumLostTime returns the run time lost by the given events.
 func sumLostTime(events ...TaskEvent) time.Duration {
 	sum := time.Duration(0)
 	for _, e := range events {
@@ -82,7 +83,7 @@
 	return sum
 }
 
-// CheckBudgets returns the teams whose disruptions exceed their budgets.
+// CheckBudgets returns a message for each team whose disruptions exceed its budget.
 func CheckBudgets(disruptions []Disruption, budgets *drain.Budgets) []string {
 	var problems []string
 	for _, d := range disruptions {
--- a/internal/loadtest/disruption_test.go
+++ b/internal/loadtest/disruption_test.go
@@ -8,13 +8,13 @@
 	"switchshore.example/switchshore/internal/drain"
 )
 
-// event is an event of a task of team blue in zone a, which lost some run time.
+// event returns an event of a task of team blue in zone a, with the given loss of run time.
 func event(at time.Duration, task, kind string, lost time.Duration) TaskEvent {
 	return TaskEvent{AtMS: at.Milliseconds(), Zone: "a", Task: task, Team: "blue", Event: kind, LostMS: lost.Milliseconds()}
 }
 
-// TestDisruptionsAndBudgets: stops count until the task runs again, and within the window; a lost
-// machine or another zone causes no eviction.
+// TestDisruptionsAndBudgets: a stopped task counts as unavailable until it restarts, and its eviction
+// within the window. Tasks lost with their machines and tasks in other zones count as no eviction.
 func TestDisruptionsAndBudgets(t *testing.T) {
 	const second = time.Second
 	other := event(3*second, "job-1/9", TaskStopped, second)
--- a/internal/loadtest/doc.go
+++ b/internal/loadtest/doc.go
@@ -1,4 +1,4 @@
-// Package loadtest measures outside CI: it runs controllers as processes on loopback against a
-// simulated cloud, store and agents and under load, records every exchange with users and every
-// change of a task, checks the history, and draws a report.
+// Package loadtest runs load tests, which are not part of CI. It starts controllers as processes on
+// loopback with a simulated cloud, key-value store and agents, submits jobs to them, records every
+// user request and every change of a task, checks the recorded history and writes an HTML report.
 package loadtest
--- a/internal/loadtest/drain.go
+++ b/internal/loadtest/drain.go
@@ -11,18 +11,18 @@
 	"switchshore.example/switchshore/internal/peer"
 )
 
-// DrainTiming is how long a drain took, and for what it waited.
+// DrainTiming is the duration of a drain and of its waits.
 type DrainTiming struct {
 	Total time.Duration
-	// Waits are the times by the reason in the drain's status.
+	// Waits is the time spent waiting for each reason in the drain's status.
 	Waits  map[string]time.Duration
 	Status drain.Status
 }
 
-// ErrNotDrained is returned for a drain that did not end in time.
+// ErrNotDrained is returned if a drain is not done within maxDrainTime.
 var ErrNotDrained = errors.New("the drain has not ended")
 
-// RefusedError is returned for an operator's request that a controller refused.
+// RefusedError is returned if a controller refuses an operator's request.
 type RefusedError struct {
 	Status int
 	Reason string
@@ -32,22 +32,22 @@
 func (e *RefusedError) Error() string { return "refused: " + e.Reason }
 
 const (
-	// pollInterval is how often a drain's status is requested.
+	// pollInterval is the time between two requests for a drain's status.
 	pollInterval = 250 * time.Millisecond
-	// operatorTimeout bounds one request.
+	// operatorTimeout bounds one request of an operator to one controller.
 	operatorTimeout = 2 * time.Second
-	// maxDrainTime bounds a measurement.
+	// maxDrainTime bounds a whole drain.
 	maxDrainTime = 10 * time.Minute
 )
 
-// sendOperatorRequest sends an operator's request to the controllers, one after the other, until one
-// has executed or refused it.
+// sendOperatorRequest sends an operator's request to one controller after the other until one executes
+// or refuses it, or the context ends.
 func (c *Cluster) sendOperatorRequest(ctx context.Context, request *drain.Request) (drain.Status, error) {
 	for attempt := 0; ; attempt++ {
 		response, err := requestDrain(ctx, c.peerAddrs[attempt%nodeCount], request)
 		switch {
 		case err != nil:
-			// Another controller may answer.
+			// No response: retry at the next controller.
 		case isSuccess(response.Status) && len(response.Drains) == 1:
 			return response.Drains[0], nil
 		case isClientError(response.Status):
@@ -59,14 +59,14 @@
 	}
 }
 
-// requestDrain sends an operator's request to one controller.
+// requestDrain sends an operator's drain request to one controller.
 func requestDrain(ctx context.Context, addr string, request *drain.Request) (peer.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	return peer.Request(ctx, addr, peer.Call{Op: peer.OpDrain, Drain: request})
 }
 
-// Drain applies a drain and follows it to its end.
+// Drain applies a drain and waits until it is done.
 func (c *Cluster) Drain(ctx context.Context, spec *drain.Spec) (*DrainTiming, error) {
 	ctx, cancel := context.WithTimeout(ctx, maxDrainTime)
 	defer cancel()
@@ -76,7 +76,7 @@
 	return c.followDrain(ctx, spec.Name)
 }
 
-// followDrain polls a drain's status until it is done.
+// followDrain polls a drain's status until the drain is done, and sums up the waits.
 func (c *Cluster) followDrain(ctx context.Context, name string) (*DrainTiming, error) {
 	started := time.Now()
 	timing := &DrainTiming{Waits: map[string]time.Duration{}}
--- a/internal/loadtest/http.go
+++ b/internal/loadtest/http.go
@@ -6,20 +6,20 @@
 	"github.com/valyala/fasthttp"
 )
 
-// httpResponse is a response; its status is 0 if there was none.
+// httpResponse is a response to an HTTP request. Its status is 0 if none was received.
 type httpResponse struct {
 	status     int
-	retryAfter int // seconds, 0 if the response does not say
+	retryAfter int // seconds, 0 without a valid Retry-After header
 	body       []byte
 }
 
-// isSuccess reports whether a status is one of success.
+// isSuccess reports whether a status is 2xx.
 func isSuccess(status int) bool { return status/100 == 2 }
 
-// isClientError reports whether a status says that the request itself is at fault.
+// isClientError reports whether a status is 4xx.
 func isClientError(status int) bool { return status/100 == 4 }
 
-// sendHTTP sends a request to an address on loopback.
+// sendHTTP sends a request and returns the response.
 func sendHTTP(client *fasthttp.Client, addr, method, path string, body []byte, timeout time.Duration) httpResponse {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -33,7 +33,7 @@
 	return httpResponse{response.StatusCode(), retryAfter(response), append([]byte(nil), response.Body()...)}
 }
 
-// retryAfter is the header of that name in seconds, 0 if there is none.
+// retryAfter returns the Retry-After header in seconds, or 0 if it is missing or not a number.
 func retryAfter(response *fasthttp.Response) int {
 	seconds, err := fasthttp.ParseUint(response.Header.Peek(fasthttp.HeaderRetryAfter))
 	if err != nil {
--- a/internal/loadtest/load.go
+++ b/internal/loadtest/load.go
@@ -15,43 +15,43 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// LoadOptions are what load a cluster gets.
+// LoadOptions configure the load on a cluster.
 type LoadOptions struct {
 	// Duration is how long jobs are submitted.
 	Duration time.Duration
-	// JobsPerSecond is the rate of all teams together; the flood is as much again.
+	// JobsPerSecond is the total rate of jobs from all teams, without the flood.
 	JobsPerSecond float64
 	Seed          uint64
 	TasksPerJob   int
 	TaskRunTime   time.Duration
-	// CheckpointInterval is that of the tasks of the class "nightly", 0 for no checkpoints.
+	// CheckpointInterval is the checkpoint interval of tasks of class "nightly", 0 for no checkpoints.
 	CheckpointInterval time.Duration
-	// EqualPriority gives all jobs the same priority, so that none is preempted.
+	// EqualPriority gives all jobs the same priority, so that no task is preempted.
 	EqualPriority bool
 	// KillLeaderAt are the times at which the leader is killed.
 	KillLeaderAt []time.Duration
-	// Flood lets a script of one team submit as many jobs again, and two teams in bursts.
+	// Flood adds floodStream, which doubles the rate of jobs, and bursts from two teams.
 	Flood bool
 }
 
 const (
-	// maxUsers bounds the users with a pending request or a pause.
+	// maxUsers bounds the number of concurrent users.
 	maxUsers = 20_000
-	// burstInterval is the time between bursts of burstJobs jobs, which reach all controllers at the
-	// same moment.
+	// burstInterval is the time between bursts of burstJobs jobs, which are submitted to all controllers
+	// at the same time.
 	burstInterval = 30 * time.Second
 	burstJobs     = 60
-	// checkpointSaveTime is what a task with checkpoints takes to save one when it is stopped.
+	// checkpointSaveTime is how long a stopped task takes to save a checkpoint.
 	checkpointSaveTime = time.Second
 )
 
-// jobStream is what one team submits of one class.
+// jobStream describes the jobs that a team submits in a class.
 type jobStream struct {
 	team, class, priority string
 	rateShare             float64
 }
 
-// jobStreams share the rate among teams and classes.
+// jobStreams divide LoadOptions.JobsPerSecond among teams and classes.
 var jobStreams = []jobStream{
 	{"blue", "urgent", wire.PriorityHigh, 0.17},
 	{"blue", "nightly", wire.PriorityNormal, 0.17},
@@ -61,13 +61,13 @@
 	{"guests", "nightly", wire.PriorityNormal, 0.16},
 }
 
-// floodStream is what a script submits beside them.
+// floodStream is a script of team blue that submits as many jobs as all jobStreams together.
 var floodStream = jobStream{"blue", "nightly", wire.PriorityNormal, 1}
 
-// burstStreams are those that submit in bursts.
+// burstStreams are the streams whose jobs are also submitted in bursts.
 var burstStreams = []jobStream{jobStreams[1], jobStreams[3]}
 
-// loadGenerator is the users of a run.
+// loadGenerator simulates the users of a run and records their exchanges.
 type loadGenerator struct {
 	cluster    *Cluster
 	options    LoadOptions
@@ -83,8 +83,8 @@
 }
 
 // RunLoad submits the load to the cluster, kills the leader at the given times, and returns the
-// history once all users have ended. A user ends with his job or with the context; the checker
-// finds the jobs that had not ended then.
+// history after all users have ended. A user ends when the job ends, when the user gives up, or with
+// the context; Check reports accepted jobs that have not ended by then.
 func RunLoad(ctx context.Context, c *Cluster, options LoadOptions) ([]Exchange, error) {
 	g := &loadGenerator{
 		cluster: c, options: options, client: &fasthttp.Client{MaxConnsPerHost: maxUsers}, startedAt: time.Now(),
@@ -110,7 +110,7 @@
 	return g.history, nil
 }
 
-// submitStream submits jobs at random intervals.
+// submitStream submits a stream's jobs at exponentially distributed intervals.
 func (g *loadGenerator) submitStream(ctx context.Context, s jobStream) {
 	perSecond := g.options.JobsPerSecond * s.rateShare
 	for time.Since(g.startedAt) < g.options.Duration {
@@ -121,7 +121,8 @@
 	}
 }
 
-// submitBursts lets two teams submit at all controllers at the same moments, each job at two.
+// submitBursts submits bursts of jobs of two teams to all controllers at the same time, and each job
+// to two controllers.
 func (g *loadGenerator) submitBursts(ctx context.Context) {
 	for ctxtime.Sleep(ctx, burstInterval) == nil && time.Since(g.startedAt) < g.options.Duration {
 		for i := range burstJobs {
@@ -132,7 +133,7 @@
 	}
 }
 
-// newJob creates a job and uploads it.
+// newJob creates a job of a stream and stores it for the agents.
 func (g *loadGenerator) newJob(s jobStream) *wire.Job {
 	g.mu.Lock()
 	g.lastJob++
@@ -152,28 +153,28 @@
 	return job
 }
 
-// randomInterval draws the time to the next of events of a rate.
+// randomInterval returns an exponentially distributed time between events of the given rate.
 func (g *loadGenerator) randomInterval(perSecond float64) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return seconds.Duration(g.rng.ExpFloat64() / perSecond)
 }
 
-// randomNode draws a controller.
+// randomNode returns a random controller.
 func (g *loadGenerator) randomNode() int32 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.rng.Int32N(nodeCount)
 }
 
-// jitter draws a time below a bound.
+// jitter returns a random duration below a bound.
 func (g *loadGenerator) jitter(bound time.Duration) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return time.Duration(g.rng.Int64N(int64(bound)))
 }
 
-// record adds an exchange to the history.
+// record appends an exchange to the history.
 func (g *loadGenerator) record(e Exchange) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/loadtest/plot.go
+++ b/internal/loadtest/plot.go
@@ -20,7 +20,7 @@
 	plotHeight = 9 * vg.Centimeter
 )
 
-// acceptRateByTeam are the jobs accepted a second, over time.
+// acceptRateByTeam returns the accepted jobs a second over time, by team.
 func acceptRateByTeam(history []Exchange) map[string]plotter.XYs {
 	lines := map[string]plotter.XYs{}
 	seen := map[string]bool{}
@@ -40,7 +40,8 @@
 	return lines
 }
 
-// acceptTimeByTeam are the distributions of the times from the first try to the acceptance.
+// acceptTimeByTeam returns the distribution of the time from the first submit request of a job to its
+// acceptance, by team.
 func acceptTimeByTeam(history []Exchange) map[string]plotter.XYs {
 	first := map[string]int64{}
 	waits := map[string][]float64{}
@@ -65,7 +66,7 @@
 	return lines
 }
 
-// plotLines plots lines as a PNG image that is embedded in the page.
+// plotLines plots lines and returns the PNG image as a data URL.
 func plotLines(title, x, y string, lines map[string]plotter.XYs) (template.URL, error) {
 	p := plot.New()
 	p.Legend.Top, p.Legend.Left = true, true
--- a/internal/loadtest/process.go
+++ b/internal/loadtest/process.go
@@ -15,20 +15,21 @@
 	"switchshore.example/switchshore/internal/election"
 )
 
-// restartDelay is how long a controller that was killed is down.
+// restartDelay is the time between the kill and the restart of a controller.
 const restartDelay = 3 * time.Second
 
-// ErrNoLeader is returned when no controller is known to lead.
+// ErrNoLeader is returned if no controller has become the leader yet.
 var ErrNoLeader = errors.New("no controller leads")
 
-// ResourceUsage is what a controller's process has used when it ended.
+// ResourceUsage is the processor time and memory that a controller's process used until it ended.
 type ResourceUsage struct {
 	Node         int
 	CPU          time.Duration
 	MaxMemoryMiB int64 // MiB
 }
 
-// startNode starts a controller. Its log is kept, and tells when it leads.
+// startNode starts a controller. Its log is appended to a file and read to learn when the controller
+// becomes the leader.
 func (c *Cluster) startNode(node int) error {
 	args := []string{"--config", c.path(node, "toml")}
 	if c.operator != "" {
@@ -52,13 +53,13 @@
 	c.background.Go(func() {
 		defer file.Close()
 		c.readLog(node, io.TeeReader(log, file))
-		_ = process.Wait() // killed, as a rule
+		_ = process.Wait() // usually an error, because the process was killed
 		c.recordUsage(node, process.ProcessState)
 	})
 	return nil
 }
 
-// readLog reads a controller's log until the process ends, and notes when it becomes the leader.
+// readLog reads a controller's log until the process ends and records when it becomes the leader.
 func (c *Cluster) readLog(node int, log io.Reader) {
 	lines := bufio.NewScanner(log)
 	for lines.Scan() {
@@ -73,7 +74,7 @@
 	}
 }
 
-// KillLeader kills the leader's process, and starts it again a little later.
+// KillLeader kills the leader's process and restarts it after restartDelay.
 func (c *Cluster) KillLeader() error {
 	node, process, err := c.leaderProcess()
 	if err != nil {
@@ -88,7 +89,7 @@
 	return c.startNode(node)
 }
 
-// leaderProcess is the process of the controller that became the leader last.
+// leaderProcess returns the controller that became the leader last, and its process.
 func (c *Cluster) leaderProcess() (node int, process *exec.Cmd, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,7 +99,7 @@
 	return c.leader, c.processes[c.leader], nil
 }
 
-// recordUsage records what a process that has ended has used.
+// recordUsage records the resource usage of a process that has ended.
 func (c *Cluster) recordUsage(node int, state *os.ProcessState) {
 	usage := ResourceUsage{Node: node, CPU: state.UserTime() + state.SystemTime()}
 	if r, ok := state.SysUsage().(*syscall.Rusage); ok {
@@ -109,14 +110,15 @@
 	c.usage = append(c.usage, usage)
 }
 
-// ResourceUsage is what the processes that have ended have used.
+// ResourceUsage returns the resource usage of the processes that have ended.
 func (c *Cluster) ResourceUsage() []ResourceUsage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.usage
 }
 
-// OpenFiles is the number of files and sockets that each controller has open now.
+// OpenFiles returns the number of open file descriptors, sockets included, of each controller. It is 0
+// for a controller that is down.
 func (c *Cluster) OpenFiles() []int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/loadtest/report.go
+++ b/internal/loadtest/report.go
@@ -5,19 +5,19 @@
 	"io"
 )
 
-// Result is a checked run.
+// Result is the summary of a run and the problems that its check found.
 type Result struct {
 	Name      string
 	Classes   []ClassSummary
 	JainIndex float64
 	Problems  []string
-	// Disruptions are what drains, and lost machines, did to the teams' work.
+	// Disruptions are the disruptions in the zone that was drained or released, by team.
 	Disruptions    []Disruption
-	AcceptedPlot   template.URL // plots, as images within the page
+	AcceptedPlot   template.URL // plots as data URLs
 	AcceptTimePlot template.URL
 }
 
-// NewResult checks and draws a history.
+// NewResult checks and summarizes a history and draws its plots.
 func NewResult(name string, history []Exchange, options CheckOptions) (*Result, error) {
 	r := &Result{Name: name, Classes: SummarizeByClass(history), Problems: Check(history, options)}
 	r.JainIndex = JainIndex(r.Classes)
@@ -46,5 +46,5 @@
 {{end}}</html>
 `))
 
-// WriteReport writes the results as one HTML page.
+// WriteReport writes the results to one HTML page.
 func WriteReport(w io.Writer, results []*Result) error { return reportTemplate.Execute(w, results) }
--- a/internal/loadtest/settings.go
+++ b/internal/loadtest/settings.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// settingsFormat is the platform's settings file of a controller. Its write budget is small on
-// purpose: that is what the load exceeds.
+// settingsFormat is the format of the settings file that the platform passes to a controller. The
+// limit on writes to the key-value store is meant to be low, so that the load exceeds it.
 const settingsFormat = `label = "node-%d"
 domain = "a"
 client_listen = "%s"
@@ -44,10 +44,10 @@
 fd_limit = 12000
 `
 
-// agentLease is the agents' lease in the settings.
+// agentLease is the agents' lease, equal to lease_s in settingsFormat.
 const agentLease = 17 * time.Second
 
-// teamSettings are the teams that submit load; the last one has neither guarantee nor limit.
+// teamSettings define the teams that submit jobs. The last one has neither a guarantee nor a limit.
 const teamSettings = `[[facts.teams]]
 name = "blue"
 cpus = 100.0
@@ -60,23 +60,23 @@
 name = "guests"
 `
 
-// Objective is what the settings promise for a class: the share of its jobs that are done within a
-// time.
+// Objective is a service objective of the settings: at least Share of a class's accepted jobs must be
+// done Within a time.
 type Objective struct {
 	Class  string
 	Within time.Duration
 	Share  float64
 }
 
-// Objectives are those of all classes of the load.
+// Objectives are the objectives of the classes in the load.
 var Objectives = []Objective{{"urgent", time.Minute, 0.9}, {"nightly", 250 * time.Second, 0.9}}
 
-// LongestObjective is the time within which the last accepted jobs are promised to be done.
+// LongestObjective returns the longest Within of all objectives.
 func LongestObjective() time.Duration {
 	return slices.MaxFunc(Objectives, func(a, b Objective) int { return cmp.Compare(a.Within, b.Within) }).Within
 }
 
-// objectiveSettings is the part of the settings with the objectives.
+// objectiveSettings returns the objectives in the format of the settings.
 func objectiveSettings() string {
 	var text strings.Builder
 	for _, o := range Objectives {
@@ -86,8 +86,8 @@
 	return text.String()
 }
 
-// writeSettings writes a settings file for every controller, with free addresses; services is the
-// address of store and cloud.
+// writeSettings writes a settings file for each controller, with addresses that are free. services is
+// the address of the key-value store and the cloud.
 func (c *Cluster) writeSettings(services string) error {
 	addrs, err := freeAddresses(2 * nodeCount)
 	if err != nil {
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// peerSettings is the part of a controller's settings with the other controllers.
+// peerSettings returns the other controllers in the format of a controller's settings.
 func (c *Cluster) peerSettings(node int) string {
 	var text strings.Builder
 	for peer, addr := range c.peerAddrs {
@@ -117,7 +117,7 @@
 	return text.String()
 }
 
-// freeAddresses finds addresses on loopback at which nothing listens.
+// freeAddresses returns distinct addresses on loopback at which nothing listens.
 func freeAddresses(count int) ([]string, error) {
 	var addrs []string
 	for range count {
@@ -125,13 +125,13 @@
 		if err != nil {
 			return nil, err
 		}
-		defer ln.Close() // not before all addresses are found, so that they differ
+		defer ln.Close() // after all addresses are found, so that they differ
 		addrs = append(addrs, ln.Addr().String())
 	}
 	return addrs, nil
 }
 
-// path is a file of a controller.
+// path returns the path of a controller's file with the given extension.
 func (c *Cluster) path(node int, extension string) string {
 	return filepath.Join(c.dir, fmt.Sprintf("node-%d.%s", node, extension))
 }
--- a/internal/loadtest/settings_test.go
+++ b/internal/loadtest/settings_test.go
@@ -8,8 +8,8 @@
 	"switchshore.example/switchshore/internal/config"
 )
 
-// TestSettingsAreValid: every controller gets settings that the service accepts, with addresses of
-// its own and the other controllers as peers.
+// TestSettingsAreValid: the service accepts the settings of each controller, which have distinct
+// addresses and list the other controllers as peers.
 func TestSettingsAreValid(t *testing.T) {
 	options := ClusterOptions{WriteRPS: 40, HeartbeatInterval: time.Second, Zones: []string{"a", "b"}}
 	c := &Cluster{dir: t.TempDir(), options: options}
--- a/internal/loadtest/summary.go
+++ b/internal/loadtest/summary.go
@@ -10,25 +10,27 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// ClassSummary sums up what became of a team's class.
+// ClassSummary summarizes the jobs of a team's class.
 type ClassSummary struct {
 	Team, Class                    string
 	Submitted, Accepted, Abandoned int // jobs
 	SubmitRequests                 int
-	// AcceptP50 and AcceptP95 are times from the first try to the acceptance, of accepted jobs.
+	// AcceptP50 and AcceptP95 are quantiles of the time from a job's first submit request to its
+	// acceptance.
 	AcceptP50, AcceptP95 time.Duration
-	// Done are the jobs reported done, DoneP50 the time from the first try to that.
+	// Done is the number of jobs that users know to be done, and DoneP50 the median time from a job's
+	// first submit request to the response that says so.
 	Done    int
 	DoneP50 time.Duration
 }
 
-// summaryBuilder is a ClassSummary that is being made.
+// summaryBuilder computes a ClassSummary from exchanges.
 type summaryBuilder struct {
 	ClassSummary
 	acceptTimes, doneTimes []time.Duration
 }
 
-// SummarizeByClass sums a history up, by team and class.
+// SummarizeByClass summarizes a history by team and class.
 func SummarizeByClass(history []Exchange) []ClassSummary {
 	classes := map[string]*summaryBuilder{}
 	firstSent := map[string]time.Duration{}
@@ -53,8 +55,8 @@
 	return summaries
 }
 
-// add counts an exchange that ended a time after the job's first try; accepted are the jobs that
-// were counted as accepted.
+// add counts an exchange. sinceFirst is the time from the job's first submit request to the response;
+// accepted holds the jobs already counted as accepted.
 func (s *summaryBuilder) add(e *Exchange, sinceFirst time.Duration, accepted map[string]bool) {
 	switch {
 	case e.Op == OpGiveUp:
@@ -67,19 +69,20 @@
 			s.acceptTimes = append(s.acceptTimes, sinceFirst)
 		}
 	case e.State == wire.JobDone:
-		// Users poll no more once they know it.
+		// Counted once for each job, because the user stops polling after this response.
 		s.doneTimes = append(s.doneTimes, sinceFirst)
 	}
 }
 
-// build computes the quantiles.
+// build computes the quantiles and returns the summary.
 func (s *summaryBuilder) build() ClassSummary {
 	s.AcceptP50, s.AcceptP95 = quantile(s.acceptTimes, 0.5), quantile(s.acceptTimes, 0.95)
 	s.Done, s.DoneP50 = len(s.doneTimes), quantile(s.doneTimes, 0.5)
 	return s.ClassSummary
 }
 
-// quantile is the smallest value that a share of the values does not exceed, 0 if there are none.
+// quantile returns the smallest of the values that at least the given share of them does not exceed,
+// or 0 if there are none.
 func quantile(values []time.Duration, share float64) time.Duration {
 	if len(values) == 0 {
 		return 0
@@ -88,8 +91,9 @@
 	return sorted[int(math.Ceil(share*float64(len(sorted))))-1]
 }
 
-// JainIndex is JainIndex's fairness index over the teams: of the accepted jobs of each, relative to those that
-// it would have if all accepted jobs were shared by max-min fairness. 1 is the fairest.
+// JainIndex returns Jain's fairness index over the teams. A team's value is the number of its accepted
+// jobs, divided by the number it would have if max-min fairness divided all accepted jobs among the
+// teams. 1 is the fairest.
 func JainIndex(summaries []ClassSummary) float64 {
 	submitted, accepted := map[string]float64{}, map[string]float64{}
 	total := 0.0
@@ -104,9 +108,9 @@
 		demands[i] = submitted[team]
 	}
 	sum, squares := 0.0, 0.0
-	for i, fair := range admission.MaxMin(total, demands) {
-		if fair > 0 {
-			x := accepted[teams[i]] / fair
+	for i, fairShare := range admission.MaxMin(total, demands) {
+		if fairShare > 0 {
+			x := accepted[teams[i]] / fairShare
 			sum += x
 			squares += x * x
 		}
--- a/internal/loadtest/tasks.go
+++ b/internal/loadtest/tasks.go
@@ -11,19 +11,19 @@
 
 // Events of a task on a machine. The values are stored in histories.
 const (
-	// TaskStarted: it began to run.
+	// TaskStarted: the task began to run.
 	TaskStarted = "runs"
-	// TaskStopped: it was stopped by command.
+	// TaskStopped: the task was stopped by command without saving its progress.
 	TaskStopped = "stopped"
-	// TaskSaved: it was stopped by command and saved its progress.
+	// TaskSaved: the task was stopped by command and saves its progress.
 	TaskSaved = "saved"
-	// TaskLost: its machine was released, or the lease expired, while it ran.
+	// TaskLost: the task's machine was released, or its lease expired, while the task ran.
 	TaskLost = "lost"
-	// TaskCompleted: it has completed.
+	// TaskCompleted: the task completed.
 	TaskCompleted = "done"
 )
 
-// TaskEvent is a change of a task that an agent observed: a row of the tasks' history.
+// TaskEvent is a change of a task on a machine, and a row of the task history.
 type TaskEvent struct {
 	AtMS    int64  `parquet:"at_ms"`
 	Machine string `parquet:"machine,dict"`
@@ -31,19 +31,20 @@
 	Task    string `parquet:"task"`
 	Team    string `parquet:"team,dict"`
 	Event   string `parquet:"event,dict"`
-	// RanMS is for how long it had run, LostMS what of that is lost.
+	// RanMS is how long the task had run, and LostMS the part of that time that is lost.
 	RanMS  int64 `parquet:"ran_ms"`
 	LostMS int64 `parquet:"lost_ms"`
 }
 
-// taskRecorder records the events of one agent's tasks.
+// taskRecorder records the events of an agent's tasks.
 type taskRecorder struct {
 	cluster *Cluster
 	agent   *simulation.Agent
 	running map[*simulation.Task]bool
 }
 
-// recordTasks records the events of an agent's tasks from now on.
+// recordTasks returns a recorder for an agent's tasks. It records their stops from now on; the other
+// events are recorded when observe is called.
 func (c *Cluster) recordTasks(agent *simulation.Agent) *taskRecorder {
 	r := &taskRecorder{c, agent, map[*simulation.Task]bool{}}
 	agent.OnStop = func(task *simulation.Task, saves bool) {
@@ -57,7 +58,7 @@
 	return r
 }
 
-// observe records the tasks that have started, completed or been lost since the last call.
+// observe records the tasks that started, completed or were lost since the last call.
 func (r *taskRecorder) observe() {
 	listed := map[*simulation.Task]bool{}
 	for _, task := range r.agent.Tasks {
@@ -80,7 +81,8 @@
 	}
 }
 
-// recordMachineLost records all running tasks as lost, unless the measurement has ended.
+// recordMachineLost records the running tasks as lost, unless the run has ended: then the agent stops
+// although its machine is not lost.
 func (r *taskRecorder) recordMachineLost() {
 	if r.cluster.ctx.Err() != nil {
 		return
@@ -90,7 +92,7 @@
 	}
 }
 
-// record adds an event of a task, and its progress if it saves checkpoints.
+// record appends an event of a task. If the task saves checkpoints, it also adds the saved run time.
 func (r *taskRecorder) record(task *simulation.Task, event string) {
 	id, _, _ := wire.SplitTask(task.Name)
 	job := r.cluster.job(id)
@@ -109,8 +111,8 @@
 	}
 }
 
-// lostRunTime is the part of a task's run time that an event loses: what came after the last
-// checkpoint, if it saves any.
+// lostRunTime returns the part of a task's run time that an event loses: the time since the last
+// checkpoint, or all of it if the task saves no checkpoints.
 func lostRunTime(job *wire.Job, event string, ran time.Duration) time.Duration {
 	if event != TaskStopped && event != TaskLost {
 		return 0
@@ -121,14 +123,14 @@
 	return ran
 }
 
-// savedProgress is the run time that a task has saved.
+// savedProgress returns the run time that a task has saved in checkpoints.
 func (c *Cluster) savedProgress(task string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.progress[task]
 }
 
-// TaskHistory is the events recorded so far, in order.
+// TaskHistory returns the events recorded so far, in order.
 func (c *Cluster) TaskHistory() []TaskEvent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/loadtest/user.go
+++ b/internal/loadtest/user.go
@@ -11,7 +11,7 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// Times of the users.
+// Timeouts and delays of users' requests.
 const (
 	submitTimeout    = 5 * time.Second
 	queryTimeout     = 2 * time.Second
@@ -19,8 +19,8 @@
 	minRetryDelay    = time.Second
 )
 
-// startUser starts a user, unless there are too many: he submits a job, first at the given
-// controller, and polls until it ends.
+// startUser starts a user who submits a job, first at the given controller, and polls until the job
+// ends. It does nothing if maxUsers users are active.
 func (g *loadGenerator) startUser(ctx context.Context, job *wire.Job, node int32) {
 	if !g.users.TryAcquire(1) {
 		return
@@ -33,8 +33,9 @@
 	})
 }
 
-// submitUntilAccepted retries as the responses say, until the job is accepted or the time for
-// retries is over, and reports whether it was accepted.
+// submitUntilAccepted submits a job and retries at random controllers, with the delays that the
+// responses ask for, until it is accepted or the retry window ends. It reports whether the job was
+// accepted.
 func (g *loadGenerator) submitUntilAccepted(ctx context.Context, job *wire.Job, node int32) bool {
 	first := time.Now()
 	for ctx.Err() == nil {
@@ -57,7 +58,7 @@
 	return false
 }
 
-// submitDuplicate submits a job at another controller at the same moment.
+// submitDuplicate submits a job at another controller, concurrently with its user.
 func (g *loadGenerator) submitDuplicate(ctx context.Context, job *wire.Job, node int32) {
 	if ctx.Err() == nil {
 		g.background.Go(func() { g.submit(job, node) })
@@ -75,17 +76,17 @@
 	}
 }
 
-// submit submits a job at a controller.
+// submit sends one submit request for a job to a controller.
 func (g *loadGenerator) submit(job *wire.Job, node int32) Exchange {
 	body, err := json.Marshal(job)
 	if err != nil {
-		panic(err) // it has fields of basic types only
+		panic(err) // a job can always be encoded
 	}
 	submission := Exchange{Op: OpSubmit, Job: job.ID, Team: job.Team, Class: job.Class, Node: node}
 	return g.send(submission, http.MethodPost, wire.PathJobs, body, submitTimeout)
 }
 
-// send sends a request, and completes and records the exchange.
+// send sends a request to the exchange's controller, fills in the response and records the exchange.
 func (g *loadGenerator) send(e Exchange, method, path string, body []byte, timeout time.Duration) Exchange {
 	sent := time.Now()
 	response := sendHTTP(g.client, g.cluster.clientAddrs[e.Node], method, path, body, timeout)
