--- a/cmd/loadtest/overload.go
+++ b/cmd/loadtest/overload.go
@@ -22,7 +22,7 @@
 	Report   bool    `help:"Only check the histories that are there and write the report."`
 }
 
-// Limits of the options, because a run shares its host with other processes.
+// Limits of the options. They exist because a run shares its host with other processes.
 const (
 	minSeconds  = 60
 	maxSeconds  = 1200
--- a/internal/loadtest/check.go
+++ b/internal/loadtest/check.go
@@ -19,9 +19,9 @@
 	Objectives []Objective
 }
 
-// Check returns the problems of a history: jobs that were neither accepted nor given up, accepted
-// jobs that are unknown later, leave a final state or don't end, classes that make no progress, and
-// classes that miss their objective.
+// Check returns the problems of a history: jobs whose responses contradict each other, jobs that were
+// neither accepted nor given up, accepted jobs that don't end, classes without progress, and classes
+// that miss their objective.
 func Check(history []Exchange, options CheckOptions) []string {
 	problems := checkJobs(history)
 	problems = append(problems, checkProgress(history, options)...)
--- a/internal/loadtest/disruption.go
+++ b/internal/loadtest/disruption.go
@@ -13,12 +13,13 @@
 type Disruption struct {
 	Team string
 	// Stopped is the number of tasks stopped by command, Saved the number of those that saved their
-	// progress, and Lost the number of tasks that ended because their machine was released or lost.
+	// progress, and Lost the number of tasks that ended because their machine was released or its lease
+	// expired.
 	Stopped, Saved, Lost int
 	LostTime             time.Duration
 	// MaxUnavailable is the largest number of stopped tasks that had not restarted, at any time.
-	// MaxEvictions and MaxLostTime are the largest number of stops and the largest sum of the run time
-	// lost by them within a window.
+	// MaxEvictions is the largest number of stops, and MaxLostTime the largest run time lost by stops,
+	// within a window.
 	MaxUnavailable, MaxEvictions int
 	MaxLostTime                  time.Duration
 }
--- a/internal/loadtest/settings.go
+++ b/internal/loadtest/settings.go
@@ -71,7 +71,8 @@
 // Objectives are the objectives of the classes in the load.
 var Objectives = []Objective{{"urgent", time.Minute, 0.9}, {"nightly", 250 * time.Second, 0.9}}
 
-// LongestObjective returns the longest Within of all objectives.
+// LongestObjective returns the longest Within of all objectives: the time in which the jobs accepted
+// last should be done.
 func LongestObjective() time.Duration {
 	return slices.MaxFunc(Objectives, func(a, b Objective) int { return cmp.Compare(a.Within, b.Within) }).Within
 }
--- a/internal/loadtest/summary.go
+++ b/internal/loadtest/summary.go
@@ -14,7 +14,7 @@
 type ClassSummary struct {
 	Team, Class                    string
 	Submitted, Accepted, Abandoned int // jobs
-	SubmitRequests                 int
+	SubmitRequests                 int // including retries
 	// AcceptP50 and AcceptP95 are quantiles of the time from a job's first submit request to its
 	// acceptance.
 	AcceptP50, AcceptP95 time.Duration
