--- a/cmd/loadtest/drain.go
+++ b/cmd/loadtest/drain.go
@@ -19,7 +19,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// drainCommand measures a drain under load, and compares it with the loss of the zone at once.
+// drainCommand measures the drain of a zone under load and compares it with the release of all machines
+// of the zone at once.
 type drainCommand struct {
 	commonOptions
 	Seconds int     `help:"How long the load lasts, 120 to 600." default:"180"`
@@ -27,7 +28,7 @@
 	Lost    float64 `help:"Run time that each team may lose in a minute, in seconds." default:"100"`
 }
 
-// Bounds of the options.
+// Limits of the options.
 const (
 	minDrainSeconds = 120
 	maxDrainSeconds = 600
@@ -36,29 +37,29 @@
 
 const (
 	drainedZone = "a"
-	// drainAt is when the zone is drained or removed; the leader is killed twice after it.
-	drainAt     = 60 * time.Second
-	firstKill   = 75 * time.Second
-	secondKill  = 115 * time.Second
-	drainWindow = 60 * time.Second
-	// drainCheckpointInterval is that of the nightly jobs.
+	// drainAt is when the drain starts or the zone is released. The leader is killed twice after it.
+	drainAt      = 60 * time.Second
+	firstKillAt  = 75 * time.Second
+	secondKillAt = 115 * time.Second
+	drainWindow  = 60 * time.Second
+	// drainCheckpointInterval is the checkpoint interval of the nightly jobs.
 	drainCheckpointInterval = 5 * time.Second
 	drainTaskRunTime        = 25 * time.Second
 )
 
-// drainOperatorFormat is the operators' file.
+// drainOperatorFormat is the format of the operator settings.
 const drainOperatorFormat = `<switchshore><admission/><drains windowSeconds="%g"><budget maxUnavailable="%d" evictions="%d" lostSeconds="%g"/></drains></switchshore>`
 
-// drainVariant is one of the two runs.
+// drainVariant is one of the two runs that are compared.
 type drainVariant struct {
-	name      string
-	removeAll bool // instead of a drain
-	timing    *loadtest.DrainTiming
-	released  int // machines that were removed
-	result    *runResult
+	name             string
+	releaseAtOnce    bool // release the zone instead of draining it
+	timing           *loadtest.DrainTiming
+	releasedMachines int // number of machines released at once
+	result           *runResult
 }
 
-// Run runs both variants at the same time and reports the results.
+// Run runs both variants concurrently and reports the results.
 func (o *drainCommand) Run(ctx context.Context) error {
 	if o.Seconds < minDrainSeconds || o.Seconds > maxDrainSeconds || o.Rate <= 0 || o.Rate > maxDrainRate || o.Lost < 0 {
 		return fmt.Errorf("--seconds must be %d to %d, --rate above 0 and at most %d, --lost not below 0", minDrainSeconds, maxDrainSeconds, maxDrainRate)
@@ -67,7 +68,7 @@
 	if err != nil {
 		return err
 	}
-	variants := []*drainVariant{{name: "drained"}, {name: "at-once", removeAll: true}}
+	variants := []*drainVariant{{name: "drained"}, {name: "at-once", releaseAtOnce: true}}
 	var group errgroup.Group
 	for _, v := range variants {
 		group.Go(func() error { return o.runVariant(ctx, binary, v) })
@@ -78,21 +79,21 @@
 	return o.report(variants)
 }
 
-// budget is that of each team.
+// budget returns the disruption budget of each team.
 func (o *drainCommand) budget() drain.Budget {
 	return drain.Budget{MaxUnavailable: 8, Evictions: 30, LostS: o.Lost}
 }
 
-// operatorFile is the operators' file with the budget.
+// operatorFile returns the operator settings with the budget.
 func (o *drainCommand) operatorFile() string {
 	b := o.budget()
 	return fmt.Sprintf(drainOperatorFormat, drainWindow.Seconds(), b.MaxUnavailable, b.Evictions, b.LostS)
 }
 
-// runVariant runs a variant and saves its files.
+// runVariant runs a variant, saves its task history and packs its files.
 func (o *drainCommand) runVariant(ctx context.Context, binary string, v *drainVariant) (err error) {
 	v.result, err = o.run(ctx, binary, clusterRun{
-		name: v.name, operator: o.operatorFile(), during: v.emptyZone,
+		name: v.name, operator: o.operatorFile(), concurrent: v.disruptZone,
 		cluster: loadtest.ClusterOptions{
 			Machines: 12, WriteRPS: 100, HeartbeatInterval: time.Second,
 			Zones: []string{drainedZone, "b"}, RunTime: actualRunTime,
@@ -100,36 +101,36 @@
 		load: loadtest.LoadOptions{
 			Duration: time.Duration(o.Seconds) * time.Second, JobsPerSecond: o.Rate, Seed: o.Seed,
 			TasksPerJob: 4, TaskRunTime: drainTaskRunTime, CheckpointInterval: drainCheckpointInterval,
-			OnePriority: true, KillLeaderAt: []time.Duration{firstKill, secondKill},
+			EqualPriority: true, KillLeaderAt: []time.Duration{firstKillAt, secondKillAt},
 		},
 	})
 	if err != nil {
 		return err
 	}
-	folder := o.folder(v.name)
-	if err := loadtest.SaveHistory(filepath.Join(folder, tasksName), v.result.tasks); err != nil {
+	dir := o.dir(v.name)
+	if err := loadtest.SaveHistory(filepath.Join(dir, taskEventsFileName), v.result.tasks); err != nil {
 		return err
 	}
-	return archive(folder, folder+".tar.zst")
+	return archive(dir, dir+".tar.zst")
 }
 
-// actualRunTime is that of a job's tasks: one job in four runs far longer than estimated.
+// actualRunTime returns how long a job's tasks run: for one job in four, four times as long as estimated.
 func actualRunTime(job *wire.Job) time.Duration {
 	number, err := strconv.Atoi(strings.TrimPrefix(job.ID, "job-"))
 	if err != nil {
-		number = 0 // not an id of the load
+		number = 0 // not a job of the load generator
 	}
 	factor := []float64{0.5, 1, 1, 4}[number%4]
 	return seconds.Duration(job.EstimateS * factor)
 }
 
-// emptyZone drains the zone, or removes its machines at once, when it is time.
-func (v *drainVariant) emptyZone(ctx context.Context, cluster *loadtest.Cluster) (err error) {
+// disruptZone drains the zone, or releases its machines at once, after drainAt.
+func (v *drainVariant) disruptZone(ctx context.Context, cluster *loadtest.Cluster) (err error) {
 	if err := ctxtime.Sleep(ctx, drainAt); err != nil {
 		return err
 	}
-	if v.removeAll {
-		v.released = cluster.ReleaseZone(drainedZone)
+	if v.releaseAtOnce {
+		v.releasedMachines = cluster.ReleaseZone(drainedZone)
 		return nil
 	}
 	v.timing, err = cluster.Drain(ctx, &drain.Spec{
@@ -138,7 +139,8 @@
 	return err
 }
 
-// report prints and draws both runs; a budget that is exceeded is an error.
+// report prints the results of both runs and writes the report. It returns an error if the drain
+// exceeded a budget.
 func (o *drainCommand) report(variants []*drainVariant) error {
 	var results []*loadtest.Result
 	var exceeded []string
@@ -147,7 +149,7 @@
 		if err != nil {
 			return err
 		}
-		if !v.removeAll {
+		if !v.releaseAtOnce {
 			exceeded = loadtest.CheckBudgets(result.Disruptions, &drain.Budgets{Window: drainWindow, Default: o.budget()})
 			result.Problems = append(result.Problems, exceeded...)
 		}
@@ -163,14 +165,14 @@
 	return nil
 }
 
-// check checks a variant's histories.
+// check checks a variant's exchanges and computes its disruptions.
 func (o *drainCommand) check(v *drainVariant) (*loadtest.Result, error) {
-	plan := loadtest.Plan{Begin: warmUp, End: time.Duration(o.Seconds) * time.Second, Window: progressWindow}
-	result, err := loadtest.NewResult("zone "+v.name, v.result.exchanges, plan)
+	options := loadtest.CheckOptions{Begin: warmUp, End: time.Duration(o.Seconds) * time.Second, Window: progressWindow}
+	result, err := loadtest.NewResult("zone "+v.name, v.result.exchanges, options)
 	if err != nil {
 		return nil, err
 	}
-	result.Disruptions = loadtest.Disruptions(v.result.tasks, drainedZone, drainWindow)
+	result.Disruptions = loadtest.DisruptionsByTeam(v.result.tasks, drainedZone, drainWindow)
 	return result, nil
 }
 
@@ -179,7 +181,7 @@
 	fmt.Printf("%s: %d answers, %d problems\n", result.Name, len(v.result.exchanges), len(result.Problems))
 	for _, d := range result.Disruptions {
 		fmt.Printf("  %-7s stopped %3d (saved %3d), lost with machines %3d, run time lost %v; most unavailable %d, in a window %d evictions, %v lost\n",
-			d.Team, d.Stopped, d.Saved, d.Lost, d.LostTime.Round(time.Second), d.MostUnavailable, d.MostEvictions, d.MostLost.Round(time.Second))
+			d.Team, d.Stopped, d.Saved, d.Lost, d.LostTime.Round(time.Second), d.MaxUnavailable, d.MaxEvictions, d.MaxLostTime.Round(time.Second))
 	}
 	for _, c := range result.Classes {
 		fmt.Printf("  %-7s %-8s accepted %4d of %4d, done %4d, p50 %v\n", c.Team, c.Class, c.Accepted, c.Submitted, c.Done, c.DoneP50)
@@ -188,10 +190,10 @@
 	printProblems(result.Problems)
 }
 
-// printTiming prints how the zone was emptied.
+// printTiming prints the duration and the waits of the drain, or the number of machines released.
 func (v *drainVariant) printTiming() {
-	if v.removeAll {
-		fmt.Printf("  %d machines taken away at once\n", v.released)
+	if v.releaseAtOnce {
+		fmt.Printf("  %d machines taken away at once\n", v.releasedMachines)
 		return
 	}
 	fmt.Printf("  drained in %v: %+v\n", v.timing.Total.Round(time.Second), v.timing.Status.Counts)
--- a/internal/loadtest/check.go
+++ b/internal/loadtest/check.go
@@ -10,28 +10,29 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// Plan is what a history is checked against.
-type Plan struct {
-	// Begin and End bound the load. Every class must make progress in each Window in between.
+// CheckOptions are the period and the objectives that a history is checked against.
+type CheckOptions struct {
+	// Begin and End bound the checked period. In each Window of it in which a class submits jobs, at
+	// least one of its submissions must be accepted.
 	Begin, End, Window time.Duration
-	// Objectives are what accepted jobs are promised.
+	// Objectives are the deadlines that a share of the accepted jobs of a class must meet.
 	Objectives []Objective
 }
 
-// Check returns the problems of a history: a job without exactly one final response, one that is
-// lost or leaves a final state, an accepted one that does not end, a class that makes no progress,
-// or of which fewer jobs are done in time than its objective promises.
-func Check(history []Exchange, plan Plan) []string {
+// Check returns the problems of a history: jobs whose responses contradict each other, jobs that were
+// neither accepted nor given up, accepted jobs that don't end, classes without progress, and classes
+// that miss their objective.
+func Check(history []Exchange, options CheckOptions) []string {
 	problems := checkJobs(history)
-	problems = append(problems, checkProgress(history, plan)...)
-	for _, o := range plan.Objectives {
+	problems = append(problems, checkProgress(history, options)...)
+	for _, o := range options.Objectives {
 		problems = append(problems, checkObjective(history, o)...)
 	}
 	return problems
 }
 
-// checkObjective finds a class of which too few of the accepted jobs were done in time, counted
-// from the acceptance: before it no controller knows the job.
+// checkObjective returns a problem if too few accepted jobs of a class were done in time. The time
+// runs from the acceptance because no controller knows the job before.
 func checkObjective(history []Exchange, o Objective) []string {
 	acceptedAt := map[string]time.Duration{}
 	done := map[string]bool{}
@@ -41,13 +42,13 @@
 		if e.Class != o.Class {
 			continue
 		}
-		since, accepted := acceptedAt[e.Job]
+		start, accepted := acceptedAt[e.Job]
 		switch {
 		case e.accepted() && !accepted:
 			acceptedAt[e.Job] = e.receivedAt()
 		case accepted && e.State == wire.JobDone && !done[e.Job]:
 			done[e.Job] = true
-			if e.receivedAt()-since <= o.Within {
+			if e.receivedAt()-start <= o.Within {
 				inTime++
 			}
 		}
@@ -59,13 +60,13 @@
 		o.Class, inTime, len(acceptedAt), o.Within, o.Share)}
 }
 
-// observedJob is what a job's user has been told so far.
+// observedJob is a job's state according to the responses to its user.
 type observedJob struct {
 	accepted, abandoned bool
 	state               string
 }
 
-// checkJobs finds jobs whose responses contradict each other, or that do not end.
+// checkJobs returns the jobs whose responses contradict each other and those that don't end.
 func checkJobs(history []Exchange) []string {
 	var problems []string
 	jobs := map[string]*observedJob{}
@@ -91,7 +92,7 @@
 	return problems
 }
 
-// apply adds an exchange and returns its problem, or "".
+// apply updates the job with an exchange. It returns the contradiction to earlier exchanges, or "".
 func (j *observedJob) apply(e *Exchange) string {
 	switch {
 	case e.Op == OpGiveUp:
@@ -99,9 +100,9 @@
 			return "given up after it was accepted"
 		}
 		j.abandoned = true
-	case j.accepted && refusesJob(e.Status):
+	case j.accepted && contradictsAcceptance(e.Status):
 		return fmt.Sprintf("accepted, and then answered %d", e.Status)
-	case !succeeded(int(e.Status)):
+	case !isSuccess(int(e.Status)):
 		return ""
 	case e.Op == OpQuery && !j.accepted && !j.abandoned:
 		return "known before it was accepted"
@@ -114,22 +115,23 @@
 	return ""
 }
 
-// refusesJob reports whether a status says that a job is unknown or invalid.
-func refusesJob(status int32) bool {
+// contradictsAcceptance reports whether a status means that a job is unknown or invalid, which must
+// not happen after it was accepted.
+func contradictsAcceptance(status int32) bool {
 	return slices.Contains([]int32{http.StatusBadRequest, http.StatusNotFound, http.StatusUnprocessableEntity}, status)
 }
 
-// windowCounts are the submissions of a team's class and how many of them were accepted, by window.
+// windowCounts are the numbers of submit requests of a team's class and of accepted ones, by window.
 type windowCounts struct{ submitted, accepted []int }
 
-// checkProgress finds windows in which submissions of a class were made and none was accepted.
-func checkProgress(history []Exchange, plan Plan) []string {
+// checkProgress returns the windows in which a team's class submitted jobs and none was accepted.
+func checkProgress(history []Exchange, options CheckOptions) []string {
 	var problems []string
-	counts := countByWindow(history, plan)
+	counts := countByWindow(history, options)
 	for _, class := range slices.Sorted(maps.Keys(counts)) {
 		for i, submitted := range counts[class].submitted {
 			if submitted > 0 && counts[class].accepted[i] == 0 {
-				begin := plan.Begin + time.Duration(i)*plan.Window
+				begin := options.Begin + time.Duration(i)*options.Window
 				problems = append(problems, fmt.Sprintf("%s: none of %d tries accepted from %v", class, submitted, begin))
 			}
 		}
@@ -137,18 +139,18 @@
 	return problems
 }
 
-// countByWindow counts the submissions by team's class and window.
-func countByWindow(history []Exchange, plan Plan) map[string]windowCounts {
-	windows := int((plan.End - plan.Begin) / plan.Window)
+// countByWindow counts the submit requests of each team's class by window.
+func countByWindow(history []Exchange, options CheckOptions) map[string]windowCounts {
+	windows := int((options.End - options.Begin) / options.Window)
 	counts := map[string]windowCounts{}
 	for i := range history {
 		e := &history[i]
-		window := int((e.receivedAt() - plan.Begin) / plan.Window)
-		if e.Op != OpSubmit || e.receivedAt() < plan.Begin || window >= windows {
+		window := int((e.receivedAt() - options.Begin) / options.Window)
+		if e.Op != OpSubmit || e.receivedAt() < options.Begin || window >= windows {
 			continue
 		}
-		class, known := counts[e.teamClass()]
-		if !known {
+		class, found := counts[e.teamClass()]
+		if !found {
 			class = windowCounts{make([]int, windows), make([]int, windows)}
 			counts[e.teamClass()] = class
 		}
--- a/internal/loadtest/disruption.go
+++ b/internal/loadtest/disruption.go
@@ -9,33 +9,35 @@
 	"switchshore.example/switchshore/internal/drain"
 )
 
-// Disruption is what happened to a team's running tasks on machines of a zone.
+// Disruption counts a team's tasks that were stopped or lost on machines of a zone.
 type Disruption struct {
 	Team string
-	// Stopped were stopped by command, Saved are those of them that saved their progress, Lost ended
-	// with their machines.
+	// Stopped is the number of tasks stopped by command, Saved the number of those that saved their
+	// progress, and Lost the number of tasks that ended because their machine was released or its lease
+	// expired.
 	Stopped, Saved, Lost int
 	LostTime             time.Duration
-	// MostUnavailable is the largest number of stopped tasks that did not run again yet,
-	// MostEvictions and MostLost are the largest sums within a window.
-	MostUnavailable, MostEvictions int
-	MostLost                       time.Duration
+	// MaxUnavailable is the largest number of stopped tasks that had not restarted, at any time.
+	// MaxEvictions is the largest number of stops, and MaxLostTime the largest run time lost by stops,
+	// within a window.
+	MaxUnavailable, MaxEvictions int
+	MaxLostTime                  time.Duration
 }
 
-// disruption is a Disruption that is being summed up.
-type disruption struct {
+// disruptionCounter computes a Disruption from task events.
+type disruptionCounter struct {
 	Disruption
-	unavailable map[string]bool // stopped tasks
+	unavailable map[string]bool // stopped tasks that have not restarted
 	recent      []TaskEvent     // stops within the window
 }
 
-// Disruptions sums up, by team, what a history of tasks shows of a zone.
-func Disruptions(history []TaskEvent, zone string, window time.Duration) []Disruption {
-	teams := map[string]*disruption{}
+// DisruptionsByTeam returns the disruptions in a zone by team, sorted by name.
+func DisruptionsByTeam(history []TaskEvent, zone string, window time.Duration) []Disruption {
+	teams := map[string]*disruptionCounter{}
 	for _, e := range history {
 		d := teams[e.Team]
 		if d == nil {
-			d = &disruption{Disruption: Disruption{Team: e.Team}, unavailable: map[string]bool{}}
+			d = &disruptionCounter{Disruption: Disruption{Team: e.Team}, unavailable: map[string]bool{}}
 			teams[e.Team] = d
 		}
 		switch {
@@ -52,9 +54,9 @@
 	return sorted
 }
 
-// add counts a task that was stopped or lost.
-func (d *disruption) add(e TaskEvent, window time.Duration) {
-	d.LostTime += lostTime(e)
+// add counts a task that was stopped or lost. Only stops count against the budgets.
+func (d *disruptionCounter) add(e TaskEvent, window time.Duration) {
+	d.LostTime += sumLostTime(e)
 	if e.Event == TaskLost {
 		d.Lost++
 		return
@@ -68,13 +70,13 @@
 	for time.Duration(e.AtMS-d.recent[0].AtMS)*time.Millisecond >= window {
 		d.recent = d.recent[1:]
 	}
-	d.MostUnavailable = max(d.MostUnavailable, len(d.unavailable))
-	d.MostEvictions = max(d.MostEvictions, len(d.recent))
-	d.MostLost = max(d.MostLost, lostTime(d.recent...))
+	d.MaxUnavailable = max(d.MaxUnavailable, len(d.unavailable))
+	d.MaxEvictions = max(d.MaxEvictions, len(d.recent))
+	d.MaxLostTime = max(d.MaxLostTime, sumLostTime(d.recent...))
 }
 
-// lostTime is the run time that some events lost.
-func lostTime(events ...TaskEvent) time.Duration {
+// sumLostTime returns the run time lost by the given events.
+func sumLostTime(events ...TaskEvent) time.Duration {
 	sum := time.Duration(0)
 	for _, e := range events {
 		sum += time.Duration(e.LostMS) * time.Millisecond
@@ -82,14 +84,14 @@
 	return sum
 }
 
-// CheckBudgets returns the teams whose disruptions exceed their budgets.
+// CheckBudgets returns a message for each team whose disruptions exceed its budget.
 func CheckBudgets(disruptions []Disruption, budgets *drain.Budgets) []string {
 	var problems []string
 	for _, d := range disruptions {
 		b := budgets.For(d.Team)
-		if d.MostUnavailable > b.MaxUnavailable || d.MostEvictions > b.Evictions || d.MostLost.Seconds() > b.LostS {
+		if d.MaxUnavailable > b.MaxUnavailable || d.MaxEvictions > b.Evictions || d.MaxLostTime.Seconds() > b.LostS {
 			problems = append(problems, fmt.Sprintf("%s: %d unavailable of %d, %d evictions of %d, %v lost of %gs", d.Team,
-				d.MostUnavailable, b.MaxUnavailable, d.MostEvictions, b.Evictions, d.MostLost, b.LostS))
+				d.MaxUnavailable, b.MaxUnavailable, d.MaxEvictions, b.Evictions, d.MaxLostTime, b.LostS))
 		}
 	}
 	return problems
