--- a/internal/simulation/admission_test.go
+++ b/internal/simulation/admission_test.go
@@ -11,22 +11,24 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// flood is a run in which far more is submitted than the key-value store can write.
-type flood struct {
+// overloadSimulation is a simulation in which users submit far more jobs than the key-value store
+// can write.
+type overloadSimulation struct {
 	*simulation.Simulation
 	t        *testing.T
 	rng      *rand.Rand
-	number   int
+	jobCount int
 	outcomes []simulation.SubmissionOutcome
 }
 
-// overloadWindow is the time within which every class must make progress.
-const overloadWindow = 20 * time.Second
+// progressWindow is the time within which at least one job of every team and class must be accepted
+// during an overload.
+const progressWindow = 20 * time.Second
 
-// newFlood returns a simulation of three to five nodes whose key-value store takes a few jobs a
-// second, with admission control on.
-func newFlood(t *testing.T, seed uint64) *flood {
-	p := params()
+// newOverloadSimulation returns a simulation of three or five nodes with admission control enabled.
+// Its key-value store can write only a few jobs per second.
+func newOverloadSimulation(t *testing.T, seed uint64) *overloadSimulation {
+	p := defaultParams()
 	p.Teams = []config.Team{
 		{Name: "blue", CPUs: 40, CPUsMax: 60},
 		{Name: "green", CPUs: 16, CPUsMax: 60},
@@ -38,180 +40,189 @@
 	sim.Operator = config.OperatorSettings{Admission: &config.Admission{}}
 	sim.LimitWriteRate = true
 	sim.ExchangeNodeHeartbeats()
-	return &flood{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(seed, 3))}
+	return &overloadSimulation{Simulation: sim, t: t, rng: rand.New(rand.NewPCG(seed, 3))}
 }
 
-// submit lets a team submit jobs of a class at a rate, in jobs a second.
-func (f *flood) submit(team, class string, perSecond float64, from, until time.Duration, shape func(*wire.Job)) {
-	for at := from; at < until; at += time.Duration(f.rng.ExpFloat64() / perSecond * float64(time.Second)) {
-		f.number++
+// submit makes a team submit jobs of a class at random times, at a mean rate in jobs per second.
+// modify, if set, changes each job first.
+func (sim *overloadSimulation) submit(team, class string, rate float64, from, until time.Duration, modify func(*wire.Job)) {
+	for at := from; at < until; at += time.Duration(sim.rng.ExpFloat64() / rate * float64(time.Second)) {
+		sim.jobCount++
 		j := &wire.Job{
-			ID: fmt.Sprintf("job-%06d", f.number), Class: class, Team: team, Kind: wire.KindArray, Priority: wire.PriorityNormal,
+			ID: fmt.Sprintf("job-%06d", sim.jobCount), Class: class, Team: team, Kind: wire.KindArray, Priority: wire.PriorityNormal,
 			Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img-0", ImageGB: 0.1, Spot: true, EstimateS: 1,
 		}
 		if class == "urgent" {
 			j.Priority = wire.PriorityHigh
 		}
-		if shape != nil {
-			shape(j)
+		if modify != nil {
+			modify(j)
 		}
-		f.SubmitWithRetryWindow(at, j, func(o simulation.SubmissionOutcome) { f.outcomes = append(f.outcomes, o) })
+		sim.SubmitWithRetryWindow(at, j, func(o simulation.SubmissionOutcome) { sim.outcomes = append(sim.outcomes, o) })
 	}
 }
 
-// normalLoad is what the three teams submit without overload, three jobs a second in all.
-func (f *flood) normalLoad(until time.Duration) {
+// submitNormalLoad makes the three teams submit three jobs per second in total, which does not
+// overload the key-value store.
+func (sim *overloadSimulation) submitNormalLoad(until time.Duration) {
 	for _, team := range []string{"blue", "green", "guests"} {
 		for _, class := range []string{"urgent", "nightly"} {
-			f.submit(team, class, 0.5, 0, until, nil)
+			sim.submit(team, class, 0.5, 0, until, nil)
 		}
 	}
 }
 
-// accepted counts the jobs of a team and class accepted in a span, and those submitted.
-func (f *flood) accepted(team, class string, from, until time.Duration) (accepted, asked int) {
-	for _, o := range f.outcomes {
+// countAccepted returns how many jobs of a team and class were accepted from one time until
+// another, and how many were submitted in that time. An empty class means all classes.
+func (sim *overloadSimulation) countAccepted(team, class string, from, until time.Duration) (accepted, submitted int) {
+	for _, o := range sim.outcomes {
 		if o.Job.Team != team || class != "" && o.Job.Class != class {
 			continue
 		}
 		if o.SubmittedAt >= from && o.SubmittedAt < until {
-			asked++
+			submitted++
 		}
 		if o.Accepted && o.FinishedAt >= from && o.FinishedAt < until {
 			accepted++
 		}
 	}
-	return accepted, asked
+	return accepted, submitted
 }
 
-// checkProgress fails if no job of a class of a team was accepted in a window of the overload.
-func (f *flood) checkProgress(from, until time.Duration) {
-	f.t.Helper()
+// checkProgress fails the test if a team submitted jobs of a class in a progressWindow and none was
+// accepted in it.
+func (sim *overloadSimulation) checkProgress(from, until time.Duration) {
+	sim.t.Helper()
 	for _, team := range []string{"blue", "green", "guests"} {
 		for _, class := range []string{"urgent", "nightly"} {
-			for at := from; at+overloadWindow <= until; at += overloadWindow {
-				if n, asked := f.accepted(team, class, at, at+overloadWindow); n == 0 && asked > 0 {
-					f.t.Errorf("%s/%s: none of %d accepted from %v", team, class, asked, at)
+			for at := from; at+progressWindow <= until; at += progressWindow {
+				if n, submitted := sim.countAccepted(team, class, at, at+progressWindow); n == 0 && submitted > 0 {
+					sim.t.Errorf("%s/%s: 0 of %d submitted jobs accepted in the window from %v, want at least 1", team, class, submitted, at)
 				}
 			}
 		}
 	}
 }
 
-// run runs the simulation; every submission must be settled once, and accepted jobs must end.
-func (f *flood) run(observed ...simulation.Observation) {
-	f.t.Helper()
-	err := f.Run(330*second, 90*second)
-	logDigest(f.t, f.Simulation)
+// runAndCheck runs the simulation. It fails the test if an invariant is violated, if an accepted
+// job does not end, if a submission does not have exactly one outcome, or if an observation was not
+// made.
+func (sim *overloadSimulation) runAndCheck(observed ...simulation.Observation) {
+	sim.t.Helper()
+	err := sim.Run(330*second, 90*second)
+	appendDigest(sim.t, sim.Simulation)
 	if err != nil {
-		f.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
-	if left := f.Invariants.UnfinishedJobs(); len(left) > 0 {
-		f.t.Errorf("jobs did not end: %v", left)
+	if unfinished := sim.Invariants.UnfinishedJobs(); len(unfinished) > 0 {
+		sim.t.Errorf("got unfinished jobs %v at the end of the run, want none", unfinished)
 	}
-	if len(f.outcomes) != f.number {
-		f.t.Errorf("%d of %d submissions were settled", len(f.outcomes), f.number)
+	if len(sim.outcomes) != sim.jobCount {
+		sim.t.Errorf("got %d outcomes of %d submissions, want one each", len(sim.outcomes), sim.jobCount)
 	}
-	seen := map[string]bool{}
-	for _, o := range f.outcomes {
-		if seen[o.Job.ID] {
-			f.t.Errorf("%s was settled twice", o.Job.ID)
+	outcomeSeen := map[string]bool{}
+	for _, o := range sim.outcomes {
+		if outcomeSeen[o.Job.ID] {
+			sim.t.Errorf("got two outcomes of the submission of %s, want one", o.Job.ID)
 		}
-		seen[o.Job.ID] = true
+		outcomeSeen[o.Job.ID] = true
 	}
-	for _, what := range observed {
-		if f.Observed[what] == 0 {
-			f.t.Errorf("not observed: %s", what)
+	for _, observation := range observed {
+		if sim.Observed[observation] == 0 {
+			sim.t.Errorf("observation %q was not made, want at least once", observation)
 		}
 	}
 }
 
-// TestFloodCostsItsTeam: a script of one team submits ten times the normal load, with new ids and
-// classes each time. Nearly all jobs of the others are accepted, and every class makes progress.
+// TestFloodCostsItsTeam: a script of one team raises the total load to ten times the normal load.
+// Each of its jobs has a new id, and half of them a new class. At least 70 % of the other teams'
+// jobs are accepted, and every class makes progress.
 func TestFloodCostsItsTeam(t *testing.T) {
-	eachSeed(t, 2, func(t *testing.T, seed uint64) {
-		f := newFlood(t, 700+seed)
-		f.normalLoad(90 * second)
-		f.submit("blue", "nightly", 27, 10*second, 80*second, func(j *wire.Job) {
-			if f.rng.IntN(2) == 0 {
-				j.Class = fmt.Sprint("made-up-", f.number)
+	forEachSeed(t, 2, func(t *testing.T, seed uint64) {
+		sim := newOverloadSimulation(t, 700+seed)
+		sim.submitNormalLoad(90 * second)
+		sim.submit("blue", "nightly", 27, 10*second, 80*second, func(j *wire.Job) {
+			if sim.rng.IntN(2) == 0 {
+				j.Class = fmt.Sprint("made-up-", sim.jobCount)
 			}
 		})
-		f.run(simulation.ShedByFollower, simulation.ShedByLeader)
-		f.checkProgress(20*second, 80*second)
-		blue, _ := f.accepted("blue", "", 20*second, 80*second)
+		sim.runAndCheck(simulation.ShedByFollower, simulation.ShedByLeader)
+		sim.checkProgress(20*second, 80*second)
+		blue, _ := sim.countAccepted("blue", "", 20*second, 80*second)
 		for _, team := range []string{"green", "guests"} {
-			got, asked := f.accepted(team, "", 20*second, 80*second)
-			t.Logf("%s: %d of %d; blue: %d", team, got, asked, blue)
-			if float64(got) < 0.7*float64(asked) {
-				t.Errorf("%s: %d of %d accepted in a flood of blue", team, got, asked)
+			got, submitted := sim.countAccepted(team, "", 20*second, 80*second)
+			t.Logf("%s: %d of %d jobs accepted; blue: %d accepted", team, got, submitted, blue)
+			if float64(got) < 0.7*float64(submitted) {
+				t.Errorf("%s: %d of %d jobs accepted while blue overloads the cluster, want at least 70%%", team, got, submitted)
 			}
 		}
 	})
 }
 
-// overloadScenarios are faults during an overload.
+// overloadScenarios are faults injected during an overload, with the terms and observations that
+// each must cause.
 var overloadScenarios = map[string]struct {
-	inject   func(f *flood)
-	terms    int // at least
+	inject   func(sim *overloadSimulation)
+	minTerms int
 	observed []simulation.Observation
 }{
-	"the leader crashes twice": {func(f *flood) {
-		f.ScheduleAt(35*second, func() { f.CrashLeader(second) })
-		f.ScheduleAt(55*second, func() { f.CrashLeader(second / 5) })
+	"the leader crashes twice": {func(sim *overloadSimulation) {
+		sim.ScheduleAt(35*second, func() { sim.CrashLeader(second) })
+		sim.ScheduleAt(55*second, func() { sim.CrashLeader(second / 5) })
 	}, 2, nil},
-	"an isolated leader": {func(f *flood) {
-		f.ScheduleAt(35*second, func() { f.Inject(simulation.LeaderIsolated, 20*second) })
+	"an isolated leader": {func(sim *overloadSimulation) {
+		sim.ScheduleAt(35*second, func() { sim.Inject(simulation.LeaderIsolated, 20*second) })
 	}, 2, nil},
-	"all controllers crash": {func(f *flood) {
-		f.ScheduleAt(40*second, func() { f.CrashAll(2 * second) })
+	"all controllers crash": {func(sim *overloadSimulation) {
+		sim.ScheduleAt(40*second, func() { sim.CrashAll(2 * second) })
 	}, 2, nil},
-	"responses to writes are lost": {func(f *flood) {
-		f.ScheduleAt(30*second, func() { f.Inject(simulation.WriteResponsesLost, 10*second) })
+	"responses to writes are lost": {func(sim *overloadSimulation) {
+		sim.ScheduleAt(30*second, func() { sim.Inject(simulation.WriteResponsesLost, 10*second) })
 	}, 1, []simulation.Observation{simulation.WriteResponseLost}},
-	"admission control is off at one node": {func(f *flood) { f.DisableAdmission(1) }, 1, nil},
-	"a rolling upgrade": {func(f *flood) {
-		f.RollingUpgrade(25*second, 12*second)
+	"admission control is off at one node": {func(sim *overloadSimulation) { sim.DisableAdmission(1) }, 1, nil},
+	"a rolling upgrade": {func(sim *overloadSimulation) {
+		sim.RollingUpgrade(25*second, 12*second)
 	}, 2, nil},
-	"partitioned nodes": {func(f *flood) {
-		f.ScheduleAt(20*second, func() { f.InjectFaults(simulation.NodesPartitioned) })
+	"partitioned nodes": {func(sim *overloadSimulation) {
+		sim.ScheduleAt(20*second, func() { sim.InjectFaults(simulation.NodesPartitioned) })
 	}, 1, nil},
 }
 
-// TestOverloadWithFaults: all teams submit ten times the normal load, two of them in bursts at
-// the same moments, while faults hit the controllers and what they talk to.
+// TestOverloadWithFaults: all teams together submit ten times the normal load, and two of them
+// additional bursts at the same times, while faults of the controllers, their network and the
+// key-value store occur. Every team and class makes progress.
 func TestOverloadWithFaults(t *testing.T) {
 	for name, s := range overloadScenarios {
 		t.Run(name, func(t *testing.T) {
-			eachSeed(t, 1, func(t *testing.T, seed uint64) {
-				f := newFlood(t, 800+seed)
+			forEachSeed(t, 1, func(t *testing.T, seed uint64) {
+				sim := newOverloadSimulation(t, 800+seed)
 				for _, team := range []string{"blue", "green", "guests"} {
-					f.submit(team, "urgent", 5, 10*second, 75*second, nil)
-					f.submit(team, "nightly", 5, 10*second, 75*second, nil)
+					sim.submit(team, "urgent", 5, 10*second, 75*second, nil)
+					sim.submit(team, "nightly", 5, 10*second, 75*second, nil)
 				}
 				for at := 20 * second; at < 75*second; at += 20 * second {
-					f.submit("blue", "nightly", 60, at, at+second, nil)
-					f.submit("green", "urgent", 60, at, at+second, nil)
+					sim.submit("blue", "nightly", 60, at, at+second, nil)
+					sim.submit("green", "urgent", 60, at, at+second, nil)
 				}
-				s.inject(f)
-				f.run(append(s.observed, simulation.ShedByLeader)...)
-				if n := f.Observed[simulation.TermStarted]; n < s.terms {
-					t.Errorf("%d terms, %d wanted", n, s.terms)
+				s.inject(sim)
+				sim.runAndCheck(append(s.observed, simulation.ShedByLeader)...)
+				if n := sim.Observed[simulation.TermStarted]; n < s.minTerms {
+					t.Errorf("got %d terms, want at least %d", n, s.minTerms)
 				}
-				f.checkProgress(30*second, 70*second)
+				sim.checkProgress(30*second, 70*second)
 			})
 		})
 	}
 }
 
-// TestNothingIsShedWithoutOverload: with admission control on and a load within capacity no
-// submission is rejected, also during a failover.
+// TestNothingIsShedWithoutOverload: with admission control enabled and a load within the capacity,
+// no submission is rejected, not even during a failover.
 func TestNothingIsShedWithoutOverload(t *testing.T) {
-	f := newFlood(t, 900)
-	f.normalLoad(80 * second)
-	f.ScheduleAt(40*second, func() { f.CrashLeader(second) })
-	f.run()
-	if n := f.Observed[simulation.ShedByFollower] + f.Observed[simulation.ShedByLeader]; n > 0 {
-		t.Errorf("%d submissions rejected", n)
+	sim := newOverloadSimulation(t, 900)
+	sim.submitNormalLoad(80 * second)
+	sim.ScheduleAt(40*second, func() { sim.CrashLeader(second) })
+	sim.runAndCheck()
+	if n := sim.Observed[simulation.ShedByFollower] + sim.Observed[simulation.ShedByLeader]; n > 0 {
+		t.Errorf("got %d rejections, want 0", n)
 	}
 }
--- a/internal/simulation/dependencies_test.go
+++ b/internal/simulation/dependencies_test.go
@@ -10,17 +10,17 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// loweredLimitParams are the settings of a key-value store that will lower its limits.
+// loweredLimitParams returns settings that announce lower limits of the key-value store.
 func loweredLimitParams() config.Params {
-	p := params()
+	p := defaultParams()
 	valueKB, ops := 2.0, 8
 	p.KVStore.Upcoming = config.UpcomingKVStoreLimits{ValueKB: &valueKB, TxnOps: &ops}
 	return p
 }
 
-// submitDependentJobs submits jobs of which most depend on some of the earlier ones, and of which a
-// share is cancelled at any moment.
-func submitDependentJobs(sim *simulation.Simulation, seed uint64, from time.Duration, cancelled float64) {
+// submitDependentJobs submits random jobs, most of which depend on a few of the jobs before them.
+// It cancels a share of them within 90 seconds of their submission.
+func submitDependentJobs(sim *simulation.Simulation, seed uint64, from time.Duration, cancelShare float64) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	var jobs []*wire.Job
 	for i := range 30 {
@@ -40,18 +40,18 @@
 		}
 		jobs = append(jobs, j)
 		cancel := time.Duration(0)
-		if rng.Float64() < cancelled {
+		if rng.Float64() < cancelShare {
 			cancel = time.Duration(1+rng.IntN(90_000)) * time.Millisecond
 		}
 		sim.Submit(from+time.Duration(rng.IntN(120_000))*time.Millisecond, j, cancel)
 	}
 }
 
-// TestDependentJobs: jobs with dependencies, cancelled at any moment, with all kinds of fault and with
-// the key-value store's limits lowered at any moment. None starts before its dependencies are done,
-// none outlives a dependency that was cancelled, all others end.
+// TestDependentJobs: users submit and cancel jobs with dependencies while faults of all kinds occur
+// and the key-value store lowers its limits. No job starts before its dependencies are done, the
+// cancellation of a job also cancels its dependents, and all other jobs end.
 func TestDependentJobs(t *testing.T) {
-	eachSeed(t, 25, func(t *testing.T, seed uint64) {
+	forEachSeed(t, 25, func(t *testing.T, seed uint64) {
 		sim := simulation.New(seed, 3+2*int(seed%2), loweredLimitParams(), machineType)
 		sim.FaultRate = float64(seed % 4)
 		sim.LowerStoreLimits(time.Duration(seed*10) * time.Second)
@@ -61,11 +61,12 @@
 	})
 }
 
-// TestRollingUpgrade: the previous version leads first, and each node restarts with the present one in
-// its turn, or before that, after a fault, with the previous one. Dependent jobs are submitted, and
-// the key-value store lowers its limits, only when all nodes are upgraded.
+// TestRollingUpgrade: all nodes start with the previous version, and then restart with the present
+// one, one after the other. A node that crashes before its upgrade restarts with the previous
+// version. Once all nodes are upgraded, users submit dependent jobs and the key-value store lowers
+// its limits.
 func TestRollingUpgrade(t *testing.T) {
-	eachSeed(t, 25, func(t *testing.T, seed uint64) {
+	forEachSeed(t, 25, func(t *testing.T, seed uint64) {
 		rng := rand.New(rand.NewPCG(seed, 4))
 		sim := simulation.New(seed, 3+2*int(seed%2), loweredLimitParams(), machineType)
 		sim.FaultRate = float64(seed % 3)
@@ -76,19 +77,19 @@
 			}
 			sim.Submit(time.Duration(rng.IntN(200_000))*time.Millisecond, drawJob(rng, i), cancel)
 		}
-		upgraded := sim.RollingUpgrade(time.Duration(10+rng.IntN(40))*time.Second, time.Duration(5+rng.IntN(15))*time.Second)
-		sim.LowerStoreLimits(upgraded + time.Duration(rng.IntN(60))*time.Second)
-		submitDependentJobs(sim, seed, upgraded, 0.2)
+		upgradedAt := sim.RollingUpgrade(time.Duration(10+rng.IntN(40))*time.Second, time.Duration(5+rng.IntN(15))*time.Second)
+		sim.LowerStoreLimits(upgradedAt + time.Duration(rng.IntN(60))*time.Second)
+		submitDependentJobs(sim, seed, upgradedAt, 0.2)
 		sim.InjectFaults()
 		runToEnd(t, sim)
 	})
 }
 
-// TestVersionsAlternate: processes restart with the other version during the whole run, also while
-// there are dependent jobs. A leader of the previous version does not know their dependencies; it
-// must keep the jobs all the same, and start none of them.
+// TestVersionsAlternate: a crashed process restarts with the other version in half of the cases,
+// also while there are dependent jobs. A leader of the previous version does not know their
+// dependencies, so it must neither delete nor start these jobs.
 func TestVersionsAlternate(t *testing.T) {
-	eachSeed(t, 25, func(t *testing.T, seed uint64) {
+	forEachSeed(t, 25, func(t *testing.T, seed uint64) {
 		sim := simulation.New(seed, 3, loweredLimitParams(), machineType)
 		sim.FaultRate, sim.VersionFlipRate = 1+float64(seed%3), 0.5
 		submitDependentJobs(sim, seed, 0, 0)
--- a/internal/simulation/helpers_test.go
+++ b/internal/simulation/helpers_test.go
@@ -18,7 +18,8 @@
 	Price: 1, SpotPrice: 0.4, BootTimeS: 10, Zones: []string{"a", "b"},
 }
 
-func params() config.Params {
+// defaultParams returns the settings of most runs.
+func defaultParams() config.Params {
 	return config.Params{
 		Teams: []config.Team{
 			{Name: "blue", CPUs: 16, CPUsMax: 24},
@@ -30,7 +31,7 @@
 	}
 }
 
-// drawJob draws a job of any shape the protocol allows.
+// drawJob returns a random job that the protocol allows.
 func drawJob(rng *rand.Rand, number int) *wire.Job {
 	j := &wire.Job{
 		ID: fmt.Sprintf("job-%06d", number), Class: "c", Team: "blue", Kind: wire.KindArray,
@@ -40,7 +41,7 @@
 		Spot: rng.IntN(3) > 0, OneZone: rng.IntN(4) == 0, EstimateS: 2 + 20*rng.Float64(),
 	}
 	if rng.IntN(8) == 0 {
-		j.EstimateS = 90 // longer than a cancellation may take
+		j.EstimateS = 90 // longer than the cancellation deadline
 	}
 	if rng.IntN(2) == 0 {
 		j.Team = "green"
@@ -56,59 +57,61 @@
 	return j
 }
 
-// submitRandomJobs submits jobs of any shape, a share of them cancelled within a minute.
-func submitRandomJobs(sim *simulation.Simulation, seed uint64, count int, over time.Duration, cancelled float64, shape func(*rand.Rand, *wire.Job)) {
+// submitRandomJobs submits random jobs at random times within submitSpan, and cancels a share of
+// them within a minute of their submission. modify, if set, changes each job first.
+func submitRandomJobs(sim *simulation.Simulation, seed uint64, count int, submitSpan time.Duration, cancelShare float64, modify func(*rand.Rand, *wire.Job)) {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	for i := range count {
 		j := drawJob(rng, i)
-		if shape != nil {
-			shape(rng, j)
+		if modify != nil {
+			modify(rng, j)
 		}
 		cancel := time.Duration(0)
-		if rng.Float64() < cancelled {
+		if rng.Float64() < cancelShare {
 			cancel = time.Duration(1+rng.IntN(60_000)) * time.Millisecond
 		}
-		sim.Submit(time.Duration(rng.Int64N(int64(over))), j, cancel)
+		sim.Submit(time.Duration(rng.Int64N(int64(submitSpan))), j, cancel)
 	}
 }
 
-// longRunning makes jobs run for longer than a cancellation may take.
-func longRunning(rng *rand.Rand, j *wire.Job) { j.EstimateS = 70 + 40*rng.Float64() }
+// makeLongRunning makes each task run for longer than the cancellation deadline.
+func makeLongRunning(rng *rand.Rand, j *wire.Job) { j.EstimateS = 70 + 40*rng.Float64() }
 
-// shortSingleTask makes jobs of one task that runs for a moment.
-func shortSingleTask(rng *rand.Rand, j *wire.Job) {
+// makeShortSingleTask gives a job a single task that runs for a few seconds.
+func makeShortSingleTask(rng *rand.Rand, j *wire.Job) {
 	j.Tasks, j.CPUs, j.MemoryGB, j.ImageGB = 1, 1, 1, 0.2
 	j.EstimateS = 1 + 3*rng.Float64()
 	j.OneZone, j.SpreadZones = false, false
 }
 
-// atTeamLimit makes jobs of far more work than the teams' limits allow at a time.
-func atTeamLimit(rng *rand.Rand, j *wire.Job) {
+// exceedTeamLimits gives a job so many tasks that a few such jobs need more CPUs than the limit of
+// their team.
+func exceedTeamLimits(rng *rand.Rand, j *wire.Job) {
 	j.Tasks, j.CPUs = 6+rng.IntN(6), 2
 	j.EstimateS = 20 + 40*rng.Float64()
 	j.OneZone, j.SpreadZones, j.Zone = false, false, ""
 }
 
-// runToEnd runs a simulation to its end. The test fails if an invariant is violated, if a job does
-// not end once faults are over, or if requests about one go unanswered.
+// runToEnd runs a simulation to its end. It fails the test if an invariant is violated, if an
+// accepted job does not end or if no task starts.
 func runToEnd(t *testing.T, sim *simulation.Simulation) *simulation.Simulation {
 	t.Helper()
 	err := sim.Run(1800*time.Second, 300*time.Second)
-	logDigest(t, sim)
+	appendDigest(t, sim)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if left := sim.Invariants.UnfinishedJobs(); len(left) > 0 {
-		t.Fatalf("jobs did not end: %v", left)
+	if unfinished := sim.Invariants.UnfinishedJobs(); len(unfinished) > 0 {
+		t.Fatalf("got unfinished jobs %v at the end of the run, want none", unfinished)
 	}
 	if sim.Invariants.StartCount() == 0 {
-		t.Fatal("no task was started")
+		t.Fatal("no task started, want at least one start")
 	}
 	return sim
 }
 
-// eachSeed runs a test with several seeds in parallel.
-func eachSeed(t *testing.T, count uint64, run func(t *testing.T, seed uint64)) {
+// forEachSeed runs a parallel subtest for each seed from 0 to count-1.
+func forEachSeed(t *testing.T, count uint64, run func(t *testing.T, seed uint64)) {
 	for seed := range count {
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
 			t.Parallel()
@@ -117,15 +120,16 @@
 	}
 }
 
-// checkObserved fails the test unless all the observations were made.
+// checkObserved fails the test unless each of the observations was made at least once. A run in
+// which the tested fault did not occur proves nothing.
 func checkObserved(t *testing.T, sim *simulation.Simulation, observed []simulation.Observation) {
 	t.Helper()
 	sim.Observed[simulation.CancellationConfirmed] = sim.Invariants.CancelledCount()
 	sim.Observed[simulation.SecondTerm] = max(0, sim.Observed[simulation.TermStarted]-1)
 	sim.Observed[simulation.FifthTerm] = max(0, sim.Observed[simulation.TermStarted]-4)
-	for _, what := range observed {
-		if sim.Observed[what] == 0 {
-			t.Errorf("not observed: %s; observed: %v", what, sim.Observed)
+	for _, observation := range observed {
+		if sim.Observed[observation] == 0 {
+			t.Errorf("observation %q was not made, want at least once; got %v", observation, sim.Observed)
 		}
 	}
 }
--- a/internal/simulation/invariants_test.go
+++ b/internal/simulation/invariants_test.go
@@ -10,17 +10,17 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// invariantCase is a checker with one job, and agents that tasks can be put on.
-type invariantCase struct {
+// invariantFixture is an invariant checker with one submitted job, and the agents that it checks.
+type invariantFixture struct {
 	*simulation.InvariantChecker
 	now    time.Time
 	job    *wire.Job
 	agents map[string]*simulation.Agent
 }
 
-func newInvariantCase() *invariantCase {
+func newInvariantFixture() *invariantFixture {
 	j := &wire.Job{ID: "job-1", Team: "blue", Tasks: 3, CPUs: 4, MemoryGB: 1, Spot: true}
-	c := &invariantCase{
+	c := &invariantFixture{
 		InvariantChecker: simulation.NewInvariantChecker([]config.Team{{Name: "blue", CPUsMax: 8}}, 45*time.Second),
 		now:              time.Unix(1_700_000_000, 0), job: j, agents: map[string]*simulation.Agent{},
 	}
@@ -28,19 +28,20 @@
 	return c
 }
 
-// agent adds a machine in a zone.
-func (c *invariantCase) agent(id, zone string, spot bool) *simulation.Agent {
+// addAgent adds the agent of a new machine.
+func (c *invariantFixture) addAgent(id, zone string, spot bool) *simulation.Agent {
 	a := simulation.NewAgent(c.now, wire.ListedMachine{Name: id, Type: "std-8", Zone: zone, Spot: spot}, machineType, time.Hour)
 	c.agents[id] = a
 	return a
 }
 
-// put lists a task on an agent.
-func (c *invariantCase) put(a *simulation.Agent, task, state, why string) {
-	a.Tasks[task] = &simulation.Task{Name: task, Attempt: 1, State: state, ExitReason: why}
+// addTask adds a task to those that an agent lists.
+func (c *invariantFixture) addTask(a *simulation.Agent, task, state, exitReason string) {
+	a.Tasks[task] = &simulation.Task{Name: task, Attempt: 1, State: state, ExitReason: exitReason}
 }
 
-func (c *invariantCase) check() error {
+// checkAllAgents checks the tasks on all agents.
+func (c *invariantFixture) checkAllAgents() error {
 	var agents []*simulation.Agent
 	for _, id := range []string{"m1", "m2", "m3"} {
 		if a := c.agents[id]; a != nil {
@@ -50,8 +51,9 @@
 	return c.CheckTasks(c.now, agents)
 }
 
-// starvationChecks returns a function that checks for starvation a time later and adds the result.
-func (c *invariantCase) starvationChecks(errs *[]error) func(time.Duration) {
+// newStarvationCheck returns a function that advances the time, checks for starvation and appends
+// the result to errs.
+func (c *invariantFixture) newStarvationCheck(errs *[]error) func(time.Duration) {
 	return func(d time.Duration) {
 		c.now = c.now.Add(d)
 		var agents []*simulation.Agent
@@ -62,8 +64,8 @@
 	}
 }
 
-// submitted is a response to a submission that is sent now and received a moment later.
-func (c *invariantCase) submitted(status int, state string) error {
+// checkSubmissionResponse checks a response to a submission, sent now and received 10 ms later.
+func (c *invariantFixture) checkSubmissionResponse(status int, state string) error {
 	sentAt := c.now
 	c.now = c.now.Add(10 * time.Millisecond)
 	return c.CheckResponse(simulation.ObservedResponse{
@@ -71,144 +73,149 @@
 	})
 }
 
-// queried is a response to a query of a job's state, sent and received now.
-func (c *invariantCase) queried(id string, status int, state string) error {
+// checkQueryResponse checks a response to a query of a job's state, sent and received now.
+func (c *invariantFixture) checkQueryResponse(id string, status int, state string) error {
 	return c.CheckResponse(simulation.ObservedResponse{
 		SentAt: c.now, ReceivedAt: c.now, Job: id, Status: status, State: state,
 	})
 }
 
-// invariantSteps returns the results of checks, of which only the last may be a violation.
-type invariantSteps func(c *invariantCase) []error
+// violationSteps is a function that performs several checks and returns their results. Only the
+// last check must report a violation.
+type violationSteps func(c *invariantFixture) []error
 
-// taskViolations are steps of which the last ones violate an invariant by what agents execute or leaders command, by the start of the violation's text.
-var taskViolations = map[string]invariantSteps{
-	"ran_twice": func(c *invariantCase) []error {
-		c.put(c.agent("m1", "a", true), "job-1/0", wire.TaskRunning, "")
-		before := c.check()
-		c.put(c.agent("m2", "a", true), "job-1/0", wire.TaskRunning, "")
-		return []error{before, c.check()}
+// taskViolations are steps that end with tasks or commands that violate an invariant. The key is
+// the start of the violation's text.
+var taskViolations = map[string]violationSteps{
+	"ran_twice": func(c *invariantFixture) []error {
+		c.addTask(c.addAgent("m1", "a", true), "job-1/0", wire.TaskRunning, "")
+		before := c.checkAllAgents()
+		c.addTask(c.addAgent("m2", "a", true), "job-1/0", wire.TaskRunning, "")
+		return []error{before, c.checkAllAgents()}
 	},
-	"quota": func(c *invariantCase) []error {
-		c.put(c.agent("m1", "a", true), "job-1/0", wire.TaskRunning, "")
-		c.put(c.agents["m1"], "job-1/1", wire.TaskRunning, "")
-		before := c.check()
-		c.put(c.agent("m2", "a", true), "job-1/2", wire.TaskSaving, "")
-		return []error{before, c.check()}
+	"quota": func(c *invariantFixture) []error {
+		c.addTask(c.addAgent("m1", "a", true), "job-1/0", wire.TaskRunning, "")
+		c.addTask(c.agents["m1"], "job-1/1", wire.TaskRunning, "")
+		before := c.checkAllAgents()
+		c.addTask(c.addAgent("m2", "a", true), "job-1/2", wire.TaskSaving, "")
+		return []error{before, c.checkAllAgents()}
 	},
-	"wrong_place: job-1/0 on m1": func(c *invariantCase) []error {
+	"wrong_place: job-1/0 on m1": func(c *invariantFixture) []error {
 		c.job.Spot = false
-		a := c.agent("m1", "a", true)
-		before := c.check()
-		c.put(a, "job-1/0", wire.TaskRunning, "")
-		return []error{before, c.check()}
+		a := c.addAgent("m1", "a", true)
+		before := c.checkAllAgents()
+		c.addTask(a, "job-1/0", wire.TaskRunning, "")
+		return []error{before, c.checkAllAgents()}
 	},
-	"wrong_place: job-1/0, a job for one zone": func(c *invariantCase) []error {
+	"wrong_place: job-1/0, a job for one zone": func(c *invariantFixture) []error {
 		c.job.OneZone = true
-		c.put(c.agent("m1", "a", true), "job-1/1", wire.TaskRunning, "")
-		before := c.check()
-		c.put(c.agent("m2", "b", true), "job-1/0", wire.TaskRunning, "")
-		return []error{before, c.check()}
+		c.addTask(c.addAgent("m1", "a", true), "job-1/1", wire.TaskRunning, "")
+		before := c.checkAllAgents()
+		c.addTask(c.addAgent("m2", "b", true), "job-1/0", wire.TaskRunning, "")
+		return []error{before, c.checkAllAgents()}
 	},
-	"wrong_place: job-1/2, a job to be spread": func(c *invariantCase) []error {
+	"wrong_place: job-1/2, a job to be spread": func(c *invariantFixture) []error {
 		c.job.SpreadZones, c.job.CPUs = true, 1
-		c.put(c.agent("m1", "a", true), "job-1/0", wire.TaskRunning, "")
-		c.put(c.agents["m1"], "job-1/1", wire.TaskRunning, "")
-		before := c.check()
-		c.put(c.agents["m1"], "job-1/2", wire.TaskRunning, "")
-		return []error{before, c.check()}
+		c.addTask(c.addAgent("m1", "a", true), "job-1/0", wire.TaskRunning, "")
+		c.addTask(c.agents["m1"], "job-1/1", wire.TaskRunning, "")
+		before := c.checkAllAgents()
+		c.addTask(c.agents["m1"], "job-1/2", wire.TaskRunning, "")
+		return []error{before, c.checkAllAgents()}
 	},
-	"ran_cancelled": func(c *invariantCase) []error {
-		// The machine hangs, and continues the task later.
-		c.put(c.agent("m1", "a", true), "job-1/0", wire.TaskRunning, "")
+	"ran_cancelled": func(c *invariantFixture) []error {
+		// The machine hangs, and still executes the task after the deadline.
+		c.addTask(c.addAgent("m1", "a", true), "job-1/0", wire.TaskRunning, "")
 		c.RecordCancellationRequest("job-1")
-		errs := []error{c.check(), c.submitted(200, wire.JobCancelled)}
+		errs := []error{c.checkAllAgents(), c.checkSubmissionResponse(200, wire.JobCancelled)}
 		c.now = c.now.Add(44 * time.Second)
-		errs = append(errs, c.check())
+		errs = append(errs, c.checkAllAgents())
 		c.now = c.now.Add(2 * time.Second)
-		return append(errs, c.check())
+		return append(errs, c.checkAllAgents())
 	},
-	"started_cancelled": func(c *invariantCase) []error {
+	"started_cancelled": func(c *invariantFixture) []error {
 		c.RecordCancellationRequest("job-1")
-		order := []wire.Command{{Op: wire.OpStop, Task: "job-1/0"}, {Op: wire.OpStart, Task: "job-1/0"}}
-		return []error{c.CheckCommands(c.now, order), c.submitted(200, wire.JobCancelled), c.CheckCommands(c.now, order[:1]), c.CheckCommands(c.now, order)}
+		commands := []wire.Command{{Op: wire.OpStop, Task: "job-1/0"}, {Op: wire.OpStart, Task: "job-1/0"}}
+		return []error{c.CheckCommands(c.now, commands), c.checkSubmissionResponse(200, wire.JobCancelled), c.CheckCommands(c.now, commands[:1]), c.CheckCommands(c.now, commands)}
 	},
-	"too_early": func(c *invariantCase) []error {
+	"too_early": func(c *invariantFixture) []error {
 		c.RecordSubmission(&wire.Job{ID: "job-2", Team: "blue", Tasks: 1, CPUs: 1, Spot: true, DependsOn: []string{"job-1"}})
-		a := c.agent("m1", "a", true)
-		before := c.check()
-		c.put(a, "job-2/0", wire.TaskRunning, "")
-		return []error{before, c.check()}
+		a := c.addAgent("m1", "a", true)
+		before := c.checkAllAgents()
+		c.addTask(a, "job-2/0", wire.TaskRunning, "")
+		return []error{before, c.checkAllAgents()}
 	},
 }
 
-// responseViolations are steps of which the last ones violate an invariant by what users are told, by the start of the violation's text.
-var responseViolations = map[string]invariantSteps{
-	"forgotten: response about job-1 with status 404": func(c *invariantCase) []error {
-		return []error{c.submitted(503, ""), c.submitted(404, ""), c.submitted(201, wire.JobQueued), c.submitted(404, "")}
+// responseViolations are steps that end with a response to a user, or a lack of responses, that
+// violates an invariant. The key is the start of the violation's text.
+var responseViolations = map[string]violationSteps{
+	"forgotten: response about job-1 with status 404": func(c *invariantFixture) []error {
+		return []error{c.checkSubmissionResponse(503, ""), c.checkSubmissionResponse(404, ""), c.checkSubmissionResponse(201, wire.JobQueued), c.checkSubmissionResponse(404, "")}
 	},
-	"forgotten: response about job-1 with status 422": func(c *invariantCase) []error {
-		return []error{c.submitted(422, ""), c.submitted(201, wire.JobQueued), c.submitted(422, "")}
+	"forgotten: response about job-1 with status 422": func(c *invariantFixture) []error {
+		return []error{c.checkSubmissionResponse(422, ""), c.checkSubmissionResponse(201, wire.JobQueued), c.checkSubmissionResponse(422, "")}
 	},
-	"forgotten: no request": func(c *invariantCase) []error {
-		settled := c.now
-		errs := []error{c.submitted(201, wire.JobQueued)}
+	"forgotten: no request": func(c *invariantFixture) []error {
+		faultsOverAt := c.now
+		errs := []error{c.checkSubmissionResponse(201, wire.JobQueued)}
 		c.now = c.now.Add(74 * time.Second)
-		errs = append(errs, c.CheckRequestsSucceed(c.now, settled))
+		errs = append(errs, c.CheckRequestsSucceed(c.now, faultsOverAt))
 		c.now = c.now.Add(2 * time.Second)
-		return append(errs, c.CheckRequestsSucceed(c.now, settled))
+		return append(errs, c.CheckRequestsSucceed(c.now, faultsOverAt))
 	},
-	"invented": func(c *invariantCase) []error {
-		return []error{c.queried("job-2", 404, ""), c.queried("job-2", 200, wire.JobQueued)}
+	"invented": func(c *invariantFixture) []error {
+		return []error{c.checkQueryResponse("job-2", 404, ""), c.checkQueryResponse("job-2", 200, wire.JobQueued)}
 	},
-	"not_done": func(c *invariantCase) []error {
+	"not_done": func(c *invariantFixture) []error {
 		for _, task := range []string{"job-1/0", "job-1/1"} {
-			c.put(c.agent("m1", "a", true), task, wire.TaskExited, wire.ExitDone)
-			_ = c.check()
+			c.addTask(c.addAgent("m1", "a", true), task, wire.TaskExited, wire.ExitDone)
+			_ = c.checkAllAgents()
 		}
-		return []error{c.submitted(200, wire.JobRunning), c.submitted(200, wire.JobDone)}
+		return []error{c.checkSubmissionResponse(200, wire.JobRunning), c.checkSubmissionResponse(200, wire.JobDone)}
 	},
-	"went_back: job-1 is reported as queued": func(c *invariantCase) []error {
-		// An older response that crossed the newer one is ignored; one that was sent after
-		// the user received the newer one is not.
+	"went_back: job-1 is reported as queued": func(c *invariantFixture) []error {
+		// The checker ignores a response that was sent before the user received the previous one,
+		// but not a response that was sent later.
 		c.RecordCancellationRequest("job-1")
-		crossed := c.now
-		errs := []error{c.submitted(200, wire.JobCancelled), c.CheckResponse(simulation.ObservedResponse{
-			SentAt: crossed, ReceivedAt: c.now.Add(time.Millisecond), Job: "job-1", Status: 200, State: wire.JobRunning,
+		olderSentAt := c.now
+		errs := []error{c.checkSubmissionResponse(200, wire.JobCancelled), c.CheckResponse(simulation.ObservedResponse{
+			SentAt: olderSentAt, ReceivedAt: c.now.Add(time.Millisecond), Job: "job-1", Status: 200, State: wire.JobRunning,
 		})}
 		c.now = c.now.Add(time.Second)
-		return append(errs, c.submitted(200, wire.JobQueued))
+		return append(errs, c.checkSubmissionResponse(200, wire.JobQueued))
 	},
-	"went_back: job-1 is reported as running": func(c *invariantCase) []error {
+	"went_back: job-1 is reported as running": func(c *invariantFixture) []error {
 		for _, task := range []string{"job-1/0", "job-1/1", "job-1/2"} {
-			c.put(c.agent("m1", "a", true), task, wire.TaskExited, wire.ExitDone)
-			_ = c.check()
+			c.addTask(c.addAgent("m1", "a", true), task, wire.TaskExited, wire.ExitDone)
+			_ = c.checkAllAgents()
 		}
-		return []error{c.submitted(200, wire.JobRunning), c.submitted(200, wire.JobDone), c.submitted(200, wire.JobRunning)}
+		return []error{c.checkSubmissionResponse(200, wire.JobRunning), c.checkSubmissionResponse(200, wire.JobDone), c.checkSubmissionResponse(200, wire.JobRunning)}
 	},
-	"went_back: job-1 is reported as cancelled although its user did not": func(c *invariantCase) []error {
-		return []error{c.submitted(201, wire.JobQueued), c.submitted(200, wire.JobCancelled)}
+	"went_back: job-1 is reported as cancelled although its user did not": func(c *invariantFixture) []error {
+		return []error{c.checkSubmissionResponse(201, wire.JobQueued), c.checkSubmissionResponse(200, wire.JobCancelled)}
 	},
-	"orphaned": func(c *invariantCase) []error {
+	"orphaned": func(c *invariantFixture) []error {
 		c.RecordSubmission(&wire.Job{ID: "job-2", Team: "blue", Tasks: 1, CPUs: 1, Spot: true, DependsOn: []string{"job-1"}})
 		c.RecordCancellationRequest("job-1")
-		errs := []error{c.submitted(200, wire.JobCancelled), c.queried("job-2", 200, wire.JobQueued)}
+		errs := []error{c.checkSubmissionResponse(200, wire.JobCancelled), c.checkQueryResponse("job-2", 200, wire.JobQueued)}
 		c.now = c.now.Add(46 * time.Second)
-		return append(errs, c.queried("job-2", 200, wire.JobQueued))
+		return append(errs, c.checkQueryResponse("job-2", 200, wire.JobQueued))
 	},
 }
 
-// starvationViolations are steps of which the last ones let a job wait that could start, by the start of the violation's text.
-var starvationViolations = map[string]invariantSteps{
-	"left_waiting: job-1 for 1m31s": func(c *invariantCase) []error {
-		a := c.agent("m1", "a", true)
-		errs := []error{c.submitted(201, wire.JobQueued)}
-		checkAfter := c.starvationChecks(&errs)
+// starvationViolations are steps that end after a job has waited too long although it could start.
+// The key is the start of the violation's text.
+var starvationViolations = map[string]violationSteps{
+	"left_waiting: job-1 for 1m31s": func(c *invariantFixture) []error {
+		a := c.addAgent("m1", "a", true)
+		errs := []error{c.checkSubmissionResponse(201, wire.JobQueued)}
+		checkAfter := c.newStarvationCheck(&errs)
 		checkAfter(time.Second)
 		checkAfter(89 * time.Second)
-		// Without capacity for a while the wait is justified, and starts anew.
-		c.put(a, "job-1/9", wire.TaskRunning, "")
-		c.put(a, "job-1/8", wire.TaskRunning, "")
+		// While no machine has capacity, the job can't start. Its wait starts anew when there is
+		// capacity again.
+		c.addTask(a, "job-1/9", wire.TaskRunning, "")
+		c.addTask(a, "job-1/8", wire.TaskRunning, "")
 		checkAfter(2 * time.Second)
 		clear(a.Tasks)
 		checkAfter(time.Second)
@@ -216,48 +223,49 @@
 		checkAfter(2 * time.Second)
 		return errs
 	},
-	"left_waiting: job-1 for 1m32s": func(c *invariantCase) []error {
-		// The start of another task ends the wait of the rest.
-		a := c.agent("m1", "a", true)
+	"left_waiting: job-1 for 1m32s": func(c *invariantFixture) []error {
+		// The start of one task resets the wait of the other tasks.
+		a := c.addAgent("m1", "a", true)
 		c.Teams[0].CPUsMax, c.job.CPUs = 0, 1
-		errs := []error{c.submitted(201, wire.JobQueued)}
-		checkAfter := c.starvationChecks(&errs)
-		c.put(a, "job-1/0", wire.TaskRunning, "")
+		errs := []error{c.checkSubmissionResponse(201, wire.JobQueued)}
+		checkAfter := c.newStarvationCheck(&errs)
+		c.addTask(a, "job-1/0", wire.TaskRunning, "")
 		checkAfter(time.Second)
 		checkAfter(89 * time.Second)
-		c.put(a, "job-1/1", wire.TaskFetching, "")
+		c.addTask(a, "job-1/1", wire.TaskFetching, "")
 		checkAfter(time.Second)
 		checkAfter(90 * time.Second)
 		checkAfter(2 * time.Second)
 		return errs
 	},
-	"left_waiting: job-1 for 1m33s": func(c *invariantCase) []error {
-		// A job for one zone can use no capacity of another zone: it waits only once there is
-		// a machine in its zone.
+	"left_waiting: job-1 for 1m33s": func(c *invariantFixture) []error {
+		// A job for one zone can't use capacity in another zone. Its wait starts when a machine in
+		// its zone has capacity.
 		c.Teams[0].CPUsMax, c.job.OneZone, c.job.CPUs = 0, true, 8
-		c.put(c.agent("m1", "a", true), "job-1/0", wire.TaskRunning, "")
-		errs := []error{c.submitted(201, wire.JobQueued)}
-		checkAfter := c.starvationChecks(&errs)
-		c.agent("m2", "b", true)
+		c.addTask(c.addAgent("m1", "a", true), "job-1/0", wire.TaskRunning, "")
+		errs := []error{c.checkSubmissionResponse(201, wire.JobQueued)}
+		checkAfter := c.newStarvationCheck(&errs)
+		c.addAgent("m2", "b", true)
 		checkAfter(time.Second)
 		checkAfter(200 * time.Second)
-		c.agent("m3", "a", true)
+		c.addAgent("m3", "a", true)
 		checkAfter(time.Second)
 		checkAfter(89 * time.Second)
 		checkAfter(4 * time.Second)
 		return errs
 	},
-	"left_waiting: job-1 for 1m34s": func(c *invariantCase) []error {
-		// At most half of a job to be spread may be in one zone.
+	"left_waiting: job-1 for 1m34s": func(c *invariantFixture) []error {
+		// At most half of the tasks of a job that is spread over zones, rounded up, may run in one
+		// zone. The wait of the third task starts when there is a machine in another zone.
 		c.Teams[0].CPUsMax, c.job.SpreadZones, c.job.CPUs = 0, true, 1
-		a := c.agent("m1", "a", true)
-		c.put(a, "job-1/0", wire.TaskRunning, "")
-		c.put(a, "job-1/1", wire.TaskRunning, "")
-		errs := []error{c.submitted(201, wire.JobQueued)}
-		checkAfter := c.starvationChecks(&errs)
+		a := c.addAgent("m1", "a", true)
+		c.addTask(a, "job-1/0", wire.TaskRunning, "")
+		c.addTask(a, "job-1/1", wire.TaskRunning, "")
+		errs := []error{c.checkSubmissionResponse(201, wire.JobQueued)}
+		checkAfter := c.newStarvationCheck(&errs)
 		checkAfter(time.Second)
 		checkAfter(200 * time.Second)
-		c.agent("m2", "b", true)
+		c.addAgent("m2", "b", true)
 		checkAfter(time.Second)
 		checkAfter(89 * time.Second)
 		checkAfter(5 * time.Second)
@@ -265,22 +273,22 @@
 	},
 }
 
-// TestEachRuleCheckFires: each check reports a violation of its invariant, and nothing in the steps
-// before.
-func TestEachRuleCheckFires(t *testing.T) {
-	for _, cases := range []map[string]invariantSteps{taskViolations, responseViolations, starvationViolations} {
+// TestEveryInvariantIsChecked: for each kind of violation, the checker reports it, and reports
+// nothing in the steps before.
+func TestEveryInvariantIsChecked(t *testing.T) {
+	for _, cases := range []map[string]violationSteps{taskViolations, responseViolations, starvationViolations} {
 		for want, steps := range cases {
-			t.Run(want, func(t *testing.T) { checkOnlyLast(t, steps(newInvariantCase()), want) })
+			t.Run(want, func(t *testing.T) { checkOnlyLastFails(t, steps(newInvariantFixture()), want) })
 		}
 	}
 }
 
-// checkOnlyLast fails the test unless the last error, and no other, is the violation.
-func checkOnlyLast(t *testing.T, errs []error, want string) {
+// checkOnlyLastFails fails the test unless the last error starts with want and all others are nil.
+func checkOnlyLastFails(t *testing.T, errs []error, want string) {
 	t.Helper()
 	for i, err := range errs {
 		if last := i == len(errs)-1; last != (err != nil) || last && !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("step %d of %d: %v", i+1, len(errs), err)
+			t.Errorf("check %d of %d returned %v; want nil, and from the last check the violation in the subtest's name", i+1, len(errs), err)
 		}
 	}
 }
--- a/internal/simulation/operations_faults_test.go
+++ b/internal/simulation/operations_faults_test.go
@@ -10,10 +10,12 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// operationsFaults are faults that operators have reported: controllers down for a minute or more, or
-// frozen while their clocks run on; machines that boot late or never; users who poll far more often;
-// a guest team without quota, with a huge job array, many tiny jobs and idle work; jobs that fail on
-// every machine.
+// operationsFaults are faults that operators have reported, alone and overlapping:
+//   - controllers are down for a minute or more, or frozen while their clocks continue;
+//   - machines boot late or never;
+//   - users poll far more often than usual;
+//   - a guest team without a quota submits a large job array and many tiny jobs of idle priority;
+//   - jobs fail on every machine.
 var operationsFaults = []faultScenario{
 	{"controllers down for a minute", func(sim *simulation.Simulation, seed uint64) {
 		submitRandomJobs(sim, seed, 25, 120*second, 0.3, nil)
@@ -43,14 +45,14 @@
 		rng := rand.New(rand.NewPCG(seed, 6))
 		for i := range 60 {
 			j := drawJob(rng, 500+i)
-			shortSingleTask(rng, j)
+			makeShortSingleTask(rng, j)
 			j.Team, j.Priority, j.CPUs = "guests", wire.PriorityIdle, 0.25
 			sim.Submit(40*second+time.Duration(rng.IntN(20_000))*time.Millisecond, j, 0)
 		}
-		huge := drawJob(rng, 700)
-		shortSingleTask(rng, huge)
-		huge.Team, huge.Priority, huge.Tasks, huge.CPUs = "guests", wire.PriorityNormal, 400, 0.5
-		sim.Submit(50*second, huge, 0)
+		largeJob := drawJob(rng, 700)
+		makeShortSingleTask(rng, largeJob)
+		largeJob.Team, largeJob.Priority, largeJob.Tasks, largeJob.CPUs = "guests", wire.PriorityNormal, 400, 0.5
+		sim.Submit(50*second, largeJob, 0)
 		sim.ScheduleAt(70*second, func() { sim.CrashLeader(second) })
 	}, []simulation.Observation{simulation.SecondTerm}},
 	{"jobs that fail on every machine", func(sim *simulation.Simulation, seed uint64) {
@@ -86,7 +88,7 @@
 		rng := rand.New(rand.NewPCG(seed, 8))
 		for i := range 8 {
 			j := drawJob(rng, 500+i)
-			atTeamLimit(rng, j)
+			exceedTeamLimits(rng, j)
 			j.Team, j.Priority = "limited", wire.PriorityIdle
 			sim.Submit(time.Duration(rng.IntN(40_000))*time.Millisecond, j, 0)
 		}
@@ -114,13 +116,14 @@
 	}, []simulation.Observation{simulation.SecondTerm, simulation.CancellationConfirmed, simulation.InvalidRequest}},
 }
 
-// TestOperationsFaults: the invariants hold, no job waits while it could start, and every job that
-// was not cancelled ends.
+// TestOperationsFaults: the invariants hold during the faults that operators have reported, and
+// every job that was not cancelled ends. The invariants include that no job waits for long while it
+// can start.
 func TestOperationsFaults(t *testing.T) {
 	for _, scenario := range operationsFaults {
 		t.Run(scenario.name, func(t *testing.T) {
-			eachSeed(t, 3, func(t *testing.T, seed uint64) {
-				p := params()
+			forEachSeed(t, 3, func(t *testing.T, seed uint64) {
+				p := defaultParams()
 				p.Teams = append(p.Teams, config.Team{Name: "guests"}, config.Team{Name: "limited", CPUsMax: 8})
 				sim := simulation.New(3000+seed, 3+2*int(seed%2), p, machineType)
 				sim.FaultRate = 1
--- a/internal/simulation/overlapping_faults_test.go
+++ b/internal/simulation/overlapping_faults_test.go
@@ -12,18 +12,18 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// faultScenario is a run in which some faults overlap.
+// faultScenario is a run with particular jobs and faults.
 type faultScenario struct {
 	name     string
 	inject   func(sim *simulation.Simulation, seed uint64)
-	observed []simulation.Observation // what must have happened for the run to count
+	observed []simulation.Observation // must all be made for the test to pass
 }
 
-// manySmallJobs is the scenario that needs teams with higher limits.
+// manySmallJobs is the name of the scenario that needs higher limits of the teams.
 const manySmallJobs = "07 one-task jobs, four a second"
 
-// overlappingFaults are the overlaps that operators named, in the order of docs/fault-matrix.md.
-// Where the order of two events matters, the seeds draw it.
+// overlappingFaults are the combinations of faults that operators have listed, numbered as in
+// docs/fault-matrix.md. Where the order of two events matters, it depends on the seed.
 var overlappingFaults = []faultScenario{
 	{"01 users query all nodes after every response", func(sim *simulation.Simulation, seed uint64) {
 		submitRandomJobs(sim, seed, 40, 120*second, 0.3, nil)
@@ -42,12 +42,12 @@
 		sim.InjectFaults(simulation.MachineHangs, simulation.MachinePartitioned, simulation.RunningJobsCancelled)
 	}, []simulation.Observation{simulation.CancelledWhileRunning}},
 	{"04 all controllers away for longer than a lease", func(sim *simulation.Simulation, seed uint64) {
-		submitRandomJobs(sim, seed, 25, 120*second, 0.3, longRunning)
+		submitRandomJobs(sim, seed, 25, 120*second, 0.3, makeLongRunning)
 		sim.ScheduleAt(50*second, func() { sim.CancelRunning(3, 0) })
 		sim.ScheduleAt(51*second, func() { sim.CrashAll(25 * second) })
 	}, []simulation.Observation{simulation.CancelledWhileRunning, simulation.SecondTerm}},
 	{"05 an isolated leader, cancellations at the new one", func(sim *simulation.Simulation, seed uint64) {
-		submitRandomJobs(sim, seed, 25, 120*second, 0.2, longRunning)
+		submitRandomJobs(sim, seed, 25, 120*second, 0.2, makeLongRunning)
 		sim.ScheduleAt(50*second, func() { sim.Inject(simulation.LeaderIsolated, 60*second) })
 		sim.ScheduleAt(54*second, func() { sim.CancelRunning(5, 0) })
 	}, []simulation.Observation{simulation.CancelledWhileRunning, simulation.HeartbeatInGracePeriod, simulation.SecondTerm}},
@@ -60,7 +60,7 @@
 		sim.ScheduleAt(65*second+400*time.Millisecond, func() { sim.CrashAll(700 * time.Millisecond) })
 	}, []simulation.Observation{simulation.SecondTerm}},
 	{manySmallJobs, func(sim *simulation.Simulation, seed uint64) {
-		submitRandomJobs(sim, seed, 480, 120*second, 0.25, shortSingleTask)
+		submitRandomJobs(sim, seed, 480, 120*second, 0.25, makeShortSingleTask)
 		sim.ScheduleAt(50*second, func() { sim.CrashLeader(second) })
 		sim.ScheduleAt(0, func() { sim.CancelAtCompletion(0.1, 120*second) })
 	}, []simulation.Observation{simulation.CancelledAtLastTask, simulation.SecondTerm}},
@@ -79,7 +79,7 @@
 		}
 	}, []simulation.Observation{simulation.SecondTerm}},
 	{"10 a slow store, then an outage after cancellations", func(sim *simulation.Simulation, seed uint64) {
-		submitRandomJobs(sim, seed, 25, 120*second, 0.3, longRunning)
+		submitRandomJobs(sim, seed, 25, 120*second, 0.3, makeLongRunning)
 		sim.ScheduleAt(30*second, func() { sim.Inject(simulation.StoreSlow, 25*second) })
 		sim.ScheduleAt(40*second, func() { sim.EnableFollowUps(60 * second) })
 		sim.ScheduleAt(60*second, func() { sim.Inject(simulation.OutageAfterCancellation, 0) })
@@ -115,9 +115,10 @@
 		sim.InjectFaults(simulation.MachineHeartbeatsLost, simulation.MachineHeartbeatsLost, simulation.RunningJobsCancelled)
 	}, []simulation.Observation{simulation.HeartbeatLost}},
 	{"16 cancelled as the store refuses the leader alone", func(sim *simulation.Simulation, seed uint64) {
-		submitRandomJobs(sim, seed, 25, 100*second, 0, longRunning)
+		submitRandomJobs(sim, seed, 25, 100*second, 0, makeLongRunning)
 		sim.ScheduleAt(60*second, func() { sim.Inject(simulation.StoreRefusesLeader, 14*second) })
-		// Before the refusal is felt, and once the next leader is there.
+		// Jobs are cancelled before the leader notices that the store refuses its requests, and
+		// again when the next leader has been elected.
 		sim.ScheduleAt(60*second-time.Duration(seed%4)*50*time.Millisecond, func() { sim.CancelRunning(3, 0) })
 		sim.ScheduleAt(62*second+time.Duration(seed%5)*100*time.Millisecond, func() { sim.CancelRunning(3, 0) })
 		sim.ScheduleAt(63*second, func() { sim.Inject(simulation.StoreOutage, 65*second) })
@@ -128,7 +129,7 @@
 		sim.ScheduleAt(60*second, func() { sim.CrashLeader(second) })
 	}, []simulation.Observation{simulation.SecondTerm}},
 	{"18 a zone with agents and a controller is partitioned", func(sim *simulation.Simulation, seed uint64) {
-		submitRandomJobs(sim, seed, 25, 120*second, 0.2, longRunning)
+		submitRandomJobs(sim, seed, 25, 120*second, 0.2, makeLongRunning)
 		sim.ScheduleAt(50*second, func() { sim.Inject(simulation.ZonePartitioned, 40*second) })
 		sim.ScheduleAt(55*second, func() { sim.CancelRunning(4, 0) })
 	}, []simulation.Observation{simulation.CancelledWhileRunning}},
@@ -160,14 +161,14 @@
 		}
 	}, []simulation.Observation{simulation.CancelledWhileRunning, simulation.SecondTerm}},
 	{"22 the leader crashes, machines with long tasks are partitioned", func(sim *simulation.Simulation, seed uint64) {
-		submitRandomJobs(sim, seed, 25, 100*second, 0, longRunning)
+		submitRandomJobs(sim, seed, 25, 100*second, 0, makeLongRunning)
 		sim.ScheduleAt(60*second, func() { sim.PartitionBusyMachines(0.3, 40*second) })
 		sim.ScheduleAt(60*second, func() { sim.LoseResponsesToBusyMachines(0.3, 60*second) })
 		sim.ScheduleAt(61*second, func() { sim.CrashLeader(second) })
 		sim.ScheduleAt(66*second, func() { sim.CancelRunning(4, 0) })
 	}, []simulation.Observation{simulation.CancelledWhileRunning, simulation.BusyMachinePartitioned, simulation.BusyMachineResponsesLost, simulation.SecondTerm}},
 	{"23 a team at its limit, machines that can't be asked, a new leader", func(sim *simulation.Simulation, seed uint64) {
-		submitRandomJobs(sim, seed, 25, 60*second, 0, atTeamLimit)
+		submitRandomJobs(sim, seed, 25, 60*second, 0, exceedTeamLimits)
 		sim.ScheduleAt(60*second, func() { sim.PartitionBusyMachines(0.4, 25*second) })
 		sim.ScheduleAt(62*second, func() { sim.CrashLeader(second) })
 		sim.ScheduleAt(65*second, func() { sim.CancelRunning(3, 0) })
@@ -179,7 +180,7 @@
 		sim.ScheduleAt(70*second, func() { sim.Inject(simulation.StoreOutage, 30*second) })
 	}, []simulation.Observation{simulation.FifthTerm, simulation.CancellationConfirmed}},
 	{"25 all teams at their limits, cancelled on machines that hang", func(sim *simulation.Simulation, seed uint64) {
-		submitRandomJobs(sim, seed, 30, 60*second, 0, atTeamLimit)
+		submitRandomJobs(sim, seed, 30, 60*second, 0, exceedTeamLimits)
 		sim.ScheduleAt(60*second, func() { sim.CancelRunning(5, 20*second) })
 		sim.ScheduleAt(61*second, func() { sim.PartitionBusyMachines(0.4, 30*second) })
 		sim.ScheduleAt(62*second, func() { sim.CrashLeader(second) })
@@ -188,13 +189,13 @@
 	}, []simulation.Observation{simulation.CancelledWhileRunning, simulation.BusyMachinePartitioned, simulation.SecondTerm}},
 }
 
-// TestOverlappingFaults: the invariants hold wherever two of the faults that the operators named
-// overlap.
+// TestOverlappingFaults: the invariants hold during the combinations of faults that operators have
+// listed, and every job that was not cancelled ends.
 func TestOverlappingFaults(t *testing.T) {
 	for _, scenario := range overlappingFaults {
 		t.Run(scenario.name, func(t *testing.T) {
-			eachSeed(t, 3, func(t *testing.T, seed uint64) {
-				p := params()
+			forEachSeed(t, 3, func(t *testing.T, seed uint64) {
+				p := defaultParams()
 				if scenario.name == manySmallJobs {
 					p.Teams = []config.Team{{Name: "blue", CPUs: 16, CPUsMax: 48}, {Name: "green", CPUs: 8, CPUsMax: 48}}
 				}
@@ -208,7 +209,7 @@
 	}
 }
 
-// outageVariants are the faults beside an outage after cancellations.
+// outageVariants are faults that overlap with an outage of the key-value store after cancellations.
 var outageVariants = []struct {
 	name     string
 	inject   func(sim *simulation.Simulation)
@@ -236,30 +237,31 @@
 	}, []simulation.Observation{simulation.SecondTerm}},
 }
 
-// TestOutageAfterCancellation: the key-value store refuses the leader alone, another controller
-// confirms cancellations, and then the store is down for all, for longer than a cancellation may
-// take, while the agents send their heartbeats to the old leader. Whatever grace period the settings
-// leave, the tasks are stopped in time: with machines that hang or lose responses, the leader frozen,
-// isolated or restarted within a fraction of a second, the next one crashed, too, and jobs of one
-// task.
+// TestOutageAfterCancellation: a deposed leader that responds to heartbeats for too long keeps
+// cancelled tasks running. The key-value store refuses the leader alone, the next leader confirms
+// cancellations, and then the store is down for all controllers, for longer than the cancellation
+// deadline, while agents send their heartbeats to the old leader. The tasks must stop in time for
+// every grace period that results from the cancellation deadline. In the variants, the leader is
+// isolated, frozen or, together with the next leader, restarted within a fraction of a second, and
+// machines hang or get no responses. One seed uses jobs of one task.
 func TestOutageAfterCancellation(t *testing.T) {
-	for _, cancel := range []float64{45, 32, 21, 18} {
+	for _, cancelDeadlineS := range []float64{45, 32, 21, 18} {
 		for _, v := range outageVariants {
-			t.Run(fmt.Sprintf("cancel_s=%v, %s", cancel, v.name), func(t *testing.T) {
-				eachSeed(t, 3, func(t *testing.T, seed uint64) {
-					p := params()
-					p.Workers.CancelDeadlineS = cancel
+			t.Run(fmt.Sprintf("cancel_s=%v, %s", cancelDeadlineS, v.name), func(t *testing.T) {
+				forEachSeed(t, 3, func(t *testing.T, seed uint64) {
+					p := defaultParams()
+					p.Workers.CancelDeadlineS = cancelDeadlineS
 					sim := simulation.New(2000+seed, 3, p, machineType)
-					shape := longRunning
+					modify := makeLongRunning
 					if seed == 2 {
-						shape = func(rng *rand.Rand, j *wire.Job) { shortSingleTask(rng, j); longRunning(rng, j) }
+						modify = func(rng *rand.Rand, j *wire.Job) { makeShortSingleTask(rng, j); makeLongRunning(rng, j) }
 					}
-					submitRandomJobs(sim, seed, 25, 60*second, 0, shape)
+					submitRandomJobs(sim, seed, 25, 60*second, 0, modify)
 					v.inject(sim)
 					runToEnd(t, sim)
 					observed := append([]simulation.Observation{simulation.CancelledWhileRunning, simulation.CancellationConfirmed}, v.observed...)
 					if leader.GracePeriod(p.Workers) < 5*second && v.observed[0] == simulation.HeartbeatInGracePeriod {
-						observed = append(observed[:2], v.observed[1:]...) // the grace period is hardly longer than nothing
+						observed = append(observed[:2], v.observed[1:]...) // the grace period is too short to expect a heartbeat in it
 					}
 					checkObserved(t, sim, observed)
 				})
--- a/internal/simulation/random_faults_test.go
+++ b/internal/simulation/random_faults_test.go
@@ -8,10 +8,11 @@
 	"switchshore.example/switchshore/internal/simulation"
 )
 
-// runRandomFaults runs a seeded simulation with faults of the given kinds, or of all.
+// runRandomFaults runs a simulation with random faults of the given kinds, or of all kinds if none
+// is given.
 func runRandomFaults(t *testing.T, seed uint64, faultRate float64, kinds ...simulation.Fault) *simulation.Simulation {
 	t.Helper()
-	sim := simulation.New(seed, 3+2*int(seed%2), params(), machineType)
+	sim := simulation.New(seed, 3+2*int(seed%2), defaultParams(), machineType)
 	sim.FaultRate = faultRate
 	rng := rand.New(rand.NewPCG(seed, 2))
 	for i := range 25 {
@@ -25,18 +26,20 @@
 	return runToEnd(t, sim)
 }
 
-// TestNoFaults: without faults every job ends and no invariant is violated.
+// TestNoFaults: without faults, no invariant is violated and every job ends.
 func TestNoFaults(t *testing.T) {
-	eachSeed(t, 6, func(t *testing.T, seed uint64) { runRandomFaults(t, seed, 0) })
+	forEachSeed(t, 6, func(t *testing.T, seed uint64) { runRandomFaults(t, seed, 0) })
 }
 
-// TestRandomFaults: all kinds of fault, alone and overlapping.
+// TestRandomFaults: while faults of all kinds occur, alone and overlapping, no invariant is
+// violated and every job ends.
 func TestRandomFaults(t *testing.T) {
-	eachSeed(t, 60, func(t *testing.T, seed uint64) { runRandomFaults(t, 100+seed, 1+float64(seed%3)) })
+	forEachSeed(t, 60, func(t *testing.T, seed uint64) { runRandomFaults(t, 100+seed, 1+float64(seed%3)) })
 }
 
-// TestSingleFaultKinds: single kinds of fault, each often and alone, so that a safeguard against one
-// can't hide behind that against another.
+// TestSingleFaultKinds: the invariants hold while only one or two kinds of fault occur, but often.
+// In a run with all kinds, the protection against one kind of fault may hide that the protection
+// against another is missing.
 func TestSingleFaultKinds(t *testing.T) {
 	for name, kinds := range map[string][]simulation.Fault{
 		"isolated leader":   {simulation.LeaderIsolated},
@@ -47,7 +50,7 @@
 		"flapping nodes":    {simulation.NodeCrashLoop, simulation.AllNodesCrash},
 	} {
 		t.Run(name, func(t *testing.T) {
-			eachSeed(t, 8, func(t *testing.T, seed uint64) { runRandomFaults(t, 500+seed, 2, kinds...) })
+			forEachSeed(t, 8, func(t *testing.T, seed uint64) { runRandomFaults(t, 500+seed, 2, kinds...) })
 		})
 	}
 }
--- a/internal/simulation/trace_digest_test.go
+++ b/internal/simulation/trace_digest_test.go
@@ -10,21 +10,21 @@
 	"switchshore.example/switchshore/internal/simulation"
 )
 
-// digestFile is where the trace digest of each run is appended, one line a run: the test's name,
-// the digest and the number of messages. The lines of two versions that behave the same are
-// equal once they are sorted.
+// digestFile is the file to which each simulated run appends a line with the test's name, the trace
+// digest and the number of messages. Two versions of the service that behave the same write the
+// same lines, in any order.
 var digestFile = flag.String("trace-digests", "", "append the trace digest of each simulated run to this file")
 
-var digestFileLock sync.Mutex
+var digestFileMutex sync.Mutex
 
-// logDigest writes the digest of a run that is over to the file asked for, if any.
-func logDigest(t *testing.T, sim *simulation.Simulation) {
+// appendDigest appends the digest of a finished run to the digest file, if one was given.
+func appendDigest(t *testing.T, sim *simulation.Simulation) {
 	t.Helper()
 	if *digestFile == "" {
 		return
 	}
-	digestFileLock.Lock()
-	defer digestFileLock.Unlock()
+	digestFileMutex.Lock()
+	defer digestFileMutex.Unlock()
 	f, err := os.OpenFile(*digestFile, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
 		t.Fatal(err)
@@ -39,21 +39,21 @@
 	}
 }
 
-// TestTraceDigestRepeats: two runs with one seed send the same messages at the same times, and a
-// run with another seed does not.
+// TestTraceDigestRepeats: two runs with the same seed have the same trace digest, and a run with
+// another seed has a different one.
 func TestTraceDigestRepeats(t *testing.T) {
 	digest := func(seed uint64) string {
 		d, messages := runRandomFaults(t, seed, 1).TraceDigest()
 		if messages == 0 {
-			t.Error("no message was recorded")
+			t.Error("the run recorded 0 messages, want at least 1")
 		}
 		return d
 	}
 	first := digest(1)
-	if second := digest(1); second != first {
-		t.Errorf("two runs of one seed differ: %s, %s", first, second)
+	if repeated := digest(1); repeated != first {
+		t.Errorf("got digests %s and %s of two runs with seed 1, want the same", first, repeated)
 	}
 	if other := digest(2); other == first {
-		t.Errorf("runs of two seeds have the same digest: %s", other)
+		t.Errorf("got digest %s with seed 1 and with seed 2, want different ones", other)
 	}
 }
