--- a/internal/jobs/registry_test.go
+++ b/internal/jobs/registry_test.go
@@ -45,7 +45,7 @@
 	j := newActiveJob("a", 1)
 	r.Add(j)
 	if _, ended := r.FinalState("a"); ended || r.Len() != 1 {
-		t.Error("ended before its end")
+		t.Error("a job has a final state before its end")
 	}
 	f := records.FinalState{Outcome: records.OutcomeDone, TasksDone: 1}
 	r.SetFinalState("a", f)
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestCompletionsAreWrittenAfterAWhile(t *testing.T) {
+func TestCompletionsAreFlushedAfterDelay(t *testing.T) {
 	u := jobs.UnsavedCompletions{}
 	b, a, c := newActiveJob("b", 2), newActiveJob("a", 2), newActiveJob("c", 2)
 	for _, j := range []*jobs.Job{b, a, c} {
@@ -64,13 +64,13 @@
 	later := start.Add(tuning.CompletionFlushDelay)
 	u.Add(later, b) // has waited since its first completion
 	u.Remove(c)
-	if got := u.TakeDue(later.Add(-1)); got != nil {
+	if got := u.PopDue(later.Add(-1)); got != nil {
 		t.Errorf("too early: %v", ids(got))
 	}
-	if got := ids(u.TakeDue(later)); !slices.Equal(got, []string{"a", "b"}) {
+	if got := ids(u.PopDue(later)); !slices.Equal(got, []string{"a", "b"}) {
 		t.Errorf("%v", got)
 	}
-	if got := u.TakeDue(later); got != nil {
+	if got := u.PopDue(later); got != nil {
 		t.Errorf("twice: %v", ids(got))
 	}
 }
--- a/internal/leader/upgrade_test.go
+++ b/internal/leader/upgrade_test.go
@@ -75,7 +75,7 @@
 		for key, value := range store {
 			var text string
 			if strings.HasPrefix(key, "d/job-1/") && json.Unmarshal(value, &text) == nil {
-				_ = intervals.Each(text, 3000, func(i int) { want.Add(i) })
+				_ = intervals.ParseEach(text, 3000, func(i int) { want.Add(i) })
 			}
 		}
 		if seed == 0 && want.Len() != 1667 {
@@ -90,8 +90,8 @@
 			} else {
 				l = newLeader(t, term, now, store)
 			}
-			if v := l.Query("job-1"); v.Done != want.Len() {
-				t.Fatalf("seed %d, term %d, previous %v: %d done, want %d", seed, term, previous, v.Done, want.Len())
+			if v := l.Query("job-1"); v.CompletedTasks != want.Len() {
+				t.Fatalf("seed %d, term %d, previous %v: %d done, want %d", seed, term, previous, v.CompletedTasks, want.Len())
 			}
 			var list []wire.TaskStatus
 			for range 150 {
@@ -138,7 +138,7 @@
 			t.Errorf("%s: %s, want %s", id, got, want)
 		}
 	}
-	if n := l.Counts(); n.Allocated == 0 || n.Machines != 2 && n.Machines != 1 {
+	if n := l.Counts(); n.AllocatedTasks == 0 || n.Machines != 2 && n.Machines != 1 {
 		t.Errorf("%+v", n)
 	}
 	record := store["j/job-4"]
@@ -171,7 +171,7 @@
 			continue
 		}
 		probe := placement.PendingJob{MachineTypes: rec.Job.MachineTypes, Zone: rec.Job.Zone, Spot: true, Request: placement.Resources{CPUs: rec.Job.CPUs}, TotalTasks: 1}
-		if probe.Allowed(&placement.Machine{Type: "std-8", Zone: "a", Capacity: placement.Resources{CPUs: 8, MemoryGB: 32}}) {
+		if probe.CanRunOn(&placement.Machine{Type: "std-8", Zone: "a", Capacity: placement.Resources{CPUs: 8, MemoryGB: 32}}) {
 			t.Errorf("%s could be started: %s", key, value)
 		}
 	}
@@ -182,7 +182,7 @@
 		previous.pass(time.Second)
 		previous.previousVersionCommit()
 	}
-	if got := previous.Counts().Allocated; got != 1 {
+	if got := previous.Counts().AllocatedTasks; got != 1 {
 		t.Errorf("%d tasks placed, want that of job-1", got)
 	}
 	if previous.state("job-2") != wire.JobQueued || previous.state("job-3") != wire.JobQueued {
--- a/internal/records/queue.go
+++ b/internal/records/queue.go
@@ -4,29 +4,28 @@
 	"encoding/json"
 )
 
-// Write is a change of one key that waits to be committed.
+// Write is a queued change of one key.
 type Write struct {
 	Key      string
-	Value    json.RawMessage // nil: delete
+	Value    json.RawMessage // nil to delete the key
 	OnCommit []func()
-	// OnRefused is called, if set, should the key-value store refuse the change for good.
+	// OnRefused, if set, is called if the key-value store refuses the change permanently.
 	OnRefused func()
 }
 
-// Queue holds changes in order. The latest value of a key replaces an earlier one that has
-// not been taken.
+// Queue holds changes in order. A new value of a key replaces a queued one in its place.
 type Queue struct {
-	queue []*Write
-	byKey map[string]*Write
-	head  int
-	taken int64
+	writes   []*Write
+	byKey    map[string]*Write
+	head     int
+	dequeued int64
 }
 
-// Len is the number of changes that wait.
-func (q *Queue) Len() int { return len(q.queue) - q.head }
+// Len returns the number of queued changes.
+func (q *Queue) Len() int { return len(q.writes) - q.head }
 
-// Taken is the number of changes taken out so far.
-func (q *Queue) Taken() int64 { return q.taken }
+// Dequeued returns the number of changes moved into batches so far.
+func (q *Queue) Dequeued() int64 { return q.dequeued }
 
 // Put queues a new value of a key and calls onCommit, if set, when it or a later value is
 // durable.
@@ -38,7 +37,7 @@
 	if w == nil {
 		w = &Write{Key: key}
 		q.byKey[key] = w
-		q.queue = append(q.queue, w)
+		q.writes = append(q.writes, w)
 	}
 	w.Value = value
 	if onCommit != nil {
@@ -49,20 +48,20 @@
 // Delete queues the deletion of a key.
 func (q *Queue) Delete(key string) { q.Put(key, nil, nil) }
 
-// moveTo moves changes from the queue into the batch, at most most.
-func (q *Queue) moveTo(b *Batch, most int) {
-	for ; most > 0 && q.head < len(q.queue); most-- {
-		w := q.queue[q.head]
+// moveTo moves at most limit changes from the queue into the batch.
+func (q *Queue) moveTo(b *Batch, limit int) {
+	for ; limit > 0 && q.head < len(q.writes); limit-- {
+		w := q.writes[q.head]
 		if !b.fits(writeSize(w.Key, w.Value)) {
 			break
 		}
-		q.queue[q.head] = nil
+		q.writes[q.head] = nil
 		q.head++
-		q.taken++
+		q.dequeued++
 		delete(q.byKey, w.Key)
 		b.add(w)
 	}
-	if q.head == len(q.queue) {
-		q.queue, q.head = q.queue[:0], 0
+	if q.head == len(q.writes) {
+		q.writes, q.head = q.writes[:0], 0
 	}
 }
--- a/internal/startlog/record.go
+++ b/internal/startlog/record.go
@@ -7,55 +7,55 @@
 	"switchshore.example/switchshore/internal/records"
 )
 
-// Record is a start record and the attempts that it still stands for.
+// Record is a start record and those of its attempts that have not ended.
 type Record struct {
-	log      *Log
-	key      string
-	live     int  // attempts
-	saved    bool // durable or on its way
-	closed   bool // takes no further starts
-	size     records.StartsSize
-	attempts []*machines.Attempt // until it is durable
+	log          *Log
+	key          string
+	liveAttempts int  // attempts that have not ended
+	written      bool // durable or in a batch
+	closed       bool // accepts no further starts
+	size         records.StartsSize
+	attempts     []*machines.Attempt // those added to it, until it is durable
 }
 
-// add puts an attempt in.
+// add adds an attempt whose start is to be recorded.
 func (r *Record) add(machine records.MachineStarts, a *machines.Attempt) {
 	r.size.Add(machine, a.Job.ID)
 	r.attempts = append(r.attempts, a)
-	r.AddLoaded(a)
+	r.AddLoadedAttempt(a)
 }
 
-// AddLoaded counts an attempt that the stored record names.
-func (r *Record) AddLoaded(a *machines.Attempt) {
-	r.live++
+// AddLoadedAttempt adds an attempt that the stored record names.
+func (r *Record) AddLoadedAttempt(a *machines.Attempt) {
+	r.liveAttempts++
 	a.Record = r
 }
 
-// Size implements records.PendingStarts.
-func (r *Record) Size() int {
-	if r.live == 0 {
+// MaxSize implements records.PendingStarts.
+func (r *Record) MaxSize() int {
+	if r.liveAttempts == 0 {
 		return 0
 	}
 	return r.size.Bytes()
 }
 
-// Take implements records.PendingStarts.
-func (r *Record) Take() *records.Write {
+// Finalize implements records.PendingStarts.
+func (r *Record) Finalize() *records.Write {
 	r.closed = true
-	if r.live == 0 {
+	if r.liveAttempts == 0 {
 		return nil
 	}
-	r.saved = true
+	r.written = true
 	return &records.Write{
 		Key:       r.key,
-		Value:     r.starts().Encode(),
-		OnCommit:  []func(){func() { r.finish(r.log.callbacks.Durable) }},
-		OnRefused: func() { r.finish(r.log.callbacks.Refused) },
+		Value:     r.buildStarts().Encode(),
+		OnCommit:  []func(){func() { r.notifyAttempts(r.log.callbacks.OnDurable) }},
+		OnRefused: func() { r.notifyAttempts(r.log.callbacks.OnRefused) },
 	}
 }
 
-// finish calls back for the attempts whose start waited for the record.
-func (r *Record) finish(callback func(*machines.Attempt)) {
+// notifyAttempts calls back for the attempts whose start waits for the record.
+func (r *Record) notifyAttempts(callback func(*machines.Attempt)) {
 	for _, a := range r.attempts {
 		if a.State() == machines.RecordPending && a.Record == r {
 			callback(a)
@@ -64,8 +64,8 @@
 	r.attempts, r.size = nil, records.StartsSize{}
 }
 
-// starts is the record's content; attempts that have ended meanwhile are left out.
-func (r *Record) starts() *records.Starts {
+// buildStarts returns the content of the record, without attempts that have ended.
+func (r *Record) buildStarts() *records.Starts {
 	byMachine := map[*machines.Machine]map[string][]int{}
 	var order []*machines.Machine
 	for _, a := range r.attempts {
@@ -82,7 +82,7 @@
 	}
 	starts := &records.Starts{}
 	for _, m := range order {
-		machine := m.RecordIdentity()
+		machine := m.NewStartsRecord()
 		for id, indexes := range byMachine[m] {
 			sort.Ints(indexes)
 			machine.SetTasks(id, indexes)
