--- a/internal/allocation/ledger.go
+++ b/internal/allocation/ledger.go
@@ -61,7 +61,7 @@
 		t.used = t.used.Add(a.Job.Request(), -1)
 	}
 	if a.State().HasImage() {
-		a.Job.RemoveRunning()
+		a.Job.RemoveRunningAttempt()
 	}
 	return a.Job.Release(a.Index, a.Machine.Zone)
 }
@@ -104,9 +104,9 @@
 	return teams
 }
 
-// WithinGuarantee returns the jobs of the list, which is sorted oldest first, that fit into
+// JobsWithinGuarantee returns the jobs of the list, which is sorted oldest first, that fit into
 // their team's guarantee together with the team's earlier ones.
-func (l *Ledger) WithinGuarantee(list []*jobs.Job) map[*jobs.Job]bool {
+func (l *Ledger) JobsWithinGuarantee(list []*jobs.Job) map[*jobs.Job]bool {
 	used := map[string]placement.Resources{}
 	fits := map[*jobs.Job]bool{}
 	for _, j := range list {
--- a/internal/allocation/ledger_test.go
+++ b/internal/allocation/ledger_test.go
@@ -42,7 +42,7 @@
 	a := machines.NewAttempt(m, j, j.PopReadyTask(start), start)
 	l.Allocate(a)
 	a.ApplyReport(start, machines.Running)
-	j.AddRunning()
+	j.AddRunningAttempt()
 	if m.Free() != (placement.Resources{CPUs: 6, MemoryGB: 31}) || l.UsedCPUs("blue") != 2 || j.AllocatedTasks() != 1 || j.Constraints().TasksInZone["a"] != 1 || !a.IsAllocated() {
 		t.Errorf("free %+v, used %v, in zones %v", m.Free(), l.UsedCPUs("blue"), j.Constraints().TasksInZone)
 	}
@@ -50,8 +50,8 @@
 	if last := l.Release(end, a); !last {
 		t.Error("another machine may have the task")
 	}
-	if m.Free() != capacity || l.UsedCPUs("blue") != 0 || j.RunningTasks() != 0 || j.ReadyTasks() != 1 || a.IsAllocated() || m.IdleFor(end) != 0 {
-		t.Errorf("free %+v, used %v, %d running, %d ready", m.Free(), l.UsedCPUs("blue"), j.RunningTasks(), j.ReadyTasks())
+	if m.Free() != capacity || l.UsedCPUs("blue") != 0 || j.RunningAttempts() != 0 || j.ReadyTasks() != 1 || a.IsAllocated() || m.IdleFor(end) != 0 {
+		t.Errorf("free %+v, used %v, %d running, %d ready", m.Free(), l.UsedCPUs("blue"), j.RunningAttempts(), j.ReadyTasks())
 	}
 }
 
@@ -150,12 +150,12 @@
 func TestOldestJobsAreWithinTheGuarantee(t *testing.T) {
 	l := allocation.NewLedger(teams)
 	first, second, third := newJob("first", "blue", 3), newJob("second", "blue", 2), newJob("third", "guest", 1)
-	fits := l.WithinGuarantee([]*jobs.Job{first, second, third})
+	fits := l.JobsWithinGuarantee([]*jobs.Job{first, second, third})
 	if !fits[first] || fits[second] || fits[third] {
 		t.Errorf("%v", fits)
 	}
-	first.Complete(0) // what is done needs no guarantee
-	if fits = l.WithinGuarantee([]*jobs.Job{first, second}); !fits[second] {
+	first.MarkCompleted(0) // what is done needs no guarantee
+	if fits = l.JobsWithinGuarantee([]*jobs.Job{first, second}); !fits[second] {
 		t.Error("not within the guarantee though work is done")
 	}
 }
--- a/internal/jobs/dependencies.go
+++ b/internal/jobs/dependencies.go
@@ -28,10 +28,10 @@
 	// dependencyCancelled: a dependency was cancelled, so this job will be cancelled too.
 	dependencyCancelled bool
 	// priorityRank is the job's own priority, or that of a dependent if it is higher.
-	priorityRank int
-	criticalPath CriticalPath
-	cyclic       bool // its path can't be derived: corrupt records contain a cycle
-	pathQueued   bool // in outdatedPaths of the graph
+	priorityRank     int
+	criticalPath     CriticalPath
+	cyclic           bool // its path can't be derived: corrupt records contain a cycle
+	pathUpdateQueued bool // in outdatedPaths of the graph
 }
 
 // PriorityRank returns the job's own priority, or that of a dependent if it is higher.
@@ -64,24 +64,24 @@
 // thousands.
 type DependencyGraph struct {
 	registry *Registry
-	// stageTime estimates the time from the end of a job's last dependency to its own end.
-	stageTime func(*Job) time.Duration
+	// estimateDuration estimates the time from the end of a job's last dependency to its own end.
+	estimateDuration func(*Job) time.Duration
 	// dependents are the jobs that depend on an unfinished job, by the ID of that job.
-	dependents    map[string][]*Job
-	unblocked     []*Job // a dependency of theirs is done
-	toCancel      []*Job // a dependency of theirs was cancelled
-	outdatedPaths []*Job // their critical paths may have changed
+	dependents         map[string][]*Job
+	withDoneDependency []*Job // a dependency of theirs is done
+	toCancel           []*Job // a dependency of theirs was cancelled
+	withOutdatedPath   []*Job // their critical paths may have changed
 }
 
 // NewDependencyGraph returns a graph without edges. stageTime estimates the time from the end
 // of a job's last dependency to its own end.
-func NewDependencyGraph(registry *Registry, stageTime func(*Job) time.Duration) *DependencyGraph {
-	return &DependencyGraph{registry: registry, stageTime: stageTime, dependents: map[string][]*Job{}}
+func NewDependencyGraph(registry *Registry, estimateDuration func(*Job) time.Duration) *DependencyGraph {
+	return &DependencyGraph{registry: registry, estimateDuration: estimateDuration, dependents: map[string][]*Job{}}
 }
 
-// QueuedSteps returns the number of queued jobs, each of which takes one step to process.
-func (g *DependencyGraph) QueuedSteps() int {
-	return len(g.unblocked) + len(g.toCancel) + len(g.outdatedPaths)
+// QueuedJobs returns the number of queued jobs, each of which takes one step to process.
+func (g *DependencyGraph) QueuedJobs() int {
+	return len(g.withDoneDependency) + len(g.toCancel) + len(g.withOutdatedPath)
 }
 
 // Link adds a job to the dependents of its unfinished dependencies, and marks it if a
@@ -99,43 +99,43 @@
 	}
 }
 
-// JobEnded queues the dependents of a job that has ended: they have to be cancelled if it was
+// QueueDependents queues the dependents of a job that has ended: they have to be cancelled if it was
 // cancelled, and are otherwise unblocked.
-func (g *DependencyGraph) JobEnded(id string, f records.FinalState) {
+func (g *DependencyGraph) QueueDependents(id string, f records.FinalState) {
 	list := g.dependents[id]
 	delete(g.dependents, id)
 	if f.Outcome == records.OutcomeCancelled {
 		g.toCancel = append(g.toCancel, list...)
 	} else {
-		g.unblocked = append(g.unblocked, list...)
+		g.withDoneDependency = append(g.withDoneDependency, list...)
 	}
 }
 
 // QueueCancellation queues a job that has to be cancelled because a dependency was.
 func (g *DependencyGraph) QueueCancellation(j *Job) { g.toCancel = append(g.toCancel, j) }
 
-// NextCancellation removes and returns the next job to be cancelled, or nil.
-func (g *DependencyGraph) NextCancellation() *Job { return popFirst(&g.toCancel) }
+// PopJobToCancel removes and returns the next job to be cancelled, or nil.
+func (g *DependencyGraph) PopJobToCancel() *Job { return popFirst(&g.toCancel) }
 
-// HasCancellations reports whether jobs are queued to be cancelled.
-func (g *DependencyGraph) HasCancellations() bool { return len(g.toCancel) > 0 }
+// HasJobsToCancel reports whether jobs are queued to be cancelled.
+func (g *DependencyGraph) HasJobsToCancel() bool { return len(g.toCancel) > 0 }
 
-// NextUnblocked removes and returns the next job that had a dependency done, or nil. The job
+// PopJobWithDoneDependency removes and returns the next job that had a dependency done, or nil. The job
 // may have other unfinished dependencies.
-func (g *DependencyGraph) NextUnblocked() *Job {
-	j := popFirst(&g.unblocked)
+func (g *DependencyGraph) PopJobWithDoneDependency() *Job {
+	j := popFirst(&g.withDoneDependency)
 	if j != nil {
 		j.unfinishedDependencies--
 	}
 	return j
 }
 
-// NextOutdatedPath removes and returns the next job whose critical path has to be updated, or
+// PopJobWithOutdatedPath removes and returns the next job whose critical path has to be updated, or
 // nil.
-func (g *DependencyGraph) NextOutdatedPath() *Job {
-	j := popFirst(&g.outdatedPaths)
+func (g *DependencyGraph) PopJobWithOutdatedPath() *Job {
+	j := popFirst(&g.withOutdatedPath)
 	if j != nil {
-		j.pathQueued = false
+		j.pathUpdateQueued = false
 	}
 	return j
 }
@@ -150,13 +150,13 @@
 	return j
 }
 
-// QueuePathUpdates queues the dependencies of j, as their critical paths may have changed.
-func (g *DependencyGraph) QueuePathUpdates(j *Job) {
+// QueueCriticalPathUpdates queues the dependencies of j, as their critical paths may have changed.
+func (g *DependencyGraph) QueueCriticalPathUpdates(j *Job) {
 	for _, id := range j.DependsOn {
 		d := g.registry.Get(id)
-		if d != nil && !d.pathQueued && !d.endDurable {
-			d.pathQueued = true
-			g.outdatedPaths = append(g.outdatedPaths, d)
+		if d != nil && !d.pathUpdateQueued && !d.endDurable {
+			d.pathUpdateQueued = true
+			g.withOutdatedPath = append(g.withOutdatedPath, d)
 		}
 	}
 }
@@ -176,7 +176,7 @@
 		if d.criticalPath.Last == nil {
 			continue
 		}
-		duration := g.stageTime(d)
+		duration := g.estimateDuration(d)
 		if due := d.criticalPath.Due.Add(-duration); p.Last == nil || due.Before(p.Due) {
 			p = CriticalPath{Last: d.criticalPath.Last, Due: due, DownstreamTime: d.criticalPath.DownstreamTime + duration}
 		}
--- a/internal/jobs/dependencies_test.go
+++ b/internal/jobs/dependencies_test.go
@@ -30,15 +30,15 @@
 	for i, id := range []string{"a", "b"} {
 		f := records.FinalState{Outcome: records.OutcomeDone, TasksDone: 1}
 		registry.SetFinalState(id, f)
-		g.JobEnded(id, f)
-		if g.QueuedSteps() != 1 || g.NextUnblocked() != c {
+		g.QueueDependents(id, f)
+		if g.QueuedJobs() != 1 || g.PopJobWithDoneDependency() != c {
 			t.Fatalf("%s: the dependent is not unblocked", id)
 		}
 		if blocked := i == 0; c.IsBlocked() != blocked {
 			t.Errorf("after %s: blocked: %v", id, c.IsBlocked())
 		}
 	}
-	if g.QueuedSteps() != 0 || g.NextUnblocked() != nil || g.NextCancellation() != nil || g.NextOutdatedPath() != nil {
+	if g.QueuedJobs() != 0 || g.PopJobWithDoneDependency() != nil || g.PopJobToCancel() != nil || g.PopJobWithOutdatedPath() != nil {
 		t.Error("queued steps are left")
 	}
 }
@@ -49,8 +49,8 @@
 	g.Link(b)
 	f := a.End(start, jobs.Cancelled)
 	registry.SetFinalState("a", f)
-	g.JobEnded("a", f)
-	if !g.HasCancellations() || g.NextCancellation() != b || g.HasCancellations() {
+	g.QueueDependents("a", f)
+	if !g.HasJobsToCancel() || g.PopJobToCancel() != b || g.HasJobsToCancel() {
 		t.Error("the dependent is not queued for cancellation exactly once")
 	}
 	late := newActiveJob("late", 1, "a")
@@ -86,10 +86,10 @@
 		t.Errorf("path %+v, rank %d", got, first.PriorityRank())
 	}
 	last.End(start, jobs.Cancelled)
-	g.QueuePathUpdates(last)
-	for j := g.NextOutdatedPath(); j != nil; j = g.NextOutdatedPath() {
+	g.QueueCriticalPathUpdates(last)
+	for j := g.PopJobWithOutdatedPath(); j != nil; j = g.PopJobWithOutdatedPath() {
 		if g.UpdateCriticalPath(j) {
-			g.QueuePathUpdates(j)
+			g.QueueCriticalPathUpdates(j)
 		}
 	}
 	want = jobs.CriticalPath{Last: direct, Due: start.Add(time.Hour - stageTime), DownstreamTime: stageTime}
@@ -151,8 +151,8 @@
 			}
 			f := j.End(start, jobs.Done)
 			registry.SetFinalState(j.ID, f)
-			g.JobEnded(j.ID, f)
-			for d := g.NextUnblocked(); d != nil; d = g.NextUnblocked() {
+			g.QueueDependents(j.ID, f)
+			for d := g.PopJobWithDoneDependency(); d != nil; d = g.PopJobWithDoneDependency() {
 				if !d.IsBlocked() {
 					runnable = append(runnable, d)
 				}
--- a/internal/jobs/estimates.go
+++ b/internal/jobs/estimates.go
@@ -29,9 +29,9 @@
 	return estimate
 }
 
-// EstimateReady returns the expected run time in seconds of the ready task with the least
+// EstimateReadyTask returns the expected run time in seconds of the ready task with the least
 // progress, or of a whole task if none is ready.
-func (r RunTimeRatios) EstimateReady(j *Job) float64 {
+func (r RunTimeRatios) EstimateReadyTask(j *Job) float64 {
 	fullS := r.Estimate(j)
 	if len(j.progress) == 0 || len(j.ready) == 0 || len(j.ready) > len(j.progress) {
 		return fullS
@@ -47,7 +47,7 @@
 // nearest due time that it can still meet. Due times follow from the deadline on its critical
 // path and from the objectives. The second result is false if there is none.
 func (r RunTimeRatios) DeadlineSlack(now time.Time, j *Job, objectives []config.Objective) (float64, bool) {
-	remainingS := r.EstimateReady(j)
+	remainingS := r.EstimateReadyTask(j)
 	slackS, found := 0.0, false
 	considerDueTime := func(since time.Time, withinS float64) {
 		if s := withinS - now.Sub(since).Seconds() - remainingS; s >= 0 && (!found || s < slackS) {
--- a/internal/jobs/estimates_test.go
+++ b/internal/jobs/estimates_test.go
@@ -26,7 +26,7 @@
 	j.RebuildReadyTasks()
 	j.PopReadyTask(start)
 	j.RecordProgress(1, 20, true)
-	if got := runTimes.EstimateReady(j); got != j.EstimateS-20 {
+	if got := runTimes.EstimateReadyTask(j); got != j.EstimateS-20 {
 		t.Errorf("%v", got)
 	}
 }
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -44,11 +44,11 @@
 		submittedAt:   submittedAt,
 		waitingSince:  submittedAt,
 		taskSet: taskSet{
-			completed:         intervals.New(spec.Tasks),
-			unsavedChunks:     map[int]bool{},
-			allocations:       map[int32]int8{},
-			allocationsByZone: map[string]int{},
-			lastPlacedAt:      submittedAt,
+			completed:                intervals.New(spec.Tasks),
+			pendingChunks:            map[int]bool{},
+			allocations:              map[int32]int8{},
+			allocationsByZone:        map[string]int{},
+			waitingForPlacementSince: submittedAt,
 		},
 		recordKeys: map[string]bool{},
 	}
@@ -80,7 +80,7 @@
 func (j *Job) WaitingSince() time.Time { return j.waitingSince }
 
 // BeginWaiting restarts the waiting time of the job at now.
-func (j *Job) BeginWaiting(now time.Time) { j.waitingSince, j.lastPlacedAt = now, now }
+func (j *Job) BeginWaiting(now time.Time) { j.waitingSince, j.waitingForPlacementSince = now, now }
 
 // Constraints returns where tasks of the job may be placed. TasksInZone is the job's own map
 // and must not be modified.
--- a/internal/jobs/registry.go
+++ b/internal/jobs/registry.go
@@ -40,8 +40,8 @@
 // MarkRunnable records that a job is accepted and has no unfinished dependencies.
 func (r *Registry) MarkRunnable(j *Job) { r.runnable[j] = struct{}{} }
 
-// MarkEnded removes a job whose end is decided from the runnable jobs.
-func (r *Registry) MarkEnded(j *Job) { delete(r.runnable, j) }
+// MarkNotRunnable removes a job whose end is decided from the runnable jobs.
+func (r *Registry) MarkNotRunnable(j *Job) { delete(r.runnable, j) }
 
 // Runnable returns the runnable jobs in unspecified order.
 func (r *Registry) Runnable() iter.Seq[*Job] { return maps.Keys(r.runnable) }
--- a/internal/jobs/registry_test.go
+++ b/internal/jobs/registry_test.go
@@ -31,7 +31,7 @@
 	if got := ids(r.RunnableByAge()); !slices.Equal(got, []string{"a", "b", "c"}) {
 		t.Errorf("by age: %v", got)
 	}
-	r.MarkEnded(r.Get("b"))
+	r.MarkNotRunnable(r.Get("b"))
 	if got := ids(r.RunnableByAge()); !slices.Equal(got, []string{"a", "c"}) {
 		t.Errorf("after an end: %v", got)
 	}
@@ -56,7 +56,7 @@
 }
 
 func TestCompletionsAreFlushedAfterDelay(t *testing.T) {
-	u := jobs.UnsavedCompletions{}
+	u := jobs.PendingCompletions{}
 	b, a, c := newActiveJob("b", 2), newActiveJob("a", 2), newActiveJob("c", 2)
 	for _, j := range []*jobs.Job{b, a, c} {
 		u.Add(start, j)
--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -126,10 +126,10 @@
 	j.endDurable = true
 }
 
-// StateWithheld reports whether responses must not give the job's state yet. While its
+// MustWithholdState reports whether responses must not give the job's state yet. While its
 // acceptance is not durable, the job may turn out not to exist. After a dependency was
 // cancelled, the job will be cancelled too, and no response may say that it waits or runs,
 // however long the cancellation takes to become durable.
-func (j *Job) StateWithheld() bool {
+func (j *Job) MustWithholdState() bool {
 	return !j.acceptanceDurable || j.dependencyCancelled && !j.endDurable
 }
--- a/internal/jobs/state_test.go
+++ b/internal/jobs/state_test.go
@@ -47,7 +47,7 @@
 
 func TestAcceptanceAfterCancellationLeavesTheJobCancelled(t *testing.T) {
 	j := newJob("job-1", 2)
-	if !j.StateWithheld() {
+	if !j.MustWithholdState() {
 		t.Error("the state is not withheld before the acceptance is durable")
 	}
 	f := j.End(start, jobs.Cancelled)
@@ -81,7 +81,7 @@
 		}
 		j.RestoreEnd(records.FinalState{Outcome: outcome})
 		j.RestoreEnd(records.FinalState{Outcome: outcome})
-		if j.State() != state || !j.EndDurable() || j.StateWithheld() {
+		if j.State() != state || !j.EndDurable() || j.MustWithholdState() {
 			t.Errorf("%c: %v", outcome, j.State())
 		}
 	}
--- a/internal/jobs/tasks.go
+++ b/internal/jobs/tasks.go
@@ -12,21 +12,21 @@
 
 // taskSet is the state of the tasks of a job.
 type taskSet struct {
-	completed         *intervals.Set
-	storedCompletions *intervals.Set // completions known to be durable; nil if there are none
-	unsavedChunks     map[int]bool   // chunks of completed that have to be written
-	ready             []int32        // tasks to be placed; the last one is next
-	allocations       map[int32]int8 // number of machines that may have a task
-	allocationsByZone map[string]int // allocations by zone
-	running           int
+	completed          *intervals.Set
+	durableCompletions *intervals.Set // completions known to be durable; nil if there are none
+	pendingChunks      map[int]bool   // chunks of completed that have to be written
+	ready              []int32        // tasks to be placed; the last one is next
+	allocations        map[int32]int8 // number of machines that may have a task
+	allocationsByZone  map[string]int // allocations by zone
+	runningAttempts    int
 	// progress is the checkpointed run time, in seconds, of tasks that have to run again, as
 	// far as it was reported in this term.
 	progress map[int32]float64
-	// lastPlacedAt is when a task of the job was last placed, or when the job started to wait.
-	lastPlacedAt time.Time
-	// firstStartAt and lastStartAt are when the first and the last task were placed in this
+	// waitingForPlacementSince is when a task of the job was last placed, or when the job started to wait.
+	waitingForPlacementSince time.Time
+	// firstPlacedAt and lastPlacedAt are when the first and the last task were placed in this
 	// term, or zero.
-	firstStartAt, lastStartAt time.Time
+	firstPlacedAt, lastPlacedAt time.Time
 }
 
 // NeedsTask reports whether a task of the job still has to run.
@@ -44,49 +44,49 @@
 // RemainingTasks returns the number of tasks that have not completed.
 func (j *Job) RemainingTasks() int { return j.Tasks - j.completed.Len() }
 
-// Complete marks a task as completed and reports whether it was not before.
-func (t *taskSet) Complete(index int32) bool { return t.completed.Add(int(index)) }
+// MarkCompleted marks a task as completed and reports whether it was not before.
+func (t *taskSet) MarkCompleted(index int32) bool { return t.completed.Add(int(index)) }
 
-// MarkCompletionUnsaved marks the completion of a task as still to be written.
-func (t *taskSet) MarkCompletionUnsaved(index int32, valueLimit int) {
-	t.unsavedChunks[int(index)/records.CompletionChunkSize(valueLimit)] = true
+// MarkCompletionPending marks the completion of a task as still to be written.
+func (t *taskSet) MarkCompletionPending(index int32, valueLimit int) {
+	t.pendingChunks[int(index)/records.CompletionChunkSize(valueLimit)] = true
 }
 
-// PopUnsavedCompletions returns the records of the completions to be written and clears their
+// PopPendingCompletions returns the records of the completions to be written and clears their
 // marks.
-func (j *Job) PopUnsavedCompletions(valueLimit int) []records.Completions {
-	list := make([]records.Completions, 0, len(j.unsavedChunks))
-	for _, chunk := range slices.Sorted(maps.Keys(j.unsavedChunks)) {
+func (j *Job) PopPendingCompletions(valueLimit int) []records.Completions {
+	list := make([]records.Completions, 0, len(j.pendingChunks))
+	for _, chunk := range slices.Sorted(maps.Keys(j.pendingChunks)) {
 		r := records.NewCompletions(j.ID, j.completed, chunk, valueLimit)
 		j.AddRecordKey(r.Key)
 		list = append(list, r)
 	}
-	clear(j.unsavedChunks)
+	clear(j.pendingChunks)
 	return list
 }
 
 // RestoreCompletion applies the stored completion of a task.
 func (j *Job) RestoreCompletion(index int) {
 	j.completed.Add(index)
-	j.markStored(index)
+	j.markCompletionDurable(index)
 }
 
-// MarkStored records that completions are durable, so that their attempts may be discarded.
-func (j *Job) MarkStored(c records.Completions) {
+// MarkCompletionsDurable records that completions are durable, so that their attempts may be discarded.
+func (j *Job) MarkCompletionsDurable(c records.Completions) {
 	// The ranges were formatted by the job itself and can't be malformed.
-	_ = intervals.ParseEach(c.Tasks, j.Tasks, j.markStored)
+	_ = intervals.ParseEach(c.Tasks, j.Tasks, j.markCompletionDurable)
 }
 
-func (j *Job) markStored(index int) {
-	if j.storedCompletions == nil {
-		j.storedCompletions = intervals.New(j.Tasks)
+func (j *Job) markCompletionDurable(index int) {
+	if j.durableCompletions == nil {
+		j.durableCompletions = intervals.New(j.Tasks)
 	}
-	j.storedCompletions.Add(index)
+	j.durableCompletions.Add(index)
 }
 
-// IsCompletionStored reports whether the completion of a task is stored.
-func (j *Job) IsCompletionStored(index int32) bool {
-	return j.endDurable || j.storedCompletions != nil && j.storedCompletions.Has(int(index))
+// IsCompletionDurable reports whether the completion of a task is stored.
+func (j *Job) IsCompletionDurable(index int32) bool {
+	return j.endDurable || j.durableCompletions != nil && j.durableCompletions.Has(int(index))
 }
 
 // RebuildReadyTasks queues every task that has not completed and cannot be on a machine.
@@ -107,9 +107,9 @@
 	last := len(t.ready) - 1
 	index := t.ready[last]
 	t.ready = t.ready[:last]
-	t.lastPlacedAt, t.lastStartAt = now, now
-	if t.firstStartAt.IsZero() {
-		t.firstStartAt = now
+	t.waitingForPlacementSince, t.lastPlacedAt = now, now
+	if t.firstPlacedAt.IsZero() {
+		t.firstPlacedAt = now
 	}
 	return index
 }
@@ -121,12 +121,14 @@
 	}
 }
 
-// SincePlacement returns the time since a task was last placed, or since the job started to
+// PlacementWait returns the time since a task was last placed, or since the job started to
 // wait.
-func (t *taskSet) SincePlacement(now time.Time) time.Duration { return now.Sub(t.lastPlacedAt) }
+func (t *taskSet) PlacementWait(now time.Time) time.Duration {
+	return now.Sub(t.waitingForPlacementSince)
+}
 
-// StartTimes returns when the first and the last task were placed in this term, or zero times.
-func (t *taskSet) StartTimes() (first, last time.Time) { return t.firstStartAt, t.lastStartAt }
+// PlacementTimes returns when the first and the last task were placed in this term, or zero times.
+func (t *taskSet) PlacementTimes() (first, last time.Time) { return t.firstPlacedAt, t.lastPlacedAt }
 
 // Allocate counts one more machine, in the zone, that may have the task.
 func (t *taskSet) Allocate(index int32, zone string) {
@@ -156,20 +158,20 @@
 // AllocationsOf returns the number of machines that may have the task.
 func (t *taskSet) AllocationsOf(index int32) int { return int(t.allocations[index]) }
 
-// RunningTasks returns the number of attempts that are known to run.
-func (t *taskSet) RunningTasks() int { return t.running }
+// RunningAttempts returns the number of attempts that are known to run.
+func (t *taskSet) RunningAttempts() int { return t.runningAttempts }
 
-// AddRunning increments the number of attempts that are known to run.
-func (t *taskSet) AddRunning() { t.running++ }
+// AddRunningAttempt increments the number of attempts that are known to run.
+func (t *taskSet) AddRunningAttempt() { t.runningAttempts++ }
 
-// RemoveRunning decrements the number of attempts that are known to run.
-func (t *taskSet) RemoveRunning() { t.running-- }
+// RemoveRunningAttempt decrements the number of attempts that are known to run.
+func (t *taskSet) RemoveRunningAttempt() { t.runningAttempts-- }
 
 // Progress returns the run time in seconds that a task has checkpointed for its next attempt.
 func (t *taskSet) Progress(index int32) float64 { return t.progress[index] }
 
-// InterruptedTasks returns the number of tasks with checkpointed progress.
-func (t *taskSet) InterruptedTasks() int { return len(t.progress) }
+// TasksWithProgress returns the number of tasks with checkpointed progress.
+func (t *taskSet) TasksWithProgress() int { return len(t.progress) }
 
 // RecordProgress adds the progress of an attempt that ended after running for ranS seconds: all
 // of it if a checkpoint was saved when the attempt was stopped, otherwise up to its last
--- a/internal/leader/completion.go
+++ b/internal/leader/completion.go
@@ -12,16 +12,16 @@
 func (l *Leader) endJob(now time.Time, j *jobs.Job, state jobs.State, queue *records.Queue) {
 	f := j.End(now, state)
 	l.unsavedCompletions.Remove(j)
-	l.jobs.MarkEnded(j)
+	l.jobs.MarkNotRunnable(j)
 	l.drainer.RecordJobEnd(j)
 	if state == jobs.Cancelled {
-		l.graph.QueuePathUpdates(j)
+		l.graph.QueueCriticalPathUpdates(j)
 	}
 	queue.Put(records.FinalStateKey(j.ID), f.Encode(), func() {
 		l.jobs.SetFinalState(j.ID, f)
 		l.admission.countUnfinished(j.Team, -j.Tasks)
 		j.MarkEndDurable()
-		l.graph.JobEnded(j.ID, f)
+		l.graph.QueueDependents(j.ID, f)
 		j.NotifyWaiters(true)
 		l.removeIfFinished(j)
 	})
@@ -43,7 +43,7 @@
 
 // recordCompletion records that a task is done. The completion is written after a delay.
 func (l *Leader) recordCompletion(now time.Time, j *jobs.Job, index int32) {
-	if !j.Complete(index) {
+	if !j.MarkCompleted(index) {
 		return
 	}
 	l.passRequested = true
@@ -56,7 +56,7 @@
 		l.endJob(now, j, jobs.Done, &l.writes.Interactive)
 		return
 	}
-	j.MarkCompletionUnsaved(index, l.valueLimit())
+	j.MarkCompletionPending(index, l.valueLimit())
 	l.unsavedCompletions.Add(now, j)
 }
 
@@ -65,20 +65,20 @@
 	if j.DeadlineS == nil || now.Sub(j.SubmittedAt()).Seconds() <= *j.DeadlineS {
 		return
 	}
-	first, last := j.StartTimes()
+	first, last := j.PlacementTimes()
 	l.log.Debug().Str("job", j.ID).Str("class", j.Class).Str("team", j.Team).Int("tasks", j.Tasks).
 		Float64("deadline_s", *j.DeadlineS).Float64("done_s", now.Sub(j.SubmittedAt()).Seconds()).
 		Float64("first_start_s", first.Sub(j.SubmittedAt()).Seconds()).
 		Float64("last_start_s", last.Sub(j.SubmittedAt()).Seconds()).
 		Float64("estimate_s", j.EstimateS).Float64("corrected_s", l.runTimes.Estimate(j)).
-		Int("interrupted", j.InterruptedTasks()).Int("failures", j.Failures()).Msg("deadline missed")
+		Int("interrupted", j.TasksWithProgress()).Int("failures", j.Failures()).Msg("deadline missed")
 }
 
 // flushCompletions queues the writes of completions whose delay has passed.
 func (l *Leader) flushCompletions(now time.Time) {
 	for _, j := range l.unsavedCompletions.PopDue(now) {
-		for _, completions := range j.PopUnsavedCompletions(l.valueLimit()) {
-			l.writes.Background.Put(completions.Key, completions.Encode(), func() { j.MarkStored(completions) })
+		for _, completions := range j.PopPendingCompletions(l.valueLimit()) {
+			l.writes.Background.Put(completions.Key, completions.Encode(), func() { j.MarkCompletionsDurable(completions) })
 		}
 	}
 }
--- a/internal/leader/counts.go
+++ b/internal/leader/counts.go
@@ -22,7 +22,7 @@
 // Counts returns a summary of the current state.
 func (l *Leader) Counts() Counts {
 	n := Counts{Jobs: l.jobs.Len(), Machines: l.machines.Len(), PendingWrites: l.writes.Len(), ScoredPairs: l.scoredPairs, DrainSteps: l.drainer.ExaminedCount()}
-	n.DependencySteps = l.graph.QueuedSteps()
+	n.DependencySteps = l.graph.QueuedJobs()
 	l.jobs.Each(func(j *jobs.Job) {
 		n.ReadyTasks += j.ReadyTasks()
 		n.WantedCPUs += float64(j.ReadyTasks()) * j.CPUs
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -42,7 +42,7 @@
 		queue = &l.writes.Interactive // after the acceptance; its user gets one response for both
 	}
 	l.endJob(now, j, jobs.Cancelled, queue)
-	l.graph.JobEnded(j.ID, records.FinalState{Outcome: records.OutcomeCancelled})
+	l.graph.QueueDependents(j.ID, records.FinalState{Outcome: records.OutcomeCancelled})
 }
 
 // makeReadyIfUnblocked makes the tasks of an accepted job ready unless the job waits for
@@ -79,14 +79,14 @@
 func (l *Leader) processDependencyChanges(now time.Time) {
 	steps := tuning.DependencyStepsPerTick
 	for ; steps > 0; steps-- {
-		j := l.graph.NextCancellation()
+		j := l.graph.PopJobToCancel()
 		if j == nil {
 			break
 		}
 		l.cancelDependent(now, j)
 	}
 	for ; steps > 0; steps-- {
-		j := l.graph.NextUnblocked()
+		j := l.graph.PopJobWithDoneDependency()
 		if j == nil {
 			break
 		}
@@ -96,13 +96,13 @@
 		}
 	}
 	for ; steps > 0; steps-- {
-		j := l.graph.NextOutdatedPath()
+		j := l.graph.PopJobWithOutdatedPath()
 		if j == nil {
 			break
 		}
 		if l.graph.UpdateCriticalPath(j) {
 			l.passRequested = true
-			l.graph.QueuePathUpdates(j)
+			l.graph.QueueCriticalPathUpdates(j)
 		}
 	}
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -40,7 +40,7 @@
 	jobs               *jobs.Registry
 	graph              *jobs.DependencyGraph
 	admission          *admissionControl
-	unsavedCompletions jobs.UnsavedCompletions
+	unsavedCompletions jobs.PendingCompletions
 	runTimes           jobs.RunTimeRatios
 	startDelay         jobs.StartDelay
 
@@ -80,7 +80,7 @@
 		term:               term,
 		jobs:               jobs.NewRegistry(),
 		admission:          newAdmissionControl(&p, &o, term, now),
-		unsavedCompletions: jobs.UnsavedCompletions{},
+		unsavedCompletions: jobs.PendingCompletions{},
 		ledger:             allocation.NewLedger(p.Teams),
 		runTimes:           jobs.RunTimeRatios{},
 		machines:           machines.NewRegistry(),
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -132,7 +132,7 @@
 
 // loadStarts loads a start record: the tasks that it lists may be on its machines.
 func (l *Leader) loadStarts(now time.Time, key string, starts *records.Starts) error {
-	rec := l.startLog.LoadRecord(key)
+	rec := l.startLog.AddLoadedRecord(key)
 	for _, machine := range starts.Machines {
 		m := l.machines.Get(machine.ID)
 		if m == nil {
@@ -192,7 +192,7 @@
 		l.makeReadyIfUnblocked(now, j)
 		l.removeIfFinished(j)
 	}
-	for l.graph.HasCancellations() {
+	for l.graph.HasJobsToCancel() {
 		// Cancel all dependent jobs before any request gets a response.
 		l.processDependencyChanges(now)
 	}
--- a/internal/leader/pass.go
+++ b/internal/leader/pass.go
@@ -57,7 +57,7 @@
 	}
 	agedJobs := map[*jobs.Job]bool{}
 	for _, j := range byID {
-		agedJobs[j] = j.SincePlacement(now) >= tuning.AgingThreshold
+		agedJobs[j] = j.PlacementWait(now) >= tuning.AgingThreshold
 	}
 	starts, work := placement.Run(l.placementTimeS(now), l.withAgedFirst(now, ready, byID), candidates, l.ledger.PlacementTeams(), tuning.PassMaxStarts)
 	l.scoredPairs += work.ScoredPairs
--- a/internal/leader/ready_jobs.go
+++ b/internal/leader/ready_jobs.go
@@ -16,11 +16,11 @@
 	all := ready
 	for _, r := range ready {
 		j := byID[r.Job]
-		if j.SincePlacement(now) < tuning.AgingThreshold || j.FailsEverywhere() {
+		if j.PlacementWait(now) < tuning.AgingThreshold || j.FailsEverywhere() {
 			continue
 		}
 		aged := *r
-		aged.AgedS = j.SincePlacement(now).Seconds()
+		aged.AgedS = j.PlacementWait(now).Seconds()
 		aged.ReadyTasks = min(r.ReadyTasks, max(1, int(float64(j.Tasks)*tuning.AgedTaskShare)))
 		// Both entries share TasksInZone and so count each other's starts.
 		r.ReadyTasks -= aged.ReadyTasks
@@ -32,7 +32,7 @@
 // readyJobs returns the jobs with tasks to place, oldest first, and the same jobs by ID.
 func (l *Leader) readyJobs(now time.Time) ([]*placement.PendingJob, map[string]*jobs.Job) {
 	active := l.jobs.RunnableByAge()
-	guaranteed := l.ledger.WithinGuarantee(active)
+	guaranteed := l.ledger.JobsWithinGuarantee(active)
 	cpus := 0.0
 	for _, m := range l.machines.All() {
 		cpus += m.Capacity().CPUs
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -68,7 +68,7 @@
 	case t.ExitReason == wire.ExitDone:
 		l.recordCompletion(now, j, index)
 	}
-	recordExited(m, t, t.ExitReason != wire.ExitDone || j.IsCompletionStored(index))
+	recordExited(m, t, t.ExitReason != wire.ExitDone || j.IsCompletionDurable(index))
 }
 
 // applyLiveTask applies the entry of a task that has not exited.
@@ -99,7 +99,7 @@
 // recordRunning records that an attempt has begun to run.
 func (l *Leader) recordRunning(now time.Time, a *machines.Attempt) {
 	m, j := a.Machine, a.Job
-	j.AddRunning()
+	j.AddRunningAttempt()
 	if m.HasImage(j.Image) && a.Number()>>32 == l.term {
 		l.startDelay.Observe(now.Sub(a.CreatedAt()).Seconds(), l.params.Workers.HeartbeatIntervalS)
 	}
--- a/internal/leader/requests.go
+++ b/internal/leader/requests.go
@@ -9,7 +9,7 @@
 
 // Query returns a job's state, or 503 while the job is being accepted or cancelled.
 func (l *Leader) Query(id string) Response {
-	if j := l.jobs.Get(id); j != nil && j.StateWithheld() {
+	if j := l.jobs.Get(id); j != nil && j.MustWithholdState() {
 		return Response{Status: http.StatusServiceUnavailable, Reason: "being accepted or cancelled"}
 	}
 	r, _ := l.jobResponse(id)
--- a/internal/leader/response.go
+++ b/internal/leader/response.go
@@ -39,8 +39,8 @@
 	if j == nil {
 		return Response{Status: http.StatusNotFound}, false
 	}
-	r = Response{Status: http.StatusOK, State: wire.JobQueued, CompletedTasks: j.CompletedTasks(), RunningTasks: j.RunningTasks()}
-	if j.RunningTasks() > 0 {
+	r = Response{Status: http.StatusOK, State: wire.JobQueued, CompletedTasks: j.CompletedTasks(), RunningTasks: j.RunningAttempts()}
+	if j.RunningAttempts() > 0 {
 		r.State = wire.JobRunning
 	}
 	return r, true
--- a/internal/leader/submission.go
+++ b/internal/leader/submission.go
@@ -23,7 +23,7 @@
 func (l *Leader) SubmitWithClaim(now time.Time, wall time.Time, spec *wire.Job, claim *admission.Claim, respond func(Response)) {
 	// Until the acceptance is durable no response may mention the job, not even
 	// once its cancellation has been requested.
-	if j := l.jobs.Get(spec.ID); j != nil && j.StateWithheld() {
+	if j := l.jobs.Get(spec.ID); j != nil && j.MustWithholdState() {
 		j.AddWaiter(func(ok bool) { respond(l.decidedResponse(ok, spec.ID, http.StatusOK)) })
 		return
 	}
@@ -67,7 +67,7 @@
 	l.jobs.Add(j)
 	l.admission.countUnfinished(j.Team, j.Tasks)
 	l.graph.Link(j)
-	l.graph.QueuePathUpdates(j)
+	l.graph.QueueCriticalPathUpdates(j)
 	j.AddWaiter(func(ok bool) { respond(l.decidedResponse(ok, j.ID, http.StatusCreated)) })
 	l.storeJob(j, func() {
 		if j.MarkAccepted() {
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -69,7 +69,7 @@
 func lowestPreemptibleRank(unfinished iter.Seq[*jobs.Job]) int {
 	lowest := 0
 	for j := range unfinished {
-		if j.RunningTasks() > 0 && j.CheckpointIntervalS > 0 {
+		if j.RunningAttempts() > 0 && j.CheckpointIntervalS > 0 {
 			lowest = max(lowest, j.PriorityRank())
 		}
 	}
--- a/internal/preemption/preemption_test.go
+++ b/internal/preemption/preemption_test.go
@@ -48,7 +48,7 @@
 	a := machines.NewPendingAttempt(c.machine, j, 0, since, 1, afterLongWait)
 	a.ApplyReport(since, machines.Running)
 	c.machine.AddAttempt(a)
-	j.AddRunning()
+	j.AddRunningAttempt()
 	c.running = append(c.running, j)
 	return a
 }
--- a/internal/startlog/startlog.go
+++ b/internal/startlog/startlog.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// LoadRecord returns a record of a predecessor, to which loaded attempts are added.
-func (l *Log) LoadRecord(key string) *Record {
+// AddLoadedRecord returns a record of a predecessor, to which loaded attempts are added.
+func (l *Log) AddLoadedRecord(key string) *Record {
 	r := &Record{log: l, key: key, written: true, closed: true}
 	l.loaded = append(l.loaded, r)
 	return r
--- a/internal/startlog/startlog_test.go
+++ b/internal/startlog/startlog_test.go
@@ -120,9 +120,9 @@
 // have ended.
 func TestLoadedRecordsWithoutAttemptsAreDeleted(t *testing.T) {
 	f := newFixture(2048)
-	f.LoadRecord("s/old")
+	f.AddLoadedRecord("s/old")
 	a := machines.NewAttempt(f.machine, f.job, 0, time.Time{})
-	f.LoadRecord("m/m1").AddLoadedAttempt(a)
+	f.AddLoadedRecord("m/m1").AddLoadedAttempt(a)
 	f.FinishLoading()
 	b := f.writes.NextBatch(maxOps, maxOps, false)
 	if b == nil || len(b.Mutations) != 1 || b.Mutations[0].Delete != "s/old" {
