--- a/internal/allocation/ledger.go
+++ b/internal/allocation/ledger.go
@@ -1,5 +1,5 @@
-// Package allocation accounts for the resources of attempts against the machines' capacity and
-// the teams' quotas, and counts them by zone. It reads no clock and does no I/O.
+// Package allocation tracks which resources of machines and of teams' quotas the attempts use, and
+// how many machines in each zone may have tasks of a job. It reads no clock and does no I/O.
 package allocation
 
 import (
@@ -13,19 +13,19 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// Ledger owns the quotas of the teams and their usage. An attempt counts from when its task may
-// be on the machine until the task is known to have left it.
+// Ledger holds the quotas of the teams and their usage. An attempt uses resources from when its task
+// may be on the machine until the task is known to have left the machine.
 type Ledger struct {
 	teams map[string]*teamUsage
 }
 
-// teamUsage is a team's quota and what all its tasks that may be on a machine use.
+// teamUsage is the quota of a team and its usage.
 type teamUsage struct {
 	quota config.Team
-	used  placement.Resources
+	used  placement.Resources // of all attempts
 }
 
-// NewLedger returns a ledger without usage.
+// NewLedger returns a ledger with the given teams and without attempts.
 func NewLedger(teams []config.Team) *Ledger {
 	l := &Ledger{teams: map[string]*teamUsage{}}
 	for _, t := range teams {
@@ -34,17 +34,17 @@
 	return l
 }
 
-// resolveLimits returns a team with the limits that its settings imply.
+// resolveLimits returns a team whose limits are infinite if the settings contain none.
 func resolveLimits(t config.Team) config.Team {
 	if t.CPUsMax == 0 && t.GPUsMax == 0 {
-		// Limits of 0 mean that the team has no limit, as a guest without a guarantee,
-		// not that it may use nothing.
+		// Two limits of 0 mean that the team has no limit, as a team without a guarantee.
+		// They don't mean that the team may use nothing.
 		t.CPUsMax, t.GPUsMax = math.Inf(1), math.Inf(1)
 	}
 	return t
 }
 
-// Allocate counts an attempt whose task may be on its machine from now on.
+// Allocate adds an attempt, whose task may be on the attempt's machine from now on.
 func (l *Ledger) Allocate(a *machines.Attempt) {
 	a.Machine.AddAttempt(a)
 	if t := l.teams[a.Job.Team]; t != nil {
@@ -53,8 +53,8 @@
 	a.Job.Allocate(a.Index, a.Machine.Zone)
 }
 
-// Release removes an attempt whose task is known to have left its machine. It reports whether
-// no other machine may have the task.
+// Release removes an attempt whose task is known to have left the attempt's machine. It reports
+// whether this was the last machine that may have the task.
 func (l *Ledger) Release(now time.Time, a *machines.Attempt) (last bool) {
 	a.Machine.RemoveAttempt(now, a)
 	if t := l.teams[a.Job.Team]; t != nil {
@@ -66,7 +66,7 @@
 	return a.Job.Release(a.Index, a.Machine.Zone)
 }
 
-// UsedCPUs returns the CPUs that a team uses.
+// UsedCPUs returns the number of CPUs that a team uses, 0 for a team without settings.
 func (l *Ledger) UsedCPUs(team string) float64 {
 	t := l.teams[team]
 	if t == nil {
@@ -75,8 +75,7 @@
 	return t.used.CPUs
 }
 
-// FreeCPUs returns the CPUs that a team may use beyond those that it uses; known is false for
-// teams that are not in the settings.
+// FreeCPUs returns how many more CPUs a team may use. known is false for a team without settings.
 func (l *Ledger) FreeCPUs(team string) (cpus float64, known bool) {
 	t := l.teams[team]
 	if t == nil {
@@ -85,7 +84,7 @@
 	return t.quota.CPUsMax - t.used.CPUs, true
 }
 
-// FreeCPUsByTeam returns the free CPUs of all teams. The caller may modify the map.
+// FreeCPUsByTeam returns how many more CPUs each team may use. The caller may modify the map.
 func (l *Ledger) FreeCPUsByTeam() map[string]float64 {
 	free := make(map[string]float64, len(l.teams))
 	for name, t := range l.teams {
@@ -94,7 +93,8 @@
 	return free
 }
 
-// PlacementTeams returns the usage and the limit of each team for one scheduling pass.
+// PlacementTeams returns the usage and the limit of each team at the start of a scheduling pass. The
+// result is a copy, to which the pass can add its own placements.
 func (l *Ledger) PlacementTeams() map[string]*placement.Team {
 	teams := make(map[string]*placement.Team, len(l.teams))
 	for name, t := range l.teams {
@@ -104,10 +104,11 @@
 	return teams
 }
 
-// JobsWithinGuarantee returns the jobs of the list, which is sorted oldest first, that fit into
-// their team's guarantee together with the team's earlier ones.
+// JobsWithinGuarantee returns the jobs of a list that fit into the guarantee of their team. A job
+// fits if the remaining tasks of it and of the team's preceding jobs in the list need no more than
+// the guarantee. The list has to be sorted by age, oldest first.
 func (l *Ledger) JobsWithinGuarantee(list []*jobs.Job) map[*jobs.Job]bool {
-	used := map[string]placement.Resources{}
+	neededByTeam := map[string]placement.Resources{}
 	fits := map[*jobs.Job]bool{}
 	for _, j := range list {
 		t := l.teams[j.Team]
@@ -115,17 +116,18 @@
 			continue
 		}
 		task := placement.Resources{CPUs: j.CPUs, GPUs: j.GPUs}
-		sum := used[j.Team].Add(task, float64(j.RemainingTasks()))
-		used[j.Team] = sum
+		needed := neededByTeam[j.Team].Add(task, float64(j.RemainingTasks()))
+		neededByTeam[j.Team] = needed
 		guarantee := placement.Resources{CPUs: t.quota.CPUs, GPUs: t.quota.GPUs}
-		if guarantee.Fits(sum) {
+		if guarantee.Fits(needed) {
 			fits[j] = true
 		}
 	}
 	return fits
 }
 
-// QuotaViolation returns why a job can never run within the quota of its team, or "" if it can.
+// QuotaViolation returns why no task of a job can ever run within the quota of the job's team, or ""
+// if one can.
 func (l *Ledger) QuotaViolation(spec *wire.Job) string {
 	t := l.teams[spec.Team]
 	if t == nil {
@@ -144,7 +146,7 @@
 	return ""
 }
 
-// QuotaViolation returns why a job can never run within the given quotas, or "" if it can.
+// QuotaViolation returns the same as Ledger.QuotaViolation, for callers without a ledger.
 func QuotaViolation(teams []config.Team, spec *wire.Job) string {
 	for _, t := range teams {
 		if t.Name == spec.Team {
--- a/internal/intervals/text.go
+++ b/internal/intervals/text.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// ErrOutOfBounds is matched by the error for an interval that is beyond the limit or ends
-// before it begins.
+// ErrOutOfBounds is the error for an interval with an index beyond the limit, or with a last index
+// that is less than the first one.
 var ErrOutOfBounds = errors.New("range out of bounds")
 
-// Format returns the indexes of the set from from to to-1 as intervals.
+// Format returns as text which indexes from from to to-1 are in the set.
 func (s *Set) Format(from, to int) string {
 	var b strings.Builder
 	to = min(to, s.size)
@@ -36,7 +36,7 @@
 	return b.String()
 }
 
-// FormatList returns ascending indexes as intervals.
+// FormatList returns indexes as text. They must be in ascending order.
 func FormatList(sorted []int) string {
 	var b strings.Builder
 	for i := 0; i < len(sorted); {
@@ -50,7 +50,7 @@
 	return b.String()
 }
 
-// appendInterval appends the interval from..to, both included.
+// appendInterval appends the text of the interval that begins with from and ends with to.
 func appendInterval(b *strings.Builder, from, to int) {
 	if b.Len() > 0 {
 		b.WriteByte(',')
@@ -62,8 +62,9 @@
 	}
 }
 
-// ParseEach parses intervals and calls f for every index. Each must be below limit; the error
-// is ErrOutOfBounds or that of a malformed number.
+// ParseEach parses text and calls f for every index in it. If text is malformed or contains an index
+// that is not below limit, it returns an error, possibly after calls of f. The error is
+// ErrOutOfBounds or that of strconv.Atoi.
 func ParseEach(text string, limit int, f func(int)) error {
 	if text == "" {
 		return nil
@@ -83,7 +84,7 @@
 	return nil
 }
 
-// parseInterval parses "FROM-TO" or a single index.
+// parseInterval parses "FROM-TO" or a single index, which is both from and to.
 func parseInterval(text string) (from, to int, err error) {
 	first, last, isInterval := strings.Cut(text, "-")
 	if from, err = strconv.Atoi(first); err != nil {
--- a/internal/jobs/completions.go
+++ b/internal/jobs/completions.go
@@ -6,21 +6,23 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// PendingCompletions maps each job with completions to be written to the time of the first.
+// PendingCompletions holds the jobs with completions that are not in the write queue yet. Each
+// job is mapped to the time of the first of these completions.
 type PendingCompletions map[*Job]time.Time
 
-// Add adds a job with completions to be written. A job that is present keeps its time.
+// Add adds a job that has a new completion at now. A job that is already present keeps its
+// earlier time.
 func (u PendingCompletions) Add(now time.Time, j *Job) {
 	if _, known := u[j]; !known {
 		u[j] = now
 	}
 }
 
-// Remove removes a job whose completions no longer need to be written.
+// Remove removes a job whose completions need not be written any more.
 func (u PendingCompletions) Remove(j *Job) { delete(u, j) }
 
-// PopDue removes and returns the jobs whose completions have waited for CompletionFlushDelay,
-// sorted by ID.
+// PopDue removes and returns the jobs whose first completion is at least
+// tuning.CompletionFlushDelay old, sorted by ID.
 func (u PendingCompletions) PopDue(now time.Time) []*Job {
 	var due []*Job
 	for j, since := range u {
--- a/internal/jobs/dependencies.go
+++ b/internal/jobs/dependencies.go
@@ -8,39 +8,44 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// Whether a job is blocked or has to be cancelled follows only from the final states of its
-// dependencies. A successor therefore derives the same, and a leader that fails after it stored
-// a final state, but before it updated the dependents, leaves nothing inconsistent. A job can
-// depend only on jobs that were accepted before it, so the graph has no cycles.
-
-// CriticalPath is the tightest deadline that a job has to meet for itself or for its direct and
-// indirect dependents: the deadline of the last job on the path, less the estimated time of the
-// jobs after this one.
+// Whether a job is blocked or has to be cancelled follows from the stored final states of its
+// dependencies alone, so a successor reaches the same result. A leader that fails after storing a
+// final state, but before updating the dependents, therefore leaves no inconsistent state. A job
+// can depend only on jobs that were accepted before it, so the graph has no cycles.
+
+// CriticalPath leads from a job through its dependents to the job whose deadline leaves the first
+// one the least time. The last job may be the first one itself.
 type CriticalPath struct {
-	Last           *Job // the job with the deadline; nil if there is none
+	Last *Job // the job with the deadline; nil if no path has one
+	// Due is when the first job has to end: the deadline of Last less DownstreamTime.
 	Due            time.Time
-	DownstreamTime time.Duration // estimated time of the later jobs on the path, including Last
+	DownstreamTime time.Duration // estimated time of the jobs after the first, including Last
 }
 
-// dependencyState is what a job derives from its dependencies and its dependents.
+// dependencyState is the part of a job's state that follows from its dependencies and its
+// dependents.
 type dependencyState struct {
-	unfinishedDependencies int // dependencies that have not ended
-	// dependencyCancelled: a dependency was cancelled, so this job will be cancelled too.
+	// unfinishedDependencies is the number of dependencies that have not ended, or whose end the
+	// graph has not processed yet.
+	unfinishedDependencies int
+	// dependencyCancelled: a dependency was cancelled, so this job has to be cancelled too.
 	dependencyCancelled bool
-	// priorityRank is the job's own priority, or that of a dependent if it is higher.
+	// priorityRank is the rank of the highest priority among the job and its direct and indirect
+	// dependents; rank 0 is the highest.
 	priorityRank     int
 	criticalPath     CriticalPath
-	cyclic           bool // its path can't be derived: corrupt records contain a cycle
-	pathUpdateQueued bool // in outdatedPaths of the graph
+	cyclic           bool // in a dependency cycle or a dependency of such a job, see LinkAll
+	pathUpdateQueued bool // in withOutdatedPath of the graph
 }
 
-// PriorityRank returns the job's own priority, or that of a dependent if it is higher.
+// PriorityRank returns the rank of the highest priority among the job and its direct and indirect
+// dependents; rank 0 is the highest.
 func (s *dependencyState) PriorityRank() int { return s.priorityRank }
 
-// CriticalPath returns the tightest deadline that the job has to meet.
+// CriticalPath returns the critical path of the job.
 func (s *dependencyState) CriticalPath() CriticalPath { return s.criticalPath }
 
-// IsBlocked reports whether the job has unfinished dependencies.
+// IsBlocked reports whether the job has unfinished dependencies, so that its tasks must not start.
 func (s *dependencyState) IsBlocked() bool { return s.unfinishedDependencies > 0 }
 
 // DependencyCancelled reports whether a dependency of the job was cancelled.
@@ -49,7 +54,7 @@
 // MarkDependencyCancelled records that a dependency of the job was cancelled.
 func (s *dependencyState) MarkDependencyCancelled() { s.dependencyCancelled = true }
 
-// standalonePath returns the priority and the critical path of a job as if it had no
+// standalonePath returns the priority rank and the critical path that the job would have without
 // dependents.
 func (j *Job) standalonePath() (int, CriticalPath) {
 	p := CriticalPath{}
@@ -59,33 +64,34 @@
 	return wire.PriorityRank(j.Priority), p
 }
 
-// DependencyGraph holds the dependencies between jobs and queues the jobs that are affected by
-// the end of another. Callers process a bounded number of them at a time, as there may be
-// thousands.
+// DependencyGraph holds the dependencies between jobs, and queues of the jobs that have to be
+// updated because another one ended. One end may affect thousands of jobs, so callers process a
+// bounded number of queued jobs at a time.
 type DependencyGraph struct {
 	registry *Registry
 	// estimateDuration estimates the time from the end of a job's last dependency to its own end.
 	estimateDuration func(*Job) time.Duration
-	// dependents are the jobs that depend on an unfinished job, by the ID of that job.
+	// dependents maps the ID of each unfinished job to the jobs that depend on it.
 	dependents         map[string][]*Job
-	withDoneDependency []*Job // a dependency of theirs is done
-	toCancel           []*Job // a dependency of theirs was cancelled
-	withOutdatedPath   []*Job // their critical paths may have changed
+	withDoneDependency []*Job // a dependency of each is done
+	toCancel           []*Job // a dependency of each was cancelled
+	withOutdatedPath   []*Job // the critical path of each may have changed
 }
 
-// NewDependencyGraph returns a graph without edges. stageTime estimates the time from the end
-// of a job's last dependency to its own end.
+// NewDependencyGraph returns a graph without jobs. estimateDuration estimates the time from the end of
+// a job's last dependency to its own end.
 func NewDependencyGraph(registry *Registry, estimateDuration func(*Job) time.Duration) *DependencyGraph {
-	return &DependencyGraph{registry: registry, estimateDuration: estimateDuration, dependents: map[string][]*Job{}}
+	return &DependencyGraph{registry: registry, estimateDuration: estimateDuration,
+		dependents: map[string][]*Job{}}
 }
 
-// QueuedJobs returns the number of queued jobs, each of which takes one step to process.
+// QueuedJobs returns the total length of the queues.
 func (g *DependencyGraph) QueuedJobs() int {
 	return len(g.withDoneDependency) + len(g.toCancel) + len(g.withOutdatedPath)
 }
 
-// Link adds a job to the dependents of its unfinished dependencies, and marks it if a
-// dependency was cancelled.
+// Link adds a job to the graph: it registers the job as a dependent of its unfinished
+// dependencies, and marks it if a dependency was cancelled.
 func (g *DependencyGraph) Link(j *Job) {
 	for _, id := range j.DependsOn {
 		f, ended := g.registry.FinalState(id)
@@ -99,8 +105,8 @@
 	}
 }
 
-// QueueDependents queues the dependents of a job that has ended: they have to be cancelled if it was
-// cancelled, and are otherwise unblocked.
+// QueueDependents queues the dependents of a job that ended with final state f: for cancellation
+// if the job was cancelled, otherwise as jobs with a done dependency.
 func (g *DependencyGraph) QueueDependents(id string, f records.FinalState) {
 	list := g.dependents[id]
 	delete(g.dependents, id)
@@ -111,17 +117,17 @@
 	}
 }
 
-// QueueCancellation queues a job that has to be cancelled because a dependency was.
+// QueueCancellation queues a job that has to be cancelled because a dependency was cancelled.
 func (g *DependencyGraph) QueueCancellation(j *Job) { g.toCancel = append(g.toCancel, j) }
 
-// PopJobToCancel removes and returns the next job to be cancelled, or nil.
+// PopJobToCancel removes the next job to be cancelled from its queue and returns it, or nil.
 func (g *DependencyGraph) PopJobToCancel() *Job { return popFirst(&g.toCancel) }
 
 // HasJobsToCancel reports whether jobs are queued to be cancelled.
 func (g *DependencyGraph) HasJobsToCancel() bool { return len(g.toCancel) > 0 }
 
-// PopJobWithDoneDependency removes and returns the next job that had a dependency done, or nil. The job
-// may have other unfinished dependencies.
+// PopJobWithDoneDependency removes the next job with a newly done dependency from its queue and
+// returns it, or nil. It counts one unfinished dependency less; the job may have others.
 func (g *DependencyGraph) PopJobWithDoneDependency() *Job {
 	j := popFirst(&g.withDoneDependency)
 	if j != nil {
@@ -130,8 +136,8 @@
 	return j
 }
 
-// PopJobWithOutdatedPath removes and returns the next job whose critical path has to be updated, or
-// nil.
+// PopJobWithOutdatedPath removes the next job whose critical path has to be updated from its queue
+// and returns it, or nil.
 func (g *DependencyGraph) PopJobWithOutdatedPath() *Job {
 	j := popFirst(&g.withOutdatedPath)
 	if j != nil {
@@ -140,7 +146,7 @@
 	return j
 }
 
-// popFirst removes and returns the first job of a queue, or returns nil if it is empty.
+// popFirst removes the first job of a queue and returns it, or nil if the queue is empty.
 func popFirst(queue *[]*Job) *Job {
 	if len(*queue) == 0 {
 		return nil
@@ -150,7 +156,8 @@
 	return j
 }
 
-// QueueCriticalPathUpdates queues the dependencies of j, as their critical paths may have changed.
+// QueueCriticalPathUpdates queues the dependencies of j, whose critical paths may change with that
+// of j or with its end.
 func (g *DependencyGraph) QueueCriticalPathUpdates(j *Job) {
 	for _, id := range j.DependsOn {
 		d := g.registry.Get(id)
@@ -161,8 +168,8 @@
 	}
 }
 
-// UpdateCriticalPath derives the priority and the critical path of a job from its dependents,
-// and reports whether either has changed.
+// UpdateCriticalPath derives the priority rank and the critical path of a job from its dependents,
+// and reports whether one of the two has changed.
 func (g *DependencyGraph) UpdateCriticalPath(j *Job) bool {
 	if j.cyclic {
 		return false
@@ -178,7 +185,8 @@
 		}
 		duration := g.estimateDuration(d)
 		if due := d.criticalPath.Due.Add(-duration); p.Last == nil || due.Before(p.Due) {
-			p = CriticalPath{Last: d.criticalPath.Last, Due: due, DownstreamTime: d.criticalPath.DownstreamTime + duration}
+			p = CriticalPath{Last: d.criticalPath.Last, Due: due,
+				DownstreamTime: d.criticalPath.DownstreamTime + duration}
 		}
 	}
 	changed := rank != j.priorityRank || p != j.criticalPath
@@ -186,16 +194,17 @@
 	return changed
 }
 
-// MissingDependency is a dependency of a job that is neither a known job nor an ended one.
+// MissingDependency is a dependency of a job for which neither a job nor a final state is known.
 type MissingDependency struct {
 	Job        *Job
-	Dependency string
+	Dependency string // ID
 }
 
-// LinkAll links all loaded jobs and derives their critical paths, dependents first, so that
-// each path is derived once. It returns the dependencies without a record, and the jobs that
-// are in a dependency cycle or on which such a job depends: their records are corrupt. These
-// jobs stay blocked and can be cancelled.
+// LinkAll links all loaded jobs and derives their critical paths. Corrupt job records may name
+// dependencies without a record or form a cycle: it returns the former as missing. In cyclic it
+// returns the jobs in a cycle and the direct and indirect dependencies of such jobs, for which
+// no critical path can be derived. Jobs with a missing dependency and jobs in a cycle stay
+// blocked until they are cancelled.
 func (g *DependencyGraph) LinkAll(all []*Job) (missing []MissingDependency, cyclic []*Job) {
 	for _, j := range all {
 		if !j.endDurable {
@@ -205,7 +214,8 @@
 	return g.updateAllPaths(all)
 }
 
-// updateAllPaths derives the critical paths of all jobs, each after those of its dependents.
+// updateAllPaths derives the critical paths of all jobs. It handles each job after its dependents,
+// so that each path is derived only once.
 func (g *DependencyGraph) updateAllPaths(all []*Job) (missing []MissingDependency, cyclic []*Job) {
 	var resolvable []*Job
 	unresolvedDependents := map[*Job]int{} // number of dependents whose path is not derived yet
--- a/internal/jobs/estimates.go
+++ b/internal/jobs/estimates.go
@@ -7,10 +7,12 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// RunTimeRatios are the smoothed ratios of run times to their estimates, by class.
+// RunTimeRatios maps each job class to the smoothed ratio of observed run times to the users'
+// estimates.
 type RunTimeRatios map[string]float64
 
-// Observe updates the ratio of a job's class with a task that ran for ranS seconds.
+// Observe updates the ratio of a job's class after a task of the job completed. ranS is
+// its run time in seconds, including the progress that earlier attempts had checkpointed.
 func (r RunTimeRatios) Observe(j *Job, ranS float64) {
 	ratio := ranS / max(j.EstimateS, tuning.MinimumEstimateS)
 	old, ok := r[j.Class]
@@ -20,7 +22,8 @@
 	r[j.Class] = old + (ratio-old)*tuning.EstimateWeight
 }
 
-// Estimate returns the expected run time in seconds of a whole task.
+// Estimate returns the expected run time in seconds of a task that starts without progress: the
+// user's estimate, corrected by the ratio of the job's class.
 func (r RunTimeRatios) Estimate(j *Job) float64 {
 	estimate := max(j.EstimateS, tuning.MinimumEstimateS)
 	if ratio, ok := r[j.Class]; ok {
@@ -29,8 +32,8 @@
 	return estimate
 }
 
-// EstimateReadyTask returns the expected run time in seconds of the ready task with the least
-// progress, or of a whole task if none is ready.
+// EstimateReadyTask returns the expected remaining run time in seconds of the ready task with the
+// least progress, or Estimate if no task is ready.
 func (r RunTimeRatios) EstimateReadyTask(j *Job) float64 {
 	fullS := r.Estimate(j)
 	if len(j.progress) == 0 || len(j.ready) == 0 || len(j.ready) > len(j.progress) {
@@ -43,9 +46,9 @@
 	return max(tuning.MinimumEstimateS, fullS-leastProgressS)
 }
 
-// DeadlineSlack returns how many seconds the start of a job may be delayed until it misses the
-// nearest due time that it can still meet. Due times follow from the deadline on its critical
-// path and from the objectives. The second result is false if there is none.
+// DeadlineSlack returns by how many seconds the start of a job may be delayed before it misses the
+// nearest due time that it can still meet. Due times follow from the deadline on the job's
+// critical path and from the objectives. The second result is false if it can meet none.
 func (r RunTimeRatios) DeadlineSlack(now time.Time, j *Job, objectives []config.Objective) (float64, bool) {
 	remainingS := r.EstimateReadyTask(j)
 	slackS, found := 0.0, false
@@ -69,10 +72,11 @@
 	return slackS, found
 }
 
-// Urgency returns a sort key for jobs of one priority, which is lowest for the most urgent job:
-// its slack, plus a weighted time that the given CPUs would need for the rest of the job,
-// because under a backlog more jobs meet their deadlines when small ones start first. Jobs
-// without a deadline or objective that they can meet rank by their waiting time.
+// Urgency returns a sort key for jobs of one priority; the job with the lowest key is placed first.
+// The key is the slack of the job in seconds, plus the weighted time that the cluster's CPUs, given
+// as cpus, need for the rest of the job: under a backlog, more jobs meet their deadlines when
+// small jobs start first. The key of a job that can meet no deadline or objective falls with its
+// waiting time.
 func (r RunTimeRatios) Urgency(now time.Time, j *Job, objectives []config.Objective, cpus float64) float64 {
 	workS := float64(j.RemainingTasks()) * j.CPUs * r.Estimate(j) / max(cpus, 1)
 	if slack, ok := r.DeadlineSlack(now, j, objectives); ok {
@@ -81,17 +85,17 @@
 	return tuning.NoDeadlineSlackS - now.Sub(j.waitingSince).Seconds()
 }
 
-// StartDelay is the smoothed time in seconds between the placement of a task, on a machine that
-// has its image, and the report that it runs. The task occupies its resources during that time:
-// plans with run times alone expected a backlog of short tasks to end far too early.
+// StartDelay is the smoothed time in seconds from the placement of a task, on a machine that has
+// its image, to the report that it runs. The task occupies its resources during that time.
+// Without this delay, plans expected a backlog of short tasks to end far too early.
 type StartDelay float64
 
-// maxStartDelayIntervals bounds the observed delay of one task, in heartbeat intervals.
+// maxStartDelayIntervals is the maximum delay that counts for one task, in heartbeat intervals.
 const maxStartDelayIntervals = 2
 
-// Observe updates the delay with a task that was placed delayS seconds before it was reported
-// as running. A delay of more than two heartbeat intervals is attributed to the machine and says
-// nothing about the next task, so it is capped.
+// Observe updates the delay after a task was reported as running delayS seconds after its
+// placement. A longer delay than maxStartDelayIntervals is capped: its cause is the machine, so it
+// doesn't predict the delay of tasks on other machines.
 func (d *StartDelay) Observe(delayS, heartbeatIntervalS float64) {
 	delayS = min(delayS, maxStartDelayIntervals*heartbeatIntervalS)
 	*d += StartDelay((delayS - float64(*d)) * tuning.StartDelayWeight)
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -1,6 +1,6 @@
-// Package jobs keeps the state of the jobs in a leadership term: their tasks, lifecycle and
-// final states, their dependencies, and estimates of their run times. It reads no clock and
-// does no I/O.
+// Package jobs holds the in-memory state of jobs during a leadership term: their tasks,
+// lifecycle, final states and dependencies, and estimates of their run times. It reads no clock
+// and does no I/O.
 package jobs
 
 import (
@@ -15,15 +15,15 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// Job is a submission, accepted or being accepted, with the state of its tasks. The embedded
-// submission never changes.
+// Job is a submitted job with its state in this term. The embedded wire.Job is the submission
+// and never changes.
 type Job struct {
 	wire.Job
-	request       placement.Resources // of one task
-	submittedAtMS int64               // wall clock
-	submittedAt   time.Time
-	// waitingSince is when the job started to wait for placement: at its submission, or when
-	// its last dependency was done.
+	request       placement.Resources // for one task
+	submittedAtMS int64               // wall-clock time
+	submittedAt   time.Time           // monotonic clock
+	// waitingSince is when the job could first be placed: at its submission, or when the last
+	// of its dependencies was done.
 	waitingSince time.Time
 	lifecycle
 	taskSet
@@ -31,11 +31,11 @@
 	dependencyState
 	// recordKeys are the keys of the job's stored records other than its job record.
 	recordKeys map[string]bool
-	waiters    []func(decided bool) // called when the acceptance or the end is durable
+	waiters    []func(decided bool) // see AddWaiter
 }
 
 // New returns a job in state Accepting. submittedAtMS and submittedAt are the time of its
-// submission on the wall clock and on the monotonic clock.
+// submission as wall-clock time and on the monotonic clock.
 func New(spec wire.Job, submittedAtMS int64, submittedAt time.Time) *Job {
 	j := &Job{
 		Job:           spec,
@@ -56,7 +56,7 @@
 	return j
 }
 
-// Restore returns a job from its stored record. Its acceptance is durable.
+// Restore returns an accepted job from its stored record.
 func Restore(stored *records.StoredJob, submittedAt time.Time) *Job {
 	j := New(stored.Job, stored.SubmittedAtMS, submittedAt)
 	j.MarkAccepted()
@@ -75,15 +75,15 @@
 // SubmittedAt returns the time of the submission on the monotonic clock.
 func (j *Job) SubmittedAt() time.Time { return j.submittedAt }
 
-// WaitingSince returns when the job started to wait for placement: at its submission, or when
-// its last dependency was done.
+// WaitingSince returns when the job could first be placed: at its submission, or when the last
+// of its dependencies was done.
 func (j *Job) WaitingSince() time.Time { return j.waitingSince }
 
-// BeginWaiting restarts the waiting time of the job at now.
+// BeginWaiting records that the job can be placed from now on, which restarts its waiting time.
 func (j *Job) BeginWaiting(now time.Time) { j.waitingSince, j.waitingForPlacementSince = now, now }
 
-// Constraints returns where tasks of the job may be placed. TasksInZone is the job's own map
-// and must not be modified.
+// Constraints returns a pending job with only the fields that decide where a task of the job
+// may be placed. Callers must not modify TasksInZone, which is the job's own map.
 func (j *Job) Constraints() *placement.PendingJob {
 	return &placement.PendingJob{
 		MachineTypes: j.MachineTypes, Zone: j.Zone, OneZone: j.OneZone, SpreadZones: j.SpreadZones,
@@ -91,17 +91,18 @@
 	}
 }
 
-// AddRecordKey registers a stored record of the job other than its job record.
+// AddRecordKey adds the key of a stored record of the job other than its job record so that
+// the record is deleted together with it.
 func (j *Job) AddRecordKey(key string) { j.recordKeys[key] = true }
 
 // RecordKeys returns the sorted keys of the job's stored records other than its job record.
 func (j *Job) RecordKeys() []string { return slices.Sorted(maps.Keys(j.recordKeys)) }
 
-// AddWaiter registers f to be called with decided true when the job's acceptance or end is
-// durable, or with false if the term ends before that.
+// AddWaiter registers f, which is called once: with decided true when the job's acceptance or
+// final state is durable, or with false if the term ends first.
 func (j *Job) AddWaiter(f func(decided bool)) { j.waiters = append(j.waiters, f) }
 
-// NotifyWaiters calls and removes all registered waiters.
+// NotifyWaiters calls all registered waiters and removes them.
 func (j *Job) NotifyWaiters(decided bool) {
 	for _, notify := range j.waiters {
 		notify(decided)
--- a/internal/jobs/registry.go
+++ b/internal/jobs/registry.go
@@ -10,11 +10,11 @@
 	"switchshore.example/switchshore/internal/records"
 )
 
-// Registry holds the known jobs, and the final states of jobs that have ended.
+// Registry holds the jobs of a term and the durable final states of ended jobs.
 type Registry struct {
 	byID        map[string]*Job
-	finalStates map[string]records.FinalState
-	// runnable are the unfinished jobs without unfinished dependencies.
+	finalStates map[string]records.FinalState // by job ID
+	// runnable are the accepted jobs that have not ended and have no unfinished dependencies.
 	runnable map[*Job]struct{}
 }
 
@@ -27,26 +27,26 @@
 	}
 }
 
-// Get returns a known job, or nil. An ended job stays known until none of its tasks may be on a
-// machine.
+// Get returns the job with the ID, or nil if the registry has none. An ended job stays in the
+// registry until none of its tasks may be on a machine.
 func (r *Registry) Get(id string) *Job { return r.byID[id] }
 
-// Add adds a job.
+// Add adds a job under its ID.
 func (r *Registry) Add(j *Job) { r.byID[j.ID] = j }
 
-// Remove removes a job but keeps its final state.
+// Remove removes a job. Its final state stays in the registry.
 func (r *Registry) Remove(j *Job) { delete(r.byID, j.ID) }
 
 // MarkRunnable records that a job is accepted and has no unfinished dependencies.
 func (r *Registry) MarkRunnable(j *Job) { r.runnable[j] = struct{}{} }
 
-// MarkNotRunnable removes a job whose end is decided from the runnable jobs.
+// MarkNotRunnable removes a job that ends from the runnable jobs.
 func (r *Registry) MarkNotRunnable(j *Job) { delete(r.runnable, j) }
 
 // Runnable returns the runnable jobs in unspecified order.
 func (r *Registry) Runnable() iter.Seq[*Job] { return maps.Keys(r.runnable) }
 
-// RunnableByAge returns the runnable jobs, the longest waiting first.
+// RunnableByAge returns the runnable jobs sorted by WaitingSince, the earliest first.
 func (r *Registry) RunnableByAge() []*Job {
 	list := make([]*Job, 0, len(r.runnable))
 	for j := range r.runnable {
@@ -58,17 +58,17 @@
 	return list
 }
 
-// Len returns the number of known jobs.
+// Len returns the number of jobs in the registry.
 func (r *Registry) Len() int { return len(r.byID) }
 
-// Each calls f for all known jobs in unspecified order.
+// Each calls f for all jobs in unspecified order.
 func (r *Registry) Each(f func(*Job)) {
 	for _, j := range r.byID {
 		f(j)
 	}
 }
 
-// Sorted returns the known jobs, sorted by ID.
+// Sorted returns all jobs, sorted by ID.
 func (r *Registry) Sorted() []*Job {
 	list := make([]*Job, 0, len(r.byID))
 	for _, j := range r.byID {
@@ -78,7 +78,7 @@
 	return list
 }
 
-// FinalState returns the final state of a job, if it is durable.
+// FinalState returns the durable final state of a job. ended is false if there is none.
 func (r *Registry) FinalState(id string) (f records.FinalState, ended bool) {
 	f, ended = r.finalStates[id]
 	return f, ended
@@ -87,5 +87,5 @@
 // SetFinalState records the durable final state of a job.
 func (r *Registry) SetFinalState(id string, f records.FinalState) { r.finalStates[id] = f }
 
-// EndedJobs returns the number of recorded final states.
+// EndedJobs returns the number of jobs with a durable final state.
 func (r *Registry) EndedJobs() int { return len(r.finalStates) }
--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -12,23 +12,24 @@
 
 // States of a job.
 const (
-	// Accepting: the acceptance is not durable yet.
+	// Accepting: the acceptance of the job is not durable yet.
 	Accepting State = iota
-	// Active: the job is accepted and has tasks to run.
+	// Active: the job is accepted and neither done nor cancelled.
 	Active
-	// Cancelled: the record stays until no task of the job may be on a machine.
+	// Cancelled: no further task starts. The record of the job stays until none of its tasks may be
+	// on a machine.
 	Cancelled
 	// Done: all tasks have completed.
 	Done
 )
 
-// transitions are the legal successors of each state.
+// transitions lists the legal next states of each state.
 var transitions = map[State][]State{
 	Accepting: {Active, Cancelled},
 	Active:    {Cancelled, Done},
 }
 
-// CanBecome reports whether a job in this state may change to the next one.
+// CanBecome reports whether a job in this state may change to the next state.
 func (s State) CanBecome(next State) bool {
 	for _, legal := range transitions[s] {
 		if legal == next {
@@ -38,10 +39,10 @@
 	return false
 }
 
-// IsTerminal reports whether the state is final.
+// IsTerminal reports whether no state can follow.
 func (s State) IsTerminal() bool { return len(transitions[s]) == 0 }
 
-// String returns the name of the state.
+// String implements fmt.Stringer.
 func (s State) String() string {
 	switch s {
 	case Accepting:
@@ -56,16 +57,17 @@
 	return fmt.Sprintf("State(%d)", int(s))
 }
 
-// lifecycle is the state of a job and which of its changes are durable.
+// lifecycle is the state of a job. A change of state applies at once in memory; the flags tell
+// whether it is durable.
 type lifecycle struct {
 	state             State
-	endedAt           time.Time // when the end was decided, in this term
+	endedAt           time.Time // when the job was done or cancelled in this term, or zero
 	acceptanceDurable bool
 	endDurable        bool // the final state is durable
 }
 
-// changeState changes to a legal next state. It panics on any other, which is a bug of the
-// caller.
+// changeState sets the next state. It panics if the transition is illegal, which is a bug of
+// the caller.
 func (l *lifecycle) changeState(next State) {
 	if !l.state.CanBecome(next) {
 		panic(fmt.Sprintf("jobs: a job that is %v can't become %v", l.state, next))
@@ -85,11 +87,11 @@
 // EndDurable reports whether the final state of the job is durable.
 func (l *lifecycle) EndDurable() bool { return l.endDurable }
 
-// EndedAt returns when the end of the job was decided in this term, or the zero time.
+// EndedAt returns when the job was done or cancelled in this term, or the zero time.
 func (l *lifecycle) EndedAt() time.Time { return l.endedAt }
 
-// MarkAccepted records that the acceptance is durable. It reports whether the job becomes
-// active, which it does not if it was cancelled in the meantime.
+// MarkAccepted records that the acceptance is durable and reports whether the job becomes
+// active. A job that was cancelled in the meantime stays cancelled.
 func (l *lifecycle) MarkAccepted() bool {
 	l.acceptanceDurable = true
 	if l.state != Accepting {
@@ -102,7 +104,8 @@
 // MarkEndDurable records that the final state is durable.
 func (l *lifecycle) MarkEndDurable() { l.endDurable = true }
 
-// End changes the job to Done or Cancelled and returns the final state to be stored.
+// End changes the state of the job to Done or Cancelled and returns the final state, which the
+// caller has to store.
 func (j *Job) End(now time.Time, state State) records.FinalState {
 	j.changeState(state)
 	j.endedAt = now
@@ -114,7 +117,7 @@
 	return records.FinalState{Outcome: outcome, TasksDone: int32(j.CompletedTasks())}
 }
 
-// RestoreEnd applies the stored final state of the job. It is idempotent.
+// RestoreEnd applies the stored final state of the job. A second call has no effect.
 func (j *Job) RestoreEnd(f records.FinalState) {
 	state := Cancelled
 	if f.Outcome == records.OutcomeDone {
@@ -126,10 +129,10 @@
 	j.endDurable = true
 }
 
-// MustWithholdState reports whether responses must not give the job's state yet. While its
-// acceptance is not durable, the job may turn out not to exist. After a dependency was
-// cancelled, the job will be cancelled too, and no response may say that it waits or runs,
-// however long the cancellation takes to become durable.
+// MustWithholdState reports whether responses must not contain the job's state yet. There are
+// two cases. While the acceptance is not durable, the job is lost if the leader fails. When a
+// dependency was cancelled, the job will be cancelled too, so a response must not describe it
+// as queued or running while its cancellation is not durable.
 func (j *Job) MustWithholdState() bool {
 	return !j.acceptanceDurable || j.dependencyCancelled && !j.endDurable
 }
--- a/internal/jobs/tasks.go
+++ b/internal/jobs/tasks.go
@@ -10,22 +10,23 @@
 	"switchshore.example/switchshore/internal/records"
 )
 
-// taskSet is the state of the tasks of a job.
+// taskSet is the state of a job's tasks, which are identified by their indexes.
 type taskSet struct {
 	completed          *intervals.Set
-	durableCompletions *intervals.Set // completions known to be durable; nil if there are none
-	pendingChunks      map[int]bool   // chunks of completed that have to be written
-	ready              []int32        // tasks to be placed; the last one is next
-	allocations        map[int32]int8 // number of machines that may have a task
-	allocationsByZone  map[string]int // allocations by zone
+	durableCompletions *intervals.Set // tasks whose completions are durable; nil if none
+	pendingChunks      map[int]bool   // numbers of the chunks with completions to be written
+	ready              []int32        // tasks to be placed, the next one at the end
+	allocations        map[int32]int8 // number of machines that may have each task
+	allocationsByZone  map[string]int // sum of allocations by zone
 	runningAttempts    int
-	// progress is the checkpointed run time, in seconds, of tasks that have to run again, as
-	// far as it was reported in this term.
+	// progress is the checkpointed run time, in seconds, of tasks that have to run again. It
+	// includes only attempts that ended in this term.
 	progress map[int32]float64
-	// waitingForPlacementSince is when a task of the job was last placed, or when the job started to wait.
+	// waitingForPlacementSince is when a task of the job was last placed, or if none was, when the
+	// job could first be placed.
 	waitingForPlacementSince time.Time
-	// firstPlacedAt and lastPlacedAt are when the first and the last task were placed in this
-	// term, or zero.
+	// firstPlacedAt and lastPlacedAt are when a task was first and last placed in this term, or
+	// zero.
 	firstPlacedAt, lastPlacedAt time.Time
 }
 
@@ -44,16 +45,16 @@
 // RemainingTasks returns the number of tasks that have not completed.
 func (j *Job) RemainingTasks() int { return j.Tasks - j.completed.Len() }
 
-// MarkCompleted marks a task as completed and reports whether it was not before.
+// MarkCompleted marks a task as completed. It reports whether the task was not completed before.
 func (t *taskSet) MarkCompleted(index int32) bool { return t.completed.Add(int(index)) }
 
-// MarkCompletionPending marks the completion of a task as still to be written.
+// MarkCompletionPending records that the completion of a task has to be written.
 func (t *taskSet) MarkCompletionPending(index int32, valueLimit int) {
 	t.pendingChunks[int(index)/records.CompletionChunkSize(valueLimit)] = true
 }
 
-// PopPendingCompletions returns the records of the completions to be written and clears their
-// marks.
+// PopPendingCompletions returns the records of all chunks with completions to be written. The
+// caller has to write them: the next call does not return them again.
 func (j *Job) PopPendingCompletions(valueLimit int) []records.Completions {
 	list := make([]records.Completions, 0, len(j.pendingChunks))
 	for _, chunk := range slices.Sorted(maps.Keys(j.pendingChunks)) {
@@ -65,15 +66,16 @@
 	return list
 }
 
-// RestoreCompletion applies the stored completion of a task.
+// RestoreCompletion applies the stored, and so durable, completion of a task.
 func (j *Job) RestoreCompletion(index int) {
 	j.completed.Add(index)
 	j.markCompletionDurable(index)
 }
 
-// MarkCompletionsDurable records that completions are durable, so that their attempts may be discarded.
+// MarkCompletionsDurable records that the completions in c are durable. After that the workers may
+// forget these attempts.
 func (j *Job) MarkCompletionsDurable(c records.Completions) {
-	// The ranges were formatted by the job itself and can't be malformed.
+	// NewCompletions has formatted the text, so parsing can't fail.
 	_ = intervals.ParseEach(c.Tasks, j.Tasks, j.markCompletionDurable)
 }
 
@@ -84,12 +86,12 @@
 	j.durableCompletions.Add(index)
 }
 
-// IsCompletionDurable reports whether the completion of a task is stored.
+// IsCompletionDurable reports whether the completion of a task, or the end of the job, is durable.
 func (j *Job) IsCompletionDurable(index int32) bool {
 	return j.endDurable || j.durableCompletions != nil && j.durableCompletions.Has(int(index))
 }
 
-// RebuildReadyTasks queues every task that has not completed and cannot be on a machine.
+// RebuildReadyTasks makes every task ready that has not completed and that no machine may have.
 func (j *Job) RebuildReadyTasks() {
 	j.ready = j.ready[:0]
 	for i := int32(j.Tasks) - 1; i >= 0; i-- {
@@ -102,7 +104,8 @@
 // ReadyTasks returns the number of tasks to be placed.
 func (t *taskSet) ReadyTasks() int { return len(t.ready) }
 
-// PopReadyTask removes and returns the next task to be placed. There must be one.
+// PopReadyTask removes the next task to be placed from the ready tasks and returns it. The caller
+// places it at now. There must be a ready task.
 func (t *taskSet) PopReadyTask(now time.Time) int32 {
 	last := len(t.ready) - 1
 	index := t.ready[last]
@@ -114,30 +117,30 @@
 	return index
 }
 
-// RemoveReadyTask removes a task from those to be placed, if it is one of them.
+// RemoveReadyTask removes a task from the ready tasks if it is among them.
 func (t *taskSet) RemoveReadyTask(index int32) {
 	if i := slices.Index(t.ready, index); i >= 0 {
 		t.ready = slices.Delete(t.ready, i, i+1)
 	}
 }
 
-// PlacementWait returns the time since a task was last placed, or since the job started to
-// wait.
+// PlacementWait returns the time since a task was last placed, or if none was, since the job could
+// first be placed.
 func (t *taskSet) PlacementWait(now time.Time) time.Duration {
 	return now.Sub(t.waitingForPlacementSince)
 }
 
-// PlacementTimes returns when the first and the last task were placed in this term, or zero times.
+// PlacementTimes returns when a task was first and last placed in this term, or zero times.
 func (t *taskSet) PlacementTimes() (first, last time.Time) { return t.firstPlacedAt, t.lastPlacedAt }
 
-// Allocate counts one more machine, in the zone, that may have the task.
+// Allocate counts one more machine, in the given zone, that may have the task.
 func (t *taskSet) Allocate(index int32, zone string) {
 	t.allocationsByZone[zone]++
 	t.allocations[index]++
 }
 
-// Release counts one machine less, in the zone, that may have the task. If none is left, the
-// task is queued again if it still has to run, and the result is true.
+// Release counts one machine less, in the given zone, that may have the task. It reports whether
+// that was the last one; the task then becomes ready again if it still has to run.
 func (j *Job) Release(index int32, zone string) (last bool) {
 	if j.allocationsByZone[zone]--; j.allocationsByZone[zone] == 0 {
 		delete(j.allocationsByZone, zone)
@@ -158,24 +161,24 @@
 // AllocationsOf returns the number of machines that may have the task.
 func (t *taskSet) AllocationsOf(index int32) int { return int(t.allocations[index]) }
 
-// RunningAttempts returns the number of attempts that are known to run.
+// RunningAttempts returns the number of attempts that were reported as running.
 func (t *taskSet) RunningAttempts() int { return t.runningAttempts }
 
-// AddRunningAttempt increments the number of attempts that are known to run.
+// AddRunningAttempt increments the number of running attempts.
 func (t *taskSet) AddRunningAttempt() { t.runningAttempts++ }
 
-// RemoveRunningAttempt decrements the number of attempts that are known to run.
+// RemoveRunningAttempt decrements the number of running attempts.
 func (t *taskSet) RemoveRunningAttempt() { t.runningAttempts-- }
 
-// Progress returns the run time in seconds that a task has checkpointed for its next attempt.
+// Progress returns the checkpointed run time of a task in seconds, which its next attempt skips.
 func (t *taskSet) Progress(index int32) float64 { return t.progress[index] }
 
 // TasksWithProgress returns the number of tasks with checkpointed progress.
 func (t *taskSet) TasksWithProgress() int { return len(t.progress) }
 
-// RecordProgress adds the progress of an attempt that ended after running for ranS seconds: all
-// of it if a checkpoint was saved when the attempt was stopped, otherwise up to its last
-// periodic checkpoint.
+// RecordProgress adds the progress of an attempt that ended after running for ranS seconds. If the
+// attempt saved a checkpoint when it was stopped, all of that time counts, otherwise the time
+// until its last periodic checkpoint.
 func (j *Job) RecordProgress(index int32, ranS float64, checkpointSaved bool) {
 	if j.CheckpointIntervalS <= 0 || j.IsCompleted(index) {
 		return
--- a/internal/records/completions.go
+++ b/internal/records/completions.go
@@ -11,26 +11,29 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// CompletionChunkSize returns the number of tasks whose completions share a record: the largest
-// power of two, up to a bound, for which the record fits into valueLimit bytes however
-// fragmented it is.
+// CompletionChunkSize returns the number of tasks whose completions share a record. It is the
+// largest power of two, up to tuning.CompletionChunkTasks, for which a record with any subset of
+// the tasks fits into valueLimit bytes.
 func CompletionChunkSize(valueLimit int) int {
 	maxTasks := max(1, (valueLimit-len(`""`))/tuning.CompletionBytesPerTask)
 	return min(tuning.CompletionChunkTasks, 1<<(bits.Len(uint(maxTasks))-1))
 }
 
-// Completions is the record of the completed tasks in one chunk of a job.
+// Completions is the record of the completed tasks in one chunk of a job. A chunk is a range of
+// CompletionChunkSize consecutive task indexes.
 type Completions struct {
 	Key string
-	// Tasks are the indexes of the tasks as ranges, see package intervals.
+	// Tasks are the indexes of the completed tasks in the format of package intervals.
 	Tasks string
 }
 
-// NewCompletions returns the record of the completed tasks in the given chunk of a job. Chunks
-// of the full size have the keys used by versions that had no smaller chunks. Those versions
-// read chunks of any bounds, but write their own with all completions in them that they know.
-// As each key stands for the same bounds in every version, no version removes a completion from
-// a record that another one has written.
+// NewCompletions returns the record of the completed tasks in the chunk with the given number.
+//
+// Earlier versions of the program know only chunks of the full size, with keys of the form
+// "d/JOB/NUMBER". They read records of any chunk size, but replace their own records by all
+// completions in the chunk that they know. A smaller chunk therefore has a key that contains its
+// first and last index: if one key stood for different chunks, one version could overwrite
+// completions that another has written.
 func NewCompletions(jobID string, completed *intervals.Set, number, valueLimit int) Completions {
 	size := CompletionChunkSize(valueLimit)
 	from, to := number*size, (number+1)*size
@@ -41,18 +44,18 @@
 	return Completions{Key: key, Tasks: completed.Format(from, to)}
 }
 
-// Encode returns the stored form.
+// Encode returns the stored form of the record.
 func (c Completions) Encode() json.RawMessage { return encode(c.Tasks) }
 
-// CompletionsJobID returns the ID of the job to which the completions with the given record id
-// belong.
+// CompletionsJobID returns the job ID in the id of a completions record, as returned by ParseKey.
 func CompletionsJobID(id string) string {
 	jobID, _, _ := strings.Cut(id, "/")
 	return jobID
 }
 
-// DecodeCompletions calls add for every completed task in a record of a job with the given
-// number of tasks. It may have called add before it fails.
+// DecodeCompletions calls add with the index of every completed task in a record. tasks is the
+// number of tasks of the job. If the record is invalid, it returns an error, possibly after calls
+// of add.
 func DecodeCompletions(value json.RawMessage, tasks int, add func(index int)) error {
 	var completed string
 	if err := json.Unmarshal(value, &completed); err != nil {
--- a/internal/records/errors.go
+++ b/internal/records/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// ErrCorrupt is matched by every CorruptError.
+// ErrCorrupt matches every CorruptError.
 var ErrCorrupt = errors.New("damaged record")
 
 // Reasons why a record is corrupt.
@@ -15,8 +15,8 @@
 	ErrUnknownFinalState = errors.New("unknown final state")
 )
 
-// CorruptError reports an invalid stored record without which the leader's state would be
-// wrong.
+// CorruptError reports an invalid stored record that the leader needs: if it skipped the record,
+// its state would be wrong.
 type CorruptError struct {
 	Key string
 	Err error
@@ -24,5 +24,5 @@
 
 func (e *CorruptError) Error() string { return fmt.Sprintf("%v %s: %v", ErrCorrupt, e.Key, e.Err) }
 
-// Unwrap makes the error match ErrCorrupt and its reason.
+// Unwrap makes the error match both ErrCorrupt and Err.
 func (e *CorruptError) Unwrap() []error { return []error{ErrCorrupt, e.Err} }
--- a/internal/records/final.go
+++ b/internal/records/final.go
@@ -9,25 +9,26 @@
 // Outcome is how a job has ended.
 type Outcome byte
 
-// Outcomes, as stored.
+// Outcomes of jobs. Their values are stored.
 const (
 	OutcomeDone      Outcome = 'd'
 	OutcomeCancelled Outcome = 'c'
 )
 
-// FinalState is how a job ended and how many of its tasks were done, stored as "d14" or "c3".
+// FinalState is how a job ended and how many of its tasks were done. It is stored as a string, for
+// example "d14" or "c3".
 type FinalState struct {
 	Outcome   Outcome
 	TasksDone int32
 }
 
-// Encode returns the stored form.
+// Encode returns the stored form of the final state.
 func (f FinalState) Encode() json.RawMessage {
 	return json.RawMessage(`"` + string(rune(f.Outcome)) + strconv.Itoa(int(f.TasksDone)) + `"`)
 }
 
-// DecodeFinalState decodes a final state. It fails with an error of JSON or of number parsing,
-// or with ErrUnknownFinalState.
+// DecodeFinalState decodes a final state. Its errors are those of package json, those of
+// strconv.ParseInt and ErrUnknownFinalState.
 func DecodeFinalState(value json.RawMessage) (FinalState, error) {
 	var text string
 	if err := json.Unmarshal(value, &text); err != nil {
--- a/internal/records/job.go
+++ b/internal/records/job.go
@@ -7,27 +7,29 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// jobRecord is the stored form of a job. Job holds the submitted job if earlier versions handle
-// it correctly. Otherwise Job is a placeholder, and the submitted job is in Whole or, if it is
-// too large for one value, split into Pieces records of Term.
+// jobRecord is the stored form of a job. The submitted job is in one of three places:
+//   - in Job, if earlier versions of the program handle it correctly. In the other two cases, Job
+//     holds a placeholder, which earlier versions read instead;
+//   - in Whole;
+//   - in separate piece records, if it is too large for one value.
 type jobRecord struct {
 	Job    wire.Job  `json:"job"`
-	At     int64     `json:"at"`
+	At     int64     `json:"at"` // wall-clock time of the submission in milliseconds
 	Whole  *wire.Job `json:"whole,omitempty"`
-	Term   uint64    `json:"term,omitempty"`
-	Pieces int       `json:"pieces,omitempty"`
+	Term   uint64    `json:"term,omitempty"`   // term in the keys of the pieces
+	Pieces int       `json:"pieces,omitempty"` // number of pieces
 }
 
-// Item is a key with its stored value.
+// Item is a stored record: a key and its value.
 type Item struct {
 	Key   string
 	Value json.RawMessage
 }
 
-// EncodeJob returns the records of a job that was submitted at a wall-clock time in
-// milliseconds, none with a value of more than valueLimit bytes. They must be committed in
-// order, the pieces before the job record that refers to them: after a crash in between there
-// are pieces without a job, which a successor deletes.
+// EncodeJob returns the records of a job: its pieces, if it needs any, and last the job record. No
+// value is larger than valueLimit bytes. submittedAtMS is the wall-clock time of the submission in
+// milliseconds. The records must be committed in this order: if the leader fails in between, there
+// are only pieces without a job record, which a successor deletes.
 func EncodeJob(job *wire.Job, submittedAtMS int64, term uint64, valueLimit int) []Item {
 	rec := jobRecord{Job: *job, At: submittedAtMS}
 	value := encode(rec)
@@ -45,9 +47,9 @@
 	return append(items, Item{JobKey(job.ID), value})
 }
 
-// splitJob splits a job that is too large for one value into pieces.
+// splitJob returns the piece records of a job that is too large for one value.
 func splitJob(job *wire.Job, term uint64, valueLimit int) []Item {
-	size := (valueLimit - len(`""`)) / 4 * 3 // before base64 encoding
+	size := (valueLimit - len(`""`)) / 4 * 3 // base64 encodes 3 bytes as 4
 	var items []Item
 	for rest := []byte(encode(job)); len(rest) > 0; {
 		piece := rest[:min(size, len(rest))]
@@ -57,12 +59,13 @@
 	return items
 }
 
-// unknownMachineType is a machine type that no cloud offers.
+// unknownMachineType is the machine type of placeholders. No cloud offers it.
 const unknownMachineType = "(known to later versions)"
 
-// placeholder returns the job that versions without dependent jobs read in place of one that
-// they would handle incorrectly: it is queued and can be cancelled, but fits no machine, so
-// that they never start it. It is needed as long as such a version may run.
+// placeholder returns a job that takes the place of the given one for versions of the program
+// without support for dependent jobs, which would handle that one incorrectly. These versions queue
+// the placeholder and can cancel it, but never start it, because it fits no machine. Placeholders
+// are needed as long as such a version may run.
 func placeholder(job wire.Job) wire.Job {
 	job.Class, job.Image, job.Zone = "-", "-", ""
 	job.MachineTypes = []string{unknownMachineType}
@@ -70,11 +73,11 @@
 	return job
 }
 
-// JobPieces holds loaded pieces of job records by key until their jobs are loaded.
+// JobPieces maps keys to the loaded pieces of jobs whose job records are not loaded yet.
 type JobPieces map[string][]byte
 
-// Add adds a loaded piece. A corrupt piece is added without content, so that it is deleted if
-// it belongs to no job.
+// Add decodes and adds a loaded piece. A corrupt piece is added without content: its key must be
+// known, because the piece is deleted after loading if it belongs to no job.
 func (p JobPieces) Add(key string, value json.RawMessage) error {
 	var piece []byte
 	err := json.Unmarshal(value, &piece)
@@ -82,7 +85,7 @@
 	return err
 }
 
-// assemble removes the pieces of a job and returns their keys and their concatenated content.
+// assemble removes the pieces of a job from p and returns their keys and their joined content.
 func (p JobPieces) assemble(id string, term uint64, count int) (keys []string, content []byte, err error) {
 	for number := range count {
 		key := JobPieceKey(id, term, number)
@@ -100,14 +103,13 @@
 // StoredJob is a job loaded from its records.
 type StoredJob struct {
 	wire.Job
-	// SubmittedAtMS is the wall-clock time of its submission in milliseconds.
-	SubmittedAtMS int64
-	// PieceKeys are the keys of its pieces.
-	PieceKeys []string
+	SubmittedAtMS int64    // wall-clock time of the submission in milliseconds
+	PieceKeys     []string // keys of the job's pieces
 }
 
-// DecodeJob decodes the job record of an ID and removes the job's pieces from those loaded
-// before. It fails with a JSON error, ErrMissingPiece or ErrJobIDMismatch.
+// DecodeJob decodes the job record with the given job ID. It takes the job's pieces, which must be
+// loaded already, out of pieces. Its errors are those of package json, ErrMissingPiece and
+// ErrJobIDMismatch.
 func DecodeJob(id string, value json.RawMessage, pieces JobPieces) (*StoredJob, error) {
 	var rec jobRecord
 	if err := json.Unmarshal(value, &rec); err != nil {
@@ -135,6 +137,7 @@
 
 // encode returns the stored form of a value.
 func encode(v any) json.RawMessage {
-	value, _ := json.Marshal(v) // can't fail: plain structs of finite numbers, no marshallers
+	// Marshal can't fail: the values contain no custom marshallers and only finite numbers.
+	value, _ := json.Marshal(v)
 	return value
 }
--- a/internal/records/queue.go
+++ b/internal/records/queue.go
@@ -4,20 +4,21 @@
 	"encoding/json"
 )
 
-// Write is a queued change of one key.
+// Write is a change of one key in the key-value store.
 type Write struct {
 	Key      string
 	Value    json.RawMessage // nil to delete the key
-	OnCommit []func()
-	// OnRefused, if set, is called if the key-value store refuses the change permanently.
+	OnCommit []func()        // called when the change is durable
+	// OnRefused, if set, is called if the key-value store refuses the change, so that it is dropped.
 	OnRefused func()
 }
 
-// Queue holds changes in order. A new value of a key replaces a queued one in its place.
+// Queue holds changes in the order in which their keys were queued. A new change of a queued key
+// replaces the earlier one and keeps its position.
 type Queue struct {
 	writes   []*Write
-	byKey    map[string]*Write
-	head     int
+	byKey    map[string]*Write // the queued changes
+	head     int               // index of the first queued change in writes
 	dequeued int64
 }
 
@@ -27,8 +28,8 @@
 // Dequeued returns the number of changes moved into batches so far.
 func (q *Queue) Dequeued() int64 { return q.dequeued }
 
-// Put queues a new value of a key and calls onCommit, if set, when it or a later value is
-// durable.
+// Put queues a new value of a key, or its deletion if value is nil. onCommit, if set, is called when
+// this change is durable, or a later one that has replaced it in the queue.
 func (q *Queue) Put(key string, value json.RawMessage, onCommit func()) {
 	if q.byKey == nil {
 		q.byKey = map[string]*Write{}
@@ -48,7 +49,8 @@
 // Delete queues the deletion of a key.
 func (q *Queue) Delete(key string) { q.Put(key, nil, nil) }
 
-// moveTo moves at most limit changes from the queue into the batch.
+// moveTo moves at most limit changes from the front of the queue into the batch, as long as they
+// fit.
 func (q *Queue) moveTo(b *Batch, limit int) {
 	for ; limit > 0 && q.head < len(q.writes); limit-- {
 		w := q.writes[q.head]
--- a/internal/records/queues.go
+++ b/internal/records/queues.go
@@ -8,25 +8,27 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// PendingStarts is a queued start record. Its content is fixed only when it is moved into a
-// batch, and excludes attempts that have ended by then.
+// PendingStarts is a queued start record. Its content is fixed when it is moved into a batch, so
+// that it excludes attempts that have ended by then.
 type PendingStarts interface {
-	// MaxSize bounds the size of the record in bytes. It is 0 if nothing needs to be written.
+	// MaxSize returns an upper bound for the size of the record in bytes, or 0 if the record has no
+	// attempts and need not be written.
 	MaxSize() int
 	// Finalize is called when the record leaves the queue. It returns the change to be written,
-	// or nil if none is needed.
+	// or nil if the record need not be written.
 	Finalize() *Write
 }
 
-// WriteQueues are the queued changes for the key-value store, by who waits for them.
+// WriteQueues holds the queued changes for the key-value store. The queues differ in their shares of
+// a batch, see NextBatch.
 type WriteQueues struct {
 	Interactive Queue // changes that users wait for
-	Dependent   Queue // final states that follow from those of other jobs
-	Background  Queue // changes that no user waits for
+	Dependent   Queue // final states of jobs that were cancelled because a dependency was
+	Background  Queue // completions, deletions and other changes that no user waits for
 	starts      []PendingStarts
 
 	log        zerolog.Logger
-	valueLimit int // bytes
+	valueLimit int // maximum bytes of a value
 }
 
 // NewWriteQueues returns empty queues for a store whose values have at most valueLimit bytes.
@@ -42,17 +44,18 @@
 	return q.Interactive.Len() + q.Dependent.Len() + q.Background.Len() + len(q.starts)
 }
 
-// NextBatch moves at most maxOps queued changes into a batch, or returns nil if there are none.
-// The queues share a batch as follows:
-//   - Dependent changes get a small share of every batch, and beyond it only spareOps.
-//   - Interactive changes get a limited share before the start records and the rest after them.
-//     Without this limit acceptances would fill every batch, and no accepted job would start or
-//     end. While new jobs are shed, dependent and background changes come before the rest, and
-//     spareOps is raised to a minimum.
-//   - Background changes (completions and deletions) get at most spareOps: no user waits for
-//     them, and they must not use up the write budget of the others.
+// NextBatch moves at most maxOps queued changes into a new batch and returns it, or nil if no change
+// is queued. The queues share a batch as follows:
+//   - Dependent changes get a small share of every batch. Beyond it, they get at most spareOps.
+//   - Interactive changes get a limited share before the start records, and the remaining space
+//     after them. Without this limit, acceptances would fill every batch, and no accepted job would
+//     start or end.
+//   - Background changes get at most spareOps: no user waits for them, and they must not use up the
+//     operations that the key-value store allows for the other changes.
+//   - While new jobs are shed, spareOps is raised to a minimum, and dependent and background changes
+//     precede the interactive ones beyond their limited share.
 //
-// Batches must be committed one after the other, each followed by MarkCommitted.
+// Batches must be committed one after the other. MarkCommitted must be called after each.
 func (q *WriteQueues) NextBatch(maxOps, spareOps int, shedding bool) *Batch {
 	b := &Batch{maxOps: maxOps, valueLimit: q.valueLimit}
 	q.Dependent.moveTo(b, max(1, maxOps/tuning.DependentWritesDivisor))
@@ -66,8 +69,8 @@
 	}
 	q.Dependent.moveTo(b, spareOps)
 	if len(q.starts) == 0 {
-		// A start record may be deleted only once the attempts that it still named are
-		// stored in another one, which may be queued.
+		// Among the background changes are deletions of start records. The attempts of such
+		// a record may have moved to a queued one, which must be durable before the deletion.
 		q.Background.moveTo(b, spareOps)
 	}
 	q.Interactive.moveTo(b, maxOps)
@@ -95,8 +98,8 @@
 	q.starts = nil
 }
 
-// MarkCommitted calls the callbacks of a durable batch. Changes of the refused keys are dropped
-// instead.
+// MarkCommitted calls the OnCommit callbacks of a batch that is durable. refused are the keys whose
+// changes the key-value store refused; these changes are dropped.
 func (q *WriteQueues) MarkCommitted(b *Batch, refused []string) {
 	for _, w := range b.writes {
 		if slices.Contains(refused, w.Key) {
@@ -109,8 +112,9 @@
 	}
 }
 
-// dropRefused drops a change that the store refuses. Callers that wait for it keep waiting,
-// except for starts, which are decided again.
+// dropRefused logs a change that the key-value store refuses, and calls its OnRefused callback. The
+// change is never written. Only start records have the callback: their tasks are placed again. For
+// other changes, OnCommit is never called, so that requests which wait for it get no response.
 func (q *WriteQueues) dropRefused(w *Write) {
 	q.log.Error().Str("key", w.Key).Int("bytes", len(w.Value)).Msg("record rejected by state store, skipped")
 	if w.OnRefused != nil {
--- a/internal/records/starts.go
+++ b/internal/records/starts.go
@@ -6,28 +6,28 @@
 	"switchshore.example/switchshore/internal/intervals"
 )
 
-// Starts is the stored form of the starts of a scheduling pass: which tasks may have been sent
-// to which machine. It is written before the first of them is sent, so that a successor knows
-// which machine to ask about which task, and deleted when none of its attempts is left. One
-// change thus covers all starts of the pass, however many machines they go to.
+// Starts is the stored form of a start record, which names the tasks that may have been sent to each
+// machine. It is written before the starts are sent, so that a successor knows which machine may
+// have which task, and deleted when all of its attempts have ended. One record covers the starts of
+// a scheduling pass, so that they need one change however many machines they go to.
 //
-// Records are ordered by their keys. If several name a task, the last one counts: a task is
-// started again only when it is proved to be on no other machine.
+// If several records name a task, only the one with the last key counts: a task is started again
+// only after it is proved to be on no other machine.
 type Starts struct {
 	Machines []MachineStarts `json:"machines"`
 }
 
-// MachineStarts are the tasks that may have been sent to one machine.
+// MachineStarts is the part of a start record for one machine.
 type MachineStarts struct {
 	ID   string `json:"id"`
 	Type string `json:"type"`
 	Zone string `json:"zone"`
 	Spot bool   `json:"spot,omitempty"`
-	// Tasks are ranges of task indexes by job, see package intervals.
+	// Tasks maps job IDs to task indexes in the format of package intervals.
 	Tasks map[string]string `json:"tasks"`
 }
 
-// Encode returns the stored form.
+// Encode returns the stored form of the record.
 func (s *Starts) Encode() json.RawMessage { return encode(s) }
 
 // DecodeStarts decodes a start record.
@@ -39,7 +39,8 @@
 	return starts, nil
 }
 
-// DecodeMachineStarts decodes the record of a single machine, as written by earlier versions.
+// DecodeMachineStarts decodes a record of kind KindMachineStarts, which earlier versions write for
+// each machine. id is the machine's ID.
 func DecodeMachineStarts(id string, value json.RawMessage) (*Starts, error) {
 	var machine MachineStarts
 	if err := json.Unmarshal(value, &machine); err != nil {
@@ -49,7 +50,7 @@
 	return &Starts{Machines: []MachineStarts{machine}}, nil
 }
 
-// SetTasks sets the tasks of a job from their ascending indexes.
+// SetTasks sets the tasks of a job. Their indexes must be in ascending order.
 func (m *MachineStarts) SetTasks(jobID string, sorted []int) {
 	if m.Tasks == nil {
 		m.Tasks = map[string]string{}
@@ -57,7 +58,8 @@
 	m.Tasks[jobID] = intervals.FormatList(sorted)
 }
 
-// Upper bounds, in bytes, of the parts of an encoded start record without the names in them.
+// Upper bounds, in bytes, for the parts of an encoded start record, not counting IDs and names of
+// types and zones.
 const (
 	startsOverheadBytes  = 32
 	machineOverheadBytes = 72
@@ -65,10 +67,10 @@
 	taskIndexBytes       = 8
 )
 
-// StartsSize bounds the encoded size of a start record while attempts are added to it.
+// StartsSize is an upper bound for the encoded size of a start record to which attempts are added.
 type StartsSize struct {
 	bytes    int
-	machines map[string]map[string]bool // jobs by machine
+	machines map[string]map[string]bool // sets of job IDs by machine ID
 }
 
 // NewStartsSize returns the size of an empty record.
@@ -76,10 +78,10 @@
 	return StartsSize{bytes: startsOverheadBytes, machines: map[string]map[string]bool{}}
 }
 
-// Bytes returns the upper bound of the record's size.
+// Bytes returns the upper bound in bytes.
 func (s *StartsSize) Bytes() int { return s.bytes }
 
-// BytesWith returns the upper bound with one more attempt of a job on a machine.
+// BytesWith returns the upper bound in bytes after one more attempt of a job on a machine.
 func (s *StartsSize) BytesWith(machine MachineStarts, jobID string) int {
 	sum := s.bytes + taskIndexBytes
 	jobs := s.machines[machine.ID]
--- a/internal/records/types.go
+++ b/internal/records/types.go
@@ -9,7 +9,7 @@
 // EncodeMachineTypes returns the stored form of the cloud's machine types.
 func EncodeMachineTypes(types []wire.MachineType) json.RawMessage { return encode(types) }
 
-// DecodeMachineTypes decodes the cloud's machine types.
+// DecodeMachineTypes decodes the stored form of the cloud's machine types.
 func DecodeMachineTypes(value json.RawMessage) ([]wire.MachineType, error) {
 	var types []wire.MachineType
 	err := json.Unmarshal(value, &types)
--- a/internal/startlog/record.go
+++ b/internal/startlog/record.go
@@ -7,25 +7,27 @@
 	"switchshore.example/switchshore/internal/records"
 )
 
-// Record is a start record and those of its attempts that have not ended.
+// Record is a start record, either queued or stored.
 type Record struct {
 	log          *Log
 	key          string
-	liveAttempts int  // attempts that have not ended
+	liveAttempts int  // number of its attempts that have not ended
 	written      bool // durable or in a batch
-	closed       bool // accepts no further starts
+	closed       bool // accepts no further attempts
 	size         records.StartsSize
-	attempts     []*machines.Attempt // those added to it, until it is durable
+	// attempts are the attempts that were added before the record was written. The list is cleared
+	// when the record is durable or refused.
+	attempts []*machines.Attempt
 }
 
-// add adds an attempt whose start is to be recorded.
+// add adds an attempt to a record that is not written yet.
 func (r *Record) add(machine records.MachineStarts, a *machines.Attempt) {
 	r.size.Add(machine, a.Job.ID)
 	r.attempts = append(r.attempts, a)
 	r.AddLoadedAttempt(a)
 }
 
-// AddLoadedAttempt adds an attempt that the stored record names.
+// AddLoadedAttempt adds an attempt that the record names, which was loaded from the key-value store.
 func (r *Record) AddLoadedAttempt(a *machines.Attempt) {
 	r.liveAttempts++
 	a.Record = r
@@ -54,7 +56,8 @@
 	}
 }
 
-// notifyAttempts calls back for the attempts whose start waits for the record.
+// notifyAttempts calls callback for each attempt whose start waits until the record is durable. It
+// then clears the fields that only a record needs that isn't durable yet.
 func (r *Record) notifyAttempts(callback func(*machines.Attempt)) {
 	for _, a := range r.attempts {
 		if a.State() == machines.RecordPending && a.Record == r {
@@ -64,7 +67,7 @@
 	r.attempts, r.size = nil, records.StartsSize{}
 }
 
-// buildStarts returns the content of the record, without attempts that have ended.
+// buildStarts returns the content of the record, which excludes attempts that have ended.
 func (r *Record) buildStarts() *records.Starts {
 	byMachine := map[*machines.Machine]map[string][]int{}
 	var order []*machines.Machine
