--- a/internal/allocation/ledger_test.go
+++ b/internal/allocation/ledger_test.go
@@ -15,8 +15,8 @@
 )
 
 var (
-	start = time.Unix(1_700_000_000, 0)
-	teams = []config.Team{
+	testStart = time.Unix(1_700_000_000, 0)
+	teams     = []config.Team{
 		{Name: "blue", CPUs: 8, CPUsMax: 16, GPUs: 1, GPUsMax: 2},
 		{Name: "guest"},
 	}
@@ -24,45 +24,50 @@
 )
 
 func newJob(id, team string, tasks int) *jobs.Job {
-	j := jobs.New(wire.Job{ID: id, Team: team, Tasks: tasks, CPUs: 2, MemoryGB: 1}, 0, start)
+	j := jobs.New(wire.Job{ID: id, Team: team, Tasks: tasks, CPUs: 2, MemoryGB: 1}, 0, testStart)
 	j.MarkAccepted()
 	j.RebuildReadyTasks()
 	return j
 }
 
 func newMachine(id, zone string) *machines.Machine {
-	m := machines.New(start, id, "std-8", zone, "", false)
+	m := machines.New(testStart, id, "std-8", zone, "", false)
 	m.SetCapacity(capacity)
 	return m
 }
 
-func TestAttemptCountsUntilItIsReleased(t *testing.T) {
+func TestAttemptUsesResourcesUntilItIsReleased(t *testing.T) {
 	l := allocation.NewLedger(teams)
 	m, j := newMachine("m1", "a"), newJob("job-1", "blue", 1)
-	a := machines.NewAttempt(m, j, j.PopReadyTask(start), start)
+	a := machines.NewAttempt(m, j, j.PopReadyTask(testStart), testStart)
 	l.Allocate(a)
-	a.ApplyReport(start, machines.Running)
+	a.ApplyReport(testStart, machines.Running)
 	j.AddRunningAttempt()
-	if m.Free() != (placement.Resources{CPUs: 6, MemoryGB: 31}) || l.UsedCPUs("blue") != 2 || j.AllocatedTasks() != 1 || j.Constraints().TasksInZone["a"] != 1 || !a.IsAllocated() {
-		t.Errorf("free %+v, used %v, in zones %v", m.Free(), l.UsedCPUs("blue"), j.Constraints().TasksInZone)
+	if m.Free() != (placement.Resources{CPUs: 6, MemoryGB: 31}) || l.UsedCPUs("blue") != 2 ||
+		j.AllocatedTasks() != 1 || j.Constraints().TasksInZone["a"] != 1 || !a.IsAllocated() {
+		t.Errorf("allocated: %+v free, %v CPUs used, tasks by zone %v, want one task of 2 CPUs and 1 GB in a",
+			m.Free(), l.UsedCPUs("blue"), j.Constraints().TasksInZone)
 	}
-	end := start.Add(time.Minute)
+	end := testStart.Add(time.Minute)
 	if last := l.Release(end, a); !last {
-		t.Error("another machine may have the task")
+		t.Error("Release returned false for the only machine with the task")
 	}
-	if m.Free() != capacity || l.UsedCPUs("blue") != 0 || j.RunningAttempts() != 0 || j.ReadyTasks() != 1 || a.IsAllocated() || m.IdleFor(end) != 0 {
-		t.Errorf("free %+v, used %v, %d running, %d ready", m.Free(), l.UsedCPUs("blue"), j.RunningAttempts(), j.ReadyTasks())
+	if m.Free() != capacity || l.UsedCPUs("blue") != 0 || j.RunningAttempts() != 0 ||
+		j.ReadyTasks() != 1 || a.IsAllocated() || m.IdleFor(end) != 0 {
+		t.Errorf("released: %+v free, %v CPUs used, %d running, %d ready, want nothing used and one task ready",
+			m.Free(), l.UsedCPUs("blue"), j.RunningAttempts(), j.ReadyTasks())
 	}
 }
 
-// TestUsageMatchesRandomAllocations allocates and releases attempts in random order. Usage must
-// always equal the resources of the allocated attempts, and be zero at the end.
+// TestUsageMatchesRandomAllocations allocates and releases attempts in random order. After each step,
+// the usage must equal the resources of the allocated attempts; it must be zero at the end.
 func TestUsageMatchesRandomAllocations(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, seed))
 		l := allocation.NewLedger(teams)
 		all := []*machines.Machine{newMachine("m1", "a"), newMachine("m2", "a"), newMachine("m3", "b")}
-		list := []*jobs.Job{newJob("job-1", "blue", 10), newJob("job-2", "guest", 10), newJob("job-3", "nobody", 10)}
+		list := []*jobs.Job{newJob("job-1", "blue", 10), newJob("job-2", "guest", 10),
+			newJob("job-3", "nobody", 10)}
 		var attempts []*machines.Attempt
 		check := func() {
 			used, onMachine := map[string]float64{}, map[*machines.Machine]float64{}
@@ -72,12 +77,12 @@
 			}
 			for _, team := range []string{"blue", "guest"} {
 				if got := l.UsedCPUs(team); got != used[team] {
-					t.Fatalf("seed %d: %s uses %v, not %v", seed, team, got, used[team])
+					t.Fatalf("seed %d: team %s uses %v CPUs, want %v", seed, team, got, used[team])
 				}
 			}
 			for _, m := range all {
 				if got := capacity.CPUs - m.Free().CPUs; got != onMachine[m] {
-					t.Fatalf("seed %d: %v used on %s, not %v", seed, got, m.ID, onMachine[m])
+					t.Fatalf("seed %d: %v CPUs used on %s, want %v", seed, got, m.ID, onMachine[m])
 				}
 			}
 		}
@@ -85,44 +90,46 @@
 			j := list[rng.IntN(len(list))]
 			if len(attempts) > 0 && (j.ReadyTasks() == 0 || rng.IntN(2) == 0) {
 				i := rng.IntN(len(attempts))
-				l.Release(start, attempts[i])
+				l.Release(testStart, attempts[i])
 				attempts = append(attempts[:i], attempts[i+1:]...)
 			} else if j.ReadyTasks() > 0 {
-				a := machines.NewAttempt(all[rng.IntN(len(all))], j, j.PopReadyTask(start), start)
+				a := machines.NewAttempt(all[rng.IntN(len(all))], j, j.PopReadyTask(testStart), testStart)
 				l.Allocate(a)
 				attempts = append(attempts, a)
 			}
 			check()
 		}
 		for _, a := range attempts {
-			l.Release(start, a)
+			l.Release(testStart, a)
 		}
 		attempts = nil
 		check()
 		for _, j := range list {
 			if j.AllocatedTasks() != 0 || j.ReadyTasks() != j.Tasks || len(j.Constraints().TasksInZone) != 0 {
-				t.Errorf("seed %d: %s: %d allocated, %d ready", seed, j.ID, j.AllocatedTasks(), j.ReadyTasks())
+				t.Errorf("seed %d: %s: %d tasks allocated, %d ready, want all ready",
+					seed, j.ID, j.AllocatedTasks(), j.ReadyTasks())
 			}
 		}
 	}
 }
 
-func TestQuotas(t *testing.T) {
+func TestFreeCPUsAndLimitsOfTeams(t *testing.T) {
 	l := allocation.NewLedger(teams)
 	if cpus, known := l.FreeCPUs("blue"); cpus != 16 || !known {
-		t.Errorf("blue: %v, %v", cpus, known)
+		t.Errorf("team blue: %v CPUs free, known %v, want 16, true", cpus, known)
 	}
 	if cpus, known := l.FreeCPUs("guest"); !math.IsInf(cpus, 1) || !known {
-		t.Errorf("a team without a guarantee and a limit: %v, %v", cpus, known)
+		t.Errorf("team without a limit: %v CPUs free, known %v, want infinitely many, true", cpus, known)
 	}
 	if _, known := l.FreeCPUs("nobody"); known {
-		t.Error("an unknown team has free CPUs")
+		t.Error("known is true for a team without settings")
 	}
 	if free := l.FreeCPUsByTeam(); len(free) != 2 || free["blue"] != 16 {
-		t.Errorf("%v", free)
+		t.Errorf("free CPUs by team %v, want 16 of blue and those of guest", free)
 	}
-	if p := l.PlacementTeams()["blue"]; p.Limit.CPUs != 16 || p.Limit.GPUs != 2 || !math.IsInf(p.Limit.MemoryGB, 1) || p.Used != (placement.Resources{}) {
-		t.Errorf("%+v", p)
+	if p := l.PlacementTeams()["blue"]; p.Limit.CPUs != 16 || p.Limit.GPUs != 2 ||
+		!math.IsInf(p.Limit.MemoryGB, 1) || p.Used != (placement.Resources{}) {
+		t.Errorf("team blue: %+v, want a limit of 16 CPUs and 2 GPUs and no usage", p)
 	}
 }
 
@@ -139,10 +146,10 @@
 		"unknown team":     {spec: wire.Job{Team: "nobody"}, want: "unknown team"},
 	} {
 		if got := l.QuotaViolation(&c.spec); got != c.want {
-			t.Errorf("%s: %q", name, got)
+			t.Errorf("%s: Ledger.QuotaViolation returned %q, want the reason of the case", name, got)
 		}
 		if got := allocation.QuotaViolation(teams, &c.spec); got != c.want {
-			t.Errorf("%s: by the settings %q", name, got)
+			t.Errorf("%s: QuotaViolation returned %q, want the reason of the case", name, got)
 		}
 	}
 }
@@ -152,10 +159,10 @@
 	first, second, third := newJob("first", "blue", 3), newJob("second", "blue", 2), newJob("third", "guest", 1)
 	fits := l.JobsWithinGuarantee([]*jobs.Job{first, second, third})
 	if !fits[first] || fits[second] || fits[third] {
-		t.Errorf("%v", fits)
+		t.Errorf("jobs within the guarantee: %v, want only the first", fits)
 	}
-	first.MarkCompleted(0) // what is done needs no guarantee
+	first.MarkCompleted(0) // completed tasks need no resources
 	if fits = l.JobsWithinGuarantee([]*jobs.Job{first, second}); !fits[second] {
-		t.Error("not within the guarantee though work is done")
+		t.Error("the second job is not within the guarantee although a task of the first is done")
 	}
 }
--- a/internal/intervals/set_test.go
+++ b/internal/intervals/set_test.go
@@ -8,7 +8,7 @@
 	"switchshore.example/switchshore/internal/intervals"
 )
 
-// TestRoundTrip: random sets are equal after formatting and parsing, chunk by chunk.
+// TestRoundTrip: random sets are equal after they are formatted and parsed in chunks.
 func TestRoundTrip(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -24,18 +24,19 @@
 			}
 		}
 		if a.Format(0, size) != b.Format(0, size) || a.Len() != b.Len() {
-			t.Fatalf("seed %d: %s became %s", seed, a.Format(0, size), b.Format(0, size))
+			t.Fatalf("seed %d: %s was parsed as %s", seed, a.Format(0, size), b.Format(0, size))
 		}
 	}
 }
 
-// TestParseEachRejectsInvalidText: text that is not a list of intervals below the limit is an
-// error.
+// TestParseEachRejectsInvalidText: ParseEach returns an error for text that is malformed or has an
+// index that is not below the limit.
 func TestParseEachRejectsInvalidText(t *testing.T) {
-	for text, outOfBounds := range map[string]bool{"x": false, "3-": false, "-1": false, "5-2": true, "9": true} {
+	for text, outOfBounds := range map[string]bool{"x": false, "3-": false, "-1": false,
+		"5-2": true, "9": true} {
 		err := intervals.ParseEach(text, 9, func(int) {})
 		if err == nil || errors.Is(err, intervals.ErrOutOfBounds) != outOfBounds {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: got error %v, want one that matches ErrOutOfBounds only for 5-2 and 9", text, err)
 		}
 	}
 }
--- a/internal/jobs/dependencies_test.go
+++ b/internal/jobs/dependencies_test.go
@@ -12,7 +12,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-const stageTime = time.Minute
+// dependentDuration is the estimated time from the end of a job's last dependency to its own end.
+const dependentDuration = time.Minute
 
 // newGraph returns a graph of the given jobs, which are not linked yet.
 func newGraph(list ...*jobs.Job) (*jobs.DependencyGraph, *jobs.Registry) {
@@ -20,7 +21,8 @@
 	for _, j := range list {
 		registry.Add(j)
 	}
-	return jobs.NewDependencyGraph(registry, func(*jobs.Job) time.Duration { return stageTime }), registry
+	return jobs.NewDependencyGraph(registry,
+		func(*jobs.Job) time.Duration { return dependentDuration }), registry
 }
 
 func TestDependentIsUnblockedByItsLastDependency(t *testing.T) {
@@ -32,14 +34,15 @@
 		registry.SetFinalState(id, f)
 		g.QueueDependents(id, f)
 		if g.QueuedJobs() != 1 || g.PopJobWithDoneDependency() != c {
-			t.Fatalf("%s: the dependent is not unblocked", id)
+			t.Fatalf("%s is done: the queues don't contain exactly the dependent with a done dependency", id)
 		}
 		if blocked := i == 0; c.IsBlocked() != blocked {
-			t.Errorf("after %s: blocked: %v", id, c.IsBlocked())
+			t.Errorf("%s is done: c.IsBlocked() is %v, want the opposite", id, c.IsBlocked())
 		}
 	}
-	if g.QueuedJobs() != 0 || g.PopJobWithDoneDependency() != nil || g.PopJobToCancel() != nil || g.PopJobWithOutdatedPath() != nil {
-		t.Error("queued steps are left")
+	if g.QueuedJobs() != 0 || g.PopJobWithDoneDependency() != nil || g.PopJobToCancel() != nil ||
+		g.PopJobWithOutdatedPath() != nil {
+		t.Error("jobs are left in the queues, want none")
 	}
 }
 
@@ -47,28 +50,28 @@
 	a, b := newActiveJob("a", 1), newActiveJob("b", 1, "a")
 	g, registry := newGraph(a, b)
 	g.Link(b)
-	f := a.End(start, jobs.Cancelled)
+	f := a.End(testStart, jobs.Cancelled)
 	registry.SetFinalState("a", f)
 	g.QueueDependents("a", f)
 	if !g.HasJobsToCancel() || g.PopJobToCancel() != b || g.HasJobsToCancel() {
-		t.Error("the dependent is not queued for cancellation exactly once")
+		t.Error("the dependent is not queued exactly once for cancellation")
 	}
 	late := newActiveJob("late", 1, "a")
 	registry.Add(late)
 	g.Link(late)
 	if !late.DependencyCancelled() || late.IsBlocked() {
-		t.Error("a job submitted after the cancellation is not cancelled")
+		t.Error("a job submitted after the cancellation of its dependency must be marked and not blocked")
 	}
 }
 
-func TestCriticalPathIsTheTightest(t *testing.T) {
+func TestCriticalPathHasTheEarliestDueTime(t *testing.T) {
 	withDeadline := func(id string, deadlineS float64, priority string, dependsOn ...string) *jobs.Job {
 		spec := newJob(id, 1, dependsOn...).Job
 		spec.Priority = priority
 		if deadlineS > 0 {
 			spec.DeadlineS = &deadlineS
 		}
-		j := jobs.New(spec, start.UnixMilli(), start)
+		j := jobs.New(spec, testStart.UnixMilli(), testStart)
 		j.MarkAccepted()
 		return j
 	}
@@ -79,45 +82,48 @@
 	list := []*jobs.Job{first, middle, direct, last}
 	g, _ := newGraph(list...)
 	if missing, cyclic := g.LinkAll(list); len(missing)+len(cyclic) > 0 {
-		t.Fatalf("missing %v, cyclic %v", missing, cyclic)
+		t.Fatalf("missing dependencies %v, cyclic jobs %v, want none", missing, cyclic)
 	}
-	want := jobs.CriticalPath{Last: last, Due: start.Add(30*time.Minute - 2*stageTime), DownstreamTime: 2 * stageTime}
+	want := jobs.CriticalPath{Last: last, Due: testStart.Add(30*time.Minute - 2*dependentDuration),
+		DownstreamTime: 2 * dependentDuration}
 	if got := first.CriticalPath(); got != want || first.PriorityRank() != wire.PriorityRank(wire.PriorityHigh) {
-		t.Errorf("path %+v, rank %d", got, first.PriorityRank())
+		t.Errorf("critical path %+v, rank %d, want those of the job last", got, first.PriorityRank())
 	}
-	last.End(start, jobs.Cancelled)
+	last.End(testStart, jobs.Cancelled)
 	g.QueueCriticalPathUpdates(last)
 	for j := g.PopJobWithOutdatedPath(); j != nil; j = g.PopJobWithOutdatedPath() {
 		if g.UpdateCriticalPath(j) {
 			g.QueueCriticalPathUpdates(j)
 		}
 	}
-	want = jobs.CriticalPath{Last: direct, Due: start.Add(time.Hour - stageTime), DownstreamTime: stageTime}
+	want = jobs.CriticalPath{Last: direct, Due: testStart.Add(time.Hour - dependentDuration),
+		DownstreamTime: dependentDuration}
 	if got := first.CriticalPath(); got != want || first.PriorityRank() != wire.PriorityRank(wire.PriorityIdle) {
-		t.Errorf("without the cancelled job: path %+v, rank %d", got, first.PriorityRank())
+		t.Errorf("last is cancelled: critical path %+v, rank %d, want those of direct", got, first.PriorityRank())
 	}
 }
 
-func TestDamagedRecordsAreReported(t *testing.T) {
+func TestLinkAllReportsCorruptDependencies(t *testing.T) {
 	a, b := newActiveJob("a", 1, "b"), newActiveJob("b", 1, "a")
 	lost := newActiveJob("lost", 1, "nowhere")
 	list := []*jobs.Job{a, b, lost}
 	g, _ := newGraph(list...)
 	missing, cyclic := g.LinkAll(list)
 	if len(missing) != 1 || missing[0].Job != lost || missing[0].Dependency != "nowhere" {
-		t.Errorf("missing %+v", missing)
+		t.Errorf("missing dependencies %+v, want only nowhere of the job lost", missing)
 	}
 	if !slices.Equal(cyclic, []*jobs.Job{a, b}) {
-		t.Errorf("cyclic %v", cyclic)
+		t.Errorf("cyclic jobs %v, want a and b", cyclic)
 	}
 	if g.UpdateCriticalPath(a) || !a.IsBlocked() || !lost.IsBlocked() {
-		t.Error("jobs with corrupt records are not blocked")
+		t.Error("the path of a cyclic job has changed, or a job with corrupt dependencies is not blocked")
 	}
 }
 
-// TestRandomGraphUnblocksInOrder ends the jobs of random graphs in the order in which they are
-// unblocked. Every job must be unblocked exactly when all its dependencies have ended.
-func TestRandomGraphUnblocksInOrder(t *testing.T) {
+// TestJobsAreUnblockedAfterAllDependencies ends the jobs of random graphs in a random order of the
+// unblocked jobs. A job must be unblocked only after all its dependencies have ended, and all jobs
+// must be unblocked in the end.
+func TestJobsAreUnblockedAfterAllDependencies(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, seed))
 		var list []*jobs.Job
@@ -132,7 +138,7 @@
 		}
 		g, registry := newGraph(list...)
 		if missing, cyclic := g.LinkAll(list); len(missing)+len(cyclic) > 0 {
-			t.Fatalf("seed %d: missing %v, cyclic %v", seed, missing, cyclic)
+			t.Fatalf("seed %d: missing dependencies %v, cyclic jobs %v, want none", seed, missing, cyclic)
 		}
 		var runnable []*jobs.Job
 		for _, j := range list {
@@ -146,10 +152,10 @@
 			runnable = slices.Delete(runnable, i, i+1)
 			for _, id := range j.DependsOn {
 				if _, ended := registry.FinalState(id); !ended {
-					t.Fatalf("seed %d: %s runs before %s has ended", seed, j.ID, id)
+					t.Fatalf("seed %d: %s is unblocked before its dependency %s has ended", seed, j.ID, id)
 				}
 			}
-			f := j.End(start, jobs.Done)
+			f := j.End(testStart, jobs.Done)
 			registry.SetFinalState(j.ID, f)
 			g.QueueDependents(j.ID, f)
 			for d := g.PopJobWithDoneDependency(); d != nil; d = g.PopJobWithDoneDependency() {
@@ -159,7 +165,7 @@
 			}
 		}
 		if registry.EndedJobs() != len(list) {
-			t.Errorf("seed %d: %d of %d jobs have ended", seed, registry.EndedJobs(), len(list))
+			t.Errorf("seed %d: %d of %d jobs have ended, want all", seed, registry.EndedJobs(), len(list))
 		}
 	}
 }
--- a/internal/jobs/registry_test.go
+++ b/internal/jobs/registry_test.go
@@ -10,7 +10,7 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-func ids(list []*jobs.Job) []string {
+func jobIDs(list []*jobs.Job) []string {
 	var names []string
 	for _, j := range list {
 		names = append(names, j.ID)
@@ -24,53 +24,56 @@
 		j := newActiveJob(id, 1)
 		r.Add(j)
 		if i == 0 {
-			j.BeginWaiting(start.Add(time.Minute))
+			j.BeginWaiting(testStart.Add(time.Minute))
 		}
 		r.MarkRunnable(j)
 	}
-	if got := ids(r.RunnableByAge()); !slices.Equal(got, []string{"a", "b", "c"}) {
-		t.Errorf("by age: %v", got)
+	if got := jobIDs(r.RunnableByAge()); !slices.Equal(got, []string{"a", "b", "c"}) {
+		t.Errorf("got %v, want a and b in this order, then c, which has waited least", got)
 	}
 	r.MarkNotRunnable(r.Get("b"))
-	if got := ids(r.RunnableByAge()); !slices.Equal(got, []string{"a", "c"}) {
-		t.Errorf("after an end: %v", got)
+	if got := jobIDs(r.RunnableByAge()); !slices.Equal(got, []string{"a", "c"}) {
+		t.Errorf("after the end of b: got %v, want a, c", got)
 	}
-	if got := ids(slices.SortedFunc(r.Runnable(), func(x, y *jobs.Job) int { return x.SubmittedAt().Compare(y.SubmittedAt()) })); len(got) != 2 {
-		t.Errorf("runnable: %v", got)
+	if got := jobIDs(slices.SortedFunc(r.Runnable(), func(x, y *jobs.Job) int {
+		return x.SubmittedAt().Compare(y.SubmittedAt())
+	})); len(got) != 2 {
+		t.Errorf("runnable jobs: got %v, want 2", got)
 	}
 }
 
-func TestFinalStateOutlivesTheJob(t *testing.T) {
+func TestFinalStateIsKeptAfterTheJobIsRemoved(t *testing.T) {
 	r := jobs.NewRegistry()
 	j := newActiveJob("a", 1)
 	r.Add(j)
 	if _, ended := r.FinalState("a"); ended || r.Len() != 1 {
-		t.Error("a job has a final state before its end")
+		t.Error("the job has a final state before its end, or the registry has not exactly one job")
 	}
 	f := records.FinalState{Outcome: records.OutcomeDone, TasksDone: 1}
 	r.SetFinalState("a", f)
 	r.Remove(j)
-	if got, ended := r.FinalState("a"); !ended || got != f || r.Get("a") != nil || r.Len() != 0 || r.EndedJobs() != 1 {
-		t.Errorf("%+v, %v", got, ended)
+	if got, ended := r.FinalState("a"); !ended || got != f || r.Get("a") != nil || r.Len() != 0 ||
+		r.EndedJobs() != 1 {
+		t.Errorf("final state %+v, ended %v, want one final state and no job", got, ended)
 	}
 }
 
-func TestCompletionsAreFlushedAfterDelay(t *testing.T) {
+func TestPendingCompletionsAreDueAfterTheFlushDelay(t *testing.T) {
 	u := jobs.PendingCompletions{}
 	b, a, c := newActiveJob("b", 2), newActiveJob("a", 2), newActiveJob("c", 2)
 	for _, j := range []*jobs.Job{b, a, c} {
-		u.Add(start, j)
+		u.Add(testStart, j)
 	}
-	later := start.Add(tuning.CompletionFlushDelay)
-	u.Add(later, b) // has waited since its first completion
+	later := testStart.Add(tuning.CompletionFlushDelay)
+	u.Add(later, b) // does not delay the first completion of b
 	u.Remove(c)
 	if got := u.PopDue(later.Add(-1)); got != nil {
-		t.Errorf("too early: %v", ids(got))
+		t.Errorf("before the delay has passed: got %v, want none", jobIDs(got))
 	}
-	if got := ids(u.PopDue(later)); !slices.Equal(got, []string{"a", "b"}) {
-		t.Errorf("%v", got)
+	if got := jobIDs(u.PopDue(later)); !slices.Equal(got, []string{"a", "b"}) {
+		t.Errorf("after the delay: got %v, want a, b", got)
 	}
 	if got := u.PopDue(later); got != nil {
-		t.Errorf("twice: %v", ids(got))
+		t.Errorf("second call: got %v, want none", jobIDs(got))
 	}
 }
--- a/internal/jobs/state_test.go
+++ b/internal/jobs/state_test.go
@@ -10,14 +10,14 @@
 	"switchshore.example/switchshore/wire"
 )
 
-var start = time.Unix(1_700_000_000, 0)
+var testStart = time.Unix(1_700_000_000, 0)
 
 func newJob(id string, tasks int, dependsOn ...string) *jobs.Job {
 	spec := wire.Job{
 		ID: id, Class: "c", Team: "blue", Priority: wire.PriorityHigh, Tasks: tasks,
 		CPUs: 2, EstimateS: 30, CheckpointIntervalS: 10, DependsOn: dependsOn,
 	}
-	return jobs.New(spec, start.UnixMilli(), start)
+	return jobs.New(spec, testStart.UnixMilli(), testStart)
 }
 
 // newActiveJob returns a job whose acceptance is durable.
@@ -27,7 +27,7 @@
 	return j
 }
 
-func TestLegalTransitionsOfJobs(t *testing.T) {
+func TestLegalStateTransitions(t *testing.T) {
 	all := []jobs.State{jobs.Accepting, jobs.Active, jobs.Cancelled, jobs.Done}
 	legal := map[jobs.State][]jobs.State{
 		jobs.Accepting: {jobs.Active, jobs.Cancelled},
@@ -36,11 +36,11 @@
 	for _, from := range all {
 		for _, to := range all {
 			if got, want := from.CanBecome(to), slices.Contains(legal[from], to); got != want {
-				t.Errorf("%v to %v: %v", from, to, got)
+				t.Errorf("%v to %v: CanBecome is %v, want the opposite", from, to, got)
 			}
 		}
 		if got, want := from.IsTerminal(), len(legal[from]) == 0; got != want {
-			t.Errorf("%v is terminal: %v", from, got)
+			t.Errorf("%v: IsTerminal is %v, want the opposite", from, got)
 		}
 	}
 }
@@ -50,39 +50,40 @@
 	if !j.MustWithholdState() {
 		t.Error("the state is not withheld before the acceptance is durable")
 	}
-	f := j.End(start, jobs.Cancelled)
+	f := j.End(testStart, jobs.Cancelled)
 	if f.Outcome != records.OutcomeCancelled || f.TasksDone != 0 {
-		t.Errorf("final state %+v", f)
+		t.Errorf("final state %+v, want cancelled and no task done", f)
 	}
 	if j.MarkAccepted() || j.IsActive() || !j.AcceptanceDurable() {
-		t.Errorf("the cancelled job became %v", j.State())
+		t.Errorf("state %v after the acceptance became durable, want cancelled", j.State())
 	}
 }
 
 func TestIllegalTransitionPanics(t *testing.T) {
 	j := newActiveJob("job-1", 1)
-	j.End(start, jobs.Done)
+	j.End(testStart, jobs.Done)
 	defer func() {
 		if recover() == nil {
-			t.Error("a job that is done was cancelled")
+			t.Error("no panic when a done job was cancelled")
 		}
 	}()
-	j.End(start, jobs.Cancelled)
+	j.End(testStart, jobs.Cancelled)
 }
 
-func TestRestoredFinalState(t *testing.T) {
+func TestRestoreEndAppliesTheStoredFinalState(t *testing.T) {
 	for outcome, state := range map[records.Outcome]jobs.State{
 		records.OutcomeDone:      jobs.Done,
 		records.OutcomeCancelled: jobs.Cancelled,
 	} {
-		j := jobs.Restore(&records.StoredJob{Job: newJob("job-1", 1).Job, PieceKeys: []string{"n/job-1/1-0"}}, start)
+		j := jobs.Restore(&records.StoredJob{Job: newJob("job-1", 1).Job,
+			PieceKeys: []string{"n/job-1/1-0"}}, testStart)
 		if !j.IsActive() || !slices.Equal(j.RecordKeys(), []string{"n/job-1/1-0"}) {
-			t.Fatalf("restored as %v with %v", j.State(), j.RecordKeys())
+			t.Fatalf("restored as %v with keys %v, want active with the piece's key", j.State(), j.RecordKeys())
 		}
 		j.RestoreEnd(records.FinalState{Outcome: outcome})
-		j.RestoreEnd(records.FinalState{Outcome: outcome})
+		j.RestoreEnd(records.FinalState{Outcome: outcome}) // has no effect
 		if j.State() != state || !j.EndDurable() || j.MustWithholdState() {
-			t.Errorf("%c: %v", outcome, j.State())
+			t.Errorf("final state %c: restored as %v, want the durable state", outcome, j.State())
 		}
 	}
 }
@@ -96,6 +97,6 @@
 	j.NotifyWaiters(false)
 	j.NotifyWaiters(true)
 	if !slices.Equal(decisions, []bool{true, false}) {
-		t.Errorf("decisions %v", decisions)
+		t.Errorf("got %v, want true for the first waiter, then false for the second", decisions)
 	}
 }
--- a/internal/startlog/startlog_test.go
+++ b/internal/startlog/startlog_test.go
@@ -14,15 +14,16 @@
 	"switchshore.example/switchshore/wire"
 )
 
-const maxOps = 100 // changes in a batch
+const maxOps = 100 // maximum number of changes in a batch
 
-// fixture is a log with its write queues and the numbers of its callbacks.
+// fixture is a log with its write queues, a job and a machine for its attempts, and the number of calls
+// of each callback.
 type fixture struct {
 	*startlog.Log
-	writes           *records.WriteQueues
-	job              *jobs.Job
-	machine          *machines.Machine
-	durable, refused int
+	writes                       *records.WriteQueues
+	job                          *jobs.Job
+	machine                      *machines.Machine
+	durableStarts, refusedStarts int
 }
 
 func newFixture(valueLimit int) *fixture {
@@ -32,92 +33,93 @@
 		machine: machines.New(time.Time{}, "m1", "std-8", "a", "", true),
 	}
 	f.Log = startlog.New(5, valueLimit, f.writes, startlog.Callbacks{
-		OnDurable: func(a *machines.Attempt) { a.MarkRecorded(); f.durable++ },
-		OnRefused: func(a *machines.Attempt) { f.Remove(a); f.refused++ },
+		OnDurable: func(a *machines.Attempt) { a.MarkRecorded(); f.durableStarts++ },
+		OnRefused: func(a *machines.Attempt) { f.Remove(a); f.refusedStarts++ },
 	})
 	return f
 }
 
-// add adds the start of a task to the log.
-func (f *fixture) add(index int32) *machines.Attempt {
+// addStart adds an attempt of a task to the log and returns it.
+func (f *fixture) addStart(index int32) *machines.Attempt {
 	a := machines.NewPendingAttempt(f.machine, f.job, index, time.Time{}, 1, false)
 	f.Add(a)
 	return a
 }
 
-// TestStartsOfAPassShareARecord: attempts that end before the record is written are left out,
-// and the record is deleted when the last of its attempts ends.
+// TestStartsOfAPassShareARecord: the record excludes attempts that end before it is written, and it is
+// deleted when the last of its attempts ends.
 func TestStartsOfAPassShareARecord(t *testing.T) {
 	f := newFixture(2048)
-	first, second, third := f.add(0), f.add(1), f.add(2)
+	first, second, third := f.addStart(0), f.addStart(1), f.addStart(2)
 	f.Remove(second)
 	b := f.writes.NextBatch(maxOps, maxOps, false)
 	if b == nil || len(b.Mutations) != 1 || b.Mutations[0].Put != "s/00000005-00000001" {
-		t.Fatalf("%+v", b)
+		t.Fatalf("batch %+v, want one start record", b)
 	}
 	want := `{"machines":[{"id":"m1","type":"std-8","zone":"a","spot":true,"tasks":{"job-1":"0,2"}}]}`
 	if got := string(b.Mutations[0].Value); got != want {
-		t.Errorf("%s, want %s", got, want)
+		t.Errorf("record %s, want %s", got, want)
 	}
-	if f.durable != 0 {
-		t.Error("starts are sent before their record is durable")
+	if f.durableStarts != 0 {
+		t.Error("OnDurable was called before the record is durable")
 	}
 	f.writes.MarkCommitted(b, nil)
-	if f.durable != 2 || second.State() != machines.RecordPending {
-		t.Errorf("%d starts sent", f.durable)
+	if f.durableStarts != 2 || second.State() != machines.RecordPending {
+		t.Errorf("OnDurable was called for %d attempts, want the 2 that have not ended", f.durableStarts)
 	}
 	f.Remove(first)
 	if f.writes.Len() != 0 {
-		t.Error("deleted while an attempt is left")
+		t.Error("the record is deleted although an attempt is left")
 	}
 	f.Remove(third)
-	f.Remove(third)
+	f.Remove(third) // has no effect
 	b = f.writes.NextBatch(maxOps, maxOps, false)
 	if b == nil || len(b.Mutations) != 1 || b.Mutations[0].Delete != "s/00000005-00000001" {
-		t.Errorf("%+v", b)
+		t.Errorf("batch %+v, want the deletion of the record", b)
 	}
 }
 
-// TestStartsAfterABatchGetANewRecord: starts get a new record when the current one is in a
+// TestStartsAfterABatchGetANewRecord: an attempt is added to a new record if the current one is in a
 // batch or would exceed the value limit.
 func TestStartsAfterABatchGetANewRecord(t *testing.T) {
 	f := newFixture(256)
 	for i := range int32(100) {
-		f.add(i * 7)
+		f.addStart(i * 7)
 	}
 	for b := f.writes.NextBatch(maxOps, maxOps, false); b != nil; b = f.writes.NextBatch(maxOps, maxOps, false) {
 		for _, m := range b.Mutations {
 			if len(m.Value) > 256 {
-				t.Errorf("%s has %d bytes", m.Put, len(m.Value))
+				t.Errorf("%s has %d bytes, want at most 256", m.Put, len(m.Value))
 			}
 		}
 		f.writes.MarkCommitted(b, nil)
 	}
-	if f.durable != 100 {
-		t.Fatalf("%d of 100 starts sent", f.durable)
+	if f.durableStarts != 100 {
+		t.Fatalf("OnDurable was called for %d of 100 attempts, want all", f.durableStarts)
 	}
-	f.add(701)
+	f.addStart(701)
 	b := f.writes.NextBatch(maxOps, maxOps, false)
 	if b == nil || len(b.Mutations) != 1 || strings.HasSuffix(b.Mutations[0].Put, "-00000001") {
-		t.Errorf("%+v", b)
+		t.Errorf("batch %+v, want one new start record", b)
 	}
 }
 
-// TestRefusedRecordCallsBackForItsAttempts: none of the starts was sent, so their tasks can be
-// placed again.
-func TestRefusedRecordCallsBackForItsAttempts(t *testing.T) {
+// TestOnRefusedIsCalledForEachAttempt: if the key-value store refuses a record, its starts are not sent,
+// and their tasks can be placed again.
+func TestOnRefusedIsCalledForEachAttempt(t *testing.T) {
 	f := newFixture(2048)
-	f.add(0)
-	f.add(1)
+	f.addStart(0)
+	f.addStart(1)
 	b := f.writes.NextBatch(maxOps, maxOps, false)
 	f.writes.MarkCommitted(b, []string{b.Mutations[0].Put})
-	if f.durable != 0 || f.refused != 2 {
-		t.Errorf("%d starts sent, %d refused", f.durable, f.refused)
+	if f.durableStarts != 0 || f.refusedStarts != 2 {
+		t.Errorf("OnDurable was called for %d attempts, want 0; OnRefused for %d, want 2",
+			f.durableStarts, f.refusedStarts)
 	}
 }
 
-// TestLoadedRecordsWithoutAttemptsAreDeleted: other loaded records stay until their attempts
-// have ended.
+// TestLoadedRecordsWithoutAttemptsAreDeleted: a loaded record is deleted after loading if it has no
+// attempts, otherwise when all of them have ended.
 func TestLoadedRecordsWithoutAttemptsAreDeleted(t *testing.T) {
 	f := newFixture(2048)
 	f.AddLoadedRecord("s/old")
@@ -126,11 +128,11 @@
 	f.FinishLoading()
 	b := f.writes.NextBatch(maxOps, maxOps, false)
 	if b == nil || len(b.Mutations) != 1 || b.Mutations[0].Delete != "s/old" {
-		t.Fatalf("%+v", b)
+		t.Fatalf("batch %+v, want the deletion of the record without attempts", b)
 	}
 	f.Remove(a)
 	b = f.writes.NextBatch(maxOps, maxOps, false)
 	if b == nil || len(b.Mutations) != 1 || b.Mutations[0].Delete != "m/m1" {
-		t.Errorf("%+v", b)
+		t.Errorf("batch %+v, want the deletion of the record whose attempt has ended", b)
 	}
 }
