--- a/internal/allocation/ledger_test.go
+++ b/internal/allocation/ledger_test.go
@@ -66,8 +66,7 @@
 		rng := rand.New(rand.NewPCG(seed, seed))
 		l := allocation.NewLedger(teams)
 		all := []*machines.Machine{newMachine("m1", "a"), newMachine("m2", "a"), newMachine("m3", "b")}
-		list := []*jobs.Job{newJob("job-1", "blue", 10), newJob("job-2", "guest", 10),
-			newJob("job-3", "nobody", 10)}
+		list := []*jobs.Job{newJob("job-1", "blue", 10), newJob("job-2", "guest", 10), newJob("job-3", "nobody", 10)}
 		var attempts []*machines.Attempt
 		check := func() {
 			used, onMachine := map[string]float64{}, map[*machines.Machine]float64{}
--- a/internal/intervals/set_test.go
+++ b/internal/intervals/set_test.go
@@ -32,8 +32,7 @@
 // TestParseEachRejectsInvalidText: ParseEach returns an error for text that is malformed or has an
 // index that is not below the limit.
 func TestParseEachRejectsInvalidText(t *testing.T) {
-	for text, outOfBounds := range map[string]bool{"x": false, "3-": false, "-1": false,
-		"5-2": true, "9": true} {
+	for text, outOfBounds := range map[string]bool{"x": false, "3-": false, "-1": false, "5-2": true, "9": true} {
 		err := intervals.ParseEach(text, 9, func(int) {})
 		if err == nil || errors.Is(err, intervals.ErrOutOfBounds) != outOfBounds {
 			t.Errorf("%q: got error %v, want one that matches ErrOutOfBounds only for 5-2 and 9", text, err)
--- a/internal/jobs/completions.go
+++ b/internal/jobs/completions.go
@@ -12,27 +12,27 @@
 
 // Add adds a job that has a new completion at now. A job that is already present keeps its
 // earlier time.
-func (u PendingCompletions) Add(now time.Time, j *Job) {
-	if _, known := u[j]; !known {
-		u[j] = now
+func (p PendingCompletions) Add(now time.Time, j *Job) {
+	if _, known := p[j]; !known {
+		p[j] = now
 	}
 }
 
 // Remove removes a job whose completions need not be written any more.
-func (u PendingCompletions) Remove(j *Job) { delete(u, j) }
+func (p PendingCompletions) Remove(j *Job) { delete(p, j) }
 
 // PopDue removes and returns the jobs whose first completion is at least
 // tuning.CompletionFlushDelay old, sorted by ID.
-func (u PendingCompletions) PopDue(now time.Time) []*Job {
+func (p PendingCompletions) PopDue(now time.Time) []*Job {
 	var due []*Job
-	for j, since := range u {
+	for j, since := range p {
 		if now.Sub(since) >= tuning.CompletionFlushDelay {
 			due = append(due, j)
 		}
 	}
 	SortByID(due)
 	for _, j := range due {
-		delete(u, j)
+		delete(p, j)
 	}
 	return due
 }
--- a/internal/jobs/dependencies.go
+++ b/internal/jobs/dependencies.go
@@ -11,15 +11,16 @@
 // Whether a job is blocked or has to be cancelled follows from the stored final states of its
 // dependencies alone, so a successor reaches the same result. A leader that fails after storing a
 // final state, but before updating the dependents, therefore leaves no inconsistent state. A job
-// can depend only on jobs that were accepted before it, so the graph has no cycles.
+// can depend only on jobs that were accepted before it, so the graph has no cycles, unless
+// records are corrupt.
 
-// CriticalPath leads from a job through its dependents to the job whose deadline leaves the first
-// one the least time. The last job may be the first one itself.
+// CriticalPath is the path from a job through its dependents to the job whose deadline requires the
+// first job to end earliest. The path may consist of one job.
 type CriticalPath struct {
-	Last *Job // the job with the deadline; nil if no path has one
+	Last *Job // the job with the deadline; nil if no job on any path has one
 	// Due is when the first job has to end: the deadline of Last less DownstreamTime.
 	Due            time.Time
-	DownstreamTime time.Duration // estimated time of the jobs after the first, including Last
+	DownstreamTime time.Duration // estimated time for the jobs after the first, including Last
 }
 
 // dependencyState is the part of a job's state that follows from its dependencies and its
@@ -81,8 +82,7 @@
 // NewDependencyGraph returns a graph without jobs. estimateDuration estimates the time from the end of
 // a job's last dependency to its own end.
 func NewDependencyGraph(registry *Registry, estimateDuration func(*Job) time.Duration) *DependencyGraph {
-	return &DependencyGraph{registry: registry, estimateDuration: estimateDuration,
-		dependents: map[string][]*Job{}}
+	return &DependencyGraph{registry: registry, estimateDuration: estimateDuration, dependents: map[string][]*Job{}}
 }
 
 // QueuedJobs returns the total length of the queues.
@@ -127,7 +127,8 @@
 func (g *DependencyGraph) HasJobsToCancel() bool { return len(g.toCancel) > 0 }
 
 // PopJobWithDoneDependency removes the next job with a newly done dependency from its queue and
-// returns it, or nil. It counts one unfinished dependency less; the job may have others.
+// returns it, or nil. It decrements the number of the job's unfinished dependencies; the job may
+// still be blocked by others.
 func (g *DependencyGraph) PopJobWithDoneDependency() *Job {
 	j := popFirst(&g.withDoneDependency)
 	if j != nil {
@@ -156,8 +157,8 @@
 	return j
 }
 
-// QueueCriticalPathUpdates queues the dependencies of j, whose critical paths may change with that
-// of j or with its end.
+// QueueCriticalPathUpdates queues the dependencies of j for an update of their critical paths, which
+// depend on whether j exists or was cancelled and on the critical path of j.
 func (g *DependencyGraph) QueueCriticalPathUpdates(j *Job) {
 	for _, id := range j.DependsOn {
 		d := g.registry.Get(id)
@@ -185,8 +186,7 @@
 		}
 		duration := g.estimateDuration(d)
 		if due := d.criticalPath.Due.Add(-duration); p.Last == nil || due.Before(p.Due) {
-			p = CriticalPath{Last: d.criticalPath.Last, Due: due,
-				DownstreamTime: d.criticalPath.DownstreamTime + duration}
+			p = CriticalPath{Last: d.criticalPath.Last, Due: due, DownstreamTime: d.criticalPath.DownstreamTime + duration}
 		}
 	}
 	changed := rank != j.priorityRank || p != j.criticalPath
@@ -200,11 +200,11 @@
 	Dependency string // ID
 }
 
-// LinkAll links all loaded jobs and derives their critical paths. Corrupt job records may name
-// dependencies without a record or form a cycle: it returns the former as missing. In cyclic it
-// returns the jobs in a cycle and the direct and indirect dependencies of such jobs, for which
-// no critical path can be derived. Jobs with a missing dependency and jobs in a cycle stay
-// blocked until they are cancelled.
+// LinkAll links all loaded jobs and derives their critical paths. It reports two faults of corrupt
+// job records: missing lists the dependencies that have neither a job nor a final state. cyclic lists
+// the jobs in dependency cycles and the direct and indirect dependencies of these jobs, for which no
+// critical path can be derived. Jobs with a missing dependency and jobs in a cycle stay blocked until
+// they are cancelled.
 func (g *DependencyGraph) LinkAll(all []*Job) (missing []MissingDependency, cyclic []*Job) {
 	for _, j := range all {
 		if !j.endDurable {
@@ -217,7 +217,7 @@
 // updateAllPaths derives the critical paths of all jobs. It handles each job after its dependents,
 // so that each path is derived only once.
 func (g *DependencyGraph) updateAllPaths(all []*Job) (missing []MissingDependency, cyclic []*Job) {
-	var resolvable []*Job
+	var resolvable []*Job                  // jobs whose dependents have all been handled
 	unresolvedDependents := map[*Job]int{} // number of dependents whose path is not derived yet
 	for _, j := range all {
 		if unresolvedDependents[j] = len(g.dependents[j.ID]); unresolvedDependents[j] == 0 {
--- a/internal/jobs/dependencies_test.go
+++ b/internal/jobs/dependencies_test.go
@@ -12,8 +12,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// dependentDuration is the estimated time from the end of a job's last dependency to its own end.
-const dependentDuration = time.Minute
+// jobDuration is the estimated time from the end of a job's last dependency to its own end.
+const jobDuration = time.Minute
 
 // newGraph returns a graph of the given jobs, which are not linked yet.
 func newGraph(list ...*jobs.Job) (*jobs.DependencyGraph, *jobs.Registry) {
@@ -22,7 +22,7 @@
 		registry.Add(j)
 	}
 	return jobs.NewDependencyGraph(registry,
-		func(*jobs.Job) time.Duration { return dependentDuration }), registry
+		func(*jobs.Job) time.Duration { return jobDuration }), registry
 }
 
 func TestDependentIsUnblockedByItsLastDependency(t *testing.T) {
@@ -84,8 +84,7 @@
 	if missing, cyclic := g.LinkAll(list); len(missing)+len(cyclic) > 0 {
 		t.Fatalf("missing dependencies %v, cyclic jobs %v, want none", missing, cyclic)
 	}
-	want := jobs.CriticalPath{Last: last, Due: testStart.Add(30*time.Minute - 2*dependentDuration),
-		DownstreamTime: 2 * dependentDuration}
+	want := jobs.CriticalPath{Last: last, Due: testStart.Add(30*time.Minute - 2*jobDuration), DownstreamTime: 2 * jobDuration}
 	if got := first.CriticalPath(); got != want || first.PriorityRank() != wire.PriorityRank(wire.PriorityHigh) {
 		t.Errorf("critical path %+v, rank %d, want those of the job last", got, first.PriorityRank())
 	}
@@ -96,8 +95,7 @@
 			g.QueueCriticalPathUpdates(j)
 		}
 	}
-	want = jobs.CriticalPath{Last: direct, Due: testStart.Add(time.Hour - dependentDuration),
-		DownstreamTime: dependentDuration}
+	want = jobs.CriticalPath{Last: direct, Due: testStart.Add(time.Hour - jobDuration), DownstreamTime: jobDuration}
 	if got := first.CriticalPath(); got != want || first.PriorityRank() != wire.PriorityRank(wire.PriorityIdle) {
 		t.Errorf("last is cancelled: critical path %+v, rank %d, want those of direct", got, first.PriorityRank())
 	}
--- a/internal/jobs/estimates.go
+++ b/internal/jobs/estimates.go
@@ -37,6 +37,7 @@
 func (r RunTimeRatios) EstimateReadyTask(j *Job) float64 {
 	fullS := r.Estimate(j)
 	if len(j.progress) == 0 || len(j.ready) == 0 || len(j.ready) > len(j.progress) {
+		// No task is ready, or at least one ready task has no progress.
 		return fullS
 	}
 	leastProgressS := fullS
@@ -75,8 +76,8 @@
 // Urgency returns a sort key for jobs of one priority; the job with the lowest key is placed first.
 // The key is the slack of the job in seconds, plus the weighted time that the cluster's CPUs, given
 // as cpus, need for the rest of the job: under a backlog, more jobs meet their deadlines when
-// small jobs start first. The key of a job that can meet no deadline or objective falls with its
-// waiting time.
+// small jobs start first. The key of a job that can meet no deadline or objective
+// begins at tuning.NoDeadlineSlackS and falls while the job waits.
 func (r RunTimeRatios) Urgency(now time.Time, j *Job, objectives []config.Objective, cpus float64) float64 {
 	workS := float64(j.RemainingTasks()) * j.CPUs * r.Estimate(j) / max(cpus, 1)
 	if slack, ok := r.DeadlineSlack(now, j, objectives); ok {
@@ -94,8 +95,8 @@
 const maxStartDelayIntervals = 2
 
 // Observe updates the delay after a task was reported as running delayS seconds after its
-// placement. A longer delay than maxStartDelayIntervals is capped: its cause is the machine, so it
-// doesn't predict the delay of tasks on other machines.
+// placement. A delay of more than maxStartDelayIntervals is capped, because it is attributed to
+// the machine and doesn't predict the delay of the next task.
 func (d *StartDelay) Observe(delayS, heartbeatIntervalS float64) {
 	delayS = min(delayS, maxStartDelayIntervals*heartbeatIntervalS)
 	*d += StartDelay((delayS - float64(*d)) * tuning.StartDelayWeight)
--- a/internal/jobs/estimates_test.go
+++ b/internal/jobs/estimates_test.go
@@ -41,14 +41,12 @@
 		want       float64       // slack in seconds; the estimated run time is 30 s
 		found      bool
 	}{
-		"no deadline or objective": {},
-		"deadline":                 {deadlineS: 90, want: 60, found: true},
-		"deadline passed":          {deadlineS: 90, after: 80 * time.Second},
-		"objective still reachable": {deadlineS: 90, objectives: []config.Objective{twiceDeadline},
-			after: 80 * time.Second, want: 70, found: true},
-		"finished is nearer": {deadlineS: 200, objectives: []config.Objective{finishedIn100S},
-			want: 70, found: true},
-		"other class": {objectives: []config.Objective{{Kind: "finished", Class: "d", WithinS: 100}}},
+		"no deadline or objective":  {},
+		"deadline":                  {deadlineS: 90, want: 60, found: true},
+		"deadline passed":           {deadlineS: 90, after: 80 * time.Second},
+		"objective still reachable": {deadlineS: 90, objectives: []config.Objective{twiceDeadline}, after: 80 * time.Second, want: 70, found: true},
+		"finished is nearer":        {deadlineS: 200, objectives: []config.Objective{finishedIn100S}, want: 70, found: true},
+		"other class":               {objectives: []config.Objective{{Kind: "finished", Class: "d", WithinS: 100}}},
 	} {
 		spec := newJob("job-1", 1).Job
 		if c.deadlineS > 0 {
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// AddRecordKey adds the key of a stored record of the job other than its job record so that
-// the record is deleted together with it.
+// AddRecordKey adds the key of a stored record of the job other than its job record. The two records
+// are deleted together.
 func (j *Job) AddRecordKey(key string) { j.recordKeys[key] = true }
 
 // RecordKeys returns the sorted keys of the job's stored records other than its job record.
--- a/internal/jobs/state_test.go
+++ b/internal/jobs/state_test.go
@@ -75,8 +75,7 @@
 		records.OutcomeDone:      jobs.Done,
 		records.OutcomeCancelled: jobs.Cancelled,
 	} {
-		j := jobs.Restore(&records.StoredJob{Job: newJob("job-1", 1).Job,
-			PieceKeys: []string{"n/job-1/1-0"}}, testStart)
+		j := jobs.Restore(&records.StoredJob{Job: newJob("job-1", 1).Job, PieceKeys: []string{"n/job-1/1-0"}}, testStart)
 		if !j.IsActive() || !slices.Equal(j.RecordKeys(), []string{"n/job-1/1-0"}) {
 			t.Fatalf("restored as %v with keys %v, want active with the piece's key", j.State(), j.RecordKeys())
 		}
--- a/internal/jobs/tasks.go
+++ b/internal/jobs/tasks.go
@@ -17,7 +17,7 @@
 	pendingChunks      map[int]bool   // numbers of the chunks with completions to be written
 	ready              []int32        // tasks to be placed, the next one at the end
 	allocations        map[int32]int8 // number of machines that may have each task
-	allocationsByZone  map[string]int // sum of allocations by zone
+	allocationsByZone  map[string]int // the same machines, counted by zone
 	runningAttempts    int
 	// progress is the checkpointed run time, in seconds, of tasks that have to run again. It
 	// includes only attempts that ended in this term.
@@ -48,7 +48,8 @@
 // MarkCompleted marks a task as completed. It reports whether the task was not completed before.
 func (t *taskSet) MarkCompleted(index int32) bool { return t.completed.Add(int(index)) }
 
-// MarkCompletionPending records that the completion of a task has to be written.
+// MarkCompletionPending records that the completion of a task has to be written. valueLimit, the
+// maximum size of a stored value, determines the chunk that contains the task.
 func (t *taskSet) MarkCompletionPending(index int32, valueLimit int) {
 	t.pendingChunks[int(index)/records.CompletionChunkSize(valueLimit)] = true
 }
@@ -66,7 +67,7 @@
 	return list
 }
 
-// RestoreCompletion applies the stored, and so durable, completion of a task.
+// RestoreCompletion marks a task as completed whose stored completion was loaded.
 func (j *Job) RestoreCompletion(index int) {
 	j.completed.Add(index)
 	j.markCompletionDurable(index)
@@ -170,7 +171,8 @@
 // RemoveRunningAttempt decrements the number of running attempts.
 func (t *taskSet) RemoveRunningAttempt() { t.runningAttempts-- }
 
-// Progress returns the checkpointed run time of a task in seconds, which its next attempt skips.
+// Progress returns the checkpointed run time of a task in seconds. Its next attempt needs that much
+// less time.
 func (t *taskSet) Progress(index int32) float64 { return t.progress[index] }
 
 // TasksWithProgress returns the number of tasks with checkpointed progress.
--- a/internal/records/job.go
+++ b/internal/records/job.go
@@ -7,11 +7,9 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// jobRecord is the stored form of a job. The submitted job is in one of three places:
-//   - in Job, if earlier versions of the program handle it correctly. In the other two cases, Job
-//     holds a placeholder, which earlier versions read instead;
-//   - in Whole;
-//   - in separate piece records, if it is too large for one value.
+// jobRecord is the stored form of a job. Job is the submitted job if it fits into one value and earlier
+// versions of the program handle it correctly. Otherwise Job is a placeholder for these versions, and
+// the submitted job is in Whole or, if it is too large for one value, in separate piece records.
 type jobRecord struct {
 	Job    wire.Job  `json:"job"`
 	At     int64     `json:"at"` // wall-clock time of the submission in milliseconds
@@ -107,8 +105,8 @@
 	PieceKeys     []string // keys of the job's pieces
 }
 
-// DecodeJob decodes the job record with the given job ID. It takes the job's pieces, which must be
-// loaded already, out of pieces. Its errors are those of package json, ErrMissingPiece and
+// DecodeJob decodes the job record with the given job ID. The job's pieces must have been added to
+// pieces before, and are removed from it. The errors are those of package json, ErrMissingPiece and
 // ErrJobIDMismatch.
 func DecodeJob(id string, value json.RawMessage, pieces JobPieces) (*StoredJob, error) {
 	var rec jobRecord
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -52,9 +52,9 @@
 // Prefix returns the prefix of the keys of all records of the kind.
 func (k Kind) Prefix() string { return string(k) + "/" }
 
-// Optional reports whether a leader can skip a corrupt record of the kind. It can do without machine
-// types, which the cloud reports again, without completions, whose tasks run again, without pieces,
-// which may belong to no job, and without drains and charges, because drains can wait.
+// Optional reports whether a leader can skip a corrupt record of the kind: the cloud reports the
+// machine types again, tasks without a completion run again, a piece may belong to no job, and drains
+// can wait.
 func (k Kind) Optional() bool {
 	switch k {
 	case KindMachineTypes, KindCompletions, KindJobPiece, KindDrain, KindCharge:
--- a/internal/records/queue.go
+++ b/internal/records/queue.go
@@ -9,7 +9,7 @@
 	Key      string
 	Value    json.RawMessage // nil to delete the key
 	OnCommit []func()        // called when the change is durable
-	// OnRefused, if set, is called if the key-value store refuses the change, so that it is dropped.
+	// OnRefused, if set, is called when the change is dropped because the key-value store refuses it.
 	OnRefused func()
 }
 
--- a/internal/records/queues.go
+++ b/internal/records/queues.go
@@ -52,8 +52,8 @@
 //     start or end.
 //   - Background changes get at most spareOps: no user waits for them, and they must not use up the
 //     operations that the key-value store allows for the other changes.
-//   - While new jobs are shed, spareOps is raised to a minimum, and dependent and background changes
-//     precede the interactive ones beyond their limited share.
+//   - If shedding is true, because new jobs are being rejected, spareOps is raised to a minimum, and
+//     dependent and background changes precede the interactive ones beyond their limited share.
 //
 // Batches must be committed one after the other. MarkCommitted must be called after each.
 func (q *WriteQueues) NextBatch(maxOps, spareOps int, shedding bool) *Batch {
--- a/internal/records/queues_test.go
+++ b/internal/records/queues_test.go
@@ -97,8 +97,7 @@
 		"more dependent needs spareOps": {dependent: 9, spareOps: 3, want: "d0 d1 d2 d3 d4"},
 		"background needs spareOps":     {background: 9, want: ""},
 		"background uses spareOps":      {background: 9, spareOps: 2, want: "b0 b1"},
-		"shedding raises spareOps": {interactive: 9, background: 9, shedding: true,
-			want: "i0 i1 i2 i3 b0 b1 i4 i5"},
+		"shedding raises spareOps":      {interactive: 9, background: 9, shedding: true, want: "i0 i1 i2 i3 b0 b1 i4 i5"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			q := newWriteQueues()
--- a/internal/startlog/record.go
+++ b/internal/startlog/record.go
@@ -11,7 +11,7 @@
 type Record struct {
 	log          *Log
 	key          string
-	liveAttempts int  // number of its attempts that have not ended
+	liveAttempts int  // number of linked attempts, which have not ended
 	written      bool // durable or in a batch
 	closed       bool // accepts no further attempts
 	size         records.StartsSize
@@ -24,11 +24,12 @@
 func (r *Record) add(machine records.MachineStarts, a *machines.Attempt) {
 	r.size.Add(machine, a.Job.ID)
 	r.attempts = append(r.attempts, a)
-	r.AddLoadedAttempt(a)
+	r.LinkAttempt(a)
 }
 
-// AddLoadedAttempt adds an attempt that the record names, which was loaded from the key-value store.
-func (r *Record) AddLoadedAttempt(a *machines.Attempt) {
+// LinkAttempt links an attempt to the record, which names it. The record is not deleted while it has
+// linked attempts.
+func (r *Record) LinkAttempt(a *machines.Attempt) {
 	r.liveAttempts++
 	a.Record = r
 }
@@ -57,7 +58,7 @@
 }
 
 // notifyAttempts calls callback for each attempt whose start waits until the record is durable. It
-// then clears the fields that only a record needs that isn't durable yet.
+// then clears the fields that are not needed any more.
 func (r *Record) notifyAttempts(callback func(*machines.Attempt)) {
 	for _, a := range r.attempts {
 		if a.State() == machines.RecordPending && a.Record == r {
--- a/internal/startlog/startlog.go
+++ b/internal/startlog/startlog.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// AddLoadedRecord adds a stored record of an earlier term. The caller adds its attempts to the
+// AddLoadedRecord adds a stored record of an earlier term. The caller links its attempts to the
 // returned record.
 func (l *Log) AddLoadedRecord(key string) *Record {
 	r := &Record{log: l, key: key, written: true, closed: true}
--- a/internal/startlog/startlog_test.go
+++ b/internal/startlog/startlog_test.go
@@ -124,7 +124,7 @@
 	f := newFixture(2048)
 	f.AddLoadedRecord("s/old")
 	a := machines.NewAttempt(f.machine, f.job, 0, time.Time{})
-	f.AddLoadedRecord("m/m1").AddLoadedAttempt(a)
+	f.AddLoadedRecord("m/m1").LinkAttempt(a)
 	f.FinishLoading()
 	b := f.writes.NextBatch(maxOps, maxOps, false)
 	if b == nil || len(b.Mutations) != 1 || b.Mutations[0].Delete != "s/old" {
