--- a/internal/allocation/ledger.go
+++ b/internal/allocation/ledger.go
@@ -37,8 +37,8 @@
 // resolveLimits returns a team whose limits are infinite if the settings contain none.
 func resolveLimits(t config.Team) config.Team {
 	if t.CPUsMax == 0 && t.GPUsMax == 0 {
-		// Two limits of 0 mean that the team has no limit, as a team without a guarantee.
-		// They don't mean that the team may use nothing.
+		// Limits of 0 stand for a team without limits, such as guests without a guarantee,
+		// rather than for a team that may use nothing.
 		t.CPUsMax, t.GPUsMax = math.Inf(1), math.Inf(1)
 	}
 	return t
--- a/internal/allocation/ledger_test.go
+++ b/internal/allocation/ledger_test.go
@@ -44,9 +44,9 @@
 	a.ApplyReport(testStart, machines.Running)
 	j.AddRunningAttempt()
 	if m.Free() != (placement.Resources{CPUs: 6, MemoryGB: 31}) || l.UsedCPUs("blue") != 2 ||
-		j.AllocatedTasks() != 1 || j.Constraints().TasksInZone["a"] != 1 || !a.IsAllocated() {
+		j.AllocatedTasks() != 1 || j.PlacementConstraints().TasksInZone["a"] != 1 || !a.IsAllocated() {
 		t.Errorf("allocated: %+v free, %v CPUs used, tasks by zone %v, want one task of 2 CPUs and 1 GB in a",
-			m.Free(), l.UsedCPUs("blue"), j.Constraints().TasksInZone)
+			m.Free(), l.UsedCPUs("blue"), j.PlacementConstraints().TasksInZone)
 	}
 	end := testStart.Add(time.Minute)
 	if last := l.Release(end, a); !last {
@@ -104,7 +104,7 @@
 		attempts = nil
 		check()
 		for _, j := range list {
-			if j.AllocatedTasks() != 0 || j.ReadyTasks() != j.Tasks || len(j.Constraints().TasksInZone) != 0 {
+			if j.AllocatedTasks() != 0 || j.ReadyTasks() != j.Tasks || len(j.PlacementConstraints().TasksInZone) != 0 {
 				t.Errorf("seed %d: %s: %d tasks allocated, %d ready, want all ready",
 					seed, j.ID, j.AllocatedTasks(), j.ReadyTasks())
 			}
--- a/internal/consolidation/consolidation.go
+++ b/internal/consolidation/consolidation.go
@@ -183,7 +183,7 @@
 // firstFit returns the index of the first machine that has capacity for a task of the job and on
 // which the task may run, or -1.
 func (p *pass) firstFit(j *jobs.Job, targets []*machines.Machine) int {
-	constraints := j.Constraints()
+	constraints := j.PlacementConstraints()
 	return slices.IndexFunc(targets, func(m *machines.Machine) bool {
 		return p.free[m].Fits(j.Request()) && !m.Avoids(j.ID) && constraints.CanRunOn(m.PlacementView())
 	})
--- a/internal/drainer/evict.go
+++ b/internal/drainer/evict.go
@@ -128,7 +128,7 @@
 	if has, known := s.alternatives[j]; known {
 		return has
 	}
-	constraints := j.Constraints()
+	constraints := j.PlacementConstraints()
 	if zone := s.record.Spec.Selector.Zone; j.OneZone && s.record.Spec.Selector.SelectsAllOf("", zone) {
 		// The drain empties the whole zone, so the job's tasks there don't bind it to the zone.
 		constraints.TasksInZone = withoutZone(constraints.TasksInZone, zone)
--- a/internal/intervals/text.go
+++ b/internal/intervals/text.go
@@ -12,7 +12,7 @@
 // that is less than the first one.
 var ErrOutOfBounds = errors.New("range out of bounds")
 
-// Format returns as text which indexes from from to to-1 are in the set.
+// Format returns as text the indexes of the set that are at least from and less than to.
 func (s *Set) Format(from, to int) string {
 	var b strings.Builder
 	to = min(to, s.size)
@@ -63,8 +63,8 @@
 }
 
 // ParseEach parses text and calls f for every index in it. If text is malformed or contains an index
-// that is not below limit, it returns an error, possibly after calls of f. The error is
-// ErrOutOfBounds or that of strconv.Atoi.
+// that is not below limit, ParseEach returns an error, possibly after calls of f. The error is that of
+// strconv.Atoi or matches ErrOutOfBounds.
 func ParseEach(text string, limit int, f func(int)) error {
 	if text == "" {
 		return nil
--- a/internal/jobs/dependencies_test.go
+++ b/internal/jobs/dependencies_test.go
@@ -36,6 +36,7 @@
 		if g.QueuedJobs() != 1 || g.PopJobWithDoneDependency() != c {
 			t.Fatalf("%s is done: the queues don't contain exactly the dependent with a done dependency", id)
 		}
+		// After a is done, b still blocks c.
 		if blocked := i == 0; c.IsBlocked() != blocked {
 			t.Errorf("%s is done: c.IsBlocked() is %v, want the opposite", id, c.IsBlocked())
 		}
@@ -65,6 +66,7 @@
 }
 
 func TestCriticalPathHasTheEarliestDueTime(t *testing.T) {
+	// withDeadline returns an accepted job, without a deadline if deadlineS is 0.
 	withDeadline := func(id string, deadlineS float64, priority string, dependsOn ...string) *jobs.Job {
 		spec := newJob(id, 1, dependsOn...).Job
 		spec.Priority = priority
@@ -75,6 +77,7 @@
 		j.MarkAccepted()
 		return j
 	}
+	// middle and direct depend on first, and last depends on middle.
 	first := withDeadline("first", 0, wire.PriorityIdle)
 	middle := withDeadline("middle", 0, wire.PriorityIdle, "first")
 	direct := withDeadline("direct", 3600, wire.PriorityIdle, "first")
@@ -103,17 +106,17 @@
 
 func TestLinkAllReportsCorruptDependencies(t *testing.T) {
 	a, b := newActiveJob("a", 1, "b"), newActiveJob("b", 1, "a")
-	lost := newActiveJob("lost", 1, "nowhere")
-	list := []*jobs.Job{a, b, lost}
+	dependent := newActiveJob("dependent", 1, "nowhere")
+	list := []*jobs.Job{a, b, dependent}
 	g, _ := newGraph(list...)
 	missing, cyclic := g.LinkAll(list)
-	if len(missing) != 1 || missing[0].Job != lost || missing[0].Dependency != "nowhere" {
-		t.Errorf("missing dependencies %+v, want only nowhere of the job lost", missing)
+	if len(missing) != 1 || missing[0].Job != dependent || missing[0].Dependency != "nowhere" {
+		t.Errorf("missing dependencies %+v, want only nowhere of the job dependent", missing)
 	}
 	if !slices.Equal(cyclic, []*jobs.Job{a, b}) {
 		t.Errorf("cyclic jobs %v, want a and b", cyclic)
 	}
-	if g.UpdateCriticalPath(a) || !a.IsBlocked() || !lost.IsBlocked() {
+	if g.UpdateCriticalPath(a) || !a.IsBlocked() || !dependent.IsBlocked() {
 		t.Error("the path of a cyclic job has changed, or a job with corrupt dependencies is not blocked")
 	}
 }
--- a/internal/jobs/estimates_test.go
+++ b/internal/jobs/estimates_test.go
@@ -25,7 +25,7 @@
 	j, runTimes := newActiveJob("job-1", 2), jobs.RunTimeRatios{}
 	j.RebuildReadyTasks()
 	j.PopReadyTask(testStart)
-	j.RecordProgress(1, 20, true)
+	j.RecordProgress(1, 20, true) // with a checkpoint of all 20 s
 	if got := runTimes.EstimateReadyTask(j); got != j.EstimateS-20 {
 		t.Errorf("got %v, want 20 seconds less than the estimate", got)
 	}
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -82,9 +82,9 @@
 // BeginWaiting records that the job can be placed from now on, which restarts its waiting time.
 func (j *Job) BeginWaiting(now time.Time) { j.waitingSince, j.waitingForPlacementSince = now, now }
 
-// Constraints returns a pending job with only the fields that decide where a task of the job
+// PlacementConstraints returns a pending job with only the fields that decide where a task of the job
 // may be placed. Callers must not modify TasksInZone, which is the job's own map.
-func (j *Job) Constraints() *placement.PendingJob {
+func (j *Job) PlacementConstraints() *placement.PendingJob {
 	return &placement.PendingJob{
 		MachineTypes: j.MachineTypes, Zone: j.Zone, OneZone: j.OneZone, SpreadZones: j.SpreadZones,
 		Spot: j.Spot, Request: j.request, TotalTasks: j.Tasks, TasksInZone: j.allocationsByZone,
--- a/internal/jobs/registry_test.go
+++ b/internal/jobs/registry_test.go
@@ -11,11 +11,11 @@
 )
 
 func jobIDs(list []*jobs.Job) []string {
-	var names []string
+	var ids []string
 	for _, j := range list {
-		names = append(names, j.ID)
+		ids = append(ids, j.ID)
 	}
-	return names
+	return ids
 }
 
 func TestRunnableJobsAreListedByAge(t *testing.T) {
@@ -59,21 +59,21 @@
 }
 
 func TestPendingCompletionsAreDueAfterTheFlushDelay(t *testing.T) {
-	u := jobs.PendingCompletions{}
+	pending := jobs.PendingCompletions{}
 	b, a, c := newActiveJob("b", 2), newActiveJob("a", 2), newActiveJob("c", 2)
 	for _, j := range []*jobs.Job{b, a, c} {
-		u.Add(testStart, j)
+		pending.Add(testStart, j)
 	}
 	later := testStart.Add(tuning.CompletionFlushDelay)
-	u.Add(later, b) // does not delay the first completion of b
-	u.Remove(c)
-	if got := u.PopDue(later.Add(-1)); got != nil {
+	pending.Add(later, b) // does not delay the first completion of b
+	pending.Remove(c)
+	if got := pending.PopDue(later.Add(-1)); got != nil {
 		t.Errorf("before the delay has passed: got %v, want none", jobIDs(got))
 	}
-	if got := jobIDs(u.PopDue(later)); !slices.Equal(got, []string{"a", "b"}) {
+	if got := jobIDs(pending.PopDue(later)); !slices.Equal(got, []string{"a", "b"}) {
 		t.Errorf("after the delay: got %v, want a, b", got)
 	}
-	if got := u.PopDue(later); got != nil {
+	if got := pending.PopDue(later); got != nil {
 		t.Errorf("second call: got %v, want none", jobIDs(got))
 	}
 }
--- a/internal/jobs/state_test.go
+++ b/internal/jobs/state_test.go
@@ -10,8 +10,10 @@
 	"switchshore.example/switchshore/wire"
 )
 
+// testStart is when all test jobs are submitted.
 var testStart = time.Unix(1_700_000_000, 0)
 
+// newJob returns a job whose acceptance is not durable.
 func newJob(id string, tasks int, dependsOn ...string) *jobs.Job {
 	spec := wire.Job{
 		ID: id, Class: "c", Team: "blue", Priority: wire.PriorityHigh, Tasks: tasks,
--- a/internal/jobs/tasks_test.go
+++ b/internal/jobs/tasks_test.go
@@ -38,7 +38,7 @@
 	if !j.Release(0, "b") || j.ReadyTasks() != 1 || j.AllocatedTasks() != 0 {
 		t.Error("the task is not ready although no machine may have it")
 	}
-	if zones := j.Constraints().TasksInZone; len(zones) != 0 {
+	if zones := j.PlacementConstraints().TasksInZone; len(zones) != 0 {
 		t.Errorf("tasks by zone %v, want none", zones)
 	}
 	j.RemoveReadyTask(0)
@@ -84,9 +84,9 @@
 
 func TestProgressCountsCheckpointedTime(t *testing.T) {
 	for name, c := range map[string]struct {
-		ranS            float64
-		checkpointSaved bool // when the attempt was stopped
-		want            float64
+		ranS            float64 // checkpoints are saved every 10 s
+		checkpointSaved bool    // when the attempt was stopped
+		want            float64 // progress in seconds
 	}{
 		"before the first checkpoint": {ranS: 9, want: 0},
 		"between checkpoints":         {ranS: 25, want: 20},
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -39,7 +39,7 @@
 	switch {
 	case err == nil:
 		return nil
-	case kind.Optional():
+	case kind.IsOptional():
 		l.log.Error().Err(err).Str("key", item.Key).Msg("corrupt record skipped")
 		return nil
 	}
--- a/internal/leader/ready_jobs.go
+++ b/internal/leader/ready_jobs.go
@@ -43,7 +43,7 @@
 		if j.ReadyTasks() == 0 || j.IsBackingOff(now) {
 			continue
 		}
-		r := j.Constraints()
+		r := j.PlacementConstraints()
 		r.Job, r.Team, r.PriorityRank, r.WithinGuarantee = j.ID, j.Team, j.PriorityRank(), guaranteed[j]
 		r.Urgency, r.ReadyTasks = l.runTimes.Urgency(now, j, l.params.Objectives, cpus), j.ReadyTasks()
 		r.EstimateS, r.Image, r.ImageGB = l.runTimes.Estimate(j), j.Image, j.ImageGB
--- a/internal/preemption/preemption_test.go
+++ b/internal/preemption/preemption_test.go
@@ -56,7 +56,7 @@
 // preempt runs the preemptor for a job with one waiting task, and returns the number of stops.
 func (c *cluster) preempt(now time.Time, j *jobs.Job) int {
 	j.RebuildReadyTasks()
-	r := j.Constraints()
+	r := j.PlacementConstraints()
 	r.Job, r.Team, r.PriorityRank = j.ID, j.Team, j.PriorityRank()
 	p := preemption.New(preemption.Cluster{
 		Machines:       c.registry,
--- a/internal/records/completions.go
+++ b/internal/records/completions.go
@@ -54,8 +54,8 @@
 }
 
 // DecodeCompletions calls add with the index of every completed task in a record. tasks is the
-// number of tasks of the job. If the record is invalid, it returns an error, possibly after calls
-// of add.
+// number of tasks of the job. If the record is invalid, DecodeCompletions returns an error,
+// possibly after calls of add.
 func DecodeCompletions(value json.RawMessage, tasks int, add func(index int)) error {
 	var completed string
 	if err := json.Unmarshal(value, &completed); err != nil {
--- a/internal/records/final.go
+++ b/internal/records/final.go
@@ -15,8 +15,8 @@
 	OutcomeCancelled Outcome = 'c'
 )
 
-// FinalState is how a job ended and how many of its tasks were done. It is stored as a string, for
-// example "d14" or "c3".
+// FinalState is how a job ended and how many of its tasks were done. It is stored as a string,
+// for example "d14" for a done job with 14 tasks or "c3" for a cancelled job with 3 done tasks.
 type FinalState struct {
 	Outcome   Outcome
 	TasksDone int32
--- a/internal/records/job.go
+++ b/internal/records/job.go
@@ -26,8 +26,10 @@
 
 // EncodeJob returns the records of a job: its pieces, if it needs any, and last the job record. No
 // value is larger than valueLimit bytes. submittedAtMS is the wall-clock time of the submission in
-// milliseconds. The records must be committed in this order: if the leader fails in between, there
-// are only pieces without a job record, which a successor deletes.
+// milliseconds; term is the leader's term, which is part of the keys of the pieces.
+//
+// The records must be committed in this order: if the leader fails in between, there are only pieces
+// without a job record, which a successor deletes.
 func EncodeJob(job *wire.Job, submittedAtMS int64, term uint64, valueLimit int) []Item {
 	rec := jobRecord{Job: *job, At: submittedAtMS}
 	value := encode(rec)
--- a/internal/records/queues.go
+++ b/internal/records/queues.go
@@ -83,7 +83,8 @@
 	return b
 }
 
-// moveStartsTo moves start records into the batch until one does not fit.
+// moveStartsTo moves start records into the batch until one does not fit. It drops those that need
+// not be written.
 func (q *WriteQueues) moveStartsTo(b *Batch) {
 	for len(q.starts) > 0 {
 		size := q.starts[0].MaxSize()
--- a/internal/records/starts.go
+++ b/internal/records/starts.go
@@ -83,15 +83,15 @@
 
 // BytesWith returns the upper bound in bytes after one more attempt of a job on a machine.
 func (s *StartsSize) BytesWith(machine MachineStarts, jobID string) int {
-	sum := s.bytes + taskIndexBytes
+	bound := s.bytes + taskIndexBytes
 	jobs := s.machines[machine.ID]
 	if jobs == nil {
-		sum += len(machine.ID) + len(machine.Type) + len(machine.Zone) + machineOverheadBytes
+		bound += len(machine.ID) + len(machine.Type) + len(machine.Zone) + machineOverheadBytes
 	}
 	if !jobs[jobID] {
-		sum += len(jobID) + jobOverheadBytes
+		bound += len(jobID) + jobOverheadBytes
 	}
-	return sum
+	return bound
 }
 
 // Add counts one more attempt of a job on a machine.
