--- a/internal/jobs/dependencies.go
+++ b/internal/jobs/dependencies.go
@@ -157,8 +157,8 @@
 	return j
 }
 
-// QueueCriticalPathUpdates queues the dependencies of j for an update of their critical paths, which
-// depend on whether j exists or was cancelled and on the critical path of j.
+// QueueCriticalPathUpdates queues the dependencies of j for an update of their critical paths. Callers
+// call it after j was added or cancelled, and after the critical path of j has changed.
 func (g *DependencyGraph) QueueCriticalPathUpdates(j *Job) {
 	for _, id := range j.DependsOn {
 		d := g.registry.Get(id)
--- a/internal/jobs/failures.go
+++ b/internal/jobs/failures.go
@@ -6,7 +6,8 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// failureHistory tracks the failures of a job's tasks since a task of the job was last done.
+// failureHistory tracks the failures of a job's tasks since one was last done, and until when the
+// placement of further tasks is delayed.
 type failureHistory struct {
 	failures     int             // number of failures
 	failedOn     map[string]bool // IDs of the machines on which tasks have failed
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -26,7 +26,7 @@
 	KindMachineStarts Kind = "m"
 	KindStarts        Kind = "s" // the starts of a scheduling pass
 	// Earlier versions ignore records of the following two kinds.
-	KindDrain  Kind = "e" // a drain and its progress
+	KindDrain  Kind = "e" // a drain with its state
 	KindCharge Kind = "b" // evictions charged to a drain
 )
 
