--- a/internal/jobs/completions.go
+++ b/internal/jobs/completions.go
@@ -6,31 +6,33 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// UnsavedCompletions maps each job with completions to be written to the time of the first.
-type UnsavedCompletions map[*Job]time.Time
+// PendingCompletions holds the jobs with completions that are not in the write queue yet. Each
+// job is mapped to the time of the first of these completions.
+type PendingCompletions map[*Job]time.Time
 
-// Add adds a job with completions to be written. A job that is present keeps its time.
-func (u UnsavedCompletions) Add(now time.Time, j *Job) {
-	if _, known := u[j]; !known {
-		u[j] = now
+// Add adds a job that has a new completion at now. A job that is already present keeps its
+// earlier time.
+func (p PendingCompletions) Add(now time.Time, j *Job) {
+	if _, known := p[j]; !known {
+		p[j] = now
 	}
 }
 
-// Remove removes a job whose completions no longer need to be written.
-func (u UnsavedCompletions) Remove(j *Job) { delete(u, j) }
+// Remove removes a job whose completions need not be written any more.
+func (p PendingCompletions) Remove(j *Job) { delete(p, j) }
 
-// PopDue removes and returns the jobs whose completions have waited for CompletionFlushDelay,
-// sorted by ID.
-func (u UnsavedCompletions) PopDue(now time.Time) []*Job {
+// PopDue removes and returns the jobs whose first completion is at least
+// tuning.CompletionFlushDelay old, sorted by ID.
+func (p PendingCompletions) PopDue(now time.Time) []*Job {
 	var due []*Job
-	for j, since := range u {
+	for j, since := range p {
 		if now.Sub(since) >= tuning.CompletionFlushDelay {
 			due = append(due, j)
 		}
 	}
 	SortByID(due)
 	for _, j := range due {
-		delete(u, j)
+		delete(p, j)
 	}
 	return due
 }
--- a/internal/preemption/preemption_test.go
+++ b/internal/preemption/preemption_test.go
@@ -48,7 +48,7 @@
 	a := machines.NewPendingAttempt(c.machine, j, 0, since, 1, afterLongWait)
 	a.ApplyReport(since, machines.Running)
 	c.machine.AddAttempt(a)
-	j.AddRunning()
+	j.AddRunningAttempt()
 	c.running = append(c.running, j)
 	return a
 }
@@ -56,7 +56,7 @@
 // preempt runs the preemptor for a job with one waiting task, and returns the number of stops.
 func (c *cluster) preempt(now time.Time, j *jobs.Job) int {
 	j.RebuildReadyTasks()
-	r := j.Constraints()
+	r := j.PlacementConstraints()
 	r.Job, r.Team, r.PriorityRank = j.ID, j.Team, j.PriorityRank()
 	p := preemption.New(preemption.Cluster{
 		Machines:       c.registry,
