--- a/internal/allocation/ledger_test.go
+++ b/internal/allocation/ledger_test.go
@@ -154,7 +154,7 @@
 	if !fits[first] || fits[second] || fits[third] {
 		t.Errorf("%v", fits)
 	}
-	first.Complete(0) // what is done needs no guarantee
+	first.MarkCompleted(0) // what is done needs no guarantee
 	if fits = l.WithinGuarantee([]*jobs.Job{first, second}); !fits[second] {
 		t.Error("not within the guarantee though work is done")
 	}
--- a/internal/drainer/batch.go
+++ b/internal/drainer/batch.go
@@ -79,7 +79,7 @@
 		s.d.examined++
 		switch {
 		case !selects(s.record.Record, s.now, s.wall, m):
-		case m.IsReleasing() || !m.IsListed():
+		case m.IsBeingReleased() || !m.IsListed():
 			outstanding++
 		default:
 			selected = append(selected, m)
@@ -122,7 +122,7 @@
 	cpus := 0.0
 	for _, m := range s.d.cluster.Machines.All() {
 		s.d.examined++
-		if s.d.cluster.AcceptsWork(s.now, m) {
+		if s.d.cluster.IsSchedulable(s.now, m) {
 			cpus += m.Capacity().CPUs
 		}
 	}
@@ -130,7 +130,7 @@
 		return cpus
 	}
 	for _, m := range batch {
-		if s.d.cluster.AcceptsWork(s.now, m) {
+		if s.d.cluster.IsSchedulable(s.now, m) {
 			cpus -= m.Capacity().CPUs
 		}
 	}
--- a/internal/drainer/drainer_test.go
+++ b/internal/drainer/drainer_test.go
@@ -70,12 +70,12 @@
 		Job:                   func(id string) *jobs.Job { return f.jobs[id] },
 		RunnableJobs:          func() iter.Seq[*jobs.Job] { return func(func(*jobs.Job) bool) {} },
 		TeamUsedCPUs:          func(string) float64 { return 0 },
-		AcceptsWork:           func(_ time.Time, m *machines.Machine) bool { return m.IsReconciled() && !m.Cordoned() },
+		IsSchedulable:         func(_ time.Time, m *machines.Machine) bool { return m.IsReconciled() && !m.Cordoned() },
 		RemainingS:            func(time.Time, *machines.Attempt) float64 { return 3600 },
 		MachinesKnown:         func() bool { return true },
-		ListsComplete:         func() bool { return true },
+		HasCurrentMachineList: func() bool { return true },
 		BlockedCause:          func(time.Time) drain.Cause { return f.blocked },
-		ScheduleCall:          func(m *machines.Machine) { f.stopped = append(f.stopped, m.ID) },
+		QueueDirectCall:       func(m *machines.Machine) { f.stopped = append(f.stopped, m.ID) },
 		RequestSchedulingPass: func() {},
 	})
 	return f
--- a/internal/drainer/evict.go
+++ b/internal/drainer/evict.go
@@ -84,7 +84,7 @@
 // save a checkpoint.
 func (d *Drainer) stopEvicted(a *machines.Attempt) {
 	a.Evict()
-	d.cluster.ScheduleCall(a.Machine)
+	d.cluster.QueueDirectCall(a.Machine)
 }
 
 // candidate returns the candidate for a running attempt. The batch waits longer for the end of a
--- a/internal/drainer/interruptions.go
+++ b/internal/drainer/interruptions.go
@@ -32,8 +32,8 @@
 	d.ledger.RecordAvailable(a.Job.ID, a.Index)
 }
 
-// RecordDone counts an interrupted task as done: it is no longer unavailable.
-func (d *Drainer) RecordDone(j *jobs.Job, index int32) {
+// RecordTaskDone counts an interrupted task as done: it is no longer unavailable.
+func (d *Drainer) RecordTaskDone(j *jobs.Job, index int32) {
 	if d.ledger != nil {
 		d.ledger.RecordAvailable(j.ID, index)
 	}
--- a/internal/jobs/completions.go
+++ b/internal/jobs/completions.go
@@ -6,22 +6,22 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// UnsavedCompletions maps each job with completions to be written to the time of the first.
-type UnsavedCompletions map[*Job]time.Time
+// PendingCompletions maps each job with completions to be written to the time of the first.
+type PendingCompletions map[*Job]time.Time
 
 // Add adds a job with completions to be written. A job that is present keeps its time.
-func (u UnsavedCompletions) Add(now time.Time, j *Job) {
+func (u PendingCompletions) Add(now time.Time, j *Job) {
 	if _, known := u[j]; !known {
 		u[j] = now
 	}
 }
 
 // Remove removes a job whose completions no longer need to be written.
-func (u UnsavedCompletions) Remove(j *Job) { delete(u, j) }
+func (u PendingCompletions) Remove(j *Job) { delete(u, j) }
 
 // PopDue removes and returns the jobs whose completions have waited for CompletionFlushDelay,
 // sorted by ID.
-func (u UnsavedCompletions) PopDue(now time.Time) []*Job {
+func (u PendingCompletions) PopDue(now time.Time) []*Job {
 	var due []*Job
 	for j, since := range u {
 		if now.Sub(since) >= tuning.CompletionFlushDelay {
--- a/internal/jobs/dependencies.go
+++ b/internal/jobs/dependencies.go
@@ -120,9 +120,9 @@
 // HasCancellations reports whether jobs are queued to be cancelled.
 func (g *DependencyGraph) HasCancellations() bool { return len(g.toCancel) > 0 }
 
-// NextUnblocked removes and returns the next job that had a dependency done, or nil. The job
+// NextWithDependencyDone removes and returns the next job that had a dependency done, or nil. The job
 // may have other unfinished dependencies.
-func (g *DependencyGraph) NextUnblocked() *Job {
+func (g *DependencyGraph) NextWithDependencyDone() *Job {
 	j := popFirst(&g.unblocked)
 	if j != nil {
 		j.unfinishedDependencies--
@@ -130,9 +130,9 @@
 	return j
 }
 
-// NextOutdatedPath removes and returns the next job whose critical path has to be updated, or
+// NextPathUpdate removes and returns the next job whose critical path has to be updated, or
 // nil.
-func (g *DependencyGraph) NextOutdatedPath() *Job {
+func (g *DependencyGraph) NextPathUpdate() *Job {
 	j := popFirst(&g.outdatedPaths)
 	if j != nil {
 		j.pathQueued = false
--- a/internal/jobs/registry_test.go
+++ b/internal/jobs/registry_test.go
@@ -56,7 +56,7 @@
 }
 
 func TestCompletionsAreFlushedAfterDelay(t *testing.T) {
-	u := jobs.UnsavedCompletions{}
+	u := jobs.PendingCompletions{}
 	b, a, c := newActiveJob("b", 2), newActiveJob("a", 2), newActiveJob("c", 2)
 	for _, j := range []*jobs.Job{b, a, c} {
 		u.Add(start, j)
--- a/internal/jobs/tasks.go
+++ b/internal/jobs/tasks.go
@@ -44,17 +44,17 @@
 // RemainingTasks returns the number of tasks that have not completed.
 func (j *Job) RemainingTasks() int { return j.Tasks - j.completed.Len() }
 
-// Complete marks a task as completed and reports whether it was not before.
-func (t *taskSet) Complete(index int32) bool { return t.completed.Add(int(index)) }
+// MarkCompleted marks a task as completed and reports whether it was not before.
+func (t *taskSet) MarkCompleted(index int32) bool { return t.completed.Add(int(index)) }
 
-// MarkCompletionUnsaved marks the completion of a task as still to be written.
-func (t *taskSet) MarkCompletionUnsaved(index int32, valueLimit int) {
+// MarkCompletionPending marks the completion of a task as still to be written.
+func (t *taskSet) MarkCompletionPending(index int32, valueLimit int) {
 	t.unsavedChunks[int(index)/records.CompletionChunkSize(valueLimit)] = true
 }
 
-// PopUnsavedCompletions returns the records of the completions to be written and clears their
+// PopPendingCompletions returns the records of the completions to be written and clears their
 // marks.
-func (j *Job) PopUnsavedCompletions(valueLimit int) []records.Completions {
+func (j *Job) PopPendingCompletions(valueLimit int) []records.Completions {
 	list := make([]records.Completions, 0, len(j.unsavedChunks))
 	for _, chunk := range slices.Sorted(maps.Keys(j.unsavedChunks)) {
 		r := records.NewCompletions(j.ID, j.completed, chunk, valueLimit)
@@ -71,8 +71,8 @@
 	j.markStored(index)
 }
 
-// MarkStored records that completions are durable, so that their attempts may be discarded.
-func (j *Job) MarkStored(c records.Completions) {
+// MarkCompletionsDurable records that completions are durable, so that their attempts may be discarded.
+func (j *Job) MarkCompletionsDurable(c records.Completions) {
 	// The ranges were formatted by the job itself and can't be malformed.
 	_ = intervals.ParseEach(c.Tasks, j.Tasks, j.markStored)
 }
@@ -84,8 +84,8 @@
 	j.storedCompletions.Add(index)
 }
 
-// IsCompletionStored reports whether the completion of a task is stored.
-func (j *Job) IsCompletionStored(index int32) bool {
+// IsCompletionDurable reports whether the completion of a task is stored.
+func (j *Job) IsCompletionDurable(index int32) bool {
 	return j.endDurable || j.storedCompletions != nil && j.storedCompletions.Has(int(index))
 }
 
--- a/internal/jobs/tasks_test.go
+++ b/internal/jobs/tasks_test.go
@@ -21,7 +21,7 @@
 
 func TestTaskIsReadyAgainOnceNoMachineMayHaveIt(t *testing.T) {
 	j := newActiveJob("job-1", 3)
-	j.Complete(1)
+	j.MarkCompleted(1)
 	j.RebuildReadyTasks()
 	if got := placeAll(j, start); len(got) != 2 || got[0] != 0 || got[1] != 2 {
 		t.Fatalf("placed %v", got)
@@ -50,7 +50,7 @@
 	j := newActiveJob("job-1", 1)
 	j.RebuildReadyTasks()
 	j.Allocate(j.PopReadyTask(start), "a")
-	if !j.Complete(0) || j.Complete(0) || !j.AllCompleted() || j.NeedsTask(0) || j.RemainingTasks() != 0 {
+	if !j.MarkCompleted(0) || j.MarkCompleted(0) || !j.AllCompleted() || j.NeedsTask(0) || j.RemainingTasks() != 0 {
 		t.Error("the completion is not counted once")
 	}
 	if !j.Release(0, "a") || j.ReadyTasks() != 0 {
@@ -61,21 +61,21 @@
 func TestCompletionsAreStoredByChunk(t *testing.T) {
 	j := newActiveJob("job-1", 3)
 	for _, index := range []int32{0, 2} {
-		j.Complete(index)
-		j.MarkCompletionUnsaved(index, valueLimit)
+		j.MarkCompleted(index)
+		j.MarkCompletionPending(index, valueLimit)
 	}
-	list := j.PopUnsavedCompletions(valueLimit)
+	list := j.PopPendingCompletions(valueLimit)
 	if len(list) != 1 || len(j.RecordKeys()) != 1 || j.RecordKeys()[0] != list[0].Key {
 		t.Fatalf("records %+v, keys %v", list, j.RecordKeys())
 	}
-	if j.IsCompletionStored(0) {
+	if j.IsCompletionDurable(0) {
 		t.Error("stored before the record is durable")
 	}
-	j.MarkStored(list[0])
-	if !j.IsCompletionStored(0) || j.IsCompletionStored(1) || !j.IsCompletionStored(2) {
+	j.MarkCompletionsDurable(list[0])
+	if !j.IsCompletionDurable(0) || j.IsCompletionDurable(1) || !j.IsCompletionDurable(2) {
 		t.Error("other completions are stored than those of the record")
 	}
-	if rest := j.PopUnsavedCompletions(valueLimit); len(rest) != 0 {
+	if rest := j.PopPendingCompletions(valueLimit); len(rest) != 0 {
 		t.Errorf("written twice: %+v", rest)
 	}
 }
@@ -131,7 +131,7 @@
 	if !j.FailsEverywhere() {
 		t.Error("not reported after failures on enough machines")
 	}
-	j.Complete(0)
+	j.MarkCompleted(0)
 	if j.FailsEverywhere() {
 		t.Error("reported although a task is done")
 	}
--- a/internal/leader/admission_test.go
+++ b/internal/leader/admission_test.go
@@ -30,7 +30,7 @@
 	l.UpdateAdmission(l.now, l.now, 0, nil)
 	for round := range 5 {
 		for i := range 120 {
-			l.Submit(l.now, l.now, newJob(fmt.Sprintf("job-7%d%03d", round, i)), func(leader.Response) {})
+			l.Submit(l.now, l.now, newJob(fmt.Sprintf("job-7%d%03d", round, i)), func(leader.JobResponse) {})
 		}
 		l.now = l.now.Add(time.Second)
 		l.UpdateAdmission(l.now, l.now, 0, nil)
@@ -42,8 +42,8 @@
 }
 
 // submitWithClaim submits a job and returns the response, which has status 0 if there is none yet.
-func (l *testLeader) submitWithClaim(j *wire.Job, claim *admission.Claim) (got leader.Response) {
-	l.SubmitWithClaim(l.now, l.now, j, claim, func(v leader.Response) { got = v })
+func (l *testLeader) submitWithClaim(j *wire.Job, claim *admission.Claim) (got leader.JobResponse) {
+	l.SubmitWithClaim(l.now, l.now, j, claim, func(v leader.JobResponse) { got = v })
 	return got
 }
 
@@ -74,7 +74,7 @@
 		t.Errorf("query: %+v", v)
 	}
 	cancelled := false
-	l.Cancel(l.now, "job-1", func(v leader.Response) { cancelled = v.Status == 200 })
+	l.Cancel(l.now, "job-1", func(v leader.JobResponse) { cancelled = v.Status == 200 })
 	l.commit()
 	if !cancelled {
 		t.Error("cancellation not carried out")
@@ -87,13 +87,13 @@
 	off := newLeader(t, 5, start, map[string]json.RawMessage{})
 	off.submit("job-1")
 	for i := range 120 {
-		off.Submit(off.now, off.now, newJob(fmt.Sprint("job-7", i)), func(leader.Response) {})
+		off.Submit(off.now, off.now, newJob(fmt.Sprint("job-7", i)), func(leader.JobResponse) {})
 	}
 	for name, l := range map[string]*testLeader{"on": sheddingLeader(t), "off": off} {
 		l.sendHeartbeat("m1", 1)
 		l.tickAfter(time.Second)
 		starts, acceptances := 0, 0
-		for _, w := range l.NextBatch(8, 0).Mutations {
+		for _, w := range l.NextWriteBatch(8, 0).Mutations {
 			if strings.HasPrefix(w.Put, "s/") {
 				starts++
 			}
@@ -119,7 +119,7 @@
 	} {
 		j := newJob(fmt.Sprint("job-3", i))
 		change(j)
-		reason := leader.LimitViolation(params.Teams, j)
+		reason := leader.QuotaViolation(params.Teams, j)
 		if v := l.submitWithClaim(j, nil); (reason != "") != (v.Status == 422) || reason != v.Reason {
 			t.Errorf("%d: got %q, the leader responds %+v", i, reason, v)
 		}
--- a/internal/leader/benchmark_test.go
+++ b/internal/leader/benchmark_test.go
@@ -89,14 +89,14 @@
 	c.jobs++
 	job := newJob(fmt.Sprintf("job-%d", c.jobs))
 	job.Class, job.Tasks, job.EstimateS = class, tasks, benchmarkEstimateS
-	c.Submit(c.now, c.now, job, func(leader.Response) {})
+	c.Submit(c.now, c.now, job, func(leader.JobResponse) {})
 	c.commit()
 }
 
 // commit makes all queued changes durable.
 func (c *benchmarkCluster) commit() {
-	for batch := c.NextBatch(48, 48); batch != nil; batch = c.NextBatch(48, 48) {
-		c.BatchCommitted(batch, nil)
+	for batch := c.NextWriteBatch(48, 48); batch != nil; batch = c.NextWriteBatch(48, 48) {
+		c.MarkBatchCommitted(batch, nil)
 	}
 }
 
@@ -108,12 +108,12 @@
 		c.Tick(c.now, true)
 		c.commit()
 		c.sendAllHeartbeats()
-		if c.Counts().ReadyTasks == 0 {
+		if c.Summary().ReadyTasks == 0 {
 			c.sendAllHeartbeats()
 			return
 		}
 	}
-	c.b.Fatalf("%d tasks were not placed", c.Counts().ReadyTasks)
+	c.b.Fatalf("%d tasks were not placed", c.Summary().ReadyTasks)
 }
 
 // completeNewest completes the tasks of the newest job.
@@ -142,7 +142,7 @@
 			b.StartTimer()
 			c.Tick(c.now, true)
 			b.StopTimer()
-			if ready := c.Counts().ReadyTasks; ready != 0 {
+			if ready := c.Summary().ReadyTasks; ready != 0 {
 				b.Fatalf("%d tasks were not placed", ready)
 			}
 			c.commit()
--- a/internal/leader/cancellation_test.go
+++ b/internal/leader/cancellation_test.go
@@ -15,8 +15,8 @@
 // durable, that the next response to a heartbeat stops the task, and that a successor stops it too.
 func TestCancellationIsDurableAndStopsTask(t *testing.T) {
 	l, task := leaderWithRunningTask(t)
-	var got leader.Response
-	l.Cancel(l.now, "job-1", func(v leader.Response) { got = v })
+	var got leader.JobResponse
+	l.Cancel(l.now, "job-1", func(v leader.JobResponse) { got = v })
 	if got.Status != 0 {
 		t.Fatal("response before the cancellation is durable")
 	}
@@ -65,8 +65,8 @@
 // cancelled job is released well before the deadline for cancellations.
 func TestLateStartOfEndedJobIsFenced(t *testing.T) {
 	l, call, _ := leaderWithCallInFlight(t)
-	l.DirectCallDone(l.now, call, leader.DirectUnknown, nil)
-	l.Cancel(l.now, "job-1", func(leader.Response) {})
+	l.FinishDirectCall(l.now, call, leader.DirectCallUncertain, nil)
+	l.Cancel(l.now, "job-1", func(leader.JobResponse) {})
 	l.commit()
 	l.ApplyMachineList(l.now, l.now, []wire.ListedMachine{{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
 	for range 30 {
@@ -81,7 +81,7 @@
 				if len(c.Release) != 1 || c.Release[0] != "m1" {
 					t.Fatal(c.Release)
 				}
-				l.ReleaseDone(l.now, c.Release)
+				l.FinishRelease(l.now, c.Release)
 				l.commit()
 				if l.store["j/job-1"] != nil {
 					t.Fatal("machine released, but the job is still stored")
@@ -99,8 +99,8 @@
 // begins a new session, in which the start is void.
 func TestLateStartOfEndedJobExpiresSession(t *testing.T) {
 	l, call, _ := leaderWithCallInFlight(t)
-	l.DirectCallDone(l.now, call, leader.DirectUnknown, nil)
-	l.Cancel(l.now, "job-1", func(leader.Response) {})
+	l.FinishDirectCall(l.now, call, leader.DirectCallUncertain, nil)
+	l.Cancel(l.now, "job-1", func(leader.JobResponse) {})
 	l.commit()
 	cancelledAt, lastResponse := l.now, l.now
 	sendHeartbeat := func(session uint64) leader.HeartbeatOutcome {
@@ -129,7 +129,7 @@
 // that has not seen this term and to a heartbeat that a reply to a direct call has overtaken.
 func TestEveryResponseCarriesStops(t *testing.T) {
 	l, task := leaderWithRunningTask(t)
-	l.Cancel(l.now, "job-1", func(leader.Response) {})
+	l.Cancel(l.now, "job-1", func(leader.JobResponse) {})
 	l.commit()
 	next := newLeader(t, 6, l.now.Add(time.Second), l.store)
 	list := []wire.TaskStatus{task, {Task: "job-9/0", Attempt: 1, State: wire.TaskFetching}, {Task: "job-9/1", Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitError}}
@@ -139,8 +139,8 @@
 	}
 	l, call, _ := leaderWithCallInFlight(t)
 	l.seq++
-	l.DirectCallDone(l.now, call, leader.DirectReplied, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.seq + 1, FencingToken: 5, Tasks: []wire.TaskStatus{task}})
-	l.Cancel(l.now, "job-1", func(leader.Response) {})
+	l.FinishDirectCall(l.now, call, leader.DirectCallReplied, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.seq + 1, FencingToken: 5, Tasks: []wire.TaskStatus{task}})
+	l.Cancel(l.now, "job-1", func(leader.JobResponse) {})
 	if cs := l.sendHeartbeat("m1", 1, task); formatCommands(cs) != "kill job-1/0" {
 		t.Fatalf("overtaken by the reply to a direct call: %q", formatCommands(cs))
 	}
--- a/internal/leader/completion.go
+++ b/internal/leader/completion.go
@@ -43,11 +43,11 @@
 
 // recordCompletion records that a task is done. The completion is written after a delay.
 func (l *Leader) recordCompletion(now time.Time, j *jobs.Job, index int32) {
-	if !j.Complete(index) {
+	if !j.MarkCompleted(index) {
 		return
 	}
 	l.passRequested = true
-	l.drainer.RecordDone(j, index)
+	l.drainer.RecordTaskDone(j, index)
 	if !j.IsActive() {
 		return
 	}
@@ -56,7 +56,7 @@
 		l.endJob(now, j, jobs.Done, &l.writes.Interactive)
 		return
 	}
-	j.MarkCompletionUnsaved(index, l.valueLimit())
+	j.MarkCompletionPending(index, l.valueLimit())
 	l.unsavedCompletions.Add(now, j)
 }
 
@@ -77,8 +77,8 @@
 // flushCompletions queues the writes of completions whose delay has passed.
 func (l *Leader) flushCompletions(now time.Time) {
 	for _, j := range l.unsavedCompletions.PopDue(now) {
-		for _, completions := range j.PopUnsavedCompletions(l.valueLimit()) {
-			l.writes.Background.Put(completions.Key, completions.Encode(), func() { j.MarkStored(completions) })
+		for _, completions := range j.PopPendingCompletions(l.valueLimit()) {
+			l.writes.Background.Put(completions.Key, completions.Encode(), func() { j.MarkCompletionsDurable(completions) })
 		}
 	}
 }
--- a/internal/leader/counts.go
+++ b/internal/leader/counts.go
@@ -4,32 +4,32 @@
 	"switchshore.example/switchshore/internal/jobs"
 )
 
-// Counts summarizes the state for logs.
-type Counts struct {
+// Summary summarizes the state for logs.
+type Summary struct {
 	Jobs, ReadyTasks, AllocatedTasks, Machines, UpMachines, SpotMachines, PendingWrites int
-	// DependencySteps is the number of dependency updates still to be made for jobs that have
+	// QueuedDependencyUpdates is the number of dependency updates still to be made for jobs that have
 	// ended.
-	DependencySteps int
+	QueuedDependencyUpdates int
 	// ScoredPairs is the number of pairs of job and machine scored so far.
 	ScoredPairs int
-	// DrainSteps is the number of machines and attempts that drains have examined so far.
-	DrainSteps int
+	// DrainExaminations is the number of machines and attempts that drains have examined so far.
+	DrainExaminations int
 	// CPUs and UsedCPUs are the total and the allocated CPUs of machines that are up, WantedCPUs
 	// the CPUs requested by ready tasks.
 	CPUs, UsedCPUs, WantedCPUs float64
 }
 
-// Counts returns a summary of the current state.
-func (l *Leader) Counts() Counts {
-	n := Counts{Jobs: l.jobs.Len(), Machines: l.machines.Len(), PendingWrites: l.writes.Len(), ScoredPairs: l.scoredPairs, DrainSteps: l.drainer.ExaminedCount()}
-	n.DependencySteps = l.graph.QueuedSteps()
+// Summary returns a summary of the current state.
+func (l *Leader) Summary() Summary {
+	n := Summary{Jobs: l.jobs.Len(), Machines: l.machines.Len(), PendingWrites: l.writes.Len(), ScoredPairs: l.scoredPairs, DrainExaminations: l.drainer.ExaminedCount()}
+	n.QueuedDependencyUpdates = l.graph.QueuedSteps()
 	l.jobs.Each(func(j *jobs.Job) {
 		n.ReadyTasks += j.ReadyTasks()
 		n.WantedCPUs += float64(j.ReadyTasks()) * j.CPUs
 		n.AllocatedTasks += j.AllocatedTasks()
 	})
 	for _, m := range l.machines.All() {
-		if m.HasJoined() && !m.IsReleasing() {
+		if m.HasJoined() && !m.IsBeingReleased() {
 			n.UpMachines++
 			n.CPUs += m.Capacity().CPUs
 			n.UsedCPUs += m.Capacity().CPUs - m.Free().CPUs
--- a/internal/leader/deadline_risk.go
+++ b/internal/leader/deadline_risk.go
@@ -14,7 +14,7 @@
 // leader would have to wait longest, as its predecessor may be partitioned together with the
 // machine and still respond to it.
 func (l *Leader) hasDeadlineAtRisk(now time.Time, m *machines.Machine) bool {
-	if m.IsReleasing() || !m.IsUnreachable(now, &l.timing) {
+	if m.IsBeingReleased() || !m.IsUnreachable(now, &l.timing) {
 		return false
 	}
 	ends := m.LeaseExpiresAt(&l.timing)
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -55,7 +55,7 @@
 	case !j.IsBlocked():
 		l.jobs.MarkRunnable(j)
 		j.RebuildReadyTasks()
-		l.scaler.History.AddInflow(now, j.WaitingSince(), float64(j.Tasks)*j.CPUs*l.runTimes.Estimate(j))
+		l.scaler.History.AddArrival(now, j.WaitingSince(), float64(j.Tasks)*j.CPUs*l.runTimes.Estimate(j))
 		l.passRequested = true
 	}
 }
@@ -71,7 +71,7 @@
 	if fetchGBPerS > 0 {
 		durationS += placement.FetchTime(j.ImageGB, fetchGBPerS)
 	}
-	return seconds.Duration(durationS) + tuning.StageDelay
+	return seconds.Duration(durationS) + tuning.ChainedJobDelay
 }
 
 // processDependencyChanges carries out at most tuning.DependencyStepsPerTick of the
@@ -86,7 +86,7 @@
 		l.cancelDependent(now, j)
 	}
 	for ; steps > 0; steps-- {
-		j := l.graph.NextUnblocked()
+		j := l.graph.NextWithDependencyDone()
 		if j == nil {
 			break
 		}
@@ -96,7 +96,7 @@
 		}
 	}
 	for ; steps > 0; steps-- {
-		j := l.graph.NextOutdatedPath()
+		j := l.graph.NextPathUpdate()
 		if j == nil {
 			break
 		}
--- a/internal/leader/dependencies_test.go
+++ b/internal/leader/dependencies_test.go
@@ -27,9 +27,9 @@
 }
 
 // submitAsync submits a job without committing it. The response is filled in when it is given.
-func (l *testLeader) submitAsync(j *wire.Job) *leader.Response {
-	v := &leader.Response{}
-	l.Submit(l.now, l.now, j, func(got leader.Response) { *v = got })
+func (l *testLeader) submitAsync(j *wire.Job) *leader.JobResponse {
+	v := &leader.JobResponse{}
+	l.Submit(l.now, l.now, j, func(got leader.JobResponse) { *v = got })
 	return v
 }
 
@@ -47,12 +47,12 @@
 // commitBatch commits a batch of at most maxOps changes, of which at most spare are changes that no
 // user waits for, and returns their number.
 func (l *testLeader) commitBatch(maxOps, spare int) int {
-	b := l.NextBatch(maxOps, spare)
+	b := l.NextWriteBatch(maxOps, spare)
 	if b == nil {
 		return 0
 	}
 	l.apply(b.Mutations)
-	l.BatchCommitted(b, nil)
+	l.MarkBatchCommitted(b, nil)
 	return len(b.Mutations)
 }
 
@@ -75,7 +75,7 @@
 func TestNoStartBeforeDependenciesAreDurable(t *testing.T) {
 	l, task := leaderWithRunningTask(t)
 	l.submitAll(dependentJob("job-2", "job-1"), newJob("job-3"))
-	if n := l.Counts(); n.ReadyTasks != 1 {
+	if n := l.Summary(); n.ReadyTasks != 1 {
 		t.Fatalf("%d tasks are ready, want that of job-3", n.ReadyTasks)
 	}
 	l.tickAfter(time.Second)
@@ -87,10 +87,10 @@
 	l.sendHeartbeat("m1", 1, task)
 	l.tickAfter(time.Second)
 	l.sendHeartbeat("m3", 1)
-	if n := l.Counts(); n.AllocatedTasks != 1 {
+	if n := l.Summary(); n.AllocatedTasks != 1 {
 		t.Fatalf("%d tasks placed before the end of job-1 is durable, want that of job-3", n.AllocatedTasks)
 	}
-	if next := newLeader(t, 6, l.now, l.store); next.queryState("job-2") != wire.JobQueued || next.Counts().ReadyTasks != 0 {
+	if next := newLeader(t, 6, l.now, l.store); next.queryState("job-2") != wire.JobQueued || next.Summary().ReadyTasks != 0 {
 		t.Fatal("a successor starts job-2 although it does not know job-1 as done")
 	}
 	l.commit()
@@ -102,7 +102,7 @@
 	// A successor restores the same state.
 	next := newLeader(t, 6, l.now, l.store)
 	next.tickAfter(time.Second)
-	if n := next.Counts(); n.AllocatedTasks != 2 {
+	if n := next.Summary(); n.AllocatedTasks != 2 {
 		t.Fatalf("%d tasks allocated by the successor", n.AllocatedTasks)
 	}
 }
@@ -112,7 +112,7 @@
 func TestSubmissionsWithDependencies(t *testing.T) {
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
 	l.submitAll(newJob("job-1"), newJob("job-2"))
-	l.Cancel(l.now, "job-2", func(leader.Response) {})
+	l.Cancel(l.now, "job-2", func(leader.JobResponse) {})
 	l.commit()
 	for _, c := range []struct {
 		job    *wire.Job
@@ -176,8 +176,8 @@
 	for range 1000 {
 		last = add(last)
 	}
-	cancelResponse := leader.Response{}
-	l.Cancel(l.now, "job-0", func(v leader.Response) { cancelResponse = v })
+	cancelResponse := leader.JobResponse{}
+	l.Cancel(l.now, "job-0", func(v leader.JobResponse) { cancelResponse = v })
 	for cancelResponse.Status == 0 {
 		l.commitBatch(7, 0)
 	}
@@ -237,15 +237,15 @@
 	l.submitAll(dependentJob("job-2", "job-1"))
 	task.State, task.ExitReason = wire.TaskExited, wire.ExitDone
 	l.sendHeartbeat("m1", 1, task)
-	var v leader.Response
-	l.Cancel(l.now, "job-1", func(got leader.Response) { v = got })
+	var v leader.JobResponse
+	l.Cancel(l.now, "job-1", func(got leader.JobResponse) { v = got })
 	l.commit()
 	if v.State != wire.JobDone {
 		t.Fatalf("%+v", v)
 	}
 	l.tickAfter(time.Second)
-	if got := l.queryState("job-2"); got != wire.JobQueued || l.Counts().AllocatedTasks != 1 {
-		t.Fatalf("job-2 is reported as %s, %d tasks allocated", got, l.Counts().AllocatedTasks)
+	if got := l.queryState("job-2"); got != wire.JobQueued || l.Summary().AllocatedTasks != 1 {
+		t.Fatalf("job-2 is reported as %s, %d tasks allocated", got, l.Summary().AllocatedTasks)
 	}
 }
 
@@ -294,8 +294,8 @@
 			l.submitAll(last)
 			l.Tick(l.now, false)
 			if cancelled {
-				l.Cancel(l.now, "job-4", func(leader.Response) {})
-				l.Cancel(l.now, "job-3", func(leader.Response) {})
+				l.Cancel(l.now, "job-4", func(leader.JobResponse) {})
+				l.Cancel(l.now, "job-3", func(leader.JobResponse) {})
 				l.commit()
 			}
 			if succession {
@@ -364,7 +364,7 @@
 		l.now = l.now.Add(time.Second)
 		l.submitAll(other)
 		if !blocked {
-			l.Cancel(l.now, first.ID, func(leader.Response) {})
+			l.Cancel(l.now, first.ID, func(leader.JobResponse) {})
 			l.commit()
 		}
 		l.sendHeartbeat("m1", 1)
--- a/internal/leader/direct_calls.go
+++ b/internal/leader/direct_calls.go
@@ -19,18 +19,18 @@
 	sequence        uint64              // newest message of the session when the call was made
 }
 
-// DirectOutcome is the outcome of a direct call.
-type DirectOutcome int
+// DirectCallOutcome is the outcome of a direct call.
+type DirectCallOutcome int
 
 // Outcomes of direct calls.
 const (
-	// DirectReplied: the agent has executed or refused the commands, as the heartbeat in its
+	// DirectCallReplied: the agent has executed or refused the commands, as the heartbeat in its
 	// reply shows.
-	DirectReplied DirectOutcome = iota
-	// DirectNotDelivered: the call did not reach the agent and never will.
-	DirectNotDelivered
-	// DirectUnknown: the agent may execute the commands, now or minutes later.
-	DirectUnknown
+	DirectCallReplied DirectCallOutcome = iota
+	// DirectCallNotDelivered: the call did not reach the agent and never will.
+	DirectCallNotDelivered
+	// DirectCallUncertain: the agent may execute the commands, now or minutes later.
+	DirectCallUncertain
 )
 
 // directCalls holds the machines to be called and the number of calls in flight.
@@ -75,7 +75,7 @@
 	}
 	acceptsWork := m.IsSchedulable(now, &l.timing)
 	for _, a := range m.Attempts() {
-		if a.ClaimDirectStop() {
+		if a.MarkDirectStopIfNeeded() {
 			call.Request.Commands = append(call.Request.Commands, a.StopCommand())
 			continue
 		}
@@ -97,20 +97,20 @@
 }
 
 // maxDirectCalls limits the direct calls in flight to the sockets available for them.
-func (l *Leader) maxDirectCalls() int { return DirectCallSockets(l.params.Limits) }
+func (l *Leader) maxDirectCalls() int { return MaxDirectCalls(l.params.Limits) }
 
-// DirectCallSockets returns the number of sockets available for direct calls.
-func DirectCallSockets(l config.ProcessLimits) int {
+// MaxDirectCalls returns the number of sockets available for direct calls.
+func MaxDirectCalls(l config.ProcessLimits) int {
 	if l.MaxConnections <= 0 {
 		return tuning.DirectMaxCalls
 	}
 	return max(1, int(float64(l.MaxConnections)*tuning.DirectShare))
 }
 
-// DirectCallDone applies the outcome of a direct call, with the heartbeat in the agent's reply
+// FinishDirectCall applies the outcome of a direct call, with the heartbeat in the agent's reply
 // if there is one. It does not renew the agent's lease.
-func (l *Leader) DirectCallDone(now time.Time, call *DirectCall, outcome DirectOutcome, r *wire.Heartbeat) {
-	if outcome != DirectUnknown {
+func (l *Leader) FinishDirectCall(now time.Time, call *DirectCall, outcome DirectCallOutcome, r *wire.Heartbeat) {
+	if outcome != DirectCallUncertain {
 		for _, a := range call.startedAttempts {
 			a.ClearSentDirectly()
 		}
@@ -122,7 +122,7 @@
 	}
 	m.EndCall()
 	l.directCalls.schedule(m)
-	if outcome != DirectReplied {
+	if outcome != DirectCallReplied {
 		m.PauseCalls(now.Add(tuning.DirectBackoff))
 		return
 	}
--- a/internal/leader/drain_test.go
+++ b/internal/leader/drain_test.go
@@ -210,13 +210,13 @@
 	if r := l.sendDrainRequest(drain.Request{Action: drain.Show, Name: "all"}); len(r.Drains) != 1 || r.Drains[0].Batch == nil || r.Drains[0].MachinesLeft != 4000 {
 		t.Fatalf("no batch formed: %+v", r)
 	}
-	before := l.Counts().DrainSteps
+	before := l.Summary().DrainExaminations
 	const steps = 20
 	for range steps {
 		l.now = l.now.Add(time.Second)
 		l.AdvanceDrains(l.now, l.now)
 	}
-	if examined := l.Counts().DrainSteps - before; examined > steps*5*2 {
+	if examined := l.Summary().DrainExaminations - before; examined > steps*5*2 {
 		t.Errorf("%d machines and attempts examined in %d steps", examined, steps)
 	}
 }
@@ -280,7 +280,7 @@
 		for _, call := range l.PlanScaling(l.now) {
 			if call.Op == scaling.CloudProvision {
 				provisionCalls++
-				l.ProvisionDone(l.now, call.Provision, nil)
+				l.FinishProvision(l.now, call.Provision, nil)
 			}
 		}
 		l.commit()
@@ -333,7 +333,7 @@
 		for _, call := range l.PlanScaling(l.now) {
 			if call.Op == scaling.CloudProvision {
 				provisionCalls = append(provisionCalls, call.Provision)
-				l.ProvisionDone(l.now, call.Provision, []string{"m2"})
+				l.FinishProvision(l.now, call.Provision, []string{"m2"})
 			}
 		}
 		l.commit()
--- a/internal/leader/drains.go
+++ b/internal/leader/drains.go
@@ -27,12 +27,12 @@
 		Job:                   l.jobs.Get,
 		RunnableJobs:          l.jobs.Runnable,
 		TeamUsedCPUs:          l.ledger.UsedCPUs,
-		AcceptsWork:           l.isSchedulable,
+		IsSchedulable:         l.isSchedulable,
 		RemainingS:            l.remainingS,
 		MachinesKnown:         l.machinesKnown,
-		ListsComplete:         func() bool { return l.machineLists.current },
+		HasCurrentMachineList: func() bool { return l.machineLists.current },
 		BlockedCause:          l.drainsBlocked,
-		ScheduleCall:          l.directCalls.schedule,
+		QueueDirectCall:       l.directCalls.schedule,
 		RequestSchedulingPass: func() { l.passRequested = true },
 	})
 }
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -61,7 +61,7 @@
 
 func (f *fleet) submitJob(j *wire.Job) {
 	f.submitted[j.ID] = f.now
-	f.Submit(f.now, f.now, j, func(v leader.Response) {
+	f.Submit(f.now, f.now, j, func(v leader.JobResponse) {
 		if v.Status == 201 {
 			f.accepted++
 		}
@@ -140,7 +140,7 @@
 	}
 	before := f.scoredPairs
 	f.Tick(f.now, true)
-	f.scoredPairs = f.Counts().ScoredPairs
+	f.scoredPairs = f.Summary().ScoredPairs
 	f.maxPassScores = max(f.maxPassScores, f.scoredPairs-before)
 	f.commitWithinBudget()
 	f.scale()
@@ -173,13 +173,13 @@
 	for _, call := range f.PlanScaling(f.now) {
 		f.cloudCalls++
 		if call.Op == scaling.CloudProvision {
-			f.ProvisionDone(f.now, call.Provision, nil)
+			f.FinishProvision(f.now, call.Provision, nil)
 			continue
 		}
 		for _, id := range call.Release {
 			f.byName[id].failed, f.byName[id].released = true, true
 		}
-		f.ReleaseDone(f.now, call.Release)
+		f.FinishRelease(f.now, call.Release)
 	}
 }
 
@@ -188,11 +188,11 @@
 	for _, call := range f.NextDirectCalls(f.now) {
 		a := f.byName[call.Machine]
 		if a.failed {
-			f.DirectCallDone(f.now, call, leader.DirectUnknown, nil)
+			f.FinishDirectCall(f.now, call, leader.DirectCallUncertain, nil)
 			continue
 		}
 		f.execute(a, call.Request.Commands)
-		f.DirectCallDone(f.now, call, leader.DirectReplied, f.newHeartbeat(a))
+		f.FinishDirectCall(f.now, call, leader.DirectCallReplied, f.newHeartbeat(a))
 	}
 }
 
@@ -203,7 +203,7 @@
 	perSecond := s.WriteRPS * tuning.StoreWriteShare
 	f.tokens = min(f.tokens+perSecond/10, perSecond/2)
 	for f.tokens >= 1 {
-		b := f.NextBatch(min(s.TxnOps, int(f.tokens)), max(0, int(f.tokens-perSecond/4)))
+		b := f.NextWriteBatch(min(s.TxnOps, int(f.tokens)), max(0, int(f.tokens-perSecond/4)))
 		if b == nil {
 			return
 		}
@@ -224,7 +224,7 @@
 		if f.bytes += total; total > 64<<10 {
 			f.t.Fatalf("transaction of %d bytes", total)
 		}
-		f.BatchCommitted(b, nil)
+		f.MarkBatchCommitted(b, nil)
 	}
 }
 
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -20,8 +20,8 @@
 	// response would renew the lease of an agent whose tasks are presumed to have ended, or of a
 	// new agent that has replaced the known one.
 	HeartbeatStale
-	// HeartbeatSuperseded: the agent has seen a later term.
-	HeartbeatSuperseded
+	// HeartbeatFromLaterTerm: the agent has seen a later term.
+	HeartbeatFromLaterTerm
 )
 
 // HandleHeartbeat applies an agent's heartbeat and returns the response. With authority false
@@ -29,7 +29,7 @@
 func (l *Leader) HandleHeartbeat(now time.Time, r *wire.Heartbeat, authority bool) (wire.HeartbeatResponse, HeartbeatOutcome) {
 	response := wire.HeartbeatResponse{FencingToken: l.term, Commands: []wire.Command{}}
 	if r.FencingToken > l.term {
-		return response, HeartbeatSuperseded
+		return response, HeartbeatFromLaterTerm
 	}
 	if l.machines.WasReleased(r.Machine) {
 		return response, HeartbeatStale
--- a/internal/leader/heartbeat_commands.go
+++ b/internal/leader/heartbeat_commands.go
@@ -21,7 +21,7 @@
 			list = append(list, wire.Command{Op: wire.OpForget, Task: e.Task, Attempt: e.Attempt})
 		}
 	}
-	if authority && !m.IsReleasing() {
+	if authority && !m.IsBeingReleased() {
 		list = appendStarts(list, m, r.Sequence)
 	}
 	return list
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -79,9 +79,9 @@
 
 // commit commits all queued changes.
 func (l *testLeader) commit() {
-	for b := l.NextBatch(10, 10); b != nil; b = l.NextBatch(10, 10) {
+	for b := l.NextWriteBatch(10, 10); b != nil; b = l.NextWriteBatch(10, 10) {
 		l.apply(b.Mutations)
-		l.BatchCommitted(b, nil)
+		l.MarkBatchCommitted(b, nil)
 	}
 }
 
@@ -96,7 +96,7 @@
 	response, outcome := l.HandleHeartbeat(l.now, &wire.Heartbeat{
 		Machine: machine, Addr: machine + ":9", Type: "std-8", Zone: "a", AgentEpoch: session, Sequence: l.seq, FencingToken: l.Term(), Tasks: tasks,
 	}, true)
-	if outcome == leader.HeartbeatSuperseded {
+	if outcome == leader.HeartbeatFromLaterTerm {
 		l.t.Fatal("heartbeat superseded")
 	}
 	return response.Commands
@@ -126,7 +126,7 @@
 			l.t.Fatalf("placed elsewhere before the release: %s", formatCommands(cs))
 		}
 		if release := l.plannedRelease("m1"); release != nil {
-			l.ReleaseDone(l.now, release)
+			l.FinishRelease(l.now, release)
 			l.tickAfter(time.Second)
 			l.commit()
 			if cs := l.sendHeartbeat("m2", 1); formatCommands(cs) != "run job-1/0" {
@@ -140,8 +140,8 @@
 
 func (l *testLeader) submit(id string) {
 	l.t.Helper()
-	var got leader.Response
-	l.Submit(l.now, l.now, newJob(id), func(v leader.Response) { got = v })
+	var got leader.JobResponse
+	l.Submit(l.now, l.now, newJob(id), func(v leader.JobResponse) { got = v })
 	if got.Status != 0 {
 		l.t.Fatalf("status %d before the job was durable", got.Status)
 	}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -40,7 +40,7 @@
 	jobs               *jobs.Registry
 	graph              *jobs.DependencyGraph
 	admission          *admissionControl
-	unsavedCompletions jobs.UnsavedCompletions
+	unsavedCompletions jobs.PendingCompletions
 	runTimes           jobs.RunTimeRatios
 	startDelay         jobs.StartDelay
 
@@ -80,7 +80,7 @@
 		term:               term,
 		jobs:               jobs.NewRegistry(),
 		admission:          newAdmissionControl(&p, &o, term, now),
-		unsavedCompletions: jobs.UnsavedCompletions{},
+		unsavedCompletions: jobs.PendingCompletions{},
 		ledger:             allocation.NewLedger(p.Teams),
 		runTimes:           jobs.RunTimeRatios{},
 		machines:           machines.NewRegistry(),
@@ -101,9 +101,9 @@
 // Term returns the term of this state.
 func (l *Leader) Term() uint64 { return l.term }
 
-// CatalogueKnown reports whether the machine types are known. No submission can be accepted
+// MachineTypesKnown reports whether the machine types are known. No submission can be accepted
 // before that.
-func (l *Leader) CatalogueKnown() bool { return l.catalogue.HasTypes() }
+func (l *Leader) MachineTypesKnown() bool { return l.catalogue.HasTypes() }
 
 // nextAttemptNumber returns a new attempt number. The term in its upper 32 bits makes it differ
 // from the numbers assigned by other leaders.
@@ -112,8 +112,8 @@
 	return l.term<<32 | l.attemptCount
 }
 
-// Stop ends the term: all waiting requests get a response with status 503.
-func (l *Leader) Stop() {
+// EndTerm ends the term: all waiting requests get a response with status 503.
+func (l *Leader) EndTerm() {
 	for _, j := range l.jobs.Sorted() { // sorted, so that simulated runs are reproducible
 		j.NotifyWaiters(false)
 	}
--- a/internal/leader/machine_list.go
+++ b/internal/leader/machine_list.go
@@ -76,9 +76,9 @@
 	l.passRequested = true
 }
 
-// HeartbeatsLate reports whether the heartbeats of machines with attempts are late. The next
+// HasLateHeartbeats reports whether the heartbeats of machines with attempts are late. The next
 // machine list may then show that the machines no longer exist.
-func (l *Leader) HeartbeatsLate(now time.Time) bool {
+func (l *Leader) HasLateHeartbeats(now time.Time) bool {
 	for _, m := range l.machines.All() {
 		if m.IsReconciled() && len(m.Attempts()) > 0 && m.SinceHeartbeat(now) > seconds.Duration(l.params.Workers.HeartbeatIntervalS*tuning.LateHeartbeatIntervals) {
 			return true
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -19,7 +19,7 @@
 }
 
 // machinesKnown reports whether the machine types are known and a machine list has been applied.
-func (l *Leader) machinesKnown() bool { return l.CatalogueKnown() && l.machineLists.applied > 0 }
+func (l *Leader) machinesKnown() bool { return l.MachineTypesKnown() && l.machineLists.applied > 0 }
 
 // setCapacity sets the machine's capacity if its type is known.
 func (l *Leader) setCapacity(m *machines.Machine) {
--- a/internal/leader/placement_test.go
+++ b/internal/leader/placement_test.go
@@ -35,7 +35,7 @@
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
 	normal := newJob("job-1")
 	normal.Priority, normal.Tasks, normal.CPUs, normal.CheckpointIntervalS, normal.EstimateS = wire.PriorityNormal, 2, 8, 20, 300
-	l.Submit(l.now, l.now, normal, func(leader.Response) {})
+	l.Submit(l.now, l.now, normal, func(leader.JobResponse) {})
 	l.commit()
 	lists := map[string][]wire.TaskStatus{"m1": nil, "m2": nil, "m3": nil}
 	machines := []string{"m1", "m2", "m3"}
@@ -108,7 +108,7 @@
 			}
 		}
 		for _, j := range []*wire.Job{nonPreemptible, low} {
-			l.Submit(l.now, l.now, j, func(leader.Response) {})
+			l.Submit(l.now, l.now, j, func(leader.JobResponse) {})
 			l.commit()
 			for range 3 {
 				step()
@@ -116,7 +116,7 @@
 		}
 		high := newJob("job-3")
 		high.Priority, high.CPUs = wire.PriorityCritical, 4
-		l.Submit(l.now, l.now, high, func(leader.Response) {})
+		l.Submit(l.now, l.now, high, func(leader.JobResponse) {})
 		l.commit()
 		for range 8 {
 			step()
@@ -134,7 +134,7 @@
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
 	low := newJob("job-1")
 	low.Priority, low.Tasks, low.CPUs, low.CheckpointIntervalS, low.EstimateS = wire.PriorityIdle, 2, 4, 5, 300
-	l.Submit(l.now, l.now, low, func(leader.Response) {})
+	l.Submit(l.now, l.now, low, func(leader.JobResponse) {})
 	l.commit()
 	l.sendHeartbeat("m1", 1)
 	l.tickAfter(time.Second)
@@ -149,7 +149,7 @@
 	l.sendHeartbeat("m1", 1, running...)
 	high := newJob("job-2")
 	high.CPUs = 8
-	l.Submit(l.now, l.now, high, func(leader.Response) {})
+	l.Submit(l.now, l.now, high, func(leader.JobResponse) {})
 	l.commit()
 	l.tickAfter(time.Second)
 	if cs := l.sendHeartbeat("m1", 1, running...); len(cs) != 2 || cs[0].Op != wire.OpStop || cs[1].Op != wire.OpStop {
@@ -183,7 +183,7 @@
 		l := newLeader(t, 5, start, map[string]json.RawMessage{})
 		idle := newJob("job-1")
 		idle.Priority, idle.CPUs, idle.CheckpointIntervalS, idle.EstimateS = wire.PriorityIdle, 8, 5, 300
-		l.Submit(l.now, l.now, idle, func(leader.Response) {})
+		l.Submit(l.now, l.now, idle, func(leader.JobResponse) {})
 		l.commit()
 		l.tickAfter(waited)
 		l.sendHeartbeat("m1", 1)
@@ -223,12 +223,12 @@
 	firstDelay, starts := time.Duration(0), 0
 	for second := range 600 {
 		if second == submitAfterS {
-			l.Submit(l.now, l.now, large, func(leader.Response) {})
+			l.Submit(l.now, l.now, large, func(leader.JobResponse) {})
 		}
 		// The two machines have capacity for a third of these tasks.
 		small := newJob(fmt.Sprintf("job-%06d", second))
 		small.Tasks, small.EstimateS = 4, 6
-		l.Submit(l.now, l.now, small, func(leader.Response) {})
+		l.Submit(l.now, l.now, small, func(leader.JobResponse) {})
 		l.tickAfter(time.Second)
 		l.commit()
 		for _, m := range []string{"m1", "m2"} {
@@ -272,7 +272,7 @@
 		submit := func(id string, estimate float64) {
 			j := newJob(id)
 			j.CPUs, j.EstimateS, j.CheckpointIntervalS, j.CheckpointSaveS = 4, estimate, checkpoint, 4
-			l.Submit(l.now, l.now, j, func(leader.Response) {})
+			l.Submit(l.now, l.now, j, func(leader.JobResponse) {})
 		}
 		submit("job-0", 40) // runs on m1 beside job-1 until it completes
 		submit("job-1", 300)
@@ -315,7 +315,7 @@
 			for _, c := range l.PlanScaling(l.now) {
 				if c.Op == scaling.CloudRelease {
 					released = c.Release[0]
-					l.ReleaseDone(l.now, c.Release)
+					l.FinishRelease(l.now, c.Release)
 				}
 			}
 		}
--- a/internal/leader/reachability_test.go
+++ b/internal/leader/reachability_test.go
@@ -62,7 +62,7 @@
 	tasks := map[string][]wire.TaskStatus{}
 	z.sendHeartbeats(tasks, zones...)
 	j.Tasks, j.Team = 80, "wide"
-	z.Submit(z.now, z.now, j, func(leader.Response) {})
+	z.Submit(z.now, z.now, j, func(leader.JobResponse) {})
 	for range 4 {
 		z.commit()
 		z.tickAfter(time.Second)
@@ -84,14 +84,14 @@
 		for _, c := range z.PlanScaling(z.now) {
 			if c.Op == scaling.CloudProvision {
 				provisioned = append(provisioned, c.Provision.Zone)
-				z.ProvisionDone(z.now, c.Provision, nil)
+				z.FinishProvision(z.now, c.Provision, nil)
 				continue
 			}
 			for _, id := range c.Release {
 				z.silent[id] = true
 			}
 			released = append(released, c.Release...)
-			z.ReleaseDone(z.now, c.Release)
+			z.FinishRelease(z.now, c.Release)
 		}
 	}
 	slices.Sort(released)
@@ -133,7 +133,7 @@
 	if _, more := z.advance(3*time.Second, tasks, "a"); fmt.Sprint(append(provisioned, more...)) != "[a]" {
 		t.Errorf("provisioned in %v, then %v", provisioned, more)
 	}
-	if n := z.Counts(); n.AllocatedTasks != 40 || n.ReadyTasks != 40 {
+	if n := z.Summary(); n.AllocatedTasks != 40 || n.ReadyTasks != 40 {
 		t.Errorf("%+v", n)
 	}
 
@@ -194,7 +194,7 @@
 	if released, _ := next.advance(4*time.Second, tasks, "a"); len(released) != 10 {
 		t.Errorf("released: %v", released)
 	}
-	if n := next.Counts(); n.AllocatedTasks != 40 || n.ReadyTasks != 40 {
+	if n := next.Summary(); n.AllocatedTasks != 40 || n.ReadyTasks != 40 {
 		t.Errorf("%+v", n)
 	}
 }
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -68,7 +68,7 @@
 	case t.ExitReason == wire.ExitDone:
 		l.recordCompletion(now, j, index)
 	}
-	recordExited(m, t, t.ExitReason != wire.ExitDone || j.IsCompletionStored(index))
+	recordExited(m, t, t.ExitReason != wire.ExitDone || j.IsCompletionDurable(index))
 }
 
 // applyLiveTask applies the entry of a task that has not exited.
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -19,15 +19,15 @@
 	l.writes.Interactive.Put(items[last].Key, items[last].Value, onDurable)
 }
 
-// NextBatch takes at most maxOps queued writes, or returns nil if there are none. At most spare
+// NextWriteBatch takes at most maxOps queued writes, or returns nil if there are none. At most spare
 // of them are writes that no user waits for. Batches must be committed one after the other, each
 // followed by a call of BatchCommitted.
-func (l *Leader) NextBatch(maxOps, spare int) *records.Batch {
+func (l *Leader) NextWriteBatch(maxOps, spare int) *records.Batch {
 	return l.writes.NextBatch(maxOps, spare, l.admission.shedding())
 }
 
-// BatchCommitted records that the writes of a batch are durable, except for the refused keys.
-func (l *Leader) BatchCommitted(b *records.Batch, refused []string) {
+// MarkBatchCommitted records that the writes of a batch are durable, except for the refused keys.
+func (l *Leader) MarkBatchCommitted(b *records.Batch, refused []string) {
 	l.writes.MarkCommitted(b, refused)
 }
 
--- a/internal/leader/records_test.go
+++ b/internal/leader/records_test.go
@@ -75,7 +75,7 @@
 		t.Errorf("%d pieces", pieces)
 	}
 	next := newLeader(t, 8, l.now, l.store)
-	next.Cancel(next.now, long.DependsOn[17], func(leader.Response) {})
+	next.Cancel(next.now, long.DependsOn[17], func(leader.JobResponse) {})
 	next.commit()
 	next.tickAfter(time.Second)
 	next.commit()
@@ -135,19 +135,19 @@
 	urgent := dependentJob("job-4", "job-3")
 	deadline := 100.0
 	urgent.DeadlineS = &deadline
-	c.Submit(l.now, l.now, urgent, func(leader.Response) {})
+	c.Submit(l.now, l.now, urgent, func(leader.JobResponse) {})
 	for range 5 {
 		c.Tick(l.now, true)
 	}
-	if n := c.Counts().DependencySteps; n != 0 {
+	if n := c.Summary().QueuedDependencyUpdates; n != 0 {
 		t.Errorf("%d steps queued for jobs in a cycle", n)
 	}
 	if v := c.Query("job-3"); v.State != wire.JobQueued {
 		t.Errorf("%+v", v)
 	}
-	c.Cancel(l.now, "job-3", func(leader.Response) {})
-	for b := c.NextBatch(10, 10); b != nil; b = c.NextBatch(10, 10) {
-		c.BatchCommitted(b, nil)
+	c.Cancel(l.now, "job-3", func(leader.JobResponse) {})
+	for b := c.NextWriteBatch(10, 10); b != nil; b = c.NextWriteBatch(10, 10) {
+		c.MarkBatchCommitted(b, nil)
 		c.Tick(l.now, true)
 	}
 	if v := c.Query("job-2"); v.State != wire.JobCancelled {
@@ -162,11 +162,11 @@
 	l.submitAll(newJob("job-1"))
 	l.sendHeartbeat("m1", 1)
 	l.tickAfter(time.Second)
-	b := l.NextBatch(10, 10)
+	b := l.NextWriteBatch(10, 10)
 	if b == nil || !strings.HasPrefix(b.Mutations[0].Put, "s/") {
 		t.Fatal("no start record")
 	}
-	l.BatchCommitted(b, []string{b.Mutations[0].Put})
+	l.MarkBatchCommitted(b, []string{b.Mutations[0].Put})
 	if cs := l.sendHeartbeat("m1", 1); len(cs) != 0 {
 		t.Fatalf("started without a record: %s", formatCommands(cs))
 	}
@@ -197,16 +197,16 @@
 	next := &testLeader{Leader: c, t: t, now: l.now, store: l.store}
 	next.sendHeartbeat("m1", 1)
 	next.tickAfter(time.Second)
-	c.Cancel(next.now, "job-2", func(leader.Response) {})
-	b := c.NextBatch(10, 10)
+	c.Cancel(next.now, "job-2", func(leader.JobResponse) {})
+	b := c.NextWriteBatch(10, 10)
 	if b == nil || len(b.Mutations) != 1 || b.Mutations[0].Put != "f/job-2" {
 		t.Fatalf("%+v", b)
 	}
-	c.BatchCommitted(b, nil)
+	c.MarkBatchCommitted(b, nil)
 	if !strings.Contains(logs.String(), `"key":"s/`) {
 		t.Errorf("key not logged: %s", logs.String())
 	}
-	if n := c.Counts(); n.AllocatedTasks != 0 || n.ReadyTasks != 1 {
+	if n := c.Summary(); n.AllocatedTasks != 0 || n.ReadyTasks != 1 {
 		t.Errorf("the task of the dropped record is not ready again: %+v", n)
 	}
 }
--- a/internal/leader/recovery_test.go
+++ b/internal/leader/recovery_test.go
@@ -118,7 +118,7 @@
 			}
 		}
 	}
-	if !next.CatalogueKnown() {
+	if !next.MachineTypesKnown() {
 		t.Fatal("no machine types known")
 	}
 }
@@ -155,10 +155,10 @@
 		for i := range 100 {
 			j := newJob(fmt.Sprintf("job-%06d", i))
 			j.Class = strings.Repeat("x", 120+pad)
-			next.Submit(next.now, next.now, j, func(leader.Response) {})
+			next.Submit(next.now, next.now, j, func(leader.JobResponse) {})
 		}
 		replacementStored := false
-		for b := next.NextBatch(500, 500); b != nil; b = next.NextBatch(500, 500) {
+		for b := next.NextWriteBatch(500, 500); b != nil; b = next.NextWriteBatch(500, 500) {
 			for _, w := range b.Mutations {
 				if strings.HasPrefix(w.Put, "s/") {
 					replacementStored = true
@@ -167,7 +167,7 @@
 					t.Fatalf("pad %d: %s deleted before its replacement is written", pad, w.Delete)
 				}
 			}
-			next.BatchCommitted(b, nil)
+			next.MarkBatchCommitted(b, nil)
 		}
 		if !replacementStored {
 			t.Fatal("the listed task was not recorded")
@@ -185,7 +185,7 @@
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
 	wide := newJob("job-1")
 	wide.Tasks, wide.CPUs = 40, 8
-	l.Submit(l.now, l.now, wide, func(leader.Response) {})
+	l.Submit(l.now, l.now, wide, func(leader.JobResponse) {})
 	l.commit()
 	for i := range wide.Tasks {
 		l.sendHeartbeat(fmt.Sprintf("i-%06d", i), 1)
@@ -201,7 +201,7 @@
 			t.Errorf("%s has %d bytes", key, len(value))
 		}
 	}
-	if allocated := newLeader(t, 6, l.now, l.store).Counts().AllocatedTasks; allocated != wide.Tasks || records < 2 {
+	if allocated := newLeader(t, 6, l.now, l.store).Summary().AllocatedTasks; allocated != wide.Tasks || records < 2 {
 		t.Errorf("%d records name %d of %d tasks", records, allocated, wide.Tasks)
 	}
 }
--- a/internal/leader/reports_test.go
+++ b/internal/leader/reports_test.go
@@ -34,7 +34,7 @@
 // allocated to its machine, and that its exit is not forgotten there before a new session.
 func TestLateStartKeepsTaskOnMachine(t *testing.T) {
 	l, call, task := leaderWithCallInFlight(t)
-	l.DirectCallDone(l.now, call, leader.DirectUnknown, nil)
+	l.FinishDirectCall(l.now, call, leader.DirectCallUncertain, nil)
 	if cs := l.sendHeartbeat("m1", 1); formatCommands(cs) != "run job-1/0" || cs[0].Attempt != task.Attempt {
 		t.Fatalf("want the same start again, got %s", formatCommands(cs))
 	}
@@ -61,14 +61,14 @@
 // absent: the response to an earlier heartbeat, which carries the start, may still be in flight.
 func TestOvertakingReplyProvesNothing(t *testing.T) {
 	l, call, _ := leaderWithCallInFlight(t)
-	l.DirectCallDone(l.now, call, leader.DirectNotDelivered, nil)
+	l.FinishDirectCall(l.now, call, leader.DirectCallNotDelivered, nil)
 	if cs := l.sendHeartbeat("m1", 1); formatCommands(cs) != "run job-1/0" {
 		t.Fatal(formatCommands(cs))
 	}
-	l.Cancel(l.now, "job-1", func(leader.Response) {})
+	l.Cancel(l.now, "job-1", func(leader.JobResponse) {})
 	l.commit()
 	l.seq++
-	l.DirectCallDone(l.now, call, leader.DirectReplied, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.seq, FencingToken: 5})
+	l.FinishDirectCall(l.now, call, leader.DirectCallReplied, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.seq, FencingToken: 5})
 	l.commit()
 	if l.store["j/job-1"] == nil {
 		t.Fatal("the task was released while its start was in flight")
@@ -174,7 +174,7 @@
 // it may have are placed elsewhere only after the machine is released.
 func TestReplacedAgentIsDetectedByDirectReply(t *testing.T) {
 	l, call, _ := leaderWithCallInFlight(t)
-	l.DirectCallDone(l.now, call, leader.DirectReplied, &wire.Heartbeat{
+	l.FinishDirectCall(l.now, call, leader.DirectCallReplied, &wire.Heartbeat{
 		Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: 1, FencingToken: 5,
 		Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: call.Request.Commands[0].Attempt, State: wire.TaskRunning}},
 	})
@@ -188,7 +188,7 @@
 				t.Fatal("m1 not released")
 			}
 			released = true
-			l.ReleaseDone(l.now, release)
+			l.FinishRelease(l.now, release)
 		}
 		l.sendHeartbeat("m2", 1)
 		l.commit()
@@ -209,7 +209,7 @@
 // of the machine frees the task.
 func TestLateStartOutlivesTheLease(t *testing.T) {
 	l, call, _ := leaderWithCallInFlight(t)
-	l.DirectCallDone(l.now, call, leader.DirectUnknown, nil)
+	l.FinishDirectCall(l.now, call, leader.DirectCallUncertain, nil)
 	l.ApplyMachineList(l.now, l.now, []wire.ListedMachine{{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
 	l.checkPlacedOnlyAfterRelease(time.Second, func() {})
 }
@@ -238,7 +238,7 @@
 func TestOvertakenHeartbeatGetsResponse(t *testing.T) {
 	l, call, task := leaderWithCallInFlight(t)
 	l.seq += 2
-	l.DirectCallDone(l.now, call, leader.DirectReplied, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.seq, FencingToken: 5, Tasks: []wire.TaskStatus{task}})
+	l.FinishDirectCall(l.now, call, leader.DirectCallReplied, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.seq, FencingToken: 5, Tasks: []wire.TaskStatus{task}})
 	overtaken := &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.seq - 1, FencingToken: 5}
 	if response, outcome := l.HandleHeartbeat(l.now, overtaken, true); outcome != leader.HeartbeatApplied || len(response.Commands) != 0 {
 		t.Fatalf("%v %+v", outcome, response)
--- a/internal/leader/requests_test.go
+++ b/internal/leader/requests_test.go
@@ -51,10 +51,10 @@
 // is durable does not make the job known to users: after a crash the job would not exist.
 func TestNoResponseBeforeAcceptanceIsDurable(t *testing.T) {
 	l := newLeader(t, 5, start, map[string]json.RawMessage{})
-	l.Submit(l.now, l.now, newJob("job-1"), func(leader.Response) {})
-	l.Cancel(l.now, "job-1", func(leader.Response) {})
-	var repeated leader.Response
-	l.Submit(l.now, l.now, newJob("job-1"), func(v leader.Response) { repeated = v })
+	l.Submit(l.now, l.now, newJob("job-1"), func(leader.JobResponse) {})
+	l.Cancel(l.now, "job-1", func(leader.JobResponse) {})
+	var repeated leader.JobResponse
+	l.Submit(l.now, l.now, newJob("job-1"), func(v leader.JobResponse) { repeated = v })
 	if repeated.Status != 0 {
 		t.Fatalf("response to the repeated submission: %+v", repeated)
 	}
@@ -72,7 +72,7 @@
 func TestQueryDoesNotAllocate(t *testing.T) {
 	l, _ := leaderWithRunningTask(t)
 	for i := range 3000 {
-		l.Submit(l.now, l.now, newJob(fmt.Sprint("job-", 1000+i)), func(leader.Response) {})
+		l.Submit(l.now, l.now, newJob(fmt.Sprint("job-", 1000+i)), func(leader.JobResponse) {})
 		l.commit()
 	}
 	for _, id := range []string{"job-1", "job-2000", "job-999999"} {
@@ -96,15 +96,15 @@
 	} {
 		j := newJob("job-1")
 		change(j)
-		var got leader.Response
-		l.Submit(l.now, l.now, j, func(v leader.Response) { got = v })
+		var got leader.JobResponse
+		l.Submit(l.now, l.now, j, func(v leader.JobResponse) { got = v })
 		if got.Status != 422 {
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
 	fresh := leader.New(zerolog.Nop(), params, config.Operator{}, 1, start, 0)
-	var got leader.Response
-	fresh.Submit(start, start, newJob("job-1"), func(v leader.Response) { got = v })
+	var got leader.JobResponse
+	fresh.Submit(start, start, newJob("job-1"), func(v leader.JobResponse) { got = v })
 	if got.Status != 503 {
 		t.Errorf("without machine types: %+v", got)
 	}
@@ -120,8 +120,8 @@
 	l := &testLeader{Leader: c, t: t, now: start, store: map[string]json.RawMessage{}}
 	j := newJob("job-1")
 	j.Team, j.Tasks = "guests", 3
-	var got leader.Response
-	l.Submit(l.now, l.now, j, func(v leader.Response) { got = v })
+	var got leader.JobResponse
+	l.Submit(l.now, l.now, j, func(v leader.JobResponse) { got = v })
 	l.commit()
 	l.tickAfter(10 * time.Second) // a list would contain the machines of a predecessor by then
 	l.ApplyMachineList(l.now, l.now, nil)
@@ -136,7 +136,7 @@
 	}
 	j = newJob("job-2")
 	j.Team, j.GPUs = "guests", 1
-	if l.Submit(l.now, l.now, j, func(v leader.Response) { got = v }); got.Status != 422 {
+	if l.Submit(l.now, l.now, j, func(v leader.JobResponse) { got = v }); got.Status != 422 {
 		t.Fatalf("accepted although no machine type has GPUs: %+v", got)
 	}
 }
--- a/internal/leader/response.go
+++ b/internal/leader/response.go
@@ -7,9 +7,9 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// Response is the response to a user's request: a status, with the job's state or the reason for
+// JobResponse is the response to a user's request: a status, with the job's state or the reason for
 // a rejection.
-type Response struct {
+type JobResponse struct {
 	Status         int
 	State          string
 	CompletedTasks int
@@ -22,24 +22,24 @@
 
 // IsTerminal reports whether the job's state in the response is final, so that any node may send
 // the response. All other responses may come only from a leader.
-func (r Response) IsTerminal() bool {
+func (r JobResponse) IsTerminal() bool {
 	return r.Status/100 == 2 && wire.IsTerminal(r.State)
 }
 
 // jobResponse returns the state of a job; known is false if the job does not exist.
-func (l *Leader) jobResponse(id string) (r Response, known bool) {
+func (l *Leader) jobResponse(id string) (r JobResponse, known bool) {
 	if f, ok := l.jobs.FinalState(id); ok {
 		state := wire.JobDone
 		if f.Outcome == records.OutcomeCancelled {
 			state = wire.JobCancelled
 		}
-		return Response{Status: http.StatusOK, State: state, CompletedTasks: int(f.TasksDone)}, true
+		return JobResponse{Status: http.StatusOK, State: state, CompletedTasks: int(f.TasksDone)}, true
 	}
 	j := l.jobs.Get(id)
 	if j == nil {
-		return Response{Status: http.StatusNotFound}, false
+		return JobResponse{Status: http.StatusNotFound}, false
 	}
-	r = Response{Status: http.StatusOK, State: wire.JobQueued, CompletedTasks: j.CompletedTasks(), RunningTasks: j.RunningTasks()}
+	r = JobResponse{Status: http.StatusOK, State: wire.JobQueued, CompletedTasks: j.CompletedTasks(), RunningTasks: j.RunningTasks()}
 	if j.RunningTasks() > 0 {
 		r.State = wire.JobRunning
 	}
@@ -55,15 +55,15 @@
 
 func (e *RejectedError) Error() string { return e.Reason }
 
-func (e *RejectedError) response() Response {
-	return Response{Status: e.Status, Reason: e.Reason, RetryAfter: e.RetryAfter}
+func (e *RejectedError) response() JobResponse {
+	return JobResponse{Status: e.Status, Reason: e.Reason, RetryAfter: e.RetryAfter}
 }
 
 // decidedResponse returns the response to a request that waited for its outcome to be durable;
 // decided is false if the term ended first.
-func (l *Leader) decidedResponse(decided bool, id string, status int) Response {
+func (l *Leader) decidedResponse(decided bool, id string, status int) JobResponse {
 	if !decided {
-		return Response{Status: http.StatusServiceUnavailable, Reason: "the term ended"}
+		return JobResponse{Status: http.StatusServiceUnavailable, Reason: "the term ended"}
 	}
 	r, _ := l.jobResponse(id)
 	r.Status = status
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -65,10 +65,10 @@
 		t.Errorf("%d start records for a successor to read", records)
 	}
 	next := newLeader(t, 6, f.now, f.store)
-	if known := next.Counts().AllocatedTasks; known < running {
+	if known := next.Summary().AllocatedTasks; known < running {
 		t.Errorf("a successor knows of %d tasks, %d are running", known, running)
 	}
-	t.Logf("%d starts, %.2f changes and %d bytes per start, %d records, %d scored pairs", f.starts, float64(f.mutations)/float64(f.starts), f.bytes/f.starts, records, f.Counts().ScoredPairs)
+	t.Logf("%d starts, %.2f changes and %d bytes per start, %d records, %d scored pairs", f.starts, float64(f.mutations)/float64(f.starts), f.bytes/f.starts, records, f.Summary().ScoredPairs)
 }
 
 // TestFleetBeyondPlannedSize runs 4,000 machines under a lasting backlog of urgent tasks and of long
@@ -121,7 +121,7 @@
 		case 1050:
 			running := f.runningTasks()
 			f.testLeader = newLeader(t, 6, f.now, f.store)
-			if n := f.Counts(); n.AllocatedTasks < running {
+			if n := f.Summary(); n.AllocatedTasks < running {
 				t.Errorf("a successor knows of %d tasks, %d are running", n.AllocatedTasks, running)
 			}
 			f.scoredPairs = 0
@@ -147,7 +147,7 @@
 	if waiting > 0 {
 		f.t.Errorf("%d aged jobs have not started", waiting)
 	}
-	n := f.Counts()
+	n := f.Summary()
 	f.t.Logf("%d accepted, %d starts, %.2f changes and %d bytes per start, at most %d pairs per pass, %d cloud calls, %+v",
 		f.accepted, f.starts, float64(f.mutations)/float64(f.starts), f.bytes/f.starts, f.maxPassScores, f.cloudCalls, n)
 	if f.maxPassScores > 2*tuning.PassMaxScoredPairs {
@@ -184,7 +184,7 @@
 		}
 		backlog := newJob("job-1")
 		backlog.Tasks, backlog.CPUs, backlog.EstimateS = 16, 1, 28 // within the team's limit
-		l.Submit(l.now, l.now, backlog, func(leader.Response) {})
+		l.Submit(l.now, l.now, backlog, func(leader.JobResponse) {})
 		l.commit()
 		l.tickAfter(2 * time.Second)
 		l.sendHeartbeat("m1", 1)
@@ -200,7 +200,7 @@
 	l.t.Helper()
 	j := newJob(id)
 	j.EstimateS = 4
-	l.Submit(l.now, l.now, j, func(leader.Response) {})
+	l.Submit(l.now, l.now, j, func(leader.JobResponse) {})
 	l.commit()
 	l.tickAfter(time.Second)
 	l.commit()
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -38,7 +38,7 @@
 // PlanScaling decides whether to scale out and in, at most once per planning period, and returns
 // the cloud calls to be made.
 func (l *Leader) PlanScaling(now time.Time) []scaling.CloudCall {
-	if !l.machinesKnown() || !l.scaler.Due(now) {
+	if !l.machinesKnown() || !l.scaler.BeginPlanningIfDue(now) {
 		return nil
 	}
 	l.reachability.Update(now, l.machines.All(), &l.timing)
@@ -62,7 +62,7 @@
 	}
 	names = append(names, unneeded...)
 	for _, m := range l.machines.All() {
-		if !m.IsReleasing() && m.ShouldBeReleased(now, &l.timing, l.catalogue.Type(m.Type).BootTimeS) {
+		if !m.IsBeingReleased() && m.ShouldBeReleased(now, &l.timing, l.catalogue.Type(m.Type).BootTimeS) {
 			names = append(names, m.ID)
 		}
 	}
@@ -97,9 +97,9 @@
 	return demand
 }
 
-// ProvisionDone applies the result of a provisioning call: the names of the machines, or none if
+// FinishProvision applies the result of a provisioning call: the names of the machines, or none if
 // it was rejected.
-func (l *Leader) ProvisionDone(now time.Time, r wire.ProvisionRequest, names []string) {
+func (l *Leader) FinishProvision(now time.Time, r wire.ProvisionRequest, names []string) {
 	call := l.scaler.FinishProvision(now, r, len(names))
 	if call == nil {
 		return
@@ -115,8 +115,8 @@
 	l.log.Debug().Str("request", r.RequestID).Str("zone", r.Zone).Bool("spot", r.Spot).Int("requested", r.Count).Int("received", len(names)).Msg("machines provisioned")
 }
 
-// ReleaseDone records that machines have been released and no longer exist.
-func (l *Leader) ReleaseDone(now time.Time, names []string) {
+// FinishRelease records that machines have been released and no longer exist.
+func (l *Leader) FinishRelease(now time.Time, names []string) {
 	l.scaler.FinishRelease()
 	l.removeMachines(now, names)
 }
--- a/internal/leader/submission.go
+++ b/internal/leader/submission.go
@@ -14,13 +14,13 @@
 )
 
 // Submit handles a valid submission without an admission claim of another node.
-func (l *Leader) Submit(now time.Time, wall time.Time, spec *wire.Job, respond func(Response)) {
+func (l *Leader) Submit(now time.Time, wall time.Time, spec *wire.Job, respond func(JobResponse)) {
 	l.SubmitWithClaim(now, wall, spec, nil, respond)
 }
 
 // SubmitWithClaim handles a valid submission with the admission claim of the node that received
 // it. It calls respond at once, or later, when the job is durable or the term has ended.
-func (l *Leader) SubmitWithClaim(now time.Time, wall time.Time, spec *wire.Job, claim *admission.Claim, respond func(Response)) {
+func (l *Leader) SubmitWithClaim(now time.Time, wall time.Time, spec *wire.Job, claim *admission.Claim, respond func(JobResponse)) {
 	// Until the acceptance is durable no response may mention the job, not even
 	// once its cancellation has been requested.
 	if j := l.jobs.Get(spec.ID); j != nil && j.StateWithheld() {
@@ -44,7 +44,7 @@
 
 // checkSubmission returns why a new job can't be accepted, or nil.
 func (l *Leader) checkSubmission(spec *wire.Job) *RejectedError {
-	if !l.CatalogueKnown() {
+	if !l.MachineTypesKnown() {
 		return &RejectedError{Status: http.StatusServiceUnavailable, Reason: "machine types not known yet"}
 	}
 	if reason := l.unsatisfiableReason(spec); reason != "" {
@@ -62,7 +62,7 @@
 }
 
 // acceptJob stores a new job; its user gets a response once it is durable.
-func (l *Leader) acceptJob(now time.Time, wall time.Time, spec *wire.Job, respond func(Response)) {
+func (l *Leader) acceptJob(now time.Time, wall time.Time, spec *wire.Job, respond func(JobResponse)) {
 	j := jobs.New(*spec, wall.UnixMilli(), now)
 	l.jobs.Add(j)
 	l.admission.countUnfinished(j.Team, j.Tasks)
@@ -104,8 +104,8 @@
 	return "a task fits no allowed machine type"
 }
 
-// LimitViolation returns why the settings alone show that a job can never run, or "". Any node
+// QuotaViolation returns why the settings alone show that a job can never run, or "". Any node
 // can call it, whether or not a leader is known.
-func LimitViolation(teams []config.Team, spec *wire.Job) string {
+func QuotaViolation(teams []config.Team, spec *wire.Job) string {
 	return allocation.QuotaViolation(teams, spec)
 }
--- a/internal/leader/upgrade_test.go
+++ b/internal/leader/upgrade_test.go
@@ -39,9 +39,9 @@
 
 // previousVersionCommit commits those of the queued changes that the previous version would make.
 func (l *testLeader) previousVersionCommit() {
-	for b := l.NextBatch(10, 10); b != nil; b = l.NextBatch(10, 10) {
+	for b := l.NextWriteBatch(10, 10); b != nil; b = l.NextWriteBatch(10, 10) {
 		l.apply(simulation.PreviousVersionWrites(b.Mutations))
-		l.BatchCommitted(b, nil)
+		l.MarkBatchCommitted(b, nil)
 	}
 }
 
@@ -140,7 +140,7 @@
 			t.Errorf("%s: %s, want %s", id, got, want)
 		}
 	}
-	if n := l.Counts(); n.AllocatedTasks == 0 || n.Machines != 2 && n.Machines != 1 {
+	if n := l.Summary(); n.AllocatedTasks == 0 || n.Machines != 2 && n.Machines != 1 {
 		t.Errorf("%+v", n)
 	}
 	record := store["j/job-4"]
@@ -184,13 +184,13 @@
 		previous.tickAfter(time.Second)
 		previous.previousVersionCommit()
 	}
-	if got := previous.Counts().AllocatedTasks; got != 1 {
+	if got := previous.Summary().AllocatedTasks; got != 1 {
 		t.Errorf("%d tasks placed, want that of job-1", got)
 	}
 	if previous.queryState("job-2") != wire.JobQueued || previous.queryState("job-3") != wire.JobQueued {
 		t.Error("the previous version does not report the dependent jobs as queued")
 	}
-	previous.Cancel(previous.now, "job-2", func(leader.Response) {})
+	previous.Cancel(previous.now, "job-2", func(leader.JobResponse) {})
 	previous.previousVersionCommit()
 	next := newLeader(t, 7, previous.now, l.store)
 	if next.queryState("job-2") != wire.JobCancelled || next.queryState("job-3") != wire.JobQueued {
--- a/internal/machines/attempt_commands.go
+++ b/internal/machines/attempt_commands.go
@@ -75,9 +75,9 @@
 	return a.stopping && a.IsNeeded() && a.state.IsReported() && !isSaving
 }
 
-// ClaimDirectStop reports whether the stop has to be sent by a direct call, and then marks it as
+// MarkDirectStopIfNeeded reports whether the stop has to be sent by a direct call, and then marks it as
 // sent. A stop that arrives late does no harm, as attempt numbers are never reused.
-func (a *Attempt) ClaimDirectStop() bool {
+func (a *Attempt) MarkDirectStopIfNeeded() bool {
 	needed := a.stopping && a.state.IsReported() && !a.directStopSent
 	a.directStopSent = a.directStopSent || needed
 	return needed
--- a/internal/machines/attempt_test.go
+++ b/internal/machines/attempt_test.go
@@ -105,7 +105,7 @@
 		if a.NeedsStop() != c.needed || a.GracePeriodS() != c.graceS || a.ShouldRun() == a.IsStopping() {
 			t.Errorf("%s: needed: %v, grace period %v s", name, a.NeedsStop(), a.GracePeriodS())
 		}
-		if first, second := a.ClaimDirectStop(), a.ClaimDirectStop(); first != a.IsStopping() || second {
+		if first, second := a.MarkDirectStopIfNeeded(), a.MarkDirectStopIfNeeded(); first != a.IsStopping() || second {
 			t.Errorf("%s: direct stops: %v, %v", name, first, second)
 		}
 	}
--- a/internal/machines/delivery_test.go
+++ b/internal/machines/delivery_test.go
@@ -168,7 +168,7 @@
 		t.Error("full machine is schedulable, or stays unschedulable after the time")
 	}
 	m.BeginRelease()
-	if m.IsSchedulable(start.Add(time.Second), timing) || !m.IsReleasing() {
+	if m.IsSchedulable(start.Add(time.Second), timing) || !m.IsBeingReleased() {
 		t.Error("schedulable while it is being released")
 	}
 }
--- a/internal/machines/lifecycle.go
+++ b/internal/machines/lifecycle.go
@@ -52,8 +52,8 @@
 // an earlier leader.
 func (l *lifecycle) MarkRecorded() { l.recorded, l.joined = true, true }
 
-// IsReleasing reports whether the release of the machine has begun.
-func (l *lifecycle) IsReleasing() bool { return l.releasing }
+// IsBeingReleased reports whether the release of the machine has begun.
+func (l *lifecycle) IsBeingReleased() bool { return l.releasing }
 
 // BeginRelease records that the release of the machine has begun.
 func (l *lifecycle) BeginRelease() { l.releasing = true }
--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -21,7 +21,7 @@
 	if response, handled := n.handleLocally(ctx, c); handled {
 		return n.recordResponse(request, response)
 	}
-	if reason := leader.LimitViolation(n.gate.teams, job); reason != "" {
+	if reason := leader.QuotaViolation(n.gate.teams, job); reason != "" {
 		return n.rejectImpossible(ctx, c, reason)
 	}
 	if isNew {
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -48,9 +48,9 @@
 	now := time.Now()
 	t.node.mu.Lock()
 	if call.Op == scaling.CloudProvision {
-		t.state.ProvisionDone(now, call.Provision, machines)
+		t.state.FinishProvision(now, call.Provision, machines)
 	} else {
-		t.state.ReleaseDone(now, call.Release)
+		t.state.FinishRelease(now, call.Release)
 	}
 	t.node.mu.Unlock()
 	signal(t.node.tickSignal)
@@ -62,18 +62,18 @@
 	status, err := t.node.workers.Do(ctx, call.Addr, tuning.DirectTimeout, http.MethodPost, wire.PathCommands, call.Request, &heartbeat)
 	outcome := directOutcome(status, err)
 	t.node.mu.Lock()
-	t.state.DirectCallDone(time.Now(), call, outcome, &heartbeat)
+	t.state.FinishDirectCall(time.Now(), call, outcome, &heartbeat)
 	t.node.mu.Unlock()
 	signal(t.node.tickSignal)
 }
 
 // directOutcome is what the answer to a direct call says of its commands.
-func directOutcome(status int, err error) leader.DirectOutcome {
+func directOutcome(status int, err error) leader.DirectCallOutcome {
 	switch {
 	case errors.Is(err, httpclient.ErrNotSent):
-		return leader.DirectNotDelivered
+		return leader.DirectCallNotDelivered
 	case err != nil || status != http.StatusOK && status != http.StatusConflict:
-		return leader.DirectUnknown
+		return leader.DirectCallUncertain
 	}
-	return leader.DirectReplied
+	return leader.DirectCallReplied
 }
--- a/internal/node/calls_test.go
+++ b/internal/node/calls_test.go
@@ -15,15 +15,15 @@
 	for _, c := range []struct {
 		status int
 		err    error
-		want   leader.DirectOutcome
+		want   leader.DirectCallOutcome
 	}{
-		{http.StatusOK, nil, leader.DirectReplied},
-		{http.StatusConflict, nil, leader.DirectReplied},
-		{http.StatusServiceUnavailable, nil, leader.DirectUnknown},
-		{http.StatusNotFound, nil, leader.DirectUnknown},
-		{0, httpclient.ErrNoResponse, leader.DirectUnknown},
-		{http.StatusOK, errors.New("malformed"), leader.DirectUnknown},
-		{0, fmt.Errorf("call: %w", httpclient.ErrNotSent), leader.DirectNotDelivered},
+		{http.StatusOK, nil, leader.DirectCallReplied},
+		{http.StatusConflict, nil, leader.DirectCallReplied},
+		{http.StatusServiceUnavailable, nil, leader.DirectCallUncertain},
+		{http.StatusNotFound, nil, leader.DirectCallUncertain},
+		{0, httpclient.ErrNoResponse, leader.DirectCallUncertain},
+		{http.StatusOK, errors.New("malformed"), leader.DirectCallUncertain},
+		{0, fmt.Errorf("call: %w", httpclient.ErrNotSent), leader.DirectCallNotDelivered},
 	} {
 		if got := directOutcome(c.status, c.err); got != c.want {
 			t.Errorf("%d, %v: %v, want %v", c.status, c.err, got, c.want)
--- a/internal/node/commit.go
+++ b/internal/node/commit.go
@@ -25,7 +25,7 @@
 			return err
 		}
 		t.node.mu.Lock()
-		t.state.BatchCommitted(batch, refused)
+		t.state.MarkBatchCommitted(batch, refused)
 		t.node.mu.Unlock()
 		signal(t.node.tickSignal)
 	}
@@ -35,7 +35,7 @@
 func (t *term) nextBatch() *records.Batch {
 	t.node.mu.Lock()
 	defer t.node.mu.Unlock()
-	return t.state.NextBatch(t.node.store.MaxOps(), t.node.store.SpareWrites())
+	return t.state.NextWriteBatch(t.node.store.MaxOps(), t.node.store.SpareWrites())
 }
 
 // awaitChanges waits for changes, and a moment longer, for more to go with them.
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -48,7 +48,7 @@
 	}
 	answer, outcome := n.leader.HandleHeartbeat(now, h, holdsLease)
 	switch outcome {
-	case leader.HeartbeatSuperseded:
+	case leader.HeartbeatFromLaterTerm:
 		n.leadership.Revoke()
 		return peer.Response{}, false
 	case leader.HeartbeatStale:
@@ -68,7 +68,7 @@
 		return nil, nil
 	}
 	result := make(chan peer.Response, 1)
-	respond := func(r leader.Response) { result <- jobResponse(c.Job, r) }
+	respond := func(r leader.JobResponse) { result <- jobResponse(c.Job, r) }
 	switch c.Op {
 	case peer.OpQuery:
 		respond(n.leader.Query(c.Job))
@@ -103,7 +103,7 @@
 }
 
 // jobResponse is the leader's response about a job.
-func jobResponse(job string, r leader.Response) peer.Response {
+func jobResponse(job string, r leader.JobResponse) peer.Response {
 	if r.Status/100 != 2 {
 		return refusal(r.Status, r.Reason, r.RetryAfter)
 	}
--- a/internal/node/machines.go
+++ b/internal/node/machines.go
@@ -48,7 +48,7 @@
 	now := time.Now()
 	t.node.mu.Lock()
 	t.state.ApplyMachineList(asked, now, list)
-	urgent := t.state.HeartbeatsLate(now)
+	urgent := t.state.HasLateHeartbeats(now)
 	t.node.mu.Unlock()
 	signal(t.node.tickSignal)
 	if urgent {
--- a/internal/node/summary.go
+++ b/internal/node/summary.go
@@ -3,7 +3,7 @@
 // logSummary writes the sums that operators read first.
 func (t *term) logSummary() {
 	t.node.mu.Lock()
-	counts := t.state.Counts()
+	counts := t.state.Summary()
 	shares, on := t.state.AdmissionSummary()
 	t.node.mu.Unlock()
 	if on && shares.Shedding {
@@ -16,5 +16,5 @@
 	t.node.log.Debug().Int("jobs", counts.Jobs).Int("ready", counts.ReadyTasks).Int("allocated", counts.AllocatedTasks).
 		Int("machines", counts.Machines).Int("up", counts.UpMachines).Int("spot", counts.SpotMachines).
 		Float64("cpus", counts.CPUs).Float64("used", counts.UsedCPUs).Float64("wanted", counts.WantedCPUs).
-		Int("writes", counts.PendingWrites).Int("dependency_steps", counts.DependencySteps).Int("scored_pairs", counts.ScoredPairs).Msg("summary")
+		Int("writes", counts.PendingWrites).Int("dependency_steps", counts.QueuedDependencyUpdates).Int("scored_pairs", counts.ScoredPairs).Msg("summary")
 }
--- a/internal/node/term.go
+++ b/internal/node/term.go
@@ -57,7 +57,7 @@
 func (n *Node) stopLeading(state *leader.Leader) {
 	n.mu.Lock()
 	n.leader, n.leadership = nil, nil
-	state.Stop()
+	state.EndTerm()
 	n.mu.Unlock()
 	n.hub.SendHeartbeats()
 }
--- a/internal/scaling/history.go
+++ b/internal/scaling/history.go
@@ -30,8 +30,8 @@
 	return h.smoothedCPUs
 }
 
-// AddInflow adds work that arrived at the given time, in CPU seconds, to the inflow.
-func (h *DemandHistory) AddInflow(now, arrivedAt time.Time, cpuSeconds float64) {
+// AddArrival adds work that arrived at the given time, in CPU seconds, to the inflow.
+func (h *DemandHistory) AddArrival(now, arrivedAt time.Time, cpuSeconds float64) {
 	rate := cpuSeconds / tuning.InflowDecay.Seconds()
 	h.inflow, h.inflowAt = h.InflowCPUs(now)+rate*decayFactor(now.Sub(arrivedAt), tuning.InflowDecay), now
 }
--- a/internal/scaling/plan_input.go
+++ b/internal/scaling/plan_input.go
@@ -29,7 +29,7 @@
 func (s *Scaler) busyCPUs() float64 {
 	busy := 0.0
 	for _, m := range s.cluster.Machines.All() {
-		if m.IsReleasing() {
+		if m.IsBeingReleased() {
 			continue
 		}
 		for _, a := range m.Attempts() {
@@ -43,7 +43,7 @@
 func (s *Scaler) existingMachines(now time.Time) []autoscale.Machine {
 	list := make([]autoscale.Machine, 0, s.cluster.Machines.Len())
 	for _, m := range s.cluster.Machines.All() {
-		if !m.IsReleasing() {
+		if !m.IsBeingReleased() {
 			list = append(list, s.toPlannerMachine(now, m))
 		}
 	}
--- a/internal/scaling/scale_in.go
+++ b/internal/scaling/scale_in.go
@@ -18,7 +18,7 @@
 	limit := tuning.MaxReleaseCount * max(1, int(s.config.CloudRPS*tuning.CloudShare*tuning.ReleasesInFlight))
 	var releasing []string
 	for _, name := range names {
-		if m := s.cluster.Machines.Get(name); m != nil && !m.IsReleasing() && len(releasing) < limit {
+		if m := s.cluster.Machines.Get(name); m != nil && !m.IsBeingReleased() && len(releasing) < limit {
 			m.BeginRelease()
 			releasing = append(releasing, name)
 		}
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -87,9 +87,9 @@
 	}
 }
 
-// Due reports whether the next plan is due. If so, it schedules the following one after
+// BeginPlanningIfDue reports whether the next plan is due. If so, it schedules the following one after
 // tuning.ScalingInterval.
-func (s *Scaler) Due(now time.Time) bool {
+func (s *Scaler) BeginPlanningIfDue(now time.Time) bool {
 	if now.Before(s.nextPlan) {
 		return false
 	}
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -100,7 +100,7 @@
 	for _, call := range calls {
 		released += len(call.Release)
 	}
-	if released != tuning.MaxReleaseCount || !registry.Get(names[0]).IsReleasing() || registry.Get(names[len(names)-1]).IsReleasing() {
+	if released != tuning.MaxReleaseCount || !registry.Get(names[0]).IsBeingReleased() || registry.Get(names[len(names)-1]).IsBeingReleased() {
 		t.Errorf("%d released, want as many as one call allows, the first ones of the list", released)
 	}
 	if !s.ReleaseInFlight() {
@@ -135,7 +135,7 @@
 // TestPlanIsDueOncePerInterval: Due is true once and then again after an interval.
 func TestPlanIsDueOncePerInterval(t *testing.T) {
 	s, _ := newScaler()
-	if !s.Due(start) || s.Due(start) || !s.Due(start.Add(tuning.ScalingInterval)) {
+	if !s.BeginPlanningIfDue(start) || s.BeginPlanningIfDue(start) || !s.BeginPlanningIfDue(start.Add(tuning.ScalingInterval)) {
 		t.Error("Due is not true exactly once per interval")
 	}
 }
@@ -150,7 +150,7 @@
 	if want := 100 / math.E; math.Abs(later-want) > 0.01 {
 		t.Errorf("%v after one decay time, want %v", later, want)
 	}
-	h.AddInflow(start, start, 60)
+	h.AddArrival(start, start, 60)
 	initial, decayed := h.InflowCPUs(start), h.InflowCPUs(start.Add(tuning.InflowDecay))
 	if want := 60 / tuning.InflowDecay.Seconds(); math.Abs(initial-want) > 1e-9 || math.Abs(decayed-want/math.E) > 1e-9 {
 		t.Errorf("inflow %v, then %v, want %v at first", initial, decayed, want)
--- a/internal/simulation/agent_calls.go
+++ b/internal/simulation/agent_calls.go
@@ -24,7 +24,7 @@
 	c := &agentCall{n, l, call, sim.fleet.agents[call.Machine]}
 	switch {
 	case c.connected == nil:
-		c.done(tuning.DirectTimeout, leader.DirectNotDelivered, nil)
+		c.done(tuning.DirectTimeout, leader.DirectCallNotDelivered, nil)
 	case !c.connected.reachableFrom(n.zone) || sim.faultsAllowed() && sim.chance(0.05):
 		c.timeOut()
 	default:
@@ -36,7 +36,7 @@
 func (c *agentCall) timeOut() {
 	sim := c.node.sim
 	if sim.chance(0.3) {
-		c.done(tuning.DirectTimeout, leader.DirectNotDelivered, nil)
+		c.done(tuning.DirectTimeout, leader.DirectCallNotDelivered, nil)
 		return
 	}
 	sim.after(c.connected.reachableAfter()+sim.between(0, 60_000), func() {
@@ -45,7 +45,7 @@
 			c.deliver(c.connected)
 		}
 	})
-	c.done(tuning.DirectTimeout, leader.DirectUnknown, nil)
+	c.done(tuning.DirectTimeout, leader.DirectCallUncertain, nil)
 }
 
 // execute delivers the call to the machine's present agent and returns its heartbeat to the leader.
@@ -53,11 +53,11 @@
 	sim := c.node.sim
 	a := sim.fleet.agents[c.call.Machine]
 	if a == nil {
-		c.done(tuning.DirectTimeout, leader.DirectUnknown, nil)
+		c.done(tuning.DirectTimeout, leader.DirectCallUncertain, nil)
 		return
 	}
 	heartbeat := c.deliver(a)
-	c.done(sim.between(1, 100), leader.DirectReplied, heartbeat)
+	c.done(sim.between(1, 100), leader.DirectCallReplied, heartbeat)
 }
 
 // deliver lets an agent execute the commands, and returns its next heartbeat.
@@ -67,10 +67,10 @@
 }
 
 // done reports the outcome to the leader after a time, if it still leads.
-func (c *agentCall) done(delay time.Duration, outcome leader.DirectOutcome, heartbeat *wire.Heartbeat) {
+func (c *agentCall) done(delay time.Duration, outcome leader.DirectCallOutcome, heartbeat *wire.Heartbeat) {
 	c.node.after(delay, func() {
 		if c.node.leader == c.leader {
-			c.leader.DirectCallDone(c.node.clock(), c.call, outcome, heartbeat)
+			c.leader.FinishDirectCall(c.node.clock(), c.call, outcome, heartbeat)
 		}
 	})
 }
--- a/internal/simulation/client_faults.go
+++ b/internal/simulation/client_faults.go
@@ -19,7 +19,7 @@
 func (c *clients) EnableFollowUps(span time.Duration) { c.followUpsUntil = c.sim.now.Add(span) }
 
 // followUp is called with every response that a user receives.
-func (c *clients) followUp(job *wire.Job, response leader.Response) {
+func (c *clients) followUp(job *wire.Job, response leader.JobResponse) {
 	sim := c.sim
 	if !succeeded(response.Status) || !sim.now.Before(c.followUpsUntil) || c.jobs[job.ID] != job {
 		return
@@ -150,9 +150,9 @@
 }
 
 // expectStatus lets a run fail if a response has another status, unless there is no leader.
-func (c *clients) expectStatus(id string, status int) func(leader.Response) {
+func (c *clients) expectStatus(id string, status int) func(leader.JobResponse) {
 	allowed := []int{status, unavailable.Status, timedOut.Status}
-	return func(response leader.Response) {
+	return func(response leader.JobResponse) {
 		if !slices.Contains(allowed, response.Status) {
 			c.sim.fail(fmt.Errorf("invalid request: %s answered %d instead of %d", id, response.Status, status))
 		}
--- a/internal/simulation/client_requests.go
+++ b/internal/simulation/client_requests.go
@@ -14,22 +14,22 @@
 
 // Responses that no leader gives.
 var (
-	unavailable = leader.Response{Status: http.StatusServiceUnavailable}
-	timedOut    = leader.Response{Status: http.StatusGatewayTimeout}
+	unavailable = leader.JobResponse{Status: http.StatusServiceUnavailable}
+	timedOut    = leader.JobResponse{Status: http.StatusGatewayTimeout}
 )
 
 // succeeded reports whether a status is one of success.
 func succeeded(status int) bool { return status/100 == 2 }
 
 // ignoreResponse is for requests that are sent only to be checked.
-func ignoreResponse(leader.Response) {}
+func ignoreResponse(leader.JobResponse) {}
 
 // request is a user's request about a job.
 type request struct {
 	job        *wire.Job
 	submission bool
-	execute    func(n *node, claim *admission.Claim, respond func(leader.Response))
-	done       func(leader.Response)
+	execute    func(n *node, claim *admission.Claim, respond func(leader.JobResponse))
+	done       func(leader.JobResponse)
 }
 
 // pendingRequest is a request that was sent to a node and whose user waits for the response.
@@ -49,7 +49,7 @@
 }
 
 // finish gives the user the first response.
-func (p *pendingRequest) finish(response leader.Response) {
+func (p *pendingRequest) finish(response leader.JobResponse) {
 	if !p.settled {
 		p.settled = true
 		p.done(response)
@@ -73,7 +73,7 @@
 		return
 	}
 	term := leading.leadership
-	p.execute(leading, check.claim, func(response leader.Response) {
+	p.execute(leading, check.claim, func(response leader.JobResponse) {
 		check.recordResponse(response)
 		leading.after(sim.between(0, 2), func() {
 			// As in the real node, a response that is not terminal is sent only while the leader
@@ -88,7 +88,7 @@
 }
 
 // receive is called as the leader's response gets to the user.
-func (p *pendingRequest) receive(from *node, sentAt time.Time, response leader.Response) {
+func (p *pendingRequest) receive(from *node, sentAt time.Time, response leader.JobResponse) {
 	if p.settled {
 		return
 	}
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -46,7 +46,7 @@
 
 // submit repeats a submission until it succeeds, and sometimes once more.
 func (c *clients) submit(job *wire.Job) {
-	c.send(c.sim.anyNode(), c.submission(job, func(response leader.Response) {
+	c.send(c.sim.anyNode(), c.submission(job, func(response leader.JobResponse) {
 		if !succeeded(response.Status) || c.sim.chance(0.05) {
 			c.sim.after(c.sim.between(1000, 5000), func() { c.submit(job) })
 		}
@@ -55,7 +55,7 @@
 
 // pollLoop lets a user query a job's state every few seconds.
 func (c *clients) pollLoop(job *wire.Job) {
-	c.send(c.sim.anyNode(), c.query(job, func(leader.Response) {
+	c.send(c.sim.anyNode(), c.query(job, func(leader.JobResponse) {
 		pause := c.sim.between(3000, 6000)
 		if c.sim.now.Before(c.pollStormUntil) {
 			pause /= 8
@@ -72,7 +72,7 @@
 }
 
 func (c *clients) cancel(job *wire.Job) {
-	c.send(c.sim.anyNode(), c.cancellation(job, func(response leader.Response) {
+	c.send(c.sim.anyNode(), c.cancellation(job, func(response leader.JobResponse) {
 		if !succeeded(response.Status) {
 			c.sim.after(c.sim.between(1000, 3000), func() { c.cancel(job) })
 		}
@@ -80,8 +80,8 @@
 }
 
 // submission is the request to accept a job.
-func (c *clients) submission(job *wire.Job, done func(leader.Response)) request {
-	return request{job, true, func(n *node, claim *admission.Claim, respond func(leader.Response)) {
+func (c *clients) submission(job *wire.Job, done func(leader.JobResponse)) request {
+	return request{job, true, func(n *node, claim *admission.Claim, respond func(leader.JobResponse)) {
 		if n.previousVersion && len(job.DependsOn) > 0 {
 			// As forwarded by a node of a later version.
 			respond(unavailable)
@@ -92,15 +92,15 @@
 }
 
 // cancellation is the request to cancel a job.
-func (c *clients) cancellation(job *wire.Job, done func(leader.Response)) request {
-	return request{job, false, func(n *node, _ *admission.Claim, respond func(leader.Response)) {
+func (c *clients) cancellation(job *wire.Job, done func(leader.JobResponse)) request {
+	return request{job, false, func(n *node, _ *admission.Claim, respond func(leader.JobResponse)) {
 		n.leader.Cancel(n.clock(), job.ID, respond)
 	}, done}
 }
 
 // query is the request for a job's state.
-func (c *clients) query(job *wire.Job, done func(leader.Response)) request {
-	return request{job, false, func(n *node, _ *admission.Claim, respond func(leader.Response)) {
+func (c *clients) query(job *wire.Job, done func(leader.JobResponse)) request {
+	return request{job, false, func(n *node, _ *admission.Claim, respond func(leader.JobResponse)) {
 		respond(n.leader.Query(job.ID))
 	}, done}
 }
@@ -130,7 +130,7 @@
 
 func (c *clients) submitPatiently(outcome *SubmissionOutcome, done func(SubmissionOutcome)) {
 	outcome.Tries++
-	c.send(c.sim.anyNode(), c.submission(outcome.Job, func(response leader.Response) {
+	c.send(c.sim.anyNode(), c.submission(outcome.Job, func(response leader.JobResponse) {
 		outcome.SettledAt = c.sim.elapsed()
 		pause := max(time.Duration(response.RetryAfter)*time.Second, time.Second) + c.sim.between(0, 300)
 		switch {
@@ -148,7 +148,7 @@
 
 // patientPollLoop lets a user query a job's state, and less often once it is terminal.
 func (c *clients) patientPollLoop(job *wire.Job) {
-	c.send(c.sim.anyNode(), c.query(job, func(response leader.Response) {
+	c.send(c.sim.anyNode(), c.query(job, func(response leader.JobResponse) {
 		pause := c.sim.between(3000, 6000)
 		if response.IsTerminal() {
 			pause *= 5
--- a/internal/simulation/cloud_calls.go
+++ b/internal/simulation/cloud_calls.go
@@ -68,10 +68,10 @@
 		return
 	}
 	if c.call.Op == scaling.CloudProvision {
-		c.leader.ProvisionDone(c.node.clock(), c.call.Provision, c.provisioned)
+		c.leader.FinishProvision(c.node.clock(), c.call.Provision, c.provisioned)
 		return
 	}
-	c.leader.ReleaseDone(c.node.clock(), c.call.Release)
+	c.leader.FinishRelease(c.node.clock(), c.call.Release)
 }
 
 // listMachinesLoop reads the cloud's list of machines every few seconds.
--- a/internal/simulation/node_admission.go
+++ b/internal/simulation/node_admission.go
@@ -41,7 +41,7 @@
 	gate    *admission.Gate // nil if there is nothing to check
 	request *admission.Request
 	claim   *admission.Claim
-	refused *leader.Response
+	refused *leader.JobResponse
 }
 
 // admit takes a request through the gate of the node reached, as the real node does.
@@ -59,7 +59,7 @@
 	if n == leading {
 		return check
 	}
-	if isNew && leader.LimitViolation(n.sim.Params.Teams, r.job) == "" {
+	if isNew && leader.QuotaViolation(n.sim.Params.Teams, r.job) == "" {
 		decision, revision := gate.Decide(now, check.request)
 		if !decision.Admitted {
 			check.refuse(decision)
@@ -75,11 +75,11 @@
 func (check *admissionCheck) refuse(decision admission.Decision) {
 	check.sim.Observed[ShedByFollower]++
 	check.gate.RecordRejected(check.sim.now, check.request)
-	check.refused = &leader.Response{Status: http.StatusTooManyRequests, RetryAfter: decision.RetryAfterS}
+	check.refused = &leader.JobResponse{Status: http.StatusTooManyRequests, RetryAfter: decision.RetryAfterS}
 }
 
 // recordResponse lets the gate record the leader's response.
-func (check *admissionCheck) recordResponse(response leader.Response) {
+func (check *admissionCheck) recordResponse(response leader.JobResponse) {
 	switch {
 	case check.gate == nil:
 	case response.Status == http.StatusTooManyRequests:
--- a/internal/simulation/node_leader.go
+++ b/internal/simulation/node_leader.go
@@ -99,7 +99,7 @@
 		n.leadership.Revoke()
 	}
 	if n.leader != nil {
-		n.leader.Stop()
+		n.leader.EndTerm()
 	}
 	n.clearLeadership()
 }
--- a/internal/simulation/node_writes.go
+++ b/internal/simulation/node_writes.go
@@ -53,7 +53,7 @@
 	limits := n.storeLimits()
 	most, spare := min(maxBatch, limits.TxnOps-1), n.sim.rng.IntN(5)
 	if !n.sim.LimitWriteRate {
-		return l.NextBatch(most, spare)
+		return l.NextWriteBatch(most, spare)
 	}
 	perSecond := limits.WriteRPS * tuning.StoreWriteShare
 	n.budget.refill(n.sim.now, perSecond)
@@ -61,7 +61,7 @@
 	if tokens < 1 {
 		return nil
 	}
-	batch := l.NextBatch(min(most, int(tokens)), max(0, int(tokens-perSecond/4)))
+	batch := l.NextWriteBatch(min(most, int(tokens)), max(0, int(tokens-perSecond/4)))
 	if batch != nil {
 		n.budget.tokens -= float64(len(batch.Mutations))
 	}
@@ -72,7 +72,7 @@
 func (n *node) handleOutcome(l *leader.Leader, outcome kvstore.Outcome) {
 	switch outcome {
 	case kvstore.Applied:
-		l.BatchCommitted(n.batch, n.writer.Refused())
+		l.MarkBatchCommitted(n.batch, n.writer.Refused())
 		n.batch = nil
 		n.commitLoop(l)
 	case kvstore.ContinueSplit:
--- a/internal/tuning/placement.go
+++ b/internal/tuning/placement.go
@@ -51,10 +51,10 @@
 	// of those that can't meet theirs. It shrinks with their age: they come after
 	// most jobs that can be in time, but don't wait forever.
 	NoDeadlineSlackS = 400.0
-	// StageDelay is what each stage of a chain of dependent jobs takes beyond its
+	// ChainedJobDelay is what each stage of a chain of dependent jobs takes beyond its
 	// tasks' run time and image fetch: the last heartbeat, its record, the
 	// placement, the next heartbeat.
-	StageDelay = 3 * time.Second
+	ChainedJobDelay = 3 * time.Second
 )
 
 // Estimates of run times.
