--- a/internal/leader/admission.go
+++ b/internal/leader/admission.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// admissionControl decides under overload whether to admit new jobs. It counts the unfinished
+// admissionControl decides whether to admit new jobs under overload. It also counts the unfinished
 // tasks.
 type admissionControl struct {
 	settings  *admission.Settings
@@ -41,13 +41,13 @@
 	return c
 }
 
-// countUnfinished adds tasks, which may be negative, to a team's unfinished tasks.
-func (c *admissionControl) countUnfinished(team string, tasks int) {
+// addUnfinished adds tasks to the unfinished tasks of a team. A negative number removes tasks.
+func (c *admissionControl) addUnfinished(team string, tasks int) {
 	c.unfinished += tasks
 	c.unfinishedByTeam[team] += tasks
 }
 
-// check returns why an acceptable job is rejected for overload, or nil if it is admitted.
+// check returns why an acceptable job is rejected because of overload, or nil if it is admitted.
 func (c *admissionControl) check(now time.Time, spec *wire.Job, claim *admission.Claim) *RejectedError {
 	if c.regulator == nil {
 		return nil
@@ -64,13 +64,13 @@
 // shedding reports whether new jobs are rejected for overload.
 func (c *admissionControl) shedding() bool { return c.regulator != nil && c.regulator.Shedding() }
 
-// OverloadRejection returns the error for a job that admission control rejects.
+// OverloadRejection returns the error for a job that admission control has rejected.
 func OverloadRejection(d admission.Decision) *RejectedError {
 	return &RejectedError{Status: http.StatusTooManyRequests, Reason: "more is submitted than can be taken now", RetryAfter: d.RetryAfterS}
 }
 
-// UpdateAdmission adapts admission control to the leader's load and to the load offered to all
-// nodes. lag is the delay of the leader's periodic work.
+// UpdateAdmission adapts admission control to the leader's load and to the offered load that the
+// nodes report. lag is how late the leader's periodic work runs.
 func (l *Leader) UpdateAdmission(now, wall time.Time, lag time.Duration, nodes []admission.NodeOfferedLoad) {
 	if l.admission.regulator == nil {
 		return
@@ -84,11 +84,11 @@
 	if shedding := l.admission.regulator.Shedding(); shedding != wasShedding {
 		s := l.admission.regulator.Summary()
 		l.log.Info().Bool("shedding", shedding).Float64("pressure", s.Pressure).Float64("offered", s.Offered).
-			Float64("budget", s.Budget).Msg("admission control changed")
+			Float64("budget", s.Budget).Msg("load shedding started or stopped")
 	}
 }
 
-// AdmissionPolicy returns the policy that all nodes apply, or nil if admission control is off.
+// AdmissionPolicy returns the admission policy for all nodes, or nil if admission control is off.
 func (l *Leader) AdmissionPolicy() *admission.Policy {
 	if l.admission.regulator == nil {
 		return nil
@@ -97,7 +97,7 @@
 	return &p
 }
 
-// AdmissionSummary returns the figures of admission control for logs, and whether it is on.
+// AdmissionSummary returns the figures of admission control for the log, and false if it is off.
 func (l *Leader) AdmissionSummary() (admission.Summary, bool) {
 	if l.admission.regulator == nil {
 		return admission.Summary{}, false
--- a/internal/leader/consolidation.go
+++ b/internal/leader/consolidation.go
@@ -14,11 +14,12 @@
 		ActiveJobs:     l.jobs.RunnableByAge,
 		Price:          l.catalogue.Price,
 		RemainingS:     l.remainingS,
-		OnConsolidated: l.directCalls.schedule,
+		OnConsolidated: l.directCalls.enqueue,
 	})
 }
 
-// consolidate empties machines whose tasks fit elsewhere.
+// consolidate cordons machines whose tasks fit on others and stops these tasks, so that the
+// machines can be released.
 func (l *Leader) consolidate(now time.Time) {
 	if n := l.consolidator.Run(now); n > 0 {
 		l.log.Debug().Int("machines", n).Msg("consolidating machines")
--- a/internal/leader/deadline_risk.go
+++ b/internal/leader/deadline_risk.go
@@ -7,19 +7,19 @@
 	"switchshore.example/switchshore/internal/machines"
 )
 
-// hasDeadlineAtRisk reports whether an unreachable machine may have work that would miss its
-// deadline if it could start elsewhere only after the lease has expired. Releasing the machine
-// proves that the work has ended, so that it can start elsewhere at once. Most gaps in
-// heartbeats outlast the lease, and then the work on the machine is lost in any case. A new
-// leader would have to wait longest, as its predecessor may be partitioned together with the
-// machine and still respond to it.
+// hasDeadlineAtRisk reports whether an unreachable machine should be released at once, because a
+// task that may be on it would miss its deadline if the leader waited for the machine's lease to
+// expire. The release proves that the task has ended, so the task can start elsewhere at once. It
+// costs little: when heartbeats fail, they usually stay away until the lease expires, and the task
+// is lost in any case. After a change of leader the wait would be longest, because the predecessor
+// may be in the same network partition as the machine and still respond to its heartbeats.
 func (l *Leader) hasDeadlineAtRisk(now time.Time, m *machines.Machine) bool {
 	if m.IsBeingReleased() || !m.IsUnreachable(now, &l.timing) {
 		return false
 	}
-	ends := m.LeaseExpiresAt(&l.timing)
+	leaseExpiry := m.LeaseExpiresAt(&l.timing)
 	return slices.ContainsFunc(m.Attempts(), func(a *machines.Attempt) bool {
 		slack, ok := l.runTimes.DeadlineSlack(now, a.Job, l.params.Objectives)
-		return ok && slack < ends.Sub(now).Seconds() && a.ShouldRun()
+		return ok && slack < leaseExpiry.Sub(now).Seconds() && a.ShouldRun()
 	})
 }
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -30,8 +30,9 @@
 	return nil
 }
 
-// cancelDependent cancels a job that depends on a cancelled one. The jobs that depend on it are
-// cancelled without waiting for this write, because the first cancellation is already durable.
+// cancelDependent cancels a job that depends on a cancelled one. It queues the cancellation of the
+// job's own dependents at once, without waiting until this write is durable: the cancellation of
+// the first job in the chain is durable already, and a successor would derive all others from it.
 func (l *Leader) cancelDependent(now time.Time, j *jobs.Job) {
 	if j.State().IsTerminal() {
 		return
@@ -39,14 +40,14 @@
 	j.MarkDependencyCancelled()
 	queue := &l.writes.Dependent
 	if !j.AcceptanceDurable() {
-		queue = &l.writes.Interactive // after the acceptance; its user gets one response for both
+		queue = &l.writes.Interactive // the acceptance is in this queue, and must be written first
 	}
 	l.endJob(now, j, jobs.Cancelled, queue)
 	l.graph.JobEnded(j.ID, records.FinalState{Outcome: records.OutcomeCancelled})
 }
 
 // makeReadyIfUnblocked makes the tasks of an accepted job ready unless the job waits for
-// dependencies. It schedules the cancellation of a job whose dependency was cancelled.
+// dependencies. If a dependency was cancelled, it queues the cancellation of the job.
 func (l *Leader) makeReadyIfUnblocked(now time.Time, j *jobs.Job) {
 	switch {
 	case !j.IsActive():
@@ -56,13 +57,14 @@
 		l.jobs.MarkRunnable(j)
 		j.RebuildReadyTasks()
 		l.scaler.History.AddArrival(now, j.WaitingSince(), float64(j.Tasks)*j.CPUs*l.runTimes.Estimate(j))
-		l.passRequested = true
+		l.schedulingPassRequested = true
 	}
 }
 
-// stageDuration estimates how long a job takes once its dependencies are done: its run time, the
-// fetch of its image at the fastest rate offered and tuning.StageDelay.
-func (l *Leader) stageDuration(j *jobs.Job) time.Duration {
+// chainedJobDuration estimates the time from the end of a job's last dependency to the job's own
+// end. It consists of the run time, the fetch of the image at the fastest rate offered, and
+// tuning.ChainedJobDelay for heartbeats, the start record and the placement in between.
+func (l *Leader) chainedJobDuration(j *jobs.Job) time.Duration {
 	fetchGBPerS := 0.0
 	for _, t := range l.catalogue.OfferedTypes() {
 		fetchGBPerS = max(fetchGBPerS, t.FetchGBPerS)
@@ -74,18 +76,18 @@
 	return seconds.Duration(durationS) + tuning.ChainedJobDelay
 }
 
-// processDependencyChanges carries out at most tuning.DependencyStepsPerTick of the
-// cancellations, unblockings and critical path updates that final states have caused.
+// processDependencyChanges handles the consequences of ended jobs: it cancels dependents, unblocks
+// dependents and updates critical paths, for at most tuning.DependencyStepsPerTick jobs per call.
 func (l *Leader) processDependencyChanges(now time.Time) {
-	steps := tuning.DependencyStepsPerTick
-	for ; steps > 0; steps-- {
+	stepsLeft := tuning.DependencyStepsPerTick
+	for ; stepsLeft > 0; stepsLeft-- {
 		j := l.graph.NextCancellation()
 		if j == nil {
 			break
 		}
 		l.cancelDependent(now, j)
 	}
-	for ; steps > 0; steps-- {
+	for ; stepsLeft > 0; stepsLeft-- {
 		j := l.graph.NextWithDependencyDone()
 		if j == nil {
 			break
@@ -95,13 +97,13 @@
 			l.makeReadyIfUnblocked(now, j)
 		}
 	}
-	for ; steps > 0; steps-- {
+	for ; stepsLeft > 0; stepsLeft-- {
 		j := l.graph.NextPathUpdate()
 		if j == nil {
 			break
 		}
 		if l.graph.UpdateCriticalPath(j) {
-			l.passRequested = true
+			l.schedulingPassRequested = true
 			l.graph.QueuePathUpdates(j)
 		}
 	}
@@ -111,7 +113,7 @@
 func (l *Leader) linkLoadedJobs(loaded []*jobs.Job) {
 	missing, cyclic := l.graph.LinkAll(loaded)
 	for _, m := range missing {
-		l.log.Error().Str("key", records.JobKey(m.Job.ID)).Str("dependency", m.Dependency).Msg("corrupt record: dependency without a record")
+		l.log.Error().Str("key", records.JobKey(m.Job.ID)).Str("dependency", m.Dependency).Msg("corrupt job record: a dependency has no record")
 	}
 	for _, j := range cyclic {
 		l.log.Error().Str("key", records.JobKey(j.ID)).Msg("corrupt records: dependency cycle")
--- a/internal/leader/direct_calls.go
+++ b/internal/leader/direct_calls.go
@@ -9,14 +9,15 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// DirectCall is a command request sent to an agent's own address.
+// DirectCall is a request with commands that the leader sends to an agent's own address, without
+// waiting for the agent's next heartbeat.
 type DirectCall struct {
 	Machine string
 	Addr    string
 	Request wire.CommandRequest
 
-	startedAttempts []*machines.Attempt // attempts whose start the call carries
-	sequence        uint64              // newest message of the session when the call was made
+	startedAttempts []*machines.Attempt // attempts whose start is in the request
+	sequenceBefore  uint64              // sequence number of the session's newest message when the call was made
 }
 
 // DirectCallOutcome is the outcome of a direct call.
@@ -24,29 +25,30 @@
 
 // Outcomes of direct calls.
 const (
-	// DirectCallReplied: the agent has executed or refused the commands, as the heartbeat in its
-	// reply shows.
+	// DirectCallReplied: the agent has executed or refused the commands. The heartbeat in its reply
+	// shows which.
 	DirectCallReplied DirectCallOutcome = iota
-	// DirectCallNotDelivered: the call did not reach the agent and never will.
+	// DirectCallNotDelivered: the request has not reached the agent and never will.
 	DirectCallNotDelivered
-	// DirectCallUncertain: the agent may execute the commands, now or minutes later.
+	// DirectCallUncertain: the agent may have executed the commands, or may execute them up to
+	// minutes later.
 	DirectCallUncertain
 )
 
-// directCalls holds the machines to be called and the number of calls in flight.
+// directCalls holds the queue of machines to be called and the number of calls in flight.
 type directCalls struct {
 	queue    []*machines.Machine
 	inFlight int
 }
 
-// NextDirectCalls returns the calls to be made now. They carry stops, and starts whose record is
-// durable, to machines whose heartbeats arrive, so that the commands need not wait for the next
+// NextDirectCalls returns the calls to be made now. They contain stops, and starts whose record is
+// durable, for machines whose heartbeats arrive. The commands thus need not wait for the next
 // heartbeat.
 func (l *Leader) NextDirectCalls(now time.Time) []*DirectCall {
 	var calls []*DirectCall
-	next := 0
-	for ; next < len(l.directCalls.queue) && l.directCalls.inFlight < l.maxDirectCalls(); next++ {
-		m := l.directCalls.queue[next]
+	handled := 0
+	for ; handled < len(l.directCalls.queue) && l.directCalls.inFlight < l.maxDirectCalls(); handled++ {
+		m := l.directCalls.queue[handled]
 		m.DequeueCall()
 		if !m.CanBeCalled(now, &l.timing) || l.machines.Get(m.ID) != m {
 			// The response to the next heartbeat carries the commands.
@@ -58,28 +60,28 @@
 			calls = append(calls, call)
 		}
 	}
-	l.directCalls.queue = l.directCalls.queue[next:]
+	l.directCalls.queue = l.directCalls.queue[handled:]
 	if len(l.directCalls.queue) == 0 {
 		l.directCalls.queue = nil
 	}
 	return calls
 }
 
-// newDirectCall returns a call with the commands for a machine that have not been sent yet.
+// newDirectCall returns a call with the stops and starts for a machine that have not been sent yet.
 func (l *Leader) newDirectCall(now time.Time, m *machines.Machine) *DirectCall {
 	call := &DirectCall{
-		Machine:  m.ID,
-		Addr:     m.Addr,
-		Request:  wire.CommandRequest{FencingToken: l.term, AgentEpoch: m.Epoch()},
-		sequence: m.Sequence(),
+		Machine:        m.ID,
+		Addr:           m.Addr,
+		Request:        wire.CommandRequest{FencingToken: l.term, AgentEpoch: m.Epoch()},
+		sequenceBefore: m.Sequence(),
 	}
-	acceptsWork := m.IsSchedulable(now, &l.timing)
+	schedulable := m.IsSchedulable(now, &l.timing)
 	for _, a := range m.Attempts() {
 		if a.MarkDirectStopIfNeeded() {
 			call.Request.Commands = append(call.Request.Commands, a.StopCommand())
 			continue
 		}
-		if !acceptsWork || !a.NeedsStart() || a.WasSentDirectly() || a.WasSentInResponse() || len(call.startedAttempts) >= tuning.MaxCommandsPerResponse {
+		if !schedulable || !a.NeedsStart() || a.WasSentDirectly() || a.WasSentInResponse() || len(call.startedAttempts) >= tuning.MaxCommandsPerResponse {
 			continue
 		}
 		a.MarkSentDirectly()
@@ -89,17 +91,18 @@
 	return call
 }
 
-// schedule queues a machine for a direct call.
-func (d *directCalls) schedule(m *machines.Machine) {
+// enqueue adds a machine to the queue for direct calls, unless it is in the queue already.
+func (d *directCalls) enqueue(m *machines.Machine) {
 	if m.QueueCall() {
 		d.queue = append(d.queue, m)
 	}
 }
 
-// maxDirectCalls limits the direct calls in flight to the sockets available for them.
+// maxDirectCalls returns the maximum number of direct calls in flight.
 func (l *Leader) maxDirectCalls() int { return MaxDirectCalls(l.params.Limits) }
 
-// MaxDirectCalls returns the number of sockets available for direct calls.
+// MaxDirectCalls returns the maximum number of direct calls in flight. It is the share of the
+// process's sockets that is available for them.
 func MaxDirectCalls(l config.ProcessLimits) int {
 	if l.MaxConnections <= 0 {
 		return tuning.DirectMaxCalls
@@ -107,9 +110,9 @@
 	return max(1, int(float64(l.MaxConnections)*tuning.DirectShare))
 }
 
-// FinishDirectCall applies the outcome of a direct call, with the heartbeat in the agent's reply
-// if there is one. It does not renew the agent's lease.
-func (l *Leader) FinishDirectCall(now time.Time, call *DirectCall, outcome DirectCallOutcome, r *wire.Heartbeat) {
+// FinishDirectCall applies the outcome of a direct call. h is the heartbeat in the agent's reply,
+// or nil without one. It does not renew the agent's lease.
+func (l *Leader) FinishDirectCall(now time.Time, call *DirectCall, outcome DirectCallOutcome, h *wire.Heartbeat) {
 	if outcome != DirectCallUncertain {
 		for _, a := range call.startedAttempts {
 			a.ClearSentDirectly()
@@ -121,24 +124,24 @@
 		return
 	}
 	m.EndCall()
-	l.directCalls.schedule(m)
+	l.directCalls.enqueue(m)
 	if outcome != DirectCallReplied {
 		m.PauseCalls(now.Add(tuning.DirectBackoff))
 		return
 	}
-	if r == nil || r.Machine != m.ID {
+	if h == nil || h.Machine != m.ID {
 		return
 	}
-	if r.AgentEpoch < call.Request.AgentEpoch || r.AgentEpoch == call.Request.AgentEpoch && r.Sequence <= call.sequence {
-		// A reply can't be older than the messages received before its call was made: a new
-		// agent has replaced the known one, and may have executed the starts.
+	if h.AgentEpoch < call.Request.AgentEpoch || h.AgentEpoch == call.Request.AgentEpoch && h.Sequence <= call.sequenceBefore {
+		// A reply of the known agent would be newer than the messages received before the call was
+		// made. So a new agent has replaced it, and may have executed the starts.
 		l.log.Info().Str("machine", m.ID).Msg("worker replaced, releasing machine")
 		m.Cordon(machines.CordonAgentReplaced)
 		return
 	}
-	if r.FencingToken != l.term || m.IsStale(r) {
+	if h.FencingToken != l.term || m.IsStale(h) {
 		return
 	}
-	m.AdvanceSession(r.AgentEpoch, r.Sequence)
-	l.reconcileTasks(now, m, r, false)
+	m.AdvanceSession(h.AgentEpoch, h.Sequence)
+	l.reconcileTasks(now, m, h, false) // not a periodic heartbeat
 }
--- a/internal/leader/drains.go
+++ b/internal/leader/drains.go
@@ -29,28 +29,28 @@
 		TeamUsedCPUs:          l.ledger.UsedCPUs,
 		IsSchedulable:         l.isSchedulable,
 		RemainingS:            l.remainingS,
-		MachinesKnown:         l.machinesKnown,
-		HasCurrentMachineList: func() bool { return l.machineLists.current },
+		MachinesKnown:         l.machinesAndTypesKnown,
+		HasCurrentMachineList: func() bool { return l.machineLists.hasCurrent },
 		BlockedCause:          l.drainsBlocked,
-		QueueDirectCall:       l.directCalls.schedule,
-		RequestSchedulingPass: func() { l.passRequested = true },
+		QueueDirectCall:       l.directCalls.enqueue,
+		RequestSchedulingPass: func() { l.schedulingPassRequested = true },
 	})
 }
 
-// HandleDrainRequest carries out an operator's request and calls respond once what the response
-// reports is durable. wall is the time of day.
+// HandleDrainRequest executes an operator's request. It calls respond when the state that the
+// response reports is durable. wall is the wall-clock time.
 func (l *Leader) HandleDrainRequest(now, wall time.Time, request *drain.Request, respond func(drain.Response)) {
 	l.drainer.Handle(now, wall, request, respond)
 }
 
-// AdvanceDrains carries out the next step of the running drain; wall is the time of day. It must
-// be called only while the leader has authority.
+// AdvanceDrains executes the next step of the running drain. It must be called only while the
+// leader has authority. wall is the wall-clock time.
 func (l *Leader) AdvanceDrains(now, wall time.Time) { l.drainer.Advance(now, wall) }
 
-// drainsBlocked returns why no batch may begin now on any machines, or "" if one may.
+// drainsBlocked returns why no batch of any drain may begin now, or "" if one may.
 func (l *Leader) drainsBlocked(now time.Time) drain.Cause {
 	switch {
-	case !l.machineLists.current || now.Before(l.timing.InheritedTasksEnd):
+	case !l.machineLists.hasCurrent || now.Before(l.timing.InheritedTasksEnd):
 		return drain.BlockedByNewLeader
 	case l.admission.shedding():
 		return drain.BlockedByOverload
--- a/internal/leader/estimates.go
+++ b/internal/leader/estimates.go
@@ -17,9 +17,9 @@
 	return max(0, l.runTimes.Estimate(a.Job)-ranS)
 }
 
-// startWithinS returns the time in seconds within which a job's tasks should start: a share of
-// its slack, so that the planner scales out for urgent work while other work waits for existing
-// machines.
+// startWithinS returns the time in seconds within which a job's tasks should start: the operators'
+// setting if there is one, otherwise a share of the job's slack. The planner thus provisions
+// machines for urgent jobs, while other jobs wait for existing machines.
 func (l *Leader) startWithinS(now time.Time, j *jobs.Job) float64 {
 	if l.operator.StartWithinS > 0 {
 		return l.operator.StartWithinS
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -6,9 +6,10 @@
 )
 
 // A failed task alone does not show whether its job or its machine is at fault. A job that has
-// failed on several machines and completed a task on none is presumed faulty and does not count
-// against any machine. Once one of its tasks completes, it counts against the machines on which
-// it failed. A machine on which several jobs in a row have failed is quarantined.
+// failed on several machines and completed a task on none counts as faulty itself, and its failures
+// do not count against the machines. Once one of its tasks completes, its failures count against
+// the machines on which they occurred. A machine on which several jobs in a row have failed is
+// quarantined.
 
 // recordTaskFailure records that a task of the job has failed on the machine.
 func (l *Leader) recordTaskFailure(j *jobs.Job, m *machines.Machine) {
@@ -18,9 +19,10 @@
 		l.countFailedJob(m, j)
 		return
 	}
+	// The job itself is at fault: its earlier failures no longer count against machines.
 	for id := range j.FailedOn() {
-		if o := l.machines.Get(id); o != nil {
-			o.RemoveFailedJob(j.ID)
+		if other := l.machines.Get(id); other != nil {
+			other.RemoveFailedJob(j.ID)
 		}
 	}
 }
@@ -28,16 +30,17 @@
 // recordTaskSuccess records that a task of the job has completed on the machine.
 func (l *Leader) recordTaskSuccess(j *jobs.Job, m *machines.Machine) {
 	m.RecordTaskSuccess()
+	// The job is not at fault: its failures count against the other machines.
 	for id := range j.FailedOn() {
-		if o := l.machines.Get(id); o != nil && o != m {
-			l.countFailedJob(o, j)
+		if other := l.machines.Get(id); other != nil && other != m {
+			l.countFailedJob(other, j)
 		}
 	}
 	j.RecordSuccess()
 }
 
-// countFailedJob counts the job as failed on the machine, which is quarantined once there are
-// too many.
+// countFailedJob counts a failed job against a machine. The machine is quarantined if this makes
+// too many such jobs.
 func (l *Leader) countFailedJob(m *machines.Machine, j *jobs.Job) {
 	if quarantined := m.AddFailedJob(j.ID); quarantined {
 		l.log.Info().Str("machine", m.ID).Msg("machine quarantined")
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -14,74 +14,75 @@
 
 // Outcomes of heartbeats.
 const (
-	// HeartbeatApplied: the heartbeat gets a response, which renews the lease of its agent.
+	// HeartbeatApplied: the heartbeat gets a response, which renews the lease of its machine.
 	HeartbeatApplied HeartbeatOutcome = iota
-	// HeartbeatStale: the heartbeat is older than the known state and gets no response. A
-	// response would renew the lease of an agent whose tasks are presumed to have ended, or of a
-	// new agent that has replaced the known one.
+	// HeartbeatStale: the heartbeat gets no response, usually because it is older than the known
+	// state. A response would renew the lease of an agent whose tasks count as ended, or of a new
+	// agent that has replaced the known one.
 	HeartbeatStale
-	// HeartbeatFromLaterTerm: the agent has seen a later term.
+	// HeartbeatFromLaterTerm: the agent has seen a later term, so this leader has been superseded.
 	HeartbeatFromLaterTerm
 )
 
-// HandleHeartbeat applies an agent's heartbeat and returns the response. With authority false
-// (the key-value store can't be reached) the response starts no tasks.
-func (l *Leader) HandleHeartbeat(now time.Time, r *wire.Heartbeat, authority bool) (wire.HeartbeatResponse, HeartbeatOutcome) {
+// HandleHeartbeat applies an agent's heartbeat and returns the response. authority is false while
+// the leader can't reach the key-value store; the response then contains no starts.
+func (l *Leader) HandleHeartbeat(now time.Time, h *wire.Heartbeat, authority bool) (wire.HeartbeatResponse, HeartbeatOutcome) {
 	response := wire.HeartbeatResponse{FencingToken: l.term, Commands: []wire.Command{}}
-	if r.FencingToken > l.term {
+	if h.FencingToken > l.term {
 		return response, HeartbeatFromLaterTerm
 	}
-	if l.machines.WasReleased(r.Machine) {
+	if l.machines.WasReleased(h.Machine) {
 		return response, HeartbeatStale
 	}
-	m := l.machines.Get(r.Machine)
+	m := l.machines.Get(h.Machine)
 	if m == nil {
-		m = l.addMachine(now, r.Machine, r.Type, r.Zone, r.Addr, r.Spot)
+		m = l.addMachine(now, h.Machine, h.Type, h.Zone, h.Addr, h.Spot)
 	}
-	if m.IsOvertakenByDirectReply(r) {
-		// A reply to a direct call overtook this heartbeat, but its agent still waits for a
-		// response.
-		m.RenewLease(now, r.Sequence)
-		response.Commands = l.stopCommands(r)
+	if m.IsOvertakenByDirectReply(h) {
+		// The agent sent this heartbeat before its reply to a direct call, but the reply arrived
+		// first. The agent still waits for the response to the heartbeat.
+		m.RenewLease(now, h.Sequence)
+		response.Commands = l.stopCommands(h)
 		return response, HeartbeatApplied
 	}
-	if m.IsStale(r) {
-		// A stale heartbeat proves nothing about tasks, renews no lease and gets no commands.
+	if m.IsStale(h) {
+		// A stale heartbeat proves nothing about tasks. It renews no lease and gets no commands.
 		m.RecordStaleHeartbeat(now)
 		return response, HeartbeatStale
 	}
-	if lost := m.DetectLostResponses(now, r.AgentEpoch, &l.timing); lost {
+	if responsesLost := m.DetectLostResponses(now, h.AgentEpoch, &l.timing); responsesLost {
 		l.log.Info().Str("machine", m.ID).Msg("machine does not receive responses")
 	}
-	m.AdvanceSession(r.AgentEpoch, r.Sequence)
+	m.AdvanceSession(h.AgentEpoch, h.Sequence)
 	if l.mayReceiveLateStart(now, m) {
 		return response, HeartbeatStale
 	}
-	l.recordHeartbeat(now, m, r)
-	if r.FencingToken < l.term {
-		// The agent may still execute commands of an earlier term: only a heartbeat sent after
-		// it has seen this term lists all its tasks.
-		response.Commands = l.stopCommands(r)
+	l.recordHeartbeat(now, m, h)
+	if h.FencingToken < l.term {
+		// The agent had not seen this term yet, and may still execute commands of an earlier one.
+		// Its task list is complete only after it has seen this term.
+		response.Commands = l.stopCommands(h)
 		return response, HeartbeatApplied
 	}
-	l.reconcileTasks(now, m, r, true)
+	l.reconcileTasks(now, m, h, true) // a periodic heartbeat
 	l.checkpointBeforeReclaim(now, m)
-	response.Commands = l.heartbeatCommands(m, r, authority)
+	response.Commands = l.heartbeatCommands(m, h, authority)
 	return response, HeartbeatApplied
 }
 
-// recordHeartbeat records what a heartbeat that gets a response says about the machine itself.
-func (l *Leader) recordHeartbeat(now time.Time, m *machines.Machine, r *wire.Heartbeat) {
-	joined, reclaimed := m.RecordHeartbeat(now, r)
-	l.passRequested = l.passRequested || joined
+// recordHeartbeat renews the machine's lease and applies the fields of a heartbeat that describe
+// the machine itself.
+func (l *Leader) recordHeartbeat(now time.Time, m *machines.Machine, h *wire.Heartbeat) {
+	joined, reclaimed := m.RecordHeartbeat(now, h)
+	l.schedulingPassRequested = l.schedulingPassRequested || joined
 	if reclaimed {
-		l.log.Debug().Str("machine", m.ID).Float64("notice_s", *r.ReclaimNoticeS).Msg("spot reclaim notice")
+		l.log.Debug().Str("machine", m.ID).Float64("notice_s", *h.ReclaimNoticeS).Msg("spot reclaim notice")
 	}
 }
 
-// mayReceiveLateStart reports whether a delayed start of a job that ended longer than
-// lateStartLimit ago may still reach the machine's present session. If so, no response may renew
-// that session's lease.
+// mayReceiveLateStart reports whether the machine's current session may still receive a delayed
+// start of a job that ended longer than lateStartLimit ago. If so, no response may renew the lease
+// of that session: the start becomes void when the session ends.
 func (l *Leader) mayReceiveLateStart(now time.Time, m *machines.Machine) bool {
 	limit := lateStartLimit(l.params.Workers)
 	return slices.ContainsFunc(m.Attempts(), func(a *machines.Attempt) bool {
@@ -89,8 +90,9 @@
 	})
 }
 
-// checkpointBeforeReclaim stops running tasks with checkpoints once the time until the cloud
-// reclaims their machine is only just enough to save them.
+// checkpointBeforeReclaim stops the running tasks that can save a checkpoint on a machine that the
+// cloud is about to reclaim. It does so when the remaining time is only just enough to save the
+// checkpoint.
 func (l *Leader) checkpointBeforeReclaim(now time.Time, m *machines.Machine) {
 	remaining, reclaimed := m.ReclaimIn(now)
 	if !reclaimed {
--- a/internal/leader/heartbeat_commands.go
+++ b/internal/leader/heartbeat_commands.go
@@ -6,12 +6,13 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// heartbeatCommands returns the commands of the response to a heartbeat: stops first, because
-// the response renews the lease even if not all commands fit, then forgets, then starts.
-func (l *Leader) heartbeatCommands(m *machines.Machine, r *wire.Heartbeat, authority bool) []wire.Command {
-	list := l.stopCommands(r)
+// heartbeatCommands returns the commands of the response to a heartbeat: stops, then forgets, then
+// starts. Stops come first because the number of commands is limited, and the response renews the
+// lease even if some commands are left out.
+func (l *Leader) heartbeatCommands(m *machines.Machine, h *wire.Heartbeat, authority bool) []wire.Command {
+	list := l.stopCommands(h)
 	for _, a := range m.Attempts() {
-		// stopCommands has already added the stops of tasks that are no longer needed.
+		// stopCommands has already added the stops of tasks that their jobs no longer need.
 		if a.NeedsStop() && len(list) < tuning.MaxCommandsPerResponse {
 			list = append(list, a.StopCommand())
 		}
@@ -22,13 +23,13 @@
 		}
 	}
 	if authority && !m.IsBeingReleased() {
-		list = appendStarts(list, m, r.Sequence)
+		list = appendStarts(list, m, h.Sequence)
 	}
 	return list
 }
 
-// appendStarts appends the starts that no task list has confirmed yet, unless a direct call that
-// carries them is in flight.
+// appendStarts appends the starts of attempts that no task list has contained yet, except for
+// starts in a direct call that is in flight. sequence is the sequence number of the heartbeat.
 func appendStarts(list []wire.Command, m *machines.Machine, sequence uint64) []wire.Command {
 	for _, a := range m.Attempts() {
 		if !a.NeedsStart() || a.WasSentDirectly() && m.IsBeingCalled() || len(list) >= tuning.MaxCommandsPerResponse {
@@ -40,18 +41,18 @@
 	return list
 }
 
-// stopCommands returns stops for all listed tasks that are no longer needed. Every response
-// renews the lease, so every response carries them. Otherwise successive leaders that each
-// receive one heartbeat of an agent in their term could keep a cancelled task running beyond the
-// deadline for cancellations.
-func (l *Leader) stopCommands(r *wire.Heartbeat) []wire.Command {
+// stopCommands returns stops for all listed tasks that their jobs no longer need. Every response
+// contains these stops, because every response renews the lease. Otherwise several leaders in a
+// row, each of which receives one heartbeat of an agent in its term, could keep a cancelled task
+// running beyond the deadline for cancellations.
+func (l *Leader) stopCommands(h *wire.Heartbeat) []wire.Command {
 	stops := []wire.Command{}
-	zero := 0.0
-	for i := range r.Tasks {
-		t := &r.Tasks[i]
+	noGracePeriod := 0.0
+	for i := range h.Tasks {
+		t := &h.Tasks[i]
 		id, index, ok := wire.SplitTask(t.Task)
 		if j := l.jobs.Get(id); t.State != wire.TaskExited && (!ok || j == nil || !j.NeedsTask(index)) && len(stops) < tuning.MaxCommandsPerResponse {
-			stops = append(stops, wire.Command{Op: wire.OpStop, Task: t.Task, Attempt: t.Attempt, GracePeriodS: &zero})
+			stops = append(stops, wire.Command{Op: wire.OpStop, Task: t.Task, Attempt: t.Attempt, GracePeriodS: &noGracePeriod})
 		}
 	}
 	return stops
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,8 +1,8 @@
-// Package leader holds the state of one term and makes the decisions in it. It connects jobs,
-// machines, placement, preemption, consolidation, scaling, drains and durable records. It does
-// no I/O and reads no clock: the caller passes in the time, requests, heartbeats and outcomes,
-// and carries out the writes, cloud calls and commands that the package returns. Callers must
-// serialize access.
+// Package leader holds the scheduling state of one leader term and decides what to start, stop,
+// provision and release. It combines the packages for jobs, machines, placement, preemption,
+// consolidation, scaling, drains and stored records. It does no I/O and reads no clock: callers
+// pass in the time, requests, heartbeats and the results of calls, and execute the writes, cloud
+// calls and commands that the package returns. Callers must serialize access.
 package leader
 
 import (
@@ -40,7 +40,7 @@
 	jobs               *jobs.Registry
 	graph              *jobs.DependencyGraph
 	admission          *admissionControl
-	unsavedCompletions jobs.PendingCompletions
+	pendingCompletions jobs.PendingCompletions
 	runTimes           jobs.RunTimeRatios
 	startDelay         jobs.StartDelay
 
@@ -50,46 +50,46 @@
 	ledger         *allocation.Ledger
 	directCalls    directCalls
 	machineLists   machineLists
-	taskListNumber uint64 // number of the last task list applied
+	taskListNumber uint64 // number of task lists applied so far, which numbers the newest one
 	reachability   *machines.Reachability
 
 	// Decisions.
-	passTimes     passTimes
-	passRequested bool // something has changed since the last pass
-	scoredPairs   int  // pairs of job and machine scored so far, for logs
-	preemptor     *preemption.Preemptor
-	consolidator  *consolidation.Consolidator
-	scaler        *scaling.Scaler
-	drainer       *drainer.Drainer
+	passTimes               passTimes
+	schedulingPassRequested bool // something that may allow new placements has changed since the last pass
+	scoredPairs             int  // pairs of job and machine scored so far
+	preemptor               *preemption.Preemptor
+	consolidator            *consolidation.Consolidator
+	scaler                  *scaling.Scaler
+	drainer                 *drainer.Drainer
 }
 
-// passTimes holds the times of scheduling passes and of checks for expired leases.
+// passTimes holds the times of scheduling passes and of the last check for expired leases.
 type passTimes struct {
-	last            time.Time
-	earliestNext    time.Time // earliest time of the next pass
-	lastExpiryCheck time.Time
+	lastPass         time.Time
+	earliestNextPass time.Time // earliest time of the next pass
+	lastExpiryCheck  time.Time
 }
 
-// New returns an empty state for a term that begins at now. grace is how long a leader that
-// can't reach the key-value store keeps responding to heartbeats.
-func New(log zerolog.Logger, p config.Params, o config.Operator, term uint64, now time.Time, grace time.Duration) *Leader {
+// New returns an empty state for a term that begins at now. grace is the grace period, in which a
+// leader that can't reach the key-value store still responds to heartbeats.
+func New(log zerolog.Logger, params config.Params, operator config.Operator, term uint64, now time.Time, grace time.Duration) *Leader {
 	l := &Leader{
 		log:                log,
-		params:             p,
-		operator:           o,
+		params:             params,
+		operator:           operator,
 		term:               term,
 		jobs:               jobs.NewRegistry(),
-		admission:          newAdmissionControl(&p, &o, term, now),
-		unsavedCompletions: jobs.PendingCompletions{},
-		ledger:             allocation.NewLedger(p.Teams),
+		admission:          newAdmissionControl(&params, &operator, term, now),
+		pendingCompletions: jobs.PendingCompletions{},
+		ledger:             allocation.NewLedger(params.Teams),
 		runTimes:           jobs.RunTimeRatios{},
 		machines:           machines.NewRegistry(),
 		catalogue:          machines.NewCatalogue(),
-		timing:             newTiming(p.Workers, now, grace),
+		timing:             newTiming(params.Workers, now, grace),
 		loading:            loadState{pieces: records.JobPieces{}, attempts: map[taskKey]*machines.Attempt{}},
 		reachability:       machines.NewReachability(),
 	}
-	l.graph = jobs.NewDependencyGraph(l.jobs, l.stageDuration)
+	l.graph = jobs.NewDependencyGraph(l.jobs, l.chainedJobDuration)
 	l.writes = records.NewWriteQueues(log, l.valueLimit())
 	l.startLog = startlog.New(term, l.valueLimit(), l.writes, startlog.Callbacks{OnDurable: l.allowStart, OnRefused: l.abandonStart})
 	l.scaler = l.newScaler()
@@ -101,8 +101,8 @@
 // Term returns the term of this state.
 func (l *Leader) Term() uint64 { return l.term }
 
-// MachineTypesKnown reports whether the machine types are known. No submission can be accepted
-// before that.
+// MachineTypesKnown reports whether the machine types are known. Until then, every submission is
+// rejected.
 func (l *Leader) MachineTypesKnown() bool { return l.catalogue.HasTypes() }
 
 // nextAttemptNumber returns a new attempt number. The term in its upper 32 bits makes it differ
@@ -115,6 +115,6 @@
 // EndTerm ends the term: all waiting requests get a response with status 503.
 func (l *Leader) EndTerm() {
 	for _, j := range l.jobs.Sorted() { // sorted, so that simulated runs are reproducible
-		j.NotifyWaiters(false)
+		j.NotifyWaiters(false) // no decision became durable in this term
 	}
 }
--- a/internal/leader/leases.go
+++ b/internal/leader/leases.go
@@ -15,16 +15,17 @@
 				l.log.Info().Str("machine", m.ID).Int("tasks", len(m.Attempts())).Msg("lease expired")
 			}
 			m.ExpireSession()
-			l.releaseExpired(now, m)
+			l.releaseAttemptsAfterExpiry(now, m)
 		}
 	}
 }
 
-// releaseExpired releases the attempts on a machine whose lease has expired, except for starts
-// sent by a direct call that got no reply. If a new agent has replaced the known one and numbers
-// its sessions from the beginning, these starts could still run there. Unless a heartbeat of a
-// new session arrives soon, the machine is released.
-func (l *Leader) releaseExpired(now time.Time, m *machines.Machine) {
+// releaseAttemptsAfterExpiry releases the attempts on a machine whose lease has expired, except for
+// attempts whose start, sent by a direct call, may still arrive. A new agent that has replaced the
+// known one and numbers its sessions from the beginning could still execute such a start. So the
+// machine is released as well, unless a heartbeat of a new session arrives within
+// tuning.FencingDelay.
+func (l *Leader) releaseAttemptsAfterExpiry(now time.Time, m *machines.Machine) {
 	for i := len(m.Attempts()) - 1; i >= 0; i-- {
 		if a := m.Attempts()[i]; !a.MayStartLate() {
 			l.releaseAttempt(now, a)
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -14,10 +14,10 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// loadState holds what is needed only while stored records are loaded.
+// loadState holds the data that is needed only while stored records are loaded.
 type loadState struct {
-	pieces records.JobPieces // parts of job records, by key
-	// attempts holds the newest attempt of each task that start records name.
+	pieces records.JobPieces // pieces of job records too large for one value, by key
+	// attempts holds the attempt of each task in the newest start record that lists the task.
 	attempts map[taskKey]*machines.Attempt
 }
 
@@ -27,15 +27,16 @@
 	index int32
 }
 
-// LoadRecord loads one stored record. now and wall are the same instant on the monotonic clock
-// and in time of day, which records contain. Records must come in records.LoadOrder. The error
-// is a records.CorruptError, or nil if the service can do without the record.
+// LoadRecord loads one stored record. Records must be loaded in records.LoadOrder. now and wall are
+// the same instant on the monotonic clock and in wall-clock time, which is the time that records
+// contain. For a corrupt record, LoadRecord returns a records.CorruptError, or logs the error and
+// returns nil if the service can do without the record.
 func (l *Leader) LoadRecord(now, wall time.Time, item wire.KeyValue) error {
 	kind, id, ok := records.ParseKey(item.Key)
 	if !ok {
 		return nil
 	}
-	err := l.loadKind(now, wall, kind, id, item)
+	err := l.loadRecordOfKind(now, wall, kind, id, item)
 	switch {
 	case err == nil:
 		return nil
@@ -46,8 +47,9 @@
 	return &records.CorruptError{Key: item.Key, Err: err}
 }
 
-// loadKind loads a record of the given kind; id is the rest of its key.
-func (l *Leader) loadKind(now, wall time.Time, kind records.Kind, id string, item wire.KeyValue) error {
+// loadRecordOfKind loads a record of the given kind. id is the part of the key that identifies the
+// record among those of its kind.
+func (l *Leader) loadRecordOfKind(now, wall time.Time, kind records.Kind, id string, item wire.KeyValue) error {
 	switch kind {
 	case records.KindMachineTypes:
 		return l.loadMachineTypes(item.Value)
@@ -89,7 +91,7 @@
 	return nil
 }
 
-// loadJob loads a job's record, whose pieces have been loaded before.
+// loadJob loads a job's record. The pieces of the record must have been loaded before.
 func (l *Leader) loadJob(now, wall time.Time, id string, value json.RawMessage) error {
 	stored, err := records.DecodeJob(id, value, l.loading.pieces)
 	if err != nil {
@@ -98,7 +100,7 @@
 	age := max(0, wall.Sub(time.UnixMilli(stored.SubmittedAtMS)))
 	j := jobs.Restore(stored, now.Add(-age))
 	l.jobs.Add(j)
-	l.admission.countUnfinished(j.Team, j.Tasks)
+	l.admission.addUnfinished(j.Team, j.Tasks)
 	return nil
 }
 
@@ -106,7 +108,8 @@
 func (l *Leader) loadCompletions(id string, item wire.KeyValue) error {
 	j := l.jobs.Get(records.CompletionsJobID(id))
 	if j == nil {
-		// A leader of an earlier version, which does not know of this record, left it behind.
+		// A leader of an earlier version, which does not know this kind of record, deleted the job
+		// without it.
 		l.writes.Background.Delete(item.Key)
 		return nil
 	}
@@ -126,13 +129,13 @@
 		return nil
 	}
 	j.RestoreEnd(f)
-	l.admission.countUnfinished(j.Team, -j.Tasks)
+	l.admission.addUnfinished(j.Team, -j.Tasks)
 	return nil
 }
 
-// loadStarts loads a start record: the tasks that it lists may be on its machines.
+// loadStarts loads a start record, which lists the tasks that may be on each of its machines.
 func (l *Leader) loadStarts(now time.Time, key string, starts *records.Starts) error {
-	rec := l.startLog.LoadRecord(key)
+	record := l.startLog.LoadRecord(key)
 	for _, machine := range starts.Machines {
 		m := l.machines.Get(machine.ID)
 		if m == nil {
@@ -144,7 +147,7 @@
 			if j == nil {
 				continue
 			}
-			err := intervals.ParseEach(machine.Tasks[id], j.Tasks, func(i int) { l.loadAttempt(now, rec, m, j, int32(i)) })
+			err := intervals.ParseEach(machine.Tasks[id], j.Tasks, func(i int) { l.loadAttempt(now, record, m, j, int32(i)) })
 			if err != nil {
 				return err
 			}
@@ -153,37 +156,38 @@
 	return nil
 }
 
-// loadAttempt records that a task may be on a machine.
+// loadAttempt adds an attempt for a task that may be on a machine, unless the task is completed.
 func (l *Leader) loadAttempt(now time.Time, record *startlog.Record, m *machines.Machine, j *jobs.Job, index int32) {
 	if j.IsCompleted(index) {
-		// A stored completion proves that the task has exited and is
-		// not started again.
+		// A stored completion proves that the task has exited and is not started again.
 		return
 	}
 	task := taskKey{j, index}
-	earlier := l.loading.attempts[task]
+	earlierAttempt := l.loading.attempts[task]
 	a := machines.NewAttempt(m, j, index, now)
 	record.AddLoadedAttempt(a)
 	l.ledger.Allocate(a)
 	l.loading.attempts[task] = a
-	if earlier != nil {
-		// The task was started again later, so it had left the earlier machine.
-		l.releaseAttempt(now, earlier)
+	if earlierAttempt != nil {
+		// The task was started on m later, so it had left the earlier machine by then.
+		l.releaseAttempt(now, earlierAttempt)
 	}
 }
 
-// FinishLoading completes the loading, after which tasks that are on no machine can be placed.
+// FinishLoading ends the loading of records. From then on, tasks that are on no machine can be
+// placed.
 func (l *Leader) FinishLoading(now time.Time) {
 	l.startLog.FinishLoading()
 	for _, key := range slices.Sorted(maps.Keys(l.loading.pieces)) {
 		// The remaining pieces belong to jobs that were not accepted or have ended.
 		l.writes.Background.Delete(key)
 	}
-	loaded := l.jobs.Sorted()
-	l.linkLoadedJobs(loaded)
-	for _, j := range loaded {
+	loadedJobs := l.jobs.Sorted()
+	l.linkLoadedJobs(loadedJobs)
+	for _, j := range loadedJobs {
 		if len(j.DependsOn) > 0 {
-			// The time at which its last dependency was done is not stored.
+			// The record does not contain the time at which the last dependency was done, so the
+			// job's waiting time counts from now.
 			j.BeginWaiting(now)
 		}
 		if j.IsActive() && j.AllCompleted() {
@@ -193,11 +197,12 @@
 		l.removeIfFinished(j)
 	}
 	for l.graph.HasCancellations() {
-		// Cancel all dependent jobs before any request gets a response.
+		// Cancel all dependents of cancelled jobs before any request gets a response: no response
+		// may say that such a job still waits or runs.
 		l.processDependencyChanges(now)
 	}
 	l.drainer.FinishLoading()
 	l.loading = loadState{}
-	l.passRequested = true
+	l.schedulingPassRequested = true
 	l.log.Info().Int("jobs", l.jobs.Len()).Int("ended", l.jobs.EndedJobs()).Int("machines", l.machines.Len()).Msg("records loaded")
 }
--- a/internal/leader/machine_list.go
+++ b/internal/leader/machine_list.go
@@ -8,18 +8,19 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// machineLists tracks the cloud's lists of machines that have been applied.
+// machineLists tracks the cloud's machine lists.
 type machineLists struct {
-	applied uint64
-	// current is true once a list describes a time after this term began. From then on a machine
-	// that a record names and that is not known no longer exists.
-	current bool
+	appliedCount uint64
+	// hasCurrent is true once a list that shows the state after the beginning of this term has been
+	// applied. From then on, an unknown machine that a record names no longer exists.
+	hasCurrent bool
 }
 
-// ApplyMachineList applies a complete machine list, requested at the given time.
+// ApplyMachineList applies a complete list of the cloud's machines that was requested at
+// requestedAt.
 func (l *Leader) ApplyMachineList(requestedAt, now time.Time, list []wire.ListedMachine) {
-	l.machineLists.applied++
-	l.machineLists.current = l.machineLists.current || requestedAt.Sub(l.timing.TermStart) > l.longestListLag()
+	l.machineLists.appliedCount++
+	l.machineLists.hasCurrent = l.machineLists.hasCurrent || requestedAt.Sub(l.timing.TermStart) > l.longestListLag()
 	listed := make(map[string]bool, len(list))
 	for i := range list {
 		row := &list[i]
@@ -42,14 +43,14 @@
 	m.ApplyListed(requestedAt, now, row)
 }
 
-// longestListLag returns the maximum age of a machine list relative to the request for it: twice
-// the list lag of the cloud, with clock drift.
+// longestListLag returns how old the state in a machine list may be when the list is requested:
+// twice the list lag of the cloud, with clock drift.
 func (l *Leader) longestListLag() time.Duration {
 	return seconds.Duration(l.params.Cloud.ListLagS * (1 + tuning.ClockDrift) * 2)
 }
 
-// nonexistentMachines records which machines a list lacks and returns those that provably no
-// longer exist. A list is at most twice its lag old.
+// nonexistentMachines counts a missing entry for each machine that a list lacks, and returns the
+// machines that certainly no longer exist.
 func (l *Leader) nonexistentMachines(requestedAt time.Time, listed map[string]bool) []string {
 	var nonexistent []string
 	lag := l.longestListLag()
@@ -73,11 +74,11 @@
 		l.machines.Remove(m)
 	}
 	l.log.Debug().Strs("machines", names).Msg("machines removed")
-	l.passRequested = true
+	l.schedulingPassRequested = true
 }
 
-// HasLateHeartbeats reports whether the heartbeats of machines with attempts are late. The next
-// machine list may then show that the machines no longer exist.
+// HasLateHeartbeats reports whether the heartbeat of a machine with attempts is late. The next
+// machine list is then urgent, because it may show that the machine no longer exists.
 func (l *Leader) HasLateHeartbeats(now time.Time) bool {
 	for _, m := range l.machines.All() {
 		if m.IsReconciled() && len(m.Attempts()) > 0 && m.SinceHeartbeat(now) > seconds.Duration(l.params.Workers.HeartbeatIntervalS*tuning.LateHeartbeatIntervals) {
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -18,8 +18,11 @@
 	return m
 }
 
-// machinesKnown reports whether the machine types are known and a machine list has been applied.
-func (l *Leader) machinesKnown() bool { return l.MachineTypesKnown() && l.machineLists.applied > 0 }
+// machinesAndTypesKnown reports whether the machine types are known and a machine list has been
+// applied.
+func (l *Leader) machinesAndTypesKnown() bool {
+	return l.MachineTypesKnown() && l.machineLists.appliedCount > 0
+}
 
 // setCapacity sets the machine's capacity if its type is known.
 func (l *Leader) setCapacity(m *machines.Machine) {
@@ -41,10 +44,10 @@
 	for _, m := range l.machines.All() {
 		l.setCapacity(m)
 	}
-	l.passRequested = true
+	l.schedulingPassRequested = true
 }
 
-// releaseAttempt releases the allocation of an attempt whose task is certainly no longer on its
+// releaseAttempt releases the allocation of an attempt. The task must certainly have left the
 // machine.
 func (l *Leader) releaseAttempt(now time.Time, a *machines.Attempt) {
 	if !a.IsAllocated() {
@@ -52,10 +55,10 @@
 	}
 	a.RecordProgress(now)
 	l.drainer.RecordInterruption(now, a)
-	last := l.ledger.Release(now, a)
+	lastOfTask := l.ledger.Release(now, a)
 	l.startLog.Remove(a)
-	if last {
-		l.passRequested = true
+	if lastOfTask {
+		l.schedulingPassRequested = true
 		l.removeIfFinished(a.Job)
 	}
 }
--- a/internal/leader/pass.go
+++ b/internal/leader/pass.go
@@ -11,8 +11,9 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Tick carries out the work that is due: dependency changes, writes of completions, checks for
-// expired leases and, with authority, a scheduling pass.
+// Tick does the work that is due: dependency changes, writes of completions, checks for expired
+// leases, and a scheduling pass. authority is false while the leader can't reach the key-value
+// store; no pass runs then.
 func (l *Leader) Tick(now time.Time, authority bool) {
 	l.processDependencyChanges(now)
 	l.flushCompletions(now)
@@ -30,22 +31,23 @@
 
 // passIsDue reports whether a scheduling pass is due.
 func (l *Leader) passIsDue(now time.Time) bool {
-	return !now.Before(l.passTimes.earliestNext) && (l.passRequested || now.Sub(l.passTimes.last) >= maxPassInterval)
+	return !now.Before(l.passTimes.earliestNextPass) && (l.schedulingPassRequested || now.Sub(l.passTimes.lastPass) >= maxPassInterval)
 }
 
 // runPass runs a scheduling pass. The delay before the next pass grows with the number of pairs
-// scored.
+// scored, so that passes use only a limited share of the CPU time.
 func (l *Leader) runPass(now time.Time) {
-	l.passRequested = false
-	l.passTimes.last = now
-	before := l.scoredPairs
+	l.schedulingPassRequested = false
+	l.passTimes.lastPass = now
+	scoredBefore := l.scoredPairs
 	l.placeReadyTasks(now)
-	l.passTimes.earliestNext = now.Add(tuning.PassInterval + time.Duration(l.scoredPairs-before)*tuning.PassDelayPerScoredPair)
+	l.passTimes.earliestNextPass = now.Add(tuning.PassInterval + time.Duration(l.scoredPairs-scoredBefore)*tuning.PassDelayPerScoredPair)
 	l.consolidate(now)
 }
 
 // placeReadyTasks places ready tasks on machines and queues the records of their starts. It then
-// preempts tasks, unless the placement was truncated.
+// preempts tasks in favour of those that could not be placed. If the placement reached its limits,
+// it requests another pass instead.
 func (l *Leader) placeReadyTasks(now time.Time) {
 	ready, byID := l.readyJobs(now)
 	if len(ready) == 0 {
@@ -59,14 +61,14 @@
 	for _, j := range byID {
 		agedJobs[j] = j.SincePlacement(now) >= tuning.AgingThreshold
 	}
-	starts, work := placement.Run(l.placementTimeS(now), l.withAgedFirst(now, ready, byID), candidates, l.ledger.PlacementTeams(), tuning.PassMaxStarts)
-	l.scoredPairs += work.ScoredPairs
+	starts, stats := placement.Run(l.placementTimeS(now), l.withAgedEntries(now, ready, byID), candidates, l.ledger.PlacementTeams(), tuning.PassMaxStarts)
+	l.scoredPairs += stats.ScoredPairs
 	for _, s := range starts {
 		j := byID[s.Job]
 		l.startTask(now, j, l.machines.Get(s.Machine), agedJobs[j])
 	}
-	if work.Truncated {
-		l.passRequested = true
+	if stats.Truncated {
+		l.schedulingPassRequested = true
 		return
 	}
 	l.preempt(now, ready, byID)
@@ -77,24 +79,26 @@
 	return slices.MinFunc(ready, func(a, b *placement.PendingJob) int { return cmp.Compare(a.PriorityRank, b.PriorityRank) }).PriorityRank
 }
 
-// schedulableMachines returns the schedulable machines as the pass sees them. A reservation
-// applies only while there is ready work of its rank or above.
+// schedulableMachines returns snapshots of the schedulable machines for the placement. The
+// reservation of a machine for a priority applies only while a job of that priority or a higher one
+// is ready.
 func (l *Leader) schedulableMachines(now time.Time, highestRank int) []*placement.Machine {
 	var candidates []*placement.Machine
 	for _, m := range l.machines.All() {
 		if !l.isSchedulable(now, m) {
 			continue
 		}
-		view := l.snapshot(now, m)
+		candidate := l.snapshot(now, m)
 		rank, reserved := m.Reservation(now)
-		view.HasReservation, view.ReservedRank = reserved && highestRank <= rank, rank
-		candidates = append(candidates, view)
+		candidate.HasReservation, candidate.ReservedRank = reserved && highestRank <= rank, rank
+		candidates = append(candidates, candidate)
 	}
 	return candidates
 }
 
-// startTask assigns the next ready task of a job to a machine. The start may be sent only once
-// its record is durable, because a successor must know which machine may have the task.
+// startTask assigns the next ready task of a job to a machine and queues the start record. The
+// start may be sent only when the record is durable, because a successor must find out from it
+// which machine may have the task.
 func (l *Leader) startTask(now time.Time, j *jobs.Job, m *machines.Machine, aged bool) {
 	index := j.PopReadyTask(now)
 	a := machines.NewPendingAttempt(m, j, index, now, l.nextAttemptNumber(), aged)
@@ -102,15 +106,15 @@
 	l.startLog.Add(a)
 }
 
-// allowStart lets a start be sent once its record is durable.
+// allowStart allows a start to be sent. It is called when the start record is durable.
 func (l *Leader) allowStart(a *machines.Attempt) {
 	a.MarkRecorded()
-	l.directCalls.schedule(a.Machine)
+	l.directCalls.enqueue(a.Machine)
 }
 
-// abandonStart releases an attempt whose start can't be recorded and has not been sent, so that
-// its task is placed again.
+// abandonStart releases an attempt whose start record the key-value store has refused. The start
+// has not been sent, so the task can be placed again.
 func (l *Leader) abandonStart(a *machines.Attempt) { l.releaseAttempt(a.CreatedAt(), a) }
 
-// placementTimeS returns the time for the placement algorithm, in seconds since the term began.
+// placementTimeS converts a time for the placement algorithm: to seconds since the term began.
 func (l *Leader) placementTimeS(now time.Time) float64 { return now.Sub(l.timing.TermStart).Seconds() }
--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -17,11 +17,11 @@
 		UnfinishedJobs: l.jobs.Runnable,
 		FetchGBPerS:    func(machineType string) float64 { return l.catalogue.Type(machineType).FetchGBPerS },
 		TeamFreeCPUs:   l.ledger.FreeCPUs,
-		OnStop:         l.directCalls.schedule,
+		OnStop:         l.directCalls.enqueue,
 	})
 }
 
-// preempt frees capacity for ready tasks that could not be placed.
+// preempt stops running tasks to free capacity for ready tasks that could not be placed.
 func (l *Leader) preempt(now time.Time, ready []*placement.PendingJob, byID map[string]*jobs.Job) {
 	if n := l.preemptor.Run(now, ready, byID); n > 0 {
 		l.log.Debug().Int("tasks", n).Msg("tasks preempted")
--- a/internal/leader/ready_jobs.go
+++ b/internal/leader/ready_jobs.go
@@ -9,11 +9,12 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// withAgedFirst splits off some tasks of each job that has waited long without a start, to be
-// placed before all others. Priority, urgency and size decide the order, so a lasting backlog of
-// smaller or more urgent work could otherwise starve a large job.
-func (l *Leader) withAgedFirst(now time.Time, ready []*placement.PendingJob, byID map[string]*jobs.Job) []*placement.PendingJob {
-	all := ready
+// withAgedEntries moves some ready tasks of each job without a start for tuning.AgingThreshold to
+// an additional, aged entry. The placement handles aged entries before all others. Otherwise a long
+// backlog of smaller or more urgent jobs could starve a large job, because priority, urgency and
+// size decide the order.
+func (l *Leader) withAgedEntries(now time.Time, ready []*placement.PendingJob, byID map[string]*jobs.Job) []*placement.PendingJob {
+	entries := ready
 	for _, r := range ready {
 		j := byID[r.Job]
 		if j.SincePlacement(now) < tuning.AgingThreshold || j.FailsEverywhere() {
@@ -22,14 +23,16 @@
 		aged := *r
 		aged.AgedS = j.SincePlacement(now).Seconds()
 		aged.ReadyTasks = min(r.ReadyTasks, max(1, int(float64(j.Tasks)*tuning.AgedTaskShare)))
-		// Both entries share TasksInZone and so count each other's starts.
+		// The two entries share the map TasksInZone, so each takes the starts of the other into
+		// account.
 		r.ReadyTasks -= aged.ReadyTasks
-		all = append(all, &aged)
+		entries = append(entries, &aged)
 	}
-	return all
+	return entries
 }
 
-// readyJobs returns the jobs with tasks to place, oldest first, and the same jobs by ID.
+// readyJobs returns the jobs with tasks that may be placed now, oldest first, and the same jobs by
+// ID.
 func (l *Leader) readyJobs(now time.Time) ([]*placement.PendingJob, map[string]*jobs.Job) {
 	active := l.jobs.RunnableByAge()
 	guaranteed := l.ledger.WithinGuarantee(active)
@@ -51,7 +54,7 @@
 			// A job whose tasks fail starts one task at a time.
 			r.ReadyTasks = 1
 		}
-		r.TasksInZone = maps.Clone(r.TasksInZone) // a pass adds its own starts
+		r.TasksInZone = maps.Clone(r.TasksInZone) // copied, as the placement adds its own starts
 		byID[j.ID] = j
 		ready = append(ready, r)
 	}
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -10,34 +10,35 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// reconcileTasks compares the machine's complete task list with its attempts. Only a heartbeat
-// that the agent sent on its own (periodic) proves that the starts in earlier responses were not
-// executed: the reply to a direct call may overtake these responses.
-func (l *Leader) reconcileTasks(now time.Time, m *machines.Machine, r *wire.Heartbeat, periodic bool) {
+// reconcileTasks compares the machine's complete task list with its attempts. periodic is false for
+// the heartbeat in the reply to a direct call. Only a periodic heartbeat that lacks the starts of
+// earlier responses proves that they were not executed: a reply to a direct call may arrive while
+// the agent has yet to receive such a response.
+func (l *Leader) reconcileTasks(now time.Time, m *machines.Machine, h *wire.Heartbeat, periodic bool) {
 	l.taskListNumber++
 	m.ClearExited()
-	for i := range r.Tasks {
-		l.applyTask(now, m, &r.Tasks[i])
+	for i := range h.Tasks {
+		l.applyListedTask(now, m, &h.Tasks[i])
 	}
 	if periodic {
 		l.recordIgnoredStarts(now, m)
 	}
 	l.releaseUnlisted(now, m, periodic)
 	if first := m.MarkReconciled(now); first {
-		l.passRequested = true
-		l.log.Debug().Str("machine", m.ID).Int("tasks", len(r.Tasks)).Msg("machine reconciled")
+		l.schedulingPassRequested = true
+		l.log.Debug().Str("machine", m.ID).Int("tasks", len(h.Tasks)).Msg("machine reconciled")
 	}
 }
 
-// applyTask applies one entry of a machine's task list.
-func (l *Leader) applyTask(now time.Time, m *machines.Machine, t *wire.TaskStatus) {
+// applyListedTask applies one entry of a machine's task list.
+func (l *Leader) applyListedTask(now time.Time, m *machines.Machine, t *wire.TaskStatus) {
 	id, index, ok := wire.SplitTask(t.Task)
 	j := l.jobs.Get(id)
 	switch {
 	case !ok || j == nil || index >= j.Tasks:
 		// The job has ended or is unknown; stopCommands stops the task if it has not exited.
 		if t.State == wire.TaskExited {
-			recordExited(m, t, true)
+			recordExited(m, t, true) // unneeded
 		}
 	case t.State == wire.TaskExited:
 		l.applyExitedTask(now, m, j, int32(index), t)
@@ -46,10 +47,11 @@
 	}
 }
 
-// recordExited records an exited task; with forget, the agent is told to forget it.
-func recordExited(m *machines.Machine, t *wire.TaskStatus, forget bool) {
+// recordExited records an exited task. If unneeded is true, the agent is told to forget the task,
+// unless its start may still arrive.
+func recordExited(m *machines.Machine, t *wire.TaskStatus, unneeded bool) {
 	key := machines.ExitKey{Task: t.Task, Attempt: t.Attempt}
-	m.AddExited(key, forget)
+	m.AddExited(key, unneeded)
 }
 
 // applyExitedTask applies the entry of a task that has exited.
@@ -68,6 +70,7 @@
 	case t.ExitReason == wire.ExitDone:
 		l.recordCompletion(now, j, index)
 	}
+	// The agent has to remember a done task until the completion is durable.
 	recordExited(m, t, t.ExitReason != wire.ExitDone || j.IsCompletionDurable(index))
 }
 
@@ -77,8 +80,8 @@
 	if a == nil {
 		a = machines.NewAttempt(m, j, index, now)
 		l.ledger.Allocate(a)
-		// No record names this attempt any more, or none ever did, but a successor has to know
-		// of it.
+		// No start record names this attempt, or none does any more, but a successor has to find it
+		// in one.
 		l.startLog.Add(a)
 		if j.IsActive() {
 			j.RemoveReadyTask(index)
@@ -100,15 +103,17 @@
 func (l *Leader) recordRunning(now time.Time, a *machines.Attempt) {
 	m, j := a.Machine, a.Job
 	j.AddRunning()
+	// The delay is measured without an image fetch. The upper half of an attempt number is the term.
 	if m.HasImage(j.Image) && a.Number()>>32 == l.term {
 		l.startDelay.Observe(now.Sub(a.CreatedAt()).Seconds(), l.params.Workers.HeartbeatIntervalS)
 	}
 	m.RecordImage(now, j.Image)
-	l.passRequested = true
+	l.schedulingPassRequested = true
 	l.drainer.RecordRunning(a)
 }
 
-// recordIgnoredStarts records that an earlier response with starts had no effect.
+// recordIgnoredStarts records that an earlier response had no effect if the task list lacks one of
+// its starts.
 func (l *Leader) recordIgnoredStarts(now time.Time, m *machines.Machine) {
 	if slices.ContainsFunc(m.Attempts(), func(a *machines.Attempt) bool {
 		return !a.IsListed(l.taskListNumber) && a.State() == machines.StartSent && a.WasSentInResponse()
@@ -117,7 +122,8 @@
 	}
 }
 
-// releaseUnlisted releases the attempts that the task list just applied proves absent.
+// releaseUnlisted releases the attempts that are certainly not on the machine, because the task
+// list just applied lacks them.
 func (l *Leader) releaseUnlisted(now time.Time, m *machines.Machine, periodic bool) {
 	for i := len(m.Attempts()) - 1; i >= 0; i-- {
 		a := m.Attempts()[i]
@@ -126,10 +132,10 @@
 		case a.State() != machines.StartSent:
 			l.releaseAttempt(now, a)
 		case a.WasSentDirectly():
-			l.scheduleFencingRelease(now, a)
+			l.requireFencingRelease(now, a)
 		case periodic || !a.WasSentInResponse():
-			// The start was sent only in a response that the agent no longer waits for: it has
-			// not been executed and never will be.
+			// The start was not sent, or only in a response that the agent no longer waits for. So
+			// it has not been executed and never will be.
 			a.MarkResponseIgnored()
 			if !a.ShouldRun() || !l.isSchedulable(now, m) {
 				l.releaseAttempt(now, a)
@@ -138,9 +144,9 @@
 	}
 }
 
-// scheduleFencingRelease schedules the release of a machine if a start that may still reach it
-// is of a task that must no longer run.
-func (l *Leader) scheduleFencingRelease(now time.Time, a *machines.Attempt) {
+// requireFencingRelease requires the release of a machine that may still receive the start of a
+// task that must no longer run.
+func (l *Leader) requireFencingRelease(now time.Time, a *machines.Attempt) {
 	m := a.Machine
 	if a.ShouldRun() || m.ReleaseRequired() {
 		return
@@ -148,12 +154,12 @@
 	m.Cordon(machines.CordonLateStart)
 	fenceFrom := a.Job.EndedAt()
 	if fenceFrom.IsZero() {
-		fenceFrom = now // the task is done, but its job has not ended
+		fenceFrom = now // the task must not run, but its job has not ended
 	}
 	m.RequireRelease(fenceFrom.Add(lateStartLimit(l.params.Workers)))
 }
 
-// applyExit handles the exit of a task by its reason.
+// applyExit applies the exit of a task according to its reason, and releases the attempt.
 func (l *Leader) applyExit(now time.Time, a *machines.Attempt, t *wire.TaskStatus) {
 	m, j := a.Machine, a.Job
 	a.MarkExited(t.CheckpointSaved, t.ExitReason == wire.ExitError)
--- a/internal/leader/requests.go
+++ b/internal/leader/requests.go
@@ -7,7 +7,8 @@
 	"switchshore.example/switchshore/internal/jobs"
 )
 
-// Query returns a job's state, or 503 while the job is being accepted or cancelled.
+// Query returns a job's state. The status is 503 while an acceptance or cancellation is not durable
+// yet, because the job's state must not be disclosed then.
 func (l *Leader) Query(id string) JobResponse {
 	if j := l.jobs.Get(id); j != nil && j.StateWithheld() {
 		return JobResponse{Status: http.StatusServiceUnavailable, Reason: "being accepted or cancelled"}
@@ -16,7 +17,8 @@
 	return r
 }
 
-// Cancel cancels a job. It calls respond at once, or when the cancellation is durable.
+// Cancel cancels a job. It calls respond at once if the job has ended or does not exist, and
+// otherwise when the job's end is durable.
 func (l *Leader) Cancel(now time.Time, id string, respond func(JobResponse)) {
 	if _, ended := l.jobs.FinalState(id); ended {
 		r, _ := l.jobResponse(id)
@@ -29,11 +31,11 @@
 		respond(JobResponse{Status: http.StatusNotFound})
 	case j.State().IsTerminal():
 		// The job has ended, but its final state is not durable yet.
-		j.AddWaiter(func(ok bool) { respond(l.decidedResponse(ok, id, http.StatusOK)) })
+		j.AddWaiter(func(decided bool) { respond(l.decidedResponse(decided, id, http.StatusOK)) })
 	default:
-		// A submission that still waits gets its response with the acceptance, which is written
-		// first, or with the job's end.
-		j.AddWaiter(func(ok bool) { respond(l.decidedResponse(ok, id, http.StatusOK)) })
+		// A submission that still waits for its response gets one at the same time, when the
+		// cancellation is durable.
+		j.AddWaiter(func(decided bool) { respond(l.decidedResponse(decided, id, http.StatusOK)) })
 		l.endJob(now, j, jobs.Cancelled, &l.writes.Interactive)
 	}
 }
--- a/internal/leader/response.go
+++ b/internal/leader/response.go
@@ -7,8 +7,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// JobResponse is the response to a user's request: a status, with the job's state or the reason for
-// a rejection.
+// JobResponse is the response to a user's request about a job: an HTTP status, and the job's state
+// or the reason for a rejection.
 type JobResponse struct {
 	Status         int
 	State          string
@@ -20,13 +20,15 @@
 	RetryAfter int
 }
 
-// IsTerminal reports whether the job's state in the response is final, so that any node may send
-// the response. All other responses may come only from a leader.
+// IsTerminal reports whether the response contains a final state of the job. Any node may send such
+// a response, because the state can't change any more. All other responses may come only from a
+// leader.
 func (r JobResponse) IsTerminal() bool {
 	return r.Status/100 == 2 && wire.IsTerminal(r.State)
 }
 
-// jobResponse returns the state of a job; known is false if the job does not exist.
+// jobResponse returns a response with the current state of a job. known is false if the job does
+// not exist.
 func (l *Leader) jobResponse(id string) (r JobResponse, known bool) {
 	if f, ok := l.jobs.FinalState(id); ok {
 		state := wire.JobDone
@@ -46,7 +48,8 @@
 	return r, true
 }
 
-// RejectedError says why a submission is rejected, for now or permanently.
+// RejectedError says why a submission is rejected. The status is 422 if the job can never be
+// accepted, and 429 or 503 if the submission may be retried.
 type RejectedError struct {
 	Status     int
 	Reason     string
@@ -59,8 +62,8 @@
 	return JobResponse{Status: e.Status, Reason: e.Reason, RetryAfter: e.RetryAfter}
 }
 
-// decidedResponse returns the response to a request that waited for its outcome to be durable;
-// decided is false if the term ended first.
+// decidedResponse returns the response to a request that has waited until the job's acceptance or
+// end is durable. decided is false if the term ended before that.
 func (l *Leader) decidedResponse(decided bool, id string, status int) JobResponse {
 	if !decided {
 		return JobResponse{Status: http.StatusServiceUnavailable, Reason: "the term ended"}
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -38,21 +38,23 @@
 // PlanScaling decides whether to scale out and in, at most once per planning period, and returns
 // the cloud calls to be made.
 func (l *Leader) PlanScaling(now time.Time) []scaling.CloudCall {
-	if !l.machinesKnown() || !l.scaler.BeginPlanningIfDue(now) {
+	if !l.machinesAndTypesKnown() || !l.scaler.BeginPlanningIfDue(now) {
 		return nil
 	}
 	l.reachability.Update(now, l.machines.All(), &l.timing)
 	plan := l.scaler.Plan(now)
 	calls := append(l.scaler.ScaleOut(now, plan.ScaleOut), l.drainer.ReplacementCalls(now)...)
 	if l.scaler.ReleaseInFlight() {
+		// Further releases follow later, in one batch.
 		return calls
 	}
 	return append(calls, l.scaler.ScaleIn(l.machinesToRelease(now, plan.ScaleIn))...)
 }
 
-// machinesToRelease lists the machines to be released, the most urgent first: unreachable
-// machines whose work would miss its deadline, unless this node itself is isolated, then those
-// that the plan does not need, then those that will do no more work.
+// machinesToRelease returns the machines to be released, the most urgent first: unreachable
+// machines with a deadline at risk, then those that the plan does not need, then those that can't
+// or shouldn't run tasks any more. While this node itself is isolated, no machine is released for a
+// deadline, because the machines may be reachable from other nodes.
 func (l *Leader) machinesToRelease(now time.Time, unneeded []string) []string {
 	var names []string
 	for _, m := range l.machines.All() {
@@ -69,10 +71,11 @@
 	return names
 }
 
-// demand returns the work that waits for capacity, within the teams' limits.
+// demand returns the ready tasks for which capacity is needed, within the limits of their teams.
 func (l *Leader) demand(now time.Time) []autoscale.Demand {
 	if l.term > 1 && now.Sub(l.timing.TermStart) < seconds.Duration(l.params.Cloud.ListLagS) {
-		// Machines that a predecessor provisioned last may not be listed yet.
+		// The machine list may not contain the last machines yet that a predecessor provisioned.
+		// Until it does, these machines would be provisioned again.
 		return nil
 	}
 	freeCPUs := l.ledger.FreeCPUsByTeam()
@@ -81,10 +84,10 @@
 	var demand []autoscale.Demand
 	for _, r := range ready {
 		j := byID[r.Job]
-		taskLimit := int(min(max(0, freeCPUs[j.Team])/max(j.CPUs, 1e-9), float64(r.ReadyTasks)))
-		// A failing job starts one task at a time, but needs a machine for that task: without
-		// demand of its own it could wait forever.
-		demandedTasks := min(r.ReadyTasks, taskLimit)
+		tasksWithinLimit := int(min(max(0, freeCPUs[j.Team])/max(j.CPUs, 1e-9), float64(r.ReadyTasks)))
+		// A failing job starts one task at a time, but needs a machine for that task. If the job
+		// were left out here, it could wait forever.
+		demandedTasks := min(r.ReadyTasks, tasksWithinLimit)
 		freeCPUs[j.Team] -= float64(demandedTasks) * j.CPUs
 		if demandedTasks == 0 {
 			continue
@@ -97,8 +100,8 @@
 	return demand
 }
 
-// FinishProvision applies the result of a provisioning call: the names of the machines, or none if
-// it was rejected.
+// FinishProvision applies the result of a provisioning call. names holds the new machines, and is
+// empty if the cloud rejected the call.
 func (l *Leader) FinishProvision(now time.Time, r wire.ProvisionRequest, names []string) {
 	call := l.scaler.FinishProvision(now, r, len(names))
 	if call == nil {
@@ -115,7 +118,8 @@
 	l.log.Debug().Str("request", r.RequestID).Str("zone", r.Zone).Bool("spot", r.Spot).Int("requested", r.Count).Int("received", len(names)).Msg("machines provisioned")
 }
 
-// FinishRelease records that machines have been released and no longer exist.
+// FinishRelease records that a release call has succeeded, so that the named machines no longer
+// exist.
 func (l *Leader) FinishRelease(now time.Time, names []string) {
 	l.scaler.FinishRelease()
 	l.removeMachines(now, names)
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -9,8 +9,8 @@
 	"switchshore.example/switchshore/internal/placement"
 )
 
-// snapshot describes a machine to the placement algorithm. The cached snapshot is reused until
-// the machine changes or a pass modifies it.
+// snapshot returns the description of a machine for the placement algorithm. The cached one is
+// reused until the machine changes or a pass modifies it.
 func (l *Leader) snapshot(now time.Time, m *machines.Machine) *placement.Machine {
 	if s := m.CachedSnapshot(); s != nil {
 		return s
--- a/internal/leader/submission.go
+++ b/internal/leader/submission.go
@@ -13,18 +13,19 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// Submit handles a valid submission without an admission claim of another node.
+// Submit handles a valid submission that came without an admission claim.
 func (l *Leader) Submit(now time.Time, wall time.Time, spec *wire.Job, respond func(JobResponse)) {
 	l.SubmitWithClaim(now, wall, spec, nil, respond)
 }
 
-// SubmitWithClaim handles a valid submission with the admission claim of the node that received
-// it. It calls respond at once, or later, when the job is durable or the term has ended.
+// SubmitWithClaim handles a valid submission. claim is what the node that received it reports for
+// admission control, or nil. respond is called at once, or later, when the job is durable or the
+// term has ended.
 func (l *Leader) SubmitWithClaim(now time.Time, wall time.Time, spec *wire.Job, claim *admission.Claim, respond func(JobResponse)) {
-	// Until the acceptance is durable no response may mention the job, not even
-	// once its cancellation has been requested.
+	// While the job's state is withheld, this request waits as well. No response may mention a job
+	// before its acceptance is durable, not even if its cancellation has been requested.
 	if j := l.jobs.Get(spec.ID); j != nil && j.StateWithheld() {
-		j.AddWaiter(func(ok bool) { respond(l.decidedResponse(ok, spec.ID, http.StatusOK)) })
+		j.AddWaiter(func(decided bool) { respond(l.decidedResponse(decided, spec.ID, http.StatusOK)) })
 		return
 	}
 	if r, known := l.jobResponse(spec.ID); known {
@@ -47,34 +48,36 @@
 	if !l.MachineTypesKnown() {
 		return &RejectedError{Status: http.StatusServiceUnavailable, Reason: "machine types not known yet"}
 	}
-	if reason := l.unsatisfiableReason(spec); reason != "" {
+	if reason := l.neverRunnableReason(spec); reason != "" {
 		return &RejectedError{Status: http.StatusUnprocessableEntity, Reason: reason}
 	}
 	if rejected := l.checkDependencies(spec); rejected != nil {
 		return rejected
 	}
 	if l.admission.unfinished+spec.Tasks > tuning.MaxActiveTasks || l.writes.Interactive.Len() >= l.maxInteractiveWrites() {
-		// The key-value store can't take more writes while users wait for a response: queueing
-		// them would only end in a timeout.
+		// The key-value store can't execute more writes within the time that users wait for a
+		// response: further requests would only time out.
 		return &RejectedError{Status: http.StatusServiceUnavailable, Reason: "too much work queued"}
 	}
 	return nil
 }
 
-// acceptJob stores a new job; its user gets a response once it is durable.
+// acceptJob adds a new job and queues its record. The user gets a response when the record is
+// durable.
 func (l *Leader) acceptJob(now time.Time, wall time.Time, spec *wire.Job, respond func(JobResponse)) {
 	j := jobs.New(*spec, wall.UnixMilli(), now)
 	l.jobs.Add(j)
-	l.admission.countUnfinished(j.Team, j.Tasks)
+	l.admission.addUnfinished(j.Team, j.Tasks)
 	l.graph.Link(j)
 	l.graph.QueuePathUpdates(j)
-	j.AddWaiter(func(ok bool) { respond(l.decidedResponse(ok, j.ID, http.StatusCreated)) })
-	l.storeJob(j, func() {
+	j.AddWaiter(func(decided bool) { respond(l.decidedResponse(decided, j.ID, http.StatusCreated)) })
+	l.queueJobRecord(j, func() {
 		if j.MarkAccepted() {
 			l.makeReadyIfUnblocked(now, j)
 		}
+		// If the job has been cancelled meanwhile, its waiters are notified when its end is durable.
 		if j.IsActive() {
-			j.NotifyWaiters(true)
+			j.NotifyWaiters(true) // the acceptance is durable
 		}
 	})
 	if j.DependencyCancelled() {
@@ -82,21 +85,22 @@
 	}
 }
 
-// maxInteractiveWrites returns how many writes the write budget allows while a user waits.
+// maxInteractiveWrites returns the number of writes that the write budget allows within
+// tuning.SubmitTimeout, the longest time that a user waits.
 func (l *Leader) maxInteractiveWrites() int {
 	return max(1, int(l.params.KVStore.WriteRPS*tuning.StoreWriteShare*tuning.SubmitTimeout.Seconds()))
 }
 
-// unsatisfiableReason returns why a job can never run, or "" if it can.
-func (l *Leader) unsatisfiableReason(spec *wire.Job) string {
+// neverRunnableReason returns why a job can never run, or "" if it can.
+func (l *Leader) neverRunnableReason(spec *wire.Job) string {
 	if reason := l.ledger.QuotaViolation(spec); reason != "" {
 		return reason
 	}
 	request := placement.TaskRequest(spec)
 	probe := placement.PendingJob{MachineTypes: spec.MachineTypes, Zone: spec.Zone, Spot: true, Request: request, TotalTasks: spec.Tasks}
-	for mt := range l.catalogue.All() {
-		for _, zone := range mt.Zones {
-			if probe.CanRunOn(&placement.Machine{Type: mt.Name, Zone: zone, Capacity: placement.MachineCapacity(mt)}) {
+	for machineType := range l.catalogue.All() {
+		for _, zone := range machineType.Zones {
+			if probe.CanRunOn(&placement.Machine{Type: machineType.Name, Zone: zone, Capacity: placement.MachineCapacity(machineType)}) {
 				return ""
 			}
 		}
@@ -104,8 +108,8 @@
 	return "a task fits no allowed machine type"
 }
 
-// QuotaViolation returns why the settings alone show that a job can never run, or "". Any node
-// can call it, whether or not a leader is known.
+// QuotaViolation returns why a job exceeds its team's quota in the settings, so that it can never
+// run, or "". It needs no state, so a node can call it even while no leader is known.
 func QuotaViolation(teams []config.Team, spec *wire.Job) string {
 	return allocation.QuotaViolation(teams, spec)
 }
--- a/internal/leader/counts.go
+++ b/internal/leader/summary.go
@@ -4,22 +4,24 @@
 	"switchshore.example/switchshore/internal/jobs"
 )
 
-// Summary summarizes the state for logs.
+// Summary holds the figures of the periodic summary in the log.
 type Summary struct {
 	Jobs, ReadyTasks, AllocatedTasks, Machines, UpMachines, SpotMachines, PendingWrites int
-	// QueuedDependencyUpdates is the number of dependency updates still to be made for jobs that have
-	// ended.
+	// QueuedDependencyUpdates is the number of jobs that are queued to be cancelled, to be
+	// unblocked or to get their critical path updated.
 	QueuedDependencyUpdates int
 	// ScoredPairs is the number of pairs of job and machine scored so far.
 	ScoredPairs int
-	// DrainExaminations is the number of machines and attempts that drains have examined so far.
+	// DrainExaminations is the number of machines and attempts that drains have examined so far. A
+	// machine or attempt counts each time it is examined.
 	DrainExaminations int
-	// CPUs and UsedCPUs are the total and the allocated CPUs of machines that are up, WantedCPUs
-	// the CPUs requested by ready tasks.
+	// CPUs and UsedCPUs are the total and the allocated CPUs of the machines that are up: those
+	// that have joined and are not being released. WantedCPUs is the number of CPUs that ready
+	// tasks request.
 	CPUs, UsedCPUs, WantedCPUs float64
 }
 
-// Summary returns a summary of the current state.
+// Summary returns the figures for the current state.
 func (l *Leader) Summary() Summary {
 	n := Summary{Jobs: l.jobs.Len(), Machines: l.machines.Len(), PendingWrites: l.writes.Len(), ScoredPairs: l.scoredPairs, DrainExaminations: l.drainer.ExaminedCount()}
 	n.QueuedDependencyUpdates = l.graph.QueuedSteps()
--- a/internal/leader/timing.go
+++ b/internal/leader/timing.go
@@ -10,16 +10,16 @@
 )
 
 // GracePeriod returns how long a leader that can't reach the key-value store keeps responding to
-// heartbeats. It is at most the lease time, and short enough that a lease renewed at its end
-// expires before the deadline for cancellations, with a reserve.
+// heartbeats. It is at most the lease time of machines. A lease that is renewed at the end of the
+// grace period expires before the deadline for cancellations, with a reserve.
 func GracePeriod(w config.Workers) time.Duration {
 	return max(0, min(seconds.Duration(w.LeaseS), seconds.Duration(w.CancelDeadlineS-w.LeaseS)-tuning.GracePeriodReserve))
 }
 
-// lateStartLimit returns how long after a job's end the leader keeps responding to a machine
-// that may still receive a delayed start of that job. The machine's lease then expires before
-// the deadline for cancellations, with the same reserve as in GracePeriod. The start is void
-// once the session has ended, even if the machine can't be released.
+// lateStartLimit returns how long after a job's end the leader keeps responding to a machine that
+// may still receive a delayed start of that job. Without responses the machine's lease expires, and
+// its session ends: the start is then void, even if the machine can't be released. The lease
+// expires before the deadline for cancellations, with the same reserve as in GracePeriod.
 func lateStartLimit(w config.Workers) time.Duration {
 	return max(0, min(seconds.Duration(w.CancelDeadlineS)/tuning.FencingDivisor, seconds.Duration(w.CancelDeadlineS-w.LeaseS)-tuning.GracePeriodReserve))
 }
@@ -32,9 +32,9 @@
 		Lease:            seconds.Duration(w.LeaseS),
 		LeaseExpiry:      expiry,
 		TermStart:        now,
-		// A predecessor's authority ended before now, and it responds to heartbeats for at most
-		// the grace period after that. The agent's lease runs from the time at which it sent the
-		// heartbeat.
+		// The predecessor lost its authority before now, and responds to heartbeats for at most the
+		// grace period after that. Each response renews the lease for the time since the agent sent
+		// the heartbeat.
 		InheritedTasksEnd: now.Add(grace + expiry),
 	}
 }
