--- a/internal/consolidation/consolidation_test.go
+++ b/internal/consolidation/consolidation_test.go
@@ -26,7 +26,7 @@
 	m.SetCapacity(placement.Resources{CPUs: 8, MemoryGB: 32})
 	for _, c := range cpus {
 		j := jobs.New(wire.Job{ID: "job-" + id, Tasks: 1, CPUs: c, CheckpointIntervalS: checkpointIntervalS, CheckpointSaveS: 7}, 0, start)
-		a := machines.NewAttempt(m, j, 0, start)
+		a := machines.NewPossiblyStartedAttempt(m, j, 0, start)
 		a.ApplyReport(start, machines.Running)
 		m.AddAttempt(a)
 	}
--- a/internal/leader/admission.go
+++ b/internal/leader/admission.go
@@ -82,9 +82,9 @@
 		Lag:     lag,
 	}, nodes)
 	if shedding := l.admission.regulator.Shedding(); shedding != wasShedding {
-		s := l.admission.regulator.Summary()
-		l.log.Info().Bool("shedding", shedding).Float64("pressure", s.Pressure).Float64("offered", s.Offered).
-			Float64("budget", s.Budget).Msg("load shedding started or stopped")
+		summary := l.admission.regulator.Summary()
+		l.log.Info().Bool("shedding", shedding).Float64("pressure", summary.Pressure).Float64("offered", summary.Offered).
+			Float64("budget", summary.Budget).Msg("load shedding started or stopped")
 	}
 }
 
--- a/internal/leader/deadline_risk.go
+++ b/internal/leader/deadline_risk.go
@@ -9,10 +9,11 @@
 
 // hasDeadlineAtRisk reports whether an unreachable machine should be released at once, because a
 // task that may be on it would miss its deadline if the leader waited for the machine's lease to
-// expire. The release proves that the task has ended, so the task can start elsewhere at once. It
-// costs little: when heartbeats fail, they usually stay away until the lease expires, and the task
-// is lost in any case. After a change of leader the wait would be longest, because the predecessor
-// may be in the same network partition as the machine and still respond to its heartbeats.
+// expire. The release proves that the task has ended, so the task can start elsewhere at once. The
+// release costs little: when heartbeats stop, usually none arrives before the lease expires, and
+// then the task is lost in any case. After a change of leader the wait would be longest, because
+// the predecessor may be in the same network partition as the machine and still respond to its
+// heartbeats.
 func (l *Leader) hasDeadlineAtRisk(now time.Time, m *machines.Machine) bool {
 	if m.IsBeingReleased() || !m.IsUnreachable(now, &l.timing) {
 		return false
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -40,7 +40,7 @@
 	j.MarkDependencyCancelled()
 	queue := &l.writes.Dependent
 	if !j.AcceptanceDurable() {
-		queue = &l.writes.Interactive // the acceptance is in this queue, and must be written first
+		queue = &l.writes.Interactive // written after the acceptance, with one response for both
 	}
 	l.endJob(now, j, jobs.Cancelled, queue)
 	l.graph.JobEnded(j.ID, records.FinalState{Outcome: records.OutcomeCancelled})
@@ -110,8 +110,8 @@
 }
 
 // linkLoadedJobs builds the dependency graph of the loaded jobs.
-func (l *Leader) linkLoadedJobs(loaded []*jobs.Job) {
-	missing, cyclic := l.graph.LinkAll(loaded)
+func (l *Leader) linkLoadedJobs(loadedJobs []*jobs.Job) {
+	missing, cyclic := l.graph.LinkAll(loadedJobs)
 	for _, m := range missing {
 		l.log.Error().Str("key", records.JobKey(m.Job.ID)).Str("dependency", m.Dependency).Msg("corrupt job record: a dependency has no record")
 	}
--- a/internal/leader/direct_calls.go
+++ b/internal/leader/direct_calls.go
@@ -25,8 +25,8 @@
 
 // Outcomes of direct calls.
 const (
-	// DirectCallReplied: the agent has executed or refused the commands. The heartbeat in its reply
-	// shows which.
+	// DirectCallReplied: the agent has executed or refused each command. The heartbeat in its reply
+	// shows the result.
 	DirectCallReplied DirectCallOutcome = iota
 	// DirectCallNotDelivered: the request has not reached the agent and never will.
 	DirectCallNotDelivered
@@ -101,17 +101,17 @@
 // maxDirectCalls returns the maximum number of direct calls in flight.
 func (l *Leader) maxDirectCalls() int { return MaxDirectCalls(l.params.Limits) }
 
-// MaxDirectCalls returns the maximum number of direct calls in flight. It is the share of the
-// process's sockets that is available for them.
-func MaxDirectCalls(l config.ProcessLimits) int {
-	if l.MaxConnections <= 0 {
+// MaxDirectCalls returns the maximum number of direct calls in flight: a share of the process's
+// connection limit, or tuning.DirectMaxCalls if there is no limit.
+func MaxDirectCalls(limits config.ProcessLimits) int {
+	if limits.MaxConnections <= 0 {
 		return tuning.DirectMaxCalls
 	}
-	return max(1, int(float64(l.MaxConnections)*tuning.DirectShare))
+	return max(1, int(float64(limits.MaxConnections)*tuning.DirectShare))
 }
 
 // FinishDirectCall applies the outcome of a direct call. h is the heartbeat in the agent's reply,
-// or nil without one. It does not renew the agent's lease.
+// or nil without a reply. A reply does not renew the agent's lease.
 func (l *Leader) FinishDirectCall(now time.Time, call *DirectCall, outcome DirectCallOutcome, h *wire.Heartbeat) {
 	if outcome != DirectCallUncertain {
 		for _, a := range call.startedAttempts {
--- a/internal/leader/drains.go
+++ b/internal/leader/drains.go
@@ -11,10 +11,10 @@
 func (l *Leader) newDrainer() *drainer.Drainer {
 	c := drainer.Config{
 		Term:        l.term,
-		Budgets:     l.operator.Drains,
+		Budgets:     l.operatorSettings.Drains,
 		Teams:       l.params.Teams,
 		Zones:       l.params.Zones,
-		MaxMachines: l.operator.MaxMachines,
+		MaxMachines: l.operatorSettings.MaxMachines,
 		ValueLimit:  l.valueLimit(),
 		LeaseExpiry: l.timing.LeaseExpiry,
 		LeaseS:      l.params.Workers.LeaseS,
--- a/internal/leader/estimates.go
+++ b/internal/leader/estimates.go
@@ -21,8 +21,8 @@
 // setting if there is one, otherwise a share of the job's slack. The planner thus provisions
 // machines for urgent jobs, while other jobs wait for existing machines.
 func (l *Leader) startWithinS(now time.Time, j *jobs.Job) float64 {
-	if l.operator.StartWithinS > 0 {
-		return l.operator.StartWithinS
+	if l.operatorSettings.StartWithinS > 0 {
+		return l.operatorSettings.StartWithinS
 	}
 	slackS, ok := l.runTimes.DeadlineSlack(now, j, l.params.Objectives)
 	if !ok {
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -19,7 +19,7 @@
 		l.countFailedJob(m, j)
 		return
 	}
-	// The job itself is at fault: its earlier failures no longer count against machines.
+	// The job itself is at fault: its failures no longer count against machines.
 	for id := range j.FailedOn() {
 		if other := l.machines.Get(id); other != nil {
 			other.RemoveFailedJob(j.ID)
--- a/internal/leader/heartbeat_commands.go
+++ b/internal/leader/heartbeat_commands.go
@@ -6,39 +6,39 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// heartbeatCommands returns the commands of the response to a heartbeat: stops, then forgets, then
-// starts. Stops come first because the number of commands is limited, and the response renews the
-// lease even if some commands are left out.
+// heartbeatCommands returns the commands of the response to a heartbeat: first stops, then commands
+// to forget exited tasks, then starts. Stops come first because the number of commands is limited,
+// and the response renews the lease even if some commands are left out.
 func (l *Leader) heartbeatCommands(m *machines.Machine, h *wire.Heartbeat, authority bool) []wire.Command {
-	list := l.stopCommands(h)
+	commands := l.stopCommands(h)
 	for _, a := range m.Attempts() {
 		// stopCommands has already added the stops of tasks that their jobs no longer need.
-		if a.NeedsStop() && len(list) < tuning.MaxCommandsPerResponse {
-			list = append(list, a.StopCommand())
+		if a.NeedsStop() && len(commands) < tuning.MaxCommandsPerResponse {
+			commands = append(commands, a.StopCommand())
 		}
 	}
 	for _, e := range m.Exited() {
-		if e.Forget && len(list) < tuning.MaxCommandsPerResponse {
-			list = append(list, wire.Command{Op: wire.OpForget, Task: e.Task, Attempt: e.Attempt})
+		if e.Forget && len(commands) < tuning.MaxCommandsPerResponse {
+			commands = append(commands, wire.Command{Op: wire.OpForget, Task: e.Task, Attempt: e.Attempt})
 		}
 	}
 	if authority && !m.IsBeingReleased() {
-		list = appendStarts(list, m, h.Sequence)
+		commands = appendStarts(commands, m, h.Sequence)
 	}
-	return list
+	return commands
 }
 
 // appendStarts appends the starts of attempts that no task list has contained yet, except for
 // starts in a direct call that is in flight. sequence is the sequence number of the heartbeat.
-func appendStarts(list []wire.Command, m *machines.Machine, sequence uint64) []wire.Command {
+func appendStarts(commands []wire.Command, m *machines.Machine, sequence uint64) []wire.Command {
 	for _, a := range m.Attempts() {
-		if !a.NeedsStart() || a.WasSentDirectly() && m.IsBeingCalled() || len(list) >= tuning.MaxCommandsPerResponse {
+		if !a.NeedsStart() || a.WasSentDirectly() && m.IsBeingCalled() || len(commands) >= tuning.MaxCommandsPerResponse {
 			continue
 		}
 		a.MarkSentInResponse(sequence)
-		list = append(list, a.StartCommand())
+		commands = append(commands, a.StartCommand())
 	}
-	return list
+	return commands
 }
 
 // stopCommands returns stops for all listed tasks that their jobs no longer need. Every response
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -24,14 +24,14 @@
 
 // Leader is the state of one term. It is not safe for concurrent use.
 type Leader struct {
-	log          zerolog.Logger
-	params       config.Params
-	operator     config.Operator
-	term         uint64
-	attemptCount uint64 // attempt numbers assigned so far
-	timing       machines.Timing
+	log              zerolog.Logger
+	params           config.Params
+	operatorSettings config.Operator
+	term             uint64
+	attemptCount     uint64 // attempt numbers assigned so far
+	timing           machines.Timing
 
-	// Durable state and its writes.
+	// Stored records: their loading and their writes.
 	writes   *records.WriteQueues
 	startLog *startlog.Log
 	loading  loadState
@@ -46,8 +46,8 @@
 
 	// Machines.
 	machines       *machines.Registry
-	catalogue      *machines.Catalogue
-	ledger         *allocation.Ledger
+	catalogue      *machines.Catalogue // machine types
+	ledger         *allocation.Ledger  // quotas of the teams, and what their attempts use
 	directCalls    directCalls
 	machineLists   machineLists
 	taskListNumber uint64 // number of task lists applied so far, which numbers the newest one
@@ -76,7 +76,7 @@
 	l := &Leader{
 		log:                log,
 		params:             params,
-		operator:           operator,
+		operatorSettings:   operator,
 		term:               term,
 		jobs:               jobs.NewRegistry(),
 		admission:          newAdmissionControl(&params, &operator, term, now),
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -27,10 +27,11 @@
 	index int32
 }
 
-// LoadRecord loads one stored record. Records must be loaded in records.LoadOrder. now and wall are
-// the same instant on the monotonic clock and in wall-clock time, which is the time that records
-// contain. For a corrupt record, LoadRecord returns a records.CorruptError, or logs the error and
-// returns nil if the service can do without the record.
+// LoadRecord loads one stored record, and ignores keys that belong to no kind of record. Records
+// must be loaded in records.LoadOrder. now and wall are the same instant on the monotonic clock and
+// in wall-clock time, which is the time that records contain. For a corrupt record, LoadRecord
+// returns a records.CorruptError, or logs the error and returns nil if the service can do without
+// the record.
 func (l *Leader) LoadRecord(now, wall time.Time, item wire.KeyValue) error {
 	kind, id, ok := records.ParseKey(item.Key)
 	if !ok {
@@ -145,6 +146,7 @@
 		for _, id := range slices.Sorted(maps.Keys(machine.Tasks)) {
 			j := l.jobs.Get(id)
 			if j == nil {
+				// The job has ended, and its records have been deleted.
 				continue
 			}
 			err := intervals.ParseEach(machine.Tasks[id], j.Tasks, func(i int) { l.loadAttempt(now, record, m, j, int32(i)) })
@@ -164,7 +166,7 @@
 	}
 	task := taskKey{j, index}
 	earlierAttempt := l.loading.attempts[task]
-	a := machines.NewAttempt(m, j, index, now)
+	a := machines.NewPossiblyStartedAttempt(m, j, index, now)
 	record.AddLoadedAttempt(a)
 	l.ledger.Allocate(a)
 	l.loading.attempts[task] = a
--- a/internal/leader/machine_list.go
+++ b/internal/leader/machine_list.go
@@ -53,9 +53,9 @@
 // machines that certainly no longer exist.
 func (l *Leader) nonexistentMachines(requestedAt time.Time, listed map[string]bool) []string {
 	var nonexistent []string
-	lag := l.longestListLag()
+	longestLag := l.longestListLag()
 	for _, m := range l.machines.All() {
-		if !listed[m.ID] && m.CountMissingFromList(requestedAt, lag) {
+		if !listed[m.ID] && m.CountMissingFromList(requestedAt, longestLag) {
 			nonexistent = append(nonexistent, m.ID)
 		}
 	}
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -32,7 +32,8 @@
 	m.MarkSnapshotOutdated()
 }
 
-// SetMachineTypes applies the cloud's catalogue of machine types.
+// SetMachineTypes applies the cloud's catalogue of machine types and queues its record if it has
+// changed.
 func (l *Leader) SetMachineTypes(types []wire.MachineType) {
 	if len(types) == 0 {
 		return
--- a/internal/leader/pass.go
+++ b/internal/leader/pass.go
@@ -61,9 +61,9 @@
 	for _, j := range byID {
 		agedJobs[j] = j.SincePlacement(now) >= tuning.AgingThreshold
 	}
-	starts, stats := placement.Run(l.placementTimeS(now), l.withAgedEntries(now, ready, byID), candidates, l.ledger.PlacementTeams(), tuning.PassMaxStarts)
+	assignments, stats := placement.Run(l.placementTimeS(now), l.withAgedEntries(now, ready, byID), candidates, l.ledger.PlacementTeams(), tuning.PassMaxStarts)
 	l.scoredPairs += stats.ScoredPairs
-	for _, s := range starts {
+	for _, s := range assignments {
 		j := byID[s.Job]
 		l.startTask(now, j, l.machines.Get(s.Machine), agedJobs[j])
 	}
@@ -116,5 +116,6 @@
 // has not been sent, so the task can be placed again.
 func (l *Leader) abandonStart(a *machines.Attempt) { l.releaseAttempt(a.CreatedAt(), a) }
 
-// placementTimeS converts a time for the placement algorithm: to seconds since the term began.
+// placementTimeS returns a time as the placement algorithm uses it: in seconds since the term
+// began.
 func (l *Leader) placementTimeS(now time.Time) float64 { return now.Sub(l.timing.TermStart).Seconds() }
--- a/internal/leader/ready_jobs.go
+++ b/internal/leader/ready_jobs.go
@@ -9,10 +9,10 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// withAgedEntries moves some ready tasks of each job without a start for tuning.AgingThreshold to
-// an additional, aged entry. The placement handles aged entries before all others. Otherwise a long
-// backlog of smaller or more urgent jobs could starve a large job, because priority, urgency and
-// size decide the order.
+// withAgedEntries adds a second entry for each aged job, to which it moves some of the job's ready
+// tasks. A job is aged if none of its tasks has been placed for tuning.AgingThreshold. The
+// placement handles the aged entries before all others. Otherwise a long backlog of smaller or more
+// urgent jobs could starve a large job, because priority, urgency and size decide the order.
 func (l *Leader) withAgedEntries(now time.Time, ready []*placement.PendingJob, byID map[string]*jobs.Job) []*placement.PendingJob {
 	entries := ready
 	for _, r := range ready {
@@ -36,9 +36,9 @@
 func (l *Leader) readyJobs(now time.Time) ([]*placement.PendingJob, map[string]*jobs.Job) {
 	active := l.jobs.RunnableByAge()
 	guaranteed := l.ledger.WithinGuarantee(active)
-	cpus := 0.0
+	totalCPUs := 0.0
 	for _, m := range l.machines.All() {
-		cpus += m.Capacity().CPUs
+		totalCPUs += m.Capacity().CPUs
 	}
 	byID := map[string]*jobs.Job{}
 	var ready []*placement.PendingJob
@@ -48,7 +48,7 @@
 		}
 		r := j.Constraints()
 		r.Job, r.Team, r.PriorityRank, r.WithinGuarantee = j.ID, j.Team, j.PriorityRank(), guaranteed[j]
-		r.Urgency, r.ReadyTasks = l.runTimes.Urgency(now, j, l.params.Objectives, cpus), j.ReadyTasks()
+		r.Urgency, r.ReadyTasks = l.runTimes.Urgency(now, j, l.params.Objectives, totalCPUs), j.ReadyTasks()
 		r.EstimateS, r.Image, r.ImageGB = l.runTimes.Estimate(j), j.Image, j.ImageGB
 		if j.Failures() > 0 {
 			// A job whose tasks fail starts one task at a time.
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -11,9 +11,9 @@
 )
 
 // reconcileTasks compares the machine's complete task list with its attempts. periodic is false for
-// the heartbeat in the reply to a direct call. Only a periodic heartbeat that lacks the starts of
-// earlier responses proves that they were not executed: a reply to a direct call may arrive while
-// the agent has yet to receive such a response.
+// the heartbeat in the reply to a direct call. If a task list lacks a start from an earlier
+// response, only a periodic heartbeat proves that the start was not executed: the agent may have
+// replied to a direct call before it received that response.
 func (l *Leader) reconcileTasks(now time.Time, m *machines.Machine, h *wire.Heartbeat, periodic bool) {
 	l.taskListNumber++
 	m.ClearExited()
@@ -64,6 +64,7 @@
 			m.RecordStartObserved()
 		}
 		if a.WasSentDirectly() {
+			// The start may still arrive. An agent that had forgotten the attempt would run it again.
 			m.RetainExit(machines.ExitKey{Task: t.Task, Attempt: t.Attempt})
 		}
 		l.applyExit(now, a, t)
@@ -78,7 +79,7 @@
 func (l *Leader) applyLiveTask(now time.Time, m *machines.Machine, j *jobs.Job, index int32, t *wire.TaskStatus) {
 	a := m.Find(j, index)
 	if a == nil {
-		a = machines.NewAttempt(m, j, index, now)
+		a = machines.NewPossiblyStartedAttempt(m, j, index, now)
 		l.ledger.Allocate(a)
 		// No start record names this attempt, or none does any more, but a successor has to find it
 		// in one.
@@ -129,6 +130,7 @@
 		a := m.Attempts()[i]
 		switch {
 		case a.IsListed(l.taskListNumber), a.State() == machines.RecordPending:
+			// The task is on the machine, or its start must not be sent yet.
 		case a.State() != machines.StartSent:
 			l.releaseAttempt(now, a)
 		case a.WasSentDirectly():
@@ -152,11 +154,11 @@
 		return
 	}
 	m.Cordon(machines.CordonLateStart)
-	fenceFrom := a.Job.EndedAt()
-	if fenceFrom.IsZero() {
-		fenceFrom = now // the task must not run, but its job has not ended
+	limitStart := a.Job.EndedAt()
+	if limitStart.IsZero() {
+		limitStart = now // the task must not run, but its job has not ended
 	}
-	m.RequireRelease(fenceFrom.Add(lateStartLimit(l.params.Workers)))
+	m.RequireRelease(limitStart.Add(lateStartLimit(l.params.Workers)))
 }
 
 // applyExit applies the exit of a task according to its reason, and releases the attempt.
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -17,11 +17,11 @@
 	c := scaling.Config{
 		Term:            l.term,
 		CloudRPS:        l.params.Cloud.RPS,
-		MaxMachines:     l.operator.MaxMachines,
+		MaxMachines:     l.operatorSettings.MaxMachines,
 		ScaleInIdleTime: tuning.ScaleInIdleTime,
 	}
-	if l.operator.ScaleInIdleS > 0 {
-		c.ScaleInIdleTime = seconds.Duration(l.operator.ScaleInIdleS)
+	if l.operatorSettings.ScaleInIdleS > 0 {
+		c.ScaleInIdleTime = seconds.Duration(l.operatorSettings.ScaleInIdleS)
 	}
 	return scaling.New(c, scaling.Cluster{
 		Machines:         l.machines,
@@ -74,8 +74,8 @@
 // demand returns the ready tasks for which capacity is needed, within the limits of their teams.
 func (l *Leader) demand(now time.Time) []autoscale.Demand {
 	if l.term > 1 && now.Sub(l.timing.TermStart) < seconds.Duration(l.params.Cloud.ListLagS) {
-		// The machine list may not contain the last machines yet that a predecessor provisioned.
-		// Until it does, these machines would be provisioned again.
+		// The machine list may still lack the machines that the predecessor provisioned last.
+		// Demand from now would provision them again.
 		return nil
 	}
 	freeCPUs := l.ledger.FreeCPUsByTeam()
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -20,15 +20,15 @@
 	s.FetchGBPerS, s.Price = t.FetchGBPerS, l.catalogue.Price(m)
 	nowS := l.placementTimeS(now)
 	for _, a := range m.Attempts() {
-		startsAt := nowS
+		startS := nowS
 		if !m.HasImage(a.Job.Image) && t.FetchGBPerS > 0 {
-			startsAt = l.placementTimeS(a.CreatedAt()) + placement.FetchTime(a.Job.ImageGB, t.FetchGBPerS)
-			if startsAt > s.Images[a.Job.Image] {
-				s.Images[a.Job.Image] = startsAt
+			startS = l.placementTimeS(a.CreatedAt()) + placement.FetchTime(a.Job.ImageGB, t.FetchGBPerS)
+			if startS > s.Images[a.Job.Image] {
+				s.Images[a.Job.Image] = startS
 			}
 		}
-		end := max(startsAt, nowS) + l.remainingS(now, a)
-		s.PlacedTasks = append(s.PlacedTasks, placement.PlacedTask{Request: a.Job.Request(), EndS: end})
+		endS := max(startS, nowS) + l.remainingS(now, a)
+		s.PlacedTasks = append(s.PlacedTasks, placement.PlacedTask{Request: a.Job.Request(), EndS: endS})
 	}
 	slices.SortStableFunc(s.PlacedTasks, func(a, b placement.PlacedTask) int { return cmp.Compare(a.EndS, b.EndS) })
 	return s
--- a/internal/leader/summary.go
+++ b/internal/leader/summary.go
@@ -23,22 +23,22 @@
 
 // Summary returns the figures for the current state.
 func (l *Leader) Summary() Summary {
-	n := Summary{Jobs: l.jobs.Len(), Machines: l.machines.Len(), PendingWrites: l.writes.Len(), ScoredPairs: l.scoredPairs, DrainExaminations: l.drainer.ExaminedCount()}
-	n.QueuedDependencyUpdates = l.graph.QueuedSteps()
+	summary := Summary{Jobs: l.jobs.Len(), Machines: l.machines.Len(), PendingWrites: l.writes.Len(), ScoredPairs: l.scoredPairs, DrainExaminations: l.drainer.ExaminedCount()}
+	summary.QueuedDependencyUpdates = l.graph.QueuedSteps()
 	l.jobs.Each(func(j *jobs.Job) {
-		n.ReadyTasks += j.ReadyTasks()
-		n.WantedCPUs += float64(j.ReadyTasks()) * j.CPUs
-		n.AllocatedTasks += j.AllocatedTasks()
+		summary.ReadyTasks += j.ReadyTasks()
+		summary.WantedCPUs += float64(j.ReadyTasks()) * j.CPUs
+		summary.AllocatedTasks += j.AllocatedTasks()
 	})
 	for _, m := range l.machines.All() {
 		if m.HasJoined() && !m.IsBeingReleased() {
-			n.UpMachines++
-			n.CPUs += m.Capacity().CPUs
-			n.UsedCPUs += m.Capacity().CPUs - m.Free().CPUs
+			summary.UpMachines++
+			summary.CPUs += m.Capacity().CPUs
+			summary.UsedCPUs += m.Capacity().CPUs - m.Free().CPUs
 			if m.Spot {
-				n.SpotMachines++
+				summary.SpotMachines++
 			}
 		}
 	}
-	return n
+	return summary
 }
--- a/internal/leader/timing.go
+++ b/internal/leader/timing.go
@@ -33,8 +33,8 @@
 		LeaseExpiry:      expiry,
 		TermStart:        now,
 		// The predecessor lost its authority before now, and responds to heartbeats for at most the
-		// grace period after that. Each response renews the lease for the time since the agent sent
-		// the heartbeat.
+		// grace period after that. A lease that it renews counts from the time at which the agent
+		// sent the heartbeat.
 		InheritedTasksEnd: now.Add(grace + expiry),
 	}
 }
--- a/internal/machines/attempt.go
+++ b/internal/machines/attempt.go
@@ -55,8 +55,8 @@
 	evicting bool
 }
 
-// NewAttempt returns an attempt that may have been started under an earlier leader.
-func NewAttempt(m *Machine, j *jobs.Job, index int32, now time.Time) *Attempt {
+// NewPossiblyStartedAttempt returns an attempt that may have been started under an earlier leader.
+func NewPossiblyStartedAttempt(m *Machine, j *jobs.Job, index int32, now time.Time) *Attempt {
 	return &Attempt{Machine: m, Job: j, Index: index, state: PossiblyStarted, createdAt: now}
 }
 
--- a/internal/machines/attempt_test.go
+++ b/internal/machines/attempt_test.go
@@ -99,7 +99,7 @@
 		"reverted":               {stop: func(a *machines.Attempt) { a.StopNow(); a.RevertStop() }, reported: machines.Running},
 		"now, while saving":      {checkpointIntervalS: 30, stop: (*machines.Attempt).StopNow, reported: machines.Saving, needed: true},
 	} {
-		a := machines.NewAttempt(newMachine(), newActiveJob(c.checkpointIntervalS), 0, start)
+		a := machines.NewPossiblyStartedAttempt(newMachine(), newActiveJob(c.checkpointIntervalS), 0, start)
 		a.ApplyReport(start, c.reported)
 		c.stop(a)
 		if a.NeedsStop() != c.needed || a.GracePeriodS() != c.graceS || a.ShouldRun() == a.IsStopping() {
@@ -122,7 +122,7 @@
 		"periodic checkpoints": {intervalS: 10, lost: 5, saves: 20},
 		"saved when stopped":   {intervalS: 10, saved: true, saves: 25},
 	} {
-		a := machines.NewAttempt(newMachine(), newActiveJob(c.intervalS), 0, start)
+		a := machines.NewPossiblyStartedAttempt(newMachine(), newActiveJob(c.intervalS), 0, start)
 		a.RecordProgress(end) // has not run yet
 		a.ApplyReport(start, machines.Running)
 		a.MarkExited(c.saved, false)
