--- a/internal/consolidation/consolidation.go
+++ b/internal/consolidation/consolidation.go
@@ -20,8 +20,8 @@
 	Machines *machines.Registry
 	// IsSchedulable reports whether new tasks may be assigned to a machine.
 	IsSchedulable func(now time.Time, m *machines.Machine) bool
-	// ActiveJobs returns the unfinished jobs that do not wait for other jobs, oldest first.
-	ActiveJobs func() []*jobs.Job
+	// RunnableJobs returns the unfinished jobs that do not wait for other jobs, oldest first.
+	RunnableJobs func() []*jobs.Job
 	// Price returns the current price of a machine.
 	Price func(*machines.Machine) float64
 	// RemainingS returns the estimated remaining run time of an attempt in seconds, or 0 if the
@@ -111,7 +111,7 @@
 // reserveForWaiting allocates capacity to waiting tasks, which take precedence over tasks that are
 // moved.
 func (p *pass) reserveForWaiting(targets []*machines.Machine) {
-	for _, j := range p.ActiveJobs() {
+	for _, j := range p.RunnableJobs() {
 		// Free capacity only shrinks here: a machine without capacity for one task of the job
 		// has none for the job's next task either.
 		rest := targets
--- a/internal/consolidation/consolidation_test.go
+++ b/internal/consolidation/consolidation_test.go
@@ -48,7 +48,7 @@
 	return consolidation.New(consolidation.Cluster{
 		Machines:       registry,
 		IsSchedulable:  func(time.Time, *machines.Machine) bool { return true },
-		ActiveJobs:     func() []*jobs.Job { return c.waiting },
+		RunnableJobs:   func() []*jobs.Job { return c.waiting },
 		Price:          func(m *machines.Machine) float64 { return map[string]float64{"expensive": 2}[m.ID] },
 		RemainingS:     func(time.Time, *machines.Attempt) float64 { return 3600 },
 		OnConsolidated: func(m *machines.Machine) { c.consolidated = append(c.consolidated, m.ID) },
--- a/internal/leader/admission.go
+++ b/internal/leader/admission.go
@@ -48,6 +48,7 @@
 }
 
 // check returns why an acceptable job is rejected because of overload, or nil if it is admitted.
+// claim is what the node that received the submission reports, or nil.
 func (c *admissionControl) check(now time.Time, spec *wire.Job, claim *admission.Claim) *RejectedError {
 	if c.regulator == nil {
 		return nil
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -33,7 +33,7 @@
 
 	// Stored records: their loading and their writes.
 	writes   *records.WriteQueues
-	startLog *startlog.Log
+	startLog *startlog.Log // start records
 	loading  loadState
 
 	// Jobs.
@@ -41,8 +41,8 @@
 	graph              *jobs.DependencyGraph
 	admission          *admissionControl
 	pendingCompletions jobs.PendingCompletions
-	runTimes           jobs.RunTimeRatios
-	startDelay         jobs.StartDelay
+	runTimes           jobs.RunTimeRatios // correct the estimates of jobs
+	startDelay         jobs.StartDelay    // usual time between the placement of a task and its start
 
 	// Machines.
 	machines       *machines.Registry
--- a/internal/leader/leases.go
+++ b/internal/leader/leases.go
@@ -7,7 +7,8 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// expireLeases releases the attempts on machines whose lease has expired.
+// expireLeases ends the session of each machine whose lease has expired, and releases its attempts.
+// A reconciled machine without attempts keeps its session.
 func (l *Leader) expireLeases(now time.Time) {
 	for _, m := range l.machines.All() {
 		if (len(m.Attempts()) > 0 || !m.IsReconciled()) && m.LeaseExpired(now, &l.timing) && m.HasJoined() {
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -62,7 +62,7 @@
 		return l.loadCompletions(id, item)
 	case records.KindFinalState:
 		return l.loadFinalState(id, item.Value)
-	case records.KindMachineStarts:
+	case records.KindMachineStarts: // written by earlier versions
 		starts, err := records.DecodeMachineStarts(id, item.Value)
 		if err != nil {
 			return err
@@ -76,7 +76,7 @@
 		return l.loadStarts(now, item.Key, starts)
 	case records.KindDrain:
 		return l.drainer.LoadDrain(id, item.Value)
-	case records.KindCharge:
+	case records.KindCharge: // evictions charged to a drain
 		return l.drainer.LoadCharge(now, wall, item.Key, item.Value)
 	}
 	return nil
@@ -98,8 +98,8 @@
 	if err != nil {
 		return err
 	}
-	age := max(0, wall.Sub(time.UnixMilli(stored.SubmittedAtMS)))
-	j := jobs.Restore(stored, now.Add(-age))
+	sinceSubmission := max(0, wall.Sub(time.UnixMilli(stored.SubmittedAtMS)))
+	j := jobs.Restore(stored, now.Add(-sinceSubmission))
 	l.jobs.Add(j)
 	l.admission.addUnfinished(j.Team, j.Tasks)
 	return nil
--- a/internal/leader/pass.go
+++ b/internal/leader/pass.go
@@ -57,6 +57,7 @@
 	if len(candidates) == 0 {
 		return
 	}
+	// This is determined before the starts, which reset the time since the last placement.
 	agedJobs := map[*jobs.Job]bool{}
 	for _, j := range byID {
 		agedJobs[j] = j.SincePlacement(now) >= tuning.AgingThreshold
@@ -74,7 +75,8 @@
 	l.preempt(now, ready, byID)
 }
 
-// highestPriorityRank returns the rank of the highest priority among the jobs.
+// highestPriorityRank returns the rank of the highest priority among the jobs, which is the lowest
+// number.
 func highestPriorityRank(ready []*placement.PendingJob) int {
 	return slices.MinFunc(ready, func(a, b *placement.PendingJob) int { return cmp.Compare(a.PriorityRank, b.PriorityRank) }).PriorityRank
 }
@@ -99,9 +101,9 @@
 // startTask assigns the next ready task of a job to a machine and queues the start record. The
 // start may be sent only when the record is durable, because a successor must find out from it
 // which machine may have the task.
-func (l *Leader) startTask(now time.Time, j *jobs.Job, m *machines.Machine, aged bool) {
+func (l *Leader) startTask(now time.Time, j *jobs.Job, m *machines.Machine, jobIsAged bool) {
 	index := j.PopReadyTask(now)
-	a := machines.NewPendingAttempt(m, j, index, now, l.nextAttemptNumber(), aged)
+	a := machines.NewPendingAttempt(m, j, index, now, l.nextAttemptNumber(), jobIsAged)
 	l.ledger.Allocate(a)
 	l.startLog.Add(a)
 }
--- a/internal/leader/ready_jobs.go
+++ b/internal/leader/ready_jobs.go
@@ -34,15 +34,15 @@
 // readyJobs returns the jobs with tasks that may be placed now, oldest first, and the same jobs by
 // ID.
 func (l *Leader) readyJobs(now time.Time) ([]*placement.PendingJob, map[string]*jobs.Job) {
-	active := l.jobs.RunnableByAge()
-	guaranteed := l.ledger.WithinGuarantee(active)
+	runnable := l.jobs.RunnableByAge()
+	guaranteed := l.ledger.WithinGuarantee(runnable)
 	totalCPUs := 0.0
 	for _, m := range l.machines.All() {
 		totalCPUs += m.Capacity().CPUs
 	}
 	byID := map[string]*jobs.Job{}
 	var ready []*placement.PendingJob
-	for _, j := range active {
+	for _, j := range runnable {
 		if j.ReadyTasks() == 0 || j.IsBackingOff(now) {
 			continue
 		}
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -58,6 +58,7 @@
 func (l *Leader) applyExitedTask(now time.Time, m *machines.Machine, j *jobs.Job, index int32, t *wire.TaskStatus) {
 	a := m.Find(j, index)
 	switch {
+	// The number of an attempt that was possibly started under an earlier leader is not known.
 	case a != nil && (a.Number() == t.Attempt || a.State() == machines.PossiblyStarted):
 		a.MarkExitListed(l.taskListNumber)
 		if a.State() == machines.StartSent {
@@ -154,11 +155,11 @@
 		return
 	}
 	m.Cordon(machines.CordonLateStart)
-	limitStart := a.Job.EndedAt()
-	if limitStart.IsZero() {
-		limitStart = now // the task must not run, but its job has not ended
+	unneededSince := a.Job.EndedAt()
+	if unneededSince.IsZero() {
+		unneededSince = now // the task must not run, but its job has not ended
 	}
-	m.RequireRelease(limitStart.Add(lateStartLimit(l.params.Workers)))
+	m.RequireRelease(unneededSince.Add(lateStartLimit(l.params.Workers)))
 }
 
 // applyExit applies the exit of a task according to its reason, and releases the attempt.
--- a/internal/leader/response.go
+++ b/internal/leader/response.go
@@ -63,7 +63,8 @@
 }
 
 // decidedResponse returns the response to a request that has waited until the job's acceptance or
-// end is durable. decided is false if the term ended before that.
+// end is durable, with the given status. If decided is false, the term ended before that, and the
+// status is 503.
 func (l *Leader) decidedResponse(decided bool, id string, status int) JobResponse {
 	if !decided {
 		return JobResponse{Status: http.StatusServiceUnavailable, Reason: "the term ended"}
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -92,6 +92,7 @@
 		if demandedTasks == 0 {
 			continue
 		}
+		// A task occupies its resources during the start delay as well.
 		demand = append(demand, autoscale.Demand{
 			Tasks: demandedTasks, StartWithinS: l.startWithinS(now, j), Request: j.Request(), EstimateS: r.EstimateS + float64(l.startDelay),
 			MachineTypes: j.MachineTypes, Zone: j.Zone, Spot: j.Spot, AvoidMachines: j.FailedOn(),
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -22,6 +22,7 @@
 	for _, a := range m.Attempts() {
 		startS := nowS
 		if !m.HasImage(a.Job.Image) && t.FetchGBPerS > 0 {
+			// The task starts when the fetch of its image ends.
 			startS = l.placementTimeS(a.CreatedAt()) + placement.FetchTime(a.Job.ImageGB, t.FetchGBPerS)
 			if startS > s.Images[a.Job.Image] {
 				s.Images[a.Job.Image] = startS
--- a/internal/leader/submission.go
+++ b/internal/leader/submission.go
@@ -55,8 +55,9 @@
 		return rejected
 	}
 	if l.admission.unfinished+spec.Tasks > tuning.MaxActiveTasks || l.writes.Interactive.Len() >= l.maxInteractiveWrites() {
-		// The key-value store can't execute more writes within the time that users wait for a
-		// response: further requests would only time out.
+		// The first limit bounds the memory for unfinished tasks. The second one bounds the queued
+		// writes: the key-value store can't execute more within the time that users wait for a
+		// response, so further requests would only time out.
 		return &RejectedError{Status: http.StatusServiceUnavailable, Reason: "too much work queued"}
 	}
 	return nil
@@ -97,6 +98,7 @@
 		return reason
 	}
 	request := placement.TaskRequest(spec)
+	// All jobs may use machines that are not spot, and only these are tried. So Spot has no effect.
 	probe := placement.PendingJob{MachineTypes: spec.MachineTypes, Zone: spec.Zone, Spot: true, Request: request, TotalTasks: spec.Tasks}
 	for machineType := range l.catalogue.All() {
 		for _, zone := range machineType.Zones {
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -21,8 +21,8 @@
 	// RemainingS returns the estimated remaining run time of an attempt in seconds, or 0 if the
 	// attempt has exceeded its estimate.
 	RemainingS func(now time.Time, a *machines.Attempt) float64
-	// UnfinishedJobs returns the jobs whose tasks may be running.
-	UnfinishedJobs func() iter.Seq[*jobs.Job]
+	// RunnableJobs returns the jobs whose tasks may be running.
+	RunnableJobs func() iter.Seq[*jobs.Job]
 	// FetchGBPerS returns the rate at which machines of a type fetch images.
 	FetchGBPerS func(machineType string) float64
 	// TeamFreeCPUs returns the CPUs that a team may use in addition to those in use; known is
@@ -50,7 +50,7 @@
 	}
 	s.lastRun = now
 	waiting := waitingByPriority(ready, byID)
-	lowest := lowestPreemptibleRank(s.cluster.UnfinishedJobs())
+	lowest := lowestPreemptibleRank(s.cluster.RunnableJobs())
 	if len(waiting) == 0 || waiting[0].PriorityRank >= lowest {
 		return 0
 	}
