--- a/internal/leader/completion.go
+++ b/internal/leader/completion.go
@@ -64,7 +64,7 @@
 }
 
 // logIfDeadlineMissed logs the start times and the estimates of a job that was done after its
-// deadline. All times are in seconds since the submission.
+// deadline. The logged times count from the submission.
 func (l *Leader) logIfDeadlineMissed(now time.Time, j *jobs.Job) {
 	if j.DeadlineS == nil || now.Sub(j.SubmittedAt()).Seconds() <= *j.DeadlineS {
 		return
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -16,9 +16,9 @@
 const (
 	// HeartbeatApplied: the heartbeat gets a response, which renews the lease of its machine.
 	HeartbeatApplied HeartbeatOutcome = iota
-	// HeartbeatStale: the heartbeat gets no response, usually because it is older than the known
-	// state. A response would renew the lease of an agent whose tasks count as ended, or of a new
-	// agent that has replaced the known one.
+	// HeartbeatStale: the agent must get an error instead of a response. A response would renew the
+	// lease of an agent whose tasks count as ended, of a new agent that has replaced the known one,
+	// or of a session that a late start may still reach.
 	HeartbeatStale
 	// HeartbeatFromLaterTerm: the agent has seen a later term, so this leader has been superseded.
 	HeartbeatFromLaterTerm
@@ -46,7 +46,8 @@
 		return response, HeartbeatApplied
 	}
 	if m.IsStale(h) {
-		// A stale heartbeat proves nothing about tasks. It renews no lease and gets no commands.
+		// A stale heartbeat proves nothing about tasks, so it changes no attempt and renews no
+		// lease.
 		m.RecordStaleHeartbeat(now)
 		return response, HeartbeatStale
 	}
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -106,6 +106,7 @@
 func (l *Leader) FinishProvision(now time.Time, r wire.ProvisionRequest, names []string) {
 	call := l.scaler.FinishProvision(now, r, len(names))
 	if call == nil {
+		// No such call is in flight.
 		return
 	}
 	for _, id := range names {
--- a/internal/leader/summary.go
+++ b/internal/leader/summary.go
@@ -6,6 +6,8 @@
 
 // Summary holds the figures of the periodic summary in the log.
 type Summary struct {
+	// UpMachines is the number of machines that have joined and are not being released,
+	// SpotMachines the number of spot machines among them.
 	Jobs, ReadyTasks, AllocatedTasks, Machines, UpMachines, SpotMachines, PendingWrites int
 	// QueuedDependencyUpdates is the number of jobs that are queued to be cancelled, to be
 	// unblocked or to get their critical path updated.
@@ -15,9 +17,8 @@
 	// DrainExaminations is the number of machines and attempts that drains have examined so far. A
 	// machine or attempt counts each time it is examined.
 	DrainExaminations int
-	// CPUs and UsedCPUs are the total and the allocated CPUs of the machines that are up: those
-	// that have joined and are not being released. WantedCPUs is the number of CPUs that ready
-	// tasks request.
+	// CPUs and UsedCPUs are the total and the allocated CPUs of the machines that are up.
+	// WantedCPUs is the number of CPUs that ready tasks request.
 	CPUs, UsedCPUs, WantedCPUs float64
 }
 
--- a/internal/leader/timing.go
+++ b/internal/leader/timing.go
@@ -26,15 +26,15 @@
 
 // newTiming returns the timeouts that apply to machines in a term that begins now.
 func newTiming(w config.Workers, now time.Time, grace time.Duration) machines.Timing {
-	expiry := seconds.Duration(w.LeaseS*(1+tuning.ClockDrift)) + tuning.LeaseExpiryMargin
+	leaseExpiry := seconds.Duration(w.LeaseS*(1+tuning.ClockDrift)) + tuning.LeaseExpiryMargin
 	return machines.Timing{
 		HeartbeatTimeout: seconds.Duration(w.HeartbeatIntervalS * tuning.HeartbeatTimeoutIntervals),
 		Lease:            seconds.Duration(w.LeaseS),
-		LeaseExpiry:      expiry,
+		LeaseExpiry:      leaseExpiry,
 		TermStart:        now,
 		// The predecessor lost its authority before now, and responds to heartbeats for at most the
 		// grace period after that. A lease that it renews counts from the time at which the agent
 		// sent the heartbeat.
-		InheritedTasksEnd: now.Add(grace + expiry),
+		InheritedTasksEnd: now.Add(grace + leaseExpiry),
 	}
 }
