--- a/internal/jobs/dependencies.go
+++ b/internal/jobs/dependencies.go
@@ -120,9 +120,9 @@
 // HasCancellations reports whether jobs are queued to be cancelled.
 func (g *DependencyGraph) HasCancellations() bool { return len(g.toCancel) > 0 }
 
-// NextWithDependencyDone removes and returns the next job that had a dependency done, or nil. The job
+// PopJobWithDoneDependency removes and returns the next job that had a dependency done, or nil. The job
 // may have other unfinished dependencies.
-func (g *DependencyGraph) NextWithDependencyDone() *Job {
+func (g *DependencyGraph) PopJobWithDoneDependency() *Job {
 	j := popFirst(&g.unblocked)
 	if j != nil {
 		j.unfinishedDependencies--
@@ -130,9 +130,9 @@
 	return j
 }
 
-// NextPathUpdate removes and returns the next job whose critical path has to be updated, or
+// PopJobWithOutdatedPath removes and returns the next job whose critical path has to be updated, or
 // nil.
-func (g *DependencyGraph) NextPathUpdate() *Job {
+func (g *DependencyGraph) PopJobWithOutdatedPath() *Job {
 	j := popFirst(&g.outdatedPaths)
 	if j != nil {
 		j.pathQueued = false
--- a/internal/jobs/dependencies_test.go
+++ b/internal/jobs/dependencies_test.go
@@ -31,14 +31,14 @@
 		f := records.FinalState{Outcome: records.OutcomeDone, TasksDone: 1}
 		registry.SetFinalState(id, f)
 		g.JobEnded(id, f)
-		if g.QueuedSteps() != 1 || g.NextWithDependencyDone() != c {
+		if g.QueuedSteps() != 1 || g.PopJobWithDoneDependency() != c {
 			t.Fatalf("%s: the dependent is not unblocked", id)
 		}
 		if blocked := i == 0; c.IsBlocked() != blocked {
 			t.Errorf("after %s: blocked: %v", id, c.IsBlocked())
 		}
 	}
-	if g.QueuedSteps() != 0 || g.NextWithDependencyDone() != nil || g.NextCancellation() != nil || g.NextPathUpdate() != nil {
+	if g.QueuedSteps() != 0 || g.PopJobWithDoneDependency() != nil || g.NextCancellation() != nil || g.PopJobWithOutdatedPath() != nil {
 		t.Error("queued steps are left")
 	}
 }
@@ -87,7 +87,7 @@
 	}
 	last.End(start, jobs.Cancelled)
 	g.QueuePathUpdates(last)
-	for j := g.NextPathUpdate(); j != nil; j = g.NextPathUpdate() {
+	for j := g.PopJobWithOutdatedPath(); j != nil; j = g.PopJobWithOutdatedPath() {
 		if g.UpdateCriticalPath(j) {
 			g.QueuePathUpdates(j)
 		}
@@ -152,7 +152,7 @@
 			f := j.End(start, jobs.Done)
 			registry.SetFinalState(j.ID, f)
 			g.JobEnded(j.ID, f)
-			for d := g.NextWithDependencyDone(); d != nil; d = g.NextWithDependencyDone() {
+			for d := g.PopJobWithDoneDependency(); d != nil; d = g.PopJobWithDoneDependency() {
 				if !d.IsBlocked() {
 					runnable = append(runnable, d)
 				}
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -88,7 +88,7 @@
 		l.cancelDependent(now, j)
 	}
 	for ; stepsLeft > 0; stepsLeft-- {
-		j := l.graph.NextWithDependencyDone()
+		j := l.graph.PopJobWithDoneDependency()
 		if j == nil {
 			break
 		}
@@ -98,7 +98,7 @@
 		}
 	}
 	for ; stepsLeft > 0; stepsLeft-- {
-		j := l.graph.NextPathUpdate()
+		j := l.graph.PopJobWithOutdatedPath()
 		if j == nil {
 			break
 		}
