--- a/internal/allocation/ledger_test.go
+++ b/internal/allocation/ledger_test.go
@@ -39,7 +39,7 @@
 func TestAttemptUsesResourcesUntilItIsReleased(t *testing.T) {
 	l := allocation.NewLedger(teams)
 	m, j := newMachine("m1", "a"), newJob("job-1", "blue", 1)
-	a := machines.NewAttempt(m, j, j.PopReadyTask(testStart), testStart)
+	a := machines.NewPossiblyStartedAttempt(m, j, j.PopReadyTask(testStart), testStart)
 	l.Allocate(a)
 	a.ApplyReport(testStart, machines.Running)
 	j.AddRunningAttempt()
@@ -92,7 +92,7 @@
 				l.Release(testStart, attempts[i])
 				attempts = append(attempts[:i], attempts[i+1:]...)
 			} else if j.ReadyTasks() > 0 {
-				a := machines.NewAttempt(all[rng.IntN(len(all))], j, j.PopReadyTask(testStart), testStart)
+				a := machines.NewPossiblyStartedAttempt(all[rng.IntN(len(all))], j, j.PopReadyTask(testStart), testStart)
 				l.Allocate(a)
 				attempts = append(attempts, a)
 			}
--- a/internal/consolidation/consolidation_test.go
+++ b/internal/consolidation/consolidation_test.go
@@ -26,7 +26,7 @@
 	m.SetCapacity(placement.Resources{CPUs: 8, MemoryGB: 32})
 	for _, c := range cpus {
 		j := jobs.New(wire.Job{ID: "job-" + id, Tasks: 1, CPUs: c, CheckpointIntervalS: checkpointIntervalS, CheckpointSaveS: 7}, 0, start)
-		a := machines.NewAttempt(m, j, 0, start)
+		a := machines.NewPossiblyStartedAttempt(m, j, 0, start)
 		a.ApplyReport(start, machines.Running)
 		m.AddAttempt(a)
 	}
@@ -48,7 +48,7 @@
 	return consolidation.New(consolidation.Cluster{
 		Machines:       registry,
 		IsSchedulable:  func(time.Time, *machines.Machine) bool { return true },
-		ActiveJobs:     func() []*jobs.Job { return c.waiting },
+		RunnableJobs:   func() []*jobs.Job { return c.waiting },
 		Price:          func(m *machines.Machine) float64 { return map[string]float64{"expensive": 2}[m.ID] },
 		RemainingS:     func(time.Time, *machines.Attempt) float64 { return 3600 },
 		OnConsolidated: func(m *machines.Machine) { c.consolidated = append(c.consolidated, m.ID) },
--- a/internal/machines/attempt_test.go
+++ b/internal/machines/attempt_test.go
@@ -99,13 +99,13 @@
 		"reverted":               {stop: func(a *machines.Attempt) { a.StopNow(); a.RevertStop() }, reported: machines.Running},
 		"now, while saving":      {checkpointIntervalS: 30, stop: (*machines.Attempt).StopNow, reported: machines.Saving, needed: true},
 	} {
-		a := machines.NewAttempt(newMachine(), newActiveJob(c.checkpointIntervalS), 0, start)
+		a := machines.NewPossiblyStartedAttempt(newMachine(), newActiveJob(c.checkpointIntervalS), 0, start)
 		a.ApplyReport(start, c.reported)
 		c.stop(a)
 		if a.NeedsStop() != c.needed || a.GracePeriodS() != c.graceS || a.ShouldRun() == a.IsStopping() {
 			t.Errorf("%s: needed: %v, grace period %v s", name, a.NeedsStop(), a.GracePeriodS())
 		}
-		if first, second := a.ClaimDirectStop(), a.ClaimDirectStop(); first != a.IsStopping() || second {
+		if first, second := a.MarkDirectStopIfNeeded(), a.MarkDirectStopIfNeeded(); first != a.IsStopping() || second {
 			t.Errorf("%s: direct stops: %v, %v", name, first, second)
 		}
 	}
@@ -122,7 +122,7 @@
 		"periodic checkpoints": {intervalS: 10, lost: 5, saves: 20},
 		"saved when stopped":   {intervalS: 10, saved: true, saves: 25},
 	} {
-		a := machines.NewAttempt(newMachine(), newActiveJob(c.intervalS), 0, start)
+		a := machines.NewPossiblyStartedAttempt(newMachine(), newActiveJob(c.intervalS), 0, start)
 		a.RecordProgress(end) // has not run yet
 		a.ApplyReport(start, machines.Running)
 		a.MarkExited(c.saved, false)
--- a/internal/simulation/client_faults.go
+++ b/internal/simulation/client_faults.go
@@ -20,7 +20,7 @@
 
 // sendFollowUps handles every response that a user receives, and sends the requests that
 // EnableFollowUps describes.
-func (c *clients) sendFollowUps(job *wire.Job, response leader.Response) {
+func (c *clients) sendFollowUps(job *wire.Job, response leader.JobResponse) {
 	sim := c.sim
 	if !succeeded(response.Status) || !sim.now.Before(c.followUpsUntil) || c.jobs[job.ID] != job {
 		return
@@ -153,9 +153,9 @@
 
 // expectStatus returns a callback that fails the run if a response has another status. It allows
 // the responses to requests that no leader handled.
-func (c *clients) expectStatus(id string, status int) func(leader.Response) {
+func (c *clients) expectStatus(id string, status int) func(leader.JobResponse) {
 	allowed := []int{status, unavailable.Status, timedOut.Status}
-	return func(response leader.Response) {
+	return func(response leader.JobResponse) {
 		if !slices.Contains(allowed, response.Status) {
 			c.sim.fail(fmt.Errorf("invalid request: response about %s has status %d instead of %d", id, response.Status, status))
 		}
--- a/internal/simulation/client_requests.go
+++ b/internal/simulation/client_requests.go
@@ -14,22 +14,22 @@
 
 // Responses to requests that no leader handled.
 var (
-	unavailable = leader.Response{Status: http.StatusServiceUnavailable}
-	timedOut    = leader.Response{Status: http.StatusGatewayTimeout}
+	unavailable = leader.JobResponse{Status: http.StatusServiceUnavailable}
+	timedOut    = leader.JobResponse{Status: http.StatusGatewayTimeout}
 )
 
 // succeeded reports whether a status code means success.
 func succeeded(status int) bool { return status/100 == 2 }
 
 // ignoreResponse is the callback for requests whose responses only the invariant checks need.
-func ignoreResponse(leader.Response) {}
+func ignoreResponse(leader.JobResponse) {}
 
 // request is a user's request about a job.
 type request struct {
 	job        *wire.Job
 	submission bool
-	execute    func(n *node, claim *admission.Claim, respond func(leader.Response))
-	done       func(leader.Response)
+	execute    func(n *node, claim *admission.Claim, respond func(leader.JobResponse))
+	done       func(leader.JobResponse)
 }
 
 // pendingRequest is a request that was sent to a node and waits for its response.
@@ -49,7 +49,7 @@
 }
 
 // finish passes the first response to the user and ignores later ones.
-func (p *pendingRequest) finish(response leader.Response) {
+func (p *pendingRequest) finish(response leader.JobResponse) {
 	if !p.finished {
 		p.finished = true
 		p.done(response)
@@ -73,7 +73,7 @@
 		return
 	}
 	term := leading.leadership
-	p.execute(leading, check.claim, func(response leader.Response) {
+	p.execute(leading, check.claim, func(response leader.JobResponse) {
 		check.recordResponse(response)
 		leading.after(sim.between(0, 2), func() {
 			// Like the real node, send a response that is not terminal only while the leader still
@@ -88,7 +88,7 @@
 }
 
 // receive handles the arrival of the leader's response at the user.
-func (p *pendingRequest) receive(from *node, sentAt time.Time, response leader.Response) {
+func (p *pendingRequest) receive(from *node, sentAt time.Time, response leader.JobResponse) {
 	if p.finished {
 		return
 	}
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -47,7 +47,7 @@
 
 // submitUntilAccepted repeats a submission until it succeeds, and sometimes once more after that.
 func (c *clients) submitUntilAccepted(job *wire.Job) {
-	c.send(c.sim.drawNode(), c.submission(job, func(response leader.Response) {
+	c.send(c.sim.drawNode(), c.submission(job, func(response leader.JobResponse) {
 		if !succeeded(response.Status) || c.sim.chance(0.05) {
 			c.sim.after(c.sim.between(1000, 5000), func() { c.submitUntilAccepted(job) })
 		}
@@ -56,7 +56,7 @@
 
 // pollLoop makes a user query a job's state every few seconds.
 func (c *clients) pollLoop(job *wire.Job) {
-	c.send(c.sim.drawNode(), c.query(job, func(leader.Response) {
+	c.send(c.sim.drawNode(), c.query(job, func(leader.JobResponse) {
 		pause := c.sim.between(3000, 6000)
 		if c.sim.now.Before(c.pollStormUntil) {
 			pause /= 8
@@ -73,7 +73,7 @@
 }
 
 func (c *clients) cancelUntilConfirmed(job *wire.Job) {
-	c.send(c.sim.drawNode(), c.cancellation(job, func(response leader.Response) {
+	c.send(c.sim.drawNode(), c.cancellation(job, func(response leader.JobResponse) {
 		if !succeeded(response.Status) {
 			c.sim.after(c.sim.between(1000, 3000), func() { c.cancelUntilConfirmed(job) })
 		}
@@ -81,8 +81,8 @@
 }
 
 // submission returns the request to submit a job.
-func (c *clients) submission(job *wire.Job, done func(leader.Response)) request {
-	return request{job, true, func(n *node, claim *admission.Claim, respond func(leader.Response)) {
+func (c *clients) submission(job *wire.Job, done func(leader.JobResponse)) request {
+	return request{job, true, func(n *node, claim *admission.Claim, respond func(leader.JobResponse)) {
 		if n.previousVersion && len(job.DependsOn) > 0 {
 			// A later version forwards the request in a form that the previous version rejects.
 			respond(unavailable)
@@ -93,15 +93,15 @@
 }
 
 // cancellation returns the request to cancel a job.
-func (c *clients) cancellation(job *wire.Job, done func(leader.Response)) request {
-	return request{job, false, func(n *node, _ *admission.Claim, respond func(leader.Response)) {
+func (c *clients) cancellation(job *wire.Job, done func(leader.JobResponse)) request {
+	return request{job, false, func(n *node, _ *admission.Claim, respond func(leader.JobResponse)) {
 		n.leader.Cancel(n.clock(), job.ID, respond)
 	}, done}
 }
 
 // query returns the request for a job's state.
-func (c *clients) query(job *wire.Job, done func(leader.Response)) request {
-	return request{job, false, func(n *node, _ *admission.Claim, respond func(leader.Response)) {
+func (c *clients) query(job *wire.Job, done func(leader.JobResponse)) request {
+	return request{job, false, func(n *node, _ *admission.Claim, respond func(leader.JobResponse)) {
 		respond(n.leader.Query(job.ID))
 	}, done}
 }
@@ -132,7 +132,7 @@
 
 func (c *clients) submitWithinWindow(outcome *SubmissionOutcome, done func(SubmissionOutcome)) {
 	outcome.Tries++
-	c.send(c.sim.drawNode(), c.submission(outcome.Job, func(response leader.Response) {
+	c.send(c.sim.drawNode(), c.submission(outcome.Job, func(response leader.JobResponse) {
 		outcome.FinishedAt = c.sim.elapsed()
 		pause := max(time.Duration(response.RetryAfter)*time.Second, time.Second) + c.sim.between(0, 300)
 		switch {
@@ -150,7 +150,7 @@
 
 // slowingPollLoop makes a user query a job's state, less often once it is terminal.
 func (c *clients) slowingPollLoop(job *wire.Job) {
-	c.send(c.sim.drawNode(), c.query(job, func(response leader.Response) {
+	c.send(c.sim.drawNode(), c.query(job, func(response leader.JobResponse) {
 		pause := c.sim.between(3000, 6000)
 		if response.IsTerminal() {
 			pause *= 5
--- a/internal/simulation/node_admission.go
+++ b/internal/simulation/node_admission.go
@@ -41,7 +41,7 @@
 	gate      *admission.Gate // nil if the request is not checked
 	request   *admission.Request
 	claim     *admission.Claim
-	rejection *leader.Response
+	rejection *leader.JobResponse
 }
 
 // admit checks a request at the gate of the node that received it, as the real node does.
@@ -59,7 +59,7 @@
 	if n == leading {
 		return check
 	}
-	if isNew && leader.LimitViolation(n.sim.Params.Teams, r.job) == "" {
+	if isNew && leader.QuotaViolation(n.sim.Params.Teams, r.job) == "" {
 		decision, revision := gate.Decide(now, check.request)
 		if !decision.Admitted {
 			check.reject(decision)
@@ -75,11 +75,11 @@
 func (check *admissionCheck) reject(decision admission.Decision) {
 	check.sim.Observed[ShedByFollower]++
 	check.gate.RecordRejected(check.sim.now, check.request)
-	check.rejection = &leader.Response{Status: http.StatusTooManyRequests, RetryAfter: decision.RetryAfterS}
+	check.rejection = &leader.JobResponse{Status: http.StatusTooManyRequests, RetryAfter: decision.RetryAfterS}
 }
 
 // recordResponse records the leader's response at the gate.
-func (check *admissionCheck) recordResponse(response leader.Response) {
+func (check *admissionCheck) recordResponse(response leader.JobResponse) {
 	switch {
 	case check.gate == nil:
 	case response.Status == http.StatusTooManyRequests:
--- a/internal/startlog/startlog_test.go
+++ b/internal/startlog/startlog_test.go
@@ -123,7 +123,7 @@
 func TestLoadedRecordsWithoutAttemptsAreDeleted(t *testing.T) {
 	f := newFixture(2048)
 	f.AddLoadedRecord("s/old")
-	a := machines.NewAttempt(f.machine, f.job, 0, time.Time{})
+	a := machines.NewPossiblyStartedAttempt(f.machine, f.job, 0, time.Time{})
 	f.AddLoadedRecord("m/m1").LinkAttempt(a)
 	f.FinishLoading()
 	b := f.writes.NextBatch(maxOps, maxOps, false)
--- a/internal/tuning/placement.go
+++ b/internal/tuning/placement.go
@@ -54,10 +54,10 @@
 	// of new jobs that can't meet theirs. The slack shrinks with age: these jobs follow
 	// most jobs that can meet their deadline, but don't wait forever.
 	NoDeadlineSlackS = 400.0
-	// StageDelay is the overhead of each stage in a chain of dependent jobs, on top of
+	// ChainedJobDelay is the overhead of each stage in a chain of dependent jobs, on top of
 	// run time and image fetch: the last heartbeat, the write of its record, the
 	// placement, and the next heartbeat.
-	StageDelay = 3 * time.Second
+	ChainedJobDelay = 3 * time.Second
 )
 
 // Estimates of run times.
