--- a/internal/allocation/ledger_test.go
+++ b/internal/allocation/ledger_test.go
@@ -43,8 +43,8 @@
 	l.Allocate(a)
 	a.ApplyReport(start, machines.Running)
 	j.AddRunning()
-	if m.Free() != (placement.Resources{CPUs: 6, MemoryGB: 31}) || l.UsedCPUs("blue") != 2 || j.AllocatedTasks() != 1 || j.Constraints().TasksInZone["a"] != 1 || !a.IsAllocated() {
-		t.Errorf("free %+v, used %v, in zones %v", m.Free(), l.UsedCPUs("blue"), j.Constraints().TasksInZone)
+	if m.Free() != (placement.Resources{CPUs: 6, MemoryGB: 31}) || l.UsedCPUs("blue") != 2 || j.AllocatedTasks() != 1 || j.Constraints().TasksByZone["a"] != 1 || !a.IsAllocated() {
+		t.Errorf("free %+v, used %v, in zones %v", m.Free(), l.UsedCPUs("blue"), j.Constraints().TasksByZone)
 	}
 	end := start.Add(time.Minute)
 	if last := l.Release(end, a); !last {
@@ -100,7 +100,7 @@
 		attempts = nil
 		check()
 		for _, j := range list {
-			if j.AllocatedTasks() != 0 || j.ReadyTasks() != j.Tasks || len(j.Constraints().TasksInZone) != 0 {
+			if j.AllocatedTasks() != 0 || j.ReadyTasks() != j.Tasks || len(j.Constraints().TasksByZone) != 0 {
 				t.Errorf("seed %d: %s: %d allocated, %d ready", seed, j.ID, j.AllocatedTasks(), j.ReadyTasks())
 			}
 		}
--- a/internal/consolidation/consolidation.go
+++ b/internal/consolidation/consolidation.go
@@ -20,15 +20,15 @@
 	Machines *machines.Registry
 	// IsSchedulable reports whether new tasks may be assigned to a machine.
 	IsSchedulable func(now time.Time, m *machines.Machine) bool
-	// ActiveJobs returns the unfinished jobs that do not wait for other jobs, oldest first.
-	ActiveJobs func() []*jobs.Job
+	// RunnableJobs returns the unfinished jobs that do not wait for other jobs, oldest first.
+	RunnableJobs func() []*jobs.Job
 	// Price returns the current price of a machine.
 	Price func(*machines.Machine) float64
 	// RemainingS returns the estimated remaining run time of an attempt in seconds, or 0 if the
 	// attempt has exceeded its estimate.
 	RemainingS func(now time.Time, a *machines.Attempt) float64
-	// OnConsolidated is called for each cordoned machine whose attempts are marked to be stopped.
-	OnConsolidated func(*machines.Machine)
+	// OnStopsRequested is called for each cordoned machine whose attempts are marked to be stopped.
+	OnStopsRequested func(*machines.Machine)
 }
 
 // Consolidator periodically moves tasks off underused machines.
@@ -111,7 +111,7 @@
 // reserveForWaiting allocates capacity to waiting tasks, which take precedence over tasks that are
 // moved.
 func (p *pass) reserveForWaiting(targets []*machines.Machine) {
-	for _, j := range p.ActiveJobs() {
+	for _, j := range p.RunnableJobs() {
 		// Free capacity only shrinks here: a machine without capacity for one task of the job
 		// has none for the job's next task either.
 		rest := targets
@@ -155,9 +155,9 @@
 func (p *pass) cordonAndStop(m *machines.Machine) {
 	m.Cordon(machines.CordonConsolidated)
 	for _, a := range m.Attempts() {
-		a.StopGracefully()
+		a.RequestGracefulStop()
 	}
-	p.OnConsolidated(m)
+	p.OnStopsRequested(m)
 }
 
 // isMovable reports whether all tasks of the machine may be moved, and whether that pays off. Each
@@ -185,6 +185,6 @@
 func (p *pass) firstFit(j *jobs.Job, targets []*machines.Machine) int {
 	constraints := j.Constraints()
 	return slices.IndexFunc(targets, func(m *machines.Machine) bool {
-		return p.free[m].Fits(j.Request()) && !m.Avoids(j.ID) && constraints.CanRunOn(m.PlacementView())
+		return p.free[m].Fits(j.Request()) && !m.AvoidsJob(j.ID) && constraints.CanRunOn(m.PlacementView())
 	})
 }
--- a/internal/consolidation/consolidation_test.go
+++ b/internal/consolidation/consolidation_test.go
@@ -48,10 +48,10 @@
 	return consolidation.New(consolidation.Cluster{
 		Machines:       registry,
 		IsSchedulable:  func(time.Time, *machines.Machine) bool { return true },
-		ActiveJobs:     func() []*jobs.Job { return c.waiting },
+		RunnableJobs:     func() []*jobs.Job { return c.waiting },
 		Price:          func(m *machines.Machine) float64 { return map[string]float64{"expensive": 2}[m.ID] },
 		RemainingS:     func(time.Time, *machines.Attempt) float64 { return 3600 },
-		OnConsolidated: func(m *machines.Machine) { c.consolidated = append(c.consolidated, m.ID) },
+		OnStopsRequested: func(m *machines.Machine) { c.consolidated = append(c.consolidated, m.ID) },
 	})
 }
 
@@ -65,7 +65,7 @@
 		t.Fatalf("%d consolidated, want only the expensive one: %v", n, c.consolidated)
 	}
 	a := expensive.Attempts()[0]
-	if !expensive.CordonedFor(machines.CordonConsolidated) || !a.IsStopping() || a.GracePeriodS() != 7 {
+	if !expensive.IsCordonedFor(machines.CordonConsolidated) || !a.IsStopping() || a.GracePeriodS() != 7 {
 		t.Errorf("machine not cordoned, or attempt not stopped with time to save: %+v", a)
 	}
 	expensive.Uncordon(machines.CordonConsolidated)
--- a/internal/drainer/batch.go
+++ b/internal/drainer/batch.go
@@ -79,7 +79,7 @@
 		s.d.examined++
 		switch {
 		case !selects(s.record.Record, s.now, s.wall, m):
-		case m.IsReleasing() || !m.IsListed():
+		case m.IsReleasing() || !m.WasListedByCloud():
 			outstanding++
 		default:
 			selected = append(selected, m)
--- a/internal/drainer/drainer_test.go
+++ b/internal/drainer/drainer_test.go
@@ -48,7 +48,7 @@
 		jobs:     map[string]*jobs.Job{},
 	}
 	catalogue := machines.NewCatalogue()
-	catalogue.Update([]wire.MachineType{{Name: "std-8", CPUs: 8, MemoryGB: 32, Price: 1, Zones: []string{"a"}}})
+	catalogue.SetOfferedTypes([]wire.MachineType{{Name: "std-8", CPUs: 8, MemoryGB: 32, Price: 1, Zones: []string{"a"}}})
 	f.scaler = scaling.New(scaling.Config{Term: 5, CloudRPS: 5}, scaling.Cluster{
 		Machines:       f.registry,
 		Catalogue:      catalogue,
@@ -70,7 +70,7 @@
 		Job:                   func(id string) *jobs.Job { return f.jobs[id] },
 		RunnableJobs:          func() iter.Seq[*jobs.Job] { return func(func(*jobs.Job) bool) {} },
 		TeamUsedCPUs:          func(string) float64 { return 0 },
-		AcceptsWork:           func(_ time.Time, m *machines.Machine) bool { return m.IsReconciled() && !m.Cordoned() },
+		AcceptsWork:           func(_ time.Time, m *machines.Machine) bool { return m.IsReconciled() && !m.IsCordoned() },
 		RemainingS:            func(time.Time, *machines.Attempt) float64 { return 3600 },
 		MachinesKnown:         func() bool { return true },
 		ListsComplete:         func() bool { return true },
@@ -87,7 +87,7 @@
 	m.SetCapacity(placement.Resources{CPUs: 8, MemoryGB: 32})
 	m.RecordHeartbeat(start, &wire.Heartbeat{})
 	m.MarkReconciled(start)
-	m.ApplyListed(start, start, &wire.ListedMachine{})
+	m.ApplyCloudListing(start, start, &wire.ListedMachine{})
 	f.registry.Add(m)
 	return m
 }
@@ -161,7 +161,7 @@
 			t.Fatalf("%+v, batch %+v", status, status.Batch)
 		}
 		for _, m := range f.registry.All() {
-			if m.CordonedFor(machines.CordonDrained) != (m.ID == id) {
+			if m.IsCordonedFor(machines.CordonDrained) != (m.ID == id) {
 				t.Errorf("batch of %s: cordon of %s", id, m.ID)
 			}
 		}
@@ -181,12 +181,12 @@
 	f.apply(false, "m1")
 	f.blocked = drain.BlockedByOverload
 	f.step(tuning.DrainBatchInterval)
-	if status := f.show(); status.Batch != nil || m.Cordoned() || status.Reason != string(drain.BlockedByOverload) {
+	if status := f.show(); status.Batch != nil || m.IsCordoned() || status.Reason != string(drain.BlockedByOverload) {
 		t.Errorf("%+v", status)
 	}
 	f.blocked = ""
 	f.step(tuning.DrainBatchInterval)
-	if status := f.show(); status.Batch == nil || !m.Cordoned() {
+	if status := f.show(); status.Batch == nil || !m.IsCordoned() {
 		t.Errorf("%+v", status)
 	}
 }
@@ -239,12 +239,12 @@
 	p := f.scaler.FinishProvision(f.now, calls[0].Provision, 1)
 	f.AddReplacements(p.ReplacementFor, []string{"m2"})
 	f.step(tuning.DrainStepInterval)
-	if m.Cordoned() || !f.IsReplacement("m2") {
+	if m.IsCordoned() || !f.IsReplacement("m2") {
 		t.Fatal("cordoned before the replacement is ready")
 	}
 	f.addMachine("m2")
 	f.step(tuning.DrainStepInterval)
-	if !m.CordonedFor(machines.CordonDrained) {
+	if !m.IsCordonedFor(machines.CordonDrained) {
 		t.Error("not cordoned although the replacement is ready")
 	}
 }
--- a/internal/drainer/evict.go
+++ b/internal/drainer/evict.go
@@ -35,7 +35,7 @@
 	attempts = map[uint64]*machines.Attempt{}
 	for _, name := range s.record.Batch.Machines {
 		m := s.d.cluster.Machines.Get(name)
-		if m == nil || !m.IsReconciled() || !m.IsListed() {
+		if m == nil || !m.IsReconciled() || !m.WasListedByCloud() {
 			continue
 		}
 		for _, a := range m.Attempts() {
@@ -83,7 +83,7 @@
 // stopEvicted stops an attempt whose stop has been charged. The attempt has a grace period to
 // save a checkpoint.
 func (d *Drainer) stopEvicted(a *machines.Attempt) {
-	a.Evict()
+	a.RequestEviction()
 	d.cluster.ScheduleCall(a.Machine)
 }
 
@@ -131,7 +131,7 @@
 	constraints := j.Constraints()
 	if zone := s.record.Spec.Selector.Zone; j.OneZone && s.record.Spec.Selector.SelectsAllOf("", zone) {
 		// The drain empties the whole zone, so the job's tasks there don't bind it to the zone.
-		constraints.TasksInZone = withoutZone(constraints.TasksInZone, zone)
+		constraints.TasksByZone = withoutZone(constraints.TasksByZone, zone)
 	}
 	has := slices.ContainsFunc(s.provisionableMachines(), constraints.CanRunOn)
 	s.alternatives[j] = has
--- a/internal/drainer/interruptions.go
+++ b/internal/drainer/interruptions.go
@@ -26,7 +26,7 @@
 // RecordRunning counts an interrupted task as running again, unless the attempt is one that a
 // drain is about to stop.
 func (d *Drainer) RecordRunning(a *machines.Attempt) {
-	if d.ledger == nil || a.IsEvicting() || d.ledger.IsCharged(a.Number()) && a.Machine.CordonedFor(machines.CordonDrained) {
+	if d.ledger == nil || a.IsEvicting() || d.ledger.IsCharged(a.Number()) && a.Machine.IsCordonedFor(machines.CordonDrained) {
 		return
 	}
 	d.ledger.RecordAvailable(a.Job.ID, a.Index)
--- a/internal/drainer/replacements.go
+++ b/internal/drainer/replacements.go
@@ -30,7 +30,7 @@
 	for _, name := range b.Replacements {
 		m := d.cluster.Machines.Get(name)
 		switch {
-		case m == nil || m.IsReleasing() || m.CordonedFor(machines.ReleaseWhenEmptyReasons|machines.CordonAgentReplaced):
+		case m == nil || m.IsReleasing() || m.IsCordonedFor(machines.ReleaseWhenEmptyReasons|machines.CordonAgentReplaced):
 		case d.cluster.AcceptsWork(now, m):
 			n.ready[m.Type]++
 		default:
--- a/internal/drainer/requests.go
+++ b/internal/drainer/requests.go
@@ -58,8 +58,8 @@
 	err := s.Validate(wall)
 	if err == nil {
 		err = s.ValidateFor(drain.Deployment{
-			Zones:      slices.Concat(d.config.Zones, d.cluster.Catalogue.Zones()),
-			Types:      d.cluster.Catalogue.Names(),
+			Zones:      slices.Concat(d.config.Zones, d.cluster.Catalogue.OfferedZones()),
+			Types:      d.cluster.Catalogue.TypeNames(),
 			HasMachine: func(name string) bool { return d.cluster.Machines.Get(name) != nil },
 		})
 	}
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -87,7 +87,7 @@
 func (j *Job) Constraints() *placement.PendingJob {
 	return &placement.PendingJob{
 		MachineTypes: j.MachineTypes, Zone: j.Zone, OneZone: j.OneZone, SpreadZones: j.SpreadZones,
-		Spot: j.Spot, Request: j.request, TotalTasks: j.Tasks, TasksInZone: j.allocationsByZone,
+		AllowsSpot: j.Spot, Request: j.request, TotalTasks: j.Tasks, TasksByZone: j.allocationsByZone,
 	}
 }
 
--- a/internal/jobs/tasks_test.go
+++ b/internal/jobs/tasks_test.go
@@ -37,7 +37,7 @@
 	if !j.Release(0, "b") || j.ReadyTasks() != 1 || j.AllocatedTasks() != 0 {
 		t.Error("not ready though no machine may have the task")
 	}
-	if zones := j.Constraints().TasksInZone; len(zones) != 0 {
+	if zones := j.Constraints().TasksByZone; len(zones) != 0 {
 		t.Errorf("in zones %v", zones)
 	}
 	j.RemoveReadyTask(0)
--- a/internal/leader/consolidation.go
+++ b/internal/leader/consolidation.go
@@ -11,10 +11,10 @@
 	return consolidation.New(consolidation.Cluster{
 		Machines:       l.machines,
 		IsSchedulable:  l.isSchedulable,
-		ActiveJobs:     l.jobs.RunnableByAge,
+		RunnableJobs:     l.jobs.RunnableByAge,
 		Price:          l.catalogue.Price,
 		RemainingS:     l.remainingS,
-		OnConsolidated: l.directCalls.schedule,
+		OnStopsRequested: l.directCalls.schedule,
 	})
 }
 
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -69,7 +69,7 @@
 	}
 	durationS := l.runTimes.Estimate(j)
 	if fetchGBPerS > 0 {
-		durationS += placement.FetchTime(j.ImageGB, fetchGBPerS)
+		durationS += placement.FetchTimeS(j.ImageGB, fetchGBPerS)
 	}
 	return seconds.Duration(durationS) + tuning.StageDelay
 }
--- a/internal/leader/direct_calls.go
+++ b/internal/leader/direct_calls.go
@@ -79,10 +79,10 @@
 			call.Request.Commands = append(call.Request.Commands, a.StopCommand())
 			continue
 		}
-		if !acceptsWork || !a.NeedsStart() || a.WasSentDirectly() || a.WasSentInResponse() || len(call.startedAttempts) >= tuning.MaxCommandsPerResponse {
+		if !acceptsWork || !a.NeedsStart() || a.StartSentDirectly() || a.StartSentInResponse() || len(call.startedAttempts) >= tuning.MaxCommandsPerResponse {
 			continue
 		}
-		a.MarkSentDirectly()
+		a.MarkStartSentDirectly()
 		call.startedAttempts = append(call.startedAttempts, a)
 		call.Request.Commands = append(call.Request.Commands, a.StartCommand())
 	}
@@ -112,7 +112,7 @@
 func (l *Leader) DirectCallDone(now time.Time, call *DirectCall, outcome DirectOutcome, r *wire.Heartbeat) {
 	if outcome != DirectUnknown {
 		for _, a := range call.startedAttempts {
-			a.ClearSentDirectly()
+			a.ClearStartSentDirectly()
 		}
 	}
 	l.directCalls.inFlight--
@@ -123,7 +123,7 @@
 	m.EndCall()
 	l.directCalls.schedule(m)
 	if outcome != DirectReplied {
-		m.PauseCalls(now.Add(tuning.DirectBackoff))
+		m.DelayCalls(now.Add(tuning.DirectBackoff))
 		return
 	}
 	if r == nil || r.Machine != m.ID {
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -102,7 +102,7 @@
 			continue
 		}
 		if remaining.Seconds() <= a.Job.CheckpointSaveS+margin {
-			a.StopGracefully()
+			a.RequestGracefulStop()
 		}
 	}
 }
--- a/internal/leader/heartbeat_commands.go
+++ b/internal/leader/heartbeat_commands.go
@@ -31,10 +31,10 @@
 // carries them is in flight.
 func appendStarts(list []wire.Command, m *machines.Machine, sequence uint64) []wire.Command {
 	for _, a := range m.Attempts() {
-		if !a.NeedsStart() || a.WasSentDirectly() && m.IsBeingCalled() || len(list) >= tuning.MaxCommandsPerResponse {
+		if !a.NeedsStart() || a.StartSentDirectly() && m.IsBeingCalled() || len(list) >= tuning.MaxCommandsPerResponse {
 			continue
 		}
-		a.MarkSentInResponse(sequence)
+		a.MarkStartSentInResponse(sequence)
 		list = append(list, a.StartCommand())
 	}
 	return list
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -103,7 +103,7 @@
 
 // CatalogueKnown reports whether the machine types are known. No submission can be accepted
 // before that.
-func (l *Leader) CatalogueKnown() bool { return l.catalogue.HasTypes() }
+func (l *Leader) CatalogueKnown() bool { return l.catalogue.HasAnyType() }
 
 // nextAttemptNumber returns a new attempt number. The term in its upper 32 bits makes it differ
 // from the numbers assigned by other leaders.
--- a/internal/leader/leases.go
+++ b/internal/leader/leases.go
@@ -10,8 +10,8 @@
 // expireLeases releases the attempts on machines whose lease has expired.
 func (l *Leader) expireLeases(now time.Time) {
 	for _, m := range l.machines.All() {
-		if (len(m.Attempts()) > 0 || !m.IsReconciled()) && m.LeaseExpired(now, &l.timing) && m.HasJoined() {
-			if len(m.Attempts()) > 0 && !m.ReleaseRequired() {
+		if (len(m.Attempts()) > 0 || !m.IsReconciled()) && m.HasLeaseExpired(now, &l.timing) && m.HasJoined() {
+			if len(m.Attempts()) > 0 && !m.IsReleaseRequired() {
 				l.log.Info().Str("machine", m.ID).Int("tasks", len(m.Attempts())).Msg("lease expired")
 			}
 			m.ExpireSession()
@@ -31,7 +31,7 @@
 		}
 	}
 	m.ClearExited()
-	if len(m.Attempts()) > 0 && !m.ReleaseRequired() {
+	if len(m.Attempts()) > 0 && !m.IsReleaseRequired() {
 		m.RequireRelease(now.Add(tuning.FencingDelay))
 	}
 }
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		return err
 	}
-	l.catalogue.SetStored(value) // already stored: needs no write
+	l.catalogue.SetStoredTypes(value) // already stored: needs no write
 	l.SetMachineTypes(types)
 	return nil
 }
@@ -138,7 +138,7 @@
 		if m == nil {
 			m = l.addMachine(now, machine.ID, machine.Type, machine.Zone, "", machine.Spot)
 		}
-		m.MarkRecorded()
+		m.MarkInStartRecord()
 		for _, id := range slices.Sorted(maps.Keys(machine.Tasks)) {
 			j := l.jobs.Get(id)
 			if j == nil {
--- a/internal/leader/machine_list.go
+++ b/internal/leader/machine_list.go
@@ -39,7 +39,7 @@
 	if m == nil {
 		m = l.addMachine(requestedAt, row.Name, row.Type, row.Zone, row.Addr, row.Spot)
 	}
-	m.ApplyListed(requestedAt, now, row)
+	m.ApplyCloudListing(requestedAt, now, row)
 }
 
 // longestListLag returns the maximum age of a machine list relative to the request for it: twice
@@ -54,7 +54,7 @@
 	var nonexistent []string
 	lag := l.longestListLag()
 	for _, m := range l.machines.All() {
-		if !listed[m.ID] && m.CountMissingFromList(requestedAt, lag) {
+		if !listed[m.ID] && m.CountMissingFromCloudList(requestedAt, lag) {
 			nonexistent = append(nonexistent, m.ID)
 		}
 	}
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -34,10 +34,10 @@
 	if len(types) == 0 {
 		return
 	}
-	if value := records.EncodeMachineTypes(types); len(value) <= l.valueLimit() && l.catalogue.SetStored(value) {
+	if value := records.EncodeMachineTypes(types); len(value) <= l.valueLimit() && l.catalogue.SetStoredTypes(value) {
 		l.writes.Background.Put(records.MachineTypesKey, value, nil)
 	}
-	l.catalogue.Update(types)
+	l.catalogue.SetOfferedTypes(types)
 	for _, m := range l.machines.All() {
 		l.setCapacity(m)
 	}
--- a/internal/leader/pass.go
+++ b/internal/leader/pass.go
@@ -62,8 +62,8 @@
 	starts, work := placement.Run(l.placementTimeS(now), l.withAgedFirst(now, ready, byID), candidates, l.ledger.PlacementTeams(), tuning.PassMaxStarts)
 	l.scoredPairs += work.ScoredPairs
 	for _, s := range starts {
-		j := byID[s.Job]
-		l.startTask(now, j, l.machines.Get(s.Machine), agedJobs[j])
+		j := byID[s.JobID]
+		l.startTask(now, j, l.machines.Get(s.MachineID), agedJobs[j])
 	}
 	if work.Truncated {
 		l.passRequested = true
@@ -104,7 +104,7 @@
 
 // allowStart lets a start be sent once its record is durable.
 func (l *Leader) allowStart(a *machines.Attempt) {
-	a.MarkRecorded()
+	a.MarkStartRecorded()
 	l.directCalls.schedule(a.Machine)
 }
 
--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -14,10 +14,10 @@
 		Machines:       l.machines,
 		IsSchedulable:  l.isSchedulable,
 		RemainingS:     l.remainingS,
-		UnfinishedJobs: l.jobs.Runnable,
+		RunnableJobs: l.jobs.Runnable,
 		FetchGBPerS:    func(machineType string) float64 { return l.catalogue.Type(machineType).FetchGBPerS },
 		TeamFreeCPUs:   l.ledger.FreeCPUs,
-		OnStop:         l.directCalls.schedule,
+		OnStopRequested:         l.directCalls.schedule,
 	})
 }
 
--- a/internal/leader/ready_jobs.go
+++ b/internal/leader/ready_jobs.go
@@ -15,7 +15,7 @@
 func (l *Leader) withAgedFirst(now time.Time, ready []*placement.PendingJob, byID map[string]*jobs.Job) []*placement.PendingJob {
 	all := ready
 	for _, r := range ready {
-		j := byID[r.Job]
+		j := byID[r.JobID]
 		if j.SincePlacement(now) < tuning.AgingThreshold || j.FailsEverywhere() {
 			continue
 		}
@@ -44,14 +44,14 @@
 			continue
 		}
 		r := j.Constraints()
-		r.Job, r.Team, r.PriorityRank, r.WithinGuarantee = j.ID, j.Team, j.PriorityRank(), guaranteed[j]
+		r.JobID, r.Team, r.PriorityRank, r.WithinGuarantee = j.ID, j.Team, j.PriorityRank(), guaranteed[j]
 		r.Urgency, r.ReadyTasks = l.runTimes.Urgency(now, j, l.params.Objectives, cpus), j.ReadyTasks()
-		r.EstimateS, r.Image, r.ImageGB = l.runTimes.Estimate(j), j.Image, j.ImageGB
+		r.EstimatedRunTimeS, r.Image, r.ImageGB = l.runTimes.Estimate(j), j.Image, j.ImageGB
 		if j.Failures() > 0 {
 			// A job whose tasks fail starts one task at a time.
 			r.ReadyTasks = 1
 		}
-		r.TasksInZone = maps.Clone(r.TasksInZone) // a pass adds its own starts
+		r.TasksByZone = maps.Clone(r.TasksByZone) // a pass adds its own starts
 		byID[j.ID] = j
 		ready = append(ready, r)
 	}
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -57,11 +57,11 @@
 	a := m.Find(j, index)
 	switch {
 	case a != nil && (a.Number() == t.Attempt || a.State() == machines.PossiblyStarted):
-		a.MarkExitListed(l.taskListNumber)
+		a.MarkExitInTaskList(l.taskListNumber)
 		if a.State() == machines.StartSent {
-			m.RecordStartObserved()
+			m.RecordStartExecuted()
 		}
-		if a.WasSentDirectly() {
+		if a.StartSentDirectly() {
 			m.RetainExit(machines.ExitKey{Task: t.Task, Attempt: t.Attempt})
 		}
 		l.applyExit(now, a, t)
@@ -84,12 +84,12 @@
 			j.RemoveReadyTask(index)
 		}
 	}
-	a.MarkListed(l.taskListNumber, t.Attempt)
+	a.MarkInTaskList(l.taskListNumber, t.Attempt)
 	if !j.NeedsTask(int(index)) {
-		a.StopNow()
+		a.RequestStop()
 	}
 	if a.State() == machines.StartSent {
-		m.RecordStartObserved()
+		m.RecordStartExecuted()
 	}
 	if began := a.ApplyReport(now, machines.ReportedState(t.State)); began {
 		l.recordRunning(now, a)
@@ -111,9 +111,9 @@
 // recordIgnoredStarts records that an earlier response with starts had no effect.
 func (l *Leader) recordIgnoredStarts(now time.Time, m *machines.Machine) {
 	if slices.ContainsFunc(m.Attempts(), func(a *machines.Attempt) bool {
-		return !a.IsListed(l.taskListNumber) && a.State() == machines.StartSent && a.WasSentInResponse()
+		return !a.IsInTaskList(l.taskListNumber) && a.State() == machines.StartSent && a.StartSentInResponse()
 	}) {
-		m.RecordIgnoredResponse(now)
+		m.RecordIneffectiveResponse(now)
 	}
 }
 
@@ -122,15 +122,15 @@
 	for i := len(m.Attempts()) - 1; i >= 0; i-- {
 		a := m.Attempts()[i]
 		switch {
-		case a.IsListed(l.taskListNumber), a.State() == machines.RecordPending:
+		case a.IsInTaskList(l.taskListNumber), a.State() == machines.RecordPending:
 		case a.State() != machines.StartSent:
 			l.releaseAttempt(now, a)
-		case a.WasSentDirectly():
+		case a.StartSentDirectly():
 			l.scheduleFencingRelease(now, a)
-		case periodic || !a.WasSentInResponse():
+		case periodic || !a.StartSentInResponse():
 			// The start was sent only in a response that the agent no longer waits for: it has
 			// not been executed and never will be.
-			a.MarkResponseIgnored()
+			a.MarkStartResponseIneffective()
 			if !a.ShouldRun() || !l.isSchedulable(now, m) {
 				l.releaseAttempt(now, a)
 			}
@@ -142,7 +142,7 @@
 // is of a task that must no longer run.
 func (l *Leader) scheduleFencingRelease(now time.Time, a *machines.Attempt) {
 	m := a.Machine
-	if a.ShouldRun() || m.ReleaseRequired() {
+	if a.ShouldRun() || m.IsReleaseRequired() {
 		return
 	}
 	m.Cordon(machines.CordonLateStart)
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -80,7 +80,7 @@
 	sort.SliceStable(ready, func(i, k int) bool { return ready[i].PriorityRank < ready[k].PriorityRank })
 	var demand []autoscale.Demand
 	for _, r := range ready {
-		j := byID[r.Job]
+		j := byID[r.JobID]
 		taskLimit := int(min(max(0, freeCPUs[j.Team])/max(j.CPUs, 1e-9), float64(r.ReadyTasks)))
 		// A failing job starts one task at a time, but needs a machine for that task: without
 		// demand of its own it could wait forever.
@@ -90,7 +90,7 @@
 			continue
 		}
 		demand = append(demand, autoscale.Demand{
-			Tasks: demandedTasks, StartWithinS: l.startWithinS(now, j), Request: j.Request(), EstimateS: r.EstimateS + float64(l.startDelay),
+			Tasks: demandedTasks, StartWithinS: l.startWithinS(now, j), Request: j.Request(), EstimateS: r.EstimatedRunTimeS + float64(l.startDelay),
 			MachineTypes: j.MachineTypes, Zone: j.Zone, Spot: j.Spot, AvoidMachines: j.FailedOn(),
 		})
 	}
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -15,14 +15,14 @@
 	if s := m.CachedSnapshot(); s != nil {
 		return s
 	}
-	s := m.NewSnapshot()
+	s := m.ResetSnapshot()
 	t := l.catalogue.Type(m.Type)
 	s.FetchGBPerS, s.Price = t.FetchGBPerS, l.catalogue.Price(m)
 	nowS := l.placementTimeS(now)
 	for _, a := range m.Attempts() {
 		startsAt := nowS
 		if !m.HasImage(a.Job.Image) && t.FetchGBPerS > 0 {
-			startsAt = l.placementTimeS(a.CreatedAt()) + placement.FetchTime(a.Job.ImageGB, t.FetchGBPerS)
+			startsAt = l.placementTimeS(a.CreatedAt()) + placement.FetchTimeS(a.Job.ImageGB, t.FetchGBPerS)
 			if startsAt > s.Images[a.Job.Image] {
 				s.Images[a.Job.Image] = startsAt
 			}
--- a/internal/leader/submission.go
+++ b/internal/leader/submission.go
@@ -93,8 +93,8 @@
 		return reason
 	}
 	request := placement.TaskRequest(spec)
-	probe := placement.PendingJob{MachineTypes: spec.MachineTypes, Zone: spec.Zone, Spot: true, Request: request, TotalTasks: spec.Tasks}
-	for mt := range l.catalogue.All() {
+	probe := placement.PendingJob{MachineTypes: spec.MachineTypes, Zone: spec.Zone, AllowsSpot: true, Request: request, TotalTasks: spec.Tasks}
+	for mt := range l.catalogue.AllTypes() {
 		for _, zone := range mt.Zones {
 			if probe.CanRunOn(&placement.Machine{Type: mt.Name, Zone: zone, Capacity: placement.MachineCapacity(mt)}) {
 				return ""
--- a/internal/leader/upgrade_test.go
+++ b/internal/leader/upgrade_test.go
@@ -172,7 +172,7 @@
 		if !ok || key == "j/job-1" || json.Unmarshal(item.Value, &rec) != nil || rec.Job.ID == "" {
 			continue
 		}
-		probe := placement.PendingJob{MachineTypes: rec.Job.MachineTypes, Zone: rec.Job.Zone, Spot: true, Request: placement.Resources{CPUs: rec.Job.CPUs}, TotalTasks: 1}
+		probe := placement.PendingJob{MachineTypes: rec.Job.MachineTypes, Zone: rec.Job.Zone, AllowsSpot: true, Request: placement.Resources{CPUs: rec.Job.CPUs}, TotalTasks: 1}
 		if probe.CanRunOn(&placement.Machine{Type: "std-8", Zone: "a", Capacity: placement.Resources{CPUs: 8, MemoryGB: 32}}) {
 			t.Errorf("%s could be started: %s", key, value)
 		}
--- a/internal/machines/attempt.go
+++ b/internal/machines/attempt.go
@@ -22,9 +22,9 @@
 	checkpointSaved bool // saved a checkpoint when it was stopped
 	failed          bool // ended with an error of the task itself
 
-	// Record is the start record that contains the attempt. Its type belongs to the package that
+	// StartRecord is the start record that contains the attempt. Its type belongs to the package that
 	// stores it.
-	Record any
+	StartRecord any
 
 	number     uint64
 	listNumber uint64 // number of the last task list that contained it
@@ -106,21 +106,21 @@
 	a.state = next
 }
 
-// MarkRecorded records that the start record is durable, so that the start may be sent.
-func (a *Attempt) MarkRecorded() { a.changeState(StartSent) }
+// MarkStartRecorded records that the start record is durable, so that the start may be sent.
+func (a *Attempt) MarkStartRecorded() { a.changeState(StartSent) }
 
-// MarkListed records that a task list contains the task with the given attempt number. The agent
+// MarkInTaskList records that a task list contains the task with the given attempt number. The agent
 // refuses a newer attempt while it has another one of the same task, so the listed number
 // replaces the attempt's own.
-func (a *Attempt) MarkListed(listNumber, number uint64) {
+func (a *Attempt) MarkInTaskList(listNumber, number uint64) {
 	a.listNumber, a.number = listNumber, number
 }
 
-// MarkExitListed records that a task list contains the attempt as exited.
-func (a *Attempt) MarkExitListed(listNumber uint64) { a.listNumber = listNumber }
+// MarkExitInTaskList records that a task list contains the attempt as exited.
+func (a *Attempt) MarkExitInTaskList(listNumber uint64) { a.listNumber = listNumber }
 
-// IsListed reports whether the last task list that contained the attempt has the given number.
-func (a *Attempt) IsListed(listNumber uint64) bool { return a.listNumber == listNumber }
+// IsInTaskList reports whether the last task list that contained the attempt has the given number.
+func (a *Attempt) IsInTaskList(listNumber uint64) bool { return a.listNumber == listNumber }
 
 // ApplyReport applies the state that the machine reports, and reports whether the attempt has
 // begun to run.
@@ -170,5 +170,5 @@
 	return math.Mod(a.RunTime(now).Seconds(), a.Job.CheckpointIntervalS)
 }
 
-// Name returns the name of the task on the wire.
-func (a *Attempt) Name() string { return wire.TaskName(a.Job.ID, int(a.Index)) }
+// TaskName returns the name of the task on the wire.
+func (a *Attempt) TaskName() string { return wire.TaskName(a.Job.ID, int(a.Index)) }
--- a/internal/machines/attempt_commands.go
+++ b/internal/machines/attempt_commands.go
@@ -8,39 +8,39 @@
 
 // StartCommand returns the command that starts the attempt.
 func (a *Attempt) StartCommand() wire.Command {
-	return wire.Command{Op: wire.OpStart, Task: a.Name(), Attempt: a.number}
+	return wire.Command{Op: wire.OpStart, Task: a.TaskName(), Attempt: a.number}
 }
 
-// MarkSentInResponse records that the start was sent in the response to the given heartbeat.
-func (d *startDelivery) MarkSentInResponse(sequence uint64) { d.sentSequence = sequence }
+// MarkStartSentInResponse records that the start was sent in the response to the given heartbeat.
+func (d *startDelivery) MarkStartSentInResponse(sequence uint64) { d.sentSequence = sequence }
 
-// WasSentInResponse reports whether the start was sent in a response that isn't known to be
+// StartSentInResponse reports whether the start was sent in a response that isn't known to be
 // ignored.
-func (d *startDelivery) WasSentInResponse() bool { return d.sentSequence != 0 }
+func (d *startDelivery) StartSentInResponse() bool { return d.sentSequence != 0 }
 
-// MarkResponseIgnored records that the start sent in a response had no effect and never will.
-func (d *startDelivery) MarkResponseIgnored() { d.sentSequence = 0 }
+// MarkStartResponseIneffective records that the start sent in a response had no effect and never will.
+func (d *startDelivery) MarkStartResponseIneffective() { d.sentSequence = 0 }
 
-// MarkSentDirectly records that the start was sent by a direct call.
-func (d *startDelivery) MarkSentDirectly() { d.sentDirectly = true }
+// MarkStartSentDirectly records that the start was sent by a direct call.
+func (d *startDelivery) MarkStartSentDirectly() { d.sentDirectly = true }
 
-// ClearSentDirectly records that a start sent by a direct call can no longer arrive late.
-func (d *startDelivery) ClearSentDirectly() { d.sentDirectly = false }
+// ClearStartSentDirectly records that a start sent by a direct call can no longer arrive late.
+func (d *startDelivery) ClearStartSentDirectly() { d.sentDirectly = false }
 
-// WasSentDirectly reports whether a start sent by a direct call may still arrive late.
-func (d *startDelivery) WasSentDirectly() bool { return d.sentDirectly }
+// StartSentDirectly reports whether a start sent by a direct call may still arrive late.
+func (d *startDelivery) StartSentDirectly() bool { return d.sentDirectly }
 
 // MayStartLate reports whether the machine has not reported the attempt yet and a start sent by a
 // direct call may still arrive.
 func (a *Attempt) MayStartLate() bool { return a.state == StartSent && a.sentDirectly }
 
-// StopNow requests that the attempt is stopped without a grace period.
-func (a *Attempt) StopNow() { a.stopping, a.gracePeriodS = true, 0 }
+// RequestStop requests that the attempt is stopped without a grace period.
+func (a *Attempt) RequestStop() { a.stopping, a.gracePeriodS = true, 0 }
 
-// StopGracefully requests that the attempt is stopped. If its job saves checkpoints, it gets a
+// RequestGracefulStop requests that the attempt is stopped. If its job saves checkpoints, it gets a
 // grace period to save one.
-func (a *Attempt) StopGracefully() {
-	a.StopNow()
+func (a *Attempt) RequestGracefulStop() {
+	a.RequestStop()
 	if a.Job.CheckpointIntervalS > 0 {
 		a.gracePeriodS = a.Job.CheckpointSaveS
 	}
@@ -58,10 +58,10 @@
 // RevertEviction cancels a planned eviction.
 func (a *Attempt) RevertEviction() { a.evicting = false }
 
-// Evict requests that the attempt is stopped for a drain.
-func (a *Attempt) Evict() {
+// RequestEviction requests that the attempt is stopped for a drain.
+func (a *Attempt) RequestEviction() {
 	a.evicting = true
-	a.StopGracefully()
+	a.RequestGracefulStop()
 }
 
 // IsEvicting reports whether an eviction of the attempt is planned or requested.
@@ -90,5 +90,5 @@
 // StopCommand returns the command that stops the attempt.
 func (a *Attempt) StopCommand() wire.Command {
 	grace := a.gracePeriodS
-	return wire.Command{Op: wire.OpStop, Task: a.Name(), Attempt: a.number, GracePeriodS: &grace}
+	return wire.Command{Op: wire.OpStop, Task: a.TaskName(), Attempt: a.number, GracePeriodS: &grace}
 }
--- a/internal/machines/attempt_test.go
+++ b/internal/machines/attempt_test.go
@@ -45,7 +45,7 @@
 	if a.NeedsStart() {
 		t.Error("start needed before the record is durable")
 	}
-	a.MarkRecorded()
+	a.MarkStartRecorded()
 	if !a.NeedsStart() {
 		t.Error("start not needed although the record is durable")
 	}
@@ -54,13 +54,13 @@
 			t.Error("no panic when marked as recorded twice")
 		}
 	}()
-	a.MarkRecorded()
+	a.MarkStartRecorded()
 }
 
 func TestApplyReport(t *testing.T) {
 	m := newMachine()
 	a := machines.NewPendingAttempt(m, newActiveJob(0), 0, start, 1, false)
-	a.MarkRecorded()
+	a.MarkStartRecorded()
 	steps := []struct {
 		reported string
 		state    machines.AttemptState
@@ -91,13 +91,13 @@
 		needed              bool
 	}{
 		"not stopped":            {stop: func(*machines.Attempt) {}, reported: machines.Running},
-		"now":                    {checkpointIntervalS: 30, stop: (*machines.Attempt).StopNow, reported: machines.Running, needed: true},
-		"saving":                 {checkpointIntervalS: 30, stop: (*machines.Attempt).StopGracefully, reported: machines.Running, graceS: 7, needed: true},
-		"saving already":         {checkpointIntervalS: 30, stop: (*machines.Attempt).StopGracefully, reported: machines.Saving, graceS: 7},
-		"saving, no checkpoints": {stop: (*machines.Attempt).StopGracefully, reported: machines.Running, needed: true},
-		"evicted":                {checkpointIntervalS: 30, stop: (*machines.Attempt).Evict, reported: machines.Running, graceS: 7, needed: true},
-		"reverted":               {stop: func(a *machines.Attempt) { a.StopNow(); a.RevertStop() }, reported: machines.Running},
-		"now, while saving":      {checkpointIntervalS: 30, stop: (*machines.Attempt).StopNow, reported: machines.Saving, needed: true},
+		"now":                    {checkpointIntervalS: 30, stop: (*machines.Attempt).RequestStop, reported: machines.Running, needed: true},
+		"saving":                 {checkpointIntervalS: 30, stop: (*machines.Attempt).RequestGracefulStop, reported: machines.Running, graceS: 7, needed: true},
+		"saving already":         {checkpointIntervalS: 30, stop: (*machines.Attempt).RequestGracefulStop, reported: machines.Saving, graceS: 7},
+		"saving, no checkpoints": {stop: (*machines.Attempt).RequestGracefulStop, reported: machines.Running, needed: true},
+		"evicted":                {checkpointIntervalS: 30, stop: (*machines.Attempt).RequestEviction, reported: machines.Running, graceS: 7, needed: true},
+		"reverted":               {stop: func(a *machines.Attempt) { a.RequestStop(); a.RevertStop() }, reported: machines.Running},
+		"now, while saving":      {checkpointIntervalS: 30, stop: (*machines.Attempt).RequestStop, reported: machines.Saving, needed: true},
 	} {
 		a := machines.NewAttempt(newMachine(), newActiveJob(c.checkpointIntervalS), 0, start)
 		a.ApplyReport(start, c.reported)
--- a/internal/machines/capacity.go
+++ b/internal/machines/capacity.go
@@ -88,9 +88,9 @@
 	return c.snapshot
 }
 
-// NewSnapshot overwrites the cached snapshot by one with the machine's capacity and images, and
+// ResetSnapshot overwrites the cached snapshot by one with the machine's capacity and images, and
 // without placed tasks. The caller adds these.
-func (m *Machine) NewSnapshot() *placement.Machine {
+func (m *Machine) ResetSnapshot() *placement.Machine {
 	s := m.snapshot
 	if s == nil {
 		s = &placement.Machine{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, AvoidedJobs: m.avoidedJobs, Images: map[string]float64{}}
--- a/internal/machines/catalogue.go
+++ b/internal/machines/catalogue.go
@@ -21,8 +21,8 @@
 // NewCatalogue returns an empty catalogue.
 func NewCatalogue() *Catalogue { return &Catalogue{types: map[string]wire.MachineType{}} }
 
-// HasTypes reports whether the catalogue contains any type.
-func (c *Catalogue) HasTypes() bool { return len(c.types) > 0 }
+// HasAnyType reports whether the catalogue contains any type.
+func (c *Catalogue) HasAnyType() bool { return len(c.types) > 0 }
 
 // Type returns the type of that name, or the zero value if it is unknown.
 func (c *Catalogue) Type(name string) wire.MachineType { return c.types[name] }
@@ -33,28 +33,28 @@
 	return ok
 }
 
-// All returns all types that the cloud has offered in this term, in no particular order.
-func (c *Catalogue) All() iter.Seq[wire.MachineType] { return maps.Values(c.types) }
+// AllTypes returns all types that the cloud has offered in this term, in no particular order.
+func (c *Catalogue) AllTypes() iter.Seq[wire.MachineType] { return maps.Values(c.types) }
 
-// Names returns the names of all types that the cloud has offered in this term, sorted.
-func (c *Catalogue) Names() []string { return slices.Sorted(maps.Keys(c.types)) }
+// TypeNames returns the names of all types that the cloud has offered in this term, sorted.
+func (c *Catalogue) TypeNames() []string { return slices.Sorted(maps.Keys(c.types)) }
 
 // OfferedTypes returns the types in the order of the cloud's last response. The caller must not
 // modify the slice.
 func (c *Catalogue) OfferedTypes() []wire.MachineType { return c.offered }
 
-// Update applies the types of the cloud's last response. Types that are no longer offered stay in
+// SetOfferedTypes applies the types of the cloud's last response. Types that are no longer offered stay in
 // the catalogue, as there may be machines of them.
-func (c *Catalogue) Update(types []wire.MachineType) {
+func (c *Catalogue) SetOfferedTypes(types []wire.MachineType) {
 	c.offered = types
 	for _, t := range types {
 		c.types[t.Name] = t
 	}
 }
 
-// SetStored records the types as encoded in the key-value store, and reports whether they differ
+// SetStoredTypes records the types as encoded in the key-value store, and reports whether they differ
 // from the last ones.
-func (c *Catalogue) SetStored(value json.RawMessage) (changed bool) {
+func (c *Catalogue) SetStoredTypes(value json.RawMessage) (changed bool) {
 	changed = !bytes.Equal(value, c.stored)
 	c.stored = value
 	return changed
@@ -68,8 +68,8 @@
 	return c.types[m.Type].Price
 }
 
-// Zones returns the zones in which any type is offered. Zones may be repeated.
-func (c *Catalogue) Zones() []string {
+// OfferedZones returns the zones in which any type is offered. OfferedZones may be repeated.
+func (c *Catalogue) OfferedZones() []string {
 	var zones []string
 	for _, t := range c.offered {
 		zones = append(zones, t.Zones...)
--- a/internal/machines/catalogue_test.go
+++ b/internal/machines/catalogue_test.go
@@ -14,16 +14,16 @@
 // needed for the machines of these types that still exist.
 func TestCatalogueKeepsTypesNoLongerOffered(t *testing.T) {
 	c := machines.NewCatalogue()
-	if c.HasTypes() {
+	if c.HasAnyType() {
 		t.Error("new catalogue has types")
 	}
-	c.Update([]wire.MachineType{{Name: "std-8", CPUs: 8, Price: 1, SpotPrice: 0.4, Zones: []string{"a", "b"}}})
-	c.Update([]wire.MachineType{{Name: "big-32", CPUs: 32, Price: 3, Zones: []string{"b"}}})
-	if !c.HasTypes() || !c.HasType("std-8") || c.Type("std-8").CPUs != 8 || c.HasType("other") {
-		t.Errorf("types %v", c.Names())
+	c.SetOfferedTypes([]wire.MachineType{{Name: "std-8", CPUs: 8, Price: 1, SpotPrice: 0.4, Zones: []string{"a", "b"}}})
+	c.SetOfferedTypes([]wire.MachineType{{Name: "big-32", CPUs: 32, Price: 3, Zones: []string{"b"}}})
+	if !c.HasAnyType() || !c.HasType("std-8") || c.Type("std-8").CPUs != 8 || c.HasType("other") {
+		t.Errorf("types %v", c.TypeNames())
 	}
-	if len(c.OfferedTypes()) != 1 || !slices.Equal(c.Zones(), []string{"b"}) {
-		t.Errorf("offered types %v in zones %v", c.OfferedTypes(), c.Zones())
+	if len(c.OfferedTypes()) != 1 || !slices.Equal(c.OfferedZones(), []string{"b"}) {
+		t.Errorf("offered types %v in zones %v", c.OfferedTypes(), c.OfferedZones())
 	}
 	offerings := c.Offerings(func(string, string) bool { return true })
 	if len(offerings) != 1 || offerings[0].Type != "big-32" || offerings[0].Capacity.CPUs != 32 {
@@ -41,7 +41,7 @@
 func TestSetStoredReportsChanges(t *testing.T) {
 	c := machines.NewCatalogue()
 	for i, want := range []bool{true, false} {
-		if got := c.SetStored(json.RawMessage(`[]`)); got != want {
+		if got := c.SetStoredTypes(json.RawMessage(`[]`)); got != want {
 			t.Errorf("response %d: changed: %v", i, got)
 		}
 	}
--- a/internal/machines/cordon.go
+++ b/internal/machines/cordon.go
@@ -59,8 +59,8 @@
 	return reasons
 }
 
-// CordonedFor reports whether any of the given reasons holds.
-func (m *Machine) CordonedFor(r CordonReason) bool { return m.CordonReasons()&r != 0 }
+// IsCordonedFor reports whether any of the given reasons holds.
+func (m *Machine) IsCordonedFor(r CordonReason) bool { return m.CordonReasons()&r != 0 }
 
-// Cordoned reports whether any reason holds.
-func (m *Machine) Cordoned() bool { return m.CordonReasons() != 0 }
+// IsCordoned reports whether any reason holds.
+func (m *Machine) IsCordoned() bool { return m.CordonReasons() != 0 }
--- a/internal/machines/delivery.go
+++ b/internal/machines/delivery.go
@@ -34,7 +34,7 @@
 		m.steadySince = now
 	}
 	if epoch != m.epoch {
-		if m.epoch != 0 && m.reconciled && now.Sub(m.steadySince) >= t.Lease && m.responsesLostSince.IsZero() {
+		if m.epoch != 0 && m.reconciled && now.Sub(m.steadySince) >= t.LeaseDuration && m.responsesLostSince.IsZero() {
 			m.responsesLostSince = now
 			lost = true
 		}
@@ -49,12 +49,12 @@
 	return lost
 }
 
-// RecordIgnoredResponse records that the starts in an earlier response had no effect.
-func (d *responseDelivery) RecordIgnoredResponse(now time.Time) {
+// RecordIneffectiveResponse records that the starts in an earlier response had no effect.
+func (d *responseDelivery) RecordIneffectiveResponse(now time.Time) {
 	d.ignoredResponses++
 	d.ignoredAt = now
 }
 
-// RecordStartObserved records that the machine has carried out a start, so that responses do
+// RecordStartExecuted records that the machine has carried out a start, so that responses do
 // have an effect.
-func (d *responseDelivery) RecordStartObserved() { d.ignoredResponses = 0 }
+func (d *responseDelivery) RecordStartExecuted() { d.ignoredResponses = 0 }
--- a/internal/machines/delivery_test.go
+++ b/internal/machines/delivery_test.go
@@ -13,7 +13,7 @@
 func newRecordedAttempt(m *machines.Machine) *machines.Attempt {
 	a := machines.NewPendingAttempt(m, newActiveJob(30), 1, start, 7, false)
 	m.AddAttempt(a)
-	a.MarkRecorded()
+	a.MarkStartRecorded()
 	return a
 }
 
@@ -23,8 +23,8 @@
 	if c := a.StartCommand(); c.Op != wire.OpStart || c.Task != "job-1/1" || c.Attempt != 7 {
 		t.Errorf("%+v", c)
 	}
-	a.MarkSentDirectly()
-	if !a.WasSentDirectly() || !a.MayStartLate() || !a.NeedsStart() {
+	a.MarkStartSentDirectly()
+	if !a.StartSentDirectly() || !a.MayStartLate() || !a.NeedsStart() {
 		t.Error("a start sent by a direct call counts as delivered")
 	}
 	m.AdvanceSession(m.Epoch(), m.Sequence()+1)
@@ -32,7 +32,7 @@
 		t.Error("the start can't arrive late in the same session")
 	}
 	m.AdvanceSession(m.Epoch()+1, 1)
-	if a.MayStartLate() || a.WasSentDirectly() || !a.NeedsStart() {
+	if a.MayStartLate() || a.StartSentDirectly() || !a.NeedsStart() {
 		t.Error("the start may arrive late in a new session, or is no longer needed")
 	}
 }
@@ -40,23 +40,23 @@
 func TestStartSentInResponse(t *testing.T) {
 	m := newReportingMachine(start)
 	a := newRecordedAttempt(m)
-	a.MarkSentInResponse(3)
-	if !a.WasSentInResponse() || a.MayStartLate() {
+	a.MarkStartSentInResponse(3)
+	if !a.StartSentInResponse() || a.MayStartLate() {
 		t.Error("start doesn't count as sent in a response only")
 	}
-	a.MarkResponseIgnored()
-	if a.WasSentInResponse() || !a.NeedsStart() {
+	a.MarkStartResponseIneffective()
+	if a.StartSentInResponse() || !a.NeedsStart() {
 		t.Error("start isn't sent again after an ignored response")
 	}
-	a.MarkListed(5, 8)
-	if !a.IsListed(5) || a.IsListed(6) || a.Number() != 8 {
+	a.MarkInTaskList(5, 8)
+	if !a.IsInTaskList(5) || a.IsInTaskList(6) || a.Number() != 8 {
 		t.Errorf("listed with number %d", a.Number())
 	}
 	a.ApplyReport(start, machines.Fetching)
 	if a.NeedsStart() {
 		t.Error("start needed although the machine has reported the attempt")
 	}
-	a.StopGracefully()
+	a.RequestGracefulStop()
 	if c := a.StopCommand(); c.Op != wire.OpStop || c.Attempt != 8 || c.GracePeriodS == nil || *c.GracePeriodS != 7 {
 		t.Errorf("%+v", c)
 	}
@@ -88,7 +88,7 @@
 		t.Error("can be called while a call is in progress")
 	}
 	m.EndCall()
-	m.PauseCalls(start.Add(time.Second))
+	m.DelayCalls(start.Add(time.Second))
 	if m.CanBeCalled(start, timing) || !m.CanBeCalled(start.Add(time.Second), timing) {
 		t.Error("calls not paused, or paused for too long")
 	}
@@ -123,7 +123,7 @@
 		t.Error("cached snapshot before the first one was built")
 	}
 	m.RecordImage(start, "img")
-	s := m.NewSnapshot()
+	s := m.ResetSnapshot()
 	if _, has := s.Images["img"]; !has || s.Free != m.Free() || s.Capacity != m.Capacity() || m.CachedSnapshot() != s {
 		t.Errorf("%+v", s)
 	}
@@ -131,14 +131,14 @@
 	if m.CachedSnapshot() != nil {
 		t.Error("cached snapshot still valid after an attempt was added")
 	}
-	if s = m.NewSnapshot(); s.Free != m.Free() || m.CachedSnapshot() != s {
+	if s = m.ResetSnapshot(); s.Free != m.Free() || m.CachedSnapshot() != s {
 		t.Errorf("free %+v", s.Free)
 	}
 	a.ApplyReport(start, machines.Running)
 	if m.CachedSnapshot() != nil {
 		t.Error("cached snapshot still valid after an attempt has begun to run")
 	}
-	m.NewSnapshot().Modified = true
+	m.ResetSnapshot().Modified = true
 	if m.CachedSnapshot() != nil {
 		t.Error("cached snapshot still valid after a pass has modified it")
 	}
--- a/internal/machines/direct.go
+++ b/internal/machines/direct.go
@@ -13,7 +13,7 @@
 // that are not sent by a direct call are sent in the response to the next heartbeat.
 func (m *Machine) CanBeCalled(now time.Time, t *Timing) bool {
 	return !m.calling && m.Addr != "" && !now.Before(m.callAfter) && m.reconciled &&
-		!m.CordonedFor(CordonUnresponsive) && !m.HeartbeatOverdue(now, t)
+		!m.IsCordonedFor(CordonUnresponsive) && !m.HeartbeatOverdue(now, t)
 }
 
 // QueueCall marks the machine as queued for a call, and reports whether it was not queued before.
@@ -34,8 +34,8 @@
 // EndCall records that the call has ended.
 func (d *directCalls) EndCall() { d.calling = false }
 
-// PauseCalls suspends calls until the given time.
-func (d *directCalls) PauseCalls(until time.Time) { d.callAfter = until }
+// DelayCalls suspends calls until the given time.
+func (d *directCalls) DelayCalls(until time.Time) { d.callAfter = until }
 
 // IsBeingCalled reports whether a call is in progress.
 func (d *directCalls) IsBeingCalled() bool { return d.calling }
--- a/internal/machines/failures.go
+++ b/internal/machines/failures.go
@@ -11,8 +11,8 @@
 // AvoidJob records that a task of the job has failed on the machine.
 func (f *failures) AvoidJob(id string) { f.avoidedJobs[id] = true }
 
-// Avoids reports whether a task of the job has failed on the machine.
-func (f *failures) Avoids(id string) bool { return f.avoidedJobs[id] }
+// AvoidsJob reports whether a task of the job has failed on the machine.
+func (f *failures) AvoidsJob(id string) bool { return f.avoidedJobs[id] }
 
 // AvoidedJobs returns the IDs of the jobs with a failed task on the machine. The caller must not
 // modify the map.
--- a/internal/machines/heartbeat.go
+++ b/internal/machines/heartbeat.go
@@ -84,11 +84,11 @@
 	if epoch > m.epoch {
 		clear(m.retainedExits)
 		m.lastPeriodicSequence = 0
-		if !m.CordonedFor(CordonConsolidated | CordonLateStart) {
+		if !m.IsCordonedFor(CordonConsolidated | CordonLateStart) {
 			m.releaseBy = time.Time{}
 		}
 		for _, a := range m.attempts {
-			a.ClearSentDirectly()
+			a.ClearStartSentDirectly()
 		}
 	}
 	m.epoch, m.sequence = epoch, sequence
--- a/internal/machines/lease.go
+++ b/internal/machines/lease.go
@@ -11,8 +11,8 @@
 	// HeartbeatTimeout is the time without a heartbeat after which a machine counts as
 	// unreachable.
 	HeartbeatTimeout time.Duration
-	// Lease is how long an agent keeps running its tasks without a response to its heartbeats.
-	Lease time.Duration
+	// LeaseDuration is how long an agent keeps running its tasks without a response to its heartbeats.
+	LeaseDuration time.Duration
 	// LeaseExpiry is the time after a response at which the agent's lease has expired for
 	// certain.
 	LeaseExpiry time.Duration
@@ -34,10 +34,10 @@
 	return m.joined && m.HeartbeatOverdue(now, t) && now.Sub(t.TermStart) > t.HeartbeatTimeout
 }
 
-// LeaseExpired reports whether the lease has expired for certain, so that all tasks of the
+// HasLeaseExpired reports whether the lease has expired for certain, so that all tasks of the
 // machine have ended.
-func (m *Machine) LeaseExpired(now time.Time, t *Timing) bool {
-	if m.CordonedFor(CordonAgentReplaced) || !m.reconciled && now.Before(t.InheritedTasksEnd) {
+func (m *Machine) HasLeaseExpired(now time.Time, t *Timing) bool {
+	if m.IsCordonedFor(CordonAgentReplaced) || !m.reconciled && now.Before(t.InheritedTasksEnd) {
 		return false
 	}
 	return m.leaseRenewedAt.IsZero() || now.Sub(m.leaseRenewedAt) > t.LeaseExpiry
@@ -56,15 +56,15 @@
 
 // IsSchedulable reports whether new tasks may be assigned to the machine.
 func (m *Machine) IsSchedulable(now time.Time, t *Timing) bool {
-	return m.joined && m.reconciled && !m.releasing && !m.Cordoned() &&
+	return m.joined && m.reconciled && !m.releasing && !m.IsCordoned() &&
 		m.total.CPUs > 0 && !now.Before(m.fullUntil) && !m.HeartbeatOverdue(now, t)
 }
 
 // RequireRelease sets the time by which the machine has to be released.
 func (m *Machine) RequireRelease(by time.Time) { m.releaseBy = by }
 
-// ReleaseRequired reports whether RequireRelease has set a time.
-func (m *Machine) ReleaseRequired() bool { return !m.releaseBy.IsZero() }
+// IsReleaseRequired reports whether RequireRelease has set a time.
+func (m *Machine) IsReleaseRequired() bool { return !m.releaseBy.IsZero() }
 
 // minMissingFromLists is the number of cloud lists in a row that have to lack an unreachable
 // machine before it is released.
@@ -75,7 +75,7 @@
 // cordoned for release. bootTimeS is the usual boot time of its type, 0 if unknown.
 func (m *Machine) ShouldBeReleased(now time.Time, t *Timing, bootTimeS float64) bool {
 	switch {
-	case m.failed, m.CordonedFor(CordonAgentReplaced), m.ReleaseRequired() && now.After(m.releaseBy):
+	case m.failed, m.IsCordonedFor(CordonAgentReplaced), m.IsReleaseRequired() && now.After(m.releaseBy):
 		return true
 	case !m.joined:
 		return bootTimeS > 0 && now.Sub(m.provisionedAt).Seconds() > bootTimeS*tuning.BootTimeoutFactor
@@ -88,12 +88,12 @@
 		// Its heartbeats never carry this term's token, so it doesn't get our responses. Only
 		// its release proves that the tasks it may run have ended.
 		return true
-	case m.staleHeartbeats >= tuning.MaxStaleHeartbeats && m.LeaseExpired(now, t) && now.Sub(m.staleSince) > t.HeartbeatTimeout:
+	case m.staleHeartbeats >= tuning.MaxStaleHeartbeats && m.HasLeaseExpired(now, t) && now.Sub(m.staleSince) > t.HeartbeatTimeout:
 		// Every heartbeat is older than the newest one. They are either late duplicates, or come
 		// from a new agent that counts its epochs from the start again. The two can't be told
 		// apart, and a new agent must not pass for the old one, so the machine is replaced.
 		return true
-	case len(m.attempts) == 0 && m.CordonedFor(ReleaseWhenEmptyReasons):
+	case len(m.attempts) == 0 && m.IsCordonedFor(ReleaseWhenEmptyReasons):
 		return true
 	}
 	newest := m.heartbeatAt
--- a/internal/machines/lifecycle.go
+++ b/internal/machines/lifecycle.go
@@ -48,9 +48,9 @@
 	return true
 }
 
-// MarkRecorded records that a stored start record names the machine, so that it had joined under
+// MarkInStartRecord records that a stored start record names the machine, so that it had joined under
 // an earlier leader.
-func (l *lifecycle) MarkRecorded() { l.recorded, l.joined = true, true }
+func (l *lifecycle) MarkInStartRecord() { l.recorded, l.joined = true, true }
 
 // IsReleasing reports whether the release of the machine has begun.
 func (l *lifecycle) IsReleasing() bool { return l.releasing }
@@ -62,11 +62,11 @@
 // is later.
 func (l *lifecycle) IdleFor(now time.Time) time.Duration { return now.Sub(l.idleSince) }
 
-// IsListed reports whether the cloud has listed the machine in this term.
-func (l *lifecycle) IsListed() bool { return !l.listedAt.IsZero() }
+// WasListedByCloud reports whether the cloud has listed the machine in this term.
+func (l *lifecycle) WasListedByCloud() bool { return !l.listedAt.IsZero() }
 
-// ApplyListed applies the machine's row of a cloud list that was requested at requestedAt.
-func (m *Machine) ApplyListed(requestedAt, now time.Time, row *wire.ListedMachine) {
+// ApplyCloudListing applies the machine's row of a cloud list that was requested at requestedAt.
+func (m *Machine) ApplyCloudListing(requestedAt, now time.Time, row *wire.ListedMachine) {
 	// Machines that an earlier leader provisioned are older than this term. If they counted as
 	// new, idle ones would be kept for their minimum billing time once more.
 	if at := requestedAt.Add(-seconds.Duration(row.AgeS)); at.Before(m.provisionedAt) {
@@ -84,14 +84,14 @@
 	}
 }
 
-// CountMissingFromList counts a cloud list that lacks the machine, and reports whether the
+// CountMissingFromCloudList counts a cloud list that lacks the machine, and reports whether the
 // machine has been deleted for certain. A machine stays listed as long as it exists. So a list
 // proves the deletion if it was requested more than longestLag after the machine was first
 // listed: it shows a state in which the machine was listed already.
-func (l *lifecycle) CountMissingFromList(requestedAt time.Time, longestLag time.Duration) (deleted bool) {
-	if !l.IsListed() && !l.recorded {
+func (l *lifecycle) CountMissingFromCloudList(requestedAt time.Time, longestLag time.Duration) (deleted bool) {
+	if !l.WasListedByCloud() && !l.recorded {
 		return false
 	}
 	l.missingFromLists++
-	return l.IsListed() && requestedAt.Sub(l.listedAt) > longestLag
+	return l.WasListedByCloud() && requestedAt.Sub(l.listedAt) > longestLag
 }
--- a/internal/machines/machine_test.go
+++ b/internal/machines/machine_test.go
@@ -14,7 +14,7 @@
 // timing is the timing of a term that began at start.
 var timing = &machines.Timing{
 	HeartbeatTimeout:  9 * time.Second,
-	Lease:             15 * time.Second,
+	LeaseDuration:             15 * time.Second,
 	LeaseExpiry:       20 * time.Second,
 	TermStart:         start,
 	InheritedTasksEnd: start.Add(30 * time.Second),
@@ -62,24 +62,24 @@
 		}, want: machines.CordonReclaimed},
 		"some responses ignored": {change: func(m *machines.Machine) {
 			for range tuning.MaxIneffectiveResponses - 1 {
-				m.RecordIgnoredResponse(start)
+				m.RecordIneffectiveResponse(start)
 			}
 		}},
 		"responses ignored": {change: func(m *machines.Machine) {
 			for range tuning.MaxIneffectiveResponses {
-				m.RecordIgnoredResponse(start)
+				m.RecordIneffectiveResponse(start)
 			}
 		}, want: machines.CordonUnresponsive},
 		"start observed": {change: func(m *machines.Machine) {
 			for range tuning.MaxIneffectiveResponses {
-				m.RecordIgnoredResponse(start)
+				m.RecordIneffectiveResponse(start)
 			}
-			m.RecordStartObserved()
+			m.RecordStartExecuted()
 		}},
 	} {
 		m := newReportingMachine(start)
 		c.change(m)
-		if got := m.CordonReasons(); got != c.want || m.Cordoned() != (c.want != 0) || m.IsSchedulable(start, timing) != (c.want == 0) {
+		if got := m.CordonReasons(); got != c.want || m.IsCordoned() != (c.want != 0) || m.IsSchedulable(start, timing) != (c.want == 0) {
 			t.Errorf("%s: reasons %b", name, got)
 		}
 	}
@@ -95,12 +95,12 @@
 		}
 	}
 	m.RecordTaskSuccess()
-	if !m.CordonedFor(machines.CordonFaulty) || m.AddFailedJob("another") {
+	if !m.IsCordonedFor(machines.CordonFaulty) || m.AddFailedJob("another") {
 		t.Error("no longer quarantined, or quarantined again")
 	}
 	m.RemoveFailedJob("another")
 	m.RemoveFailedJob("job-0")
-	if m.CordonedFor(machines.CordonFaulty) || !m.Avoids("job-0") {
+	if m.IsCordonedFor(machines.CordonFaulty) || !m.AvoidsJob("job-0") {
 		t.Error("still quarantined, or the job is no longer avoided")
 	}
 	m.RecordTaskSuccess()
@@ -123,7 +123,7 @@
 		"inherited, tasks may be left": {machine: newInheritedMachine(start), after: timing.LeaseExpiry + 1},
 		"inherited, tasks have ended":  {machine: newInheritedMachine(start), after: 30 * time.Second, want: true},
 	} {
-		if got := c.machine.LeaseExpired(start.Add(c.after), timing); got != c.want {
+		if got := c.machine.HasLeaseExpired(start.Add(c.after), timing); got != c.want {
 			t.Errorf("%s: expired: %v", name, got)
 		}
 	}
@@ -169,10 +169,10 @@
 	if steady(1, 18*time.Second) {
 		t.Fatal("responses lost within one session")
 	}
-	if !steady(2, 3*time.Second) || !m.CordonedFor(machines.CordonUnresponsive) || m.CanBeCalled(now, timing) {
+	if !steady(2, 3*time.Second) || !m.IsCordonedFor(machines.CordonUnresponsive) || m.CanBeCalled(now, timing) {
 		t.Error("responses not lost after a new session without a heartbeat gap")
 	}
-	if steady(2, timing.LeaseExpiry+3*time.Second) || m.CordonedFor(machines.CordonUnresponsive) || !m.CanBeCalled(now, timing) {
+	if steady(2, timing.LeaseExpiry+3*time.Second) || m.IsCordonedFor(machines.CordonUnresponsive) || !m.CanBeCalled(now, timing) {
 		t.Error("responses still lost in a session longer than the lease")
 	}
 	now = now.Add(time.Minute) // heartbeat gap
@@ -184,9 +184,9 @@
 func TestShouldBeReleased(t *testing.T) {
 	const bootTimeS = 10
 	missTwice := func(m *machines.Machine) {
-		m.ApplyListed(start, start, &wire.ListedMachine{})
-		m.CountMissingFromList(start, time.Minute)
-		m.CountMissingFromList(start, time.Minute)
+		m.ApplyCloudListing(start, start, &wire.ListedMachine{})
+		m.CountMissingFromCloudList(start, time.Minute)
+		m.CountMissingFromCloudList(start, time.Minute)
 	}
 	for name, c := range map[string]struct {
 		change func(*machines.Machine)
@@ -195,7 +195,7 @@
 	}{
 		"sends heartbeats": {change: func(*machines.Machine) {}},
 		"failed": {change: func(m *machines.Machine) {
-			m.ApplyListed(start, start, &wire.ListedMachine{State: wire.MachineFailed})
+			m.ApplyCloudListing(start, start, &wire.ListedMachine{State: wire.MachineFailed})
 		}, want: true},
 		"replaced":                {change: func(m *machines.Machine) { m.Cordon(machines.CordonAgentReplaced) }, want: true},
 		"release required later":  {change: func(m *machines.Machine) { m.RequireRelease(start.Add(time.Second)) }},
@@ -219,17 +219,17 @@
 func TestCountMissingFromList(t *testing.T) {
 	const lag = 8 * time.Second
 	m := newMachine()
-	if m.CountMissingFromList(start.Add(time.Hour), lag) {
+	if m.CountMissingFromCloudList(start.Add(time.Hour), lag) {
 		t.Error("deleted although it was never listed")
 	}
-	m.ApplyListed(start, start, &wire.ListedMachine{AgeS: 60, Addr: "other:9"})
-	if !m.IsListed() || !m.ProvisionedAt().Equal(start.Add(-time.Minute)) || m.Addr != "m1:9" {
-		t.Errorf("listed: %v, provisioned at %v, address %s", m.IsListed(), m.ProvisionedAt(), m.Addr)
+	m.ApplyCloudListing(start, start, &wire.ListedMachine{AgeS: 60, Addr: "other:9"})
+	if !m.WasListedByCloud() || !m.ProvisionedAt().Equal(start.Add(-time.Minute)) || m.Addr != "m1:9" {
+		t.Errorf("listed: %v, provisioned at %v, address %s", m.WasListedByCloud(), m.ProvisionedAt(), m.Addr)
 	}
-	if m.CountMissingFromList(start.Add(lag), lag) {
+	if m.CountMissingFromCloudList(start.Add(lag), lag) {
 		t.Error("deleted although the list may be older than the machine's first listing")
 	}
-	if !m.CountMissingFromList(start.Add(lag+1), lag) {
+	if !m.CountMissingFromCloudList(start.Add(lag+1), lag) {
 		t.Error("not deleted although the list is newer than the machine's first listing")
 	}
 }
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -82,7 +82,7 @@
 		jobs = append(jobs, j)
 	}
 	slices.SortStableFunc(jobs, func(a, b *PendingJob) int {
-		return cmp.Or(comparePrecedence(a, b), strings.Compare(a.Job, b.Job))
+		return cmp.Or(comparePrecedence(a, b), strings.Compare(a.JobID, b.JobID))
 	})
 	return jobs
 }
@@ -223,7 +223,7 @@
 		m.addImage(j.Image, p.now+fetch)
 	}
 	m.Free = m.Free.Add(j.Request, -1)
-	m.addPlacedTask(PlacedTask{Request: j.Request, EndS: p.now + c.wait + fetch + j.EstimateS})
+	m.addPlacedTask(PlacedTask{Request: j.Request, EndS: p.now + c.wait + fetch + j.EstimatedRunTimeS})
 	if startsFetch {
 		p.addCandidate(j, m, jobs)
 	}
@@ -231,11 +231,11 @@
 
 // recordStart records the start of a task.
 func (p *pass) recordStart(j *PendingJob, m *Machine) {
-	p.starts = append(p.starts, Assignment{Job: j.Job, Machine: m.ID})
-	if j.TasksInZone == nil {
-		j.TasksInZone = map[string]int{}
+	p.starts = append(p.starts, Assignment{JobID: j.JobID, MachineID: m.ID})
+	if j.TasksByZone == nil {
+		j.TasksByZone = map[string]int{}
 	}
-	j.TasksInZone[m.Zone]++
+	j.TasksByZone[m.Zone]++
 	team := p.teams[j.Team]
 	team.Used = team.Used.Add(j.Request, 1)
 }
@@ -291,7 +291,7 @@
 func (p *pass) fitsNow(j *PendingJob) bool {
 	found := false
 	p.eachAvailableMachine(func(m *Machine) bool {
-		found = m.Free.Fits(j.Request) && j.CanRunOn(m) && !m.AvoidedJobs[j.Job] && !m.isReservedForHigherPriority(j)
+		found = m.Free.Fits(j.Request) && j.CanRunOn(m) && !m.AvoidedJobs[j.JobID] && !m.isReservedForHigherPriority(j)
 		return !found
 	})
 	return found
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -20,8 +20,8 @@
 // newJob returns a job of team blue whose tasks take a CPU and 10 s.
 func newJob(id string, rank, tasks int) *placement.PendingJob {
 	return &placement.PendingJob{
-		Job: id, Team: "blue", PriorityRank: rank, ReadyTasks: tasks, TotalTasks: tasks, Spot: true,
-		Request: placement.Resources{CPUs: 1, MemoryGB: 1}, EstimateS: 10, Image: "img", ImageGB: 5,
+		JobID: id, Team: "blue", PriorityRank: rank, ReadyTasks: tasks, TotalTasks: tasks, AllowsSpot: true,
+		Request: placement.Resources{CPUs: 1, MemoryGB: 1}, EstimatedRunTimeS: 10, Image: "img", ImageGB: 5,
 	}
 }
 
@@ -134,7 +134,7 @@
 		j := newJob(fmt.Sprint("j", i), rng.IntN(4), 1+rng.IntN(9))
 		j.Request.CPUs = float64(1 + rng.IntN(4))
 		j.Image = fmt.Sprint("img", rng.IntN(3))
-		j.Spot = rng.IntN(3) > 0
+		j.AllowsSpot = rng.IntN(3) > 0
 		j.OneZone = rng.IntN(3) == 0
 		j.SpreadZones = !j.OneZone && rng.IntN(3) == 0
 		jobs = append(jobs, j)
@@ -158,7 +158,7 @@
 		free: map[string]placement.Resources{}, zones: map[string]map[string]int{},
 	}
 	for _, j := range jobs {
-		c.jobs[j.Job] = j
+		c.jobs[j.JobID] = j
 	}
 	for _, m := range machines {
 		c.machines[m.ID], c.free[m.ID] = m, m.Free
@@ -168,23 +168,23 @@
 
 // add applies a start. It returns the constraint that the start violates, or an empty string.
 func (c *startChecker) add(s placement.Assignment) string {
-	j, m := c.jobs[s.Job], c.machines[s.Machine]
+	j, m := c.jobs[s.JobID], c.machines[s.MachineID]
 	if !c.free[m.ID].Fits(j.Request) {
 		return "exceeds the free resources"
 	}
 	c.free[m.ID] = c.free[m.ID].Add(j.Request, -1)
 	c.usedCPUs += j.Request.CPUs
-	if c.zones[j.Job] == nil {
-		c.zones[j.Job] = map[string]int{}
+	if c.zones[j.JobID] == nil {
+		c.zones[j.JobID] = map[string]int{}
 	}
-	zones := c.zones[j.Job]
+	zones := c.zones[j.JobID]
 	zones[m.Zone]++
 	for zone, tasks := range zones {
 		if j.OneZone && len(zones) > 1 || j.SpreadZones && tasks > (j.TotalTasks+1)/2 {
 			return fmt.Sprintf("zone constraint violated in zone %s: tasks by zone %v", zone, zones)
 		}
 	}
-	if m.Spot && !j.Spot {
+	if m.Spot && !j.AllowsSpot {
 		return "spot machine not allowed"
 	}
 	return ""
@@ -245,7 +245,7 @@
 	if !stats.Truncated || stats.ScoredPairs > tuning.PassMaxScoredPairs+2*machines {
 		t.Errorf("stats %+v", stats)
 	}
-	if len(starts) == 0 || starts[0].Job != "j000" {
+	if len(starts) == 0 || starts[0].JobID != "j000" {
 		t.Errorf("started %v", starts)
 	}
 }
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -6,9 +6,9 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// FetchTime returns T(f) of the paper, an image's size divided by the fetch
+// FetchTimeS returns T(f) of the paper, an image's size divided by the fetch
 // bandwidth, or zero if the bandwidth is unknown.
-func FetchTime(gb, gbPerS float64) float64 {
+func FetchTimeS(gb, gbPerS float64) float64 {
 	if gbPerS <= 0 {
 		return 0
 	}
@@ -32,7 +32,7 @@
 			othersMS += math.Round((readyAt - now) * 1000)
 		}
 	}
-	return FetchTime(gb, m.FetchGBPerS) + othersMS/1000
+	return FetchTimeS(gb, m.FetchGBPerS) + othersMS/1000
 }
 
 // waitFor returns the time until the request fits, given the tasks that run or are
@@ -64,7 +64,7 @@
 	if m.isReservedForHigherPriority(j) && j.AgedS == 0 {
 		return false
 	}
-	return len(m.PlacedTasks) < tuning.MaxTasksPerMachine && !m.AvoidedJobs[j.Job] && j.CanRunOn(m)
+	return len(m.PlacedTasks) < tuning.MaxTasksPerMachine && !m.AvoidedJobs[j.JobID] && j.CanRunOn(m)
 }
 
 // score returns the machine as a candidate for the job, or false if the machine
@@ -80,6 +80,6 @@
 	if math.IsInf(wait, 1) || p.startOnly && wait > 0 {
 		return candidate{}, false
 	}
-	speedup := FetchTime(j.ImageGB, m.FetchGBPerS) - wait - m.fetchDelay(p.now, j.Image, j.ImageGB)
+	speedup := FetchTimeS(j.ImageGB, m.FetchGBPerS) - wait - m.fetchDelay(p.now, j.Image, j.ImageGB)
 	return candidate{machine: m, version: m.version, score: int64(math.Round(speedup * 1e6)), wait: wait}, true
 }
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -66,7 +66,7 @@
 
 // PendingJob is a job with ready tasks, all with the same request.
 type PendingJob struct {
-	Job  string
+	JobID  string
 	Team string
 	// PriorityRank is the job's priority, 0 being the highest.
 	PriorityRank int
@@ -83,7 +83,7 @@
 	Urgency    float64
 	ReadyTasks int
 	Request    Resources
-	EstimateS  float64
+	EstimatedRunTimeS  float64
 	Image      string
 	ImageGB    float64
 	// MachineTypes lists the allowed types; empty allows all.
@@ -94,11 +94,11 @@
 	OneZone bool
 	// SpreadZones allows at most half of the tasks, rounded up, in one zone.
 	SpreadZones bool
-	Spot        bool
+	AllowsSpot        bool
 	// TotalTasks is the number of tasks of the job, for SpreadZones.
 	TotalTasks int
-	// TasksInZone counts the job's tasks that may be running, by zone.
-	TasksInZone map[string]int
+	// TasksByZone counts the job's tasks that may be running, by zone.
+	TasksByZone map[string]int
 
 	// candidates is a heap, the best machine first; it is valid once scored is set.
 	candidates []candidate
@@ -111,7 +111,7 @@
 // allow tasks of the job, and whether the job's zone constraints do. It ignores
 // what is free on the machine.
 func (j *PendingJob) CanRunOn(m *Machine) bool {
-	if m.Spot && !j.Spot || j.Zone != "" && j.Zone != m.Zone {
+	if m.Spot && !j.AllowsSpot || j.Zone != "" && j.Zone != m.Zone {
 		return false
 	}
 	if len(j.MachineTypes) > 0 && !slices.Contains(j.MachineTypes, m.Type) {
@@ -120,7 +120,7 @@
 	if j.OneZone && j.hasTasksOutside(m.Zone) {
 		return false
 	}
-	if j.SpreadZones && j.TasksInZone[m.Zone] >= (j.TotalTasks+1)/2 {
+	if j.SpreadZones && j.TasksByZone[m.Zone] >= (j.TotalTasks+1)/2 {
 		return false
 	}
 	return m.Capacity.Fits(j.Request)
@@ -128,7 +128,7 @@
 
 // hasTasksOutside reports whether tasks of the job may be running in other zones.
 func (j *PendingJob) hasTasksOutside(zone string) bool {
-	for other, tasks := range j.TasksInZone {
+	for other, tasks := range j.TasksByZone {
 		if tasks > 0 && other != zone {
 			return true
 		}
@@ -143,6 +143,6 @@
 
 // Assignment is the decision to start one task of the job on the machine now.
 type Assignment struct {
-	Job     string
-	Machine string
+	JobID     string
+	MachineID string
 }
--- a/internal/preemption/pass.go
+++ b/internal/preemption/pass.go
@@ -90,10 +90,10 @@
 }
 
 func (p *pass) stop(c candidate) {
-	c.StopNow()
+	c.RequestStop()
 	p.expectEnd(c.Attempt, 1)
 	p.stops++
-	p.OnStop(c.Machine)
+	p.OnStopRequested(c.Machine)
 }
 
 // undoStops reverts stops that this pass has decided.
@@ -183,7 +183,7 @@
 	if m.HasImage(r.Image) {
 		return 0
 	}
-	return placement.FetchTime(r.ImageGB, p.FetchGBPerS(m.Type))
+	return placement.FetchTimeS(r.ImageGB, p.FetchGBPerS(m.Type))
 }
 
 // cheapestMachine finds the machine on which capacity for one task costs the least, and the
@@ -193,7 +193,7 @@
 	leastCost := math.Inf(1)
 	for _, m := range p.Machines.All() {
 		free, ok := p.expectedFree[m]
-		if !ok || m.Avoids(r.Job) || !r.CanRunOn(m.PlacementView()) {
+		if !ok || m.AvoidsJob(r.JobID) || !r.CanRunOn(m.PlacementView()) {
 			continue
 		}
 		if free.Fits(r.Request) {
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -21,15 +21,15 @@
 	// RemainingS returns the estimated remaining run time of an attempt in seconds, or 0 if the
 	// attempt has exceeded its estimate.
 	RemainingS func(now time.Time, a *machines.Attempt) float64
-	// UnfinishedJobs returns the jobs whose tasks may be running.
-	UnfinishedJobs func() iter.Seq[*jobs.Job]
+	// RunnableJobs returns the jobs whose tasks may be running.
+	RunnableJobs func() iter.Seq[*jobs.Job]
 	// FetchGBPerS returns the rate at which machines of a type fetch images.
 	FetchGBPerS func(machineType string) float64
 	// TeamFreeCPUs returns the CPUs that a team may use in addition to those in use; known is
 	// false if the team is not in the settings.
 	TeamFreeCPUs func(team string) (cpus float64, known bool)
-	// OnStop is called for each attempt that is marked to be stopped, with its machine.
-	OnStop func(*machines.Machine)
+	// OnStopRequested is called for each attempt that is marked to be stopped, with its machine.
+	OnStopRequested func(*machines.Machine)
 }
 
 // Preemptor periodically preempts running tasks to make capacity for waiting tasks of a higher priority.
@@ -50,7 +50,7 @@
 	}
 	s.lastRun = now
 	waiting := waitingByPriority(ready, byID)
-	lowest := lowestPreemptibleRank(s.cluster.UnfinishedJobs())
+	lowest := lowestPreemptibleRank(s.cluster.RunnableJobs())
 	if len(waiting) == 0 || waiting[0].PriorityRank >= lowest {
 		return 0
 	}
@@ -59,7 +59,7 @@
 		if r.PriorityRank >= lowest {
 			break
 		}
-		p.makeCapacityForJob(r, byID[r.Job])
+		p.makeCapacityForJob(r, byID[r.JobID])
 	}
 	return p.stops
 }
@@ -80,7 +80,7 @@
 func waitingByPriority(ready []*placement.PendingJob, byID map[string]*jobs.Job) []*placement.PendingJob {
 	var waiting []*placement.PendingJob
 	for _, r := range ready {
-		if j := byID[r.Job]; j.ReadyTasks() > 0 && j.Failures() == 0 {
+		if j := byID[r.JobID]; j.ReadyTasks() > 0 && j.Failures() == 0 {
 			waiting = append(waiting, r)
 		}
 	}
--- a/internal/preemption/preemption_test.go
+++ b/internal/preemption/preemption_test.go
@@ -57,15 +57,15 @@
 func (c *cluster) preempt(now time.Time, j *jobs.Job) int {
 	j.RebuildReadyTasks()
 	r := j.Constraints()
-	r.Job, r.Team, r.PriorityRank = j.ID, j.Team, j.PriorityRank()
+	r.JobID, r.Team, r.PriorityRank = j.ID, j.Team, j.PriorityRank()
 	p := preemption.New(preemption.Cluster{
 		Machines:       c.registry,
 		IsSchedulable:  func(time.Time, *machines.Machine) bool { return true },
 		RemainingS:     func(time.Time, *machines.Attempt) float64 { return 600 },
-		UnfinishedJobs: func() iter.Seq[*jobs.Job] { return slices.Values(c.running) },
+		RunnableJobs: func() iter.Seq[*jobs.Job] { return slices.Values(c.running) },
 		FetchGBPerS:    func(string) float64 { return 1 },
 		TeamFreeCPUs:   func(string) (float64, bool) { return c.teamFreeCPUs, true },
-		OnStop:         func(*machines.Machine) { c.onStopCalls++ },
+		OnStopRequested:         func(*machines.Machine) { c.onStopCalls++ },
 	})
 	return p.Run(now, []*placement.PendingJob{r}, map[string]*jobs.Job{j.ID: j})
 }
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -33,7 +33,7 @@
 		BlockedByDrain:   func(o autoscale.Offer) bool { return o.Zone == "drained" },
 		Partitioned:      func(_ time.Time, zone string) bool { return zone == "partitioned" },
 	}
-	cluster.Catalogue.Update([]wire.MachineType{{Name: "std-8", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.4, BootTimeS: 10, Zones: []string{"a"}}})
+	cluster.Catalogue.SetOfferedTypes([]wire.MachineType{{Name: "std-8", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.4, BootTimeS: 10, Zones: []string{"a"}}})
 	return scaling.New(scaling.Config{Term: 5, ScaleInIdleTime: time.Minute}, cluster), &cluster
 }
 
--- a/internal/startlog/record.go
+++ b/internal/startlog/record.go
@@ -28,7 +28,7 @@
 // AddLoadedAttempt adds an attempt that the stored record names.
 func (r *Record) AddLoadedAttempt(a *machines.Attempt) {
 	r.liveAttempts++
-	a.Record = r
+	a.StartRecord = r
 }
 
 // MaxSize implements records.PendingStarts.
@@ -57,7 +57,7 @@
 // notifyAttempts calls back for the attempts whose start waits for the record.
 func (r *Record) notifyAttempts(callback func(*machines.Attempt)) {
 	for _, a := range r.attempts {
-		if a.State() == machines.RecordPending && a.Record == r {
+		if a.State() == machines.RecordPending && a.StartRecord == r {
 			callback(a)
 		}
 	}
@@ -69,7 +69,7 @@
 	byMachine := map[*machines.Machine]map[string][]int{}
 	var order []*machines.Machine
 	for _, a := range r.attempts {
-		if a.Record != r {
+		if a.StartRecord != r {
 			continue
 		}
 		tasks := byMachine[a.Machine]
--- a/internal/startlog/startlog.go
+++ b/internal/startlog/startlog.go
@@ -54,11 +54,11 @@
 // Remove removes an ended attempt from its record. It deletes a written record with its last
 // attempt.
 func (l *Log) Remove(a *machines.Attempt) {
-	r, recorded := a.Record.(*Record)
+	r, recorded := a.StartRecord.(*Record)
 	if !recorded {
 		return
 	}
-	a.Record = nil
+	a.StartRecord = nil
 	if r.liveAttempts--; r.liveAttempts == 0 && r.written {
 		l.writes.Background.Delete(r.key)
 	}
--- a/internal/startlog/startlog_test.go
+++ b/internal/startlog/startlog_test.go
@@ -32,7 +32,7 @@
 		machine: machines.New(time.Time{}, "m1", "std-8", "a", "", true),
 	}
 	f.Log = startlog.New(5, valueLimit, f.writes, startlog.Callbacks{
-		OnDurable: func(a *machines.Attempt) { a.MarkRecorded(); f.durable++ },
+		OnDurable: func(a *machines.Attempt) { a.MarkStartRecorded(); f.durable++ },
 		OnRefused: func(a *machines.Attempt) { f.Remove(a); f.refused++ },
 	})
 	return f
