--- a/internal/consolidation/consolidation.go
+++ b/internal/consolidation/consolidation.go
@@ -53,7 +53,7 @@
 	if len(p.movable) < 2 {
 		return 0
 	}
-	return p.run()
+	return p.consolidate()
 }
 
 // pass holds the state of one run of the consolidator.
@@ -63,8 +63,8 @@
 	// movable contains the machines whose tasks may be moved, targetsOnly the other schedulable
 	// machines. Tasks may be moved to both.
 	movable, targetsOnly []*machines.Machine
-	// free contains the capacity of each machine that is not yet allocated in this pass.
-	free map[*machines.Machine]placement.Resources
+	// unallocated contains the capacity of each machine that is not yet allocated in this pass.
+	unallocated map[*machines.Machine]placement.Resources
 }
 
 // classifyMachines sorts the schedulable machines into movable and targetsOnly.
@@ -80,24 +80,24 @@
 	}
 }
 
-// run moves tasks off the most expensive machines first, and among equally expensive ones off those
+// consolidate moves tasks off the most expensive machines first, and among equally expensive ones off those
 // with the largest share of free CPUs.
-func (p *pass) run() int {
+func (p *pass) consolidate() int {
 	slices.SortStableFunc(p.movable, func(a, b *machines.Machine) int {
 		return cmp.Or(-cmp.Compare(p.Price(a), p.Price(b)), -cmp.Compare(a.Free().CPUs/a.Capacity().CPUs, b.Free().CPUs/b.Capacity().CPUs))
 	})
 	targets := slices.Concat(p.movable, p.targetsOnly)
-	p.free = map[*machines.Machine]placement.Resources{}
+	p.unallocated = map[*machines.Machine]placement.Resources{}
 	for _, m := range targets {
-		p.free[m] = m.Free()
+		p.unallocated[m] = m.Free()
 	}
-	p.reserveForWaiting(targets)
+	p.allocateForWaiting(targets)
 	consolidated := 0
 	for i, m := range p.movable {
 		if consolidated >= max(1, p.Machines.Len()/tuning.ConsolidateDivisor) {
 			break
 		}
-		if p.free[m] != m.Free() {
+		if p.unallocated[m] != m.Free() {
 			continue // capacity on it is allocated to waiting or moved tasks
 		}
 		if p.allocateElsewhere(m, slices.Concat(p.targetsOnly, p.movable[i+1:])) {
@@ -108,9 +108,9 @@
 	return consolidated
 }
 
-// reserveForWaiting allocates capacity to waiting tasks, which take precedence over tasks that are
+// allocateForWaiting allocates capacity to waiting tasks, which take precedence over tasks that are
 // moved.
-func (p *pass) reserveForWaiting(targets []*machines.Machine) {
+func (p *pass) allocateForWaiting(targets []*machines.Machine) {
 	for _, j := range p.RunnableJobs() {
 		// Free capacity only shrinks here: a machine without capacity for one task of the job
 		// has none for the job's next task either.
@@ -129,13 +129,13 @@
 // allocateElsewhere allocates capacity for all tasks of a machine on the targets, trying those with
 // the fewest free CPUs first. If a task fits on none of them, it allocates nothing and returns false.
 func (p *pass) allocateElsewhere(m *machines.Machine, targets []*machines.Machine) bool {
-	slices.SortStableFunc(targets, func(a, b *machines.Machine) int { return cmp.Compare(p.free[a].CPUs, p.free[b].CPUs) })
+	slices.SortStableFunc(targets, func(a, b *machines.Machine) int { return cmp.Compare(p.unallocated[a].CPUs, p.unallocated[b].CPUs) })
 	allocated := make([]*machines.Machine, 0, len(m.Attempts()))
 	for _, a := range m.Attempts() {
 		i := p.firstFit(a.Job, targets)
 		if i < 0 {
 			for k, t := range allocated {
-				p.free[t] = p.free[t].Add(m.Attempts()[k].Job.Request(), 1)
+				p.unallocated[t] = p.unallocated[t].Add(m.Attempts()[k].Job.Request(), 1)
 			}
 			return false
 		}
@@ -147,7 +147,7 @@
 
 // allocate subtracts the request of a task of the job from the machine's free capacity.
 func (p *pass) allocate(m *machines.Machine, j *jobs.Job) {
-	p.free[m] = p.free[m].Add(j.Request(), -1)
+	p.unallocated[m] = p.unallocated[m].Add(j.Request(), -1)
 }
 
 // cordonAndStop cordons a machine and marks its attempts to be stopped after they have saved a
@@ -185,6 +185,6 @@
 func (p *pass) firstFit(j *jobs.Job, targets []*machines.Machine) int {
 	constraints := j.Constraints()
 	return slices.IndexFunc(targets, func(m *machines.Machine) bool {
-		return p.free[m].Fits(j.Request()) && !m.AvoidsJob(j.ID) && constraints.CanRunOn(m.PlacementView())
+		return p.unallocated[m].Fits(j.Request()) && !m.AvoidsJob(j.ID) && constraints.CanRunOn(m.PlacementView())
 	})
 }
--- a/internal/consolidation/consolidation_test.go
+++ b/internal/consolidation/consolidation_test.go
@@ -13,21 +13,21 @@
 	"switchshore.example/switchshore/wire"
 )
 
-var start = time.Unix(1_700_000_000, 0)
+var baseTime = time.Unix(1_700_000_000, 0)
 
-// now is a time at which every machine is past its minimum billing time, and every attempt past the
+// consolidationTime is a time at which every machine is past its minimum billing time, and every attempt past the
 // minimum run time.
-var now = start.Add(tuning.MinimumBillingTime + tuning.ConsolidateMinRunTime + time.Hour)
+var consolidationTime = baseTime.Add(tuning.MinimumBillingTime + tuning.ConsolidateMinRunTime + time.Hour)
 
 // newMachine returns a machine with eight CPUs and one running attempt for each given number of
 // CPUs.
 func newMachine(id string, checkpointIntervalS float64, cpus ...float64) *machines.Machine {
-	m := machines.New(start, id, "std-8", "a", "", false)
+	m := machines.New(baseTime, id, "std-8", "a", "", false)
 	m.SetCapacity(placement.Resources{CPUs: 8, MemoryGB: 32})
 	for _, c := range cpus {
-		j := jobs.New(wire.Job{ID: "job-" + id, Tasks: 1, CPUs: c, CheckpointIntervalS: checkpointIntervalS, CheckpointSaveS: 7}, 0, start)
-		a := machines.NewAttempt(m, j, 0, start)
-		a.ApplyReport(start, machines.Running)
+		j := jobs.New(wire.Job{ID: "job-" + id, Tasks: 1, CPUs: c, CheckpointIntervalS: checkpointIntervalS, CheckpointSaveS: 7}, 0, baseTime)
+		a := machines.NewAttempt(m, j, 0, baseTime)
+		a.ApplyReport(baseTime, machines.Running)
 		m.AddAttempt(a)
 	}
 	return m
@@ -35,9 +35,9 @@
 
 // cluster consists of schedulable machines.
 type cluster struct {
-	machines     []*machines.Machine
-	waiting      []*jobs.Job
-	consolidated []string // IDs passed to OnConsolidated
+	machines        []*machines.Machine
+	waiting         []*jobs.Job
+	consolidatedIDs []string // IDs passed to OnConsolidated
 }
 
 func (c *cluster) consolidator() *consolidation.Consolidator {
@@ -46,12 +46,12 @@
 		registry.Add(m)
 	}
 	return consolidation.New(consolidation.Cluster{
-		Machines:       registry,
-		IsSchedulable:  func(time.Time, *machines.Machine) bool { return true },
+		Machines:         registry,
+		IsSchedulable:    func(time.Time, *machines.Machine) bool { return true },
 		RunnableJobs:     func() []*jobs.Job { return c.waiting },
-		Price:          func(m *machines.Machine) float64 { return map[string]float64{"expensive": 2}[m.ID] },
-		RemainingS:     func(time.Time, *machines.Attempt) float64 { return 3600 },
-		OnStopsRequested: func(m *machines.Machine) { c.consolidated = append(c.consolidated, m.ID) },
+		Price:            func(m *machines.Machine) float64 { return map[string]float64{"expensive": 2}[m.ID] },
+		RemainingS:       func(time.Time, *machines.Attempt) float64 { return 3600 },
+		OnStopsRequested: func(m *machines.Machine) { c.consolidatedIDs = append(c.consolidatedIDs, m.ID) },
 	})
 }
 
@@ -61,8 +61,8 @@
 	cheap, expensive := newMachine("cheap", 30, 2), newMachine("expensive", 30, 2)
 	c := &cluster{machines: []*machines.Machine{cheap, expensive}}
 	consolidator := c.consolidator()
-	if n := consolidator.Run(now); n != 1 || !slices.Equal(c.consolidated, []string{"expensive"}) {
-		t.Fatalf("%d consolidated, want only the expensive one: %v", n, c.consolidated)
+	if n := consolidator.Run(consolidationTime); n != 1 || !slices.Equal(c.consolidatedIDs, []string{"expensive"}) {
+		t.Fatalf("%d consolidated, want only the expensive one: %v", n, c.consolidatedIDs)
 	}
 	a := expensive.Attempts()[0]
 	if !expensive.IsCordonedFor(machines.CordonConsolidated) || !a.IsStopping() || a.GracePeriodS() != 7 {
@@ -70,10 +70,10 @@
 	}
 	expensive.Uncordon(machines.CordonConsolidated)
 	a.RevertStop()
-	if n := consolidator.Run(now.Add(tuning.ConsolidateInterval / 2)); n != 0 {
+	if n := consolidator.Run(consolidationTime.Add(tuning.ConsolidateInterval / 2)); n != 0 {
 		t.Error("consolidated again before the interval was over")
 	}
-	if n := consolidator.Run(now.Add(tuning.ConsolidateInterval)); n != 1 {
+	if n := consolidator.Run(consolidationTime.Add(tuning.ConsolidateInterval)); n != 1 {
 		t.Errorf("%d consolidated after the interval, want 1", n)
 	}
 }
@@ -81,7 +81,7 @@
 // TestTasksAreNotMoved: tasks are not moved if they save no checkpoints, if they fit on no other
 // machine, or if waiting tasks need the capacity there.
 func TestTasksAreNotMoved(t *testing.T) {
-	waiting := jobs.New(wire.Job{ID: "job-9", Tasks: 2, CPUs: 6}, 0, start)
+	waiting := jobs.New(wire.Job{ID: "job-9", Tasks: 2, CPUs: 6}, 0, baseTime)
 	waiting.RebuildReadyTasks()
 	for name, test := range map[string]struct {
 		all     []*machines.Machine
@@ -92,8 +92,8 @@
 		"waiting work":   {all: []*machines.Machine{newMachine("cheap", 30, 2), newMachine("expensive", 30, 2)}, waiting: []*jobs.Job{waiting}},
 	} {
 		c := &cluster{machines: test.all, waiting: test.waiting}
-		if n := c.consolidator().Run(now); n != 0 {
-			t.Errorf("%s: consolidated %v", name, c.consolidated)
+		if n := c.consolidator().Run(consolidationTime); n != 0 {
+			t.Errorf("%s: consolidated %v", name, c.consolidatedIDs)
 		}
 	}
 }
--- a/internal/leader/consolidation.go
+++ b/internal/leader/consolidation.go
@@ -9,11 +9,11 @@
 // newConsolidator returns the term's consolidator.
 func (l *Leader) newConsolidator() *consolidation.Consolidator {
 	return consolidation.New(consolidation.Cluster{
-		Machines:       l.machines,
-		IsSchedulable:  l.isSchedulable,
+		Machines:         l.machines,
+		IsSchedulable:    l.isSchedulable,
 		RunnableJobs:     l.jobs.RunnableByAge,
-		Price:          l.catalogue.Price,
-		RemainingS:     l.remainingS,
+		Price:            l.catalogue.Price,
+		RemainingS:       l.remainingS,
 		OnStopsRequested: l.directCalls.schedule,
 	})
 }
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -20,7 +20,7 @@
 	}
 	for id := range j.FailedOn() {
 		if o := l.machines.Get(id); o != nil {
-			o.RemoveFailedJob(j.ID)
+			o.UncountFailedJob(j.ID)
 		}
 	}
 }
@@ -39,7 +39,7 @@
 // countFailedJob counts the job as failed on the machine, which is quarantined once there are
 // too many.
 func (l *Leader) countFailedJob(m *machines.Machine, j *jobs.Job) {
-	if quarantined := m.AddFailedJob(j.ID); quarantined {
+	if quarantined := m.CountFailedJob(j.ID); quarantined {
 		l.log.Info().Str("machine", m.ID).Msg("machine quarantined")
 	}
 }
--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -11,13 +11,13 @@
 // newPreemptor returns the term's preemptor.
 func (l *Leader) newPreemptor() *preemption.Preemptor {
 	return preemption.New(preemption.Cluster{
-		Machines:       l.machines,
-		IsSchedulable:  l.isSchedulable,
-		RemainingS:     l.remainingS,
-		RunnableJobs: l.jobs.Runnable,
-		FetchGBPerS:    func(machineType string) float64 { return l.catalogue.Type(machineType).FetchGBPerS },
-		TeamFreeCPUs:   l.ledger.FreeCPUs,
-		OnStopRequested:         l.directCalls.schedule,
+		Machines:        l.machines,
+		IsSchedulable:   l.isSchedulable,
+		RemainingS:      l.remainingS,
+		RunnableJobs:    l.jobs.Runnable,
+		FetchGBPerS:     func(machineType string) float64 { return l.catalogue.Type(machineType).FetchGBPerS },
+		TeamFreeCPUs:    l.ledger.FreeCPUs,
+		OnStopRequested: l.directCalls.schedule,
 	})
 }
 
--- a/internal/leader/timing.go
+++ b/internal/leader/timing.go
@@ -29,7 +29,7 @@
 	expiry := seconds.Duration(w.LeaseS*(1+tuning.ClockDrift)) + tuning.LeaseExpiryMargin
 	return machines.Timing{
 		HeartbeatTimeout: seconds.Duration(w.HeartbeatIntervalS * tuning.HeartbeatTimeoutIntervals),
-		LeaseDuration:            seconds.Duration(w.LeaseS),
+		LeaseDuration:    seconds.Duration(w.LeaseS),
 		LeaseExpiry:      expiry,
 		TermStart:        now,
 		// A predecessor's authority ended before now, and it responds to heartbeats for at most
--- a/internal/machines/attempt.go
+++ b/internal/machines/attempt.go
@@ -26,19 +26,19 @@
 	// stores it.
 	StartRecord any
 
-	number     uint64
-	listNumber uint64 // number of the last task list that contained it
-	createdAt  time.Time
-	runningAt  time.Time // when it was first reported as running, or zero
+	number         uint64
+	taskListNumber uint64 // number of the last task list that contained it
+	createdAt      time.Time
+	runningAt      time.Time // when it was first reported as running, or zero
 	startDelivery
 	stopRequest
 }
 
 // startDelivery records how the start of an attempt was sent.
 type startDelivery struct {
-	// sentSequence is the sequence number of the heartbeat in whose response the start was last
+	// responseSequence is the sequence number of the heartbeat in whose response the start was last
 	// sent, 0 if none.
-	sentSequence uint64
+	responseSequence uint64
 	// sentDirectly is set once the start was sent by a direct call that has had no reply. The
 	// agent may then run it at any later time in the session. So the attempt keeps its
 	// resources, its start is sent again in responses to heartbeats, and the agent isn't told to
@@ -113,14 +113,14 @@
 // refuses a newer attempt while it has another one of the same task, so the listed number
 // replaces the attempt's own.
 func (a *Attempt) MarkInTaskList(listNumber, number uint64) {
-	a.listNumber, a.number = listNumber, number
+	a.taskListNumber, a.number = listNumber, number
 }
 
 // MarkExitInTaskList records that a task list contains the attempt as exited.
-func (a *Attempt) MarkExitInTaskList(listNumber uint64) { a.listNumber = listNumber }
+func (a *Attempt) MarkExitInTaskList(listNumber uint64) { a.taskListNumber = listNumber }
 
 // IsInTaskList reports whether the last task list that contained the attempt has the given number.
-func (a *Attempt) IsInTaskList(listNumber uint64) bool { return a.listNumber == listNumber }
+func (a *Attempt) IsInTaskList(listNumber uint64) bool { return a.taskListNumber == listNumber }
 
 // ApplyReport applies the state that the machine reports, and reports whether the attempt has
 // begun to run.
--- a/internal/machines/attempt_commands.go
+++ b/internal/machines/attempt_commands.go
@@ -12,14 +12,14 @@
 }
 
 // MarkStartSentInResponse records that the start was sent in the response to the given heartbeat.
-func (d *startDelivery) MarkStartSentInResponse(sequence uint64) { d.sentSequence = sequence }
+func (d *startDelivery) MarkStartSentInResponse(sequence uint64) { d.responseSequence = sequence }
 
 // StartSentInResponse reports whether the start was sent in a response that isn't known to be
 // ignored.
-func (d *startDelivery) StartSentInResponse() bool { return d.sentSequence != 0 }
+func (d *startDelivery) StartSentInResponse() bool { return d.responseSequence != 0 }
 
 // MarkStartResponseIneffective records that the start sent in a response had no effect and never will.
-func (d *startDelivery) MarkStartResponseIneffective() { d.sentSequence = 0 }
+func (d *startDelivery) MarkStartResponseIneffective() { d.responseSequence = 0 }
 
 // MarkStartSentDirectly records that the start was sent by a direct call.
 func (d *startDelivery) MarkStartSentDirectly() { d.sentDirectly = true }
--- a/internal/machines/attempt_test.go
+++ b/internal/machines/attempt_test.go
@@ -10,16 +10,18 @@
 	"switchshore.example/switchshore/wire"
 )
 
-var start = time.Unix(1_700_000_000, 0)
+var termStart = time.Unix(1_700_000_000, 0)
 
-func newMachine() *machines.Machine { return machines.New(start, "m1", "std-8", "a", "m1:9", false) }
+func newMachine() *machines.Machine {
+	return machines.New(termStart, "m1", "std-8", "a", "m1:9", false)
+}
 
 // newActiveJob returns a job whose tasks may run, with checkpoints or without.
 func newActiveJob(checkpointIntervalS float64) *jobs.Job {
 	j := jobs.New(wire.Job{
 		ID: "job-1", Team: "blue", Tasks: 2, CPUs: 2, MemoryGB: 1,
 		CheckpointIntervalS: checkpointIntervalS, CheckpointSaveS: 7,
-	}, 0, start)
+	}, 0, termStart)
 	j.MarkAccepted()
 	return j
 }
@@ -41,7 +43,7 @@
 }
 
 func TestStartIsSentOnlyAfterItsRecord(t *testing.T) {
-	a := machines.NewPendingAttempt(newMachine(), newActiveJob(0), 0, start, 1, false)
+	a := machines.NewPendingAttempt(newMachine(), newActiveJob(0), 0, termStart, 1, false)
 	if a.NeedsStart() {
 		t.Error("start needed before the record is durable")
 	}
@@ -59,7 +61,7 @@
 
 func TestApplyReport(t *testing.T) {
 	m := newMachine()
-	a := machines.NewPendingAttempt(m, newActiveJob(0), 0, start, 1, false)
+	a := machines.NewPendingAttempt(m, newActiveJob(0), 0, termStart, 1, false)
 	a.MarkStartRecorded()
 	steps := []struct {
 		reported string
@@ -72,12 +74,12 @@
 		{wire.TaskSaving, machines.Saving, false},
 	}
 	for i, s := range steps {
-		now := start.Add(time.Duration(i) * time.Second)
+		now := termStart.Add(time.Duration(i) * time.Second)
 		if began := a.ApplyReport(now, machines.ReportedState(s.reported)); began != s.began || a.State() != s.state {
 			t.Errorf("%s: state %v, began: %v", s.reported, a.State(), began)
 		}
 	}
-	if got := a.RunTime(start.Add(11 * time.Second)); got != 10*time.Second {
+	if got := a.RunTime(termStart.Add(11 * time.Second)); got != 10*time.Second {
 		t.Errorf("run time %v", got)
 	}
 }
@@ -99,8 +101,8 @@
 		"reverted":               {stop: func(a *machines.Attempt) { a.RequestStop(); a.RevertStop() }, reported: machines.Running},
 		"now, while saving":      {checkpointIntervalS: 30, stop: (*machines.Attempt).RequestStop, reported: machines.Saving, needed: true},
 	} {
-		a := machines.NewAttempt(newMachine(), newActiveJob(c.checkpointIntervalS), 0, start)
-		a.ApplyReport(start, c.reported)
+		a := machines.NewAttempt(newMachine(), newActiveJob(c.checkpointIntervalS), 0, termStart)
+		a.ApplyReport(termStart, c.reported)
 		c.stop(a)
 		if a.NeedsStop() != c.needed || a.GracePeriodS() != c.graceS || a.ShouldRun() == a.IsStopping() {
 			t.Errorf("%s: needed: %v, grace period %v s", name, a.NeedsStop(), a.GracePeriodS())
@@ -112,7 +114,7 @@
 }
 
 func TestProgressOfEndedAttempt(t *testing.T) {
-	end := start.Add(25 * time.Second)
+	end := termStart.Add(25 * time.Second)
 	for name, c := range map[string]struct {
 		intervalS   float64
 		saved       bool
@@ -122,9 +124,9 @@
 		"periodic checkpoints": {intervalS: 10, lost: 5, saves: 20},
 		"saved when stopped":   {intervalS: 10, saved: true, saves: 25},
 	} {
-		a := machines.NewAttempt(newMachine(), newActiveJob(c.intervalS), 0, start)
+		a := machines.NewAttempt(newMachine(), newActiveJob(c.intervalS), 0, termStart)
 		a.RecordProgress(end) // has not run yet
-		a.ApplyReport(start, machines.Running)
+		a.ApplyReport(termStart, machines.Running)
 		a.MarkExited(c.saved, false)
 		a.RecordProgress(end)
 		if lost, saved := a.LostProgressS(end), a.Job.Progress(0); lost != c.lost || saved != c.saves {
@@ -136,7 +138,7 @@
 func TestRegistry(t *testing.T) {
 	r := machines.NewRegistry()
 	for _, id := range []string{"m2", "m3", "m1"} {
-		r.Add(machines.New(start, id, "std-8", "a", "", false))
+		r.Add(machines.New(termStart, id, "std-8", "a", "", false))
 	}
 	names := func() []string {
 		var list []string
--- a/internal/machines/cordon.go
+++ b/internal/machines/cordon.go
@@ -53,7 +53,7 @@
 	if !m.reclaimAt.IsZero() {
 		reasons |= CordonReclaimed
 	}
-	if !m.responsesLostSince.IsZero() || m.ignoredResponses >= tuning.MaxIneffectiveResponses {
+	if !m.responsesLostSince.IsZero() || m.ineffectiveResponses >= tuning.MaxIneffectiveResponses {
 		reasons |= CordonUnresponsive
 	}
 	return reasons
--- a/internal/machines/delivery.go
+++ b/internal/machines/delivery.go
@@ -5,16 +5,16 @@
 // responseDelivery holds the evidence on whether responses reach a machine whose heartbeats
 // arrive.
 type responseDelivery struct {
-	// steadySince is when the current series of heartbeats without a gap began, epochSince when
+	// gaplessSince is when the current series of heartbeats without a gap began, epochSince when
 	// the current session began.
-	steadySince time.Time
-	epochSince  time.Time
-	// ignoredResponses counts the responses in a row whose starts had no effect, ignoredAt is the
+	gaplessSince time.Time
+	sessionSince time.Time
+	// ineffectiveResponses counts the responses in a row whose starts had no effect, ignoredAt is the
 	// time of the last one. responsesLostSince is when responses turned out not to reach the
 	// machine, zero while they do.
-	ignoredResponses   int
-	ignoredAt          time.Time
-	responsesLostSince time.Time
+	ineffectiveResponses int
+	lastIneffectiveAt    time.Time
+	responsesLostSince   time.Time
 }
 
 // DetectLostResponses updates, for a heartbeat with the given epoch, whether responses reach the
@@ -31,19 +31,19 @@
 	}
 	if m.HeartbeatOverdue(now, t) {
 		// Heartbeats before the gap are no evidence: a network partition may have delayed them.
-		m.steadySince = now
+		m.gaplessSince = now
 	}
 	if epoch != m.epoch {
-		if m.epoch != 0 && m.reconciled && now.Sub(m.steadySince) >= t.LeaseDuration && m.responsesLostSince.IsZero() {
+		if m.epoch != 0 && m.reconciled && now.Sub(m.gaplessSince) >= t.LeaseDuration && m.responsesLostSince.IsZero() {
 			m.responsesLostSince = now
 			lost = true
 		}
-		m.epochSince = now
+		m.sessionSince = now
 	}
-	if now.Sub(m.epochSince) > t.LeaseExpiry {
+	if now.Sub(m.sessionSince) > t.LeaseExpiry {
 		m.responsesLostSince = time.Time{}
-		if now.Sub(m.ignoredAt) > t.LeaseExpiry {
-			m.ignoredResponses = 0
+		if now.Sub(m.lastIneffectiveAt) > t.LeaseExpiry {
+			m.ineffectiveResponses = 0
 		}
 	}
 	return lost
@@ -51,10 +51,10 @@
 
 // RecordIneffectiveResponse records that the starts in an earlier response had no effect.
 func (d *responseDelivery) RecordIneffectiveResponse(now time.Time) {
-	d.ignoredResponses++
-	d.ignoredAt = now
+	d.ineffectiveResponses++
+	d.lastIneffectiveAt = now
 }
 
 // RecordStartExecuted records that the machine has carried out a start, so that responses do
 // have an effect.
-func (d *responseDelivery) RecordStartExecuted() { d.ignoredResponses = 0 }
+func (d *responseDelivery) RecordStartExecuted() { d.ineffectiveResponses = 0 }
--- a/internal/machines/delivery_test.go
+++ b/internal/machines/delivery_test.go
@@ -11,14 +11,14 @@
 
 // newRecordedAttempt adds an attempt whose start may be sent to the machine.
 func newRecordedAttempt(m *machines.Machine) *machines.Attempt {
-	a := machines.NewPendingAttempt(m, newActiveJob(30), 1, start, 7, false)
+	a := machines.NewPendingAttempt(m, newActiveJob(30), 1, termStart, 7, false)
 	m.AddAttempt(a)
 	a.MarkStartRecorded()
 	return a
 }
 
 func TestDirectStartMayArriveLateWithinSession(t *testing.T) {
-	m := newReportingMachine(start)
+	m := newReportingMachine(termStart)
 	a := newRecordedAttempt(m)
 	if c := a.StartCommand(); c.Op != wire.OpStart || c.Task != "job-1/1" || c.Attempt != 7 {
 		t.Errorf("%+v", c)
@@ -38,7 +38,7 @@
 }
 
 func TestStartSentInResponse(t *testing.T) {
-	m := newReportingMachine(start)
+	m := newReportingMachine(termStart)
 	a := newRecordedAttempt(m)
 	a.MarkStartSentInResponse(3)
 	if !a.StartSentInResponse() || a.MayStartLate() {
@@ -52,7 +52,7 @@
 	if !a.IsInTaskList(5) || a.IsInTaskList(6) || a.Number() != 8 {
 		t.Errorf("listed with number %d", a.Number())
 	}
-	a.ApplyReport(start, machines.Fetching)
+	a.ApplyReport(termStart, machines.Fetching)
 	if a.NeedsStart() {
 		t.Error("start needed although the machine has reported the attempt")
 	}
@@ -63,7 +63,7 @@
 }
 
 func TestRevertEviction(t *testing.T) {
-	a := newRecordedAttempt(newReportingMachine(start))
+	a := newRecordedAttempt(newReportingMachine(termStart))
 	a.PlanEviction()
 	if !a.IsEvicting() || a.IsStopping() {
 		t.Error("eviction not planned, or stopped before the charge is durable")
@@ -75,7 +75,7 @@
 }
 
 func TestDirectCallsDoNotOverlap(t *testing.T) {
-	m := newReportingMachine(start)
+	m := newReportingMachine(termStart)
 	if !m.QueueCall() || m.QueueCall() {
 		t.Error("not queued, or queued twice")
 	}
@@ -84,45 +84,45 @@
 		t.Error("not queued again")
 	}
 	m.BeginCall()
-	if m.CanBeCalled(start, timing) || !m.IsBeingCalled() {
+	if m.CanBeCalled(termStart, timing) || !m.IsBeingCalled() {
 		t.Error("can be called while a call is in progress")
 	}
 	m.EndCall()
-	m.DelayCalls(start.Add(time.Second))
-	if m.CanBeCalled(start, timing) || !m.CanBeCalled(start.Add(time.Second), timing) {
+	m.DelayCalls(termStart.Add(time.Second))
+	if m.CanBeCalled(termStart, timing) || !m.CanBeCalled(termStart.Add(time.Second), timing) {
 		t.Error("calls not paused, or paused for too long")
 	}
-	if newInheritedMachine(start).CanBeCalled(start, timing) {
+	if newInheritedMachine(termStart).CanBeCalled(termStart, timing) {
 		t.Error("can be called before its tasks are known")
 	}
 }
 
 func TestMachineWithOnlyStaleHeartbeatsIsReleased(t *testing.T) {
-	m := newReportingMachine(start)
-	now := start
+	m := newReportingMachine(termStart)
+	now := termStart
 	for range tuning.MaxStaleHeartbeats {
 		now = now.Add(3 * time.Second)
 		m.RecordStaleHeartbeat(now)
 	}
-	expired := start.Add(timing.LeaseExpiry + 1)
+	expired := termStart.Add(timing.LeaseExpiry + 1)
 	if m.ShouldBeReleased(expired.Add(-2), timing, 0) {
 		t.Error("should be released before its lease has expired")
 	}
 	if late := expired.Add(timing.HeartbeatTimeout); !m.ShouldBeReleased(late, timing, 0) {
 		t.Error("should not be released after the lease has expired")
 	}
-	heartbeat(m, expired, 1, 9)
+	applyHeartbeat(m, expired, 1, 9)
 	if m.ShouldBeReleased(expired.Add(timing.HeartbeatTimeout), timing, 0) {
 		t.Error("should be released although a newer heartbeat has arrived")
 	}
 }
 
 func TestOutdatedSnapshotIsRebuilt(t *testing.T) {
-	m := newReportingMachine(start)
+	m := newReportingMachine(termStart)
 	if m.CachedSnapshot() != nil {
 		t.Error("cached snapshot before the first one was built")
 	}
-	m.RecordImage(start, "img")
+	m.RecordImage(termStart, "img")
 	s := m.ResetSnapshot()
 	if _, has := s.Images["img"]; !has || s.Free != m.Free() || s.Capacity != m.Capacity() || m.CachedSnapshot() != s {
 		t.Errorf("%+v", s)
@@ -134,7 +134,7 @@
 	if s = m.ResetSnapshot(); s.Free != m.Free() || m.CachedSnapshot() != s {
 		t.Errorf("free %+v", s.Free)
 	}
-	a.ApplyReport(start, machines.Running)
+	a.ApplyReport(termStart, machines.Running)
 	if m.CachedSnapshot() != nil {
 		t.Error("cached snapshot still valid after an attempt has begun to run")
 	}
@@ -145,30 +145,30 @@
 }
 
 func TestReclaimNotice(t *testing.T) {
-	m := newReportingMachine(start)
-	if _, reclaimed := m.ReclaimIn(start); reclaimed {
+	m := newReportingMachine(termStart)
+	if _, reclaimed := m.ReclaimIn(termStart); reclaimed {
 		t.Error("reclaim time without a notice")
 	}
 	first, second := 30.0, 60.0
 	for _, notice := range []*float64{&first, &second} {
-		_, reclaimed := m.RecordHeartbeat(start, &wire.Heartbeat{ReclaimNoticeS: notice})
+		_, reclaimed := m.RecordHeartbeat(termStart, &wire.Heartbeat{ReclaimNoticeS: notice})
 		if reclaimed != (notice == &first) {
 			t.Errorf("notice of %v s: first notice: %v", *notice, reclaimed)
 		}
 	}
-	if left, reclaimed := m.ReclaimIn(start.Add(10 * time.Second)); left != 20*time.Second || !reclaimed {
+	if left, reclaimed := m.ReclaimIn(termStart.Add(10 * time.Second)); left != 20*time.Second || !reclaimed {
 		t.Errorf("%v left", left)
 	}
 }
 
 func TestFullMachineIsUnschedulable(t *testing.T) {
-	m := newReportingMachine(start)
-	m.MarkFull(start.Add(time.Second))
-	if m.IsSchedulable(start, timing) || !m.IsSchedulable(start.Add(time.Second), timing) {
+	m := newReportingMachine(termStart)
+	m.MarkFull(termStart.Add(time.Second))
+	if m.IsSchedulable(termStart, timing) || !m.IsSchedulable(termStart.Add(time.Second), timing) {
 		t.Error("full machine is schedulable, or stays unschedulable after the time")
 	}
 	m.BeginRelease()
-	if m.IsSchedulable(start.Add(time.Second), timing) || !m.IsReleasing() {
+	if m.IsSchedulable(termStart.Add(time.Second), timing) || !m.IsReleasing() {
 		t.Error("schedulable while it is being released")
 	}
 }
--- a/internal/machines/lease.go
+++ b/internal/machines/lease.go
@@ -66,9 +66,9 @@
 // IsReleaseRequired reports whether RequireRelease has set a time.
 func (m *Machine) IsReleaseRequired() bool { return !m.releaseBy.IsZero() }
 
-// minMissingFromLists is the number of cloud lists in a row that have to lack an unreachable
+// minMissingFromCloudLists is the number of cloud lists in a row that have to lack an unreachable
 // machine before it is released.
-const minMissingFromLists = 2
+const minMissingFromCloudLists = 2
 
 // ShouldBeReleased reports whether the machine can't or shouldn't run tasks any more: it has
 // failed, has not booted in time, is unreachable or no longer gets responses, or is empty and
@@ -79,7 +79,7 @@
 		return true
 	case !m.joined:
 		return bootTimeS > 0 && now.Sub(m.provisionedAt).Seconds() > bootTimeS*tuning.BootTimeoutFactor
-	case m.HeartbeatOverdue(now, t) && m.missingFromLists >= minMissingFromLists:
+	case m.HeartbeatOverdue(now, t) && m.missingFromCloudLists >= minMissingFromCloudLists:
 		return true
 	case !m.responsesLostSince.IsZero() && now.Sub(m.responsesLostSince) > t.LeaseExpiry*3/2:
 		// Nothing can be sent to it, and its tasks ended with its lease.
--- a/internal/machines/lifecycle.go
+++ b/internal/machines/lifecycle.go
@@ -9,15 +9,15 @@
 
 // lifecycle holds the state of a machine from provisioning to release.
 type lifecycle struct {
-	provisionedAt    time.Time
-	joined           bool // has sent a heartbeat, in this term or under an earlier leader
-	reconciled       bool // has sent a heartbeat with this term's token: its task list is complete
-	releasing        bool
-	failed           bool
-	recorded         bool      // named in a stored start record
-	missingFromLists int       // cloud lists in a row that lack the machine
-	listedAt         time.Time // first seen in the cloud's list in this term
-	idleSince        time.Time
+	provisionedAt         time.Time
+	joined                bool // has sent a heartbeat, in this term or under an earlier leader
+	reconciled            bool // has sent a heartbeat with this term's token: its task list is complete
+	releasing             bool
+	failed                bool
+	inStartRecord         bool      // named in a stored start record
+	missingFromCloudLists int       // cloud lists in a row that lack the machine
+	firstListedAt         time.Time // first seen in the cloud's list in this term
+	idleSince             time.Time
 	// releaseBy is when the machine has to be released, as the start of an ended job may still
 	// arrive late; zero if it doesn't have to be.
 	releaseBy time.Time
@@ -50,7 +50,7 @@
 
 // MarkInStartRecord records that a stored start record names the machine, so that it had joined under
 // an earlier leader.
-func (l *lifecycle) MarkInStartRecord() { l.recorded, l.joined = true, true }
+func (l *lifecycle) MarkInStartRecord() { l.inStartRecord, l.joined = true, true }
 
 // IsReleasing reports whether the release of the machine has begun.
 func (l *lifecycle) IsReleasing() bool { return l.releasing }
@@ -63,7 +63,7 @@
 func (l *lifecycle) IdleFor(now time.Time) time.Duration { return now.Sub(l.idleSince) }
 
 // WasListedByCloud reports whether the cloud has listed the machine in this term.
-func (l *lifecycle) WasListedByCloud() bool { return !l.listedAt.IsZero() }
+func (l *lifecycle) WasListedByCloud() bool { return !l.firstListedAt.IsZero() }
 
 // ApplyCloudListing applies the machine's row of a cloud list that was requested at requestedAt.
 func (m *Machine) ApplyCloudListing(requestedAt, now time.Time, row *wire.ListedMachine) {
@@ -75,10 +75,10 @@
 	if m.Addr == "" {
 		m.Addr = row.Addr
 	}
-	if m.listedAt.IsZero() {
-		m.listedAt = now
+	if m.firstListedAt.IsZero() {
+		m.firstListedAt = now
 	}
-	m.missingFromLists = 0
+	m.missingFromCloudLists = 0
 	if row.State == wire.MachineFailed {
 		m.failed = true
 	}
@@ -89,9 +89,9 @@
 // proves the deletion if it was requested more than longestLag after the machine was first
 // listed: it shows a state in which the machine was listed already.
 func (l *lifecycle) CountMissingFromCloudList(requestedAt time.Time, longestLag time.Duration) (deleted bool) {
-	if !l.WasListedByCloud() && !l.recorded {
+	if !l.WasListedByCloud() && !l.inStartRecord {
 		return false
 	}
-	l.missingFromLists++
-	return l.WasListedByCloud() && requestedAt.Sub(l.listedAt) > longestLag
+	l.missingFromCloudLists++
+	return l.WasListedByCloud() && requestedAt.Sub(l.firstListedAt) > longestLag
 }
--- a/internal/machines/machine_test.go
+++ b/internal/machines/machine_test.go
@@ -14,10 +14,10 @@
 // timing is the timing of a term that began at start.
 var timing = &machines.Timing{
 	HeartbeatTimeout:  9 * time.Second,
-	LeaseDuration:             15 * time.Second,
+	LeaseDuration:     15 * time.Second,
 	LeaseExpiry:       20 * time.Second,
-	TermStart:         start,
-	InheritedTasksEnd: start.Add(30 * time.Second),
+	TermStart:         termStart,
+	InheritedTasksEnd: termStart.Add(30 * time.Second),
 }
 
 // newReportingMachine returns a machine that has sent one heartbeat, with the token of the term.
@@ -32,12 +32,12 @@
 func newInheritedMachine(now time.Time) *machines.Machine {
 	m := newMachine()
 	m.SetCapacity(placement.Resources{CPUs: 8})
-	heartbeat(m, now, 1, 1)
+	applyHeartbeat(m, now, 1, 1)
 	return m
 }
 
-// heartbeat applies a heartbeat and renews the lease.
-func heartbeat(m *machines.Machine, now time.Time, epoch, sequence uint64) (lost bool) {
+// applyHeartbeat applies a applyHeartbeat and renews the lease.
+func applyHeartbeat(m *machines.Machine, now time.Time, epoch, sequence uint64) (lost bool) {
 	lost = m.DetectLostResponses(now, epoch, timing)
 	m.AdvanceSession(epoch, sequence)
 	m.RecordHeartbeat(now, &wire.Heartbeat{Addr: "m1:9", AgentEpoch: epoch, Sequence: sequence})
@@ -58,80 +58,80 @@
 			m.SetCordon(machines.CordonDrained, false)
 		}, want: machines.CordonLateStart},
 		"reclaim notice": {change: func(m *machines.Machine) {
-			m.RecordHeartbeat(start, &wire.Heartbeat{ReclaimNoticeS: &notice})
+			m.RecordHeartbeat(termStart, &wire.Heartbeat{ReclaimNoticeS: &notice})
 		}, want: machines.CordonReclaimed},
 		"some responses ignored": {change: func(m *machines.Machine) {
 			for range tuning.MaxIneffectiveResponses - 1 {
-				m.RecordIneffectiveResponse(start)
+				m.RecordIneffectiveResponse(termStart)
 			}
 		}},
 		"responses ignored": {change: func(m *machines.Machine) {
 			for range tuning.MaxIneffectiveResponses {
-				m.RecordIneffectiveResponse(start)
+				m.RecordIneffectiveResponse(termStart)
 			}
 		}, want: machines.CordonUnresponsive},
 		"start observed": {change: func(m *machines.Machine) {
 			for range tuning.MaxIneffectiveResponses {
-				m.RecordIneffectiveResponse(start)
+				m.RecordIneffectiveResponse(termStart)
 			}
 			m.RecordStartExecuted()
 		}},
 	} {
-		m := newReportingMachine(start)
+		m := newReportingMachine(termStart)
 		c.change(m)
-		if got := m.CordonReasons(); got != c.want || m.IsCordoned() != (c.want != 0) || m.IsSchedulable(start, timing) != (c.want == 0) {
+		if got := m.CordonReasons(); got != c.want || m.IsCordoned() != (c.want != 0) || m.IsSchedulable(termStart, timing) != (c.want == 0) {
 			t.Errorf("%s: reasons %b", name, got)
 		}
 	}
 }
 
 func TestQuarantineAfterFailuresOfSeveralJobs(t *testing.T) {
-	m := newReportingMachine(start)
+	m := newReportingMachine(termStart)
 	for i := range tuning.FaultyMachineJobs {
 		id := fmt.Sprintf("job-%d", i)
 		m.AvoidJob(id)
-		if quarantined := m.AddFailedJob(id); quarantined != (i == tuning.FaultyMachineJobs-1) {
+		if quarantined := m.CountFailedJob(id); quarantined != (i == tuning.FaultyMachineJobs-1) {
 			t.Errorf("after %d jobs: %v", i+1, quarantined)
 		}
 	}
 	m.RecordTaskSuccess()
-	if !m.IsCordonedFor(machines.CordonFaulty) || m.AddFailedJob("another") {
+	if !m.IsCordonedFor(machines.CordonFaulty) || m.CountFailedJob("another") {
 		t.Error("no longer quarantined, or quarantined again")
 	}
-	m.RemoveFailedJob("another")
-	m.RemoveFailedJob("job-0")
+	m.UncountFailedJob("another")
+	m.UncountFailedJob("job-0")
 	if m.IsCordonedFor(machines.CordonFaulty) || !m.AvoidsJob("job-0") {
 		t.Error("still quarantined, or the job is no longer avoided")
 	}
 	m.RecordTaskSuccess()
-	if m.AddFailedJob("job-0") {
+	if m.CountFailedJob("job-0") {
 		t.Error("failures before a success are still counted")
 	}
 }
 
 func TestLeaseExpiry(t *testing.T) {
-	replaced := newReportingMachine(start)
+	replaced := newReportingMachine(termStart)
 	replaced.Cordon(machines.CordonAgentReplaced)
 	for name, c := range map[string]struct {
 		machine *machines.Machine
 		after   time.Duration
 		want    bool
 	}{
-		"renewed":                      {machine: newReportingMachine(start), after: timing.LeaseExpiry},
-		"expired":                      {machine: newReportingMachine(start), after: timing.LeaseExpiry + 1, want: true},
+		"renewed":                      {machine: newReportingMachine(termStart), after: timing.LeaseExpiry},
+		"expired":                      {machine: newReportingMachine(termStart), after: timing.LeaseExpiry + 1, want: true},
 		"agent replaced":               {machine: replaced, after: time.Hour},
-		"inherited, tasks may be left": {machine: newInheritedMachine(start), after: timing.LeaseExpiry + 1},
-		"inherited, tasks have ended":  {machine: newInheritedMachine(start), after: 30 * time.Second, want: true},
+		"inherited, tasks may be left": {machine: newInheritedMachine(termStart), after: timing.LeaseExpiry + 1},
+		"inherited, tasks have ended":  {machine: newInheritedMachine(termStart), after: 30 * time.Second, want: true},
 	} {
-		if got := c.machine.HasLeaseExpired(start.Add(c.after), timing); got != c.want {
+		if got := c.machine.HasLeaseExpired(termStart.Add(c.after), timing); got != c.want {
 			t.Errorf("%s: expired: %v", name, got)
 		}
 	}
 }
 
 func TestStaleHeartbeats(t *testing.T) {
-	m := newReportingMachine(start)
-	heartbeat(m, start, 2, 5)
+	m := newReportingMachine(termStart)
+	applyHeartbeat(m, termStart, 2, 5)
 	for name, c := range map[string]struct {
 		epoch, sequence  uint64
 		stale, overtaken bool
@@ -157,26 +157,26 @@
 }
 
 func TestDetectLostResponses(t *testing.T) {
-	m := newReportingMachine(start)
-	now, sequence := start, uint64(1)
-	steady := func(epoch uint64, d time.Duration) (lost bool) {
+	m := newReportingMachine(termStart)
+	now, sequence := termStart, uint64(1)
+	sendHeartbeats := func(epoch uint64, d time.Duration) (lost bool) {
 		for end := now.Add(d); now.Before(end); {
 			now, sequence = now.Add(3*time.Second), sequence+1
-			lost = heartbeat(m, now, epoch, sequence) || lost
+			lost = applyHeartbeat(m, now, epoch, sequence) || lost
 		}
 		return lost
 	}
-	if steady(1, 18*time.Second) {
+	if sendHeartbeats(1, 18*time.Second) {
 		t.Fatal("responses lost within one session")
 	}
-	if !steady(2, 3*time.Second) || !m.IsCordonedFor(machines.CordonUnresponsive) || m.CanBeCalled(now, timing) {
+	if !sendHeartbeats(2, 3*time.Second) || !m.IsCordonedFor(machines.CordonUnresponsive) || m.CanBeCalled(now, timing) {
 		t.Error("responses not lost after a new session without a heartbeat gap")
 	}
-	if steady(2, timing.LeaseExpiry+3*time.Second) || m.IsCordonedFor(machines.CordonUnresponsive) || !m.CanBeCalled(now, timing) {
+	if sendHeartbeats(2, timing.LeaseExpiry+3*time.Second) || m.IsCordonedFor(machines.CordonUnresponsive) || !m.CanBeCalled(now, timing) {
 		t.Error("responses still lost in a session longer than the lease")
 	}
 	now = now.Add(time.Minute) // heartbeat gap
-	if steady(3, 3*time.Second) {
+	if sendHeartbeats(3, 3*time.Second) {
 		t.Error("responses lost after a new session that follows a heartbeat gap")
 	}
 }
@@ -184,9 +184,9 @@
 func TestShouldBeReleased(t *testing.T) {
 	const bootTimeS = 10
 	missTwice := func(m *machines.Machine) {
-		m.ApplyCloudListing(start, start, &wire.ListedMachine{})
-		m.CountMissingFromCloudList(start, time.Minute)
-		m.CountMissingFromCloudList(start, time.Minute)
+		m.ApplyCloudListing(termStart, termStart, &wire.ListedMachine{})
+		m.CountMissingFromCloudList(termStart, time.Minute)
+		m.CountMissingFromCloudList(termStart, time.Minute)
 	}
 	for name, c := range map[string]struct {
 		change func(*machines.Machine)
@@ -195,23 +195,23 @@
 	}{
 		"sends heartbeats": {change: func(*machines.Machine) {}},
 		"failed": {change: func(m *machines.Machine) {
-			m.ApplyCloudListing(start, start, &wire.ListedMachine{State: wire.MachineFailed})
+			m.ApplyCloudListing(termStart, termStart, &wire.ListedMachine{State: wire.MachineFailed})
 		}, want: true},
 		"replaced":                {change: func(m *machines.Machine) { m.Cordon(machines.CordonAgentReplaced) }, want: true},
-		"release required later":  {change: func(m *machines.Machine) { m.RequireRelease(start.Add(time.Second)) }},
-		"release required":        {change: func(m *machines.Machine) { m.RequireRelease(start.Add(-time.Second)) }, want: true},
+		"release required later":  {change: func(m *machines.Machine) { m.RequireRelease(termStart.Add(time.Second)) }},
+		"release required":        {change: func(m *machines.Machine) { m.RequireRelease(termStart.Add(-time.Second)) }, want: true},
 		"empty and drained":       {change: func(m *machines.Machine) { m.Cordon(machines.CordonDrained) }, want: true},
 		"not listed, reachable":   {change: missTwice},
 		"not listed, unreachable": {change: missTwice, after: 10 * time.Second, want: true},
 		"unreachable for long":    {change: func(*machines.Machine) {}, after: timing.LeaseExpiry + tuning.UnreachableReleaseDelay + 1, want: true},
 	} {
-		m := newReportingMachine(start)
+		m := newReportingMachine(termStart)
 		c.change(m)
-		if got := m.ShouldBeReleased(start.Add(c.after), timing, bootTimeS); got != c.want {
+		if got := m.ShouldBeReleased(termStart.Add(c.after), timing, bootTimeS); got != c.want {
 			t.Errorf("%s: should be released: %v", name, got)
 		}
 	}
-	if m := newMachine(); m.ShouldBeReleased(start.Add(time.Second), timing, bootTimeS) || !m.ShouldBeReleased(start.Add(time.Hour), timing, bootTimeS) {
+	if m := newMachine(); m.ShouldBeReleased(termStart.Add(time.Second), timing, bootTimeS) || !m.ShouldBeReleased(termStart.Add(time.Hour), timing, bootTimeS) {
 		t.Error("a machine that never boots is released too early, or not at all")
 	}
 }
@@ -219,23 +219,23 @@
 func TestCountMissingFromList(t *testing.T) {
 	const lag = 8 * time.Second
 	m := newMachine()
-	if m.CountMissingFromCloudList(start.Add(time.Hour), lag) {
+	if m.CountMissingFromCloudList(termStart.Add(time.Hour), lag) {
 		t.Error("deleted although it was never listed")
 	}
-	m.ApplyCloudListing(start, start, &wire.ListedMachine{AgeS: 60, Addr: "other:9"})
-	if !m.WasListedByCloud() || !m.ProvisionedAt().Equal(start.Add(-time.Minute)) || m.Addr != "m1:9" {
+	m.ApplyCloudListing(termStart, termStart, &wire.ListedMachine{AgeS: 60, Addr: "other:9"})
+	if !m.WasListedByCloud() || !m.ProvisionedAt().Equal(termStart.Add(-time.Minute)) || m.Addr != "m1:9" {
 		t.Errorf("listed: %v, provisioned at %v, address %s", m.WasListedByCloud(), m.ProvisionedAt(), m.Addr)
 	}
-	if m.CountMissingFromCloudList(start.Add(lag), lag) {
+	if m.CountMissingFromCloudList(termStart.Add(lag), lag) {
 		t.Error("deleted although the list may be older than the machine's first listing")
 	}
-	if !m.CountMissingFromCloudList(start.Add(lag+1), lag) {
+	if !m.CountMissingFromCloudList(termStart.Add(lag+1), lag) {
 		t.Error("not deleted although the list is newer than the machine's first listing")
 	}
 }
 
 func TestRetainExit(t *testing.T) {
-	m := newReportingMachine(start)
+	m := newReportingMachine(termStart)
 	key := machines.ExitKey{Task: "job-1/0", Attempt: 1}
 	m.RetainExit(key)
 	m.AddExited(key, true)
@@ -255,16 +255,16 @@
 }
 
 func TestReserveKeepsHighestPriority(t *testing.T) {
-	m := newReportingMachine(start)
-	if _, reserved := m.Reservation(start); reserved {
+	m := newReportingMachine(termStart)
+	if _, reserved := m.Reservation(termStart); reserved {
 		t.Error("reservation on a new machine")
 	}
-	m.Reserve(start, 1)
-	m.Reserve(start, 2)
-	if rank, reserved := m.Reservation(start); rank != 1 || !reserved {
+	m.Reserve(termStart, 1)
+	m.Reserve(termStart, 2)
+	if rank, reserved := m.Reservation(termStart); rank != 1 || !reserved {
 		t.Errorf("rank %d, reserved: %v", rank, reserved)
 	}
-	later := start.Add(tuning.PreemptReservationTime)
+	later := termStart.Add(tuning.PreemptReservationTime)
 	m.Reserve(later, 2)
 	if rank, reserved := m.Reservation(later); rank != 2 || !reserved {
 		t.Errorf("after the first reservation: rank %d, reserved: %v", rank, reserved)
--- a/internal/machines/reachability.go
+++ b/internal/machines/reachability.go
@@ -46,38 +46,38 @@
 // reachable. If too many machines outside the partitioned zones are unreachable, this node
 // counts as isolated.
 func (r *Reachability) Update(now time.Time, list []*Machine, t *Timing) {
-	zones := map[string]*heartbeatCount{}
-	all := &heartbeatCount{}
+	zones := map[string]*reachabilityCount{}
+	all := &reachabilityCount{}
 	for _, m := range list {
 		if !m.HasJoined() {
 			continue
 		}
 		if zones[m.Zone] == nil {
-			zones[m.Zone] = &heartbeatCount{}
+			zones[m.Zone] = &reachabilityCount{}
 		}
 		unreachable := m.IsUnreachable(now, t)
 		zones[m.Zone].count(unreachable)
 		all.count(unreachable)
 	}
-	rest := *all
+	outsidePartitions := *all
 	for zone, z := range zones {
 		switch {
 		case z.isPartitioned(all):
 			// After that time its unreachable machines may have been released.
 			r.partitionedZones[zone] = now.Add(t.LeaseExpiry)
-			rest.joined -= z.joined
-			rest.unreachable -= z.unreachable
+			outsidePartitions.joined -= z.joined
+			outsidePartitions.unreachable -= z.unreachable
 		case z.joined > z.unreachable:
 			delete(r.partitionedZones, zone)
 		}
 	}
-	r.isolated = rest.joined > 0 && rest.reachableShare() < tuning.ReachableShare
+	r.isolated = outsidePartitions.joined > 0 && outsidePartitions.reachableShare() < tuning.ReachableShare
 }
 
-// heartbeatCount counts the machines that have joined and those of them that are unreachable.
-type heartbeatCount struct{ joined, unreachable int }
+// reachabilityCount counts the machines that have joined and those of them that are unreachable.
+type reachabilityCount struct{ joined, unreachable int }
 
-func (h *heartbeatCount) count(unreachable bool) {
+func (h *reachabilityCount) count(unreachable bool) {
 	h.joined++
 	if unreachable {
 		h.unreachable++
@@ -85,13 +85,13 @@
 }
 
 // isPartitioned reports whether a zone is probably partitioned, given the count of all zones.
-func (h *heartbeatCount) isPartitioned(all *heartbeatCount) bool {
-	others := heartbeatCount{joined: all.joined - h.joined, unreachable: all.unreachable - h.unreachable}
+func (h *reachabilityCount) isPartitioned(all *reachabilityCount) bool {
+	others := reachabilityCount{joined: all.joined - h.joined, unreachable: all.unreachable - h.unreachable}
 	return h.unreachable >= tuning.PartitionedMachines && h.reachableShare() <= tuning.PartitionedShare && others.reachableShare() >= tuning.ReachableShare
 }
 
 // reachableShare returns the share of the joined machines that is reachable, 0 if none has
 // joined.
-func (h *heartbeatCount) reachableShare() float64 {
+func (h *reachabilityCount) reachableShare() float64 {
 	return float64(h.joined-h.unreachable) / float64(max(h.joined, 1))
 }
--- a/internal/machines/reachability_test.go
+++ b/internal/machines/reachability_test.go
@@ -8,13 +8,13 @@
 	"switchshore.example/switchshore/internal/machines"
 )
 
-// newZones returns machines in zones a and b that sent their last heartbeat at the given times.
-func newZones(perZone int, reportedA, reportedB time.Time) []*machines.Machine {
+// newMachinesInTwoZones returns machines in zones a and b that sent their last heartbeat at the given times.
+func newMachinesInTwoZones(perZone int, heartbeatA, heartbeatB time.Time) []*machines.Machine {
 	var list []*machines.Machine
-	for zone, at := range map[string]time.Time{"a": reportedA, "b": reportedB} {
+	for zone, at := range map[string]time.Time{"a": heartbeatA, "b": heartbeatB} {
 		for i := range perZone {
-			m := machines.New(start, fmt.Sprintf("%s%d", zone, i), "std-8", zone, "", false)
-			heartbeat(m, at, 1, 1)
+			m := machines.New(termStart, fmt.Sprintf("%s%d", zone, i), "std-8", zone, "", false)
+			applyHeartbeat(m, at, 1, 1)
 			list = append(list, m)
 		}
 	}
@@ -22,28 +22,28 @@
 }
 
 func TestReachability(t *testing.T) {
-	now := start.Add(time.Minute)
+	now := termStart.Add(time.Minute)
 	late := now.Add(-timing.HeartbeatTimeout - 1)
 	for name, c := range map[string]struct {
-		reportedA, reportedB  time.Time
-		partitioned, isolated bool
+		heartbeatA, heartbeatB time.Time
+		partitioned, isolated  bool
 	}{
-		"all reachable":        {reportedA: now, reportedB: now},
-		"one zone unreachable": {reportedA: late, reportedB: now, partitioned: true},
-		"all unreachable":      {reportedA: late, reportedB: late, isolated: true},
+		"all reachable":        {heartbeatA: now, heartbeatB: now},
+		"one zone unreachable": {heartbeatA: late, heartbeatB: now, partitioned: true},
+		"all unreachable":      {heartbeatA: late, heartbeatB: late, isolated: true},
 	} {
 		r := machines.NewReachability()
-		r.Update(now, newZones(10, c.reportedA, c.reportedB), timing)
+		r.Update(now, newMachinesInTwoZones(10, c.heartbeatA, c.heartbeatB), timing)
 		if r.IsPartitioned(now, "a") != c.partitioned || r.AnyPartitioned(now) != c.partitioned || r.IsPartitioned(now, "b") || r.IsIsolated() != c.isolated {
 			t.Errorf("%s: partitioned: %v, isolated: %v", name, r.IsPartitioned(now, "a"), r.IsIsolated())
 		}
-		r.Update(now, newZones(10, now, now), timing)
+		r.Update(now, newMachinesInTwoZones(10, now, now), timing)
 		if r.AnyPartitioned(now) || r.IsIsolated() {
 			t.Errorf("%s: still partitioned or isolated after all machines have reported", name)
 		}
 	}
 	r := machines.NewReachability()
-	r.Update(now, newZones(10, late, now), timing)
+	r.Update(now, newMachinesInTwoZones(10, late, now), timing)
 	if after := now.Add(timing.LeaseExpiry); r.AnyPartitioned(after) {
 		t.Error("zone still partitioned although its machines may have been released")
 	}
--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -11,7 +11,7 @@
 	machine *Machine
 	version int // version of the machine when it was scored
 	score   int64
-	wait    float64 // seconds until the task could start
+	waitS   float64 // seconds until the task could start
 }
 
 // betterThan reports whether c precedes other: the larger speedup first, then the
@@ -55,7 +55,7 @@
 func (p *pass) scoreMachines(j *PendingJob) {
 	j.scored = true
 	j.candidates = j.candidates[:0]
-	cached := false
+	imageCached := false
 	p.eachAvailableMachine(func(m *Machine) bool {
 		if !m.Free.Fits(j.Request) {
 			return true
@@ -63,11 +63,11 @@
 		if c, ok := p.score(j, m); ok {
 			j.candidates = append(j.candidates, c)
 			readyAt, listed := m.Images[j.Image]
-			cached = cached || listed && readyAt <= p.now
+			imageCached = imageCached || listed && readyAt <= p.now
 		}
 		return true
 	})
-	for _, m := range p.busyCandidates(j, cached) {
+	for _, m := range p.busyMachinesToScore(j, imageCached) {
 		if m.Free.Fits(j.Request) {
 			continue
 		}
@@ -78,7 +78,7 @@
 	heap.Init((*candidateHeap)(&j.candidates))
 }
 
-// busyCandidates returns the machines to score after those on which the job's
+// busyMachinesToScore returns the machines to score after those on which the job's
 // tasks fit now. cached says whether one of the latter has the image. A busy
 // machine can have the best score only if it has the image and none of the
 // latter has, or if the tasks fit nowhere now. In that case they are queued, so
@@ -87,14 +87,14 @@
 // It returns none if the pass has queued its maximum of tasks or used half of
 // its scores. Otherwise, with 2,000 full machines, each aged job would score all
 // of them without result and leave no scores for the jobs that fit.
-func (p *pass) busyCandidates(j *PendingJob, cached bool) []*Machine {
+func (p *pass) busyMachinesToScore(j *PendingJob, imageCached bool) []*Machine {
 	if p.startOnly || p.queuedTasks >= tuning.PassMaxQueuedTasks || p.stats.ScoredPairs >= tuning.PassMaxScoredPairs/2 {
 		return nil
 	}
 	switch {
 	case len(j.candidates) == 0:
 		return p.machines
-	case !cached && j.ImageGB > 0:
+	case !imageCached && j.ImageGB > 0:
 		return p.machinesWithImage(j.Image)
 	}
 	return nil
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -51,7 +51,7 @@
 		now: now, machines: machines, teams: teams, maxStarts: maxStarts,
 		blockedRank: noRank, machinesByImage: map[string][]*Machine{},
 	}
-	jobs := p.sortedJobs(make([]*PendingJob, 0, len(ready)), ready)
+	jobs := p.initJobs(make([]*PendingJob, 0, len(ready)), ready)
 	p.initMachines()
 	p.startAgedJobs(jobs)
 	for from := 0; from < len(jobs) && !p.stats.Truncated; {
@@ -68,9 +68,9 @@
 	return p.starts, p.stats
 }
 
-// sortedJobs returns the jobs with ready tasks, sorted by precedence, in the given
+// initJobs returns the jobs with ready tasks, sorted by precedence, in the given
 // empty slice. It also sets the smallest request.
-func (p *pass) sortedJobs(jobs, ready []*PendingJob) []*PendingJob {
+func (p *pass) initJobs(jobs, ready []*PendingJob) []*PendingJob {
 	for _, j := range ready {
 		if j.ReadyTasks <= 0 {
 			continue
@@ -135,34 +135,34 @@
 		if len(p.starts) >= p.maxStarts || p.stats.ScoredPairs > 2*tuning.PassMaxScoredPairs {
 			return false
 		}
-		next, best := p.bestPair(jobs)
-		if next == nil {
+		job, best := p.bestPair(jobs)
+		if job == nil {
 			return !p.stats.Truncated
 		}
-		if best.wait > 0 {
+		if best.waitS > 0 {
 			// As in the paper, a task is queued only while some machine can start a
 			// task of the same priority. Otherwise the pass would compute a static
 			// schedule. Aged jobs are exempt.
 			if p.queuedTasks >= tuning.PassMaxQueuedTasks {
 				return true
 			}
-			if next.AgedS == 0 && !p.anyJobFitsNow(jobs, later) {
-				p.blockedRank = next.PriorityRank
+			if job.AgedS == 0 && !p.anyJobFitsNow(jobs, later) {
+				p.blockedRank = job.PriorityRank
 				return true
 			}
 		}
-		p.assign(next, *best, jobs)
+		p.assign(job, *best, jobs)
 	}
 }
 
 // bestPair returns the pair of job and machine with the largest speedup, nil if
 // there is none. It marks jobs that can't be placed as unplaceable.
-func (p *pass) bestPair(jobs []*PendingJob) (next *PendingJob, best *candidate) {
+func (p *pass) bestPair(jobs []*PendingJob) (bestJob *PendingJob, best *candidate) {
 	for _, j := range jobs {
 		if j.unplaceable || j.ReadyTasks == 0 {
 			continue
 		}
-		if !p.fitsTeamLimit(j) {
+		if !p.fitsOrReservesTeamLimit(j) {
 			j.unplaceable = true
 			continue
 		}
@@ -178,18 +178,18 @@
 			j.unplaceable = true
 			continue
 		}
-		if next == nil || c.score > best.score {
-			next, best = j, c
+		if bestJob == nil || c.score > best.score {
+			bestJob, best = j, c
 		}
 	}
-	return next, best
+	return bestJob, best
 }
 
-// fitsTeamLimit reports whether a task of the job fits into its team's limit. If
+// fitsOrReservesTeamLimit reports whether a task of the job fits into its team's limit. If
 // the task of an aged job doesn't, it counts against the limit nevertheless, which
 // reserves that part of the limit. Otherwise smaller tasks of the team would use
 // every part of the limit that becomes free.
-func (p *pass) fitsTeamLimit(j *PendingJob) bool {
+func (p *pass) fitsOrReservesTeamLimit(j *PendingJob) bool {
 	team := p.teams[j.Team]
 	if team == nil {
 		return false
@@ -209,23 +209,23 @@
 func (p *pass) assign(j *PendingJob, c candidate, jobs []*PendingJob) {
 	m := c.machine
 	_, listed := m.Images[j.Image]
-	fetch := m.fetchDelay(p.now, j.Image, j.ImageGB)
+	fetchS := m.fetchDelayS(p.now, j.Image, j.ImageGB)
 	j.ReadyTasks--
 	m.Modified = true
 	m.version++
-	startsFetch := !listed && c.wait == 0
-	if c.wait == 0 {
+	beginsFetch := !listed && c.waitS == 0
+	if c.waitS == 0 {
 		p.recordStart(j, m)
 	} else {
 		p.recordQueued(j, m)
 	}
-	if startsFetch {
-		m.addImage(j.Image, p.now+fetch)
+	if beginsFetch {
+		m.addImage(j.Image, p.now+fetchS)
 	}
 	m.Free = m.Free.Add(j.Request, -1)
-	m.addPlacedTask(PlacedTask{Request: j.Request, EndS: p.now + c.wait + fetch + j.EstimatedRunTimeS})
-	if startsFetch {
-		p.addCandidate(j, m, jobs)
+	m.addPlacedTask(PlacedTask{Request: j.Request, EndS: p.now + c.waitS + fetchS + j.EstimatedRunTimeS})
+	if beginsFetch {
+		p.rescoreForFetchedImage(j, m, jobs)
 	}
 }
 
@@ -248,10 +248,10 @@
 	}
 }
 
-// addCandidate scores the machine, which has begun to fetch an image, again for
+// rescoreForFetchedImage scores the machine, which has begun to fetch an image, again for
 // the other jobs that need the image, as their scores there have increased. All
 // other changes decrease scores, which bestMachine detects.
-func (p *pass) addCandidate(started *PendingJob, m *Machine, jobs []*PendingJob) {
+func (p *pass) rescoreForFetchedImage(started *PendingJob, m *Machine, jobs []*PendingJob) {
 	for _, other := range jobs {
 		if other == started || !other.scored || other.unplaceable || other.Image != started.Image {
 			continue
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -30,9 +30,9 @@
 	return map[string]*placement.Team{"blue": {Limit: placement.Resources{CPUs: 1e9, GPUs: 1e9, MemoryGB: 1e9}}}
 }
 
-// TestQueuesOnMachineWithImage is the paper's example: a task waits for a busy
+// TestTaskWaitsForMachineWithImage is the paper's example: a task waits for a busy
 // machine with its image if that takes less time than a fetch.
-func TestQueuesOnMachineWithImage(t *testing.T) {
+func TestTaskWaitsForMachineWithImage(t *testing.T) {
 	for _, c := range []struct {
 		remaining float64
 		want      string
@@ -59,9 +59,9 @@
 	}
 }
 
-// TestBacklogOfAgedJobs: many aged jobs that fit nowhere must not use up the scores
+// TestAgedBacklogLeavesScoresForOtherJobs: many aged jobs that fit nowhere must not use up the scores
 // of a pass, so that jobs that fit into the free resources still start.
-func TestBacklogOfAgedJobs(t *testing.T) {
+func TestAgedBacklogLeavesScoresForOtherJobs(t *testing.T) {
 	var machines []*placement.Machine
 	for i := range 2000 {
 		m := newMachine(fmt.Sprintf("m%04d", i), 8)
@@ -190,9 +190,9 @@
 	return ""
 }
 
-// TestRandomPasses: on random snapshots, no start exceeds the free resources or the
+// TestRandomPassesKeepConstraints: on random snapshots, no start exceeds the free resources or the
 // team's limit, or violates the constraints on zones and spot machines.
-func TestRandomPasses(t *testing.T) {
+func TestRandomPassesKeepConstraints(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 4))
 		machines := randomMachines(rng)
@@ -227,9 +227,9 @@
 	}
 }
 
-// TestPassIsBounded: a pass over many machines and jobs stops at its limit of scores,
+// TestPassStopsAtScoreLimit: a pass over many machines and jobs stops at its limit of scores,
 // returns the starts decided so far and reports that it was truncated.
-func TestPassIsBounded(t *testing.T) {
+func TestPassStopsAtScoreLimit(t *testing.T) {
 	const machines = 500
 	var vms []*placement.Machine
 	for i := range machines {
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -15,10 +15,10 @@
 	return gb / gbPerS
 }
 
-// fetchDelay returns the time until the machine has the image: zero if it is cached,
+// fetchDelayS returns the time until the machine has the image: zero if it is cached,
 // the rest of its fetch if that is in progress, or else T(f) plus the time of the
 // other fetches in progress, which share the bandwidth.
-func (m *Machine) fetchDelay(now float64, image string, gb float64) float64 {
+func (m *Machine) fetchDelayS(now float64, image string, gb float64) float64 {
 	if readyAt, ok := m.Images[image]; ok {
 		return max(0, readyAt-now)
 	}
@@ -35,11 +35,11 @@
 	return FetchTimeS(gb, m.FetchGBPerS) + othersMS/1000
 }
 
-// waitFor returns the time until the request fits, given the tasks that run or are
+// timeUntilFits returns the time until the request fits, given the tasks that run or are
 // queued on the machine. It is zero only if the request fits now: a task that has
 // exceeded its estimate counts as running for another MinRemainingS. If its
 // resources counted as free, the machine would refuse starts.
-func (m *Machine) waitFor(now float64, request Resources) float64 {
+func (m *Machine) timeUntilFits(now float64, request Resources) float64 {
 	if m.Free.Fits(request) {
 		return 0
 	}
@@ -76,10 +76,10 @@
 	if !m.isEligible(j) {
 		return candidate{}, false
 	}
-	wait := m.waitFor(p.now, j.Request)
-	if math.IsInf(wait, 1) || p.startOnly && wait > 0 {
+	waitS := m.timeUntilFits(p.now, j.Request)
+	if math.IsInf(waitS, 1) || p.startOnly && waitS > 0 {
 		return candidate{}, false
 	}
-	speedup := FetchTimeS(j.ImageGB, m.FetchGBPerS) - wait - m.fetchDelay(p.now, j.Image, j.ImageGB)
-	return candidate{machine: m, version: m.version, score: int64(math.Round(speedup * 1e6)), wait: wait}, true
+	speedupS := FetchTimeS(j.ImageGB, m.FetchGBPerS) - waitS - m.fetchDelayS(p.now, j.Image, j.ImageGB)
+	return candidate{machine: m, version: m.version, score: int64(math.Round(speedupS * 1e6)), waitS: waitS}, true
 }
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -66,8 +66,8 @@
 
 // PendingJob is a job with ready tasks, all with the same request.
 type PendingJob struct {
-	JobID  string
-	Team string
+	JobID string
+	Team  string
 	// PriorityRank is the job's priority, 0 being the highest.
 	PriorityRank int
 	// WithinGuarantee: the job's tasks fit into its team's guaranteed quota.
@@ -80,12 +80,12 @@
 	// Urgency is the time in seconds that may pass before the job is late. It orders
 	// jobs of one priority, lower values first, in steps of tuning.UrgencyStepS;
 	// within a step, the speedup decides.
-	Urgency    float64
-	ReadyTasks int
-	Request    Resources
-	EstimatedRunTimeS  float64
-	Image      string
-	ImageGB    float64
+	Urgency           float64
+	ReadyTasks        int
+	Request           Resources
+	EstimatedRunTimeS float64
+	Image             string
+	ImageGB           float64
 	// MachineTypes lists the allowed types; empty allows all.
 	MachineTypes []string
 	// Zone is the only allowed zone; empty allows all.
@@ -94,7 +94,7 @@
 	OneZone bool
 	// SpreadZones allows at most half of the tasks, rounded up, in one zone.
 	SpreadZones bool
-	AllowsSpot        bool
+	AllowsSpot  bool
 	// TotalTasks is the number of tasks of the job, for SpreadZones.
 	TotalTasks int
 	// TasksByZone counts the job's tasks that may be running, by zone.
--- a/internal/preemption/pass.go
+++ b/internal/preemption/pass.go
@@ -22,9 +22,9 @@
 	teamFreedCPUs map[string]float64
 	// candidates contains the attempts that may be stopped on each machine, in ascending order
 	// of loss.
-	candidates map[*machines.Machine][]candidate
-	stops      int // attempts marked to be stopped
-	searches   int // waiting tasks for which machines were searched
+	candidates  map[*machines.Machine][]candidate
+	stopCount   int // attempts marked to be stopped
+	searchCount int // waiting tasks for which machines were searched
 }
 
 func newPass(now time.Time, cluster *Cluster) *pass {
@@ -49,7 +49,7 @@
 	for _, a := range m.Attempts() {
 		switch {
 		case a.IsStopping(), a.State() == machines.Saving, p.endsSoon(a):
-			p.expectEnd(a, 1)
+			p.adjustExpectedFree(a, 1)
 		case a.PlacedWhileAged() && p.now.Sub(a.CreatedAt()) < tuning.AgedMinRunTime:
 			// Such an attempt runs for a minimum time. Otherwise every pass could stop it right
 			// after its start, and its job would never make progress.
@@ -58,7 +58,7 @@
 		}
 	}
 	list := p.candidates[m]
-	sort.SliceStable(list, func(i, k int) bool { return list[i].lossS < list[k].lossS })
+	sort.SliceStable(list, func(i, k int) bool { return list[i].costS < list[k].costS })
 }
 
 // endsSoon reports whether an attempt is about to end according to its estimate. It is false for
@@ -71,37 +71,37 @@
 // addCandidate makes an attempt a candidate unless it would lose more progress than
 // tuning.PreemptMaxLoss.
 func (p *pass) addCandidate(a *machines.Attempt) {
-	lossS := a.UnsavedProgressS(p.now)
-	if lossS > tuning.PreemptMaxLostProgress.Seconds() {
+	costS := a.UnsavedProgressS(p.now)
+	if costS > tuning.PreemptMaxLostProgress.Seconds() {
 		return
 	}
 	if a.Job.ReadyTasks() == 0 {
 		// No other task of the job is waiting, so that the stop would delay the job's end.
-		lossS += tuning.PreemptDelayCost.Seconds()
+		costS += tuning.PreemptDelayCost.Seconds()
 	}
-	p.candidates[a.Machine] = append(p.candidates[a.Machine], candidate{a, lossS})
+	p.candidates[a.Machine] = append(p.candidates[a.Machine], candidate{a, costS})
 }
 
-// expectEnd adds the resources of an attempt that is about to end to the expected free capacity;
+// adjustExpectedFree adds the resources of an attempt that is about to end to the expected free capacity;
 // with sign -1 it subtracts them again.
-func (p *pass) expectEnd(a *machines.Attempt, sign float64) {
+func (p *pass) adjustExpectedFree(a *machines.Attempt, sign float64) {
 	p.expectedFree[a.Machine] = p.expectedFree[a.Machine].Add(a.Job.Request(), sign)
 	p.teamFreedCPUs[a.Job.Team] += a.Job.CPUs * sign
 }
 
-func (p *pass) stop(c candidate) {
+func (p *pass) requestStop(c candidate) {
 	c.RequestStop()
-	p.expectEnd(c.Attempt, 1)
-	p.stops++
+	p.adjustExpectedFree(c.Attempt, 1)
+	p.stopCount++
 	p.OnStopRequested(c.Machine)
 }
 
-// undoStops reverts stops that this pass has decided.
-func (p *pass) undoStops(stopped []candidate) {
+// revertStops reverts stops that this pass has decided.
+func (p *pass) revertStops(stopped []candidate) {
 	for _, c := range stopped {
 		c.RevertStop()
-		p.expectEnd(c.Attempt, -1)
-		p.stops--
+		p.adjustExpectedFree(c.Attempt, -1)
+		p.stopCount--
 	}
 }
 
@@ -113,8 +113,8 @@
 		return
 	}
 	for range j.ReadyTasks() {
-		p.searches++
-		if p.stops >= tuning.PreemptMaxStops || p.searches > tuning.PreemptMaxSearches || !p.makeCapacityForTask(r, teamFree) {
+		p.searchCount++
+		if p.stopCount >= tuning.PreemptMaxStops || p.searchCount > tuning.PreemptMaxSearches || !p.makeCapacityForTask(r, teamFree) {
 			return
 		}
 	}
@@ -131,11 +131,11 @@
 	if best == nil {
 		// The task fits on no machine even after these stops. To repeat them in every pass
 		// would keep the team's other work from ever ending.
-		p.undoStops(stopped)
+		p.revertStops(stopped)
 		return false
 	}
 	for _, c := range chosen {
-		p.stop(c)
+		p.requestStop(c)
 	}
 	if len(chosen) > 0 {
 		best.Reserve(p.now, r.PriorityRank)
@@ -152,25 +152,25 @@
 func (p *pass) stopWithinTeam(r *placement.PendingJob, teamFree float64) ([]candidate, bool) {
 	var stopped []candidate
 	for teamFree+p.teamFreedCPUs[r.Team] < r.Request.CPUs {
-		c, ok := p.cheapestOfTeam(r)
+		c, ok := p.cheapestCandidateOfTeam(r)
 		if !ok {
-			p.undoStops(stopped)
+			p.revertStops(stopped)
 			return nil, false
 		}
-		p.stop(c)
+		p.requestStop(c)
 		stopped = append(stopped, c)
 	}
 	return stopped, true
 }
 
-// cheapestOfTeam finds the candidate with the least loss among the attempts of the job's team that
+// cheapestCandidateOfTeam finds the candidate with the least loss among the attempts of the job's team that
 // have a lower priority than the job.
-func (p *pass) cheapestOfTeam(r *placement.PendingJob) (candidate, bool) {
+func (p *pass) cheapestCandidateOfTeam(r *placement.PendingJob) (candidate, bool) {
 	var best candidate
 	found := false
 	for _, m := range p.Machines.All() {
 		for _, c := range p.candidates[m] {
-			if c.Job.Team == r.Team && c.Job.PriorityRank() > r.PriorityRank && !c.IsStopping() && (!found || c.lossS < best.lossS) {
+			if c.Job.Team == r.Team && c.Job.PriorityRank() > r.PriorityRank && !c.IsStopping() && (!found || c.costS < best.costS) {
 				best, found = c, true
 			}
 		}
@@ -217,7 +217,7 @@
 			continue
 		}
 		chosen = append(chosen, c)
-		cost += c.lossS * c.Job.CPUs
+		cost += c.costS * c.Job.CPUs
 		if free = free.Add(c.Job.Request(), 1); free.Fits(r.Request) {
 			return chosen, cost
 		}
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -50,18 +50,18 @@
 	}
 	s.lastRun = now
 	waiting := waitingByPriority(ready, byID)
-	lowest := lowestPreemptibleRank(s.cluster.RunnableJobs())
-	if len(waiting) == 0 || waiting[0].PriorityRank >= lowest {
+	lowestRank := lowestPreemptibleRank(s.cluster.RunnableJobs())
+	if len(waiting) == 0 || waiting[0].PriorityRank >= lowestRank {
 		return 0
 	}
 	p := newPass(now, &s.cluster)
 	for _, r := range waiting {
-		if r.PriorityRank >= lowest {
+		if r.PriorityRank >= lowestRank {
 			break
 		}
 		p.makeCapacityForJob(r, byID[r.JobID])
 	}
-	return p.stops
+	return p.stopCount
 }
 
 // lowestPreemptibleRank returns the rank of the lowest priority among the running jobs that save
@@ -91,5 +91,5 @@
 // candidate is an attempt that may be stopped.
 type candidate struct {
 	*machines.Attempt
-	lossS float64 // lost progress, plus the cost of the delay to its job, in seconds
+	costS float64 // lost progress, plus the cost of the delay to its job, in seconds
 }
--- a/internal/preemption/preemption_test.go
+++ b/internal/preemption/preemption_test.go
@@ -14,7 +14,7 @@
 	"switchshore.example/switchshore/wire"
 )
 
-var start = time.Unix(1_700_000_000, 0)
+var baseTime = time.Unix(1_700_000_000, 0)
 
 // cluster consists of one machine with eight CPUs.
 type cluster struct {
@@ -26,7 +26,7 @@
 }
 
 func newCluster() *cluster {
-	m := machines.New(start, "m1", "std-8", "a", "", false)
+	m := machines.New(baseTime, "m1", "std-8", "a", "", false)
 	m.SetCapacity(placement.Resources{CPUs: 8, MemoryGB: 32})
 	c := &cluster{registry: machines.NewRegistry(), machine: m, teamFreeCPUs: 100}
 	c.registry.Add(m)
@@ -34,18 +34,18 @@
 }
 
 func newJob(id string, priority string, cpus float64) *jobs.Job {
-	return jobs.New(wire.Job{ID: id, Team: "blue", Priority: priority, Tasks: 1, CPUs: cpus, CheckpointIntervalS: 30}, 0, start)
+	return jobs.New(wire.Job{ID: id, Team: "blue", Priority: priority, Tasks: 1, CPUs: cpus, CheckpointIntervalS: 30}, 0, baseTime)
 }
 
 // addRunning adds an attempt to the machine that has been running since the given time.
 func (c *cluster) addRunning(j *jobs.Job, since time.Time) *machines.Attempt {
-	return c.addRunningAfterWait(j, since, false)
+	return c.addRunningWithAge(j, since, false)
 }
 
-// addRunningAfterWait is like addRunning, and sets whether the attempt was placed because its job
+// addRunningWithAge is like addRunning, and sets whether the attempt was placed because its job
 // had waited long.
-func (c *cluster) addRunningAfterWait(j *jobs.Job, since time.Time, afterLongWait bool) *machines.Attempt {
-	a := machines.NewPendingAttempt(c.machine, j, 0, since, 1, afterLongWait)
+func (c *cluster) addRunningWithAge(j *jobs.Job, since time.Time, placedWhileAged bool) *machines.Attempt {
+	a := machines.NewPendingAttempt(c.machine, j, 0, since, 1, placedWhileAged)
 	a.ApplyReport(since, machines.Running)
 	c.machine.AddAttempt(a)
 	j.AddRunning()
@@ -59,13 +59,13 @@
 	r := j.Constraints()
 	r.JobID, r.Team, r.PriorityRank = j.ID, j.Team, j.PriorityRank()
 	p := preemption.New(preemption.Cluster{
-		Machines:       c.registry,
-		IsSchedulable:  func(time.Time, *machines.Machine) bool { return true },
-		RemainingS:     func(time.Time, *machines.Attempt) float64 { return 600 },
-		RunnableJobs: func() iter.Seq[*jobs.Job] { return slices.Values(c.running) },
-		FetchGBPerS:    func(string) float64 { return 1 },
-		TeamFreeCPUs:   func(string) (float64, bool) { return c.teamFreeCPUs, true },
-		OnStopRequested:         func(*machines.Machine) { c.onStopCalls++ },
+		Machines:        c.registry,
+		IsSchedulable:   func(time.Time, *machines.Machine) bool { return true },
+		RemainingS:      func(time.Time, *machines.Attempt) float64 { return 600 },
+		RunnableJobs:    func() iter.Seq[*jobs.Job] { return slices.Values(c.running) },
+		FetchGBPerS:     func(string) float64 { return 1 },
+		TeamFreeCPUs:    func(string) (float64, bool) { return c.teamFreeCPUs, true },
+		OnStopRequested: func(*machines.Machine) { c.onStopCalls++ },
 	})
 	return p.Run(now, []*placement.PendingJob{r}, map[string]*jobs.Job{j.ID: j})
 }
@@ -74,7 +74,7 @@
 // more recent checkpoint is stopped, and the capacity is reserved.
 func TestPreemptionStopsAttemptWithLeastLoss(t *testing.T) {
 	c := newCluster()
-	now := start.Add(tuning.AgedMinRunTime + 600*time.Second)
+	now := baseTime.Add(tuning.AgedMinRunTime + 600*time.Second)
 	moreLoss := c.addRunning(newJob("job-1", wire.PriorityIdle, 4), now.Add(-620*time.Second))
 	lessLoss := c.addRunning(newJob("job-2", wire.PriorityIdle, 4), now.Add(-605*time.Second))
 	if n := c.preempt(now, newJob("job-3", wire.PriorityHigh, 4)); n != 1 || c.onStopCalls != 1 {
@@ -91,7 +91,7 @@
 // TestPreemptionStopsNothingWithoutBenefit: no attempt is stopped if the waiting task could not
 // start even then, or if the running attempts have the same priority.
 func TestPreemptionStopsNothingWithoutBenefit(t *testing.T) {
-	now := start.Add(tuning.AgedMinRunTime + 600*time.Second)
+	now := baseTime.Add(tuning.AgedMinRunTime + 600*time.Second)
 	for name, test := range map[string]struct {
 		waitingPriority string
 		runningPriority string
@@ -115,16 +115,16 @@
 	}
 }
 
-// TestPreemptionDelayedAfterLongWait: an attempt that was placed because its job had waited long
+// TestAttemptPlacedWhileAgedRunsMinimumTime: an attempt that was placed because its job had waited long
 // may be stopped only after tuning.AgedMinRunTime.
-func TestPreemptionDelayedAfterLongWait(t *testing.T) {
+func TestAttemptPlacedWhileAgedRunsMinimumTime(t *testing.T) {
 	c := newCluster()
-	c.addRunningAfterWait(newJob("job-1", wire.PriorityIdle, 8), start, true)
-	early := start.Add(tuning.AgedMinRunTime - time.Second)
+	c.addRunningWithAge(newJob("job-1", wire.PriorityIdle, 8), baseTime, true)
+	early := baseTime.Add(tuning.AgedMinRunTime - time.Second)
 	if n := c.preempt(early, newJob("job-2", wire.PriorityHigh, 4)); n != 0 {
 		t.Fatalf("%d stopped before the minimum run time, want 0", n)
 	}
-	late := start.Add(tuning.AgedMinRunTime.Truncate(30*time.Second) + 60*time.Second)
+	late := baseTime.Add(tuning.AgedMinRunTime.Truncate(30*time.Second) + 60*time.Second)
 	if n := c.preempt(late, newJob("job-2", wire.PriorityHigh, 4)); n != 1 {
 		t.Fatalf("%d stopped after the minimum run time, want 1", n)
 	}
