--- a/internal/machines/attempt.go
+++ b/internal/machines/attempt.go
@@ -11,38 +11,38 @@
 
 // Attempt is one run of a task on one machine.
 type Attempt struct {
-	// Machine, Job and Index name the task and its machine. They never change.
+	// Job and Index identify the task, Machine is where the attempt runs. They never change.
 	Machine *Machine
 	Job     *jobs.Job
 	Index   int32
 
 	state           AttemptState
 	allocated       bool // its resources are counted as used on its machine
-	placedWhileAged bool // placed while its job counted as aged
-	checkpointSaved bool // saved a checkpoint when it was stopped
-	failed          bool // ended with an error of the task itself
+	placedWhileAged bool // placed while its job counted as aged (see tuning.AgedMinRunTime)
+	checkpointSaved bool // the task saved a checkpoint when it was stopped
+	failed          bool // the task itself ended with an error
 
-	// StartRecord is the start record that contains the attempt. Its type belongs to the package that
-	// stores it.
+	// StartRecord is the stored start record that contains the attempt. Package startlog sets it
+	// and defines its type.
 	StartRecord any
 
 	number         uint64
-	taskListNumber uint64 // number of the last task list that contained it
+	taskListNumber uint64 // number of the last task list that contained the attempt
 	createdAt      time.Time
-	runningAt      time.Time // when it was first reported as running, or zero
+	runningAt      time.Time // when the machine first reported it as running, or zero
 	startDelivery
 	stopRequest
 }
 
 // startDelivery records how the start of an attempt was sent.
 type startDelivery struct {
-	// responseSequence is the sequence number of the heartbeat in whose response the start was last
-	// sent, 0 if none.
+	// responseSequence is the sequence number of the heartbeat in whose response the start was
+	// last sent. It is 0 if the start was sent in no response, or the response had no effect.
 	responseSequence uint64
-	// sentDirectly is set once the start was sent by a direct call that has had no reply. The
-	// agent may then run it at any later time in the session. So the attempt keeps its
-	// resources, its start is sent again in responses to heartbeats, and the agent isn't told to
-	// forget its exit.
+	// sentDirectly is set while a direct call with the start has had no reply. The agent may
+	// execute that start at any later time in the session. Until then the attempt keeps its
+	// resources, the start is sent again in responses to heartbeats, and the agent isn't told to
+	// forget the attempt's exit.
 	sentDirectly bool
 }
 
@@ -51,16 +51,16 @@
 	gracePeriodS   float64
 	stopping       bool
 	directStopSent bool
-	// evicting: a drain stops the attempt once the charge against its budget is durable.
+	// evicting: a drain stops the attempt once the charge against the team's budget is durable.
 	evicting bool
 }
 
-// NewAttempt returns an attempt that may have been started under an earlier leader.
+// NewAttempt returns an attempt that an earlier leader may have started.
 func NewAttempt(m *Machine, j *jobs.Job, index int32, now time.Time) *Attempt {
 	return &Attempt{Machine: m, Job: j, Index: index, state: PossiblyStarted, createdAt: now}
 }
 
-// NewPendingAttempt returns an attempt that is started once its record is durable.
+// NewPendingAttempt returns an attempt whose start is sent once its start record is durable.
 func NewPendingAttempt(m *Machine, j *jobs.Job, index int32, now time.Time, number uint64, placedWhileAged bool) *Attempt {
 	return &Attempt{
 		Machine: m, Job: j, Index: index,
@@ -87,7 +87,8 @@
 // HasRun reports whether the machine has reported the attempt as running.
 func (a *Attempt) HasRun() bool { return !a.runningAt.IsZero() }
 
-// RunTime returns the time since the attempt was first reported as running.
+// RunTime returns the time since the attempt was first reported as running. The result has no
+// meaning unless HasRun.
 func (a *Attempt) RunTime(now time.Time) time.Duration { return now.Sub(a.runningAt) }
 
 // ShouldRun reports whether the attempt's task is still needed and the attempt isn't being
@@ -97,7 +98,7 @@
 // IsNeeded reports whether the job still needs the attempt's task to run, on any machine.
 func (a *Attempt) IsNeeded() bool { return a.Job.NeedsTask(int(a.Index)) }
 
-// changeState changes to the next state. It panics on an illegal transition, which is a bug of
+// changeState changes to the next state. It panics on an illegal transition, which is a bug in
 // the caller.
 func (a *Attempt) changeState(next AttemptState) {
 	if !a.state.CanBecome(next) {
@@ -109,9 +110,9 @@
 // MarkStartRecorded records that the start record is durable, so that the start may be sent.
 func (a *Attempt) MarkStartRecorded() { a.changeState(StartSent) }
 
-// MarkInTaskList records that a task list contains the task with the given attempt number. The agent
-// refuses a newer attempt while it has another one of the same task, so the listed number
-// replaces the attempt's own.
+// MarkInTaskList records that a task list contains the task with the given attempt number. That
+// number replaces the attempt's own if they differ: the agent refuses a newer attempt while it
+// has another one of the same task.
 func (a *Attempt) MarkInTaskList(listNumber, number uint64) {
 	a.taskListNumber, a.number = listNumber, number
 }
@@ -122,8 +123,8 @@
 // IsInTaskList reports whether the last task list that contained the attempt has the given number.
 func (a *Attempt) IsInTaskList(listNumber uint64) bool { return a.taskListNumber == listNumber }
 
-// ApplyReport applies the state that the machine reports, and reports whether the attempt has
-// begun to run.
+// ApplyReport applies the state that the machine reports. It returns true if the report is the
+// first one that shows the attempt as running or saving.
 func (a *Attempt) ApplyReport(now time.Time, reported AttemptState) (began bool) {
 	before := a.state
 	if reported == before {
@@ -138,12 +139,12 @@
 	return true
 }
 
-// MarkExited records how the attempt has ended.
+// MarkExited records whether the ended attempt saved a checkpoint, and whether it failed.
 func (a *Attempt) MarkExited(checkpointSaved, failed bool) {
 	a.checkpointSaved, a.failed = checkpointSaved, failed
 }
 
-// HasFailed reports whether the attempt has ended with an error of the task itself.
+// HasFailed reports whether the task itself ended with an error.
 func (a *Attempt) HasFailed() bool { return a.failed }
 
 // RecordProgress adds the progress of an ended attempt to its job.
@@ -153,7 +154,7 @@
 	}
 }
 
-// LostProgressS returns the run time in seconds that is lost by the end of the attempt.
+// LostProgressS returns the run time in seconds that would be lost if the attempt ended now.
 func (a *Attempt) LostProgressS(now time.Time) float64 {
 	switch {
 	case a.checkpointSaved:
@@ -164,11 +165,11 @@
 	return a.RunTime(now).Seconds()
 }
 
-// UnsavedProgressS returns the run time in seconds since the last periodic checkpoint. The job
-// must save checkpoints.
+// UnsavedProgressS returns the run time in seconds since the last periodic checkpoint. The
+// checkpoint interval of the job must not be 0.
 func (a *Attempt) UnsavedProgressS(now time.Time) float64 {
 	return math.Mod(a.RunTime(now).Seconds(), a.Job.CheckpointIntervalS)
 }
 
-// TaskName returns the name of the task on the wire.
+// TaskName returns the name that the task has in the protocol with the agents.
 func (a *Attempt) TaskName() string { return wire.TaskName(a.Job.ID, int(a.Index)) }
--- a/internal/machines/attempt_commands.go
+++ b/internal/machines/attempt_commands.go
@@ -2,8 +2,8 @@
 
 import "switchshore.example/switchshore/wire"
 
-// NeedsStart reports whether the start of the attempt has to be sent: it should run, and no task
-// list has contained it yet.
+// NeedsStart reports whether the start of the attempt has to be sent: its start record is
+// durable, it should run, and no task list has contained it yet.
 func (a *Attempt) NeedsStart() bool { return a.state == StartSent && a.ShouldRun() }
 
 // StartCommand returns the command that starts the attempt.
@@ -14,11 +14,12 @@
 // MarkStartSentInResponse records that the start was sent in the response to the given heartbeat.
 func (d *startDelivery) MarkStartSentInResponse(sequence uint64) { d.responseSequence = sequence }
 
-// StartSentInResponse reports whether the start was sent in a response that isn't known to be
-// ignored.
+// StartSentInResponse reports whether the start was sent in a response that may still have an
+// effect.
 func (d *startDelivery) StartSentInResponse() bool { return d.responseSequence != 0 }
 
-// MarkStartResponseIneffective records that the start sent in a response had no effect and never will.
+// MarkStartResponseIneffective records that the start sent in a response had no effect and never
+// will.
 func (d *startDelivery) MarkStartResponseIneffective() { d.responseSequence = 0 }
 
 // MarkStartSentDirectly records that the start was sent by a direct call.
@@ -30,8 +31,8 @@
 // StartSentDirectly reports whether a start sent by a direct call may still arrive late.
 func (d *startDelivery) StartSentDirectly() bool { return d.sentDirectly }
 
-// MayStartLate reports whether the machine has not reported the attempt yet and a start sent by a
-// direct call may still arrive.
+// MayStartLate reports whether a start sent by a direct call may still arrive, and the machine
+// has not reported the attempt yet.
 func (a *Attempt) MayStartLate() bool { return a.state == StartSent && a.sentDirectly }
 
 // RequestStop requests that the attempt is stopped without a grace period.
@@ -52,7 +53,7 @@
 // IsStopping reports whether a stop of the attempt was requested.
 func (a *Attempt) IsStopping() bool { return a.stopping }
 
-// PlanEviction records that a drain stops the attempt once the charge for that is durable.
+// PlanEviction records that a drain stops the attempt once the charge for the eviction is durable.
 func (a *Attempt) PlanEviction() { a.evicting = true }
 
 // RevertEviction cancels a planned eviction.
@@ -67,23 +68,24 @@
 // IsEvicting reports whether an eviction of the attempt is planned or requested.
 func (a *Attempt) IsEvicting() bool { return a.evicting }
 
-// NeedsStop reports whether the stop of the attempt has to be sent in a response: the machine has
-// reported the attempt, and it isn't saving its checkpoint already. The caller has to stop tasks
-// that the job no longer needs.
+// NeedsStop reports whether a requested stop has to be sent in a response: the machine has
+// reported the attempt, and the attempt isn't already saving a checkpoint in a grace period. It
+// is false for a task that the job no longer needs; the caller stops such tasks itself.
 func (a *Attempt) NeedsStop() bool {
-	isSaving := a.state == Saving && a.gracePeriodS > 0
+	isSaving := a.state == Saving && a.gracePeriodS > 0 // a stop without a grace period ends the save
 	return a.stopping && a.IsNeeded() && a.state.IsReported() && !isSaving
 }
 
-// ClaimDirectStop reports whether the stop has to be sent by a direct call, and then marks it as
-// sent. A stop that arrives late does no harm, as attempt numbers are never reused.
+// ClaimDirectStop reports whether the stop has to be sent by a direct call. If so, it marks the
+// stop as sent, so that only one direct call contains it. A stop that arrives late does no harm:
+// it names the attempt by its number, which is never reused.
 func (a *Attempt) ClaimDirectStop() bool {
 	needed := a.stopping && a.state.IsReported() && !a.directStopSent
 	a.directStopSent = a.directStopSent || needed
 	return needed
 }
 
-// GracePeriodS returns the time in seconds that the attempt gets to save a checkpoint when
+// GracePeriodS returns the time in seconds that the attempt gets to save a checkpoint when it is
 // stopped.
 func (a *Attempt) GracePeriodS() float64 { return a.gracePeriodS }
 
--- a/internal/machines/attempt_state.go
+++ b/internal/machines/attempt_state.go
@@ -13,11 +13,13 @@
 
 // States of an attempt.
 const (
-	// PossiblyStarted: an earlier leader recorded that the task may have been started here.
+	// PossiblyStarted: a start record of an earlier leader contains the attempt, or the task list
+	// of a machine contains a task that this leader didn't know of.
 	PossiblyStarted AttemptState = iota
 	// RecordPending: the start record is not durable yet.
 	RecordPending
-	// StartSent: the start is sent in every response until a heartbeat reports the task.
+	// StartSent: the start record is durable. The start is sent, and sent again in responses until
+	// the machine reports the task.
 	StartSent
 	// Fetching: the machine fetches the image.
 	Fetching
@@ -27,13 +29,13 @@
 	Saving
 )
 
-// reportedStates are the states that a machine can report. Any of them may come first, as a task
-// may pass through states between two heartbeats.
+// reportedStates are the states that a machine can report. Any of them may be reported first, as a
+// task may pass through several states between two heartbeats.
 var reportedStates = []AttemptState{Fetching, Running, Saving}
 
-// attemptTransitions maps each state to its legal successors. A reported state may follow any
-// other: the machine's task list is authoritative, also if it contains an earlier attempt of the
-// task.
+// attemptTransitions maps each state to the states that may follow it. A reported state may follow
+// any state: the machine's task list is authoritative, even if it contains an earlier attempt of
+// the task.
 var attemptTransitions = map[AttemptState][]AttemptState{
 	PossiblyStarted: reportedStates,
 	RecordPending:   append([]AttemptState{StartSent}, reportedStates...),
@@ -73,7 +75,8 @@
 	return fmt.Sprintf("AttemptState(%d)", int(s))
 }
 
-// ReportedState returns the attempt state for a reported task state other than exited.
+// ReportedState returns the attempt state for a task state in a heartbeat, which must not be
+// exited. Unknown task states count as fetching.
 func ReportedState(taskState string) AttemptState {
 	switch taskState {
 	case wire.TaskRunning:
--- a/internal/machines/capacity.go
+++ b/internal/machines/capacity.go
@@ -11,12 +11,12 @@
 // capacity holds a machine's total, free and reserved resources.
 type capacity struct {
 	total, free placement.Resources
-	fullUntil   time.Time // no new tasks before this time
+	fullUntil   time.Time // the machine gets no new tasks before this time
 	// Until reservedUntil, free resources are reserved for tasks of reservedRank or a higher
 	// priority.
 	reservedUntil time.Time
 	reservedRank  int
-	// snapshot is the machine as placement passes see it. It is rebuilt once outdated.
+	// snapshot is the machine as placement passes see it. It is rebuilt when it is outdated.
 	snapshot         *placement.Machine
 	snapshotOutdated bool
 }
@@ -27,7 +27,7 @@
 // Free returns the resources that the machine's attempts leave free.
 func (c *capacity) Free() placement.Resources { return c.free }
 
-// SetCapacity sets the machine's capacity once its type is known.
+// SetCapacity sets the machine's capacity once its type is known. It ignores later calls.
 func (c *capacity) SetCapacity(total placement.Resources) {
 	if c.total == (placement.Resources{}) {
 		c.total = total
@@ -39,10 +39,10 @@
 // lack of capacity.
 func (c *capacity) MarkFull(until time.Time) { c.fullUntil = until }
 
-// Reserve reserves resources that become free on the machine, for tuning.PreemptReservation,
-// from tasks of a lower priority than rank. Preempted tasks end one by one. Without a
-// reservation, they would be placed again in the resources that become free first, would have to
-// be preempted again, and the task that needs all of the resources could not start.
+// Reserve reserves the machine's free resources for tasks of the priority rank or a higher one,
+// for tuning.PreemptReservationTime. Preempted tasks end one by one. Without the reservation, the
+// first ones to end would be placed again in the resources that they freed, and the task that
+// needs all of these resources could not start.
 func (c *capacity) Reserve(now time.Time, rank int) {
 	if !now.Before(c.reservedUntil) || rank < c.reservedRank {
 		c.reservedRank = rank
@@ -79,8 +79,8 @@
 // MarkSnapshotOutdated marks the cached snapshot as outdated, so that it is rebuilt.
 func (c *capacity) MarkSnapshotOutdated() { c.snapshotOutdated = true }
 
-// CachedSnapshot returns the cached snapshot of the machine, or nil if the machine has changed
-// since or a placement pass has modified the snapshot.
+// CachedSnapshot returns the cached snapshot. It returns nil if the machine has changed since the
+// snapshot was built, or a placement pass has modified the snapshot.
 func (c *capacity) CachedSnapshot() *placement.Machine {
 	if c.snapshotOutdated || c.snapshot.Modified {
 		return nil
@@ -88,8 +88,8 @@
 	return c.snapshot
 }
 
-// ResetSnapshot overwrites the cached snapshot by one with the machine's capacity and images, and
-// without placed tasks. The caller adds these.
+// ResetSnapshot sets the cached snapshot to the machine's current capacity and images and returns
+// it. The caller adds the placed tasks, the fetch bandwidth and the price.
 func (m *Machine) ResetSnapshot() *placement.Machine {
 	s := m.snapshot
 	if s == nil {
--- a/internal/machines/catalogue.go
+++ b/internal/machines/catalogue.go
@@ -14,20 +14,20 @@
 // Catalogue holds the machine types that the cloud has offered in this term.
 type Catalogue struct {
 	types   map[string]wire.MachineType
-	offered []wire.MachineType // in the order of the cloud's last response
-	stored  json.RawMessage    // as encoded in the key-value store
+	offered []wire.MachineType // those of the cloud's last response, in its order
+	stored  json.RawMessage    // the encoded types as last written to the key-value store
 }
 
 // NewCatalogue returns an empty catalogue.
 func NewCatalogue() *Catalogue { return &Catalogue{types: map[string]wire.MachineType{}} }
 
-// HasAnyType reports whether the catalogue contains any type.
+// HasAnyType reports whether the catalogue contains at least one type.
 func (c *Catalogue) HasAnyType() bool { return len(c.types) > 0 }
 
 // Type returns the type of that name, or the zero value if it is unknown.
 func (c *Catalogue) Type(name string) wire.MachineType { return c.types[name] }
 
-// HasType reports whether the catalogue contains the type.
+// HasType reports whether the catalogue contains the type with the name.
 func (c *Catalogue) HasType(name string) bool {
 	_, ok := c.types[name]
 	return ok
@@ -39,12 +39,12 @@
 // TypeNames returns the names of all types that the cloud has offered in this term, sorted.
 func (c *Catalogue) TypeNames() []string { return slices.Sorted(maps.Keys(c.types)) }
 
-// OfferedTypes returns the types in the order of the cloud's last response. The caller must not
+// OfferedTypes returns the types of the cloud's last response, in its order. The caller must not
 // modify the slice.
 func (c *Catalogue) OfferedTypes() []wire.MachineType { return c.offered }
 
-// SetOfferedTypes applies the types of the cloud's last response. Types that are no longer offered stay in
-// the catalogue, as there may be machines of them.
+// SetOfferedTypes applies the types of the cloud's last response. Types that are no longer offered
+// stay in the catalogue, as machines of these types may still exist.
 func (c *Catalogue) SetOfferedTypes(types []wire.MachineType) {
 	c.offered = types
 	for _, t := range types {
@@ -52,15 +52,15 @@
 	}
 }
 
-// SetStoredTypes records the types as encoded in the key-value store, and reports whether they differ
-// from the last ones.
+// SetStoredTypes records the encoded types that the key-value store contains or is about to
+// contain. It reports whether they differ from the previous ones.
 func (c *Catalogue) SetStoredTypes(value json.RawMessage) (changed bool) {
 	changed = !bytes.Equal(value, c.stored)
 	c.stored = value
 	return changed
 }
 
-// Price returns the current price of the machine.
+// Price returns the current price of the machine, which depends on whether it is a spot machine.
 func (c *Catalogue) Price(m *Machine) float64 {
 	if m.Spot {
 		return c.types[m.Type].SpotPrice
@@ -77,8 +77,8 @@
 	return zones
 }
 
-// Offerings returns an empty machine for each offered type and zone for which include returns
-// true.
+// Offerings returns a machine without an ID and without tasks for each offered type and zone for
+// which include returns true.
 func (c *Catalogue) Offerings(include func(machineType, zone string) bool) []*placement.Machine {
 	var offerings []*placement.Machine
 	for _, t := range c.offered {
--- a/internal/machines/delivery.go
+++ b/internal/machines/delivery.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// responseDelivery holds the evidence on whether responses reach a machine whose heartbeats
-// arrive.
+// responseDelivery holds the data from which the leader concludes whether its responses reach a
+// machine whose heartbeats arrive.
 type responseDelivery struct {
-	// gaplessSince is when the current series of heartbeats without a gap began, epochSince when
-	// the current session began.
+	// gaplessSince is when the current series of heartbeats without a gap began, sessionSince is
+	// when the current session began.
 	gaplessSince time.Time
 	sessionSince time.Time
 	// ineffectiveResponses counts the responses in a row whose starts had no effect, ignoredAt is the
@@ -17,20 +17,22 @@
 	responsesLostSince   time.Time
 }
 
-// DetectLostResponses updates, for a heartbeat with the given epoch, whether responses reach the
-// machine. It reports whether this heartbeat has revealed that they don't.
+// DetectLostResponses determines from the epoch of a heartbeat whether responses reach the machine.
+// It returns true if this heartbeat shows for the first time that they don't.
 //
-// An agent that gets no responses begins a new session when its lease expires. So a new session
-// right after heartbeats without a gap shows that responses are lost. Without this check, the
-// machine would be sent starts forever that it never gets. A session that outlasts the lease
-// shows that responses arrive again.
+// An agent that gets no responses begins a new session when its lease expires. If a new session
+// follows a series of heartbeats without a gap, which lasted for a lease or longer, responses must
+// have been lost. Without this check, the leader would go on assigning tasks to a machine that
+// never receives their starts. A session that lasts longer than the lease shows that responses
+// arrive again.
 func (m *Machine) DetectLostResponses(now time.Time, epoch uint64, t *Timing) (lost bool) {
 	m.staleHeartbeats = 0
 	if m.firstHeartbeatAt.IsZero() {
 		m.firstHeartbeatAt = now
 	}
 	if m.HeartbeatOverdue(now, t) {
-		// Heartbeats before the gap are no evidence: a network partition may have delayed them.
+		// A network partition may have caused the gap, so heartbeats before it don't show whether
+		// responses arrive.
 		m.gaplessSince = now
 	}
 	if epoch != m.epoch {
@@ -49,12 +51,12 @@
 	return lost
 }
 
-// RecordIneffectiveResponse records that the starts in an earlier response had no effect.
+// RecordIneffectiveResponse records that the starts in the last response had no effect.
 func (d *responseDelivery) RecordIneffectiveResponse(now time.Time) {
 	d.ineffectiveResponses++
 	d.lastIneffectiveAt = now
 }
 
-// RecordStartExecuted records that the machine has carried out a start, so that responses do
-// have an effect.
+// RecordStartExecuted records that the machine has executed a start. It thus gets responses, and
+// they have an effect.
 func (d *responseDelivery) RecordStartExecuted() { d.ineffectiveResponses = 0 }
--- a/internal/machines/direct.go
+++ b/internal/machines/direct.go
@@ -4,19 +4,19 @@
 
 // directCalls holds the state of direct calls to a machine.
 type directCalls struct {
-	calling   bool      // a call is in progress
-	callAfter time.Time // earliest time of the next call, after one without a reply
-	queued    bool      // in the queue of machines to call
+	calling   bool      // a direct call to the machine is in progress
+	callAfter time.Time // earliest time of the next call; set after a call without a reply
+	queued    bool      // the machine is in the queue of machines to call
 }
 
-// CanBeCalled reports whether a direct call to the machine is likely to succeed now. Commands
-// that are not sent by a direct call are sent in the response to the next heartbeat.
+// CanBeCalled reports whether a direct call to the machine may begin now and is likely to succeed.
+// Otherwise its commands are sent in the response to the next heartbeat.
 func (m *Machine) CanBeCalled(now time.Time, t *Timing) bool {
 	return !m.calling && m.Addr != "" && !now.Before(m.callAfter) && m.reconciled &&
 		!m.IsCordonedFor(CordonUnresponsive) && !m.HeartbeatOverdue(now, t)
 }
 
-// QueueCall marks the machine as queued for a call, and reports whether it was not queued before.
+// QueueCall marks the machine as queued for a call. It returns false if it was queued already.
 func (d *directCalls) QueueCall() bool {
 	if d.queued {
 		return false
@@ -34,7 +34,7 @@
 // EndCall records that the call has ended.
 func (d *directCalls) EndCall() { d.calling = false }
 
-// DelayCalls suspends calls until the given time.
+// DelayCalls prevents calls before the given time.
 func (d *directCalls) DelayCalls(until time.Time) { d.callAfter = until }
 
 // IsBeingCalled reports whether a call is in progress.
