--- a/internal/machines/attempt.go
+++ b/internal/machines/attempt.go
@@ -40,7 +40,7 @@
 	// last sent. It is 0 if the start was sent in no response, or the response had no effect.
 	responseSequence uint64
 	// sentDirectly is set while a direct call with the start has had no reply. The agent may
-	// execute that start at any later time in the session. Until then the attempt keeps its
+	// execute that start at any later time in the session. So the attempt keeps its
 	// resources, the start is sent again in responses to heartbeats, and the agent isn't told to
 	// forget the attempt's exit.
 	sentDirectly bool
--- a/internal/machines/attempt_state.go
+++ b/internal/machines/attempt_state.go
@@ -13,8 +13,7 @@
 
 // States of an attempt.
 const (
-	// PossiblyStarted: a start record of an earlier leader contains the attempt, or the task list
-	// of a machine contains a task that this leader didn't know of.
+	// PossiblyStarted: an earlier leader may have started the task on the machine.
 	PossiblyStarted AttemptState = iota
 	// RecordPending: the start record is not durable yet.
 	RecordPending
--- a/internal/machines/catalogue.go
+++ b/internal/machines/catalogue.go
@@ -68,7 +68,7 @@
 	return c.types[m.Type].Price
 }
 
-// OfferedZones returns the zones in which any type is offered. OfferedZones may be repeated.
+// OfferedZones returns the zones in which the cloud offers types. A zone may occur several times.
 func (c *Catalogue) OfferedZones() []string {
 	var zones []string
 	for _, t := range c.offered {
--- a/internal/machines/cordon.go
+++ b/internal/machines/cordon.go
@@ -14,8 +14,8 @@
 	CordonConsolidated
 	// CordonLateStart: the machine may still receive the start of a task that must no longer run.
 	CordonLateStart
-	// CordonAgentReplaced: a new agent has replaced the earlier one, and its epochs begin at 1
-	// again. Only the release of the machine proves that the earlier agent's tasks have ended.
+	// CordonAgentReplaced: a new agent has replaced the earlier one and counts its epochs from
+	// the start again. Only the release of the machine proves that the earlier tasks have ended.
 	CordonAgentReplaced
 	// CordonFaulty: tasks of several jobs have failed on the machine in a row; it is quarantined.
 	CordonFaulty
--- a/internal/machines/delivery.go
+++ b/internal/machines/delivery.go
@@ -9,9 +9,9 @@
 	// when the current session began.
 	gaplessSince time.Time
 	sessionSince time.Time
-	// ineffectiveResponses counts the responses in a row whose starts had no effect, ignoredAt is the
-	// time of the last one. responsesLostSince is when responses turned out not to reach the
-	// machine, zero while they do.
+	// ineffectiveResponses counts the responses in a row whose starts had no effect,
+	// lastIneffectiveAt is the time of the last one. responsesLostSince is when it was detected
+	// that responses don't reach the machine, zero while they do.
 	ineffectiveResponses int
 	lastIneffectiveAt    time.Time
 	responsesLostSince   time.Time
--- a/internal/machines/exit.go
+++ b/internal/machines/exit.go
@@ -9,14 +9,14 @@
 // Exit is an exited attempt in a machine's task list.
 type Exit struct {
 	ExitKey
-	Forget bool // the agent is told to forget the attempt
+	Forget bool // the response tells the agent to forget the attempt
 }
 
-// ClearExited removes all exited attempts, before the next task list is applied.
+// ClearExited removes all exited attempts. It is called before the next task list is applied.
 func (m *Machine) ClearExited() { m.exited = m.exited[:0] }
 
 // AddExited adds an exited attempt of the task list. The agent is told to forget the attempt if
-// it is unneeded, unless RetainExit forbids that.
+// unneeded is true and RetainExit was not called for the attempt in this session.
 func (m *Machine) AddExited(key ExitKey, unneeded bool) {
 	m.exited = append(m.exited, Exit{ExitKey: key, Forget: unneeded && !m.retainedExits[key]})
 }
@@ -24,6 +24,7 @@
 // Exited returns the exited attempts of the last task list. The caller must not modify the slice.
 func (m *Machine) Exited() []Exit { return m.exited }
 
-// RetainExit makes the agent remember the exited attempt for this session. The attempt's start
-// may still arrive late, and an agent that had forgotten the attempt would run it again.
+// RetainExit prevents that the agent is told to forget the exited attempt in this session. The
+// attempt's start may still arrive late, and an agent that had forgotten the attempt would run
+// it again.
 func (m *Machine) RetainExit(key ExitKey) { m.retainedExits[key] = true }
--- a/internal/machines/failures.go
+++ b/internal/machines/failures.go
@@ -5,10 +5,11 @@
 // failures holds the jobs whose tasks have failed on a machine.
 type failures struct {
 	avoidedJobs       map[string]bool // IDs of all jobs with a failed task
-	countedFailedJobs map[string]bool // IDs of jobs that failed in a row, probably because of the machine
+	countedFailedJobs map[string]bool // IDs of jobs whose failures count against the machine
 }
 
-// AvoidJob records that a task of the job has failed on the machine.
+// AvoidJob records that a task of the job has failed on the machine. No further tasks of the job
+// are placed there.
 func (f *failures) AvoidJob(id string) { f.avoidedJobs[id] = true }
 
 // AvoidsJob reports whether a task of the job has failed on the machine.
@@ -18,25 +19,25 @@
 // modify the map.
 func (f *failures) AvoidedJobs() map[string]bool { return f.avoidedJobs }
 
-// CountFailedJob adds a job whose failure the machine has probably caused, and reports whether the
-// machine becomes quarantined by it.
+// CountFailedJob counts a failed job against the machine. It returns true if the machine is
+// quarantined as a result, which means that it is cordoned as faulty.
 func (f *failures) CountFailedJob(id string) (quarantined bool) {
 	wasFaulty := f.isFaulty()
 	f.countedFailedJobs[id] = true
 	return f.isFaulty() && !wasFaulty
 }
 
-// UncountFailedJob removes a job that fails on other machines as well.
+// UncountFailedJob no longer counts a job against the machine, as the job fails on other machines
+// as well.
 func (f *failures) UncountFailedJob(id string) { delete(f.countedFailedJobs, id) }
 
-// RecordTaskSuccess records that a task has completed, which shows that the machine wasn't the
-// cause of earlier failures. A machine that is quarantined already stays so.
+// RecordTaskSuccess records that a task has completed on the machine. Earlier failures then no
+// longer count against it. A machine that is already quarantined remains quarantined.
 func (f *failures) RecordTaskSuccess() {
 	if !f.isFaulty() {
 		clear(f.countedFailedJobs)
 	}
 }
 
-// isFaulty reports whether tasks of so many jobs have failed in a row that the machine counts as
-// faulty.
+// isFaulty reports whether enough failed jobs count against the machine for a quarantine.
 func (f *failures) isFaulty() bool { return len(f.countedFailedJobs) >= tuning.FaultyMachineJobs }
--- a/internal/machines/heartbeat.go
+++ b/internal/machines/heartbeat.go
@@ -10,15 +10,16 @@
 // agentSession holds the state of the agent's session and its heartbeats.
 type agentSession struct {
 	epoch, sequence      uint64
-	lastPeriodicSequence uint64 // of the newest heartbeat that was not a reply to a direct call
-	// expiredEpoch is the last session known to have expired; messages of it are stale.
+	lastPeriodicSequence uint64 // sequence of the newest heartbeat that was not a reply to a direct call
+	// expiredEpoch is the epoch of the last session known to have expired. Messages of that
+	// session and of earlier ones are stale.
 	expiredEpoch     uint64
 	heartbeatAt      time.Time // time of the newest applied heartbeat
 	leaseRenewedAt   time.Time // time of the newest heartbeat that renewed the lease
 	firstHeartbeatAt time.Time // time of the first heartbeat in this term
-	reclaimAt        time.Time // when the cloud reclaims the machine, zero without a notice
-	// staleHeartbeats counts the stale heartbeats since the newest one arrived, staleSince is
-	// when the first of them arrived.
+	reclaimAt        time.Time // when the cloud reclaims the machine, zero if it gave no notice
+	// staleHeartbeats counts the stale heartbeats that have arrived after the newest heartbeat,
+	// staleSince is when the first of them arrived.
 	staleHeartbeats int
 	staleSince      time.Time
 }
@@ -29,7 +30,7 @@
 // Sequence returns the sequence number of the session's newest message.
 func (s *agentSession) Sequence() uint64 { return s.sequence }
 
-// SinceHeartbeat returns the time since the newest applied heartbeat.
+// SinceHeartbeat returns the time since the newest heartbeat was applied.
 func (s *agentSession) SinceHeartbeat(now time.Time) time.Duration { return now.Sub(s.heartbeatAt) }
 
 // IsStale reports whether a heartbeat belongs to an expired or earlier session, or is not newer
@@ -39,8 +40,8 @@
 }
 
 // IsOvertakenByDirectReply reports whether a heartbeat is older than the newest message only
-// because the reply to a direct call arrived before it. If it were refused, the agent would
-// needlessly switch to another node.
+// because a later reply to a direct call has arrived first. If such a heartbeat were refused, the
+// agent would needlessly switch to another node.
 func (s *agentSession) IsOvertakenByDirectReply(r *wire.Heartbeat) bool {
 	return r.AgentEpoch > s.expiredEpoch && r.AgentEpoch == s.epoch && r.Sequence > s.lastPeriodicSequence && r.Sequence <= s.sequence
 }
@@ -51,16 +52,16 @@
 	s.heartbeatAt, s.leaseRenewedAt = now, now
 }
 
-// RecordStaleHeartbeat counts a stale heartbeat.
+// RecordStaleHeartbeat counts a stale heartbeat, and records when the first one arrived.
 func (s *agentSession) RecordStaleHeartbeat(now time.Time) {
 	if s.staleHeartbeats++; s.staleHeartbeats == 1 {
 		s.staleSince = now
 	}
 }
 
-// RecordHeartbeat renews the lease and applies a heartbeat's fields on the machine itself. It
-// reports whether this is the machine's first heartbeat, and whether it contains the first
-// notice that the cloud reclaims the machine.
+// RecordHeartbeat renews the lease and applies the address and the reclaim notice of a heartbeat;
+// the task list is applied elsewhere. joined is true for the machine's first heartbeat, reclaimed
+// for the first one with a notice that the cloud reclaims the machine.
 func (m *Machine) RecordHeartbeat(now time.Time, r *wire.Heartbeat) (joined, reclaimed bool) {
 	m.RenewLease(now, r.Sequence)
 	m.Addr = r.Addr
@@ -73,13 +74,15 @@
 	return joined, reclaimed
 }
 
-// ReclaimIn returns the time until the cloud reclaims the machine, and false without a notice.
+// ReclaimIn returns the time until the cloud reclaims the machine, and false if it gave no notice.
 func (m *Machine) ReclaimIn(now time.Time) (time.Duration, bool) {
 	return m.reclaimAt.Sub(now), !m.reclaimAt.IsZero()
 }
 
-// AdvanceSession records the epoch and sequence number of a message. In a new session, starts of
-// an earlier one can no longer arrive late, so the precautions against them end.
+// AdvanceSession records the epoch and sequence number of a message. The agent executes no starts
+// of earlier sessions. So at the beginning of a session, starts sent directly no longer count as
+// late starts, exits are no longer retained, and a required release is cancelled unless the
+// machine is cordoned for consolidation or a late start.
 func (m *Machine) AdvanceSession(epoch, sequence uint64) {
 	if epoch > m.epoch {
 		clear(m.retainedExits)
--- a/internal/machines/lifecycle.go
+++ b/internal/machines/lifecycle.go
@@ -10,20 +10,20 @@
 // lifecycle holds the state of a machine from provisioning to release.
 type lifecycle struct {
 	provisionedAt         time.Time
-	joined                bool // has sent a heartbeat, in this term or under an earlier leader
-	reconciled            bool // has sent a heartbeat with this term's token: its task list is complete
-	releasing             bool
-	failed                bool
-	inStartRecord         bool      // named in a stored start record
-	missingFromCloudLists int       // cloud lists in a row that lack the machine
-	firstListedAt         time.Time // first seen in the cloud's list in this term
-	idleSince             time.Time
-	// releaseBy is when the machine has to be released, as the start of an ended job may still
-	// arrive late; zero if it doesn't have to be.
+	joined                bool      // has sent a heartbeat, in this term or under an earlier leader
+	reconciled            bool      // a task list of the machine was applied in this term
+	releasing             bool      // its release has begun
+	failed                bool      // the cloud has listed it as failed
+	inStartRecord         bool      // a stored start record names the machine
+	missingFromCloudLists int       // number of successive cloud lists that lack the machine
+	firstListedAt         time.Time // when a cloud list first contained it in this term, or zero
+	idleSince             time.Time // when it lost its last attempt or was reconciled
+	// releaseBy is the time by which the machine has to be released because the start of an ended
+	// job may still arrive late. It is zero if there is no such start.
 	releaseBy time.Time
 }
 
-// ProvisionedAt returns when the machine was provisioned, to the best knowledge of this term.
+// ProvisionedAt returns when the machine was provisioned, as far as this leader knows.
 func (l *lifecycle) ProvisionedAt() time.Time { return l.provisionedAt }
 
 // SetProvisionedAt sets when the machine was provisioned.
@@ -33,12 +33,12 @@
 // leader.
 func (l *lifecycle) HasJoined() bool { return l.joined }
 
-// IsReconciled reports whether a task list of the machine has been applied in this term: its
-// attempts are complete.
+// IsReconciled reports whether a task list of the machine has been applied in this term. Its
+// attempts then include all tasks that may be running on it.
 func (l *lifecycle) IsReconciled() bool { return l.reconciled }
 
-// MarkReconciled records that a task list of the machine has been applied, and reports whether
-// it is the first one in this term.
+// MarkReconciled records that a task list of the machine has been applied. It returns true for the
+// first one in this term.
 func (l *lifecycle) MarkReconciled(now time.Time) (first bool) {
 	if l.reconciled {
 		return false
@@ -48,8 +48,8 @@
 	return true
 }
 
-// MarkInStartRecord records that a stored start record names the machine, so that it had joined under
-// an earlier leader.
+// MarkInStartRecord records that a stored start record names the machine. The machine thus had
+// joined under an earlier leader.
 func (l *lifecycle) MarkInStartRecord() { l.inStartRecord, l.joined = true, true }
 
 // IsReleasing reports whether the release of the machine has begun.
@@ -62,13 +62,13 @@
 // is later.
 func (l *lifecycle) IdleFor(now time.Time) time.Duration { return now.Sub(l.idleSince) }
 
-// WasListedByCloud reports whether the cloud has listed the machine in this term.
+// WasListedByCloud reports whether a cloud list of this term has contained the machine.
 func (l *lifecycle) WasListedByCloud() bool { return !l.firstListedAt.IsZero() }
 
-// ApplyCloudListing applies the machine's row of a cloud list that was requested at requestedAt.
+// ApplyCloudListing applies the machine's entry in a cloud list that was requested at requestedAt.
 func (m *Machine) ApplyCloudListing(requestedAt, now time.Time, row *wire.ListedMachine) {
-	// Machines that an earlier leader provisioned are older than this term. If they counted as
-	// new, idle ones would be kept for their minimum billing time once more.
+	// A machine that an earlier leader provisioned is older than this term. If it counted as new,
+	// it would be kept for the minimum billing time once more even if it is idle.
 	if at := requestedAt.Add(-seconds.Duration(row.AgeS)); at.Before(m.provisionedAt) {
 		m.provisionedAt = at
 	}
@@ -84,10 +84,10 @@
 	}
 }
 
-// CountMissingFromCloudList counts a cloud list that lacks the machine, and reports whether the
-// machine has been deleted for certain. A machine stays listed as long as it exists. So a list
-// proves the deletion if it was requested more than longestLag after the machine was first
-// listed: it shows a state in which the machine was listed already.
+// CountMissingFromCloudList counts a cloud list that lacks the machine. It returns true if the list
+// proves that the machine was deleted. Once listed, a machine stays listed as long as it exists,
+// and a list shows a state that is at most longestLag older than the request. So a list that was
+// requested more than longestLag after the first listing lacks the machine only if it was deleted.
 func (l *lifecycle) CountMissingFromCloudList(requestedAt time.Time, longestLag time.Duration) (deleted bool) {
 	if !l.WasListedByCloud() && !l.inStartRecord {
 		return false
--- a/internal/machines/machine.go
+++ b/internal/machines/machine.go
@@ -19,18 +19,18 @@
 	directCalls
 	failures
 	capacity
-	explicitCordons CordonReason // set by Cordon; the other reasons are derived from the fields above
+	explicitCordons CordonReason // set with Cordon; other reasons are derived from the fields above
 
 	attempts []*Attempt // in the order in which they were added
-	exited   []Exit     // from the last task list
+	exited   []Exit     // exited attempts in the last task list
 	// retainedExits holds exited attempts whose start may still arrive late. The agent has to
-	// remember them, or it would run the late start.
+	// remember these attempts, or it would execute such a start and run the task again.
 	retainedExits map[ExitKey]bool
-	imageSeenAt   map[string]time.Time // when an attempt with the image was last reported, by image
+	imageSeenAt   map[string]time.Time // by image: when it was last recorded on the machine
 }
 
-// New returns a machine that was provisioned at the given time; ApplyListed may set an earlier
-// one.
+// New returns a machine that was provisioned at the given time. ApplyCloudListing may set an
+// earlier time.
 func New(provisionedAt time.Time, id, machineType, zone, addr string, spot bool) *Machine {
 	return &Machine{
 		ID:            id,
@@ -60,13 +60,13 @@
 	return nil
 }
 
-// HasImage reports whether the machine has the image.
+// HasImage reports whether the machine was recorded as having the image.
 func (m *Machine) HasImage(image string) bool {
 	_, has := m.imageSeenAt[image]
 	return has
 }
 
-// RecordImage records that the machine has the image.
+// RecordImage records that the machine has the image at the given time.
 func (m *Machine) RecordImage(now time.Time, image string) { m.imageSeenAt[image] = now }
 
 // PlacementView returns the properties of the machine that PendingJob.CanRunOn checks.
--- a/internal/machines/reachability.go
+++ b/internal/machines/reachability.go
@@ -6,13 +6,13 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Reachability tracks which zones are probably partitioned from this node, by the heartbeats that
-// arrive.
+// Reachability tracks which zones are probably partitioned from this node. It concludes that from
+// the machines whose heartbeats are missing.
 type Reachability struct {
-	// partitionedZones maps each zone that is probably partitioned to the time until which it
-	// counts as such.
+	// partitionedZones contains the zones that are probably partitioned, with the time until which
+	// they count as partitioned.
 	partitionedZones map[string]time.Time
-	// isolated: this node has probably lost contact with most machines.
+	// isolated: too few machines outside the partitioned zones are reachable.
 	isolated bool
 }
 
@@ -21,8 +21,8 @@
 	return &Reachability{partitionedZones: map[string]time.Time{}}
 }
 
-// IsPartitioned reports whether the zone is probably partitioned, so that machines provisioned
-// in it could not send heartbeats.
+// IsPartitioned reports whether the zone is probably partitioned. Heartbeats of machines that are
+// provisioned there would not arrive.
 func (r *Reachability) IsPartitioned(now time.Time, zone string) bool {
 	return now.Before(r.partitionedZones[zone])
 }
@@ -37,14 +37,15 @@
 	return false
 }
 
-// IsIsolated reports whether this node has probably lost contact with most machines, or has not
-// yet applied their heartbeats after a failover.
+// IsIsolated reports whether too few machines outside the partitioned zones are reachable. This
+// node has then probably lost contact with them, or has not yet applied their heartbeats after a
+// failover.
 func (r *Reachability) IsIsolated() bool { return r.isolated }
 
-// Update determines the partitioned zones from the unreachable machines. A zone counts as
-// partitioned if most of its machines are unreachable while most machines elsewhere are
-// reachable. If too many machines outside the partitioned zones are unreachable, this node
-// counts as isolated.
+// Update determines the partitioned zones and whether this node is isolated from all machines in
+// the list. A zone counts as partitioned if most of its machines are unreachable and most machines
+// in other zones are reachable. This node counts as isolated if fewer than tuning.ReachableShare
+// of the machines outside the partitioned zones are reachable.
 func (r *Reachability) Update(now time.Time, list []*Machine, t *Timing) {
 	zones := map[string]*reachabilityCount{}
 	all := &reachabilityCount{}
@@ -63,7 +64,7 @@
 	for zone, z := range zones {
 		switch {
 		case z.isPartitioned(all):
-			// After that time its unreachable machines may have been released.
+			// After the lease expiry, the zone's unreachable machines may have been released.
 			r.partitionedZones[zone] = now.Add(t.LeaseExpiry)
 			outsidePartitions.joined -= z.joined
 			outsidePartitions.unreachable -= z.unreachable
@@ -74,7 +75,7 @@
 	r.isolated = outsidePartitions.joined > 0 && outsidePartitions.reachableShare() < tuning.ReachableShare
 }
 
-// reachabilityCount counts the machines that have joined and those of them that are unreachable.
+// reachabilityCount counts machines that have joined, and how many of these are unreachable.
 type reachabilityCount struct{ joined, unreachable int }
 
 func (h *reachabilityCount) count(unreachable bool) {
@@ -84,13 +85,14 @@
 	}
 }
 
-// isPartitioned reports whether a zone is probably partitioned, given the count of all zones.
+// isPartitioned reports whether a zone with this count is probably partitioned. all is the count
+// of all zones together.
 func (h *reachabilityCount) isPartitioned(all *reachabilityCount) bool {
 	others := reachabilityCount{joined: all.joined - h.joined, unreachable: all.unreachable - h.unreachable}
 	return h.unreachable >= tuning.PartitionedMachines && h.reachableShare() <= tuning.PartitionedShare && others.reachableShare() >= tuning.ReachableShare
 }
 
-// reachableShare returns the share of the joined machines that is reachable, 0 if none has
+// reachableShare returns the share of the joined machines that are reachable, or 0 if none has
 // joined.
 func (h *reachabilityCount) reachableShare() float64 {
 	return float64(h.joined-h.unreachable) / float64(max(h.joined, 1))
--- a/internal/machines/registry.go
+++ b/internal/machines/registry.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Registry holds the provisioned machines and the IDs of those that were released.
+// Registry holds the provisioned machines, and the IDs of released ones.
 type Registry struct {
 	byID     map[string]*Machine
 	sorted   []*Machine // by ID
@@ -34,7 +34,7 @@
 	r.sorted = slices.Insert(r.sorted, i, m)
 }
 
-// Remove removes a machine.
+// Remove removes a machine, if the registry holds it.
 func (r *Registry) Remove(m *Machine) {
 	delete(r.byID, m.ID)
 	if i := slices.Index(r.sorted, m); i >= 0 {
@@ -42,7 +42,8 @@
 	}
 }
 
-// MarkReleased records that the machine with the ID was released, so that it isn't added again.
+// MarkReleased records that the machine with the ID was released. Callers use WasReleased to avoid
+// adding it again, for example because of a delayed heartbeat.
 func (r *Registry) MarkReleased(id string) { r.released[id] = true }
 
 // WasReleased reports whether the machine with the ID was released.
