--- a/internal/consolidation/consolidation.go
+++ b/internal/consolidation/consolidation.go
@@ -1,7 +1,7 @@
 // Package consolidation moves tasks off underused machines, so that the machines can be released.
-// Without it, when demand falls, every machine would be kept, mostly idle, until its longest task
-// ends. Only tasks that save checkpoints are moved, as they keep their progress. The package reads
-// no clock and does no I/O.
+// Otherwise, when demand falls, every machine would be kept until its longest task ends, although
+// most of its capacity is idle. Only tasks that save checkpoints are moved, as only these keep their
+// progress. The package reads no clock and does no I/O.
 package consolidation
 
 import (
@@ -20,14 +20,16 @@
 	Machines *machines.Registry
 	// IsSchedulable reports whether new tasks may be assigned to a machine.
 	IsSchedulable func(now time.Time, m *machines.Machine) bool
-	// RunnableJobs returns the unfinished jobs that do not wait for other jobs, oldest first.
+	// RunnableJobs returns the jobs that have not ended and are not blocked by dependencies, the
+	// longest waiting one first.
 	RunnableJobs func() []*jobs.Job
 	// Price returns the current price of a machine.
 	Price func(*machines.Machine) float64
 	// RemainingS returns the estimated remaining run time of an attempt in seconds, or 0 if the
 	// attempt has exceeded its estimate.
 	RemainingS func(now time.Time, a *machines.Attempt) float64
-	// OnStopsRequested is called for each cordoned machine whose attempts are marked to be stopped.
+	// OnStopsRequested is called for each machine that is cordoned, after the stops of its attempts
+	// were requested.
 	OnStopsRequested func(*machines.Machine)
 }
 
@@ -40,9 +42,10 @@
 // New returns a consolidator for a cluster.
 func New(cluster Cluster) *Consolidator { return &Consolidator{cluster: cluster} }
 
-// Run cordons machines whose tasks fit on others, and marks their attempts to be stopped after they
-// have saved a checkpoint. The scheduler then places the tasks again like any other. Run does this
-// at most once per tuning.ConsolidateInterval, and returns the number of machines.
+// Run cordons machines whose tasks fit on others, and requests graceful stops of their attempts, so
+// that these save checkpoints first. Later placement passes start the tasks again on other machines.
+// Run does nothing if the last run was less than tuning.ConsolidateInterval ago. It returns the number
+// of machines that it has cordoned.
 func (c *Consolidator) Run(now time.Time) int {
 	if now.Sub(c.lastRun) < tuning.ConsolidateInterval {
 		return 0
@@ -60,14 +63,15 @@
 type pass struct {
 	*Cluster
 	now time.Time
-	// movable contains the machines whose tasks may be moved, targetsOnly the other schedulable
-	// machines. Tasks may be moved to both.
+	// movable contains the schedulable machines whose tasks may be moved, targetsOnly the other
+	// schedulable ones. Tasks may be moved to machines of both lists.
 	movable, targetsOnly []*machines.Machine
-	// unallocated contains the capacity of each machine that is not yet allocated in this pass.
+	// unallocated contains the free capacity of each machine that this pass has not allocated to
+	// waiting or moved tasks.
 	unallocated map[*machines.Machine]placement.Resources
 }
 
-// classifyMachines sorts the schedulable machines into movable and targetsOnly.
+// classifyMachines divides the schedulable machines into movable and targetsOnly.
 func (p *pass) classifyMachines() {
 	for _, m := range p.Machines.All() {
 		switch {
@@ -80,8 +84,8 @@
 	}
 }
 
-// consolidate moves tasks off the most expensive machines first, and among equally expensive ones off those
-// with the largest share of free CPUs.
+// consolidate cordons machines whose tasks fit on others, the most expensive machines first, and
+// among equally expensive ones those with the largest share of free CPUs. It returns their number.
 func (p *pass) consolidate() int {
 	slices.SortStableFunc(p.movable, func(a, b *machines.Machine) int {
 		return cmp.Or(-cmp.Compare(p.Price(a), p.Price(b)), -cmp.Compare(a.Free().CPUs/a.Capacity().CPUs, b.Free().CPUs/b.Capacity().CPUs))
@@ -98,7 +102,7 @@
 			break
 		}
 		if p.unallocated[m] != m.Free() {
-			continue // capacity on it is allocated to waiting or moved tasks
+			continue // the pass has allocated capacity of this machine to waiting or moved tasks
 		}
 		if p.allocateElsewhere(m, slices.Concat(p.targetsOnly, p.movable[i+1:])) {
 			consolidated++
@@ -108,12 +112,12 @@
 	return consolidated
 }
 
-// allocateForWaiting allocates capacity to waiting tasks, which take precedence over tasks that are
-// moved.
+// allocateForWaiting allocates capacity to waiting tasks, so that moved tasks don't use the capacity
+// that waiting tasks need.
 func (p *pass) allocateForWaiting(targets []*machines.Machine) {
 	for _, j := range p.RunnableJobs() {
-		// Free capacity only shrinks here: a machine without capacity for one task of the job
-		// has none for the job's next task either.
+		// Unallocated capacity only decreases here, so a machine without capacity for one task of
+		// the job has none for the job's next task either and isn't tried again.
 		rest := targets
 		for range j.ReadyTasks() {
 			i := p.firstFit(j, rest)
@@ -126,8 +130,9 @@
 	}
 }
 
-// allocateElsewhere allocates capacity for all tasks of a machine on the targets, trying those with
-// the fewest free CPUs first. If a task fits on none of them, it allocates nothing and returns false.
+// allocateElsewhere allocates capacity on the targets for all tasks of a machine. It tries the targets
+// with the fewest unallocated CPUs first. If a task fits on no target, it allocates nothing and returns
+// false.
 func (p *pass) allocateElsewhere(m *machines.Machine, targets []*machines.Machine) bool {
 	slices.SortStableFunc(targets, func(a, b *machines.Machine) int { return cmp.Compare(p.unallocated[a].CPUs, p.unallocated[b].CPUs) })
 	allocated := make([]*machines.Machine, 0, len(m.Attempts()))
@@ -145,13 +150,12 @@
 	return true
 }
 
-// allocate subtracts the request of a task of the job from the machine's free capacity.
+// allocate allocates capacity on the machine for one task of the job.
 func (p *pass) allocate(m *machines.Machine, j *jobs.Job) {
 	p.unallocated[m] = p.unallocated[m].Add(j.Request(), -1)
 }
 
-// cordonAndStop cordons a machine and marks its attempts to be stopped after they have saved a
-// checkpoint.
+// cordonAndStop cordons a machine and requests graceful stops of its attempts.
 func (p *pass) cordonAndStop(m *machines.Machine) {
 	m.Cordon(machines.CordonConsolidated)
 	for _, a := range m.Attempts() {
@@ -160,10 +164,10 @@
 	p.OnStopsRequested(m)
 }
 
-// isMovable reports whether all tasks of the machine may be moved, and whether that pays off. Each
-// task must save checkpoints and have run for tuning.ConsolidateMinRunTime. At most half of the
-// machine's CPUs may be in use, its minimum billing time must be over, and its longest task must be
-// expected to run for at least tuning.ConsolidateMinLifetime.
+// isMovable reports whether all tasks of the machine may be moved, and moving them saves enough
+// machine time. Each task must save checkpoints and have run for tuning.ConsolidateMinRunTime. At most
+// half of the machine's CPUs may be in use, its minimum billing time must be over, and its longest task
+// must be expected to run for at least another tuning.ConsolidateMinLifetime.
 func (p *pass) isMovable(m *machines.Machine) bool {
 	if len(m.Attempts()) == 0 || m.Free().CPUs < m.Capacity().CPUs/2 || p.now.Sub(m.ProvisionedAt()) < tuning.MinimumBillingTime {
 		return false
@@ -173,15 +177,15 @@
 		if a.State() != machines.Running || a.IsStopping() || a.Job.CheckpointIntervalS <= 0 || a.RunTime(p.now) < tuning.ConsolidateMinRunTime {
 			return false
 		}
-		// A task that has exceeded its estimate is expected to run for about as long again
-		// as it has run so far. Only a quarter of that is assumed.
+		// A task that has exceeded its estimate may be expected to run for as long again as it
+		// has run so far. The pass assumes a quarter of that.
 		remainingS = max(remainingS, p.RemainingS(p.now, a), a.RunTime(p.now).Seconds()/4)
 	}
 	return remainingS >= tuning.ConsolidateMinLifetime.Seconds()
 }
 
-// firstFit returns the index of the first machine that has capacity for a task of the job and on
-// which the task may run, or -1.
+// firstFit returns the index of the first target that has unallocated capacity for a task of the job
+// and on which the task may run, or -1.
 func (p *pass) firstFit(j *jobs.Job, targets []*machines.Machine) int {
 	constraints := j.Constraints()
 	return slices.IndexFunc(targets, func(m *machines.Machine) bool {
--- a/internal/consolidation/consolidation_test.go
+++ b/internal/consolidation/consolidation_test.go
@@ -13,14 +13,15 @@
 	"switchshore.example/switchshore/wire"
 )
 
+// baseTime is when the machines are provisioned and their attempts begin to run.
 var baseTime = time.Unix(1_700_000_000, 0)
 
-// consolidationTime is a time at which every machine is past its minimum billing time, and every attempt past the
-// minimum run time.
+// consolidationTime is a time at which the minimum billing time of every machine and the minimum run
+// time of every attempt are over.
 var consolidationTime = baseTime.Add(tuning.MinimumBillingTime + tuning.ConsolidateMinRunTime + time.Hour)
 
-// newMachine returns a machine with eight CPUs and one running attempt for each given number of
-// CPUs.
+// newMachine returns a machine with eight CPUs and one running attempt for each element of cpus,
+// which is the number of CPUs that the attempt uses.
 func newMachine(id string, checkpointIntervalS float64, cpus ...float64) *machines.Machine {
 	m := machines.New(baseTime, id, "std-8", "a", "", false)
 	m.SetCapacity(placement.Resources{CPUs: 8, MemoryGB: 32})
@@ -33,13 +34,15 @@
 	return m
 }
 
-// cluster consists of schedulable machines.
+// cluster contains schedulable machines and the jobs with waiting tasks.
 type cluster struct {
 	machines        []*machines.Machine
 	waiting         []*jobs.Job
-	consolidatedIDs []string // IDs passed to OnConsolidated
+	consolidatedIDs []string // IDs of the machines passed to OnStopsRequested
 }
 
+// consolidator returns a consolidator for the cluster. The machine "expensive" has a price of 2, all
+// others of 0.
 func (c *cluster) consolidator() *consolidation.Consolidator {
 	registry := machines.NewRegistry()
 	for _, m := range c.machines {
@@ -56,25 +59,25 @@
 }
 
 // TestMostExpensiveMachineIsConsolidated: the most expensive machine is cordoned, and its tasks are
-// stopped with time to save a checkpoint, at most once per interval.
+// stopped with a grace period to save a checkpoint. This happens at most once per interval.
 func TestMostExpensiveMachineIsConsolidated(t *testing.T) {
 	cheap, expensive := newMachine("cheap", 30, 2), newMachine("expensive", 30, 2)
 	c := &cluster{machines: []*machines.Machine{cheap, expensive}}
 	consolidator := c.consolidator()
 	if n := consolidator.Run(consolidationTime); n != 1 || !slices.Equal(c.consolidatedIDs, []string{"expensive"}) {
-		t.Fatalf("%d consolidated, want only the expensive one: %v", n, c.consolidatedIDs)
+		t.Fatalf("consolidated %d machines: %v, want 1: [expensive]", n, c.consolidatedIDs)
 	}
 	a := expensive.Attempts()[0]
 	if !expensive.IsCordonedFor(machines.CordonConsolidated) || !a.IsStopping() || a.GracePeriodS() != 7 {
-		t.Errorf("machine not cordoned, or attempt not stopped with time to save: %+v", a)
+		t.Errorf("machine not cordoned, or attempt not stopped with a grace period of 7 s: %+v", a)
 	}
 	expensive.Uncordon(machines.CordonConsolidated)
 	a.RevertStop()
 	if n := consolidator.Run(consolidationTime.Add(tuning.ConsolidateInterval / 2)); n != 0 {
-		t.Error("consolidated again before the interval was over")
+		t.Error("a machine was consolidated before the interval was over, want none")
 	}
 	if n := consolidator.Run(consolidationTime.Add(tuning.ConsolidateInterval)); n != 1 {
-		t.Errorf("%d consolidated after the interval, want 1", n)
+		t.Errorf("consolidated %d machines after the interval, want 1", n)
 	}
 }
 
@@ -93,7 +96,7 @@
 	} {
 		c := &cluster{machines: test.all, waiting: test.waiting}
 		if n := c.consolidator().Run(consolidationTime); n != 0 {
-			t.Errorf("%s: consolidated %v", name, c.consolidatedIDs)
+			t.Errorf("%s: consolidated %v, want none", name, c.consolidatedIDs)
 		}
 	}
 }
--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -9,13 +9,13 @@
 // candidate is a machine with its score for a job.
 type candidate struct {
 	machine *Machine
-	version int // version of the machine when it was scored
+	version int // the machine's version when the score was computed
 	score   int64
 	waitS   float64 // seconds until the task could start
 }
 
-// betterThan reports whether c precedes other: the larger speedup first, then the
-// cheaper machine, then the one with fewer free CPUs.
+// betterThan reports whether c precedes other: the one with the higher score, then the
+// cheaper machine, then the one with fewer free CPUs, then the one with the smaller ID.
 func (c *candidate) betterThan(other *candidate) bool {
 	a, b := c.machine, other.machine
 	if c.score != other.score {
@@ -30,8 +30,8 @@
 	return a.ID < b.ID
 }
 
-// candidateHeap implements heap.Interface on the slice of a job, so that a pass
-// allocates little.
+// candidateHeap implements heap.Interface on a job's slice of candidates. It stores
+// them by value, so that a pass allocates little.
 type candidateHeap []candidate
 
 func (h candidateHeap) Len() int { return len(h) }
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// scoreMachines builds the job's heap from the machines on which its tasks fit
-// now and the busy machines that could have a better score.
+// scoreMachines builds the job's heap of candidates: the machines on which its tasks
+// fit now, and the busy machines that could have a better score.
 func (p *pass) scoreMachines(j *PendingJob) {
 	j.scored = true
 	j.candidates = j.candidates[:0]
@@ -78,15 +78,16 @@
 	heap.Init((*candidateHeap)(&j.candidates))
 }
 
-// busyMachinesToScore returns the machines to score after those on which the job's
-// tasks fit now. cached says whether one of the latter has the image. A busy
-// machine can have the best score only if it has the image and none of the
-// latter has, or if the tasks fit nowhere now. In that case they are queued, so
-// that smaller tasks don't use the resources that they need.
+// busyMachinesToScore returns the machines to score in addition to those on which
+// the job's tasks fit now; imageCached says whether one of these has the image. A
+// busy machine can have the best score in two cases. Either it has the image and no
+// machine on which the tasks fit now has it, or the tasks fit on no machine now. In
+// the second case the tasks are queued, so that smaller tasks don't use the
+// resources that they need.
 //
-// It returns none if the pass has queued its maximum of tasks or used half of
-// its scores. Otherwise, with 2,000 full machines, each aged job would score all
-// of them without result and leave no scores for the jobs that fit.
+// It returns none if the pass has queued its maximum of tasks or scored half of its
+// maximum of pairs. Otherwise, with 2,000 full machines, each aged job would score
+// all of them without a start, and no scores would be left for the jobs that fit.
 func (p *pass) busyMachinesToScore(j *PendingJob, imageCached bool) []*Machine {
 	if p.startOnly || p.queuedTasks >= tuning.PassMaxQueuedTasks || p.stats.ScoredPairs >= tuning.PassMaxScoredPairs/2 {
 		return nil
@@ -101,7 +102,8 @@
 }
 
 // eachAvailableMachine calls f for the machines on which the smallest request
-// fits, until f returns false. It removes machines that have become too full.
+// fits, until f returns false. It removes the machines that it finds too full for
+// the smallest request from availableMachines.
 func (p *pass) eachAvailableMachine(f func(*Machine) bool) {
 	kept := 0
 	for i, m := range p.availableMachines {
@@ -118,7 +120,8 @@
 	p.availableMachines = p.availableMachines[:kept]
 }
 
-// machinesWithImage returns the machines that have the image or are fetching it.
+// machinesWithImage returns the machines that had the image or were fetching it when
+// this pass first asked for them.
 func (p *pass) machinesWithImage(image string) []*Machine {
 	list, ok := p.machinesByImage[image]
 	if !ok {
@@ -132,9 +135,10 @@
 	return list
 }
 
-// bestMachine returns the best candidate of the job, which is the top of its
-// heap, or nil if there is none. It scores entries again whose machine has
-// changed since.
+// bestMachine returns the best candidate of the job, or nil if there is none. The
+// best candidate is the top of the job's heap. If its machine has changed since it
+// was scored, bestMachine scores it again. For jobs with zone constraints it checks
+// these again as well, as starts of other tasks may have made a zone unavailable.
 func (p *pass) bestMachine(j *PendingJob) *candidate {
 	if !j.scored {
 		p.scoreMachines(j)
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -11,41 +11,43 @@
 
 // PassStats counts the work of a pass.
 type PassStats struct {
-	// ScoredPairs is the number of scored pairs of job and machine. Other checks
-	// of similar cost count as well.
+	// ScoredPairs is the number of scored pairs of job and machine. The checks of
+	// anyJobFitsNow count as well, at their share of the cost of a score.
 	ScoredPairs int
-	// Truncated: the pass reached its limits before it had tried all jobs.
+	// Truncated: the pass reached a limit before it had tried all jobs.
 	Truncated bool
 }
 
 // pass is the state of one placement pass.
 type pass struct {
-	now      float64
+	now      float64 // in seconds
 	machines []*Machine
-	// availableMachines are those on which the smallest request may fit, in the
-	// order of machines. Machines that have become full are removed when
-	// eachAvailableMachine reaches them.
+	// availableMachines are those on which the smallest request may fit, in the same
+	// order as in machines. eachAvailableMachine removes machines that have become
+	// full.
 	availableMachines []*Machine
 	smallestRequest   Resources
-	// machinesByImage caches the results of machinesWithImage. Fetches that begin
-	// later in the pass are not included.
+	// machinesByImage caches the results of machinesWithImage. Machines that begin to
+	// fetch the image later in the pass are not added.
 	machinesByImage map[string][]*Machine
 	teams           map[string]*Team
 	maxStarts       int
 	starts          []Assignment
 	queuedTasks     int
-	// blockedRank is the priority whose remaining jobs fit on no machine now, or noRank.
+	// blockedRank is the priority whose remaining jobs fit on no machine now, or
+	// noRank. The pass skips these jobs.
 	blockedRank int
 	stats       PassStats
 	// startOnly: tasks are only started; none is queued and no resources are reserved.
 	startOnly bool
 }
 
-// Run places the ready tasks in the order of comparePrecedence: aged jobs, then
-// the highest priority. It queues a task on a busy machine if the task would
-// finish earlier there than on an idle one; lower priorities get the remaining
-// resources. now is the time on the clock that the times of the machines refer
-// to. The pass ends after maxStarts starts or a bounded number of scores.
+// Run decides which ready tasks start now and on which machines. It tries the jobs in
+// the order of comparePrecedence, so jobs of lower priorities get the resources that
+// are left. If a task would finish earlier on a busy machine than on an idle one, Run
+// queues it there: the task reserves resources of that machine for the rest of the
+// pass, and a later pass starts it. now is in seconds, on the clock to which the times of the machines
+// refer. The pass ends after maxStarts starts or a bounded number of scores.
 func Run(now float64, ready []*PendingJob, machines []*Machine, teams map[string]*Team, maxStarts int) ([]Assignment, PassStats) {
 	p := &pass{
 		now: now, machines: machines, teams: teams, maxStarts: maxStarts,
@@ -68,8 +70,8 @@
 	return p.starts, p.stats
 }
 
-// initJobs returns the jobs with ready tasks, sorted by precedence, in the given
-// empty slice. It also sets the smallest request.
+// initJobs appends the jobs with ready tasks to the given empty slice and returns it,
+// sorted by precedence. It also sets the smallest request.
 func (p *pass) initJobs(jobs, ready []*PendingJob) []*PendingJob {
 	for _, j := range ready {
 		if j.ReadyTasks <= 0 {
@@ -87,7 +89,7 @@
 	return jobs
 }
 
-// initMachines sets each machine's queued rank to its reservation, and collects
+// initMachines sets each machine's queued rank from its reservation, and collects
 // the machines on which the smallest request fits.
 func (p *pass) initMachines() {
 	for _, m := range p.machines {
@@ -101,11 +103,11 @@
 	}
 }
 
-// startAgedJobs starts the tasks of aged jobs that fit now, before resources are
-// reserved for those that don't. Otherwise the first aged job would block the
-// others for as long as no machine has room for it. Only a few tasks of an aged
-// job are ready in a pass, so the first aged jobs still get their reservations
-// before all jobs that have not aged.
+// startAgedJobs starts the tasks of aged jobs that fit now, before placeGroup
+// reserves resources for aged jobs that don't fit. Otherwise the reservation of the
+// first aged job would block the other aged jobs until a machine has capacity for it.
+// The caller passes only a few ready tasks of each aged job, so the first aged jobs
+// still get their reservations before the jobs that have not aged.
 func (p *pass) startAgedJobs(jobs []*PendingJob) {
 	aged := 0
 	for aged < len(jobs) && jobs[aged].AgedS > 0 {
@@ -127,9 +129,9 @@
 	}
 }
 
-// placeGroup places the tasks of a group of jobs in the order of their speedup.
-// later are the jobs of the following groups. It returns false if the pass has to
-// end.
+// placeGroup places the tasks of a group of jobs, the largest speedup first. later
+// contains the jobs of the following groups. It returns false if the pass has to end
+// because it has reached a limit.
 func (p *pass) placeGroup(jobs, later []*PendingJob) bool {
 	for {
 		if len(p.starts) >= p.maxStarts || p.stats.ScoredPairs > 2*tuning.PassMaxScoredPairs {
@@ -141,8 +143,9 @@
 		}
 		if best.waitS > 0 {
 			// As in the paper, a task is queued only while some machine can start a
-			// task of the same priority. Otherwise the pass would compute a static
-			// schedule. Aged jobs are exempt.
+			// task of the same priority. Otherwise the pass would plan the order of
+			// all tasks in advance. Aged jobs are exempt: their queued tasks reserve
+			// resources even if no task of their priority can start.
 			if p.queuedTasks >= tuning.PassMaxQueuedTasks {
 				return true
 			}
@@ -155,8 +158,9 @@
 	}
 }
 
-// bestPair returns the pair of job and machine with the largest speedup, nil if
-// there is none. It marks jobs that can't be placed as unplaceable.
+// bestPair returns the pair of job and machine with the largest speedup, or nil if
+// there is none. It marks jobs as unplaceable if no machine can run them or their
+// team's limit doesn't allow another task.
 func (p *pass) bestPair(jobs []*PendingJob) (bestJob *PendingJob, best *candidate) {
 	for _, j := range jobs {
 		if j.unplaceable || j.ReadyTasks == 0 {
@@ -167,9 +171,9 @@
 			continue
 		}
 		if !j.scored && p.stats.ScoredPairs > tuning.PassMaxScoredPairs {
-			// The jobs scored so far are placed first. A pass that spent all its
-			// scores before it started a task would start none, and so would
-			// every following pass.
+			// Only the jobs that are scored already are placed. A pass that scored
+			// pairs up to its final limit before it started a task would start
+			// none, and neither would any later pass.
 			p.stats.Truncated = true
 			continue
 		}
@@ -185,10 +189,10 @@
 	return bestJob, best
 }
 
-// fitsOrReservesTeamLimit reports whether a task of the job fits into its team's limit. If
-// the task of an aged job doesn't, it counts against the limit nevertheless, which
-// reserves that part of the limit. Otherwise smaller tasks of the team would use
-// every part of the limit that becomes free.
+// fitsOrReservesTeamLimit reports whether a task of the job fits into its team's
+// limit. If a task of an aged job doesn't fit, its request is added to the team's
+// usage for the rest of the pass. Otherwise smaller tasks of the team would use every
+// part of the limit that becomes free, and the aged job would never start.
 func (p *pass) fitsOrReservesTeamLimit(j *PendingJob) bool {
 	team := p.teams[j.Team]
 	if team == nil {
@@ -204,8 +208,9 @@
 	return false
 }
 
-// assign assigns one task of the job to the machine, to start now or to be queued
-// there; the queue exists during the pass only. jobs is the job's group.
+// assign assigns one task of the job to the machine. The task starts now if the
+// machine has capacity for it, and is queued there for this pass otherwise. jobs is
+// the job's group.
 func (p *pass) assign(j *PendingJob, c candidate, jobs []*PendingJob) {
 	m := c.machine
 	_, listed := m.Images[j.Image]
@@ -240,7 +245,8 @@
 	team.Used = team.Used.Add(j.Request, 1)
 }
 
-// recordQueued records that a task waits for the machine.
+// recordQueued records that a task of the job is queued on the machine, which reserves
+// the machine for tasks of the same or a higher priority.
 func (p *pass) recordQueued(j *PendingJob, m *Machine) {
 	p.queuedTasks++
 	if m.queuedRank == noRank || j.PriorityRank < m.queuedRank {
@@ -248,9 +254,10 @@
 	}
 }
 
-// rescoreForFetchedImage scores the machine, which has begun to fetch an image, again for
-// the other jobs that need the image, as their scores there have increased. All
-// other changes decrease scores, which bestMachine detects.
+// rescoreForFetchedImage is called when the machine has begun to fetch the image of a
+// started task. It scores the machine again for the other jobs of the group that need
+// the image, as the fetch increases their scores there. All other changes only decrease
+// scores; for these, bestMachine scores the top of the heap again.
 func (p *pass) rescoreForFetchedImage(started *PendingJob, m *Machine, jobs []*PendingJob) {
 	for _, other := range jobs {
 		if other == started || !other.scored || other.unplaceable || other.Image != started.Image {
@@ -262,12 +269,12 @@
 	}
 }
 
-// fitChecksPerScore is the number of machines that anyJobFitsNow checks at about the
-// cost of one score.
+// fitChecksPerScore is the number of machines that fitsNow checks in about the time of
+// one score.
 const fitChecksPerScore = 8
 
-// anyJobFitsNow reports whether any machine could start a task now of the jobs in
-// the group or the later jobs of the same priority.
+// anyJobFitsNow reports whether any machine could now start a task of a job in the
+// group, or of a later job with the same priority.
 func (p *pass) anyJobFitsNow(jobs, later []*PendingJob) bool {
 	rank := jobs[0].PriorityRank
 	for _, list := range [][]*PendingJob{jobs, later} {
--- a/internal/placement/resources.go
+++ b/internal/placement/resources.go
@@ -17,15 +17,15 @@
 	return Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}
 }
 
-// epsilon tolerates rounding errors in sums of decimal amounts.
+// epsilon is the tolerance for rounding errors in sums of decimal amounts.
 const epsilon = 1e-6
 
-// Fits reports whether each amount of the request is at most that of r.
+// Fits reports whether the request fits into r: none of its amounts exceeds that of r.
 func (r Resources) Fits(request Resources) bool {
 	return request.CPUs <= r.CPUs+epsilon && request.GPUs <= r.GPUs+epsilon && request.MemoryGB <= r.MemoryGB+epsilon
 }
 
-// Add returns r plus count times each amount of other.
+// Add returns r plus count times other, for each amount.
 func (r Resources) Add(other Resources, count float64) Resources {
 	return Resources{r.CPUs + other.CPUs*count, r.GPUs + other.GPUs*count, r.MemoryGB + other.MemoryGB*count}
 }
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -6,8 +6,8 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// FetchTimeS returns T(f) of the paper, an image's size divided by the fetch
-// bandwidth, or zero if the bandwidth is unknown.
+// FetchTimeS returns the time in seconds that a machine needs to fetch an image of the
+// size gb, T(f) in the paper. It is zero if the bandwidth is unknown.
 func FetchTimeS(gb, gbPerS float64) float64 {
 	if gbPerS <= 0 {
 		return 0
@@ -15,9 +15,10 @@
 	return gb / gbPerS
 }
 
-// fetchDelayS returns the time until the machine has the image: zero if it is cached,
-// the rest of its fetch if that is in progress, or else T(f) plus the time of the
-// other fetches in progress, which share the bandwidth.
+// fetchDelayS returns the time in seconds until the machine has the image. It is zero
+// if the image is cached, and the rest of the fetch if one is in progress. Otherwise
+// it is FetchTimeS plus the remaining times of the other images' fetches, which share
+// the bandwidth.
 func (m *Machine) fetchDelayS(now float64, image string, gb float64) float64 {
 	if readyAt, ok := m.Images[image]; ok {
 		return max(0, readyAt-now)
@@ -25,7 +26,8 @@
 	if m.FetchGBPerS <= 0 {
 		return 0
 	}
-	// Whole milliseconds make the sum independent of the iteration order.
+	// The sum of whole milliseconds is exact, so the random iteration order of the map
+	// doesn't change it.
 	var othersMS float64
 	for _, readyAt := range m.Images {
 		if readyAt > now {
@@ -35,10 +37,11 @@
 	return FetchTimeS(gb, m.FetchGBPerS) + othersMS/1000
 }
 
-// timeUntilFits returns the time until the request fits, given the tasks that run or are
-// queued on the machine. It is zero only if the request fits now: a task that has
-// exceeded its estimate counts as running for another MinRemainingS. If its
-// resources counted as free, the machine would refuse starts.
+// timeUntilFits returns the time in seconds until the request fits on the machine, as
+// its running and queued tasks end. It is zero only if the request fits now. A task
+// that has exceeded its estimate counts as running for another tuning.MinRemainingS;
+// if its resources counted as free, tasks would be started for which the machine has
+// no capacity yet, and it would refuse them.
 func (m *Machine) timeUntilFits(now float64, request Resources) float64 {
 	if m.Free.Fits(request) {
 		return 0
@@ -67,10 +70,11 @@
 	return len(m.PlacedTasks) < tuning.MaxTasksPerMachine && !m.AvoidedJobs[j.JobID] && j.CanRunOn(m)
 }
 
-// score returns the machine as a candidate for the job, or false if the machine
-// can't run its tasks. The score is S(t, vm) = Rs(t) - Rvm(t, vm) of the paper, in
-// microseconds. R(t) cancels out, which leaves the fetch time on an empty machine
-// minus the wait and the fetch delay on this one.
+// score returns the machine as a candidate for the job, or false if no task of the job
+// may be assigned to it. The score is the speedup S(t, vm) = Rs(t) - Rvm(t, vm) of the
+// paper, in microseconds: the time that the task takes with a fetch on an idle machine,
+// minus its time on this machine. The run time is part of both and cancels out. The
+// fetch time remains, minus the wait and the fetch delay on this machine.
 func (p *pass) score(j *PendingJob, m *Machine) (candidate, bool) {
 	p.stats.ScoredPairs++
 	if !m.isEligible(j) {
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -5,7 +5,8 @@
 	"sort"
 )
 
-// PlacedTask is a task that runs on a machine, is being started there or is queued.
+// PlacedTask is a task that runs on a machine, is being started there or is queued
+// there.
 type PlacedTask struct {
 	Request Resources
 	// EndS is the estimated end of the task, including the image fetch, in seconds on
@@ -13,9 +14,9 @@
 	EndS float64
 }
 
-// Machine is the snapshot of a schedulable machine. Its times are points in time
-// on the clock of the pass, not durations, so that the next pass can reuse the
-// snapshot if nothing has changed on the machine.
+// Machine is the snapshot of a schedulable machine. Its times are points in time on
+// the clock of the pass, in seconds. Unlike remaining durations, they stay valid, so
+// the next pass can reuse the snapshot if nothing has changed on the machine.
 type Machine struct {
 	ID          string
 	Type        string
@@ -23,9 +24,9 @@
 	Spot        bool
 	Capacity    Resources
 	Free        Resources
-	FetchGBPerS float64
-	// Price orders machines with the same speedup: cheaper ones are preferred, so
-	// that expensive ones become idle and can be released.
+	FetchGBPerS float64 // bandwidth of image fetches, zero if unknown
+	// Price decides between machines with the same speedup. Cheaper ones are
+	// preferred, so that expensive ones become idle and can be released.
 	Price float64
 	// PlacedTasks are sorted by EndS.
 	PlacedTasks []PlacedTask
@@ -34,16 +35,18 @@
 	Images map[string]float64
 	// AvoidedJobs holds the IDs of jobs whose tasks failed on the machine.
 	AvoidedJobs map[string]bool
-	// HasReservation reserves the machine for jobs of ReservedRank or a higher priority.
+	// HasReservation: the machine is reserved for jobs of ReservedRank or a higher
+	// priority.
 	HasReservation bool
 	ReservedRank   int
-	// Modified is set by a pass that has changed the snapshot, which then has to be
+	// Modified is set when a pass changes the snapshot. The snapshot then has to be
 	// rebuilt before the next pass.
 	Modified bool
 
-	// queuedRank is the highest priority with a queued task or a reservation, or noRank.
+	// queuedRank is the highest priority that has a queued task or a reservation on
+	// the machine, or noRank.
 	queuedRank int
-	// version is incremented by every change within a pass.
+	// version is incremented whenever a task is assigned to the machine.
 	version int
 }
 
@@ -73,43 +76,47 @@
 	// WithinGuarantee: the job's tasks fit into its team's guaranteed quota.
 	WithinGuarantee bool
 	// AgedS is the time in seconds that an aged job has waited since its last start,
-	// zero if the job doesn't count as aged. Aged jobs precede all others, whatever
-	// their priority, and the one that has waited longest comes first: ordered by
-	// priority, the lowest would starve again once many jobs have aged.
+	// or zero if the job doesn't count as aged. Aged jobs precede all others, whatever
+	// their priority, and the longest waiting one comes first. If priority ordered
+	// them, jobs of the lowest one would starve again once many jobs have aged.
 	AgedS float64
-	// Urgency is the time in seconds that may pass before the job is late. It orders
-	// jobs of one priority, lower values first, in steps of tuning.UrgencyStepS;
-	// within a step, the speedup decides.
+	// Urgency orders jobs of one priority. The most urgent job has the lowest value:
+	// it is about the time in seconds that may pass before the job is late. Values
+	// are rounded down to multiples of tuning.UrgencyResolutionS; if these are equal,
+	// the speedup decides.
 	Urgency           float64
 	ReadyTasks        int
-	Request           Resources
-	EstimatedRunTimeS float64
+	Request           Resources // of one task
+	EstimatedRunTimeS float64   // of one task, without the image fetch
 	Image             string
 	ImageGB           float64
 	// MachineTypes lists the allowed types; empty allows all.
 	MachineTypes []string
 	// Zone is the only allowed zone; empty allows all.
 	Zone string
-	// OneZone requires all tasks to be in one zone.
+	// OneZone: all tasks must run in the same zone.
 	OneZone bool
-	// SpreadZones allows at most half of the tasks, rounded up, in one zone.
+	// SpreadZones: at most half of the tasks, rounded up, may run in one zone.
 	SpreadZones bool
-	AllowsSpot  bool
+	// AllowsSpot: the job's tasks may run on spot machines.
+	AllowsSpot bool
 	// TotalTasks is the number of tasks of the job, for SpreadZones.
 	TotalTasks int
 	// TasksByZone counts the job's tasks that may be running, by zone.
 	TasksByZone map[string]int
 
-	// candidates is a heap, the best machine first; it is valid once scored is set.
+	// candidates is a heap with the best machine at the top. It is valid once scored
+	// is set.
 	candidates []candidate
 	scored     bool
-	// unplaceable: no further task of the job can be placed with its group.
+	// unplaceable: no further task of the job can be placed in this pass.
+	// startAgedJobs resets it for the main part of the pass.
 	unplaceable bool
 }
 
-// CanRunOn reports whether the machine's type, zone, spot status and total capacity
-// allow tasks of the job, and whether the job's zone constraints do. It ignores
-// what is free on the machine.
+// CanRunOn reports whether another task of the job may run on the machine, given the
+// job's constraints and the machine's type, zone, spot status and total capacity. It
+// doesn't check the free resources.
 func (j *PendingJob) CanRunOn(m *Machine) bool {
 	if m.Spot && !j.AllowsSpot || j.Zone != "" && j.Zone != m.Zone {
 		return false
@@ -136,7 +143,7 @@
 	return false
 }
 
-// Team is the resource usage and limit of a team.
+// Team contains the resources that a team's tasks use and the team's limit.
 type Team struct {
 	Used, Limit Resources
 }
--- a/internal/preemption/pass.go
+++ b/internal/preemption/pass.go
@@ -15,18 +15,20 @@
 type pass struct {
 	*Cluster
 	now time.Time
-	// expectedFree contains, for each schedulable machine, its free capacity after the end of
-	// the attempts that are stopping or about to end.
+	// expectedFree contains the free capacity that each schedulable machine will have after the
+	// attempts that are stopping or about to end have ended.
 	expectedFree map[*machines.Machine]placement.Resources
-	// teamFreedCPUs contains the CPUs that these attempts free, by team.
+	// teamFreedCPUs contains, by team, the CPUs that the end of these attempts frees, minus those
+	// that the pass has allocated to waiting tasks.
 	teamFreedCPUs map[string]float64
 	// candidates contains the attempts that may be stopped on each machine, in ascending order
-	// of loss.
+	// of cost.
 	candidates  map[*machines.Machine][]candidate
-	stopCount   int // attempts marked to be stopped
-	searchCount int // waiting tasks for which machines were searched
+	stopCount   int // attempts whose stop this pass has requested
+	searchCount int // waiting tasks for which this pass has searched machines
 }
 
+// newPass returns a pass that has collected the candidates on all schedulable machines.
 func newPass(now time.Time, cluster *Cluster) *pass {
 	p := &pass{
 		Cluster:       cluster,
@@ -43,7 +45,7 @@
 	return p
 }
 
-// addMachine records the expected free capacity of a machine and its candidates.
+// addMachine records the expected free capacity of a machine and the candidates on it.
 func (p *pass) addMachine(m *machines.Machine) {
 	p.expectedFree[m] = m.Free()
 	for _, a := range m.Attempts() {
@@ -51,8 +53,9 @@
 		case a.IsStopping(), a.State() == machines.Saving, p.endsSoon(a):
 			p.adjustExpectedFree(a, 1)
 		case a.PlacedWhileAged() && p.now.Sub(a.CreatedAt()) < tuning.AgedMinRunTime:
-			// Such an attempt runs for a minimum time. Otherwise every pass could stop it right
-			// after its start, and its job would never make progress.
+			// An attempt that was placed because its job had aged runs for a minimum time.
+			// Otherwise every pass could stop it right after its start, and its job would never
+			// make progress.
 		case a.State() == machines.Running && a.Job.CheckpointIntervalS > 0:
 			p.addCandidate(a)
 		}
@@ -61,34 +64,35 @@
 	sort.SliceStable(list, func(i, k int) bool { return list[i].costS < list[k].costS })
 }
 
-// endsSoon reports whether an attempt is about to end according to its estimate. It is false for
-// an attempt that has exceeded its estimate, which may run for a long time yet.
+// endsSoon reports whether an attempt is about to end according to its estimate. It is false if the
+// attempt has exceeded its estimate, as the attempt may then run for much longer.
 func (p *pass) endsSoon(a *machines.Attempt) bool {
 	remainingS := p.RemainingS(p.now, a)
 	return a.State() == machines.Running && remainingS > 0 && remainingS < tuning.PreemptExitWait.Seconds()
 }
 
-// addCandidate makes an attempt a candidate unless it would lose more progress than
-// tuning.PreemptMaxLoss.
+// addCandidate makes an attempt a candidate unless a stop would lose more progress than
+// tuning.PreemptMaxLostProgress.
 func (p *pass) addCandidate(a *machines.Attempt) {
 	costS := a.UnsavedProgressS(p.now)
 	if costS > tuning.PreemptMaxLostProgress.Seconds() {
 		return
 	}
 	if a.Job.ReadyTasks() == 0 {
-		// No other task of the job is waiting, so that the stop would delay the job's end.
+		// No other task of the job is waiting, so the stop probably delays the end of the job.
 		costS += tuning.PreemptDelayCost.Seconds()
 	}
 	p.candidates[a.Machine] = append(p.candidates[a.Machine], candidate{a, costS})
 }
 
-// adjustExpectedFree adds the resources of an attempt that is about to end to the expected free capacity;
-// with sign -1 it subtracts them again.
+// adjustExpectedFree adds the resources of an attempt that is about to end to the expected free
+// capacity of its machine and its team. With sign -1 it subtracts them again.
 func (p *pass) adjustExpectedFree(a *machines.Attempt, sign float64) {
 	p.expectedFree[a.Machine] = p.expectedFree[a.Machine].Add(a.Job.Request(), sign)
 	p.teamFreedCPUs[a.Job.Team] += a.Job.CPUs * sign
 }
 
+// requestStop requests the stop of a candidate and counts on the resources that it will free.
 func (p *pass) requestStop(c candidate) {
 	c.RequestStop()
 	p.adjustExpectedFree(c.Attempt, 1)
@@ -96,7 +100,7 @@
 	p.OnStopRequested(c.Machine)
 }
 
-// revertStops reverts stops that this pass has decided.
+// revertStops cancels stops that this pass has requested.
 func (p *pass) revertStops(stopped []candidate) {
 	for _, c := range stopped {
 		c.RevertStop()
@@ -105,8 +109,8 @@
 	}
 }
 
-// makeCapacityForJob makes capacity for the waiting tasks of a job, one after the other, until it
-// fails for one of them or reaches a limit of the pass.
+// makeCapacityForJob makes capacity for the waiting tasks of a job one by one. It ends at the first
+// task for which that is impossible, or at a limit of the pass.
 func (p *pass) makeCapacityForJob(r *placement.PendingJob, j *jobs.Job) {
 	teamFree, known := p.TeamFreeCPUs(r.Team)
 	if !known {
@@ -120,8 +124,9 @@
 	}
 }
 
-// makeCapacityForTask stops attempts so that one more task of the job can start. If that is
-// impossible, it leaves no attempt stopped and returns false.
+// makeCapacityForTask requests stops of attempts so that one more task of the job can start: first
+// within the limit of its team, then on the cheapest machine. If that is impossible, it requests no
+// stops and returns false.
 func (p *pass) makeCapacityForTask(r *placement.PendingJob, teamFree float64) bool {
 	stopped, ok := p.stopWithinTeam(r, teamFree)
 	if !ok {
@@ -129,8 +134,8 @@
 	}
 	best, chosen := p.cheapestMachine(r)
 	if best == nil {
-		// The task fits on no machine even after these stops. To repeat them in every pass
-		// would keep the team's other work from ever ending.
+		// The task fits on no machine even after the stops within its team. If every pass made
+		// these stops, the team's other tasks would never end.
 		p.revertStops(stopped)
 		return false
 	}
@@ -145,10 +150,10 @@
 	return true
 }
 
-// stopWithinTeam stops attempts of the job's team until another task of the job is within the
-// team's limit. If not enough of them can be stopped, it stops none and returns false: a partial
-// stop, repeated in every pass, would keep smaller tasks from ending without letting the larger
-// one start.
+// stopWithinTeam requests stops of attempts of the job's team until another task of the job is
+// within the team's limit. It returns the stopped attempts. If stopping all candidates of the team
+// isn't enough, it requests no stops and returns false. Otherwise every pass would stop smaller
+// tasks, which would never end, and the larger one would still not start.
 func (p *pass) stopWithinTeam(r *placement.PendingJob, teamFree float64) ([]candidate, bool) {
 	var stopped []candidate
 	for teamFree+p.teamFreedCPUs[r.Team] < r.Request.CPUs {
@@ -163,8 +168,8 @@
 	return stopped, true
 }
 
-// cheapestCandidateOfTeam finds the candidate with the least loss among the attempts of the job's team that
-// have a lower priority than the job.
+// cheapestCandidateOfTeam returns the candidate with the least cost among the attempts of the job's
+// team that have a lower priority than the job, and false if there is none.
 func (p *pass) cheapestCandidateOfTeam(r *placement.PendingJob) (candidate, bool) {
 	var best candidate
 	found := false
@@ -186,9 +191,9 @@
 	return placement.FetchTimeS(r.ImageGB, p.FetchGBPerS(m.Type))
 }
 
-// cheapestMachine finds the machine on which capacity for one task costs the least, and the
-// attempts to stop there. If a task fits into the expected free capacity of a machine, it returns
-// that machine and no attempts.
+// cheapestMachine returns the machine on which the stops for one more task cost the least, and the
+// attempts to stop there. If the task fits into the expected free capacity of a machine, it returns
+// that machine and no attempts. It returns nil if the task fits on no machine.
 func (p *pass) cheapestMachine(r *placement.PendingJob) (best *machines.Machine, stops []candidate) {
 	leastCost := math.Inf(1)
 	for _, m := range p.Machines.All() {
@@ -206,11 +211,11 @@
 	return best, stops
 }
 
-// cheapestStops returns the attempts to stop on a machine, in ascending order of loss, so that a
-// task fits in addition to the free capacity, and their cost in CPU seconds. It returns nil if the
-// task does not fit even after all possible stops.
+// cheapestStops returns the attempts to stop on a machine so that a task of the job fits, given the
+// free capacity, and the cost of the stops in CPU seconds. It chooses candidates in ascending order
+// of cost until the task fits. It returns nil if the task doesn't fit even after all possible stops.
 func (p *pass) cheapestStops(m *machines.Machine, r *placement.PendingJob, free placement.Resources) (chosen []candidate, cost float64) {
-	// If the machine must fetch the image first, the task starts late despite the stops.
+	// The cost includes the image fetch, if one is needed: the task can start only after it.
 	cost = p.fetchTimeS(m, r) * r.Request.CPUs * tuning.PreemptFetchWeight
 	for _, c := range p.candidates[m] {
 		if c.IsStopping() || c.Job.PriorityRank() <= r.PriorityRank {
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -1,5 +1,5 @@
-// Package preemption chooses running tasks to be stopped so that tasks of a higher priority
-// can start. It reads no clock and does no I/O.
+// Package preemption chooses which running tasks to stop so that tasks of a higher priority can
+// start. It reads no clock and does no I/O.
 package preemption
 
 import (
@@ -21,18 +21,20 @@
 	// RemainingS returns the estimated remaining run time of an attempt in seconds, or 0 if the
 	// attempt has exceeded its estimate.
 	RemainingS func(now time.Time, a *machines.Attempt) float64
-	// RunnableJobs returns the jobs whose tasks may be running.
+	// RunnableJobs returns the jobs that have not ended and are not blocked by dependencies.
 	RunnableJobs func() iter.Seq[*jobs.Job]
-	// FetchGBPerS returns the rate at which machines of a type fetch images.
+	// FetchGBPerS returns the bandwidth with which machines of a type fetch images.
 	FetchGBPerS func(machineType string) float64
-	// TeamFreeCPUs returns the CPUs that a team may use in addition to those in use; known is
-	// false if the team is not in the settings.
+	// TeamFreeCPUs returns how many more CPUs a team may use. It is negative if the team exceeds
+	// its limit. known is false if the team is not in the settings.
 	TeamFreeCPUs func(team string) (cpus float64, known bool)
-	// OnStopRequested is called for each attempt that is marked to be stopped, with its machine.
+	// OnStopRequested is called for each requested stop, with the attempt's machine. The stop may
+	// be reverted later in the same run.
 	OnStopRequested func(*machines.Machine)
 }
 
-// Preemptor periodically preempts running tasks to make capacity for waiting tasks of a higher priority.
+// Preemptor periodically requests stops of running tasks, to make capacity for waiting tasks of a
+// higher priority.
 type Preemptor struct {
 	cluster Cluster
 	lastRun time.Time
@@ -41,9 +43,9 @@
 // New returns a preemptor for a cluster.
 func New(cluster Cluster) *Preemptor { return &Preemptor{cluster: cluster} }
 
-// Run makes capacity for ready tasks that were not placed, the highest priority first: it marks
-// running attempts of a lower priority that lose little progress to be stopped. It runs at most
-// once per tuning.PreemptInterval, and returns the number of attempts marked.
+// Run makes capacity for ready tasks that were not placed, the highest priority first: it requests
+// stops of running attempts that have a lower priority and lose little progress. It does nothing if
+// the last run was less than tuning.PreemptInterval ago. It returns the number of requested stops.
 func (s *Preemptor) Run(now time.Time, ready []*placement.PendingJob, byID map[string]*jobs.Job) int {
 	if now.Sub(s.lastRun) < tuning.PreemptInterval {
 		return 0
@@ -64,8 +66,9 @@
 	return p.stopCount
 }
 
-// lowestPreemptibleRank returns the rank of the lowest priority among the running jobs that save
-// checkpoints; only their tasks may be preempted.
+// lowestPreemptibleRank returns the rank of the lowest priority among the jobs with running tasks
+// that save checkpoints. Only tasks that save checkpoints may be preempted. Ranks grow with lower
+// priority, so jobs of this rank or a larger one have no tasks to preempt.
 func lowestPreemptibleRank(unfinished iter.Seq[*jobs.Job]) int {
 	lowest := 0
 	for j := range unfinished {
@@ -91,5 +94,5 @@
 // candidate is an attempt that may be stopped.
 type candidate struct {
 	*machines.Attempt
-	costS float64 // lost progress, plus the cost of the delay to its job, in seconds
+	costS float64 // lost progress in seconds, plus tuning.PreemptDelayCost if the job is delayed
 }
--- a/internal/preemption/preemption_test.go
+++ b/internal/preemption/preemption_test.go
@@ -14,9 +14,10 @@
 	"switchshore.example/switchshore/wire"
 )
 
+// baseTime is when the machine is provisioned and the jobs are submitted.
 var baseTime = time.Unix(1_700_000_000, 0)
 
-// cluster consists of one machine with eight CPUs.
+// cluster contains one machine with eight CPUs, and the jobs with running tasks.
 type cluster struct {
 	registry     *machines.Registry
 	machine      *machines.Machine
@@ -33,17 +34,18 @@
 	return c
 }
 
+// newJob returns a job of team blue with one task that saves checkpoints every 30 s.
 func newJob(id string, priority string, cpus float64) *jobs.Job {
 	return jobs.New(wire.Job{ID: id, Team: "blue", Priority: priority, Tasks: 1, CPUs: cpus, CheckpointIntervalS: 30}, 0, baseTime)
 }
 
-// addRunning adds an attempt to the machine that has been running since the given time.
+// addRunning adds an attempt of the job to the machine. It has been running since the given time.
 func (c *cluster) addRunning(j *jobs.Job, since time.Time) *machines.Attempt {
 	return c.addRunningWithAge(j, since, false)
 }
 
-// addRunningWithAge is like addRunning, and sets whether the attempt was placed because its job
-// had waited long.
+// addRunningWithAge is like addRunning, and sets whether the attempt was placed while its job
+// counted as aged.
 func (c *cluster) addRunningWithAge(j *jobs.Job, since time.Time, placedWhileAged bool) *machines.Attempt {
 	a := machines.NewPendingAttempt(c.machine, j, 0, since, 1, placedWhileAged)
 	a.ApplyReport(since, machines.Running)
@@ -53,7 +55,8 @@
 	return a
 }
 
-// preempt runs the preemptor for a job with one waiting task, and returns the number of stops.
+// preempt runs the preemptor for a job with one waiting task, and returns the number of requested
+// stops.
 func (c *cluster) preempt(now time.Time, j *jobs.Job) int {
 	j.RebuildReadyTasks()
 	r := j.Constraints()
@@ -70,26 +73,26 @@
 	return p.Run(now, []*placement.PendingJob{r}, map[string]*jobs.Job{j.ID: j})
 }
 
-// TestPreemptionStopsAttemptWithLeastLoss: of two attempts with a lower priority, the one with the
-// more recent checkpoint is stopped, and the capacity is reserved.
+// TestPreemptionStopsAttemptWithLeastLoss: of two attempts with a lower priority, the preemptor stops
+// the one with the more recent checkpoint, and reserves the capacity for the waiting task.
 func TestPreemptionStopsAttemptWithLeastLoss(t *testing.T) {
 	c := newCluster()
 	now := baseTime.Add(tuning.AgedMinRunTime + 600*time.Second)
 	moreLoss := c.addRunning(newJob("job-1", wire.PriorityIdle, 4), now.Add(-620*time.Second))
 	lessLoss := c.addRunning(newJob("job-2", wire.PriorityIdle, 4), now.Add(-605*time.Second))
 	if n := c.preempt(now, newJob("job-3", wire.PriorityHigh, 4)); n != 1 || c.onStopCalls != 1 {
-		t.Fatalf("%d stopped, %d calls of OnStop, want 1 of each", n, c.onStopCalls)
+		t.Fatalf("%d stops requested, %d calls of OnStopRequested, want 1 of each", n, c.onStopCalls)
 	}
 	if moreLoss.IsStopping() || !lessLoss.IsStopping() {
-		t.Error("stopped the attempt that loses more progress")
+		t.Error("want a stop of the attempt that loses less progress, and of no other")
 	}
 	if _, reserved := c.machine.Reservation(now); !reserved {
-		t.Error("the machine has no reservation for the waiting task")
+		t.Error("the machine has no reservation, want one for the waiting task")
 	}
 }
 
 // TestPreemptionStopsNothingWithoutBenefit: no attempt is stopped if the waiting task could not
-// start even then, or if the running attempts have the same priority.
+// start even after the stops, or if the running attempts have the same priority.
 func TestPreemptionStopsNothingWithoutBenefit(t *testing.T) {
 	now := baseTime.Add(tuning.AgedMinRunTime + 600*time.Second)
 	for name, test := range map[string]struct {
@@ -109,23 +112,24 @@
 			a := c.addRunning(newJob("job-1", test.runningPriority, 4), now.Add(-test.runTime))
 			b := c.addRunning(newJob("job-2", test.runningPriority, 4), now.Add(-test.runTime))
 			if n := c.preempt(now, newJob("job-3", test.waitingPriority, test.waitingCPUs)); n != 0 || a.IsStopping() || b.IsStopping() {
-				t.Errorf("%d stopped, want 0; attempts stopping: %v, %v", n, a.IsStopping(), b.IsStopping())
+				t.Errorf("%d stops requested, want 0; attempts stopping: %v and %v, want false", n, a.IsStopping(), b.IsStopping())
 			}
 		})
 	}
 }
 
-// TestAttemptPlacedWhileAgedRunsMinimumTime: an attempt that was placed because its job had waited long
+// TestAttemptPlacedWhileAgedRunsMinimumTime: an attempt that was placed while its job counted as aged
 // may be stopped only after tuning.AgedMinRunTime.
 func TestAttemptPlacedWhileAgedRunsMinimumTime(t *testing.T) {
 	c := newCluster()
 	c.addRunningWithAge(newJob("job-1", wire.PriorityIdle, 8), baseTime, true)
 	early := baseTime.Add(tuning.AgedMinRunTime - time.Second)
 	if n := c.preempt(early, newJob("job-2", wire.PriorityHigh, 4)); n != 0 {
-		t.Fatalf("%d stopped before the minimum run time, want 0", n)
+		t.Fatalf("%d stops requested before the minimum run time, want 0", n)
 	}
+	// At this time a checkpoint, saved every 30 s, has just been written, so no progress is lost.
 	late := baseTime.Add(tuning.AgedMinRunTime.Truncate(30*time.Second) + 60*time.Second)
 	if n := c.preempt(late, newJob("job-2", wire.PriorityHigh, 4)); n != 1 {
-		t.Fatalf("%d stopped after the minimum run time, want 1", n)
+		t.Fatalf("%d stops requested after the minimum run time, want 1", n)
 	}
 }
