--- a/internal/machines/attempt_test.go
+++ b/internal/machines/attempt_test.go
@@ -10,13 +10,15 @@
 	"switchshore.example/switchshore/wire"
 )
 
+// termStart is when the term of the tests begins.
 var termStart = time.Unix(1_700_000_000, 0)
 
 func newMachine() *machines.Machine {
 	return machines.New(termStart, "m1", "std-8", "a", "m1:9", false)
 }
 
-// newActiveJob returns a job whose tasks may run, with checkpoints or without.
+// newActiveJob returns an accepted job with two tasks. They save checkpoints unless
+// checkpointIntervalS is 0.
 func newActiveJob(checkpointIntervalS float64) *jobs.Job {
 	j := jobs.New(wire.Job{
 		ID: "job-1", Team: "blue", Tasks: 2, CPUs: 2, MemoryGB: 1,
@@ -33,10 +35,11 @@
 	}
 	for _, from := range all {
 		for _, to := range all {
-			// A machine may report any state at any time; a start is sent only once recorded.
+			// A machine may report any state at any time. A start is sent only after its record
+			// is durable.
 			want := to.IsReported() || from == machines.RecordPending && to == machines.StartSent
 			if got := from.CanBecome(to); got != want {
-				t.Errorf("%v to %v: %v", from, to, got)
+				t.Errorf("transition from %v to %v: allowed: %v, want the opposite", from, to, got)
 			}
 		}
 	}
@@ -76,11 +79,11 @@
 	for i, s := range steps {
 		now := termStart.Add(time.Duration(i) * time.Second)
 		if began := a.ApplyReport(now, machines.ReportedState(s.reported)); began != s.began || a.State() != s.state {
-			t.Errorf("%s: state %v, began: %v", s.reported, a.State(), began)
+			t.Errorf("report %s: got state %v, began %v, want the values of the step", s.reported, a.State(), began)
 		}
 	}
 	if got := a.RunTime(termStart.Add(11 * time.Second)); got != 10*time.Second {
-		t.Errorf("run time %v", got)
+		t.Errorf("run time %v, want 10s", got)
 	}
 }
 
@@ -105,10 +108,10 @@
 		a.ApplyReport(termStart, c.reported)
 		c.stop(a)
 		if a.NeedsStop() != c.needed || a.GracePeriodS() != c.graceS || a.ShouldRun() == a.IsStopping() {
-			t.Errorf("%s: needed: %v, grace period %v s", name, a.NeedsStop(), a.GracePeriodS())
+			t.Errorf("%s: got stop needed %v, grace period %v s, want the values of the case", name, a.NeedsStop(), a.GracePeriodS())
 		}
 		if first, second := a.ClaimDirectStop(), a.ClaimDirectStop(); first != a.IsStopping() || second {
-			t.Errorf("%s: direct stops: %v, %v", name, first, second)
+			t.Errorf("%s: direct stop claimed: %v, then %v; want it claimed once if a stop is requested", name, first, second)
 		}
 	}
 }
@@ -125,12 +128,12 @@
 		"saved when stopped":   {intervalS: 10, saved: true, saves: 25},
 	} {
 		a := machines.NewAttempt(newMachine(), newActiveJob(c.intervalS), 0, termStart)
-		a.RecordProgress(end) // has not run yet
+		a.RecordProgress(end) // no effect, as the attempt has not run yet
 		a.ApplyReport(termStart, machines.Running)
 		a.MarkExited(c.saved, false)
 		a.RecordProgress(end)
 		if lost, saved := a.LostProgressS(end), a.Job.Progress(0); lost != c.lost || saved != c.saves {
-			t.Errorf("%s: lost %v, saved %v", name, lost, saved)
+			t.Errorf("%s: got %v s lost, %v s saved, want the values of the case", name, lost, saved)
 		}
 	}
 }
@@ -148,11 +151,11 @@
 		return list
 	}
 	if got := names(); !slices.Equal(got, []string{"m1", "m2", "m3"}) {
-		t.Errorf("machines %v", got)
+		t.Errorf("machines %v, want [m1 m2 m3]", got)
 	}
 	r.Remove(r.Get("m2"))
 	r.MarkReleased("m2")
 	if got := names(); !slices.Equal(got, []string{"m1", "m3"}) || r.Len() != 2 || r.Get("m2") != nil || !r.WasReleased("m2") || r.WasReleased("m1") {
-		t.Errorf("after a release: machines %v", got)
+		t.Errorf("after the release of m2: machines %v, want [m1 m3] and only m2 released", got)
 	}
 }
--- a/internal/machines/delivery_test.go
+++ b/internal/machines/delivery_test.go
@@ -9,7 +9,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// newRecordedAttempt adds an attempt whose start may be sent to the machine.
+// newRecordedAttempt adds an attempt to the machine and marks its start as recorded, so that the
+// start may be sent.
 func newRecordedAttempt(m *machines.Machine) *machines.Attempt {
 	a := machines.NewPendingAttempt(m, newActiveJob(30), 1, termStart, 7, false)
 	m.AddAttempt(a)
@@ -21,19 +22,19 @@
 	m := newReportingMachine(termStart)
 	a := newRecordedAttempt(m)
 	if c := a.StartCommand(); c.Op != wire.OpStart || c.Task != "job-1/1" || c.Attempt != 7 {
-		t.Errorf("%+v", c)
+		t.Errorf("command %+v, want the start of attempt 7 of job-1/1", c)
 	}
 	a.MarkStartSentDirectly()
 	if !a.StartSentDirectly() || !a.MayStartLate() || !a.NeedsStart() {
-		t.Error("a start sent by a direct call counts as delivered")
+		t.Error("got a start that counts as delivered, want one that may arrive late and is still needed")
 	}
 	m.AdvanceSession(m.Epoch(), m.Sequence()+1)
 	if !a.MayStartLate() {
-		t.Error("the start can't arrive late in the same session")
+		t.Error("start can't arrive late in the same session, want that it can")
 	}
 	m.AdvanceSession(m.Epoch()+1, 1)
 	if a.MayStartLate() || a.StartSentDirectly() || !a.NeedsStart() {
-		t.Error("the start may arrive late in a new session, or is no longer needed")
+		t.Error("want that the start can't arrive late in a new session and is still needed")
 	}
 }
 
@@ -42,15 +43,15 @@
 	a := newRecordedAttempt(m)
 	a.MarkStartSentInResponse(3)
 	if !a.StartSentInResponse() || a.MayStartLate() {
-		t.Error("start doesn't count as sent in a response only")
+		t.Error("want a start that counts as sent in a response and can't arrive late")
 	}
 	a.MarkStartResponseIneffective()
 	if a.StartSentInResponse() || !a.NeedsStart() {
-		t.Error("start isn't sent again after an ignored response")
+		t.Error("want that the start is sent again after a response without effect")
 	}
 	a.MarkInTaskList(5, 8)
 	if !a.IsInTaskList(5) || a.IsInTaskList(6) || a.Number() != 8 {
-		t.Errorf("listed with number %d", a.Number())
+		t.Errorf("attempt number %d, want 8, in task list 5 only", a.Number())
 	}
 	a.ApplyReport(termStart, machines.Fetching)
 	if a.NeedsStart() {
@@ -58,7 +59,7 @@
 	}
 	a.RequestGracefulStop()
 	if c := a.StopCommand(); c.Op != wire.OpStop || c.Attempt != 8 || c.GracePeriodS == nil || *c.GracePeriodS != 7 {
-		t.Errorf("%+v", c)
+		t.Errorf("command %+v, want the stop of attempt 8 with a grace period of 7 s", c)
 	}
 }
 
@@ -66,34 +67,34 @@
 	a := newRecordedAttempt(newReportingMachine(termStart))
 	a.PlanEviction()
 	if !a.IsEvicting() || a.IsStopping() {
-		t.Error("eviction not planned, or stopped before the charge is durable")
+		t.Error("want an eviction that is planned, and no stop before the charge is durable")
 	}
 	a.RevertEviction()
 	if a.IsEvicting() || !a.ShouldRun() {
-		t.Error("eviction not reverted")
+		t.Error("eviction not reverted, want an attempt that should run")
 	}
 }
 
 func TestDirectCallsDoNotOverlap(t *testing.T) {
 	m := newReportingMachine(termStart)
 	if !m.QueueCall() || m.QueueCall() {
-		t.Error("not queued, or queued twice")
+		t.Error("want that only the first call of QueueCall queues the machine")
 	}
 	m.DequeueCall()
 	if !m.QueueCall() {
-		t.Error("not queued again")
+		t.Error("machine not queued again after DequeueCall")
 	}
 	m.BeginCall()
 	if m.CanBeCalled(termStart, timing) || !m.IsBeingCalled() {
-		t.Error("can be called while a call is in progress")
+		t.Error("want that the machine can't be called while a call is in progress")
 	}
 	m.EndCall()
 	m.DelayCalls(termStart.Add(time.Second))
 	if m.CanBeCalled(termStart, timing) || !m.CanBeCalled(termStart.Add(time.Second), timing) {
-		t.Error("calls not paused, or paused for too long")
+		t.Error("want that the machine can be called from the given time on, and not before")
 	}
 	if newInheritedMachine(termStart).CanBeCalled(termStart, timing) {
-		t.Error("can be called before its tasks are known")
+		t.Error("want that an unreconciled machine can't be called")
 	}
 }
 
@@ -106,14 +107,14 @@
 	}
 	expired := termStart.Add(timing.LeaseExpiry + 1)
 	if m.ShouldBeReleased(expired.Add(-2), timing, 0) {
-		t.Error("should be released before its lease has expired")
+		t.Error("released before its lease has expired, want after it")
 	}
 	if late := expired.Add(timing.HeartbeatTimeout); !m.ShouldBeReleased(late, timing, 0) {
-		t.Error("should not be released after the lease has expired")
+		t.Error("not released after its lease has expired, want a release")
 	}
 	applyHeartbeat(m, expired, 1, 9)
 	if m.ShouldBeReleased(expired.Add(timing.HeartbeatTimeout), timing, 0) {
-		t.Error("should be released although a newer heartbeat has arrived")
+		t.Error("released although a newer heartbeat has arrived, want no release")
 	}
 }
 
@@ -125,14 +126,14 @@
 	m.RecordImage(termStart, "img")
 	s := m.ResetSnapshot()
 	if _, has := s.Images["img"]; !has || s.Free != m.Free() || s.Capacity != m.Capacity() || m.CachedSnapshot() != s {
-		t.Errorf("%+v", s)
+		t.Errorf("snapshot %+v, want one with the image, the free resources and the capacity, which is cached", s)
 	}
 	a := newRecordedAttempt(m)
 	if m.CachedSnapshot() != nil {
 		t.Error("cached snapshot still valid after an attempt was added")
 	}
 	if s = m.ResetSnapshot(); s.Free != m.Free() || m.CachedSnapshot() != s {
-		t.Errorf("free %+v", s.Free)
+		t.Errorf("cached snapshot has %+v free, want the free resources of the machine", s.Free)
 	}
 	a.ApplyReport(termStart, machines.Running)
 	if m.CachedSnapshot() != nil {
@@ -153,11 +154,11 @@
 	for _, notice := range []*float64{&first, &second} {
 		_, reclaimed := m.RecordHeartbeat(termStart, &wire.Heartbeat{ReclaimNoticeS: notice})
 		if reclaimed != (notice == &first) {
-			t.Errorf("notice of %v s: first notice: %v", *notice, reclaimed)
+			t.Errorf("notice of %v s counts as the first: %v, want this for 30 s only", *notice, reclaimed)
 		}
 	}
 	if left, reclaimed := m.ReclaimIn(termStart.Add(10 * time.Second)); left != 20*time.Second || !reclaimed {
-		t.Errorf("%v left", left)
+		t.Errorf("%v left until the reclaim, want 20s", left)
 	}
 }
 
@@ -165,7 +166,7 @@
 	m := newReportingMachine(termStart)
 	m.MarkFull(termStart.Add(time.Second))
 	if m.IsSchedulable(termStart, timing) || !m.IsSchedulable(termStart.Add(time.Second), timing) {
-		t.Error("full machine is schedulable, or stays unschedulable after the time")
+		t.Error("want that a full machine is schedulable from the given time on, and not before")
 	}
 	m.BeginRelease()
 	if m.IsSchedulable(termStart.Add(time.Second), timing) || !m.IsReleasing() {
--- a/internal/machines/machine_test.go
+++ b/internal/machines/machine_test.go
@@ -11,7 +11,7 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// timing is the timing of a term that began at start.
+// timing contains the timeouts of a term that began at termStart.
 var timing = &machines.Timing{
 	HeartbeatTimeout:  9 * time.Second,
 	LeaseDuration:     15 * time.Second,
@@ -20,15 +20,16 @@
 	InheritedTasksEnd: termStart.Add(30 * time.Second),
 }
 
-// newReportingMachine returns a machine that has sent one heartbeat, with the token of the term.
+// newReportingMachine returns a reconciled machine with 8 CPUs: it has sent one heartbeat at now, with
+// the token of the term.
 func newReportingMachine(now time.Time) *machines.Machine {
 	m := newInheritedMachine(now)
 	m.MarkReconciled(now)
 	return m
 }
 
-// newInheritedMachine returns a machine that has sent one heartbeat, without the token of the
-// term.
+// newInheritedMachine returns a machine with 8 CPUs that has sent one heartbeat at now, without the
+// token of the term. An earlier leader may have started tasks on it.
 func newInheritedMachine(now time.Time) *machines.Machine {
 	m := newMachine()
 	m.SetCapacity(placement.Resources{CPUs: 8})
@@ -36,7 +37,8 @@
 	return m
 }
 
-// applyHeartbeat applies a applyHeartbeat and renews the lease.
+// applyHeartbeat applies a heartbeat, which renews the lease. It returns true if the heartbeat shows
+// for the first time that responses are lost.
 func applyHeartbeat(m *machines.Machine, now time.Time, epoch, sequence uint64) (lost bool) {
 	lost = m.DetectLostResponses(now, epoch, timing)
 	m.AdvanceSession(epoch, sequence)
@@ -52,7 +54,7 @@
 	}{
 		"none":    {change: func(*machines.Machine) {}},
 		"drained": {change: func(m *machines.Machine) { m.Cordon(machines.CordonDrained) }, want: machines.CordonDrained},
-		"two, one lifted": {change: func(m *machines.Machine) {
+		"two set, one cleared": {change: func(m *machines.Machine) {
 			m.SetCordon(machines.CordonDrained, true)
 			m.Cordon(machines.CordonLateStart)
 			m.SetCordon(machines.CordonDrained, false)
@@ -60,17 +62,17 @@
 		"reclaim notice": {change: func(m *machines.Machine) {
 			m.RecordHeartbeat(termStart, &wire.Heartbeat{ReclaimNoticeS: &notice})
 		}, want: machines.CordonReclaimed},
-		"some responses ignored": {change: func(m *machines.Machine) {
+		"too few responses without effect": {change: func(m *machines.Machine) {
 			for range tuning.MaxIneffectiveResponses - 1 {
 				m.RecordIneffectiveResponse(termStart)
 			}
 		}},
-		"responses ignored": {change: func(m *machines.Machine) {
+		"many responses without effect": {change: func(m *machines.Machine) {
 			for range tuning.MaxIneffectiveResponses {
 				m.RecordIneffectiveResponse(termStart)
 			}
 		}, want: machines.CordonUnresponsive},
-		"start observed": {change: func(m *machines.Machine) {
+		"start executed": {change: func(m *machines.Machine) {
 			for range tuning.MaxIneffectiveResponses {
 				m.RecordIneffectiveResponse(termStart)
 			}
@@ -80,7 +82,7 @@
 		m := newReportingMachine(termStart)
 		c.change(m)
 		if got := m.CordonReasons(); got != c.want || m.IsCordoned() != (c.want != 0) || m.IsSchedulable(termStart, timing) != (c.want == 0) {
-			t.Errorf("%s: reasons %b", name, got)
+			t.Errorf("%s: reasons %b, want the set of the case, and schedulable only without reasons", name, got)
 		}
 	}
 }
@@ -91,21 +93,21 @@
 		id := fmt.Sprintf("job-%d", i)
 		m.AvoidJob(id)
 		if quarantined := m.CountFailedJob(id); quarantined != (i == tuning.FaultyMachineJobs-1) {
-			t.Errorf("after %d jobs: %v", i+1, quarantined)
+			t.Errorf("after %d failed jobs: quarantined: %v, want the opposite", i+1, quarantined)
 		}
 	}
 	m.RecordTaskSuccess()
 	if !m.IsCordonedFor(machines.CordonFaulty) || m.CountFailedJob("another") {
-		t.Error("no longer quarantined, or quarantined again")
+		t.Error("want a machine that remains quarantined and isn't quarantined again")
 	}
 	m.UncountFailedJob("another")
 	m.UncountFailedJob("job-0")
 	if m.IsCordonedFor(machines.CordonFaulty) || !m.AvoidsJob("job-0") {
-		t.Error("still quarantined, or the job is no longer avoided")
+		t.Error("want a machine that isn't quarantined any more, but still avoids the job")
 	}
 	m.RecordTaskSuccess()
 	if m.CountFailedJob("job-0") {
-		t.Error("failures before a success are still counted")
+		t.Error("failures before a success are still counted, want none counted")
 	}
 }
 
@@ -117,14 +119,14 @@
 		after   time.Duration
 		want    bool
 	}{
-		"renewed":                      {machine: newReportingMachine(termStart), after: timing.LeaseExpiry},
-		"expired":                      {machine: newReportingMachine(termStart), after: timing.LeaseExpiry + 1, want: true},
-		"agent replaced":               {machine: replaced, after: time.Hour},
-		"inherited, tasks may be left": {machine: newInheritedMachine(termStart), after: timing.LeaseExpiry + 1},
-		"inherited, tasks have ended":  {machine: newInheritedMachine(termStart), after: 30 * time.Second, want: true},
+		"renewed":                     {machine: newReportingMachine(termStart), after: timing.LeaseExpiry},
+		"expired":                     {machine: newReportingMachine(termStart), after: timing.LeaseExpiry + 1, want: true},
+		"agent replaced":              {machine: replaced, after: time.Hour},
+		"inherited, tasks may run":    {machine: newInheritedMachine(termStart), after: timing.LeaseExpiry + 1},
+		"inherited, tasks have ended": {machine: newInheritedMachine(termStart), after: 30 * time.Second, want: true},
 	} {
 		if got := c.machine.HasLeaseExpired(termStart.Add(c.after), timing); got != c.want {
-			t.Errorf("%s: expired: %v", name, got)
+			t.Errorf("%s: lease expired: %v, want the opposite", name, got)
 		}
 	}
 }
@@ -143,16 +145,16 @@
 	} {
 		r := &wire.Heartbeat{AgentEpoch: c.epoch, Sequence: c.sequence}
 		if m.IsStale(r) != c.stale || m.IsOvertakenByDirectReply(r) != c.overtaken {
-			t.Errorf("%s: stale: %v, overtaken: %v", name, m.IsStale(r), m.IsOvertakenByDirectReply(r))
+			t.Errorf("%s: got stale %v, overtaken %v, want the values of the case", name, m.IsStale(r), m.IsOvertakenByDirectReply(r))
 		}
 	}
 	m.AdvanceSession(2, 8) // the reply to a direct call
 	if r := (&wire.Heartbeat{AgentEpoch: 2, Sequence: 7}); !m.IsOvertakenByDirectReply(r) {
-		t.Error("a heartbeat that a direct reply overtook isn't recognized")
+		t.Error("heartbeat doesn't count as overtaken by the direct reply, want that it does")
 	}
 	m.ExpireSession()
 	if r := (&wire.Heartbeat{AgentEpoch: 2, Sequence: 9}); !m.IsStale(r) || m.IsOvertakenByDirectReply(r) {
-		t.Error("a heartbeat of the expired session is not stale")
+		t.Error("want a heartbeat of the expired session to be stale, and not just overtaken")
 	}
 }
 
@@ -167,17 +169,17 @@
 		return lost
 	}
 	if sendHeartbeats(1, 18*time.Second) {
-		t.Fatal("responses lost within one session")
+		t.Fatal("responses count as lost within one session, want a new session first")
 	}
 	if !sendHeartbeats(2, 3*time.Second) || !m.IsCordonedFor(machines.CordonUnresponsive) || m.CanBeCalled(now, timing) {
-		t.Error("responses not lost after a new session without a heartbeat gap")
+		t.Error("want lost responses after a new session without a heartbeat gap, and no direct calls")
 	}
 	if sendHeartbeats(2, timing.LeaseExpiry+3*time.Second) || m.IsCordonedFor(machines.CordonUnresponsive) || !m.CanBeCalled(now, timing) {
-		t.Error("responses still lost in a session longer than the lease")
+		t.Error("want no lost responses in a session that is longer than the lease, and direct calls again")
 	}
 	now = now.Add(time.Minute) // heartbeat gap
 	if sendHeartbeats(3, 3*time.Second) {
-		t.Error("responses lost after a new session that follows a heartbeat gap")
+		t.Error("responses count as lost after a new session that follows a heartbeat gap, want no conclusion")
 	}
 }
 
@@ -208,11 +210,11 @@
 		m := newReportingMachine(termStart)
 		c.change(m)
 		if got := m.ShouldBeReleased(termStart.Add(c.after), timing, bootTimeS); got != c.want {
-			t.Errorf("%s: should be released: %v", name, got)
+			t.Errorf("%s: should be released: %v, want the opposite", name, got)
 		}
 	}
 	if m := newMachine(); m.ShouldBeReleased(termStart.Add(time.Second), timing, bootTimeS) || !m.ShouldBeReleased(termStart.Add(time.Hour), timing, bootTimeS) {
-		t.Error("a machine that never boots is released too early, or not at all")
+		t.Error("want a machine that never boots to be released after an hour, and not after a second")
 	}
 }
 
@@ -220,17 +222,17 @@
 	const lag = 8 * time.Second
 	m := newMachine()
 	if m.CountMissingFromCloudList(termStart.Add(time.Hour), lag) {
-		t.Error("deleted although it was never listed")
+		t.Error("machine counts as deleted although it was never listed")
 	}
 	m.ApplyCloudListing(termStart, termStart, &wire.ListedMachine{AgeS: 60, Addr: "other:9"})
 	if !m.WasListedByCloud() || !m.ProvisionedAt().Equal(termStart.Add(-time.Minute)) || m.Addr != "m1:9" {
-		t.Errorf("listed: %v, provisioned at %v, address %s", m.WasListedByCloud(), m.ProvisionedAt(), m.Addr)
+		t.Errorf("listed: %v, provisioned at %v, address %s, want true, one minute before the term, m1:9", m.WasListedByCloud(), m.ProvisionedAt(), m.Addr)
 	}
 	if m.CountMissingFromCloudList(termStart.Add(lag), lag) {
-		t.Error("deleted although the list may be older than the machine's first listing")
+		t.Error("machine counts as deleted although the list may show a state before its first listing")
 	}
 	if !m.CountMissingFromCloudList(termStart.Add(lag+1), lag) {
-		t.Error("not deleted although the list is newer than the machine's first listing")
+		t.Error("machine doesn't count as deleted although the list shows a state after its first listing")
 	}
 }
 
@@ -243,30 +245,30 @@
 	m.AddExited(machines.ExitKey{Task: "job-1/1", Attempt: 3}, false)
 	for i, want := range []bool{false, true, false} {
 		if got := m.Exited()[i].Forget; got != want {
-			t.Errorf("%v: forget: %v", m.Exited()[i].ExitKey, got)
+			t.Errorf("%v: forget: %v, want the opposite", m.Exited()[i].ExitKey, got)
 		}
 	}
 	m.ClearExited()
 	m.AdvanceSession(2, 1)
 	m.AddExited(key, true)
 	if !m.Exited()[0].Forget {
-		t.Error("exit still retained in a new session")
+		t.Error("exit still retained in a new session, want that the agent is told to forget it")
 	}
 }
 
 func TestReserveKeepsHighestPriority(t *testing.T) {
 	m := newReportingMachine(termStart)
 	if _, reserved := m.Reservation(termStart); reserved {
-		t.Error("reservation on a new machine")
+		t.Error("new machine has a reservation, want none")
 	}
 	m.Reserve(termStart, 1)
 	m.Reserve(termStart, 2)
 	if rank, reserved := m.Reservation(termStart); rank != 1 || !reserved {
-		t.Errorf("rank %d, reserved: %v", rank, reserved)
+		t.Errorf("rank %d, reserved: %v, want rank 1, reserved", rank, reserved)
 	}
 	later := termStart.Add(tuning.PreemptReservationTime)
 	m.Reserve(later, 2)
 	if rank, reserved := m.Reservation(later); rank != 2 || !reserved {
-		t.Errorf("after the first reservation: rank %d, reserved: %v", rank, reserved)
+		t.Errorf("after the end of the first reservation: rank %d, reserved: %v, want rank 2, reserved", rank, reserved)
 	}
 }
--- a/internal/machines/reachability_test.go
+++ b/internal/machines/reachability_test.go
@@ -8,7 +8,8 @@
 	"switchshore.example/switchshore/internal/machines"
 )
 
-// newMachinesInTwoZones returns machines in zones a and b that sent their last heartbeat at the given times.
+// newMachinesInTwoZones returns perZone machines in each of the zones a and b. Those in zone a sent
+// their last heartbeat at heartbeatA, those in zone b at heartbeatB.
 func newMachinesInTwoZones(perZone int, heartbeatA, heartbeatB time.Time) []*machines.Machine {
 	var list []*machines.Machine
 	for zone, at := range map[string]time.Time{"a": heartbeatA, "b": heartbeatB} {
@@ -35,7 +36,7 @@
 		r := machines.NewReachability()
 		r.Update(now, newMachinesInTwoZones(10, c.heartbeatA, c.heartbeatB), timing)
 		if r.IsPartitioned(now, "a") != c.partitioned || r.AnyPartitioned(now) != c.partitioned || r.IsPartitioned(now, "b") || r.IsIsolated() != c.isolated {
-			t.Errorf("%s: partitioned: %v, isolated: %v", name, r.IsPartitioned(now, "a"), r.IsIsolated())
+			t.Errorf("%s: got zone a partitioned %v, isolated %v, want the values of the case, and zone b not partitioned", name, r.IsPartitioned(now, "a"), r.IsIsolated())
 		}
 		r.Update(now, newMachinesInTwoZones(10, now, now), timing)
 		if r.AnyPartitioned(now) || r.IsIsolated() {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -11,13 +11,15 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// newMachine returns an empty machine of zone a.
+// newMachine returns a machine in zone a without tasks and images, with 100 GB of memory. It fetches
+// 1 GB per second.
 func newMachine(id string, cpus float64) *placement.Machine {
 	r := placement.Resources{CPUs: cpus, MemoryGB: 100}
 	return &placement.Machine{ID: id, Type: "t", Zone: "a", Capacity: r, Free: r, FetchGBPerS: 1, Images: map[string]float64{}}
 }
 
-// newJob returns a job of team blue whose tasks take a CPU and 10 s.
+// newJob returns a job of team blue. Each task needs one CPU, runs for 10 s and uses an image that
+// takes 5 s to fetch.
 func newJob(id string, rank, tasks int) *placement.PendingJob {
 	return &placement.PendingJob{
 		JobID: id, Team: "blue", PriorityRank: rank, ReadyTasks: tasks, TotalTasks: tasks, AllowsSpot: true,
@@ -25,18 +27,18 @@
 	}
 }
 
-// unlimited returns team blue with a limit that is never reached.
+// unlimited returns the teams of a pass: only team blue, with a limit that is never reached.
 func unlimited() map[string]*placement.Team {
 	return map[string]*placement.Team{"blue": {Limit: placement.Resources{CPUs: 1e9, GPUs: 1e9, MemoryGB: 1e9}}}
 }
 
 // TestTaskWaitsForMachineWithImage is the paper's example: a task waits for a busy
-// machine with its image if that takes less time than a fetch.
+// machine with its image if the wait is shorter than a fetch on an idle machine.
 func TestTaskWaitsForMachineWithImage(t *testing.T) {
 	for _, c := range []struct {
 		remaining float64
 		want      string
-	}{{2, "[]"}, {8, "[{j idle}]"}} {
+	}{{2, "[]"}, {8, "[{j idle}]"}} { // a fetch takes 5 s
 		busy, idle := newMachine("busy", 1), newMachine("idle", 1)
 		busy.Free = placement.Resources{MemoryGB: 99}
 		busy.Images["img"] = 0
@@ -59,8 +61,8 @@
 	}
 }
 
-// TestAgedBacklogLeavesScoresForOtherJobs: many aged jobs that fit nowhere must not use up the scores
-// of a pass, so that jobs that fit into the free resources still start.
+// TestAgedBacklogLeavesScoresForOtherJobs: many aged jobs that fit on no machine must not use
+// up the scores of a pass. Jobs that fit into the free resources must still start.
 func TestAgedBacklogLeavesScoresForOtherJobs(t *testing.T) {
 	var machines []*placement.Machine
 	for i := range 2000 {
@@ -82,16 +84,16 @@
 		free.Free.CPUs, free.PlacedTasks = 2, nil
 		got, stats := placement.Run(0, ready, machines, unlimited(), 200)
 		if fmt.Sprint(got) != "[{small free} {small free}]" {
-			t.Errorf("aged jobs of %d tasks: started %v", tasks, got)
+			t.Errorf("aged jobs of %d tasks: started %v, want two tasks of job small", tasks, got)
 		}
 		if stats.ScoredPairs > tuning.PassMaxScoredPairs {
-			t.Errorf("aged jobs of %d tasks: %d pairs scored", tasks, stats.ScoredPairs)
+			t.Errorf("aged jobs of %d tasks: %d pairs scored, want at most tuning.PassMaxScoredPairs", tasks, stats.ScoredPairs)
 		}
 	}
 }
 
-// TestLargeGroupIsPlacedOverSeveralPasses: a group with more jobs than a pass can
-// score must not prevent all starts; each pass starts some of its tasks.
+// TestLargeGroupIsPlacedOverSeveralPasses: if a group has more jobs than a pass can
+// score, the pass must still start some of their tasks.
 func TestLargeGroupIsPlacedOverSeveralPasses(t *testing.T) {
 	var machines []*placement.Machine
 	for i := range 2000 {
@@ -103,7 +105,7 @@
 	}
 	got, stats := placement.Run(0, ready, machines, unlimited(), 200)
 	if len(got) == 0 || !stats.Truncated || stats.ScoredPairs > 2*tuning.PassMaxScoredPairs {
-		t.Errorf("%d starts, stats %+v", len(got), stats)
+		t.Errorf("%d starts, stats %+v, want some starts in a truncated pass that keeps the limit of scores", len(got), stats)
 	}
 }
 
@@ -143,7 +145,7 @@
 }
 
 // startChecker applies the starts of a pass one by one to the state before the pass,
-// and checks each.
+// and checks each against the constraints.
 type startChecker struct {
 	jobs     map[string]*placement.PendingJob
 	machines map[string]*placement.Machine
@@ -213,8 +215,8 @@
 }
 
 // TestAgedJobReservesTeamLimit: if a task of an aged job doesn't fit into its team's
-// limit, smaller tasks of the team must not start, or they would delay it further.
-// Tasks of other teams may start.
+// limit, smaller tasks of the team must not start, as they would delay the aged job
+// further. Tasks of other teams may start.
 func TestAgedJobReservesTeamLimit(t *testing.T) {
 	teams := unlimited()
 	teams["red"] = &placement.Team{Used: placement.Resources{CPUs: 6}, Limit: placement.Resources{CPUs: 8, MemoryGB: 1000}}
@@ -243,16 +245,16 @@
 	}
 	starts, stats := placement.Run(0, ready, vms, unlimited(), 1000)
 	if !stats.Truncated || stats.ScoredPairs > tuning.PassMaxScoredPairs+2*machines {
-		t.Errorf("stats %+v", stats)
+		t.Errorf("stats %+v, want a truncated pass that keeps the limit of scores", stats)
 	}
 	if len(starts) == 0 || starts[0].JobID != "j000" {
-		t.Errorf("started %v", starts)
+		t.Errorf("started %v, want the most urgent job, j000, first", starts)
 	}
 }
 
-// TestAgedJobsStartWhereTheyFit: a reservation for an aged job, of its team's limit
-// or of a machine, must not block other aged jobs that fit, but must block jobs that
-// have not aged.
+// TestAgedJobsStartWhereTheyFit: an aged job that doesn't fit reserves its team's limit
+// or a machine. The reservation must not block other aged jobs that fit, but must block
+// jobs that have not aged.
 func TestAgedJobsStartWhereTheyFit(t *testing.T) {
 	for name, max := range map[string]float64{"the team limit": 12, "the machine": 100} {
 		m := newMachine("m", 12)
@@ -263,7 +265,7 @@
 		teams := map[string]*placement.Team{"blue": {Used: placement.Resources{CPUs: 10}, Limit: placement.Resources{CPUs: max, MemoryGB: 1e9}}}
 		got, _ := placement.Run(100, []*placement.PendingJob{fresh, big, small}, []*placement.Machine{m}, teams, 10)
 		if fmt.Sprint(got) != "[{small m}]" {
-			t.Errorf("reservation of %s: started %v", name, got)
+			t.Errorf("reservation of %s: started %v, want only job small", name, got)
 		}
 	}
 }
