--- a/internal/allocation/ledger_test.go
+++ b/internal/allocation/ledger_test.go
@@ -39,7 +39,7 @@
 func TestAttemptCountsUntilItIsReleased(t *testing.T) {
 	l := allocation.NewLedger(teams)
 	m, j := newMachine("m1", "a"), newJob("job-1", "blue", 1)
-	a := machines.NewAttempt(m, j, j.PopReadyTask(start), start)
+	a := machines.NewPossiblyStartedAttempt(m, j, j.PopReadyTask(start), start)
 	l.Allocate(a)
 	a.ApplyReport(start, machines.Running)
 	j.AddRunning()
@@ -88,7 +88,7 @@
 				l.Release(start, attempts[i])
 				attempts = append(attempts[:i], attempts[i+1:]...)
 			} else if j.ReadyTasks() > 0 {
-				a := machines.NewAttempt(all[rng.IntN(len(all))], j, j.PopReadyTask(start), start)
+				a := machines.NewPossiblyStartedAttempt(all[rng.IntN(len(all))], j, j.PopReadyTask(start), start)
 				l.Allocate(a)
 				attempts = append(attempts, a)
 			}
--- a/internal/consolidation/consolidation.go
+++ b/internal/consolidation/consolidation.go
@@ -118,14 +118,14 @@
 	for _, j := range p.RunnableJobs() {
 		// Unallocated capacity only decreases here, so a machine without capacity for one task of
 		// the job has none for the job's next task either and isn't tried again.
-		rest := targets
+		remainingTargets := targets
 		for range j.ReadyTasks() {
-			i := p.firstFit(j, rest)
+			i := p.firstFit(j, remainingTargets)
 			if i < 0 {
 				break
 			}
-			rest = rest[i:]
-			p.allocate(rest[0], j)
+			remainingTargets = remainingTargets[i:]
+			p.allocate(remainingTargets[0], j)
 		}
 	}
 }
--- a/internal/consolidation/consolidation_test.go
+++ b/internal/consolidation/consolidation_test.go
@@ -27,7 +27,7 @@
 	m.SetCapacity(placement.Resources{CPUs: 8, MemoryGB: 32})
 	for _, c := range cpus {
 		j := jobs.New(wire.Job{ID: "job-" + id, Tasks: 1, CPUs: c, CheckpointIntervalS: checkpointIntervalS, CheckpointSaveS: 7}, 0, baseTime)
-		a := machines.NewAttempt(m, j, 0, baseTime)
+		a := machines.NewPossiblyStartedAttempt(m, j, 0, baseTime)
 		a.ApplyReport(baseTime, machines.Running)
 		m.AddAttempt(a)
 	}
@@ -87,14 +87,14 @@
 	waiting := jobs.New(wire.Job{ID: "job-9", Tasks: 2, CPUs: 6}, 0, baseTime)
 	waiting.RebuildReadyTasks()
 	for name, test := range map[string]struct {
-		all     []*machines.Machine
-		waiting []*jobs.Job
+		machines []*machines.Machine
+		waiting  []*jobs.Job
 	}{
-		"no checkpoints": {all: []*machines.Machine{newMachine("cheap", 0, 2), newMachine("expensive", 0, 2)}},
-		"no capacity":    {all: []*machines.Machine{newMachine("cheap", 30, 7), newMachine("expensive", 30, 2)}},
-		"waiting work":   {all: []*machines.Machine{newMachine("cheap", 30, 2), newMachine("expensive", 30, 2)}, waiting: []*jobs.Job{waiting}},
+		"no checkpoints": {machines: []*machines.Machine{newMachine("cheap", 0, 2), newMachine("expensive", 0, 2)}},
+		"no capacity":    {machines: []*machines.Machine{newMachine("cheap", 30, 7), newMachine("expensive", 30, 2)}},
+		"waiting work":   {machines: []*machines.Machine{newMachine("cheap", 30, 2), newMachine("expensive", 30, 2)}, waiting: []*jobs.Job{waiting}},
 	} {
-		c := &cluster{machines: test.all, waiting: test.waiting}
+		c := &cluster{machines: test.machines, waiting: test.waiting}
 		if n := c.consolidator().Run(consolidationTime); n != 0 {
 			t.Errorf("%s: consolidated %v, want none", name, c.consolidatedIDs)
 		}
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -162,7 +162,7 @@
 	}
 	task := taskKey{j, index}
 	earlier := l.loading.attempts[task]
-	a := machines.NewAttempt(m, j, index, now)
+	a := machines.NewPossiblyStartedAttempt(m, j, index, now)
 	record.AddLoadedAttempt(a)
 	l.ledger.Allocate(a)
 	l.loading.attempts[task] = a
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -75,7 +75,7 @@
 func (l *Leader) applyLiveTask(now time.Time, m *machines.Machine, j *jobs.Job, index int32, t *wire.TaskStatus) {
 	a := m.Find(j, index)
 	if a == nil {
-		a = machines.NewAttempt(m, j, index, now)
+		a = machines.NewPossiblyStartedAttempt(m, j, index, now)
 		l.ledger.Allocate(a)
 		// No record names this attempt any more, or none ever did, but a successor has to know
 		// of it.
--- a/internal/machines/attempt.go
+++ b/internal/machines/attempt.go
@@ -18,7 +18,7 @@
 
 	state           AttemptState
 	allocated       bool // its resources are counted as used on its machine
-	placedWhileAged bool // placed while its job counted as aged (see tuning.AgedMinRunTime)
+	placedWhileAged bool // placed while its job counted as aged
 	checkpointSaved bool // the task saved a checkpoint when it was stopped
 	failed          bool // the task itself ended with an error
 
@@ -26,7 +26,7 @@
 	// and defines its type.
 	StartRecord any
 
-	number         uint64
+	number         uint64 // identifies the attempt to the agent; later attempts have larger numbers
 	taskListNumber uint64 // number of the last task list that contained the attempt
 	createdAt      time.Time
 	runningAt      time.Time // when the machine first reported it as running, or zero
@@ -42,21 +42,21 @@
 	// sentDirectly is set while a direct call with the start has had no reply. The agent may
 	// execute that start at any later time in the session. So the attempt keeps its
 	// resources, the start is sent again in responses to heartbeats, and the agent isn't told to
-	// forget the attempt's exit.
+	// forget the attempt after its exit.
 	sentDirectly bool
 }
 
-// stopRequest is the decision to stop an attempt.
+// stopRequest records whether and how an attempt is to be stopped.
 type stopRequest struct {
-	gracePeriodS   float64
-	stopping       bool
-	directStopSent bool
+	gracePeriodS   float64 // for saving a checkpoint
+	stopping       bool    // a stop was requested
+	directStopSent bool    // the stop was sent by a direct call
 	// evicting: a drain stops the attempt once the charge against the team's budget is durable.
 	evicting bool
 }
 
-// NewAttempt returns an attempt that an earlier leader may have started.
-func NewAttempt(m *Machine, j *jobs.Job, index int32, now time.Time) *Attempt {
+// NewPossiblyStartedAttempt returns an attempt that an earlier leader may have started.
+func NewPossiblyStartedAttempt(m *Machine, j *jobs.Job, index int32, now time.Time) *Attempt {
 	return &Attempt{Machine: m, Job: j, Index: index, state: PossiblyStarted, createdAt: now}
 }
 
@@ -74,21 +74,22 @@
 // State returns the state of the attempt.
 func (a *Attempt) State() AttemptState { return a.state }
 
-// CreatedAt is when the start was decided. For an attempt of an earlier leader it is when this
-// leader learned of it.
+// CreatedAt returns when the start was decided. For an attempt of an earlier leader, it returns when
+// this leader learned of the attempt.
 func (a *Attempt) CreatedAt() time.Time { return a.createdAt }
 
 // IsAllocated reports whether the attempt's resources are counted as used on its machine.
 func (a *Attempt) IsAllocated() bool { return a.allocated }
 
-// PlacedWhileAged reports whether the attempt was placed while its job counted as aged.
+// PlacedWhileAged reports whether the attempt was placed while its job counted as aged. Preemption
+// lets such an attempt run for tuning.AgedMinRunTime.
 func (a *Attempt) PlacedWhileAged() bool { return a.placedWhileAged }
 
 // HasRun reports whether the machine has reported the attempt as running.
 func (a *Attempt) HasRun() bool { return !a.runningAt.IsZero() }
 
 // RunTime returns the time since the attempt was first reported as running. The result has no
-// meaning unless HasRun.
+// meaning if HasRun returns false.
 func (a *Attempt) RunTime(now time.Time) time.Duration { return now.Sub(a.runningAt) }
 
 // ShouldRun reports whether the attempt's task is still needed and the attempt isn't being
--- a/internal/machines/attempt_test.go
+++ b/internal/machines/attempt_test.go
@@ -104,7 +104,7 @@
 		"reverted":               {stop: func(a *machines.Attempt) { a.RequestStop(); a.RevertStop() }, reported: machines.Running},
 		"now, while saving":      {checkpointIntervalS: 30, stop: (*machines.Attempt).RequestStop, reported: machines.Saving, needed: true},
 	} {
-		a := machines.NewAttempt(newMachine(), newActiveJob(c.checkpointIntervalS), 0, termStart)
+		a := machines.NewPossiblyStartedAttempt(newMachine(), newActiveJob(c.checkpointIntervalS), 0, termStart)
 		a.ApplyReport(termStart, c.reported)
 		c.stop(a)
 		if a.NeedsStop() != c.needed || a.GracePeriodS() != c.graceS || a.ShouldRun() == a.IsStopping() {
@@ -127,7 +127,7 @@
 		"periodic checkpoints": {intervalS: 10, lost: 5, saves: 20},
 		"saved when stopped":   {intervalS: 10, saved: true, saves: 25},
 	} {
-		a := machines.NewAttempt(newMachine(), newActiveJob(c.intervalS), 0, termStart)
+		a := machines.NewPossiblyStartedAttempt(newMachine(), newActiveJob(c.intervalS), 0, termStart)
 		a.RecordProgress(end) // no effect, as the attempt has not run yet
 		a.ApplyReport(termStart, machines.Running)
 		a.MarkExited(c.saved, false)
--- a/internal/machines/heartbeat.go
+++ b/internal/machines/heartbeat.go
@@ -21,7 +21,7 @@
 	// staleHeartbeats counts the stale heartbeats that have arrived after the newest heartbeat,
 	// staleSince is when the first of them arrived.
 	staleHeartbeats int
-	staleSince      time.Time
+	firstStaleAt    time.Time
 }
 
 // Epoch returns the epoch of the agent's current session.
@@ -55,7 +55,7 @@
 // RecordStaleHeartbeat counts a stale heartbeat, and records when the first one arrived.
 func (s *agentSession) RecordStaleHeartbeat(now time.Time) {
 	if s.staleHeartbeats++; s.staleHeartbeats == 1 {
-		s.staleSince = now
+		s.firstStaleAt = now
 	}
 }
 
--- a/internal/machines/lease.go
+++ b/internal/machines/lease.go
@@ -94,7 +94,7 @@
 		// Its heartbeats never carry this term's token, so it doesn't get this leader's
 		// responses. Only its release proves that the tasks it may run have ended.
 		return true
-	case m.staleHeartbeats >= tuning.MaxStaleHeartbeats && m.HasLeaseExpired(now, t) && now.Sub(m.staleSince) > t.HeartbeatTimeout:
+	case m.staleHeartbeats >= tuning.MaxStaleHeartbeats && m.HasLeaseExpired(now, t) && now.Sub(m.firstStaleAt) > t.HeartbeatTimeout:
 		// The latest heartbeats are all stale. They are either delayed copies, or come from a
 		// new agent that counts its epochs from the start again. The leader can't tell which, and
 		// must not take a new agent for the old one, so the machine is replaced.
--- a/internal/machines/machine_test.go
+++ b/internal/machines/machine_test.go
@@ -185,7 +185,7 @@
 
 func TestShouldBeReleased(t *testing.T) {
 	const bootTimeS = 10
-	missTwice := func(m *machines.Machine) {
+	listOnceThenMissTwice := func(m *machines.Machine) {
 		m.ApplyCloudListing(termStart, termStart, &wire.ListedMachine{})
 		m.CountMissingFromCloudList(termStart, time.Minute)
 		m.CountMissingFromCloudList(termStart, time.Minute)
@@ -203,8 +203,8 @@
 		"release required later":  {change: func(m *machines.Machine) { m.RequireRelease(termStart.Add(time.Second)) }},
 		"release required":        {change: func(m *machines.Machine) { m.RequireRelease(termStart.Add(-time.Second)) }, want: true},
 		"empty and drained":       {change: func(m *machines.Machine) { m.Cordon(machines.CordonDrained) }, want: true},
-		"not listed, reachable":   {change: missTwice},
-		"not listed, unreachable": {change: missTwice, after: 10 * time.Second, want: true},
+		"not listed, reachable":   {change: listOnceThenMissTwice},
+		"not listed, unreachable": {change: listOnceThenMissTwice, after: 10 * time.Second, want: true},
 		"unreachable for long":    {change: func(*machines.Machine) {}, after: timing.LeaseExpiry + tuning.UnreachableReleaseDelay + 1, want: true},
 	} {
 		m := newReportingMachine(termStart)
--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -40,11 +40,11 @@
 
 func (h candidateHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push appends an entry.
+// Push appends a candidate.
 func (h *candidateHeap) Push(x any) { *h = append(*h, x.(candidate)) }
 
-// Pop removes the last entry. It returns nil instead of the entry, as no
-// caller needs it and boxing it would allocate.
+// Pop removes the last entry. It returns nil instead of the entry: no caller needs
+// the entry, and its conversion to any would allocate.
 func (h *candidateHeap) Pop() any {
 	*h = (*h)[:len(*h)-1]
 	return nil
@@ -78,12 +78,12 @@
 	heap.Init((*candidateHeap)(&j.candidates))
 }
 
-// busyMachinesToScore returns the machines to score in addition to those on which
-// the job's tasks fit now; imageCached says whether one of these has the image. A
-// busy machine can have the best score in two cases. Either it has the image and no
-// machine on which the tasks fit now has it, or the tasks fit on no machine now. In
-// the second case the tasks are queued, so that smaller tasks don't use the
-// resources that they need.
+// busyMachinesToScore returns the busy machines to score, in addition to the machines
+// on which the job's tasks fit now. imageCached says whether one of the latter has the
+// image. A busy machine can have the best score in two cases: it has the image and none
+// of the machines on which the tasks fit now has it, or the tasks fit on no machine
+// now. In the second case the tasks are queued, so that smaller tasks don't use the
+// resources that these tasks need.
 //
 // It returns none if the pass has queued its maximum of tasks or scored half of its
 // maximum of pairs. Otherwise, with 2,000 full machines, each aged job would score
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -26,14 +26,14 @@
 	// order as in machines. eachAvailableMachine removes machines that have become
 	// full.
 	availableMachines []*Machine
-	smallestRequest   Resources
+	smallestRequest   Resources // the smallest amount of each resource that any job requests
 	// machinesByImage caches the results of machinesWithImage. Machines that begin to
 	// fetch the image later in the pass are not added.
 	machinesByImage map[string][]*Machine
 	teams           map[string]*Team
 	maxStarts       int
 	starts          []Assignment
-	queuedTasks     int
+	queuedTasks     int // number of tasks that this pass has queued
 	// blockedRank is the priority whose remaining jobs fit on no machine now, or
 	// noRank. The pass skips these jobs.
 	blockedRank int
@@ -46,8 +46,9 @@
 // the order of comparePrecedence, so jobs of lower priorities get the resources that
 // are left. If a task would finish earlier on a busy machine than on an idle one, Run
 // queues it there: the task reserves resources of that machine for the rest of the
-// pass, and a later pass starts it. now is in seconds, on the clock to which the times of the machines
-// refer. The pass ends after maxStarts starts or a bounded number of scores.
+// pass, and a later pass starts it. now is in seconds, on the clock to which the times
+// of the machines refer. The pass ends after maxStarts starts or a bounded number of
+// scores.
 func Run(now float64, ready []*PendingJob, machines []*Machine, teams map[string]*Team, maxStarts int) ([]Assignment, PassStats) {
 	p := &pass{
 		now: now, machines: machines, teams: teams, maxStarts: maxStarts,
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// unlimited returns the teams of a pass: only team blue, with a limit that is never reached.
-func unlimited() map[string]*placement.Team {
+// unlimitedTeams returns the teams of a pass: only team blue, with a limit that is never reached.
+func unlimitedTeams() map[string]*placement.Team {
 	return map[string]*placement.Team{"blue": {Limit: placement.Resources{CPUs: 1e9, GPUs: 1e9, MemoryGB: 1e9}}}
 }
 
@@ -36,22 +36,22 @@
 // machine with its image if the wait is shorter than a fetch on an idle machine.
 func TestTaskWaitsForMachineWithImage(t *testing.T) {
 	for _, c := range []struct {
-		remaining float64
-		want      string
+		remainingS float64
+		want       string
 	}{{2, "[]"}, {8, "[{j idle}]"}} { // a fetch takes 5 s
 		busy, idle := newMachine("busy", 1), newMachine("idle", 1)
 		busy.Free = placement.Resources{MemoryGB: 99}
 		busy.Images["img"] = 0
-		busy.PlacedTasks = []placement.PlacedTask{{Request: placement.Resources{CPUs: 1, MemoryGB: 1}, EndS: 100 + c.remaining}}
-		got, _ := placement.Run(100, []*placement.PendingJob{newJob("j", 0, 1)}, []*placement.Machine{busy, idle}, unlimited(), 10)
+		busy.PlacedTasks = []placement.PlacedTask{{Request: placement.Resources{CPUs: 1, MemoryGB: 1}, EndS: 100 + c.remainingS}}
+		got, _ := placement.Run(100, []*placement.PendingJob{newJob("j", 0, 1)}, []*placement.Machine{busy, idle}, unlimitedTeams(), 10)
 		if fmt.Sprint(got) != c.want {
-			t.Errorf("%v s remaining: started %v, want %v", c.remaining, got, c.want)
+			t.Errorf("%v s remaining: started %v, want %v", c.remainingS, got, c.want)
 		}
 	}
 }
 
 func TestPriorityAndLimits(t *testing.T) {
-	teams := unlimited()
+	teams := unlimitedTeams()
 	teams["red"] = &placement.Team{Limit: placement.Resources{CPUs: 1, MemoryGB: 100}}
 	high := newJob("high", 0, 3)
 	high.Team = "red"
@@ -82,7 +82,7 @@
 			ready = append(ready, j)
 		}
 		free.Free.CPUs, free.PlacedTasks = 2, nil
-		got, stats := placement.Run(0, ready, machines, unlimited(), 200)
+		got, stats := placement.Run(0, ready, machines, unlimitedTeams(), 200)
 		if fmt.Sprint(got) != "[{small free} {small free}]" {
 			t.Errorf("aged jobs of %d tasks: started %v, want two tasks of job small", tasks, got)
 		}
@@ -103,7 +103,7 @@
 	for i := range 100 {
 		ready = append(ready, newJob(fmt.Sprintf("j%03d", i), 0, 5))
 	}
-	got, stats := placement.Run(0, ready, machines, unlimited(), 200)
+	got, stats := placement.Run(0, ready, machines, unlimitedTeams(), 200)
 	if len(got) == 0 || !stats.Truncated || stats.ScoredPairs > 2*tuning.PassMaxScoredPairs {
 		t.Errorf("%d starts, stats %+v, want some starts in a truncated pass that keeps the limit of scores", len(got), stats)
 	}
@@ -147,17 +147,17 @@
 // startChecker applies the starts of a pass one by one to the state before the pass,
 // and checks each against the constraints.
 type startChecker struct {
-	jobs     map[string]*placement.PendingJob
-	machines map[string]*placement.Machine
-	free     map[string]placement.Resources // by machine
-	zones    map[string]map[string]int      // tasks by job and zone
-	usedCPUs float64
+	jobs        map[string]*placement.PendingJob
+	machines    map[string]*placement.Machine
+	free        map[string]placement.Resources // by machine
+	tasksByZone map[string]map[string]int      // tasks by job and zone
+	usedCPUs    float64
 }
 
 func newStartChecker(jobs []*placement.PendingJob, machines []*placement.Machine) *startChecker {
 	c := &startChecker{
 		jobs: map[string]*placement.PendingJob{}, machines: map[string]*placement.Machine{},
-		free: map[string]placement.Resources{}, zones: map[string]map[string]int{},
+		free: map[string]placement.Resources{}, tasksByZone: map[string]map[string]int{},
 	}
 	for _, j := range jobs {
 		c.jobs[j.JobID] = j
@@ -168,18 +168,18 @@
 	return c
 }
 
-// add applies a start. It returns the constraint that the start violates, or an empty string.
-func (c *startChecker) add(s placement.Assignment) string {
+// applyStart applies a start. It returns the constraint that the start violates, or an empty string.
+func (c *startChecker) applyStart(s placement.Assignment) string {
 	j, m := c.jobs[s.JobID], c.machines[s.MachineID]
 	if !c.free[m.ID].Fits(j.Request) {
 		return "exceeds the free resources"
 	}
 	c.free[m.ID] = c.free[m.ID].Add(j.Request, -1)
 	c.usedCPUs += j.Request.CPUs
-	if c.zones[j.JobID] == nil {
-		c.zones[j.JobID] = map[string]int{}
+	if c.tasksByZone[j.JobID] == nil {
+		c.tasksByZone[j.JobID] = map[string]int{}
 	}
-	zones := c.zones[j.JobID]
+	zones := c.tasksByZone[j.JobID]
 	zones[m.Zone]++
 	for zone, tasks := range zones {
 		if j.OneZone && len(zones) > 1 || j.SpreadZones && tasks > (j.TotalTasks+1)/2 {
@@ -192,8 +192,8 @@
 	return ""
 }
 
-// TestRandomPassesKeepConstraints: on random snapshots, no start exceeds the free resources or the
-// team's limit, or violates the constraints on zones and spot machines.
+// TestRandomPassesKeepConstraints: on random snapshots, no start exceeds the free
+// resources or the team's limit, or violates a constraint on zones or spot machines.
 func TestRandomPassesKeepConstraints(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 4))
@@ -204,7 +204,7 @@
 		checker := newStartChecker(jobs, machines)
 		starts, _ := placement.Run(0, jobs, machines, teams, 100)
 		for _, s := range starts {
-			if violation := checker.add(s); violation != "" {
+			if violation := checker.applyStart(s); violation != "" {
 				t.Fatalf("seed %d: %v: %s", seed, s, violation)
 			}
 		}
@@ -218,7 +218,7 @@
 // limit, smaller tasks of the team must not start, as they would delay the aged job
 // further. Tasks of other teams may start.
 func TestAgedJobReservesTeamLimit(t *testing.T) {
-	teams := unlimited()
+	teams := unlimitedTeams()
 	teams["red"] = &placement.Team{Used: placement.Resources{CPUs: 6}, Limit: placement.Resources{CPUs: 8, MemoryGB: 1000}}
 	aged, small := newJob("aged", 3, 1), newJob("small", 0, 2)
 	aged.Team, small.Team = "red", "red"
@@ -232,10 +232,10 @@
 // TestPassStopsAtScoreLimit: a pass over many machines and jobs stops at its limit of scores,
 // returns the starts decided so far and reports that it was truncated.
 func TestPassStopsAtScoreLimit(t *testing.T) {
-	const machines = 500
-	var vms []*placement.Machine
-	for i := range machines {
-		vms = append(vms, newMachine(fmt.Sprintf("m%03d", i), 1))
+	const machineCount = 500
+	var machines []*placement.Machine
+	for i := range machineCount {
+		machines = append(machines, newMachine(fmt.Sprintf("m%03d", i), 1))
 	}
 	var ready []*placement.PendingJob
 	for i := range 200 {
@@ -243,8 +243,8 @@
 		j.Urgency = float64(i) * 100
 		ready = append(ready, j)
 	}
-	starts, stats := placement.Run(0, ready, vms, unlimited(), 1000)
-	if !stats.Truncated || stats.ScoredPairs > tuning.PassMaxScoredPairs+2*machines {
+	starts, stats := placement.Run(0, ready, machines, unlimitedTeams(), 1000)
+	if !stats.Truncated || stats.ScoredPairs > tuning.PassMaxScoredPairs+2*machineCount {
 		t.Errorf("stats %+v, want a truncated pass that keeps the limit of scores", stats)
 	}
 	if len(starts) == 0 || starts[0].JobID != "j000" {
@@ -256,13 +256,13 @@
 // or a machine. The reservation must not block other aged jobs that fit, but must block
 // jobs that have not aged.
 func TestAgedJobsStartWhereTheyFit(t *testing.T) {
-	for name, max := range map[string]float64{"the team limit": 12, "the machine": 100} {
+	for name, limitCPUs := range map[string]float64{"the team limit": 12, "the machine": 100} {
 		m := newMachine("m", 12)
 		m.Free = placement.Resources{CPUs: 2, MemoryGB: 50}
 		m.PlacedTasks = []placement.PlacedTask{{Request: placement.Resources{CPUs: 10, MemoryGB: 50}, EndS: 500}}
 		big, small, fresh := newJob("big", 1, 2), newJob("small", 3, 1), newJob("fresh", 0, 5)
 		big.Request.CPUs, big.AgedS, small.AgedS = 3, 200, 100
-		teams := map[string]*placement.Team{"blue": {Used: placement.Resources{CPUs: 10}, Limit: placement.Resources{CPUs: max, MemoryGB: 1e9}}}
+		teams := map[string]*placement.Team{"blue": {Used: placement.Resources{CPUs: 10}, Limit: placement.Resources{CPUs: limitCPUs, MemoryGB: 1e9}}}
 		got, _ := placement.Run(100, []*placement.PendingJob{fresh, big, small}, []*placement.Machine{m}, teams, 10)
 		if fmt.Sprint(got) != "[{small m}]" {
 			t.Errorf("reservation of %s: started %v, want only job small", name, got)
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -46,7 +46,8 @@
 	// queuedRank is the highest priority that has a queued task or a reservation on
 	// the machine, or noRank.
 	queuedRank int
-	// version is incremented whenever a task is assigned to the machine.
+	// version is incremented whenever a task is assigned to the machine. Scores computed
+	// for an earlier version are outdated.
 	version int
 }
 
--- a/internal/preemption/pass.go
+++ b/internal/preemption/pass.go
@@ -60,8 +60,8 @@
 			p.addCandidate(a)
 		}
 	}
-	list := p.candidates[m]
-	sort.SliceStable(list, func(i, k int) bool { return list[i].costS < list[k].costS })
+	candidates := p.candidates[m]
+	sort.SliceStable(candidates, func(i, k int) bool { return candidates[i].costS < candidates[k].costS })
 }
 
 // endsSoon reports whether an attempt is about to end according to its estimate. It is false if the
@@ -112,13 +112,13 @@
 // makeCapacityForJob makes capacity for the waiting tasks of a job one by one. It ends at the first
 // task for which that is impossible, or at a limit of the pass.
 func (p *pass) makeCapacityForJob(r *placement.PendingJob, j *jobs.Job) {
-	teamFree, known := p.TeamFreeCPUs(r.Team)
+	teamFreeCPUs, known := p.TeamFreeCPUs(r.Team)
 	if !known {
 		return
 	}
 	for range j.ReadyTasks() {
 		p.searchCount++
-		if p.stopCount >= tuning.PreemptMaxStops || p.searchCount > tuning.PreemptMaxSearches || !p.makeCapacityForTask(r, teamFree) {
+		if p.stopCount >= tuning.PreemptMaxStops || p.searchCount > tuning.PreemptMaxSearches || !p.makeCapacityForTask(r, teamFreeCPUs) {
 			return
 		}
 	}
@@ -127,8 +127,8 @@
 // makeCapacityForTask requests stops of attempts so that one more task of the job can start: first
 // within the limit of its team, then on the cheapest machine. If that is impossible, it requests no
 // stops and returns false.
-func (p *pass) makeCapacityForTask(r *placement.PendingJob, teamFree float64) bool {
-	stopped, ok := p.stopWithinTeam(r, teamFree)
+func (p *pass) makeCapacityForTask(r *placement.PendingJob, teamFreeCPUs float64) bool {
+	stopped, ok := p.stopWithinTeam(r, teamFreeCPUs)
 	if !ok {
 		return false
 	}
@@ -154,9 +154,9 @@
 // within the team's limit. It returns the stopped attempts. If stopping all candidates of the team
 // isn't enough, it requests no stops and returns false. Otherwise every pass would stop smaller
 // tasks, which would never end, and the larger one would still not start.
-func (p *pass) stopWithinTeam(r *placement.PendingJob, teamFree float64) ([]candidate, bool) {
+func (p *pass) stopWithinTeam(r *placement.PendingJob, teamFreeCPUs float64) ([]candidate, bool) {
 	var stopped []candidate
-	for teamFree+p.teamFreedCPUs[r.Team] < r.Request.CPUs {
+	for teamFreeCPUs+p.teamFreedCPUs[r.Team] < r.Request.CPUs {
 		c, ok := p.cheapestCandidateOfTeam(r)
 		if !ok {
 			p.revertStops(stopped)
@@ -194,7 +194,7 @@
 // cheapestMachine returns the machine on which the stops for one more task cost the least, and the
 // attempts to stop there. If the task fits into the expected free capacity of a machine, it returns
 // that machine and no attempts. It returns nil if the task fits on no machine.
-func (p *pass) cheapestMachine(r *placement.PendingJob) (best *machines.Machine, stops []candidate) {
+func (p *pass) cheapestMachine(r *placement.PendingJob) (best *machines.Machine, toStop []candidate) {
 	leastCost := math.Inf(1)
 	for _, m := range p.Machines.All() {
 		free, ok := p.expectedFree[m]
@@ -205,10 +205,10 @@
 			return m, nil
 		}
 		if chosen, cost := p.cheapestStops(m, r, free); chosen != nil && cost < leastCost {
-			best, stops, leastCost = m, chosen, cost
+			best, toStop, leastCost = m, chosen, cost
 		}
 	}
-	return best, stops
+	return best, toStop
 }
 
 // cheapestStops returns the attempts to stop on a machine so that a task of the job fits, given the
--- a/internal/startlog/startlog_test.go
+++ b/internal/startlog/startlog_test.go
@@ -121,7 +121,7 @@
 func TestLoadedRecordsWithoutAttemptsAreDeleted(t *testing.T) {
 	f := newFixture(2048)
 	f.LoadRecord("s/old")
-	a := machines.NewAttempt(f.machine, f.job, 0, time.Time{})
+	a := machines.NewPossiblyStartedAttempt(f.machine, f.job, 0, time.Time{})
 	f.LoadRecord("m/m1").AddLoadedAttempt(a)
 	f.FinishLoading()
 	b := f.writes.NextBatch(maxOps, maxOps, false)
