--- a/internal/machines/delivery_test.go
+++ b/internal/machines/delivery_test.go
@@ -107,21 +107,21 @@
 	}
 	expired := termStart.Add(timing.LeaseExpiry + 1)
 	if m.ShouldBeReleased(expired.Add(-2), timing, 0) {
-		t.Error("released before its lease has expired, want after it")
+		t.Error("should be released before its lease has expired, want only after that")
 	}
 	if late := expired.Add(timing.HeartbeatTimeout); !m.ShouldBeReleased(late, timing, 0) {
-		t.Error("not released after its lease has expired, want a release")
+		t.Error("should not be released although its lease has expired and all later heartbeats were stale")
 	}
 	applyHeartbeat(m, expired, 1, 9)
 	if m.ShouldBeReleased(expired.Add(timing.HeartbeatTimeout), timing, 0) {
-		t.Error("released although a newer heartbeat has arrived, want no release")
+		t.Error("should be released although a newer heartbeat has arrived, want no release")
 	}
 }
 
 func TestOutdatedSnapshotIsRebuilt(t *testing.T) {
 	m := newReportingMachine(termStart)
 	if m.CachedSnapshot() != nil {
-		t.Error("cached snapshot before the first one was built")
+		t.Error("got a cached snapshot before the first one was built, want none")
 	}
 	m.RecordImage(termStart, "img")
 	s := m.ResetSnapshot()
@@ -148,7 +148,7 @@
 func TestReclaimNotice(t *testing.T) {
 	m := newReportingMachine(termStart)
 	if _, reclaimed := m.ReclaimIn(termStart); reclaimed {
-		t.Error("reclaim time without a notice")
+		t.Error("got a reclaim time without a notice, want none")
 	}
 	first, second := 30.0, 60.0
 	for _, notice := range []*float64{&first, &second} {
@@ -170,6 +170,6 @@
 	}
 	m.BeginRelease()
 	if m.IsSchedulable(termStart.Add(time.Second), timing) || !m.IsReleasing() {
-		t.Error("schedulable while it is being released")
+		t.Error("machine is schedulable while it is being released")
 	}
 }
--- a/internal/machines/failures.go
+++ b/internal/machines/failures.go
@@ -27,12 +27,13 @@
 	return f.isFaulty() && !wasFaulty
 }
 
-// UncountFailedJob no longer counts a job against the machine, as the job fails on other machines
-// as well.
+// UncountFailedJob removes a job from those that count against the machine. It is called for a job
+// that fails on other machines as well.
 func (f *failures) UncountFailedJob(id string) { delete(f.countedFailedJobs, id) }
 
-// RecordTaskSuccess records that a task has completed on the machine. Earlier failures then no
-// longer count against it. A machine that is already quarantined remains quarantined.
+// RecordTaskSuccess records that a task has completed on the machine. This shows that the machine
+// wasn't the cause of earlier failures, so these no longer count against it. A machine that is
+// already quarantined remains quarantined.
 func (f *failures) RecordTaskSuccess() {
 	if !f.isFaulty() {
 		clear(f.countedFailedJobs)
--- a/internal/machines/machine_test.go
+++ b/internal/machines/machine_test.go
@@ -82,7 +82,7 @@
 		m := newReportingMachine(termStart)
 		c.change(m)
 		if got := m.CordonReasons(); got != c.want || m.IsCordoned() != (c.want != 0) || m.IsSchedulable(termStart, timing) != (c.want == 0) {
-			t.Errorf("%s: reasons %b, want the set of the case, and schedulable only without reasons", name, got)
+			t.Errorf("%s: got reasons %b, want those of the case, and a schedulable machine only if there is none", name, got)
 		}
 	}
 }
@@ -199,7 +199,7 @@
 		"failed": {change: func(m *machines.Machine) {
 			m.ApplyCloudListing(termStart, termStart, &wire.ListedMachine{State: wire.MachineFailed})
 		}, want: true},
-		"replaced":                {change: func(m *machines.Machine) { m.Cordon(machines.CordonAgentReplaced) }, want: true},
+		"agent replaced":          {change: func(m *machines.Machine) { m.Cordon(machines.CordonAgentReplaced) }, want: true},
 		"release required later":  {change: func(m *machines.Machine) { m.RequireRelease(termStart.Add(time.Second)) }},
 		"release required":        {change: func(m *machines.Machine) { m.RequireRelease(termStart.Add(-time.Second)) }, want: true},
 		"empty and drained":       {change: func(m *machines.Machine) { m.Cordon(machines.CordonDrained) }, want: true},
--- a/internal/placement/order.go
+++ b/internal/placement/order.go
@@ -13,7 +13,7 @@
 }
 
 // comparePrecedence orders jobs: aged jobs first, the longest waiting one at the
-// head, then by priority, then jobs within their team's guarantee, then by urgency.
+// head; then by priority; then jobs within their team's guarantee; then by urgency.
 // Jobs that compare as equal form a group. Within a group, the tasks with the largest
 // speedup, which is the score of their best machine, are placed first.
 func comparePrecedence(a, b *PendingJob) int {
--- a/internal/preemption/pass.go
+++ b/internal/preemption/pass.go
@@ -111,28 +111,28 @@
 
 // makeCapacityForJob makes capacity for the waiting tasks of a job one by one. It ends at the first
 // task for which that is impossible, or at a limit of the pass.
-func (p *pass) makeCapacityForJob(r *placement.PendingJob, j *jobs.Job) {
-	teamFreeCPUs, known := p.TeamFreeCPUs(r.Team)
+func (p *pass) makeCapacityForJob(pending *placement.PendingJob, j *jobs.Job) {
+	teamFreeCPUs, known := p.TeamFreeCPUs(pending.Team)
 	if !known {
 		return
 	}
 	for range j.ReadyTasks() {
 		p.searchCount++
-		if p.stopCount >= tuning.PreemptMaxStops || p.searchCount > tuning.PreemptMaxSearches || !p.makeCapacityForTask(r, teamFreeCPUs) {
+		if p.stopCount >= tuning.PreemptMaxStops || p.searchCount > tuning.PreemptMaxSearches || !p.makeCapacityForTask(pending, teamFreeCPUs) {
 			return
 		}
 	}
 }
 
 // makeCapacityForTask requests stops of attempts so that one more task of the job can start: first
-// within the limit of its team, then on the cheapest machine. If that is impossible, it requests no
-// stops and returns false.
-func (p *pass) makeCapacityForTask(r *placement.PendingJob, teamFreeCPUs float64) bool {
-	stopped, ok := p.stopWithinTeam(r, teamFreeCPUs)
+// stops until the team's limit allows the task, then stops on the machine where they cost the least.
+// If the task can't start even then, it reverts the stops and returns false.
+func (p *pass) makeCapacityForTask(pending *placement.PendingJob, teamFreeCPUs float64) bool {
+	stopped, ok := p.stopWithinTeam(pending, teamFreeCPUs)
 	if !ok {
 		return false
 	}
-	best, chosen := p.cheapestMachine(r)
+	best, chosen := p.cheapestMachine(pending)
 	if best == nil {
 		// The task fits on no machine even after the stops within its team. If every pass made
 		// these stops, the team's other tasks would never end.
@@ -143,21 +143,21 @@
 		p.requestStop(c)
 	}
 	if len(chosen) > 0 {
-		best.Reserve(p.now, r.PriorityRank)
+		best.Reserve(p.now, pending.PriorityRank)
 	}
-	p.expectedFree[best] = p.expectedFree[best].Add(r.Request, -1)
-	p.teamFreedCPUs[r.Team] -= r.Request.CPUs
+	p.expectedFree[best] = p.expectedFree[best].Add(pending.Request, -1)
+	p.teamFreedCPUs[pending.Team] -= pending.Request.CPUs
 	return true
 }
 
 // stopWithinTeam requests stops of attempts of the job's team until another task of the job is
 // within the team's limit. It returns the stopped attempts. If stopping all candidates of the team
-// isn't enough, it requests no stops and returns false. Otherwise every pass would stop smaller
-// tasks, which would never end, and the larger one would still not start.
-func (p *pass) stopWithinTeam(r *placement.PendingJob, teamFreeCPUs float64) ([]candidate, bool) {
+// isn't enough, it reverts the stops and returns false. Otherwise every pass would stop smaller
+// tasks of the team, which would never end, and the larger task would still not start.
+func (p *pass) stopWithinTeam(pending *placement.PendingJob, teamFreeCPUs float64) ([]candidate, bool) {
 	var stopped []candidate
-	for teamFreeCPUs+p.teamFreedCPUs[r.Team] < r.Request.CPUs {
-		c, ok := p.cheapestCandidateOfTeam(r)
+	for teamFreeCPUs+p.teamFreedCPUs[pending.Team] < pending.Request.CPUs {
+		c, ok := p.cheapestCandidateOfTeam(pending)
 		if !ok {
 			p.revertStops(stopped)
 			return nil, false
@@ -170,12 +170,12 @@
 
 // cheapestCandidateOfTeam returns the candidate with the least cost among the attempts of the job's
 // team that have a lower priority than the job, and false if there is none.
-func (p *pass) cheapestCandidateOfTeam(r *placement.PendingJob) (candidate, bool) {
+func (p *pass) cheapestCandidateOfTeam(pending *placement.PendingJob) (candidate, bool) {
 	var best candidate
 	found := false
 	for _, m := range p.Machines.All() {
 		for _, c := range p.candidates[m] {
-			if c.Job.Team == r.Team && c.Job.PriorityRank() > r.PriorityRank && !c.IsStopping() && (!found || c.costS < best.costS) {
+			if c.Job.Team == pending.Team && c.Job.PriorityRank() > pending.PriorityRank && !c.IsStopping() && (!found || c.costS < best.costS) {
 				best, found = c, true
 			}
 		}
@@ -184,27 +184,27 @@
 }
 
 // fetchTimeS returns the time in seconds that a machine needs to fetch the job's image.
-func (p *pass) fetchTimeS(m *machines.Machine, r *placement.PendingJob) float64 {
-	if m.HasImage(r.Image) {
+func (p *pass) fetchTimeS(m *machines.Machine, pending *placement.PendingJob) float64 {
+	if m.HasImage(pending.Image) {
 		return 0
 	}
-	return placement.FetchTimeS(r.ImageGB, p.FetchGBPerS(m.Type))
+	return placement.FetchTimeS(pending.ImageGB, p.FetchGBPerS(m.Type))
 }
 
 // cheapestMachine returns the machine on which the stops for one more task cost the least, and the
 // attempts to stop there. If the task fits into the expected free capacity of a machine, it returns
 // that machine and no attempts. It returns nil if the task fits on no machine.
-func (p *pass) cheapestMachine(r *placement.PendingJob) (best *machines.Machine, toStop []candidate) {
+func (p *pass) cheapestMachine(pending *placement.PendingJob) (best *machines.Machine, toStop []candidate) {
 	leastCost := math.Inf(1)
 	for _, m := range p.Machines.All() {
 		free, ok := p.expectedFree[m]
-		if !ok || m.AvoidsJob(r.JobID) || !r.CanRunOn(m.PlacementView()) {
+		if !ok || m.AvoidsJob(pending.JobID) || !pending.CanRunOn(m.PlacementView()) {
 			continue
 		}
-		if free.Fits(r.Request) {
+		if free.Fits(pending.Request) {
 			return m, nil
 		}
-		if chosen, cost := p.cheapestStops(m, r, free); chosen != nil && cost < leastCost {
+		if chosen, cost := p.cheapestStops(m, pending, free); chosen != nil && cost < leastCost {
 			best, toStop, leastCost = m, chosen, cost
 		}
 	}
@@ -214,16 +214,16 @@
 // cheapestStops returns the attempts to stop on a machine so that a task of the job fits, given the
 // free capacity, and the cost of the stops in CPU seconds. It chooses candidates in ascending order
 // of cost until the task fits. It returns nil if the task doesn't fit even after all possible stops.
-func (p *pass) cheapestStops(m *machines.Machine, r *placement.PendingJob, free placement.Resources) (chosen []candidate, cost float64) {
+func (p *pass) cheapestStops(m *machines.Machine, pending *placement.PendingJob, free placement.Resources) (chosen []candidate, cost float64) {
 	// The cost includes the image fetch, if one is needed: the task can start only after it.
-	cost = p.fetchTimeS(m, r) * r.Request.CPUs * tuning.PreemptFetchWeight
+	cost = p.fetchTimeS(m, pending) * pending.Request.CPUs * tuning.PreemptFetchWeight
 	for _, c := range p.candidates[m] {
-		if c.IsStopping() || c.Job.PriorityRank() <= r.PriorityRank {
+		if c.IsStopping() || c.Job.PriorityRank() <= pending.PriorityRank {
 			continue
 		}
 		chosen = append(chosen, c)
 		cost += c.costS * c.Job.CPUs
-		if free = free.Add(c.Job.Request(), 1); free.Fits(r.Request) {
+		if free = free.Add(c.Job.Request(), 1); free.Fits(pending.Request) {
 			return chosen, cost
 		}
 	}
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -46,22 +46,22 @@
 // Run makes capacity for ready tasks that were not placed, the highest priority first: it requests
 // stops of running attempts that have a lower priority and lose little progress. It does nothing if
 // the last run was less than tuning.PreemptInterval ago. It returns the number of requested stops.
-func (s *Preemptor) Run(now time.Time, ready []*placement.PendingJob, byID map[string]*jobs.Job) int {
+func (s *Preemptor) Run(now time.Time, ready []*placement.PendingJob, jobsByID map[string]*jobs.Job) int {
 	if now.Sub(s.lastRun) < tuning.PreemptInterval {
 		return 0
 	}
 	s.lastRun = now
-	waiting := waitingByPriority(ready, byID)
+	waiting := waitingByPriority(ready, jobsByID)
 	lowestRank := lowestPreemptibleRank(s.cluster.RunnableJobs())
 	if len(waiting) == 0 || waiting[0].PriorityRank >= lowestRank {
 		return 0
 	}
 	p := newPass(now, &s.cluster)
-	for _, r := range waiting {
-		if r.PriorityRank >= lowestRank {
+	for _, pending := range waiting {
+		if pending.PriorityRank >= lowestRank {
 			break
 		}
-		p.makeCapacityForJob(r, byID[r.JobID])
+		p.makeCapacityForJob(pending, jobsByID[pending.JobID])
 	}
 	return p.stopCount
 }
@@ -80,11 +80,11 @@
 }
 
 // waitingByPriority returns the jobs with ready tasks and no failures, the highest priority first.
-func waitingByPriority(ready []*placement.PendingJob, byID map[string]*jobs.Job) []*placement.PendingJob {
+func waitingByPriority(ready []*placement.PendingJob, jobsByID map[string]*jobs.Job) []*placement.PendingJob {
 	var waiting []*placement.PendingJob
-	for _, r := range ready {
-		if j := byID[r.JobID]; j.ReadyTasks() > 0 && j.Failures() == 0 {
-			waiting = append(waiting, r)
+	for _, pending := range ready {
+		if j := jobsByID[pending.JobID]; j.ReadyTasks() > 0 && j.Failures() == 0 {
+			waiting = append(waiting, pending)
 		}
 	}
 	sort.SliceStable(waiting, func(i, k int) bool { return waiting[i].PriorityRank < waiting[k].PriorityRank })
--- a/internal/preemption/preemption_test.go
+++ b/internal/preemption/preemption_test.go
@@ -59,9 +59,9 @@
 // stops.
 func (c *cluster) preempt(now time.Time, j *jobs.Job) int {
 	j.RebuildReadyTasks()
-	r := j.Constraints()
-	r.JobID, r.Team, r.PriorityRank = j.ID, j.Team, j.PriorityRank()
-	p := preemption.New(preemption.Cluster{
+	pending := j.Constraints()
+	pending.JobID, pending.Team, pending.PriorityRank = j.ID, j.Team, j.PriorityRank()
+	preemptor := preemption.New(preemption.Cluster{
 		Machines:        c.registry,
 		IsSchedulable:   func(time.Time, *machines.Machine) bool { return true },
 		RemainingS:      func(time.Time, *machines.Attempt) float64 { return 600 },
@@ -70,7 +70,7 @@
 		TeamFreeCPUs:    func(string) (float64, bool) { return c.teamFreeCPUs, true },
 		OnStopRequested: func(*machines.Machine) { c.onStopCalls++ },
 	})
-	return p.Run(now, []*placement.PendingJob{r}, map[string]*jobs.Job{j.ID: j})
+	return preemptor.Run(now, []*placement.PendingJob{pending}, map[string]*jobs.Job{j.ID: j})
 }
 
 // TestPreemptionStopsAttemptWithLeastLoss: of two attempts with a lower priority, the preemptor stops
