--- a/internal/machines/capacity.go
+++ b/internal/machines/capacity.go
@@ -40,9 +40,12 @@
 func (c *capacity) MarkFull(until time.Time) { c.fullUntil = until }
 
 // Reserve reserves the machine's free resources for tasks of the priority rank or a higher one,
-// for tuning.PreemptReservationTime. Preempted tasks end one by one. Without the reservation, the
-// first ones to end would be placed again in the resources that they freed, and the task that
-// needs all of these resources could not start.
+// for tuning.PreemptReservationTime. A reservation for a higher priority that still holds keeps its
+// priority and is extended.
+//
+// Preempted tasks end one by one. Without the reservation, they would be placed again in the
+// resources that become free first and would have to be preempted again. The task that needs all
+// of the resources could then not start.
 func (c *capacity) Reserve(now time.Time, rank int) {
 	if !now.Before(c.reservedUntil) || rank < c.reservedRank {
 		c.reservedRank = rank
--- a/internal/machines/delivery_test.go
+++ b/internal/machines/delivery_test.go
@@ -26,15 +26,15 @@
 	}
 	a.MarkStartSentDirectly()
 	if !a.StartSentDirectly() || !a.MayStartLate() || !a.NeedsStart() {
-		t.Error("got a start that counts as delivered, want one that may arrive late and is still needed")
+		t.Error("start counts as delivered, want one that may arrive late and is still needed")
 	}
 	m.AdvanceSession(m.Epoch(), m.Sequence()+1)
 	if !a.MayStartLate() {
-		t.Error("start can't arrive late in the same session, want that it can")
+		t.Error("MayStartLate is false in the same session, want true")
 	}
 	m.AdvanceSession(m.Epoch()+1, 1)
 	if a.MayStartLate() || a.StartSentDirectly() || !a.NeedsStart() {
-		t.Error("want that the start can't arrive late in a new session and is still needed")
+		t.Error("in a new session: want a start that can't arrive late and is still needed")
 	}
 }
 
@@ -47,7 +47,7 @@
 	}
 	a.MarkStartResponseIneffective()
 	if a.StartSentInResponse() || !a.NeedsStart() {
-		t.Error("want that the start is sent again after a response without effect")
+		t.Error("after a response without effect: want a start that has to be sent again")
 	}
 	a.MarkInTaskList(5, 8)
 	if !a.IsInTaskList(5) || a.IsInTaskList(6) || a.Number() != 8 {
@@ -78,7 +78,7 @@
 func TestDirectCallsDoNotOverlap(t *testing.T) {
 	m := newReportingMachine(termStart)
 	if !m.QueueCall() || m.QueueCall() {
-		t.Error("want that only the first call of QueueCall queues the machine")
+		t.Error("want QueueCall to return true for the first call only")
 	}
 	m.DequeueCall()
 	if !m.QueueCall() {
@@ -86,15 +86,15 @@
 	}
 	m.BeginCall()
 	if m.CanBeCalled(termStart, timing) || !m.IsBeingCalled() {
-		t.Error("want that the machine can't be called while a call is in progress")
+		t.Error("machine can be called while a call is in progress, want not")
 	}
 	m.EndCall()
 	m.DelayCalls(termStart.Add(time.Second))
 	if m.CanBeCalled(termStart, timing) || !m.CanBeCalled(termStart.Add(time.Second), timing) {
-		t.Error("want that the machine can be called from the given time on, and not before")
+		t.Error("want calls from the given time on, and none before")
 	}
 	if newInheritedMachine(termStart).CanBeCalled(termStart, timing) {
-		t.Error("want that an unreconciled machine can't be called")
+		t.Error("machine can be called before it is reconciled, want not")
 	}
 }
 
@@ -166,7 +166,7 @@
 	m := newReportingMachine(termStart)
 	m.MarkFull(termStart.Add(time.Second))
 	if m.IsSchedulable(termStart, timing) || !m.IsSchedulable(termStart.Add(time.Second), timing) {
-		t.Error("want that a full machine is schedulable from the given time on, and not before")
+		t.Error("want a full machine to be schedulable from the given time on, and not before")
 	}
 	m.BeginRelease()
 	if m.IsSchedulable(termStart.Add(time.Second), timing) || !m.IsReleasing() {
--- a/internal/machines/exit.go
+++ b/internal/machines/exit.go
@@ -24,7 +24,7 @@
 // Exited returns the exited attempts of the last task list. The caller must not modify the slice.
 func (m *Machine) Exited() []Exit { return m.exited }
 
-// RetainExit prevents that the agent is told to forget the exited attempt in this session. The
-// attempt's start may still arrive late, and an agent that had forgotten the attempt would run
-// it again.
+// RetainExit keeps the agent from being told to forget the exited attempt in this session. The
+// attempt's start may still arrive late, and an agent that had forgotten the attempt would run it
+// again.
 func (m *Machine) RetainExit(key ExitKey) { m.retainedExits[key] = true }
--- a/internal/machines/machine_test.go
+++ b/internal/machines/machine_test.go
@@ -150,7 +150,7 @@
 	}
 	m.AdvanceSession(2, 8) // the reply to a direct call
 	if r := (&wire.Heartbeat{AgentEpoch: 2, Sequence: 7}); !m.IsOvertakenByDirectReply(r) {
-		t.Error("heartbeat doesn't count as overtaken by the direct reply, want that it does")
+		t.Error("heartbeat doesn't count as overtaken by the direct reply")
 	}
 	m.ExpireSession()
 	if r := (&wire.Heartbeat{AgentEpoch: 2, Sequence: 9}); !m.IsStale(r) || m.IsOvertakenByDirectReply(r) {
@@ -252,7 +252,7 @@
 	m.AdvanceSession(2, 1)
 	m.AddExited(key, true)
 	if !m.Exited()[0].Forget {
-		t.Error("exit still retained in a new session, want that the agent is told to forget it")
+		t.Error("exit still retained in a new session, want the agent to be told to forget it")
 	}
 }
 
