--- a/internal/machines/direct.go
+++ b/internal/machines/direct.go
@@ -31,7 +31,7 @@
 // BeginCall records that a call has begun.
 func (d *directCalls) BeginCall() { d.calling = true }
 
-// EndCall records that the call has ended.
+// EndCall records that the call in progress has ended.
 func (d *directCalls) EndCall() { d.calling = false }
 
 // DelayCalls prevents calls before the given time.
--- a/internal/machines/heartbeat.go
+++ b/internal/machines/heartbeat.go
@@ -19,7 +19,7 @@
 	firstHeartbeatAt time.Time // time of the first heartbeat in this term
 	reclaimAt        time.Time // when the cloud reclaims the machine, zero if it gave no notice
 	// staleHeartbeats counts the stale heartbeats that have arrived after the newest heartbeat,
-	// staleSince is when the first of them arrived.
+	// firstStaleAt is when the first of them arrived.
 	staleHeartbeats int
 	firstStaleAt    time.Time
 }
--- a/internal/machines/reachability.go
+++ b/internal/machines/reachability.go
@@ -42,10 +42,10 @@
 // failover.
 func (r *Reachability) IsIsolated() bool { return r.isolated }
 
-// Update determines the partitioned zones and whether this node is isolated from all machines in
-// the list. A zone counts as partitioned if most of its machines are unreachable and most machines
-// in other zones are reachable. This node counts as isolated if fewer than tuning.ReachableShare
-// of the machines outside the partitioned zones are reachable.
+// Update determines the partitioned zones and whether this node is isolated. list contains all
+// provisioned machines. A zone counts as partitioned if most of its machines are unreachable and
+// most machines in other zones are reachable. This node counts as isolated if a smaller share than
+// tuning.ReachableShare of the machines outside the partitioned zones is reachable.
 func (r *Reachability) Update(now time.Time, list []*Machine, t *Timing) {
 	zones := map[string]*reachabilityCount{}
 	all := &reachabilityCount{}
@@ -57,8 +57,8 @@
 			zones[m.Zone] = &reachabilityCount{}
 		}
 		unreachable := m.IsUnreachable(now, t)
-		zones[m.Zone].count(unreachable)
-		all.count(unreachable)
+		zones[m.Zone].add(unreachable)
+		all.add(unreachable)
 	}
 	outsidePartitions := *all
 	for zone, z := range zones {
@@ -78,7 +78,8 @@
 // reachabilityCount counts machines that have joined, and how many of these are unreachable.
 type reachabilityCount struct{ joined, unreachable int }
 
-func (h *reachabilityCount) count(unreachable bool) {
+// add counts one machine.
+func (h *reachabilityCount) add(unreachable bool) {
 	h.joined++
 	if unreachable {
 		h.unreachable++
--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -50,13 +50,13 @@
 	return nil
 }
 
-// scoreMachines builds the job's heap of candidates: the machines on which its tasks
+// buildCandidates builds the job's heap of candidates: the machines on which its tasks
 // fit now, and the busy machines that could have a better score.
-func (p *pass) scoreMachines(j *PendingJob) {
+func (p *pass) buildCandidates(j *PendingJob) {
 	j.scored = true
 	j.candidates = j.candidates[:0]
 	imageCached := false
-	p.eachAvailableMachine(func(m *Machine) bool {
+	p.forEachAvailableMachine(func(m *Machine) bool {
 		if !m.Free.Fits(j.Request) {
 			return true
 		}
@@ -101,10 +101,10 @@
 	return nil
 }
 
-// eachAvailableMachine calls f for the machines on which the smallest request
+// forEachAvailableMachine calls f for the machines on which the smallest request
 // fits, until f returns false. It removes the machines that it finds too full for
 // the smallest request from availableMachines.
-func (p *pass) eachAvailableMachine(f func(*Machine) bool) {
+func (p *pass) forEachAvailableMachine(f func(*Machine) bool) {
 	kept := 0
 	for i, m := range p.availableMachines {
 		if !m.Free.Fits(p.smallestRequest) {
@@ -141,7 +141,7 @@
 // these again as well, as starts of other tasks may have made a zone unavailable.
 func (p *pass) bestMachine(j *PendingJob) *candidate {
 	if !j.scored {
-		p.scoreMachines(j)
+		p.buildCandidates(j)
 	}
 	zoneMatters := j.OneZone || j.SpreadZones
 	h := (*candidateHeap)(&j.candidates)
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -23,7 +23,7 @@
 	now      float64 // in seconds
 	machines []*Machine
 	// availableMachines are those on which the smallest request may fit, in the same
-	// order as in machines. eachAvailableMachine removes machines that have become
+	// order as in machines. forEachAvailableMachine removes machines that have become
 	// full.
 	availableMachines []*Machine
 	smallestRequest   Resources // the smallest amount of each resource that any job requests
@@ -298,7 +298,7 @@
 // fitsNow reports whether any machine could start a task of the job now.
 func (p *pass) fitsNow(j *PendingJob) bool {
 	found := false
-	p.eachAvailableMachine(func(m *Machine) bool {
+	p.forEachAvailableMachine(func(m *Machine) bool {
 		found = m.Free.Fits(j.Request) && j.CanRunOn(m) && !m.AvoidedJobs[j.JobID] && !m.isReservedForHigherPriority(j)
 		return !found
 	})
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -7,19 +7,19 @@
 )
 
 // FetchTimeS returns the time in seconds that a machine needs to fetch an image of the
-// size gb, T(f) in the paper. It is zero if the bandwidth is unknown.
-func FetchTimeS(gb, gbPerS float64) float64 {
+// size, T(f) in the paper. It is zero if the bandwidth is unknown.
+func FetchTimeS(sizeGB, gbPerS float64) float64 {
 	if gbPerS <= 0 {
 		return 0
 	}
-	return gb / gbPerS
+	return sizeGB / gbPerS
 }
 
 // fetchDelayS returns the time in seconds until the machine has the image. It is zero
 // if the image is cached, and the rest of the fetch if one is in progress. Otherwise
 // it is FetchTimeS plus the remaining times of the other images' fetches, which share
 // the bandwidth.
-func (m *Machine) fetchDelayS(now float64, image string, gb float64) float64 {
+func (m *Machine) fetchDelayS(now float64, image string, sizeGB float64) float64 {
 	if readyAt, ok := m.Images[image]; ok {
 		return max(0, readyAt-now)
 	}
@@ -34,7 +34,7 @@
 			othersMS += math.Round((readyAt - now) * 1000)
 		}
 	}
-	return FetchTimeS(gb, m.FetchGBPerS) + othersMS/1000
+	return FetchTimeS(sizeGB, m.FetchGBPerS) + othersMS/1000
 }
 
 // timeUntilFits returns the time in seconds until the request fits on the machine, as
