--- a/internal/jobs/tasks_test.go
+++ b/internal/jobs/tasks_test.go
@@ -38,7 +38,7 @@
 	if !j.Release(0, "b") || j.ReadyTasks() != 1 || j.AllocatedTasks() != 0 {
 		t.Error("the task is not ready although no machine may have it")
 	}
-	if zones := j.PlacementConstraints().TasksInZone; len(zones) != 0 {
+	if zones := j.PlacementConstraints().TasksByZone; len(zones) != 0 {
 		t.Errorf("tasks by zone %v, want none", zones)
 	}
 	j.RemoveReadyTask(0)
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -71,7 +71,7 @@
 	}
 	durationS := l.runTimes.Estimate(j)
 	if fetchGBPerS > 0 {
-		durationS += placement.FetchTime(j.ImageGB, fetchGBPerS)
+		durationS += placement.FetchTimeS(j.ImageGB, fetchGBPerS)
 	}
 	return seconds.Duration(durationS) + tuning.ChainedJobDelay
 }
--- a/internal/leader/direct_calls.go
+++ b/internal/leader/direct_calls.go
@@ -81,10 +81,10 @@
 			call.Request.Commands = append(call.Request.Commands, a.StopCommand())
 			continue
 		}
-		if !schedulable || !a.NeedsStart() || a.WasSentDirectly() || a.WasSentInResponse() || len(call.startedAttempts) >= tuning.MaxCommandsPerResponse {
+		if !schedulable || !a.NeedsStart() || a.StartSentDirectly() || a.StartSentInResponse() || len(call.startedAttempts) >= tuning.MaxCommandsPerResponse {
 			continue
 		}
-		a.MarkSentDirectly()
+		a.MarkStartSentDirectly()
 		call.startedAttempts = append(call.startedAttempts, a)
 		call.Request.Commands = append(call.Request.Commands, a.StartCommand())
 	}
@@ -115,7 +115,7 @@
 func (l *Leader) FinishDirectCall(now time.Time, call *DirectCall, outcome DirectCallOutcome, h *wire.Heartbeat) {
 	if outcome != DirectCallUncertain {
 		for _, a := range call.startedAttempts {
-			a.ClearSentDirectly()
+			a.ClearStartSentDirectly()
 		}
 	}
 	l.directCalls.inFlight--
@@ -126,7 +126,7 @@
 	m.EndCall()
 	l.directCalls.enqueue(m)
 	if outcome != DirectCallReplied {
-		m.PauseCalls(now.Add(tuning.DirectBackoff))
+		m.DelayCalls(now.Add(tuning.DirectBackoff))
 		return
 	}
 	if h == nil || h.Machine != m.ID {
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -22,7 +22,7 @@
 	// The job itself is at fault: its failures no longer count against machines.
 	for id := range j.FailedOn() {
 		if other := l.machines.Get(id); other != nil {
-			other.RemoveFailedJob(j.ID)
+			other.UncountFailedJob(j.ID)
 		}
 	}
 }
@@ -42,7 +42,7 @@
 // countFailedJob counts a failed job against a machine. The machine is quarantined if this makes
 // too many such jobs.
 func (l *Leader) countFailedJob(m *machines.Machine, j *jobs.Job) {
-	if quarantined := m.AddFailedJob(j.ID); quarantined {
+	if quarantined := m.CountFailedJob(j.ID); quarantined {
 		l.log.Info().Str("machine", m.ID).Msg("machine quarantined")
 	}
 }
--- a/internal/leader/leases.go
+++ b/internal/leader/leases.go
@@ -11,8 +11,8 @@
 // A reconciled machine without attempts keeps its session.
 func (l *Leader) expireLeases(now time.Time) {
 	for _, m := range l.machines.All() {
-		if (len(m.Attempts()) > 0 || !m.IsReconciled()) && m.LeaseExpired(now, &l.timing) && m.HasJoined() {
-			if len(m.Attempts()) > 0 && !m.ReleaseRequired() {
+		if (len(m.Attempts()) > 0 || !m.IsReconciled()) && m.HasLeaseExpired(now, &l.timing) && m.HasJoined() {
+			if len(m.Attempts()) > 0 && !m.IsReleaseRequired() {
 				l.log.Info().Str("machine", m.ID).Int("tasks", len(m.Attempts())).Msg("lease expired")
 			}
 			m.ExpireSession()
@@ -33,7 +33,7 @@
 		}
 	}
 	m.ClearExited()
-	if len(m.Attempts()) > 0 && !m.ReleaseRequired() {
+	if len(m.Attempts()) > 0 && !m.IsReleaseRequired() {
 		m.RequireRelease(now.Add(tuning.FencingDelay))
 	}
 }
--- a/internal/leader/machine_list.go
+++ b/internal/leader/machine_list.go
@@ -40,7 +40,7 @@
 	if m == nil {
 		m = l.addMachine(requestedAt, row.Name, row.Type, row.Zone, row.Addr, row.Spot)
 	}
-	m.ApplyListed(requestedAt, now, row)
+	m.ApplyCloudListing(requestedAt, now, row)
 }
 
 // longestListLag returns how old the state in a machine list may be when the list is requested:
@@ -55,7 +55,7 @@
 	var nonexistent []string
 	longestLag := l.longestListLag()
 	for _, m := range l.machines.All() {
-		if !listed[m.ID] && m.CountMissingFromList(requestedAt, longestLag) {
+		if !listed[m.ID] && m.CountMissingFromCloudList(requestedAt, longestLag) {
 			nonexistent = append(nonexistent, m.ID)
 		}
 	}
--- a/internal/leader/pass.go
+++ b/internal/leader/pass.go
@@ -65,8 +65,8 @@
 	assignments, stats := placement.Run(l.placementTimeS(now), l.withAgedEntries(now, ready, byID), candidates, l.ledger.PlacementTeams(), tuning.PassMaxStarts)
 	l.scoredPairs += stats.ScoredPairs
 	for _, s := range assignments {
-		j := byID[s.Job]
-		l.startTask(now, j, l.machines.Get(s.Machine), agedJobs[j])
+		j := byID[s.JobID]
+		l.startTask(now, j, l.machines.Get(s.MachineID), agedJobs[j])
 	}
 	if stats.Truncated {
 		l.schedulingPassRequested = true
@@ -110,7 +110,7 @@
 
 // allowStart allows a start to be sent. It is called when the start record is durable.
 func (l *Leader) allowStart(a *machines.Attempt) {
-	a.MarkRecorded()
+	a.MarkStartRecorded()
 	l.directCalls.enqueue(a.Machine)
 }
 
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -15,7 +15,7 @@
 	if s := m.CachedSnapshot(); s != nil {
 		return s
 	}
-	s := m.NewSnapshot()
+	s := m.ResetSnapshot()
 	t := l.catalogue.Type(m.Type)
 	s.FetchGBPerS, s.Price = t.FetchGBPerS, l.catalogue.Price(m)
 	nowS := l.placementTimeS(now)
@@ -23,7 +23,7 @@
 		startS := nowS
 		if !m.HasImage(a.Job.Image) && t.FetchGBPerS > 0 {
 			// The task starts when the fetch of its image ends.
-			startS = l.placementTimeS(a.CreatedAt()) + placement.FetchTime(a.Job.ImageGB, t.FetchGBPerS)
+			startS = l.placementTimeS(a.CreatedAt()) + placement.FetchTimeS(a.Job.ImageGB, t.FetchGBPerS)
 			if startS > s.Images[a.Job.Image] {
 				s.Images[a.Job.Image] = startS
 			}
--- a/internal/leader/submission.go
+++ b/internal/leader/submission.go
@@ -99,8 +99,8 @@
 	}
 	request := placement.TaskRequest(spec)
 	// All jobs may use machines that are not spot, and only these are tried. So Spot has no effect.
-	probe := placement.PendingJob{MachineTypes: spec.MachineTypes, Zone: spec.Zone, Spot: true, Request: request, TotalTasks: spec.Tasks}
-	for machineType := range l.catalogue.All() {
+	probe := placement.PendingJob{MachineTypes: spec.MachineTypes, Zone: spec.Zone, AllowsSpot: true, Request: request, TotalTasks: spec.Tasks}
+	for machineType := range l.catalogue.AllTypes() {
 		for _, zone := range machineType.Zones {
 			if probe.CanRunOn(&placement.Machine{Type: machineType.Name, Zone: zone, Capacity: placement.MachineCapacity(machineType)}) {
 				return ""
--- a/internal/machines/catalogue.go
+++ b/internal/machines/catalogue.go
@@ -14,53 +14,53 @@
 // Catalogue holds the machine types that the cloud has offered in this term.
 type Catalogue struct {
 	types   map[string]wire.MachineType
-	offered []wire.MachineType // in the order of the cloud's last response
-	stored  json.RawMessage    // as encoded in the key-value store
+	offered []wire.MachineType // those of the cloud's last response, in its order
+	stored  json.RawMessage    // the encoded types as last written to the key-value store
 }
 
 // NewCatalogue returns an empty catalogue.
 func NewCatalogue() *Catalogue { return &Catalogue{types: map[string]wire.MachineType{}} }
 
-// HasTypes reports whether the catalogue contains any type.
-func (c *Catalogue) HasTypes() bool { return len(c.types) > 0 }
+// HasAnyType reports whether the catalogue contains at least one type.
+func (c *Catalogue) HasAnyType() bool { return len(c.types) > 0 }
 
 // Type returns the type of that name, or the zero value if it is unknown.
 func (c *Catalogue) Type(name string) wire.MachineType { return c.types[name] }
 
-// HasType reports whether the catalogue contains the type.
+// HasType reports whether the catalogue contains the type with the name.
 func (c *Catalogue) HasType(name string) bool {
 	_, ok := c.types[name]
 	return ok
 }
 
-// All returns all types that the cloud has offered in this term, in no particular order.
-func (c *Catalogue) All() iter.Seq[wire.MachineType] { return maps.Values(c.types) }
+// AllTypes returns all types that the cloud has offered in this term, in no particular order.
+func (c *Catalogue) AllTypes() iter.Seq[wire.MachineType] { return maps.Values(c.types) }
 
-// Names returns the names of all types that the cloud has offered in this term, sorted.
-func (c *Catalogue) Names() []string { return slices.Sorted(maps.Keys(c.types)) }
+// TypeNames returns the names of all types that the cloud has offered in this term, sorted.
+func (c *Catalogue) TypeNames() []string { return slices.Sorted(maps.Keys(c.types)) }
 
-// OfferedTypes returns the types in the order of the cloud's last response. The caller must not
+// OfferedTypes returns the types of the cloud's last response, in its order. The caller must not
 // modify the slice.
 func (c *Catalogue) OfferedTypes() []wire.MachineType { return c.offered }
 
-// Update applies the types of the cloud's last response. Types that are no longer offered stay in
-// the catalogue, as there may be machines of them.
-func (c *Catalogue) Update(types []wire.MachineType) {
+// SetOfferedTypes applies the types of the cloud's last response. Types that are no longer offered
+// stay in the catalogue, as machines of these types may still exist.
+func (c *Catalogue) SetOfferedTypes(types []wire.MachineType) {
 	c.offered = types
 	for _, t := range types {
 		c.types[t.Name] = t
 	}
 }
 
-// SetStored records the types as encoded in the key-value store, and reports whether they differ
-// from the last ones.
-func (c *Catalogue) SetStored(value json.RawMessage) (changed bool) {
+// SetStoredTypes records the encoded types that the key-value store contains or is about to
+// contain. It reports whether they differ from the previous ones.
+func (c *Catalogue) SetStoredTypes(value json.RawMessage) (changed bool) {
 	changed = !bytes.Equal(value, c.stored)
 	c.stored = value
 	return changed
 }
 
-// Price returns the current price of the machine.
+// Price returns the current price of the machine, which depends on whether it is a spot machine.
 func (c *Catalogue) Price(m *Machine) float64 {
 	if m.Spot {
 		return c.types[m.Type].SpotPrice
@@ -68,8 +68,8 @@
 	return c.types[m.Type].Price
 }
 
-// Zones returns the zones in which any type is offered. Zones may be repeated.
-func (c *Catalogue) Zones() []string {
+// OfferedZones returns the zones in which the cloud offers types. A zone may occur several times.
+func (c *Catalogue) OfferedZones() []string {
 	var zones []string
 	for _, t := range c.offered {
 		zones = append(zones, t.Zones...)
@@ -77,8 +77,8 @@
 	return zones
 }
 
-// Offerings returns an empty machine for each offered type and zone for which include returns
-// true.
+// Offerings returns a machine without an ID and without tasks for each offered type and zone for
+// which include returns true.
 func (c *Catalogue) Offerings(include func(machineType, zone string) bool) []*placement.Machine {
 	var offerings []*placement.Machine
 	for _, t := range c.offered {
--- a/internal/machines/machine_test.go
+++ b/internal/machines/machine_test.go
@@ -11,33 +11,35 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// timing is the timing of a term that began at start.
+// timing contains the timeouts of a term that began at termStart.
 var timing = &machines.Timing{
 	HeartbeatTimeout:  9 * time.Second,
-	Lease:             15 * time.Second,
+	LeaseDuration:     15 * time.Second,
 	LeaseExpiry:       20 * time.Second,
-	TermStart:         start,
-	InheritedTasksEnd: start.Add(30 * time.Second),
+	TermStart:         termStart,
+	InheritedTasksEnd: termStart.Add(30 * time.Second),
 }
 
-// newReportingMachine returns a machine that has sent one heartbeat, with the token of the term.
+// newReportingMachine returns a reconciled machine with 8 CPUs: it has sent one heartbeat at now, with
+// the token of the term.
 func newReportingMachine(now time.Time) *machines.Machine {
 	m := newInheritedMachine(now)
 	m.MarkReconciled(now)
 	return m
 }
 
-// newInheritedMachine returns a machine that has sent one heartbeat, without the token of the
-// term.
+// newInheritedMachine returns a machine with 8 CPUs that has sent one heartbeat at now, without the
+// token of the term. An earlier leader may have started tasks on it.
 func newInheritedMachine(now time.Time) *machines.Machine {
 	m := newMachine()
 	m.SetCapacity(placement.Resources{CPUs: 8})
-	heartbeat(m, now, 1, 1)
+	applyHeartbeat(m, now, 1, 1)
 	return m
 }
 
-// heartbeat applies a heartbeat and renews the lease.
-func heartbeat(m *machines.Machine, now time.Time, epoch, sequence uint64) (lost bool) {
+// applyHeartbeat applies a heartbeat, which renews the lease. It returns true if the heartbeat shows
+// for the first time that responses are lost.
+func applyHeartbeat(m *machines.Machine, now time.Time, epoch, sequence uint64) (lost bool) {
 	lost = m.DetectLostResponses(now, epoch, timing)
 	m.AdvanceSession(epoch, sequence)
 	m.RecordHeartbeat(now, &wire.Heartbeat{Addr: "m1:9", AgentEpoch: epoch, Sequence: sequence})
@@ -52,86 +54,86 @@
 	}{
 		"none":    {change: func(*machines.Machine) {}},
 		"drained": {change: func(m *machines.Machine) { m.Cordon(machines.CordonDrained) }, want: machines.CordonDrained},
-		"two, one lifted": {change: func(m *machines.Machine) {
+		"two set, one cleared": {change: func(m *machines.Machine) {
 			m.SetCordon(machines.CordonDrained, true)
 			m.Cordon(machines.CordonLateStart)
 			m.SetCordon(machines.CordonDrained, false)
 		}, want: machines.CordonLateStart},
 		"reclaim notice": {change: func(m *machines.Machine) {
-			m.RecordHeartbeat(start, &wire.Heartbeat{ReclaimNoticeS: &notice})
+			m.RecordHeartbeat(termStart, &wire.Heartbeat{ReclaimNoticeS: &notice})
 		}, want: machines.CordonReclaimed},
-		"some responses ignored": {change: func(m *machines.Machine) {
+		"too few responses without effect": {change: func(m *machines.Machine) {
 			for range tuning.MaxIneffectiveResponses - 1 {
-				m.RecordIgnoredResponse(start)
+				m.RecordIneffectiveResponse(termStart)
 			}
 		}},
-		"responses ignored": {change: func(m *machines.Machine) {
+		"many responses without effect": {change: func(m *machines.Machine) {
 			for range tuning.MaxIneffectiveResponses {
-				m.RecordIgnoredResponse(start)
+				m.RecordIneffectiveResponse(termStart)
 			}
 		}, want: machines.CordonUnresponsive},
-		"start observed": {change: func(m *machines.Machine) {
+		"start executed": {change: func(m *machines.Machine) {
 			for range tuning.MaxIneffectiveResponses {
-				m.RecordIgnoredResponse(start)
+				m.RecordIneffectiveResponse(termStart)
 			}
-			m.RecordStartObserved()
+			m.RecordStartExecuted()
 		}},
 	} {
-		m := newReportingMachine(start)
+		m := newReportingMachine(termStart)
 		c.change(m)
-		if got := m.CordonReasons(); got != c.want || m.Cordoned() != (c.want != 0) || m.IsSchedulable(start, timing) != (c.want == 0) {
-			t.Errorf("%s: reasons %b", name, got)
+		if got := m.CordonReasons(); got != c.want || m.IsCordoned() != (c.want != 0) || m.IsSchedulable(termStart, timing) != (c.want == 0) {
+			t.Errorf("%s: got reasons %b, want those of the case, and a schedulable machine only if there is none", name, got)
 		}
 	}
 }
 
 func TestQuarantineAfterFailuresOfSeveralJobs(t *testing.T) {
-	m := newReportingMachine(start)
+	m := newReportingMachine(termStart)
 	for i := range tuning.FaultyMachineJobs {
 		id := fmt.Sprintf("job-%d", i)
 		m.AvoidJob(id)
-		if quarantined := m.AddFailedJob(id); quarantined != (i == tuning.FaultyMachineJobs-1) {
-			t.Errorf("after %d jobs: %v", i+1, quarantined)
+		if quarantined := m.CountFailedJob(id); quarantined != (i == tuning.FaultyMachineJobs-1) {
+			t.Errorf("after %d failed jobs: quarantined: %v, want the opposite", i+1, quarantined)
 		}
 	}
 	m.RecordTaskSuccess()
-	if !m.CordonedFor(machines.CordonFaulty) || m.AddFailedJob("another") {
-		t.Error("no longer quarantined, or quarantined again")
+	if !m.IsCordonedFor(machines.CordonFaulty) || m.CountFailedJob("another") {
+		t.Error("want a machine that remains quarantined and isn't quarantined again")
 	}
-	m.RemoveFailedJob("another")
-	m.RemoveFailedJob("job-0")
-	if m.CordonedFor(machines.CordonFaulty) || !m.Avoids("job-0") {
-		t.Error("still quarantined, or the job is no longer avoided")
+	m.UncountFailedJob("another")
+	m.UncountFailedJob("job-0")
+	if m.IsCordonedFor(machines.CordonFaulty) || !m.AvoidsJob("job-0") {
+		t.Error("want a machine that isn't quarantined any more, but still avoids the job")
 	}
 	m.RecordTaskSuccess()
-	if m.AddFailedJob("job-0") {
-		t.Error("failures before a success are still counted")
+	if m.CountFailedJob("job-0") {
+		t.Error("failures before a success are still counted, want none counted")
 	}
 }
 
 func TestLeaseExpiry(t *testing.T) {
-	replaced := newReportingMachine(start)
+	replaced := newReportingMachine(termStart)
 	replaced.Cordon(machines.CordonAgentReplaced)
 	for name, c := range map[string]struct {
 		machine *machines.Machine
 		after   time.Duration
 		want    bool
 	}{
-		"renewed":                      {machine: newReportingMachine(start), after: timing.LeaseExpiry},
-		"expired":                      {machine: newReportingMachine(start), after: timing.LeaseExpiry + 1, want: true},
-		"agent replaced":               {machine: replaced, after: time.Hour},
-		"inherited, tasks may be left": {machine: newInheritedMachine(start), after: timing.LeaseExpiry + 1},
-		"inherited, tasks have ended":  {machine: newInheritedMachine(start), after: 30 * time.Second, want: true},
+		"renewed":                     {machine: newReportingMachine(termStart), after: timing.LeaseExpiry},
+		"expired":                     {machine: newReportingMachine(termStart), after: timing.LeaseExpiry + 1, want: true},
+		"agent replaced":              {machine: replaced, after: time.Hour},
+		"inherited, tasks may run":    {machine: newInheritedMachine(termStart), after: timing.LeaseExpiry + 1},
+		"inherited, tasks have ended": {machine: newInheritedMachine(termStart), after: 30 * time.Second, want: true},
 	} {
-		if got := c.machine.LeaseExpired(start.Add(c.after), timing); got != c.want {
-			t.Errorf("%s: expired: %v", name, got)
+		if got := c.machine.HasLeaseExpired(termStart.Add(c.after), timing); got != c.want {
+			t.Errorf("%s: lease expired: %v, want the opposite", name, got)
 		}
 	}
 }
 
 func TestStaleHeartbeats(t *testing.T) {
-	m := newReportingMachine(start)
-	heartbeat(m, start, 2, 5)
+	m := newReportingMachine(termStart)
+	applyHeartbeat(m, termStart, 2, 5)
 	for name, c := range map[string]struct {
 		epoch, sequence  uint64
 		stale, overtaken bool
@@ -143,50 +145,50 @@
 	} {
 		r := &wire.Heartbeat{AgentEpoch: c.epoch, Sequence: c.sequence}
 		if m.IsStale(r) != c.stale || m.IsOvertakenByDirectReply(r) != c.overtaken {
-			t.Errorf("%s: stale: %v, overtaken: %v", name, m.IsStale(r), m.IsOvertakenByDirectReply(r))
+			t.Errorf("%s: got stale %v, overtaken %v, want the values of the case", name, m.IsStale(r), m.IsOvertakenByDirectReply(r))
 		}
 	}
 	m.AdvanceSession(2, 8) // the reply to a direct call
 	if r := (&wire.Heartbeat{AgentEpoch: 2, Sequence: 7}); !m.IsOvertakenByDirectReply(r) {
-		t.Error("a heartbeat that a direct reply overtook isn't recognized")
+		t.Error("heartbeat doesn't count as overtaken by the direct reply")
 	}
 	m.ExpireSession()
 	if r := (&wire.Heartbeat{AgentEpoch: 2, Sequence: 9}); !m.IsStale(r) || m.IsOvertakenByDirectReply(r) {
-		t.Error("a heartbeat of the expired session is not stale")
+		t.Error("want a heartbeat of the expired session to be stale, and not just overtaken")
 	}
 }
 
 func TestDetectLostResponses(t *testing.T) {
-	m := newReportingMachine(start)
-	now, sequence := start, uint64(1)
-	steady := func(epoch uint64, d time.Duration) (lost bool) {
+	m := newReportingMachine(termStart)
+	now, sequence := termStart, uint64(1)
+	sendHeartbeats := func(epoch uint64, d time.Duration) (lost bool) {
 		for end := now.Add(d); now.Before(end); {
 			now, sequence = now.Add(3*time.Second), sequence+1
-			lost = heartbeat(m, now, epoch, sequence) || lost
+			lost = applyHeartbeat(m, now, epoch, sequence) || lost
 		}
 		return lost
 	}
-	if steady(1, 18*time.Second) {
-		t.Fatal("responses lost within one session")
+	if sendHeartbeats(1, 18*time.Second) {
+		t.Fatal("responses count as lost within one session, want a new session first")
 	}
-	if !steady(2, 3*time.Second) || !m.CordonedFor(machines.CordonUnresponsive) || m.CanBeCalled(now, timing) {
-		t.Error("responses not lost after a new session without a heartbeat gap")
+	if !sendHeartbeats(2, 3*time.Second) || !m.IsCordonedFor(machines.CordonUnresponsive) || m.CanBeCalled(now, timing) {
+		t.Error("want lost responses after a new session without a heartbeat gap, and no direct calls")
 	}
-	if steady(2, timing.LeaseExpiry+3*time.Second) || m.CordonedFor(machines.CordonUnresponsive) || !m.CanBeCalled(now, timing) {
-		t.Error("responses still lost in a session longer than the lease")
+	if sendHeartbeats(2, timing.LeaseExpiry+3*time.Second) || m.IsCordonedFor(machines.CordonUnresponsive) || !m.CanBeCalled(now, timing) {
+		t.Error("want no lost responses in a session that is longer than the lease, and direct calls again")
 	}
 	now = now.Add(time.Minute) // heartbeat gap
-	if steady(3, 3*time.Second) {
-		t.Error("responses lost after a new session that follows a heartbeat gap")
+	if sendHeartbeats(3, 3*time.Second) {
+		t.Error("responses count as lost after a new session that follows a heartbeat gap, want no conclusion")
 	}
 }
 
 func TestShouldBeReleased(t *testing.T) {
 	const bootTimeS = 10
-	missTwice := func(m *machines.Machine) {
-		m.ApplyListed(start, start, &wire.ListedMachine{})
-		m.CountMissingFromList(start, time.Minute)
-		m.CountMissingFromList(start, time.Minute)
+	listOnceThenMissTwice := func(m *machines.Machine) {
+		m.ApplyCloudListing(termStart, termStart, &wire.ListedMachine{})
+		m.CountMissingFromCloudList(termStart, time.Minute)
+		m.CountMissingFromCloudList(termStart, time.Minute)
 	}
 	for name, c := range map[string]struct {
 		change func(*machines.Machine)
@@ -195,47 +197,47 @@
 	}{
 		"sends heartbeats": {change: func(*machines.Machine) {}},
 		"failed": {change: func(m *machines.Machine) {
-			m.ApplyListed(start, start, &wire.ListedMachine{State: wire.MachineFailed})
+			m.ApplyCloudListing(termStart, termStart, &wire.ListedMachine{State: wire.MachineFailed})
 		}, want: true},
-		"replaced":                {change: func(m *machines.Machine) { m.Cordon(machines.CordonAgentReplaced) }, want: true},
-		"release required later":  {change: func(m *machines.Machine) { m.RequireRelease(start.Add(time.Second)) }},
-		"release required":        {change: func(m *machines.Machine) { m.RequireRelease(start.Add(-time.Second)) }, want: true},
+		"agent replaced":          {change: func(m *machines.Machine) { m.Cordon(machines.CordonAgentReplaced) }, want: true},
+		"release required later":  {change: func(m *machines.Machine) { m.RequireRelease(termStart.Add(time.Second)) }},
+		"release required":        {change: func(m *machines.Machine) { m.RequireRelease(termStart.Add(-time.Second)) }, want: true},
 		"empty and drained":       {change: func(m *machines.Machine) { m.Cordon(machines.CordonDrained) }, want: true},
-		"not listed, reachable":   {change: missTwice},
-		"not listed, unreachable": {change: missTwice, after: 10 * time.Second, want: true},
+		"not listed, reachable":   {change: listOnceThenMissTwice},
+		"not listed, unreachable": {change: listOnceThenMissTwice, after: 10 * time.Second, want: true},
 		"unreachable for long":    {change: func(*machines.Machine) {}, after: timing.LeaseExpiry + tuning.UnreachableReleaseDelay + 1, want: true},
 	} {
-		m := newReportingMachine(start)
+		m := newReportingMachine(termStart)
 		c.change(m)
-		if got := m.ShouldBeReleased(start.Add(c.after), timing, bootTimeS); got != c.want {
-			t.Errorf("%s: should be released: %v", name, got)
+		if got := m.ShouldBeReleased(termStart.Add(c.after), timing, bootTimeS); got != c.want {
+			t.Errorf("%s: should be released: %v, want the opposite", name, got)
 		}
 	}
-	if m := newMachine(); m.ShouldBeReleased(start.Add(time.Second), timing, bootTimeS) || !m.ShouldBeReleased(start.Add(time.Hour), timing, bootTimeS) {
-		t.Error("a machine that never boots is released too early, or not at all")
+	if m := newMachine(); m.ShouldBeReleased(termStart.Add(time.Second), timing, bootTimeS) || !m.ShouldBeReleased(termStart.Add(time.Hour), timing, bootTimeS) {
+		t.Error("want a machine that never boots to be released after an hour, and not after a second")
 	}
 }
 
 func TestCountMissingFromList(t *testing.T) {
 	const lag = 8 * time.Second
 	m := newMachine()
-	if m.CountMissingFromList(start.Add(time.Hour), lag) {
-		t.Error("deleted although it was never listed")
+	if m.CountMissingFromCloudList(termStart.Add(time.Hour), lag) {
+		t.Error("machine counts as deleted although it was never listed")
 	}
-	m.ApplyListed(start, start, &wire.ListedMachine{AgeS: 60, Addr: "other:9"})
-	if !m.IsListed() || !m.ProvisionedAt().Equal(start.Add(-time.Minute)) || m.Addr != "m1:9" {
-		t.Errorf("listed: %v, provisioned at %v, address %s", m.IsListed(), m.ProvisionedAt(), m.Addr)
+	m.ApplyCloudListing(termStart, termStart, &wire.ListedMachine{AgeS: 60, Addr: "other:9"})
+	if !m.WasListedByCloud() || !m.ProvisionedAt().Equal(termStart.Add(-time.Minute)) || m.Addr != "m1:9" {
+		t.Errorf("listed: %v, provisioned at %v, address %s, want true, one minute before the term, m1:9", m.WasListedByCloud(), m.ProvisionedAt(), m.Addr)
 	}
-	if m.CountMissingFromList(start.Add(lag), lag) {
-		t.Error("deleted although the list may be older than the machine's first listing")
+	if m.CountMissingFromCloudList(termStart.Add(lag), lag) {
+		t.Error("machine counts as deleted although the list may show a state before its first listing")
 	}
-	if !m.CountMissingFromList(start.Add(lag+1), lag) {
-		t.Error("not deleted although the list is newer than the machine's first listing")
+	if !m.CountMissingFromCloudList(termStart.Add(lag+1), lag) {
+		t.Error("machine doesn't count as deleted although the list shows a state after its first listing")
 	}
 }
 
 func TestRetainExit(t *testing.T) {
-	m := newReportingMachine(start)
+	m := newReportingMachine(termStart)
 	key := machines.ExitKey{Task: "job-1/0", Attempt: 1}
 	m.RetainExit(key)
 	m.AddExited(key, true)
@@ -243,30 +245,30 @@
 	m.AddExited(machines.ExitKey{Task: "job-1/1", Attempt: 3}, false)
 	for i, want := range []bool{false, true, false} {
 		if got := m.Exited()[i].Forget; got != want {
-			t.Errorf("%v: forget: %v", m.Exited()[i].ExitKey, got)
+			t.Errorf("%v: forget: %v, want the opposite", m.Exited()[i].ExitKey, got)
 		}
 	}
 	m.ClearExited()
 	m.AdvanceSession(2, 1)
 	m.AddExited(key, true)
 	if !m.Exited()[0].Forget {
-		t.Error("exit still retained in a new session")
+		t.Error("exit still retained in a new session, want the agent to be told to forget it")
 	}
 }
 
 func TestReserveKeepsHighestPriority(t *testing.T) {
-	m := newReportingMachine(start)
-	if _, reserved := m.Reservation(start); reserved {
-		t.Error("reservation on a new machine")
+	m := newReportingMachine(termStart)
+	if _, reserved := m.Reservation(termStart); reserved {
+		t.Error("new machine has a reservation, want none")
 	}
-	m.Reserve(start, 1)
-	m.Reserve(start, 2)
-	if rank, reserved := m.Reservation(start); rank != 1 || !reserved {
-		t.Errorf("rank %d, reserved: %v", rank, reserved)
+	m.Reserve(termStart, 1)
+	m.Reserve(termStart, 2)
+	if rank, reserved := m.Reservation(termStart); rank != 1 || !reserved {
+		t.Errorf("rank %d, reserved: %v, want rank 1, reserved", rank, reserved)
 	}
-	later := start.Add(tuning.PreemptReservationTime)
+	later := termStart.Add(tuning.PreemptReservationTime)
 	m.Reserve(later, 2)
 	if rank, reserved := m.Reservation(later); rank != 2 || !reserved {
-		t.Errorf("after the first reservation: rank %d, reserved: %v", rank, reserved)
+		t.Errorf("after the end of the first reservation: rank %d, reserved: %v, want rank 2, reserved", rank, reserved)
 	}
 }
--- a/internal/startlog/record.go
+++ b/internal/startlog/record.go
@@ -31,7 +31,7 @@
 // linked attempts.
 func (r *Record) LinkAttempt(a *machines.Attempt) {
 	r.liveAttempts++
-	a.Record = r
+	a.StartRecord = r
 }
 
 // MaxSize implements records.PendingStarts.
@@ -61,7 +61,7 @@
 // then clears the fields that are not needed any more.
 func (r *Record) notifyAttempts(callback func(*machines.Attempt)) {
 	for _, a := range r.attempts {
-		if a.State() == machines.RecordPending && a.Record == r {
+		if a.State() == machines.RecordPending && a.StartRecord == r {
 			callback(a)
 		}
 	}
@@ -73,7 +73,7 @@
 	byMachine := map[*machines.Machine]map[string][]int{}
 	var order []*machines.Machine
 	for _, a := range r.attempts {
-		if a.Record != r {
+		if a.StartRecord != r {
 			continue
 		}
 		tasks := byMachine[a.Machine]
--- a/internal/startlog/startlog.go
+++ b/internal/startlog/startlog.go
@@ -55,11 +55,11 @@
 // Remove removes an ended attempt from its record. If it was the last one and the record is written,
 // Remove queues the deletion of the record.
 func (l *Log) Remove(a *machines.Attempt) {
-	r, recorded := a.Record.(*Record)
+	r, recorded := a.StartRecord.(*Record)
 	if !recorded {
 		return
 	}
-	a.Record = nil
+	a.StartRecord = nil
 	if r.liveAttempts--; r.liveAttempts == 0 && r.written {
 		l.writes.Background.Delete(r.key)
 	}
