--- a/internal/consolidation/consolidation_test.go
+++ b/internal/consolidation/consolidation_test.go
@@ -51,7 +51,7 @@
 	return consolidation.New(consolidation.Cluster{
 		Machines:         registry,
 		IsSchedulable:    func(time.Time, *machines.Machine) bool { return true },
-		RunnableJobs:   func() []*jobs.Job { return c.waiting },
+		RunnableJobs:     func() []*jobs.Job { return c.waiting },
 		Price:            func(m *machines.Machine) float64 { return map[string]float64{"expensive": 2}[m.ID] },
 		RemainingS:       func(time.Time, *machines.Attempt) float64 { return 3600 },
 		OnStopsRequested: func(m *machines.Machine) { c.consolidatedIDs = append(c.consolidatedIDs, m.ID) },
--- a/internal/leader/consolidation.go
+++ b/internal/leader/consolidation.go
@@ -11,7 +11,7 @@
 	return consolidation.New(consolidation.Cluster{
 		Machines:         l.machines,
 		IsSchedulable:    l.isSchedulable,
-		RunnableJobs:   l.jobs.RunnableByAge,
+		RunnableJobs:     l.jobs.RunnableByAge,
 		Price:            l.catalogue.Price,
 		RemainingS:       l.remainingS,
 		OnStopsRequested: l.directCalls.enqueue,
