--- a/internal/drainer/batch.go
+++ b/internal/drainer/batch.go
@@ -14,7 +14,7 @@
 // beginBatch selects the next machines to drain, those with the fewest attempts first. It
 // starts no batch while it is blocked or the other machines could not meet the teams' guarantees.
 func (s *step) beginBatch() {
-	if cause := s.d.cluster.BlockedCause(s.now); cause != "" {
+	if cause := s.d.cluster.BatchBlockedCause(s.now); cause != "" {
 		s.setWaitReason(cause, "")
 		return
 	}
@@ -122,7 +122,7 @@
 	cpus := 0.0
 	for _, m := range s.d.cluster.Machines.All() {
 		s.d.examined++
-		if s.d.cluster.AcceptsWork(s.now, m) {
+		if s.d.cluster.IsSchedulable(s.now, m) {
 			cpus += m.Capacity().CPUs
 		}
 	}
@@ -130,7 +130,7 @@
 		return cpus
 	}
 	for _, m := range batch {
-		if s.d.cluster.AcceptsWork(s.now, m) {
+		if s.d.cluster.IsSchedulable(s.now, m) {
 			cpus -= m.Capacity().CPUs
 		}
 	}
--- a/internal/drainer/drainer.go
+++ b/internal/drainer/drainer.go
@@ -49,17 +49,17 @@
 	RunnableJobs func() iter.Seq[*jobs.Job]
 	// TeamUsedCPUs returns the CPUs of all tasks of a team that may be on machines.
 	TeamUsedCPUs func(team string) float64
-	// AcceptsWork reports whether a machine is schedulable.
-	AcceptsWork func(time.Time, *machines.Machine) bool
+	// IsSchedulable reports whether a machine is schedulable.
+	IsSchedulable func(time.Time, *machines.Machine) bool
 	// RemainingS estimates the remaining run time of an attempt in seconds.
 	RemainingS func(time.Time, *machines.Attempt) float64
 	// MachinesKnown reports whether the cloud's machine types and a machine list have been received.
 	MachinesKnown func() bool
-	// ListsComplete reports whether a machine list shows the state after this term began. From
+	// MachineListCurrent reports whether a machine list shows the state after this term began. From
 	// then on, an unknown machine that a record names no longer exists.
-	ListsComplete func() bool
-	// BlockedCause returns why no batch of any drain may start now, "" if one may.
-	BlockedCause func(time.Time) drain.Cause
+	MachineListCurrent func() bool
+	// BatchBlockedCause returns why no batch of any drain may start now, "" if one may.
+	BatchBlockedCause func(time.Time) drain.Cause
 	// ScheduleCall schedules a direct call to a machine on which attempts are to be stopped.
 	ScheduleCall func(*machines.Machine)
 	// RequestSchedulingPass requests a scheduling pass after machines became schedulable again.
@@ -145,5 +145,5 @@
 // confirmedReleased reports whether a machine named by a record no longer exists: the cloud
 // answered its release with status 200, or it is missing from a machine list that would have it.
 func (d *Drainer) confirmedReleased(name string) bool {
-	return d.cluster.Machines.Get(name) == nil && (d.cluster.Machines.WasReleased(name) || d.cluster.ListsComplete())
+	return d.cluster.Machines.Get(name) == nil && (d.cluster.Machines.WasReleased(name) || d.cluster.MachineListCurrent())
 }
--- a/internal/drainer/interruptions.go
+++ b/internal/drainer/interruptions.go
@@ -23,17 +23,17 @@
 	}
 }
 
-// RecordRunning counts an interrupted task as running again, unless the attempt is one that a
+// RecordTaskRunning counts an interrupted task as running again, unless the attempt is one that a
 // drain is about to stop.
-func (d *Drainer) RecordRunning(a *machines.Attempt) {
+func (d *Drainer) RecordTaskRunning(a *machines.Attempt) {
 	if d.ledger == nil || a.IsEvicting() || d.ledger.IsCharged(a.Number()) && a.Machine.CordonedFor(machines.CordonDrained) {
 		return
 	}
 	d.ledger.RecordAvailable(a.Job.ID, a.Index)
 }
 
-// RecordDone counts an interrupted task as done: it is no longer unavailable.
-func (d *Drainer) RecordDone(j *jobs.Job, index int32) {
+// RecordTaskDone counts an interrupted task as done: it is no longer unavailable.
+func (d *Drainer) RecordTaskDone(j *jobs.Job, index int32) {
 	if d.ledger != nil {
 		d.ledger.RecordAvailable(j.ID, index)
 	}
--- a/internal/drainer/replacements.go
+++ b/internal/drainer/replacements.go
@@ -31,7 +31,7 @@
 		m := d.cluster.Machines.Get(name)
 		switch {
 		case m == nil || m.IsReleasing() || m.CordonedFor(machines.ReleaseWhenEmptyReasons|machines.CordonAgentReplaced):
-		case d.cluster.AcceptsWork(now, m):
+		case d.cluster.IsSchedulable(now, m):
 			n.ready[m.Type]++
 		default:
 			n.pending[m.Type]++
@@ -92,7 +92,7 @@
 // drain's batch.
 func (d *Drainer) ReplacementCalls(now time.Time) []scaling.CloudCall {
 	r := d.awaitingReplacements()
-	if r == nil || !d.cluster.ListsComplete() {
+	if r == nil || !d.cluster.MachineListCurrent() {
 		// Before the lists are complete, a new leader could provision a second time what an
 		// earlier leader has provisioned and no list shows yet.
 		return nil
--- a/internal/leader/completion.go
+++ b/internal/leader/completion.go
@@ -47,7 +47,7 @@
 		return
 	}
 	l.passRequested = true
-	l.drainer.RecordDone(j, index)
+	l.drainer.RecordTaskDone(j, index)
 	if !j.IsActive() {
 		return
 	}
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -105,7 +105,7 @@
 	}
 	m.RecordImage(now, j.Image)
 	l.passRequested = true
-	l.drainer.RecordRunning(a)
+	l.drainer.RecordTaskRunning(a)
 }
 
 // recordIgnoredStarts records that an earlier response with starts had no effect.
