--- a/internal/drain/charge.go
+++ b/internal/drain/charge.go
@@ -52,7 +52,7 @@
 	}
 	usage := c.Teams[e.Team]
 	usage.Evictions++
-	usage.LostS += e.LossS
+	usage.LostS += e.LostS
 	c.Teams[e.Team] = usage
 	c.Attempts = append(c.Attempts, e.Attempt)
 	return true
--- a/internal/drain/eviction.go
+++ b/internal/drain/eviction.go
@@ -10,8 +10,8 @@
 type Candidate struct {
 	Team    string
 	Attempt Attempt
-	// LossS is the maximum run time in seconds that stopping the task loses.
-	LossS float64
+	// LostS is the maximum run time in seconds that stopping the task loses.
+	LostS float64
 	// EndsSoon is set if the task is expected to end while the batch reason for it.
 	EndsSoon bool
 	// NoAlternative is set if the task can only run on machines that are drained.
@@ -34,7 +34,7 @@
 // returns the first reason why one of the others may not be evicted, WaitTaskEnd only if there is
 // no other reason. If the charge is full, the remaining candidates are left to the next charge.
 func (e *Evictor) Choose(charge *Charge, candidates []Candidate) Reason {
-	slices.SortStableFunc(candidates, func(a, b Candidate) int { return cmp.Compare(a.LossS, b.LossS) })
+	slices.SortStableFunc(candidates, func(a, b Candidate) int { return cmp.Compare(a.LostS, b.LostS) })
 	var reason Reason
 	for _, candidate := range candidates {
 		cause := e.blockedBy(charge, candidate)
@@ -58,11 +58,11 @@
 	case c.NoAlternative && !e.Force:
 		return WaitNoAlternative
 	case e.Ledger.Unavailable(c.Team)+charged.Evictions+1 > budget.MaxUnavailable:
-		return WaitUnavailable
+		return WaitUnavailableBudget
 	case used.Evictions+charged.Evictions+1 > budget.Evictions:
-		return WaitEvictions
-	case used.LostS+charged.LostS+c.LossS > budget.LostS:
-		return WaitLostTime
+		return WaitEvictionBudget
+	case used.LostS+charged.LostS+c.LostS > budget.LostS:
+		return WaitLostTimeBudget
 	}
 	return ""
 }
--- a/internal/drain/eviction_test.go
+++ b/internal/drain/eviction_test.go
@@ -7,7 +7,7 @@
 
 // candidate returns a candidate with a number that identifies its task and attempt.
 func candidate(team string, number uint64, lossS float64) Candidate {
-	return Candidate{Team: team, Attempt: Attempt{Job: "job-1", Index: int32(number), Number: number}, LossS: lossS}
+	return Candidate{Team: team, Attempt: Attempt{Job: "job-1", Index: int32(number), Number: number}, LostS: lossS}
 }
 
 // TestEvictions checks that candidates are evicted in ascending order of loss until a bound of the
@@ -21,14 +21,14 @@
 		stops  int
 		cause  Cause
 	}{
-		"unavailable":       {func(*Budgets, []Candidate) {}, false, 2, WaitUnavailable},
-		"evictions":         {func(b *Budgets, _ []Candidate) { b.Default.Evictions = 1 }, false, 1, WaitEvictions},
-		"lost time":         {func(b *Budgets, _ []Candidate) { b.Default = Budget{MaxUnavailable: 9, Evictions: 9, LostS: 99} }, false, 2, WaitLostTime},
-		"budget 0":          {func(b *Budgets, _ []Candidate) { b.Default.MaxUnavailable = 0 }, true, 0, WaitUnavailable},
-		"team's own budget": {func(b *Budgets, _ []Candidate) { b.Teams = map[string]Budget{"blue": {}} }, false, 0, WaitUnavailable},
+		"unavailable":       {func(*Budgets, []Candidate) {}, false, 2, WaitUnavailableBudget},
+		"evictions":         {func(b *Budgets, _ []Candidate) { b.Default.Evictions = 1 }, false, 1, WaitEvictionBudget},
+		"lost time":         {func(b *Budgets, _ []Candidate) { b.Default = Budget{MaxUnavailable: 9, Evictions: 9, LostS: 99} }, false, 2, WaitLostTimeBudget},
+		"budget 0":          {func(b *Budgets, _ []Candidate) { b.Default.MaxUnavailable = 0 }, true, 0, WaitUnavailableBudget},
+		"team's own budget": {func(b *Budgets, _ []Candidate) { b.Teams = map[string]Budget{"blue": {}} }, false, 0, WaitUnavailableBudget},
 		"ends by itself":    {func(_ *Budgets, l []Candidate) { l[2].EndsSoon = true }, false, 2, WaitTaskEnd},
 		"no other place":    {func(_ *Budgets, l []Candidate) { l[1].NoAlternative, l[0].NoAlternative = true, true }, false, 1, WaitNoAlternative},
-		"forced":            {func(_ *Budgets, l []Candidate) { l[1].NoAlternative, l[0].NoAlternative = true, true }, true, 2, WaitUnavailable},
+		"forced":            {func(_ *Budgets, l []Candidate) { l[1].NoAlternative, l[0].NoAlternative = true, true }, true, 2, WaitUnavailableBudget},
 	} {
 		b, list, charge := *budgets, append([]Candidate(nil), candidates...), NewCharge("zone-a", now)
 		c.change(&b, list)
--- a/internal/drain/ledger_test.go
+++ b/internal/drain/ledger_test.go
@@ -36,7 +36,7 @@
 				ledger.RecordInterruption("blue", "job-1", index, at, 5)
 			case 1:
 				c := NewCharge("zone-a", at)
-				c.Add(Candidate{Team: "blue", Attempt: Attempt{"job-1", index, uint64(step + 1)}, LossS: 7}, 10_000)
+				c.Add(Candidate{Team: "blue", Attempt: Attempt{"job-1", index, uint64(step + 1)}, LostS: 7}, 10_000)
 				events = append(events, event{at, 7})
 				unavailable[index] = true
 				ledger.RecordCharge(fmt.Sprint("b/", step), c, at, teamBlue)
--- a/internal/drain/lifecycle.go
+++ b/internal/drain/lifecycle.go
@@ -11,9 +11,9 @@
 	return r.Spec.Deadline != nil && now.After(*r.Spec.Deadline)
 }
 
-// Forced reports whether the drain also evicts tasks that can run nowhere else: it has Force set
+// IsForced reports whether the drain also evicts tasks that can run nowhere else: it has Force set
 // and its deadline has passed.
-func (r *Record) Forced(now time.Time) bool { return r.Spec.Force && r.pastDeadline(now) }
+func (r *Record) IsForced(now time.Time) bool { return r.Spec.Force && r.pastDeadline(now) }
 
 // SetWaitReason records why the drain makes no progress. It pauses a drain whose deadline has
 // passed, unless the drain has Force set or the wait is part of its progress, and reports whether
@@ -60,9 +60,9 @@
 	return strings.Compare(r.Spec.Name, other.Spec.Name)
 }
 
-// Next returns the running drain. If there is none, it sets the oldest pending drain running,
+// EnsureRunning returns the running drain. If there is none, it sets the oldest pending drain running,
 // returns it and reports a changed record. It sorts the records in place.
-func Next(records []*Record) (r *Record, changed bool) {
+func EnsureRunning(records []*Record) (r *Record, changed bool) {
 	slices.SortFunc(records, (*Record).Compare)
 	for _, r := range records {
 		if r.State == Running {
--- a/internal/drain/lifecycle_test.go
+++ b/internal/drain/lifecycle_test.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// TestNext checks that drains run one at a time in the order of their creation, that the next one
+// TestDrainsRunOneAtATime checks that drains run one at a time in the order of their creation, that the next one
 // runs while one is paused, and that a resumed one runs before younger pending ones.
-func TestNext(t *testing.T) {
+func TestDrainsRunOneAtATime(t *testing.T) {
 	var all []*Record
 	for i, name := range []string{"c", "a", "b"} {
 		all = append(all, NewRecord(Spec{Name: name}, now.Add(time.Duration(i)*time.Second)))
 	}
 	runNext := func() string {
-		r, _ := Next(all)
+		r, _ := EnsureRunning(all)
 		if r == nil {
 			return ""
 		}
 		return r.Spec.Name
 	}
-	first, _ := Next(all)
+	first, _ := EnsureRunning(all)
 	order := []string{runNext()}
 	first.Pause(Reason{Cause: PausedByOperator})
 	order = append(order, runNext())
@@ -54,7 +54,7 @@
 			t.Fatal("paused while its machines are being released")
 		}
 		r.SetWaitReason(now.Add(2*time.Minute), reason)
-		if (r.State == Paused) == force || r.Forced(now.Add(2*time.Minute)) != force || !strings.Contains(r.Reason.String(), "(team blue)") {
+		if (r.State == Paused) == force || r.IsForced(now.Add(2*time.Minute)) != force || !strings.Contains(r.Reason.String(), "(team blue)") {
 			t.Errorf("force %v: %s, %s", force, r.State, r.Reason)
 		}
 	}
--- a/internal/drain/reason.go
+++ b/internal/drain/reason.go
@@ -21,9 +21,9 @@
 // Causes. Their values are shown to operators.
 const (
 	WaitTaskEnd         Cause = "waits for tasks to end"
-	WaitUnavailable     Cause = "budget of unavailable tasks is used up"
-	WaitEvictions       Cause = "budget of evictions is used up"
-	WaitLostTime        Cause = "budget of lost run time is used up"
+	WaitUnavailableBudget     Cause = "budget of unavailable tasks is used up"
+	WaitEvictionBudget       Cause = "budget of evictions is used up"
+	WaitLostTimeBudget        Cause = "budget of lost run time is used up"
 	WaitNoAlternative   Cause = "tasks have no place outside the drained machines"
 	WaitReplacement     Cause = "waits for replacement machines"
 	WaitMachineRelease  Cause = "waits for machines to be gone"
--- a/internal/drain/record.go
+++ b/internal/drain/record.go
@@ -110,8 +110,8 @@
 	return r.Batch != nil && r.Batch.Cordoned && slices.Contains(r.Batch.Machines, machine)
 }
 
-// Replaces reports whether a machine was provisioned for the current batch.
-func (r *Record) Replaces(machine string) bool {
+// HasReplacement reports whether a machine was provisioned for the current batch.
+func (r *Record) HasReplacement(machine string) bool {
 	return r.Batch != nil && slices.Contains(r.Batch.Replacements, machine)
 }
 
--- a/internal/drainer/drainer.go
+++ b/internal/drainer/drainer.go
@@ -119,7 +119,7 @@
 // IsReplacement reports whether a machine was provisioned as a replacement for the current batch
 // of the running drain.
 func (d *Drainer) IsReplacement(machine string) bool {
-	return d.anyDrain(func(r *drain.Record) bool { return r.State == drain.Running && r.Replaces(machine) })
+	return d.anyDrain(func(r *drain.Record) bool { return r.State == drain.Running && r.HasReplacement(machine) })
 }
 
 // anyDrain reports whether the predicate holds for the record of any drain.
--- a/internal/drainer/evict.go
+++ b/internal/drainer/evict.go
@@ -18,7 +18,7 @@
 	candidates, attempts := s.candidates()
 	charge := drain.NewCharge(s.record.Spec.Name, s.wall)
 	evictor := drain.Evictor{
-		Ledger: s.d.ledger, Budgets: s.d.config.Budgets, Force: s.record.Forced(s.wall), Now: s.now,
+		Ledger: s.d.ledger, Budgets: s.d.config.Budgets, Force: s.record.IsForced(s.wall), Now: s.now,
 		MaxChargeBytes: int(float64(s.d.config.ValueLimit) * tuning.RecordValueShare),
 	}
 	reason := evictor.Choose(charge, candidates)
@@ -99,7 +99,7 @@
 	maxWait := tuning.DrainCheckpointWait
 	if j.CheckpointIntervalS <= 0 {
 		maxWait = tuning.DrainCompletionWait
-		c.LossS = s.maxLossS(a)
+		c.LostS = s.maxLossS(a)
 	}
 	maxWait -= s.wall.Sub(time.UnixMilli(s.record.Batch.SinceMS))
 	c.EndsSoon = maxWait > 0 && s.d.cluster.RemainingS(s.now, a) <= maxWait.Seconds()
--- a/internal/drainer/step.go
+++ b/internal/drainer/step.go
@@ -25,7 +25,7 @@
 	}
 	d.nextStep = now.Add(tuning.DrainStepInterval)
 	d.expireCharges(wall)
-	r, changed := drain.Next(d.sortedRecords())
+	r, changed := drain.EnsureRunning(d.sortedRecords())
 	if r == nil {
 		return
 	}
