--- a/internal/autoscale/bins.go
+++ b/internal/autoscale/bins.go
@@ -11,7 +11,7 @@
 // bin is an existing or requested machine to which the planner assigns demand.
 type bin struct {
 	machine             string // the machine's ID, or empty if it is to be provisioned
-	offer               Offer
+	offer               Offering
 	capacity            placement.Resources
 	free                placement.Resources
 	remainingCPUSeconds float64 // of running and assigned tasks
@@ -22,7 +22,7 @@
 
 func newBin(m *Machine) bin {
 	return bin{
-		machine: m.ID, offer: m.Offer, capacity: m.Capacity, free: m.Free,
+		machine: m.ID, offer: m.Offering, capacity: m.Capacity, free: m.Free,
 		remainingCPUSeconds: m.RemainingCPUSeconds, bootRemainingS: m.BootRemainingS, schedulable: m.Schedulable,
 	}
 }
--- a/internal/autoscale/offers.go
+++ b/internal/autoscale/offerings.go
@@ -7,15 +7,15 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// Offer is a machine type in a zone, either as a spot instance or on demand.
-type Offer struct {
+// Offering is a machine type in a zone, either as a spot instance or on demand.
+type Offering struct {
 	Type string
 	Zone string
 	Spot bool
 }
 
 type pricedOffer struct {
-	Offer
+	Offering
 	pricePerCPU float64
 }
 
@@ -26,9 +26,9 @@
 		for _, zone := range t.Zones {
 			cpus := max(t.CPUs, 1)
 			if t.SpotPrice > 0 {
-				offers = append(offers, pricedOffer{Offer{t.Name, zone, true}, t.SpotPrice / cpus})
+				offers = append(offers, pricedOffer{Offering{t.Name, zone, true}, t.SpotPrice / cpus})
 			}
-			offers = append(offers, pricedOffer{Offer{t.Name, zone, false}, t.Price / cpus})
+			offers = append(offers, pricedOffer{Offering{t.Name, zone, false}, t.Price / cpus})
 		}
 	}
 	sort.SliceStable(offers, func(i, k int) bool { return offers[i].pricePerCPU < offers[k].pricePerCPU })
@@ -43,10 +43,10 @@
 	var best *pricedOffer
 	for i := range p.offers {
 		o := &p.offers[i]
-		if !d.allows(o.Offer) || p.in.Unavailable(o.Offer) || !placement.MachineCapacity(p.types[o.Type]).Fits(d.Request) {
+		if !d.allows(o.Offering) || p.in.Unavailable(o.Offering) || !placement.MachineCapacity(p.types[o.Type]).Fits(d.Request) {
 			continue
 		}
-		if best == nil || o.pricePerCPU == best.pricePerCPU && p.plan.ScaleOut[o.Offer] < p.plan.ScaleOut[best.Offer] {
+		if best == nil || o.pricePerCPU == best.pricePerCPU && p.plan.ScaleOut[o.Offering] < p.plan.ScaleOut[best.Offering] {
 			best = o
 		}
 		if o.pricePerCPU > best.pricePerCPU {
--- a/internal/autoscale/plan.go
+++ b/internal/autoscale/plan.go
@@ -30,7 +30,7 @@
 }
 
 // allows reports whether the tasks may run on a machine of the offer.
-func (d *Demand) allows(o Offer) bool {
+func (d *Demand) allows(o Offering) bool {
 	if o.Spot && !d.Spot || d.Zone != "" && d.Zone != o.Zone {
 		return false
 	}
@@ -40,7 +40,7 @@
 // Machine describes an existing or requested machine.
 type Machine struct {
 	ID       string
-	Offer    Offer
+	Offering Offering
 	Capacity placement.Resources
 	Free     placement.Resources
 	// RemainingCPUSeconds is the estimated remaining work of the machine's tasks.
@@ -63,12 +63,12 @@
 	Machines     []Machine
 	MachineTypes []wire.MachineType
 	// Unavailable reports whether an offer cannot be provisioned now.
-	Unavailable func(Offer) bool
+	Unavailable func(Offering) bool
 	// ReserveCPUs is the number of CPUs that scale-in must keep. It is the smoothed
 	// number of CPUs in use.
 	ReserveCPUs float64
-	// InflowCPUs is the number of CPUs that jobs arriving at the recent rate keep busy.
-	InflowCPUs float64
+	// ArrivalCPUs is the number of CPUs that jobs arriving at the recent rate keep busy.
+	ArrivalCPUs float64
 	// ScaleInIdleTime is how long a machine must be idle before it is released.
 	ScaleInIdleTime time.Duration
 	// MaxMachines limits the number of machines; 0 means no limit.
@@ -78,7 +78,7 @@
 // Plan is the number of machines to provision of each offer, and the IDs of the
 // machines to release.
 type Plan struct {
-	ScaleOut map[Offer]int
+	ScaleOut map[Offering]int
 	ScaleIn  []string
 }
 
@@ -112,7 +112,7 @@
 
 func newPlanner(in Input) *planner {
 	p := &planner{
-		in: in, plan: Plan{ScaleOut: map[Offer]int{}}, types: map[string]wire.MachineType{},
+		in: in, plan: Plan{ScaleOut: map[Offering]int{}}, types: map[string]wire.MachineType{},
 		offers: offersByPrice(in.MachineTypes), bins: make([]bin, 0, len(in.Machines)), machineCount: len(in.Machines),
 	}
 	for _, t := range in.MachineTypes {
@@ -161,7 +161,7 @@
 			tasks = p.assignToBins(d, tasks, d.StartWithinS*math.Sqrt(offer.pricePerCPU/lowest))
 			continue
 		}
-		tasks -= p.scaleOut(offer.Offer, d, tasks)
+		tasks -= p.scaleOut(offer.Offering, d, tasks)
 	}
 }
 
@@ -179,7 +179,7 @@
 
 // scaleOut adds one machine of the offer to the plan, assigns tasks to it, and
 // returns their number.
-func (p *planner) scaleOut(o Offer, d *Demand, tasks int) int {
+func (p *planner) scaleOut(o Offering, d *Demand, tasks int) int {
 	capacity := placement.MachineCapacity(p.types[o.Type])
 	b := bin{offer: o, capacity: capacity, free: capacity, schedulable: true}
 	assigned := max(1, b.assign(d, tasks, d.StartWithinS))
@@ -203,12 +203,12 @@
 		d := &p.in.Demand[i]
 		waitingCPUs := float64(d.Tasks)*d.Request.CPUs - freeCPUs
 		freeCPUs = max(0, -waitingCPUs)
-		for waitingCPUs > 0 && schedulableCPUs < p.in.InflowCPUs && p.mayScaleOut() {
+		for waitingCPUs > 0 && schedulableCPUs < p.in.ArrivalCPUs && p.mayScaleOut() {
 			offer, ok := p.cheapestOffer(d)
 			if !ok || offer.pricePerCPU > p.offers[0].pricePerCPU {
 				break
 			}
-			p.plan.ScaleOut[offer.Offer]++
+			p.plan.ScaleOut[offer.Offering]++
 			p.machineCount++
 			cpus := p.types[offer.Type].CPUs
 			waitingCPUs -= cpus
--- a/internal/autoscale/plan_test.go
+++ b/internal/autoscale/plan_test.go
@@ -15,16 +15,16 @@
 func TestScaleInWhileScalingOut(t *testing.T) {
 	capacity := placement.Resources{CPUs: 8, MemoryGB: 32}
 	idle := func(id, zone string) Machine {
-		return Machine{ID: id, Offer: Offer{Type: "t", Zone: zone}, Capacity: capacity, Free: capacity, Schedulable: true, Idle: true, IdleFor: time.Minute, Price: 1}
+		return Machine{ID: id, Offering: Offering{Type: "t", Zone: zone}, Capacity: capacity, Free: capacity, Schedulable: true, Idle: true, IdleFor: time.Minute, Price: 1}
 	}
 	plan := NewPlan(Input{
 		MachineTypes:    []wire.MachineType{{Name: "t", CPUs: 8, MemoryGB: 32, Price: 1, Zones: []string{"a", "b"}}},
 		Demand:          []Demand{{Tasks: 2, Request: capacity, EstimateS: 100, Zone: "a", StartWithinS: 20}},
 		Machines:        []Machine{idle("a1", "a"), idle("b1", "b"), idle("b2", "b")},
-		Unavailable:     func(Offer) bool { return false },
+		Unavailable:     func(Offering) bool { return false },
 		ScaleInIdleTime: time.Second,
 	})
-	if n := plan.ScaleOut[Offer{Type: "t", Zone: "a"}]; n != 1 {
+	if n := plan.ScaleOut[Offering{Type: "t", Zone: "a"}]; n != 1 {
 		t.Errorf("%d machines provisioned, want 1", n)
 	}
 	slices.Sort(plan.ScaleIn)
@@ -45,10 +45,10 @@
 		plan := NewPlan(Input{
 			MachineTypes: []wire.MachineType{{Name: "t", CPUs: 8, MemoryGB: 32, Price: 1, Zones: []string{"a"}}},
 			Demand:       []Demand{{Tasks: 1, Request: placement.Resources{CPUs: 1}, EstimateS: 10, StartWithinS: 20, AvoidMachines: c.avoid}},
-			Machines:     []Machine{{ID: "a1", Offer: Offer{Type: "t", Zone: "a"}, Capacity: capacity, Free: capacity, Schedulable: true, Price: 1}},
-			Unavailable:  func(Offer) bool { return false },
+			Machines:     []Machine{{ID: "a1", Offering: Offering{Type: "t", Zone: "a"}, Capacity: capacity, Free: capacity, Schedulable: true, Price: 1}},
+			Unavailable:  func(Offering) bool { return false },
 		})
-		if n := plan.ScaleOut[Offer{Type: "t", Zone: "a"}]; n != c.scaleOut {
+		if n := plan.ScaleOut[Offering{Type: "t", Zone: "a"}]; n != c.scaleOut {
 			t.Errorf("avoiding %v: %d machines provisioned", c.avoid, n)
 		}
 	}
@@ -60,19 +60,19 @@
 // at all while the tasks fit into free CPUs.
 func TestScaleOutFollowsInflow(t *testing.T) {
 	capacity := placement.Resources{CPUs: 8, MemoryGB: 32}
-	scaleOut := func(inflow float64, tasks int, unavailable bool) map[Offer]int {
+	scaleOut := func(inflow float64, tasks int, unavailable bool) map[Offering]int {
 		in := Input{
 			MachineTypes: []wire.MachineType{{Name: "t", CPUs: 8, MemoryGB: 32, Price: 3, SpotPrice: 1, Zones: []string{"a"}}},
 			Demand:       []Demand{{Tasks: tasks, Request: placement.Resources{CPUs: 1, MemoryGB: 1}, EstimateS: 1, Spot: true, StartWithinS: 100}},
-			Unavailable:  func(o Offer) bool { return o.Spot && unavailable },
+			Unavailable:  func(o Offering) bool { return o.Spot && unavailable },
 		}
 		for range 10 {
-			in.Machines = append(in.Machines, Machine{Offer: Offer{Type: "t", Zone: "a"}, Capacity: capacity, Free: placement.Resources{CPUs: 1, MemoryGB: 9}, Schedulable: true, Price: 3})
+			in.Machines = append(in.Machines, Machine{Offering: Offering{Type: "t", Zone: "a"}, Capacity: capacity, Free: placement.Resources{CPUs: 1, MemoryGB: 9}, Schedulable: true, Price: 3})
 		}
-		in.InflowCPUs = inflow
+		in.ArrivalCPUs = inflow
 		return NewPlan(in).ScaleOut
 	}
-	spot, onDemand := Offer{Type: "t", Zone: "a", Spot: true}, Offer{Type: "t", Zone: "a"}
+	spot, onDemand := Offering{Type: "t", Zone: "a", Spot: true}, Offering{Type: "t", Zone: "a"}
 	for _, c := range []struct {
 		inflow      float64
 		tasks       int
--- a/internal/drain/reason.go
+++ b/internal/drain/reason.go
@@ -20,19 +20,19 @@
 
 // Causes. Their values are shown to operators.
 const (
-	WaitTaskEnd         Cause = "waits for tasks to end"
-	WaitUnavailableBudget     Cause = "budget of unavailable tasks is used up"
-	WaitEvictionBudget       Cause = "budget of evictions is used up"
-	WaitLostTimeBudget        Cause = "budget of lost run time is used up"
-	WaitNoAlternative   Cause = "tasks have no place outside the drained machines"
-	WaitReplacement     Cause = "waits for replacement machines"
-	WaitMachineRelease  Cause = "waits for machines to be gone"
-	BlockedByGuarantee  Cause = "the guarantee of a team with waiting work would not fit"
-	BlockedByOverload   Cause = "new jobs are being shed"
-	BlockedByPartition  Cause = "machines are cut off"
-	BlockedByNewLeader  Cause = "the leader is new"
-	ReplacementTimedOut Cause = "no replacement machine came up in time"
-	PausedByOperator    Cause = "paused by an operator"
+	WaitTaskEnd           Cause = "waits for tasks to end"
+	WaitUnavailableBudget Cause = "budget of unavailable tasks is used up"
+	WaitEvictionBudget    Cause = "budget of evictions is used up"
+	WaitLostTimeBudget    Cause = "budget of lost run time is used up"
+	WaitNoAlternative     Cause = "tasks have no place outside the drained machines"
+	WaitReplacement       Cause = "waits for replacement machines"
+	WaitMachineRelease    Cause = "waits for machines to be gone"
+	BlockedByGuarantee    Cause = "the guarantee of a team with waiting work would not fit"
+	BlockedByOverload     Cause = "new jobs are being shed"
+	BlockedByPartition    Cause = "machines are cut off"
+	BlockedByNewLeader    Cause = "the leader is new"
+	ReplacementTimedOut   Cause = "no replacement machine came up in time"
+	PausedByOperator      Cause = "paused by an operator"
 )
 
 // Reason is why a drain waits or is paused, with the team concerned, if any.
--- a/internal/drainer/batch.go
+++ b/internal/drainer/batch.go
@@ -67,8 +67,8 @@
 // provisioningSelected reports whether a pending provisioning call may add machines that the
 // drain selects.
 func (s *step) provisioningSelected() bool {
-	return s.d.cluster.Scaler.AnyPending(func(p *scaling.PendingProvision) bool {
-		return s.record.Spec.Selector.SelectsAllOf(p.Offer.Type, p.Offer.Zone)
+	return s.d.cluster.Scaler.AnyProvisionInFlight(func(p *scaling.InFlightProvision) bool {
+		return s.record.Spec.Selector.SelectsAllOf(p.Offering.Type, p.Offering.Zone)
 	})
 }
 
--- a/internal/drainer/drainer.go
+++ b/internal/drainer/drainer.go
@@ -112,7 +112,7 @@
 }
 
 // BlocksProvisioning reports whether a drain forbids provisioning machines of an offer.
-func (d *Drainer) BlocksProvisioning(o autoscale.Offer) bool {
+func (d *Drainer) BlocksProvisioning(o autoscale.Offering) bool {
 	return d.anyDrain(func(r *drain.Record) bool { return r.BlocksProvisioning(o.Type, o.Zone) })
 }
 
--- a/internal/drainer/drainer_test.go
+++ b/internal/drainer/drainer_test.go
@@ -52,7 +52,7 @@
 	f.scaler = scaling.New(scaling.Config{Term: 5, CloudRPS: 5}, scaling.Cluster{
 		Machines:       f.registry,
 		Catalogue:      catalogue,
-		BlockedByDrain: func(o autoscale.Offer) bool { return f.BlocksProvisioning(o) },
+		BlockedByDrain: func(o autoscale.Offering) bool { return f.BlocksProvisioning(o) },
 		Partitioned:    func(time.Time, string) bool { return false },
 	})
 	f.Drainer = drainer.New(zerolog.Nop(), drainer.Config{
@@ -70,11 +70,11 @@
 		Job:                   func(id string) *jobs.Job { return f.jobs[id] },
 		RunnableJobs:          func() iter.Seq[*jobs.Job] { return func(func(*jobs.Job) bool) {} },
 		TeamUsedCPUs:          func(string) float64 { return 0 },
-		IsSchedulable:           func(_ time.Time, m *machines.Machine) bool { return m.IsReconciled() && !m.Cordoned() },
+		IsSchedulable:         func(_ time.Time, m *machines.Machine) bool { return m.IsReconciled() && !m.Cordoned() },
 		RemainingS:            func(time.Time, *machines.Attempt) float64 { return 3600 },
 		MachinesKnown:         func() bool { return true },
-		MachineListCurrent:         func() bool { return true },
-		BatchBlockedCause:          func(time.Time) drain.Cause { return f.blocked },
+		MachineListCurrent:    func() bool { return true },
+		BatchBlockedCause:     func(time.Time) drain.Cause { return f.blocked },
 		ScheduleCall:          func(m *machines.Machine) { f.stopped = append(f.stopped, m.ID) },
 		RequestSchedulingPass: func() {},
 	})
--- a/internal/drainer/evict.go
+++ b/internal/drainer/evict.go
@@ -141,7 +141,7 @@
 // provisionableMachines returns the machine types, by zone, that no drain forbids to provision.
 func (s *step) provisionableMachines() []*placement.Machine {
 	return s.d.cluster.Catalogue.Offerings(func(machineType, zone string) bool {
-		return !s.d.BlocksProvisioning(autoscale.Offer{Type: machineType, Zone: zone})
+		return !s.d.BlocksProvisioning(autoscale.Offering{Type: machineType, Zone: zone})
 	})
 }
 
--- a/internal/drainer/replacements.go
+++ b/internal/drainer/replacements.go
@@ -97,7 +97,7 @@
 		// earlier leader has provisioned and no list shows yet.
 		return nil
 	}
-	if d.cluster.Scaler.AnyPending(func(p *scaling.PendingProvision) bool { return p.ReplacementFor != "" }) {
+	if d.cluster.Scaler.AnyProvisionInFlight(func(p *scaling.InFlightProvision) bool { return p.ReplacementFor != "" }) {
 		return nil
 	}
 	n := d.countReplacements(now, r.Batch)
@@ -116,7 +116,7 @@
 
 // replacementOffer returns the offer from which to provision a replacement of a type. It prefers
 // the zone of the replaced machine, then any other zone, and falls back from spot to on-demand.
-func (d *Drainer) replacementOffer(now time.Time, b *drain.Batch, machineType string) (autoscale.Offer, bool) {
+func (d *Drainer) replacementOffer(now time.Time, b *drain.Batch, machineType string) (autoscale.Offering, bool) {
 	i := slices.IndexFunc(b.Machines, func(name string) bool {
 		m := d.cluster.Machines.Get(name)
 		return m != nil && m.Type == machineType
@@ -125,13 +125,13 @@
 	offeredZones := d.cluster.Catalogue.Type(machineType).Zones
 	for _, spot := range []bool{m.Spot, false} {
 		for _, zone := range slices.Concat([]string{m.Zone}, offeredZones) {
-			o := autoscale.Offer{Type: machineType, Zone: zone, Spot: spot}
+			o := autoscale.Offering{Type: machineType, Zone: zone, Spot: spot}
 			if slices.Contains(offeredZones, zone) && d.cluster.Scaler.CanProvision(now, o) {
 				return o, true
 			}
 		}
 	}
-	return autoscale.Offer{}, false
+	return autoscale.Offering{}, false
 }
 
 // AddReplacements adds machines that were provisioned for a drain to its current batch.
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -55,7 +55,7 @@
 	case !j.IsBlocked():
 		l.jobs.MarkRunnable(j)
 		j.RebuildReadyTasks()
-		l.scaler.History.AddInflow(now, j.WaitingSince(), float64(j.Tasks)*j.CPUs*l.runTimes.Estimate(j))
+		l.scaler.History.AddArrival(now, j.WaitingSince(), float64(j.Tasks)*j.CPUs*l.runTimes.Estimate(j))
 		l.passRequested = true
 	}
 }
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -30,7 +30,7 @@
 		HeartbeatOverdue: func(now time.Time, m *machines.Machine) bool { return m.HeartbeatOverdue(now, &l.timing) },
 		RemainingS:       l.remainingS,
 		IsReplacement:    func(id string) bool { return l.drainer.IsReplacement(id) },
-		BlockedByDrain:   func(o autoscale.Offer) bool { return l.drainer.BlocksProvisioning(o) },
+		BlockedByDrain:   func(o autoscale.Offering) bool { return l.drainer.BlocksProvisioning(o) },
 		Partitioned:      l.reachability.IsPartitioned,
 	})
 }
@@ -38,7 +38,7 @@
 // PlanScaling decides whether to scale out and in, at most once per planning period, and returns
 // the cloud calls to be made.
 func (l *Leader) PlanScaling(now time.Time) []scaling.CloudCall {
-	if !l.machinesKnown() || !l.scaler.Due(now) {
+	if !l.machinesKnown() || !l.scaler.StartPlanIfDue(now) {
 		return nil
 	}
 	l.reachability.Update(now, l.machines.All(), &l.timing)
--- a/internal/scaling/history.go
+++ b/internal/scaling/history.go
@@ -17,9 +17,9 @@
 	inflowAt time.Time
 }
 
-// UpdateCPUs adds a sample of the CPUs in use to the exponentially weighted mean and returns
+// AddUsedCPUs adds a sample of the CPUs in use to the exponentially weighted mean and returns
 // the new mean.
-func (h *DemandHistory) UpdateCPUs(now time.Time, cpus float64) float64 {
+func (h *DemandHistory) AddUsedCPUs(now time.Time, cpus float64) float64 {
 	if h.smoothedAt.IsZero() {
 		h.smoothedCPUs = cpus
 	} else {
@@ -30,14 +30,14 @@
 	return h.smoothedCPUs
 }
 
-// AddInflow adds work that arrived at the given time, in CPU seconds, to the inflow.
-func (h *DemandHistory) AddInflow(now, arrivedAt time.Time, cpuSeconds float64) {
+// AddArrival adds work that arrived at the given time, in CPU seconds, to the inflow.
+func (h *DemandHistory) AddArrival(now, arrivedAt time.Time, cpuSeconds float64) {
 	rate := cpuSeconds / tuning.InflowDecay.Seconds()
-	h.inflow, h.inflowAt = h.InflowCPUs(now)+rate*decayFactor(now.Sub(arrivedAt), tuning.InflowDecay), now
+	h.inflow, h.inflowAt = h.ArrivalCPUs(now)+rate*decayFactor(now.Sub(arrivedAt), tuning.InflowDecay), now
 }
 
-// InflowCPUs returns the number of CPUs that jobs arriving at the recent rate keep busy.
-func (h *DemandHistory) InflowCPUs(now time.Time) float64 {
+// ArrivalCPUs returns the number of CPUs that jobs arriving at the recent rate keep busy.
+func (h *DemandHistory) ArrivalCPUs(now time.Time) float64 {
 	return h.inflow * decayFactor(now.Sub(h.inflowAt), tuning.InflowDecay)
 }
 
--- a/internal/scaling/plan_input.go
+++ b/internal/scaling/plan_input.go
@@ -17,11 +17,11 @@
 		MachineTypes:    s.cluster.Catalogue.OfferedTypes(),
 		ScaleInIdleTime: s.config.ScaleInIdleTime,
 		MaxMachines:     s.config.MaxMachines,
-		Unavailable:     func(o autoscale.Offer) bool { return !s.CanProvision(now, o) },
+		Unavailable:     func(o autoscale.Offering) bool { return !s.CanProvision(now, o) },
 		Machines:        slices.Concat(s.existingMachines(now), s.pendingMachines()),
 		Demand:          s.cluster.Demand(now),
-		ReserveCPUs:     s.History.UpdateCPUs(now, s.busyCPUs()),
-		InflowCPUs:      s.History.InflowCPUs(now),
+		ReserveCPUs:     s.History.AddUsedCPUs(now, s.busyCPUs()),
+		ArrivalCPUs:     s.History.ArrivalCPUs(now),
 	}
 }
 
@@ -54,7 +54,7 @@
 func (s *Scaler) toPlannerMachine(now time.Time, m *machines.Machine) autoscale.Machine {
 	converted := autoscale.Machine{
 		ID:          m.ID,
-		Offer:       autoscale.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot},
+		Offering:    autoscale.Offering{Type: m.Type, Zone: m.Zone, Spot: m.Spot},
 		Capacity:    m.Capacity(),
 		Free:        m.Free(),
 		Price:       s.cluster.Catalogue.Price(m),
@@ -77,13 +77,13 @@
 // that the planner does not provision for the same demand twice.
 func (s *Scaler) pendingMachines() []autoscale.Machine {
 	var list []autoscale.Machine
-	for _, requestID := range slices.Sorted(maps.Keys(s.pending)) {
-		p := s.pending[requestID]
-		t := s.cluster.Catalogue.Type(p.Offer.Type)
+	for _, requestID := range slices.Sorted(maps.Keys(s.provisionsInFlight)) {
+		p := s.provisionsInFlight[requestID]
+		t := s.cluster.Catalogue.Type(p.Offering.Type)
 		capacity := placement.MachineCapacity(t)
 		for range p.Count {
 			list = append(list, autoscale.Machine{
-				Offer: p.Offer, Capacity: capacity, Free: capacity, Schedulable: true, BootRemainingS: t.BootTimeS,
+				Offering: p.Offering, Capacity: capacity, Free: capacity, Schedulable: true, BootRemainingS: t.BootTimeS,
 			})
 		}
 	}
--- a/internal/scaling/scale_out.go
+++ b/internal/scaling/scale_out.go
@@ -14,11 +14,11 @@
 
 // ScaleOut returns the provision calls for the wanted machines, up to the limit of calls in
 // flight.
-func (s *Scaler) ScaleOut(now time.Time, wanted map[autoscale.Offer]int) []CloudCall {
+func (s *Scaler) ScaleOut(now time.Time, wanted map[autoscale.Offering]int) []CloudCall {
 	limit := max(1, int(s.config.CloudRPS*tuning.CloudCallShare*tuning.ProvisionsInFlight))
 	var calls []CloudCall
 	for _, o := range slices.SortedFunc(maps.Keys(wanted), compareOffers) {
-		if len(s.pending) >= limit {
+		if len(s.provisionsInFlight) >= limit {
 			break
 		}
 		calls = append(calls, s.Provision(now, o, wanted[o], ""))
@@ -28,7 +28,7 @@
 
 // Provision returns the call that provisions machines of an offer and records it as in flight.
 // replacementFor is the name of the drain whose machines they replace, or "".
-func (s *Scaler) Provision(now time.Time, o autoscale.Offer, count int, replacementFor string) CloudCall {
+func (s *Scaler) Provision(now time.Time, o autoscale.Offering, count int, replacementFor string) CloudCall {
 	s.lastRequest++
 	r := wire.ProvisionRequest{
 		RequestID: fmt.Sprintf("r-%d-%d", s.config.Term, s.lastRequest),
@@ -37,12 +37,12 @@
 		Spot:      o.Spot,
 		Count:     min(count, tuning.MaxProvisionCount),
 	}
-	s.pending[r.RequestID] = &PendingProvision{Offer: o, Count: r.Count, RequestedAt: now, ReplacementFor: replacementFor}
+	s.provisionsInFlight[r.RequestID] = &InFlightProvision{Offering: o, Count: r.Count, RequestedAt: now, ReplacementFor: replacementFor}
 	return CloudCall{Op: CloudProvision, Provision: r}
 }
 
 // compareOffers orders spot offers first, then by type and zone.
-func compareOffers(a, b autoscale.Offer) int {
+func compareOffers(a, b autoscale.Offering) int {
 	if a.Spot != b.Spot {
 		if a.Spot {
 			return -1
@@ -55,25 +55,25 @@
 // CanProvision reports whether machines of an offer may be provisioned now: the cloud has not
 // recently run out of capacity for the offer, the zone is not partitioned, and no drain blocks
 // the offer.
-func (s *Scaler) CanProvision(now time.Time, o autoscale.Offer) bool {
+func (s *Scaler) CanProvision(now time.Time, o autoscale.Offering) bool {
 	return !now.Before(s.unavailable[o]) && !s.cluster.Partitioned(now, o.Zone) && !s.cluster.BlockedByDrain(o)
 }
 
 // FinishProvision records the number of machines that a provision call returned, and returns the
 // call, or nil if it is not in flight. If the cloud returned fewer machines than requested, the
 // offer counts as unavailable for tuning.UnavailableOfferBackoff.
-func (s *Scaler) FinishProvision(now time.Time, r wire.ProvisionRequest, received int) *PendingProvision {
-	p := s.pending[r.RequestID]
-	delete(s.pending, r.RequestID)
+func (s *Scaler) FinishProvision(now time.Time, r wire.ProvisionRequest, received int) *InFlightProvision {
+	p := s.provisionsInFlight[r.RequestID]
+	delete(s.provisionsInFlight, r.RequestID)
 	if p != nil && received < r.Count {
-		s.unavailable[p.Offer] = now.Add(tuning.UnavailableOfferingBackoff)
+		s.unavailable[p.Offering] = now.Add(tuning.UnavailableOfferingBackoff)
 	}
 	return p
 }
 
-// AnyPending reports whether any provision call in flight matches.
-func (s *Scaler) AnyPending(matches func(*PendingProvision) bool) bool {
-	for _, p := range s.pending {
+// AnyProvisionInFlight reports whether any provision call in flight matches.
+func (s *Scaler) AnyProvisionInFlight(matches func(*InFlightProvision) bool) bool {
+	for _, p := range s.provisionsInFlight {
 		if matches(p) {
 			return true
 		}
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -51,26 +51,26 @@
 	// IsReplacement reports whether a machine was provisioned as a replacement for an active drain.
 	IsReplacement func(id string) bool
 	// BlockedByDrain reports whether an active drain forbids provisioning machines of an offer.
-	BlockedByDrain func(autoscale.Offer) bool
+	BlockedByDrain func(autoscale.Offering) bool
 	// Partitioned reports whether a zone appears to be unreachable over the network.
 	Partitioned func(now time.Time, zone string) bool
 }
 
 // Scaler plans scaling, and tracks cloud calls in flight and offers without capacity.
 type Scaler struct {
-	config           Config
-	cluster          Cluster
-	History          DemandHistory
-	unavailable      map[autoscale.Offer]time.Time // when the offer may be requested again
-	lastRequest      uint64                        // number of the last provision request in this term
-	pending          map[string]*PendingProvision  // provision calls in flight, by request ID
-	releasesInFlight int
-	nextPlan         time.Time
+	config             Config
+	cluster            Cluster
+	History            DemandHistory
+	unavailable        map[autoscale.Offering]time.Time // when the offer may be requested again
+	lastRequest        uint64                           // number of the last provision request in this term
+	provisionsInFlight map[string]*InFlightProvision    // provision calls in flight, by request ID
+	releasesInFlight   int
+	nextPlan           time.Time
 }
 
-// PendingProvision is a provision call in flight.
-type PendingProvision struct {
-	Offer       autoscale.Offer
+// InFlightProvision is a provision call in flight.
+type InFlightProvision struct {
+	Offering    autoscale.Offering
 	Count       int
 	RequestedAt time.Time
 	// ReplacementFor is the name of the drain whose machines these replace, or "".
@@ -80,16 +80,16 @@
 // New returns a scaler with no calls in flight.
 func New(config Config, cluster Cluster) *Scaler {
 	return &Scaler{
-		config:      config,
-		cluster:     cluster,
-		unavailable: map[autoscale.Offer]time.Time{},
-		pending:     map[string]*PendingProvision{},
+		config:             config,
+		cluster:            cluster,
+		unavailable:        map[autoscale.Offering]time.Time{},
+		provisionsInFlight: map[string]*InFlightProvision{},
 	}
 }
 
-// Due reports whether the next plan is due. If so, it schedules the following one after
+// StartPlanIfDue reports whether the next plan is due. If so, it schedules the following one after
 // tuning.ScalingInterval.
-func (s *Scaler) Due(now time.Time) bool {
+func (s *Scaler) StartPlanIfDue(now time.Time) bool {
 	if now.Before(s.nextPlan) {
 		return false
 	}
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -16,8 +16,8 @@
 
 var (
 	start    = time.Unix(1_700_000_000, 0)
-	spot     = autoscale.Offer{Type: "std-8", Zone: "a", Spot: true}
-	onDemand = autoscale.Offer{Type: "std-8", Zone: "a"}
+	spot     = autoscale.Offering{Type: "std-8", Zone: "a", Spot: true}
+	onDemand = autoscale.Offering{Type: "std-8", Zone: "a"}
 )
 
 // newScaler returns a scaler for an empty cluster with one machine type in one zone. Its call
@@ -30,7 +30,7 @@
 		HeartbeatOverdue: func(time.Time, *machines.Machine) bool { return false },
 		RemainingS:       func(time.Time, *machines.Attempt) float64 { return 0 },
 		IsReplacement:    func(string) bool { return false },
-		BlockedByDrain:   func(o autoscale.Offer) bool { return o.Zone == "drained" },
+		BlockedByDrain:   func(o autoscale.Offering) bool { return o.Zone == "drained" },
 		Partitioned:      func(_ time.Time, zone string) bool { return zone == "partitioned" },
 	}
 	cluster.Catalogue.Update([]wire.MachineType{{Name: "std-8", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.4, BootTimeS: 10, Zones: []string{"a"}}})
@@ -41,7 +41,7 @@
 // offers are requested first, and the next call may be made once one has returned.
 func TestProvisionCallsInFlightAreLimited(t *testing.T) {
 	s, _ := newScaler()
-	wanted := map[autoscale.Offer]int{onDemand: 3, spot: 2}
+	wanted := map[autoscale.Offering]int{onDemand: 3, spot: 2}
 	calls := s.ScaleOut(start, wanted)
 	if len(calls) != 1 || !calls[0].Provision.Spot || calls[0].Provision.RequestID != "r-5-1" || calls[0].Provision.Count != 2 {
 		t.Fatalf("calls %+v, want one for 2 spot machines", calls)
@@ -49,7 +49,7 @@
 	if more := s.ScaleOut(start, wanted); len(more) != 0 {
 		t.Fatalf("calls beyond the limit: %+v", more)
 	}
-	if p := s.FinishProvision(start, calls[0].Provision, 2); p == nil || p.Offer != spot || p.Count != 2 {
+	if p := s.FinishProvision(start, calls[0].Provision, 2); p == nil || p.Offering != spot || p.Count != 2 {
 		t.Fatalf("finished call %+v, want the one for 2 spot machines", p)
 	}
 	if p := s.FinishProvision(start, calls[0].Provision, 2); p != nil {
@@ -70,14 +70,14 @@
 	backoffEnd := start.Add(tuning.UnavailableOfferingBackoff)
 	for name, test := range map[string]struct {
 		now   time.Time
-		offer autoscale.Offer
+		offer autoscale.Offering
 		want  bool
 	}{
 		"at once":          {start, spot, false},
 		"other offer":      {start, onDemand, true},
 		"afterwards":       {backoffEnd, spot, true},
-		"drained zone":     {start, autoscale.Offer{Type: "std-8", Zone: "drained"}, false},
-		"partitioned zone": {start, autoscale.Offer{Type: "std-8", Zone: "partitioned"}, false},
+		"drained zone":     {start, autoscale.Offering{Type: "std-8", Zone: "drained"}, false},
+		"partitioned zone": {start, autoscale.Offering{Type: "std-8", Zone: "partitioned"}, false},
 	} {
 		if got := s.CanProvision(test.now, test.offer); got != test.want {
 			t.Errorf("%s: CanProvision %v", name, got)
@@ -135,7 +135,7 @@
 // TestPlanIsDueOncePerInterval: Due is true once and then again after an interval.
 func TestPlanIsDueOncePerInterval(t *testing.T) {
 	s, _ := newScaler()
-	if !s.Due(start) || s.Due(start) || !s.Due(start.Add(tuning.ScalingInterval)) {
+	if !s.StartPlanIfDue(start) || s.StartPlanIfDue(start) || !s.StartPlanIfDue(start.Add(tuning.ScalingInterval)) {
 		t.Error("Due is not true exactly once per interval")
 	}
 }
@@ -143,15 +143,15 @@
 // TestDemandHistoryDecays: the smoothed CPUs in use and the inflow decay exponentially.
 func TestDemandHistoryDecays(t *testing.T) {
 	var h scaling.DemandHistory
-	if first := h.UpdateCPUs(start, 100); first != 100 {
+	if first := h.AddUsedCPUs(start, 100); first != 100 {
 		t.Errorf("first value %v, want 100", first)
 	}
-	later := h.UpdateCPUs(start.Add(tuning.DemandDecay), 0)
+	later := h.AddUsedCPUs(start.Add(tuning.DemandDecay), 0)
 	if want := 100 / math.E; math.Abs(later-want) > 0.01 {
 		t.Errorf("%v after one decay time, want %v", later, want)
 	}
-	h.AddInflow(start, start, 60)
-	initial, decayed := h.InflowCPUs(start), h.InflowCPUs(start.Add(tuning.InflowDecay))
+	h.AddArrival(start, start, 60)
+	initial, decayed := h.ArrivalCPUs(start), h.ArrivalCPUs(start.Add(tuning.InflowDecay))
 	if want := 60 / tuning.InflowDecay.Seconds(); math.Abs(initial-want) > 1e-9 || math.Abs(decayed-want/math.E) > 1e-9 {
 		t.Errorf("inflow %v, then %v, want %v at first", initial, decayed, want)
 	}
