--- a/internal/autoscale/bins.go
+++ b/internal/autoscale/bins.go
@@ -10,31 +10,31 @@
 
 // bin is an existing or requested machine to which the planner assigns demand.
 type bin struct {
-	machine             string // the machine's ID, or empty if it is to be provisioned
-	offer               Offering
+	machineID             string // the machine's ID, or empty if it is to be provisioned
+	offering               Offering
 	capacity            placement.Resources
 	free                placement.Resources
 	remainingCPUSeconds float64 // of running and assigned tasks
 	bootRemainingS      float64
 	schedulable         bool
-	used                bool // whether demand was assigned to it
+	hasDemand                bool // whether demand was assigned to it
 }
 
 func newBin(m *Machine) bin {
 	return bin{
-		machine: m.ID, offer: m.Offering, capacity: m.Capacity, free: m.Free,
+		machineID: m.ID, offering: m.Offering, capacity: m.Capacity, free: m.Free,
 		remainingCPUSeconds: m.RemainingCPUSeconds, bootRemainingS: m.BootRemainingS, schedulable: m.Schedulable,
 	}
 }
 
-// assign assigns up to the given number of tasks to the bin: as many as fit into its free
+// assignTasks assigns up to the given number of tasks to the bin: as many as fit into its free
 // resources now or, if that is more, as it can run within withinS. It returns their number.
-func (b *bin) assign(d *Demand, tasks int, withinS float64) int {
+func (b *bin) assignTasks(d *Demand, tasks int, withinS float64) int {
 	taskCPUSeconds := max(d.EstimateS, tuning.MinimumEstimateS) * d.Request.CPUs
 	availableCPUSeconds := b.capacity.CPUs*usableShare(b.capacity, d.Request)*(withinS-min(b.bootRemainingS, withinS/2)) - b.remainingCPUSeconds
 	n := max(parallelTasks(b.free, d.Request), int(availableCPUSeconds/taskCPUSeconds))
 	n = max(0, min(n, tasks))
-	b.used = b.used || n > 0
+	b.hasDemand = b.hasDemand || n > 0
 	b.remainingCPUSeconds += float64(n) * taskCPUSeconds
 	b.free = b.free.Add(d.Request, -float64(n))
 	return n
--- a/internal/autoscale/offerings.go
+++ b/internal/autoscale/offerings.go
@@ -14,35 +14,35 @@
 	Spot bool
 }
 
-type pricedOffer struct {
+type pricedOffering struct {
 	Offering
 	pricePerCPU float64
 }
 
-// offersByPrice returns all offers, sorted by ascending price per CPU.
-func offersByPrice(types []wire.MachineType) []pricedOffer {
-	var offers []pricedOffer
+// offeringsByPrice returns all offers, sorted by ascending price per CPU.
+func offeringsByPrice(types []wire.MachineType) []pricedOffering {
+	var offerings []pricedOffering
 	for _, t := range types {
 		for _, zone := range t.Zones {
 			cpus := max(t.CPUs, 1)
 			if t.SpotPrice > 0 {
-				offers = append(offers, pricedOffer{Offering{t.Name, zone, true}, t.SpotPrice / cpus})
+				offerings = append(offerings, pricedOffering{Offering{t.Name, zone, true}, t.SpotPrice / cpus})
 			}
-			offers = append(offers, pricedOffer{Offering{t.Name, zone, false}, t.Price / cpus})
+			offerings = append(offerings, pricedOffering{Offering{t.Name, zone, false}, t.Price / cpus})
 		}
 	}
-	sort.SliceStable(offers, func(i, k int) bool { return offers[i].pricePerCPU < offers[k].pricePerCPU })
-	return offers
+	sort.SliceStable(offerings, func(i, k int) bool { return offerings[i].pricePerCPU < offerings[k].pricePerCPU })
+	return offerings
 }
 
-// cheapestOffer returns the cheapest available offer that the demand allows and
+// cheapestOffering returns the cheapest available offer that the demand allows and
 // whose machines are large enough for a task. Among equally cheap offers it
 // chooses the one with the fewest machines in the plan, to spread machines over
 // zones.
-func (p *planner) cheapestOffer(d *Demand) (pricedOffer, bool) {
-	var best *pricedOffer
-	for i := range p.offers {
-		o := &p.offers[i]
+func (p *planner) cheapestOffering(d *Demand) (pricedOffering, bool) {
+	var best *pricedOffering
+	for i := range p.offerings {
+		o := &p.offerings[i]
 		if !d.allows(o.Offering) || p.in.Unavailable(o.Offering) || !placement.MachineCapacity(p.types[o.Type]).Fits(d.Request) {
 			continue
 		}
@@ -54,7 +54,7 @@
 		}
 	}
 	if best == nil {
-		return pricedOffer{}, false
+		return pricedOffering{}, false
 	}
 	return *best, true
 }
--- a/internal/autoscale/plan.go
+++ b/internal/autoscale/plan.go
@@ -87,7 +87,7 @@
 	in     Input
 	plan   Plan
 	types  map[string]wire.MachineType
-	offers []pricedOffer
+	offerings []pricedOffering
 	bins   []bin
 	// machineCount includes the machines that the plan provisions.
 	machineCount int
@@ -103,17 +103,17 @@
 	for i := range in.Demand {
 		p.planDemand(&in.Demand[i])
 	}
-	p.scaleOutForInflow(schedulableCPUs, freeCPUs)
+	p.scaleOutForArrivals(schedulableCPUs, freeCPUs)
 	// Scale-in does not wait for a plan without scale-out: with several hundred
 	// machines, nearly every plan provisions some.
-	p.plan.ScaleIn = scaleIn(&in, p.bins, schedulableCPUs)
+	p.plan.ScaleIn = chooseReleases(&in, p.bins, schedulableCPUs)
 	return p.plan
 }
 
 func newPlanner(in Input) *planner {
 	p := &planner{
 		in: in, plan: Plan{ScaleOut: map[Offering]int{}}, types: map[string]wire.MachineType{},
-		offers: offersByPrice(in.MachineTypes), bins: make([]bin, 0, len(in.Machines)), machineCount: len(in.Machines),
+		offerings: offeringsByPrice(in.MachineTypes), bins: make([]bin, 0, len(in.Machines)), machineCount: len(in.Machines),
 	}
 	for _, t := range in.MachineTypes {
 		p.types[t.Name] = t
@@ -139,8 +139,8 @@
 	return total, free
 }
 
-// mayScaleOut reports whether another machine is within MaxMachines.
-func (p *planner) mayScaleOut() bool {
+// belowMaxMachines reports whether another machine is within MaxMachines.
+func (p *planner) belowMaxMachines() bool {
 	return p.in.MaxMachines == 0 || p.machineCount < p.in.MaxMachines
 }
 
@@ -148,20 +148,20 @@
 // provisions machines for the rest.
 func (p *planner) planDemand(d *Demand) {
 	tasks := p.assignToBins(d, d.Tasks, d.StartWithinS)
-	extended := false
-	for tasks > 0 && p.mayScaleOut() {
-		offer, ok := p.cheapestOffer(d)
+	retriedWithLongerWait := false
+	for tasks > 0 && p.belowMaxMachines() {
+		offering, ok := p.cheapestOffering(d)
 		if !ok {
 			return
 		}
-		if lowest := p.offers[0].pricePerCPU; offer.pricePerCPU > lowest && !extended {
+		if lowest := p.offerings[0].pricePerCPU; offering.pricePerCPU > lowest && !retriedWithLongerWait {
 			// Before it provisions an expensive offer, the planner lets the tasks wait
 			// longer for existing machines: the more expensive the offer, the longer.
-			extended = true
-			tasks = p.assignToBins(d, tasks, d.StartWithinS*math.Sqrt(offer.pricePerCPU/lowest))
+			retriedWithLongerWait = true
+			tasks = p.assignToBins(d, tasks, d.StartWithinS*math.Sqrt(offering.pricePerCPU/lowest))
 			continue
 		}
-		tasks -= p.scaleOut(offer.Offering, d, tasks)
+		tasks -= p.scaleOut(offering.Offering, d, tasks)
 	}
 }
 
@@ -170,8 +170,8 @@
 func (p *planner) assignToBins(d *Demand, tasks int, withinS float64) int {
 	for i := range p.bins {
 		b := &p.bins[i]
-		if tasks > 0 && b.schedulable && !d.AvoidMachines[b.machine] && d.allows(b.offer) && b.capacity.Fits(d.Request) {
-			tasks -= b.assign(d, tasks, withinS)
+		if tasks > 0 && b.schedulable && !d.AvoidMachines[b.machineID] && d.allows(b.offering) && b.capacity.Fits(d.Request) {
+			tasks -= b.assignTasks(d, tasks, withinS)
 		}
 	}
 	return tasks
@@ -181,21 +181,21 @@
 // returns their number.
 func (p *planner) scaleOut(o Offering, d *Demand, tasks int) int {
 	capacity := placement.MachineCapacity(p.types[o.Type])
-	b := bin{offer: o, capacity: capacity, free: capacity, schedulable: true}
-	assigned := max(1, b.assign(d, tasks, d.StartWithinS))
+	b := bin{offering: o, capacity: capacity, free: capacity, schedulable: true}
+	assigned := max(1, b.assignTasks(d, tasks, d.StartWithinS))
 	p.bins = append(p.bins, b)
 	p.plan.ScaleOut[o]++
 	p.machineCount++
 	return assigned
 }
 
-// scaleOutForInflow provisions machines until the schedulable CPUs cover the
+// scaleOutForArrivals provisions machines until the schedulable CPUs cover the
 // inflow, as long as tasks are waiting that do not fit into free CPUs. With
 // fewer CPUs, the backlog would grow until all of it is urgent at once; machines
 // would then be up one boot time too late, and more of them, at higher prices,
 // would be needed. It uses only the cheapest offers; expensive offers are
 // reserved for urgent work.
-func (p *planner) scaleOutForInflow(schedulableCPUs, freeCPUs float64) {
+func (p *planner) scaleOutForArrivals(schedulableCPUs, freeCPUs float64) {
 	for o, n := range p.plan.ScaleOut {
 		schedulableCPUs += float64(n) * p.types[o.Type].CPUs
 	}
@@ -203,9 +203,9 @@
 		d := &p.in.Demand[i]
 		waitingCPUs := float64(d.Tasks)*d.Request.CPUs - freeCPUs
 		freeCPUs = max(0, -waitingCPUs)
-		for waitingCPUs > 0 && schedulableCPUs < p.in.ArrivalCPUs && p.mayScaleOut() {
-			offer, ok := p.cheapestOffer(d)
-			if !ok || offer.pricePerCPU > p.offers[0].pricePerCPU {
+		for waitingCPUs > 0 && schedulableCPUs < p.in.ArrivalCPUs && p.belowMaxMachines() {
+			offer, ok := p.cheapestOffering(d)
+			if !ok || offer.pricePerCPU > p.offerings[0].pricePerCPU {
 				break
 			}
 			p.plan.ScaleOut[offer.Offering]++
--- a/internal/autoscale/plan_test.go
+++ b/internal/autoscale/plan_test.go
@@ -54,11 +54,11 @@
 	}
 }
 
-// TestScaleOutFollowsInflow: while tasks wait that the existing machines could
+// TestScaleOutCoversArrivals: while tasks wait that the existing machines could
 // start in time, machines of the cheapest offer are provisioned until the CPUs
 // cover the inflow. No machines of more expensive offers are provisioned, and none
 // at all while the tasks fit into free CPUs.
-func TestScaleOutFollowsInflow(t *testing.T) {
+func TestScaleOutCoversArrivals(t *testing.T) {
 	capacity := placement.Resources{CPUs: 8, MemoryGB: 32}
 	scaleOut := func(inflow float64, tasks int, unavailable bool) map[Offering]int {
 		in := Input{
--- a/internal/autoscale/scalein.go
+++ b/internal/autoscale/scalein.go
@@ -6,15 +6,15 @@
 // decays exponentially and never reaches zero.
 const negligibleCPUs = 1
 
-// scaleIn returns the idle machines to release, the most expensive first.
+// chooseReleases returns the idle machines to release, the most expensive first.
 // Schedulable machines must have been idle for ScaleInIdleTime, and without them
 // the schedulable CPUs must still cover the smoothed demand. Machines to which
 // demand was assigned are kept. The first len(in.Machines) bins must be those of
 // in.Machines, in the same order.
-func scaleIn(in *Input, bins []bin, schedulableCPUs float64) []string {
+func chooseReleases(in *Input, bins []bin, schedulableCPUs float64) []string {
 	idle := make([]Machine, 0)
 	for i, m := range in.Machines {
-		if m.Idle && !bins[i].used && (m.IdleFor >= in.ScaleInIdleTime || !m.Schedulable) {
+		if m.Idle && !bins[i].hasDemand && (m.IdleFor >= in.ScaleInIdleTime || !m.Schedulable) {
 			idle = append(idle, m)
 		}
 	}
--- a/internal/scaling/plan_input.go
+++ b/internal/scaling/plan_input.go
@@ -18,7 +18,7 @@
 		ScaleInIdleTime: s.config.ScaleInIdleTime,
 		MaxMachines:     s.config.MaxMachines,
 		Unavailable:     func(o autoscale.Offering) bool { return !s.CanProvision(now, o) },
-		Machines:        slices.Concat(s.existingMachines(now), s.pendingMachines()),
+		Machines:        slices.Concat(s.existingMachines(now), s.requestedMachines()),
 		Demand:          s.cluster.Demand(now),
 		ReserveCPUs:     s.History.AddUsedCPUs(now, s.busyCPUs()),
 		ArrivalCPUs:     s.History.ArrivalCPUs(now),
@@ -52,7 +52,7 @@
 
 // toPlannerMachine converts a machine to the form the planner uses.
 func (s *Scaler) toPlannerMachine(now time.Time, m *machines.Machine) autoscale.Machine {
-	converted := autoscale.Machine{
+	snapshot := autoscale.Machine{
 		ID:          m.ID,
 		Offering:    autoscale.Offering{Type: m.Type, Zone: m.Zone, Spot: m.Spot},
 		Capacity:    m.Capacity(),
@@ -64,18 +64,18 @@
 		IdleFor: m.IdleFor(now),
 	}
 	if !m.HasJoined() {
-		converted.Schedulable = converted.Schedulable && !s.cluster.Partitioned(now, m.Zone)
-		converted.BootRemainingS = max(0, s.cluster.Catalogue.Type(m.Type).BootTimeS-now.Sub(m.ProvisionedAt()).Seconds())
+		snapshot.Schedulable = snapshot.Schedulable && !s.cluster.Partitioned(now, m.Zone)
+		snapshot.BootRemainingS = max(0, s.cluster.Catalogue.Type(m.Type).BootTimeS-now.Sub(m.ProvisionedAt()).Seconds())
 	}
 	for _, a := range m.Attempts() {
-		converted.RemainingCPUSeconds += s.cluster.RemainingS(now, a) * a.Job.CPUs
+		snapshot.RemainingCPUSeconds += s.cluster.RemainingS(now, a) * a.Job.CPUs
 	}
-	return converted
+	return snapshot
 }
 
-// pendingMachines returns one machine for each that is requested in a provision call in flight, so
+// requestedMachines returns one machine for each that is requested in a provision call in flight, so
 // that the planner does not provision for the same demand twice.
-func (s *Scaler) pendingMachines() []autoscale.Machine {
+func (s *Scaler) requestedMachines() []autoscale.Machine {
 	var list []autoscale.Machine
 	for _, requestID := range slices.Sorted(maps.Keys(s.provisionsInFlight)) {
 		p := s.provisionsInFlight[requestID]
--- a/internal/scaling/scale_out.go
+++ b/internal/scaling/scale_out.go
@@ -15,10 +15,10 @@
 // ScaleOut returns the provision calls for the wanted machines, up to the limit of calls in
 // flight.
 func (s *Scaler) ScaleOut(now time.Time, wanted map[autoscale.Offering]int) []CloudCall {
-	limit := max(1, int(s.config.CloudRPS*tuning.CloudCallShare*tuning.ProvisionsInFlight))
+	maxCalls := max(1, int(s.config.CloudRPS*tuning.CloudCallShare*tuning.ProvisionsInFlight))
 	var calls []CloudCall
-	for _, o := range slices.SortedFunc(maps.Keys(wanted), compareOffers) {
-		if len(s.provisionsInFlight) >= limit {
+	for _, o := range slices.SortedFunc(maps.Keys(wanted), compareOfferings) {
+		if len(s.provisionsInFlight) >= maxCalls {
 			break
 		}
 		calls = append(calls, s.Provision(now, o, wanted[o], ""))
@@ -29,9 +29,9 @@
 // Provision returns the call that provisions machines of an offer and records it as in flight.
 // replacementFor is the name of the drain whose machines they replace, or "".
 func (s *Scaler) Provision(now time.Time, o autoscale.Offering, count int, replacementFor string) CloudCall {
-	s.lastRequest++
+	s.lastRequestNumber++
 	r := wire.ProvisionRequest{
-		RequestID: fmt.Sprintf("r-%d-%d", s.config.Term, s.lastRequest),
+		RequestID: fmt.Sprintf("r-%d-%d", s.config.Term, s.lastRequestNumber),
 		Type:      o.Type,
 		Zone:      o.Zone,
 		Spot:      o.Spot,
@@ -41,8 +41,8 @@
 	return CloudCall{Op: CloudProvision, Provision: r}
 }
 
-// compareOffers orders spot offers first, then by type and zone.
-func compareOffers(a, b autoscale.Offering) int {
+// compareOfferings orders spot offers first, then by type and zone.
+func compareOfferings(a, b autoscale.Offering) int {
 	if a.Spot != b.Spot {
 		if a.Spot {
 			return -1
@@ -56,7 +56,7 @@
 // recently run out of capacity for the offer, the zone is not partitioned, and no drain blocks
 // the offer.
 func (s *Scaler) CanProvision(now time.Time, o autoscale.Offering) bool {
-	return !now.Before(s.unavailable[o]) && !s.cluster.Partitioned(now, o.Zone) && !s.cluster.BlockedByDrain(o)
+	return !now.Before(s.unavailableUntil[o]) && !s.cluster.Partitioned(now, o.Zone) && !s.cluster.BlockedByDrain(o)
 }
 
 // FinishProvision records the number of machines that a provision call returned, and returns the
@@ -66,7 +66,7 @@
 	p := s.provisionsInFlight[r.RequestID]
 	delete(s.provisionsInFlight, r.RequestID)
 	if p != nil && received < r.Count {
-		s.unavailable[p.Offering] = now.Add(tuning.UnavailableOfferingBackoff)
+		s.unavailableUntil[p.Offering] = now.Add(tuning.UnavailableOfferingBackoff)
 	}
 	return p
 }
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -61,11 +61,11 @@
 	config             Config
 	cluster            Cluster
 	History            DemandHistory
-	unavailable        map[autoscale.Offering]time.Time // when the offer may be requested again
-	lastRequest        uint64                           // number of the last provision request in this term
+	unavailableUntil        map[autoscale.Offering]time.Time // when the offer may be requested again
+	lastRequestNumber        uint64                           // number of the last provision request in this term
 	provisionsInFlight map[string]*InFlightProvision    // provision calls in flight, by request ID
 	releasesInFlight   int
-	nextPlan           time.Time
+	nextPlanAt           time.Time
 }
 
 // InFlightProvision is a provision call in flight.
@@ -82,7 +82,7 @@
 	return &Scaler{
 		config:             config,
 		cluster:            cluster,
-		unavailable:        map[autoscale.Offering]time.Time{},
+		unavailableUntil:        map[autoscale.Offering]time.Time{},
 		provisionsInFlight: map[string]*InFlightProvision{},
 	}
 }
@@ -90,10 +90,10 @@
 // StartPlanIfDue reports whether the next plan is due. If so, it schedules the following one after
 // tuning.ScalingInterval.
 func (s *Scaler) StartPlanIfDue(now time.Time) bool {
-	if now.Before(s.nextPlan) {
+	if now.Before(s.nextPlanAt) {
 		return false
 	}
-	s.nextPlan = now.Add(tuning.ScalingInterval)
+	s.nextPlanAt = now.Add(tuning.ScalingInterval)
 	return true
 }
 
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -15,9 +15,9 @@
 )
 
 var (
-	start    = time.Unix(1_700_000_000, 0)
-	spot     = autoscale.Offering{Type: "std-8", Zone: "a", Spot: true}
-	onDemand = autoscale.Offering{Type: "std-8", Zone: "a"}
+	testStart    = time.Unix(1_700_000_000, 0)
+	spotOffering     = autoscale.Offering{Type: "std-8", Zone: "a", Spot: true}
+	onDemandOffering = autoscale.Offering{Type: "std-8", Zone: "a"}
 )
 
 // newScaler returns a scaler for an empty cluster with one machine type in one zone. Its call
@@ -41,43 +41,43 @@
 // offers are requested first, and the next call may be made once one has returned.
 func TestProvisionCallsInFlightAreLimited(t *testing.T) {
 	s, _ := newScaler()
-	wanted := map[autoscale.Offering]int{onDemand: 3, spot: 2}
-	calls := s.ScaleOut(start, wanted)
+	wanted := map[autoscale.Offering]int{onDemandOffering: 3, spotOffering: 2}
+	calls := s.ScaleOut(testStart, wanted)
 	if len(calls) != 1 || !calls[0].Provision.Spot || calls[0].Provision.RequestID != "r-5-1" || calls[0].Provision.Count != 2 {
 		t.Fatalf("calls %+v, want one for 2 spot machines", calls)
 	}
-	if more := s.ScaleOut(start, wanted); len(more) != 0 {
+	if more := s.ScaleOut(testStart, wanted); len(more) != 0 {
 		t.Fatalf("calls beyond the limit: %+v", more)
 	}
-	if p := s.FinishProvision(start, calls[0].Provision, 2); p == nil || p.Offering != spot || p.Count != 2 {
+	if p := s.FinishProvision(testStart, calls[0].Provision, 2); p == nil || p.Offering != spotOffering || p.Count != 2 {
 		t.Fatalf("finished call %+v, want the one for 2 spot machines", p)
 	}
-	if p := s.FinishProvision(start, calls[0].Provision, 2); p != nil {
+	if p := s.FinishProvision(testStart, calls[0].Provision, 2); p != nil {
 		t.Errorf("a repeated result finished another call: %+v", p)
 	}
-	if more := s.ScaleOut(start, wanted); len(more) != 1 || more[0].Provision.RequestID != "r-5-2" {
+	if more := s.ScaleOut(testStart, wanted); len(more) != 1 || more[0].Provision.RequestID != "r-5-2" {
 		t.Errorf("calls after a result: %+v, want the request r-5-2", more)
 	}
 }
 
-// TestOfferWithoutCapacityIsNotRequested: after a call that returned too few machines, its offer,
+// TestOfferingWithoutCapacityIsNotRequested: after a call that returned too few machines, its offer,
 // and no other, cannot be provisioned until the backoff is over. Offers in drained and partitioned
 // zones cannot be provisioned either.
-func TestOfferWithoutCapacityIsNotRequested(t *testing.T) {
+func TestOfferingWithoutCapacityIsNotRequested(t *testing.T) {
 	s, _ := newScaler()
-	call := s.Provision(start, spot, 3, "")
-	s.FinishProvision(start, call.Provision, 2)
-	backoffEnd := start.Add(tuning.UnavailableOfferingBackoff)
+	call := s.Provision(testStart, spotOffering, 3, "")
+	s.FinishProvision(testStart, call.Provision, 2)
+	backoffEnd := testStart.Add(tuning.UnavailableOfferingBackoff)
 	for name, test := range map[string]struct {
 		now   time.Time
 		offer autoscale.Offering
 		want  bool
 	}{
-		"at once":          {start, spot, false},
-		"other offer":      {start, onDemand, true},
-		"afterwards":       {backoffEnd, spot, true},
-		"drained zone":     {start, autoscale.Offering{Type: "std-8", Zone: "drained"}, false},
-		"partitioned zone": {start, autoscale.Offering{Type: "std-8", Zone: "partitioned"}, false},
+		"at once":          {testStart, spotOffering, false},
+		"other offer":      {testStart, onDemandOffering, true},
+		"afterwards":       {backoffEnd, spotOffering, true},
+		"drained zone":     {testStart, autoscale.Offering{Type: "std-8", Zone: "drained"}, false},
+		"partitioned zone": {testStart, autoscale.Offering{Type: "std-8", Zone: "partitioned"}, false},
 	} {
 		if got := s.CanProvision(test.now, test.offer); got != test.want {
 			t.Errorf("%s: CanProvision %v", name, got)
@@ -93,7 +93,7 @@
 	var names []string
 	for i := range 2 * tuning.MaxReleaseCount {
 		names = append(names, fmt.Sprintf("m%03d", i))
-		registry.Add(machines.New(start, names[i], "std-8", "a", "", false))
+		registry.Add(machines.New(testStart, names[i], "std-8", "a", "", false))
 	}
 	calls := s.ScaleIn(append([]string{names[0], "unknown"}, names...))
 	released := 0
@@ -114,20 +114,20 @@
 	}
 }
 
-// TestPlanCountsPendingMachines: a plan counts the machines of provision calls in flight, so that it
+// TestPlanCountsRequestedMachines: a plan counts the machines of provision calls in flight, so that it
 // does not provision for the same demand again.
-func TestPlanCountsPendingMachines(t *testing.T) {
+func TestPlanCountsRequestedMachines(t *testing.T) {
 	_, cluster := newScaler()
 	cluster.Demand = func(time.Time) []autoscale.Demand {
 		return []autoscale.Demand{{Tasks: 4, Request: placement.Resources{CPUs: 2, MemoryGB: 1}, EstimateS: 600, StartWithinS: 10}}
 	}
 	s := scaling.New(scaling.Config{Term: 5, CloudRPS: 5}, *cluster)
-	plan := s.Plan(start)
+	plan := s.Plan(testStart)
 	if len(plan.ScaleOut) == 0 {
 		t.Fatal("no machines are provisioned for waiting tasks")
 	}
-	s.ScaleOut(start, plan.ScaleOut)
-	if again := s.Plan(start); len(again.ScaleOut) != 0 {
+	s.ScaleOut(testStart, plan.ScaleOut)
+	if again := s.Plan(testStart); len(again.ScaleOut) != 0 {
 		t.Errorf("provisioned again: %v", again.ScaleOut)
 	}
 }
@@ -135,7 +135,7 @@
 // TestPlanIsDueOncePerInterval: Due is true once and then again after an interval.
 func TestPlanIsDueOncePerInterval(t *testing.T) {
 	s, _ := newScaler()
-	if !s.StartPlanIfDue(start) || s.StartPlanIfDue(start) || !s.StartPlanIfDue(start.Add(tuning.ScalingInterval)) {
+	if !s.StartPlanIfDue(testStart) || s.StartPlanIfDue(testStart) || !s.StartPlanIfDue(testStart.Add(tuning.ScalingInterval)) {
 		t.Error("Due is not true exactly once per interval")
 	}
 }
@@ -143,15 +143,15 @@
 // TestDemandHistoryDecays: the smoothed CPUs in use and the inflow decay exponentially.
 func TestDemandHistoryDecays(t *testing.T) {
 	var h scaling.DemandHistory
-	if first := h.AddUsedCPUs(start, 100); first != 100 {
+	if first := h.AddUsedCPUs(testStart, 100); first != 100 {
 		t.Errorf("first value %v, want 100", first)
 	}
-	later := h.AddUsedCPUs(start.Add(tuning.DemandDecay), 0)
+	later := h.AddUsedCPUs(testStart.Add(tuning.DemandDecay), 0)
 	if want := 100 / math.E; math.Abs(later-want) > 0.01 {
 		t.Errorf("%v after one decay time, want %v", later, want)
 	}
-	h.AddArrival(start, start, 60)
-	initial, decayed := h.ArrivalCPUs(start), h.ArrivalCPUs(start.Add(tuning.InflowDecay))
+	h.AddArrival(testStart, testStart, 60)
+	initial, decayed := h.ArrivalCPUs(testStart), h.ArrivalCPUs(testStart.Add(tuning.InflowDecay))
 	if want := 60 / tuning.InflowDecay.Seconds(); math.Abs(initial-want) > 1e-9 || math.Abs(decayed-want/math.E) > 1e-9 {
 		t.Errorf("inflow %v, then %v, want %v at first", initial, decayed, want)
 	}
