--- a/internal/autoscale/bins.go
+++ b/internal/autoscale/bins.go
@@ -10,14 +10,14 @@
 
 // bin is an existing or requested machine to which the planner assigns demand.
 type bin struct {
-	machineID             string // the machine's ID, or empty if it is to be provisioned
-	offering               Offering
+	machineID           string // the machine's ID, or empty if it is to be provisioned
+	offering            Offering
 	capacity            placement.Resources
 	free                placement.Resources
 	remainingCPUSeconds float64 // of running and assigned tasks
 	bootRemainingS      float64
 	schedulable         bool
-	hasDemand                bool // whether demand was assigned to it
+	hasDemand           bool // whether demand was assigned to it
 }
 
 func newBin(m *Machine) bin {
--- a/internal/autoscale/plan.go
+++ b/internal/autoscale/plan.go
@@ -84,11 +84,11 @@
 
 // planner holds the state of one call of NewPlan.
 type planner struct {
-	in     Input
-	plan   Plan
-	types  map[string]wire.MachineType
+	in        Input
+	plan      Plan
+	types     map[string]wire.MachineType
 	offerings []pricedOffering
-	bins   []bin
+	bins      []bin
 	// machineCount includes the machines that the plan provisions.
 	machineCount int
 }
--- a/internal/drain/charge.go
+++ b/internal/drain/charge.go
@@ -38,23 +38,23 @@
 )
 
 // NewCharge returns an empty charge of a drain.
-func NewCharge(name string, now time.Time) *Charge {
-	return &Charge{Drain: name, AtMS: now.UnixMilli(), Teams: map[string]Usage{}}
+func NewCharge(drainName string, now time.Time) *Charge {
+	return &Charge{Drain: drainName, AtMS: now.UnixMilli(), Teams: map[string]Usage{}}
 }
 
 // Add adds an eviction unless the stored form could then be larger than limit bytes, and reports
 // whether it did.
-func (c *Charge) Add(e Candidate, limit int) bool {
-	attempts := (len(c.Attempts) + 1) * (attemptBytes + len(e.Attempt.Job))
-	teams := (len(c.Teams) + 1) * (teamBytes + len(e.Team))
-	if chargeBytes+attempts+teams > limit {
+func (c *Charge) Add(candidate Candidate, maxBytes int) bool {
+	attempts := (len(c.Attempts) + 1) * (attemptBytes + len(candidate.Attempt.Job))
+	teams := (len(c.Teams) + 1) * (teamBytes + len(candidate.Team))
+	if chargeBytes+attempts+teams > maxBytes {
 		return false
 	}
-	usage := c.Teams[e.Team]
+	usage := c.Teams[candidate.Team]
 	usage.Evictions++
-	usage.LostS += e.LostS
-	c.Teams[e.Team] = usage
-	c.Attempts = append(c.Attempts, e.Attempt)
+	usage.LostS += candidate.LostS
+	c.Teams[candidate.Team] = usage
+	c.Attempts = append(c.Attempts, candidate.Attempt)
 	return true
 }
 
--- a/internal/drain/eviction_test.go
+++ b/internal/drain/eviction_test.go
@@ -30,16 +30,16 @@
 		"no other place":    {func(_ *Budgets, l []Candidate) { l[1].NoAlternative, l[0].NoAlternative = true, true }, false, 1, WaitNoAlternative},
 		"forced":            {func(_ *Budgets, l []Candidate) { l[1].NoAlternative, l[0].NoAlternative = true, true }, true, 2, WaitUnavailableBudget},
 	} {
-		b, list, charge := *budgets, append([]Candidate(nil), candidates...), NewCharge("zone-a", now)
+		b, list, charge := *budgets, append([]Candidate(nil), candidates...), NewCharge("zone-a", testNow)
 		c.change(&b, list)
-		evictor := Evictor{Ledger: NewLedger(b.Window), Budgets: &b, Force: c.force, Now: now, MaxChargeBytes: 10_000}
+		evictor := Evictor{Ledger: NewLedger(b.Window), Budgets: &b, Force: c.force, Now: testNow, MaxChargeBytes: 10_000}
 		reason := evictor.Choose(charge, list)
 		if len(charge.Attempts) != c.stops || reason.Cause != c.cause {
 			t.Errorf("%s: %d stops, %v", name, len(charge.Attempts), reason)
 		}
 	}
-	charge := NewCharge("zone-a", now)
-	evictor := Evictor{Ledger: NewLedger(time.Minute), Budgets: &Budgets{Default: Budget{9, 9, 1e6}}, Now: now, MaxChargeBytes: 400}
+	charge := NewCharge("zone-a", testNow)
+	evictor := Evictor{Ledger: NewLedger(time.Minute), Budgets: &Budgets{Default: Budget{9, 9, 1e6}}, Now: testNow, MaxChargeBytes: 400}
 	evictor.Choose(charge, candidates)
 	if n := len(charge.Encode()); len(charge.Attempts) == 0 || len(charge.Attempts) == 3 || n > 400 {
 		t.Errorf("charge limited to 400 bytes: %d attempts in %d bytes", len(charge.Attempts), n)
--- a/internal/drain/file.go
+++ b/internal/drain/file.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// file is the XML form of a drain in an operator's file. Omitted fields are empty.
-type file struct {
+// specXML is the XML form of a drain in an operator's specXML. Omitted fields are empty.
+type specXML struct {
 	XMLName           xml.Name `xml:"drain"`
 	Name              string   `xml:"name,attr"`
 	Zone              string   `xml:"selector>zone"`
@@ -39,11 +39,11 @@
 	if err := checkElements(data); err != nil {
 		return nil, err
 	}
-	var f file
+	var f specXML
 	if err := xml.Unmarshal(data, &f); err != nil {
 		return nil, err
 	}
-	s, err := f.spec()
+	s, err := f.toSpec()
 	if err != nil {
 		return nil, err
 	}
@@ -53,8 +53,8 @@
 	return s, nil
 }
 
-// spec converts the fields, without checks across fields.
-func (f *file) spec() (*Spec, error) {
+// toSpec converts the fields, without checks across fields.
+func (f *specXML) toSpec() (*Spec, error) {
 	s := &Spec{Name: f.Name, Selector: Selector{Zone: strings.TrimSpace(f.Zone), Type: strings.TrimSpace(f.Type)}}
 	for _, name := range f.Machines {
 		s.Selector.Machines = append(s.Selector.Machines, strings.TrimSpace(name))
--- a/internal/drain/file_test.go
+++ b/internal/drain/file_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-var now = time.Date(2026, 12, 2, 20, 0, 0, 0, time.UTC)
+var testNow = time.Date(2026, 12, 2, 20, 0, 0, 0, time.UTC)
 
 const validDrain = `<drain name="zone-a"><selector><zone>a</zone></selector><batchSize>5</batchSize>
 <deadline>2026-12-03T04:00:00Z</deadline><replace>yes</replace><force>yes</force></drain>`
@@ -15,7 +15,7 @@
 // TestParse checks that a valid file yields its drain, and that the error of an invalid one names
 // the field.
 func TestParse(t *testing.T) {
-	s, err := Parse([]byte(validDrain), now)
+	s, err := Parse([]byte(validDrain), testNow)
 	if err != nil || s.Name != "zone-a" || s.Selector.Zone != "a" || s.BatchSize != 5 || !s.Replace || !s.Force || s.Deadline.Hour() != 4 {
 		t.Fatalf("%+v, %v", s, err)
 	}
@@ -35,14 +35,14 @@
 		"neither yes nor no":     {"<replace>yes", "<replace>maybe", "replace"},
 		"empty machine name":     {"<zone>a</zone>", "<machine> </machine>", "selector/machine"},
 	} {
-		_, err := Parse([]byte(strings.Replace(validDrain, c.from, c.to, 1)), now)
+		_, err := Parse([]byte(strings.Replace(validDrain, c.from, c.to, 1)), testNow)
 		var invalid *FieldError
 		if !errors.As(err, &invalid) || !strings.HasPrefix(invalid.Field, c.field) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	for _, text := range []string{"", "<drain", "<cluster/>", validDrain + validDrain, "{}"} {
-		if _, err := Parse([]byte(text), now); err == nil {
+		if _, err := Parse([]byte(text), testNow); err == nil {
 			t.Errorf("%q was accepted", text)
 		}
 	}
@@ -52,11 +52,11 @@
 // error.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(validDrain))
-	s, _ := Parse([]byte(validDrain), now)
-	f.Add([]byte(NewRecord(*s, now).Encode()))
+	s, _ := Parse([]byte(validDrain), testNow)
+	f.Add([]byte(NewRecord(*s, testNow).Encode()))
 	f.Add([]byte(`{"drain":"zone-a","at":1,"teams":{"blue":{"evictions":1,"lostS":2}},"attempts":[{"job":"job-1","index":0,"attempt":7}]}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		if s, err := Parse(data, now); err == nil && (s.Selector.isEmpty() || s.BatchSize < 1) {
+		if s, err := Parse(data, testNow); err == nil && (s.Selector.isEmpty() || s.BatchSize < 1) {
 			t.Errorf("parsed an invalid drain: %+v", s)
 		}
 		if r, err := DecodeRecord("zone-a", data); err == nil {
@@ -65,7 +65,7 @@
 			}
 		}
 		if c, err := DecodeCharge(data); err == nil {
-			NewLedger(time.Minute).RecordCharge("b/1", c, now, func(Attempt) (string, bool) { return "blue", true })
+			NewLedger(time.Minute).RecordCharge("b/1", c, testNow, func(Attempt) (string, bool) { return "blue", true })
 		}
 	})
 }
--- a/internal/drain/ledger.go
+++ b/internal/drain/ledger.go
@@ -7,17 +7,17 @@
 type Ledger struct {
 	window time.Duration
 	teams  map[string]*teamLedger
-	// unavailable has, by job, the tasks that were interrupted or charged and don't run again yet.
-	unavailable map[string]map[int32]bool
-	teamByJob   map[string]string  // team of each job in unavailable
-	charged     map[uint64]bool    // numbers of the attempts in charges
-	charges     map[string]*Charge // by the key of the stored charge
+	// unavailableByJob has, by job, the tasks that were interrupted or charged and don't run again yet.
+	unavailableByJob map[string]map[int32]bool
+	teamByJob        map[string]string  // team of each job in unavailable
+	chargedAttempts  map[uint64]bool    // numbers of the attempts in charges
+	chargesByKey     map[string]*Charge // by the key of the stored charge
 }
 
 // teamLedger is the ledger of one team.
 type teamLedger struct {
-	unavailable int
-	buckets     []usageBucket // oldest first
+	unavailableTasks int
+	buckets          []usageBucket // oldest first
 }
 
 // usageBucket is the usage of one part of the window.
@@ -33,13 +33,13 @@
 // NewLedger returns an empty ledger that counts usage within a sliding window.
 func NewLedger(window time.Duration) *Ledger {
 	return &Ledger{
-		window: window, teams: map[string]*teamLedger{}, unavailable: map[string]map[int32]bool{}, teamByJob: map[string]string{},
-		charged: map[uint64]bool{}, charges: map[string]*Charge{},
+		window: window, teams: map[string]*teamLedger{}, unavailableByJob: map[string]map[int32]bool{}, teamByJob: map[string]string{},
+		chargedAttempts: map[uint64]bool{}, chargesByKey: map[string]*Charge{},
 	}
 }
 
-// team returns the ledger of a team, which it creates if there is none.
-func (l *Ledger) team(name string) *teamLedger {
+// ensureTeam returns the ledger of a ensureTeam, which it creates if there is none.
+func (l *Ledger) ensureTeam(name string) *teamLedger {
 	t := l.teams[name]
 	if t == nil {
 		t = &teamLedger{}
@@ -51,7 +51,7 @@
 // addUsage adds usage of a team at a time. Usage from before the latest bucket is added to that
 // bucket, and so counts longer.
 func (l *Ledger) addUsage(team string, at time.Time, usage Usage) {
-	t := l.team(team)
+	t := l.ensureTeam(team)
 	if n := len(t.buckets); n == 0 || at.Sub(t.buckets[n-1].start) >= l.window/bucketsPerWindow {
 		t.buckets = append(t.buckets, usageBucket{start: at})
 	}
@@ -62,7 +62,7 @@
 
 // Used returns a team's usage within the window before now, or up to one bucket longer.
 func (l *Ledger) Used(team string, now time.Time) Usage {
-	t := l.team(team)
+	t := l.ensureTeam(team)
 	for len(t.buckets) > 0 && now.Sub(t.buckets[0].start) >= l.window+l.window/bucketsPerWindow {
 		t.buckets = t.buckets[1:]
 	}
@@ -76,12 +76,12 @@
 
 // Unavailable returns the number of a team's tasks that were interrupted or charged and don't run
 // again yet.
-func (l *Ledger) Unavailable(team string) int { return l.team(team).unavailable }
+func (l *Ledger) Unavailable(team string) int { return l.ensureTeam(team).unavailableTasks }
 
 // RecordInterruption counts the interruption of a running task by something other than a drain,
 // unless the task is unavailable already.
 func (l *Ledger) RecordInterruption(team, job string, index int32, at time.Time, lostS float64) {
-	if l.unavailable[job][index] {
+	if l.unavailableByJob[job][index] {
 		return
 	}
 	l.addUsage(team, at, Usage{Evictions: 1, LostS: lostS})
@@ -94,48 +94,48 @@
 
 // addUnavailable counts a task as unavailable unless it is counted already.
 func (l *Ledger) addUnavailable(team, job string, index int32) {
-	tasks := l.unavailable[job]
+	tasks := l.unavailableByJob[job]
 	if tasks == nil {
 		tasks = map[int32]bool{}
-		l.unavailable[job], l.teamByJob[job] = tasks, team
+		l.unavailableByJob[job], l.teamByJob[job] = tasks, team
 	}
 	if !tasks[index] {
 		tasks[index] = true
-		l.team(team).unavailable++
+		l.ensureTeam(team).unavailableTasks++
 	}
 }
 
 // RecordAvailable removes a task that runs again or is done from the unavailable ones.
 func (l *Ledger) RecordAvailable(job string, index int32) {
-	if !l.unavailable[job][index] {
+	if !l.unavailableByJob[job][index] {
 		return
 	}
-	delete(l.unavailable[job], index)
-	l.team(l.teamByJob[job]).unavailable--
-	if len(l.unavailable[job]) == 0 {
-		delete(l.unavailable, job)
+	delete(l.unavailableByJob[job], index)
+	l.ensureTeam(l.teamByJob[job]).unavailableTasks--
+	if len(l.unavailableByJob[job]) == 0 {
+		delete(l.unavailableByJob, job)
 		delete(l.teamByJob, job)
 	}
 }
 
 // RecordJobEnd removes all tasks of an ended job from the unavailable ones.
 func (l *Ledger) RecordJobEnd(job string) {
-	if n := len(l.unavailable[job]); n > 0 {
-		l.team(l.teamByJob[job]).unavailable -= n
+	if n := len(l.unavailableByJob[job]); n > 0 {
+		l.ensureTeam(l.teamByJob[job]).unavailableTasks -= n
 	}
-	delete(l.unavailable, job)
+	delete(l.unavailableByJob, job)
 	delete(l.teamByJob, job)
 }
 
 // RecordCharge counts a charge that is stored under a key and was made at the given time. teamOf
 // returns the team of an attempt's task, and false if the task has ended.
 func (l *Ledger) RecordCharge(key string, c *Charge, at time.Time, teamOf func(Attempt) (team string, ok bool)) {
-	l.charges[key] = c
+	l.chargesByKey[key] = c
 	for team, usage := range c.Teams {
 		l.addUsage(team, at, usage)
 	}
 	for _, a := range c.Attempts {
-		l.charged[a.Number] = true
+		l.chargedAttempts[a.Number] = true
 		if team, ok := teamOf(a); ok {
 			l.addUnavailable(team, a.Job, a.Index)
 		}
@@ -143,20 +143,20 @@
 }
 
 // IsCharged reports whether the stop of an attempt has been charged.
-func (l *Ledger) IsCharged(number uint64) bool { return l.charged[number] }
+func (l *Ledger) IsCharged(number uint64) bool { return l.chargedAttempts[number] }
 
 // Expire removes the charges that no longer count, and returns their keys. A charge counts until
 // its window has passed and none of its tasks is unavailable; now is the wall-clock time.
 func (l *Ledger) Expire(now time.Time) []string {
 	var keys []string
-	for key, c := range l.charges {
+	for key, c := range l.chargesByKey {
 		if now.Sub(time.UnixMilli(c.AtMS)) < l.window+l.window/bucketsPerWindow || l.hasUnavailable(c) {
 			continue
 		}
 		for _, a := range c.Attempts {
-			delete(l.charged, a.Number)
+			delete(l.chargedAttempts, a.Number)
 		}
-		delete(l.charges, key)
+		delete(l.chargesByKey, key)
 		keys = append(keys, key)
 	}
 	return keys
@@ -165,7 +165,7 @@
 // hasUnavailable reports whether any task of a charge is unavailable.
 func (l *Ledger) hasUnavailable(c *Charge) bool {
 	for _, a := range c.Attempts {
-		if l.unavailable[a.Job][a.Index] {
+		if l.unavailableByJob[a.Job][a.Index] {
 			return true
 		}
 	}
--- a/internal/drain/lifecycle.go
+++ b/internal/drain/lifecycle.go
@@ -19,7 +19,7 @@
 // passed, unless the drain has Force set or the wait is part of its progress, and reports whether
 // it did so.
 func (r *Record) SetWaitReason(now time.Time, reason Reason) bool {
-	if r.pastDeadline(now) && !r.Spec.Force && !reason.Cause.isProgress() {
+	if r.pastDeadline(now) && !r.Spec.Force && !reason.Cause.endsByItself() {
 		reason.Deadline = true
 		return r.Pause(reason)
 	}
@@ -62,7 +62,7 @@
 
 // EnsureRunning returns the running drain. If there is none, it sets the oldest pending drain running,
 // returns it and reports a changed record. It sorts the records in place.
-func EnsureRunning(records []*Record) (r *Record, changed bool) {
+func EnsureRunning(records []*Record) (r *Record, started bool) {
 	slices.SortFunc(records, (*Record).Compare)
 	for _, r := range records {
 		if r.State == Running {
--- a/internal/drain/lifecycle_test.go
+++ b/internal/drain/lifecycle_test.go
@@ -11,7 +11,7 @@
 func TestDrainsRunOneAtATime(t *testing.T) {
 	var all []*Record
 	for i, name := range []string{"c", "a", "b"} {
-		all = append(all, NewRecord(Spec{Name: name}, now.Add(time.Duration(i)*time.Second)))
+		all = append(all, NewRecord(Spec{Name: name}, testNow.Add(time.Duration(i)*time.Second)))
 	}
 	runNext := func() string {
 		r, _ := EnsureRunning(all)
@@ -24,7 +24,7 @@
 	order := []string{runNext()}
 	first.Pause(Reason{Cause: PausedByOperator})
 	order = append(order, runNext())
-	first.Resume(now)
+	first.Resume(testNow)
 	order = append(order, runNext())
 	for _, r := range all {
 		if r.State == Running {
@@ -41,20 +41,20 @@
 // waits for machines to be released.
 func TestDeadline(t *testing.T) {
 	for _, force := range []bool{false, true} {
-		deadline := now.Add(time.Minute)
-		r := NewRecord(Spec{Name: "a", Deadline: &deadline, Force: force}, now)
+		deadline := testNow.Add(time.Minute)
+		r := NewRecord(Spec{Name: "a", Deadline: &deadline, Force: force}, testNow)
 		r.State = Running
 		reason := Reason{Cause: WaitNoAlternative, Team: "blue"}
-		r.SetWaitReason(now, reason)
+		r.SetWaitReason(testNow, reason)
 		if r.State != Running {
 			t.Fatal("paused before the deadline")
 		}
-		r.SetWaitReason(now.Add(2*time.Minute), Reason{Cause: WaitMachineRelease})
+		r.SetWaitReason(testNow.Add(2*time.Minute), Reason{Cause: WaitMachineRelease})
 		if r.State != Running {
 			t.Fatal("paused while its machines are being released")
 		}
-		r.SetWaitReason(now.Add(2*time.Minute), reason)
-		if (r.State == Paused) == force || r.IsForced(now.Add(2*time.Minute)) != force || !strings.Contains(r.Reason.String(), "(team blue)") {
+		r.SetWaitReason(testNow.Add(2*time.Minute), reason)
+		if (r.State == Paused) == force || r.IsForced(testNow.Add(2*time.Minute)) != force || !strings.Contains(r.Reason.String(), "(team blue)") {
 			t.Errorf("force %v: %s, %s", force, r.State, r.Reason)
 		}
 	}
--- a/internal/drain/reason.go
+++ b/internal/drain/reason.go
@@ -55,6 +55,6 @@
 	return text
 }
 
-// isProgress reports whether a wait for this cause is part of the drain's progress: the tasks or
+// endsByItself reports whether a wait for this cause is part of the drain's progress: the tasks or
 // the releases that it waits for end by themselves.
-func (c Cause) isProgress() bool { return c == WaitTaskEnd || c == WaitMachineRelease }
+func (c Cause) endsByItself() bool { return c == WaitTaskEnd || c == WaitMachineRelease }
--- a/internal/drain/record_test.go
+++ b/internal/drain/record_test.go
@@ -9,8 +9,8 @@
 // TestDecodeRecord checks that an encoded record decodes to the same drain, and that corrupt
 // records and records of a later version have different errors.
 func TestDecodeRecord(t *testing.T) {
-	s, _ := Parse([]byte(validDrain), now)
-	r := NewRecord(*s, now)
+	s, _ := Parse([]byte(validDrain), testNow)
+	r := NewRecord(*s, testNow)
 	r.State, r.Batch = Running, &Batch{Machines: []string{"i-1"}, Cordoned: true}
 	decoded, err := DecodeRecord("zone-a", r.Encode())
 	if err != nil || !decoded.Spec.Equal(s) || decoded.State != Running || !decoded.Cordons("i-1") || decoded.Cordons("i-2") {
--- a/internal/drainer/batch.go
+++ b/internal/drainer/batch.go
@@ -13,23 +13,23 @@
 
 // beginBatch selects the next machines to drain, those with the fewest attempts first. It
 // starts no batch while it is blocked or the other machines could not meet the teams' guarantees.
-func (s *step) beginBatch() {
+func (s *drainStep) beginBatch() {
 	if cause := s.d.cluster.BatchBlockedCause(s.now); cause != "" {
 		s.setWaitReason(cause, "")
 		return
 	}
-	if s.now.Before(s.d.nextBatch) {
+	if s.now.Before(s.d.nextBatchAt) {
 		return
 	}
-	s.d.nextBatch = s.now.Add(tuning.DrainBatchInterval)
+	s.d.nextBatchAt = s.now.Add(tuning.DrainBatchInterval)
 	selected, outstanding := s.selectedMachines()
 	if len(selected) == 0 {
-		s.finish(outstanding)
+		s.markDoneIfComplete(outstanding)
 		return
 	}
 	slices.SortStableFunc(selected, func(a, b *machines.Machine) int { return cmp.Compare(len(a.Attempts()), len(b.Attempts())) })
 	batch := selected[:min(s.record.Spec.BatchSize, len(selected))]
-	if team := s.unmetGuarantee(batch); team != "" {
+	if team := s.teamWithUnmetGuarantee(batch); team != "" {
 		s.setWaitReason(drain.BlockedByGuarantee, team)
 		return
 	}
@@ -44,7 +44,7 @@
 }
 
 // applyBatchCordon applies the cordon of the record to the machines of the batch.
-func (s *step) applyBatchCordon() {
+func (s *drainStep) applyBatchCordon() {
 	for _, name := range s.record.Batch.Machines {
 		if m := s.d.cluster.Machines.Get(name); m != nil {
 			s.d.ApplyCordon(m)
@@ -52,10 +52,10 @@
 	}
 }
 
-// finish ends a drain without further machines to drain, once no selected machine is being
+// markDoneIfComplete ends a drain without further machines to drain, once no selected machine is being
 // released, not listed yet or being provisioned.
-func (s *step) finish(outstanding int) {
-	if outstanding > 0 || s.provisioningSelected() {
+func (s *drainStep) markDoneIfComplete(outstanding int) {
+	if outstanding > 0 || s.selectsProvisionInFlight() {
 		s.setWaitReason(drain.WaitMachineRelease, "")
 		return
 	}
@@ -64,9 +64,9 @@
 	s.d.storeDrain(s.record, nil)
 }
 
-// provisioningSelected reports whether a pending provisioning call may add machines that the
+// selectsProvisionInFlight reports whether a pending provisioning call may add machines that the
 // drain selects.
-func (s *step) provisioningSelected() bool {
+func (s *drainStep) selectsProvisionInFlight() bool {
 	return s.d.cluster.Scaler.AnyProvisionInFlight(func(p *scaling.InFlightProvision) bool {
 		return s.record.Spec.Selector.SelectsAllOf(p.Offering.Type, p.Offering.Zone)
 	})
@@ -74,11 +74,11 @@
 
 // selectedMachines returns the selected machines that can be drained now, and the number of
 // selected machines that are being released or not listed by the cloud yet.
-func (s *step) selectedMachines() (selected []*machines.Machine, outstanding int) {
+func (s *drainStep) selectedMachines() (selected []*machines.Machine, outstanding int) {
 	for _, m := range s.d.cluster.Machines.All() {
-		s.d.examined++
+		s.d.examinedCount++
 		switch {
-		case !selects(s.record.Record, s.now, s.wall, m):
+		case !isSelected(s.record.Record, s.now, s.wall, m):
 		case m.IsReleasing() || !m.IsListed():
 			outstanding++
 		default:
@@ -88,22 +88,22 @@
 	return selected, outstanding
 }
 
-// selects reports whether a drain selects a machine.
-func selects(r *drain.Record, now, wall time.Time, m *machines.Machine) bool {
+// isSelected reports whether a drain isSelected a machine.
+func isSelected(r *drain.Record, now, wall time.Time, m *machines.Machine) bool {
 	provisionedAt := wall.Add(m.ProvisionedAt().Sub(now))
 	return r.Spec.Selector.Selects(drain.Machine{Name: m.ID, Type: m.Type, Zone: m.Zone, ProvisionedAt: provisionedAt})
 }
 
-// unmetGuarantee returns the first team whose guarantee could not be met without the machines of
+// teamWithUnmetGuarantee returns the first team whose guarantee could not be met without the machines of
 // the batch, "" if there is none. For the teams with waiting tasks, it adds up the
 // guarantee or the CPUs in use and waiting, whichever is less, and compares the sum with the CPUs
 // of the schedulable machines that remain.
-func (s *step) unmetGuarantee(batch []*machines.Machine) string {
+func (s *drainStep) teamWithUnmetGuarantee(batch []*machines.Machine) string {
 	waiting := map[string]float64{}
 	for j := range s.d.cluster.RunnableJobs() {
 		waiting[j.Team] += float64(j.ReadyTasks()) * j.CPUs
 	}
-	capacity := s.schedulableCPUs(batch)
+	capacity := s.schedulableCPUsWithout(batch)
 	for _, t := range s.d.config.Teams {
 		if waiting[t.Name] == 0 {
 			continue
@@ -116,12 +116,12 @@
 	return ""
 }
 
-// schedulableCPUs returns the CPUs of the schedulable machines. It leaves out the batch unless the
+// schedulableCPUsWithout returns the CPUs of the schedulable machines. It leaves out the batch unless the
 // machines of the batch are replaced.
-func (s *step) schedulableCPUs(batch []*machines.Machine) float64 {
+func (s *drainStep) schedulableCPUsWithout(batch []*machines.Machine) float64 {
 	cpus := 0.0
 	for _, m := range s.d.cluster.Machines.All() {
-		s.d.examined++
+		s.d.examinedCount++
 		if s.d.cluster.IsSchedulable(s.now, m) {
 			cpus += m.Capacity().CPUs
 		}
@@ -139,8 +139,8 @@
 
 // removeReleased removes the machines that no longer exist from the batch. A batch without
 // machines ends.
-func (s *step) removeReleased() {
-	remaining := slices.DeleteFunc(slices.Clone(s.record.Batch.Machines), s.d.confirmedReleased)
+func (s *drainStep) removeReleased() {
+	remaining := slices.DeleteFunc(slices.Clone(s.record.Batch.Machines), s.d.noLongerExists)
 	removed := len(s.record.Batch.Machines) - len(remaining)
 	if removed == 0 {
 		return
@@ -150,7 +150,7 @@
 	if len(remaining) == 0 {
 		s.record.Batch = nil
 		s.record.Counts.Batches++
-		s.d.nextBatch = time.Time{}
+		s.d.nextBatchAt = time.Time{}
 		s.d.log.Info().Str("drain", s.record.Spec.Name).Int("batches", s.record.Counts.Batches).Msg("drain batch finished")
 	}
 	s.d.storeDrain(s.record, nil)
--- a/internal/drainer/drainer.go
+++ b/internal/drainer/drainer.go
@@ -75,13 +75,13 @@
 
 	ledger *drain.Ledger // nil: drains are off
 	drains map[string]*storedDrain
-	// unreadable has the names of stored drains that are corrupt or of a later version.
-	unreadable       map[string]bool
+	// unreadableDrains has the names of stored drains that are corrupt or of a later version.
+	unreadableDrains map[string]bool
 	loadedCharges    []loadedCharge
 	lastChargeNumber uint64
-	nextStep         time.Time
-	nextBatch        time.Time
-	examined         int
+	nextStepAt       time.Time
+	nextBatchAt      time.Time
+	examinedCount    int
 }
 
 // storedDrain is a drain's record; durable is set once the record has been persisted for the
@@ -93,7 +93,7 @@
 
 // New returns a drainer without drains.
 func New(log zerolog.Logger, c Config, cluster Cluster) *Drainer {
-	d := &Drainer{log: log, config: c, cluster: cluster, drains: map[string]*storedDrain{}, unreadable: map[string]bool{}}
+	d := &Drainer{log: log, config: c, cluster: cluster, drains: map[string]*storedDrain{}, unreadableDrains: map[string]bool{}}
 	if c.Budgets != nil {
 		// A stop may take effect after a stop that was charged later. The longer window still
 		// counts its charge then.
@@ -104,7 +104,7 @@
 }
 
 // ExaminedCount returns the number of machines and attempts that drains have examined so far.
-func (d *Drainer) ExaminedCount() int { return d.examined }
+func (d *Drainer) ExaminedCount() int { return d.examinedCount }
 
 // ApplyCordon cordons a machine if a drain requires it, and otherwise lifts the drain cordon.
 func (d *Drainer) ApplyCordon(m *machines.Machine) {
@@ -142,8 +142,8 @@
 	return list
 }
 
-// confirmedReleased reports whether a machine named by a record no longer exists: the cloud
+// noLongerExists reports whether a machine named by a record no longer exists: the cloud
 // answered its release with status 200, or it is missing from a machine list that would have it.
-func (d *Drainer) confirmedReleased(name string) bool {
+func (d *Drainer) noLongerExists(name string) bool {
 	return d.cluster.Machines.Get(name) == nil && (d.cluster.Machines.WasReleased(name) || d.cluster.MachineListCurrent())
 }
--- a/internal/drainer/drainer_test.go
+++ b/internal/drainer/drainer_test.go
@@ -23,26 +23,26 @@
 	"switchshore.example/switchshore/wire"
 )
 
-var start = time.Unix(1_700_000_000, 0)
+var testStart = time.Unix(1_700_000_000, 0)
 
 // fixture has a drainer in a cluster with one machine type in one zone.
 type fixture struct {
 	*drainer.Drainer
-	t        *testing.T
-	now      time.Time
-	registry *machines.Registry
-	writes   *records.WriteQueues
-	scaler   *scaling.Scaler
-	jobs     map[string]*jobs.Job
-	blocked  drain.Cause
-	stopped  []string // machines for which a call was scheduled
+	t              *testing.T
+	now            time.Time
+	registry       *machines.Registry
+	writes         *records.WriteQueues
+	scaler         *scaling.Scaler
+	jobs           map[string]*jobs.Job
+	blockedCause   drain.Cause
+	scheduledCalls []string // machines for which a call was scheduled
 }
 
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	f := &fixture{
 		t:        t,
-		now:      start,
+		now:      testStart,
 		registry: machines.NewRegistry(),
 		writes:   records.NewWriteQueues(zerolog.Nop(), 16<<10),
 		jobs:     map[string]*jobs.Job{},
@@ -74,8 +74,8 @@
 		RemainingS:            func(time.Time, *machines.Attempt) float64 { return 3600 },
 		MachinesKnown:         func() bool { return true },
 		MachineListCurrent:    func() bool { return true },
-		BatchBlockedCause:     func(time.Time) drain.Cause { return f.blocked },
-		ScheduleCall:          func(m *machines.Machine) { f.stopped = append(f.stopped, m.ID) },
+		BatchBlockedCause:     func(time.Time) drain.Cause { return f.blockedCause },
+		ScheduleCall:          func(m *machines.Machine) { f.scheduledCalls = append(f.scheduledCalls, m.ID) },
 		RequestSchedulingPass: func() {},
 	})
 	return f
@@ -83,28 +83,28 @@
 
 // addMachine adds a machine that is listed and reconciled.
 func (f *fixture) addMachine(id string) *machines.Machine {
-	m := machines.New(start, id, "std-8", "a", "", false)
+	m := machines.New(testStart, id, "std-8", "a", "", false)
 	m.SetCapacity(placement.Resources{CPUs: 8, MemoryGB: 32})
-	m.RecordHeartbeat(start, &wire.Heartbeat{})
-	m.MarkReconciled(start)
-	m.ApplyListed(start, start, &wire.ListedMachine{})
+	m.RecordHeartbeat(testStart, &wire.Heartbeat{})
+	m.MarkReconciled(testStart)
+	m.ApplyListed(testStart, testStart, &wire.ListedMachine{})
 	f.registry.Add(m)
 	return m
 }
 
-// request handles a request, commits its writes and returns the response.
-func (f *fixture) request(q *drain.Request) drain.Response {
+// handleRequest handles a handleRequest, commits its writes and returns the response.
+func (f *fixture) handleRequest(request *drain.Request) drain.Response {
 	f.t.Helper()
 	var got drain.Response
-	f.Handle(f.now, f.now, q, func(r drain.Response) { got = r })
-	f.commit()
+	f.Handle(f.now, f.now, request, func(r drain.Response) { got = r })
+	f.commitWrites()
 	return got
 }
 
-// apply requests a drain of the given machines, with a batch size of 1.
-func (f *fixture) apply(replace bool, names ...string) {
+// applyDrain requests a drain of the given machines, with a batch size of 1.
+func (f *fixture) applyDrain(replace bool, names ...string) {
 	f.t.Helper()
-	r := f.request(&drain.Request{Action: drain.Apply, Spec: &drain.Spec{
+	r := f.handleRequest(&drain.Request{Action: drain.Apply, Spec: &drain.Spec{
 		Name: "maintenance", BatchSize: 1, Replace: replace, Selector: drain.Selector{Machines: names},
 	}})
 	if r.Status != http.StatusCreated {
@@ -112,18 +112,18 @@
 	}
 }
 
-// show returns the status of the drain.
-func (f *fixture) show() drain.Status {
+// drainStatus returns the status of the drain.
+func (f *fixture) drainStatus() drain.Status {
 	f.t.Helper()
-	r := f.request(&drain.Request{Action: drain.Show, Name: "maintenance"})
+	r := f.handleRequest(&drain.Request{Action: drain.Show, Name: "maintenance"})
 	if len(r.Drains) != 1 {
 		f.t.Fatalf("%+v", r)
 	}
 	return r.Drains[0]
 }
 
-// commit commits all queued writes and returns their keys.
-func (f *fixture) commit() []string {
+// commitWrites commits all queued writes and returns their keys.
+func (f *fixture) commitWrites() []string {
 	var keys []string
 	for b := f.writes.NextBatch(10, 10, false); b != nil; b = f.writes.NextBatch(10, 10, false) {
 		for _, m := range b.Mutations {
@@ -134,14 +134,14 @@
 	return keys
 }
 
-// step advances the time and then the drain.
-func (f *fixture) step(d time.Duration) {
+// advance advances the time and then the drain.
+func (f *fixture) advance(d time.Duration) {
 	f.now = f.now.Add(d)
 	f.Advance(f.now, f.now)
 }
 
-// release removes a machine as if the cloud had confirmed its release.
-func (f *fixture) release(id string) {
+// confirmRelease removes a machine as if the cloud had confirmed its confirmRelease.
+func (f *fixture) confirmRelease(id string) {
 	f.registry.MarkReleased(id)
 	f.registry.Remove(f.registry.Get(id))
 }
@@ -153,10 +153,10 @@
 	for _, id := range []string{"m1", "m2", "m3"} {
 		f.addMachine(id)
 	}
-	f.apply(false, "m1", "m2")
+	f.applyDrain(false, "m1", "m2")
 	for _, id := range []string{"m1", "m2"} {
-		f.step(tuning.DrainBatchInterval)
-		status := f.show()
+		f.advance(tuning.DrainBatchInterval)
+		status := f.drainStatus()
 		if status.State != drain.Running || status.Batch == nil || !slices.Equal(status.Batch.Machines, []string{id}) {
 			t.Fatalf("%+v, batch %+v", status, status.Batch)
 		}
@@ -165,11 +165,11 @@
 				t.Errorf("batch of %s: cordon of %s", id, m.ID)
 			}
 		}
-		f.release(id)
-		f.step(tuning.DrainStepInterval)
+		f.confirmRelease(id)
+		f.advance(tuning.DrainStepInterval)
 	}
-	f.step(tuning.DrainBatchInterval)
-	if status := f.show(); status.State != drain.Done || status.Counts.Machines != 2 || status.Counts.Batches != 2 {
+	f.advance(tuning.DrainBatchInterval)
+	if status := f.drainStatus(); status.State != drain.Done || status.Counts.Machines != 2 || status.Counts.Batches != 2 {
 		t.Errorf("%+v", status)
 	}
 }
@@ -178,15 +178,15 @@
 func TestNoBatchStartsWhileBlocked(t *testing.T) {
 	f := newFixture(t)
 	m := f.addMachine("m1")
-	f.apply(false, "m1")
-	f.blocked = drain.BlockedByOverload
-	f.step(tuning.DrainBatchInterval)
-	if status := f.show(); status.Batch != nil || m.Cordoned() || status.Reason != string(drain.BlockedByOverload) {
+	f.applyDrain(false, "m1")
+	f.blockedCause = drain.BlockedByOverload
+	f.advance(tuning.DrainBatchInterval)
+	if status := f.drainStatus(); status.Batch != nil || m.Cordoned() || status.Reason != string(drain.BlockedByOverload) {
 		t.Errorf("%+v", status)
 	}
-	f.blocked = ""
-	f.step(tuning.DrainBatchInterval)
-	if status := f.show(); status.Batch == nil || !m.Cordoned() {
+	f.blockedCause = ""
+	f.advance(tuning.DrainBatchInterval)
+	if status := f.drainStatus(); status.Batch == nil || !m.Cordoned() {
 		t.Errorf("%+v", status)
 	}
 }
@@ -196,28 +196,28 @@
 func TestEvictionsStayWithinBudget(t *testing.T) {
 	f := newFixture(t)
 	m := f.addMachine("m1")
-	j := jobs.New(wire.Job{ID: "job-1", Team: "blue", Tasks: 2, CPUs: 2, CheckpointIntervalS: 30, CheckpointSaveS: 5}, 0, start)
+	j := jobs.New(wire.Job{ID: "job-1", Team: "blue", Tasks: 2, CPUs: 2, CheckpointIntervalS: 30, CheckpointSaveS: 5}, 0, testStart)
 	f.jobs[j.ID] = j
 	j.MarkAccepted()
 	for i := range int32(2) {
-		a := machines.NewPendingAttempt(m, j, i, start, 5<<32|uint64(i+1), false)
-		a.ApplyReport(start, machines.Running)
+		a := machines.NewPendingAttempt(m, j, i, testStart, 5<<32|uint64(i+1), false)
+		a.ApplyReport(testStart, machines.Running)
 		m.AddAttempt(a)
 	}
-	f.apply(false, "m1")
-	f.step(tuning.DrainBatchInterval)
-	f.step(tuning.DrainCheckpointWait + time.Second)
-	if len(f.stopped) != 0 {
+	f.applyDrain(false, "m1")
+	f.advance(tuning.DrainBatchInterval)
+	f.advance(tuning.DrainCheckpointWait + time.Second)
+	if len(f.scheduledCalls) != 0 {
 		t.Fatal("stopped before the charge is durable")
 	}
-	charged := slices.ContainsFunc(f.commit(), func(key string) bool { return strings.HasPrefix(key, records.KindCharge.Prefix()) })
+	charged := slices.ContainsFunc(f.commitWrites(), func(key string) bool { return strings.HasPrefix(key, records.KindCharge.Prefix()) })
 	stopping := slices.DeleteFunc(slices.Clone(m.Attempts()), func(a *machines.Attempt) bool { return !a.IsStopping() })
-	if !charged || len(f.stopped) != 1 || len(stopping) != 1 || stopping[0].GracePeriodS() != 5 {
-		t.Fatalf("charged %v, stopped on %v, %d attempts", charged, f.stopped, len(stopping))
+	if !charged || len(f.scheduledCalls) != 1 || len(stopping) != 1 || stopping[0].GracePeriodS() != 5 {
+		t.Fatalf("charged %v, stopped on %v, %d attempts", charged, f.scheduledCalls, len(stopping))
 	}
-	f.step(tuning.DrainCheckpointWait)
-	f.commit()
-	if len(f.stopped) != 1 {
+	f.advance(tuning.DrainCheckpointWait)
+	f.commitWrites()
+	if len(f.scheduledCalls) != 1 {
 		t.Error("stopped another one beyond the budget")
 	}
 }
@@ -227,8 +227,8 @@
 func TestBatchWaitsForReplacements(t *testing.T) {
 	f := newFixture(t)
 	m := f.addMachine("m1")
-	f.apply(true, "m1")
-	f.step(tuning.DrainBatchInterval)
+	f.applyDrain(true, "m1")
+	f.advance(tuning.DrainBatchInterval)
 	calls := f.ReplacementCalls(f.now)
 	if len(calls) != 1 || calls[0].Provision.Type != "std-8" || calls[0].Provision.Count != 1 {
 		t.Fatalf("%+v", calls)
@@ -238,12 +238,12 @@
 	}
 	p := f.scaler.FinishProvision(f.now, calls[0].Provision, 1)
 	f.AddReplacements(p.ReplacementFor, []string{"m2"})
-	f.step(tuning.DrainStepInterval)
+	f.advance(tuning.DrainStepInterval)
 	if m.Cordoned() || !f.IsReplacement("m2") {
 		t.Fatal("cordoned before the replacement is ready")
 	}
 	f.addMachine("m2")
-	f.step(tuning.DrainStepInterval)
+	f.advance(tuning.DrainStepInterval)
 	if !m.CordonedFor(machines.CordonDrained) {
 		t.Error("not cordoned although the replacement is ready")
 	}
--- a/internal/drainer/evict.go
+++ b/internal/drainer/evict.go
@@ -14,8 +14,8 @@
 
 // evict stops tasks of the batch within the budgets. Their charge is durable before the first
 // stop is sent. Stops that an earlier leader charged are sent at once.
-func (s *step) evict() {
-	candidates, attempts := s.candidates()
+func (s *drainStep) evict() {
+	candidates, attempts := s.collectCandidates()
 	charge := drain.NewCharge(s.record.Spec.Name, s.wall)
 	evictor := drain.Evictor{
 		Ledger: s.d.ledger, Budgets: s.d.config.Budgets, Force: s.record.IsForced(s.wall), Now: s.now,
@@ -29,9 +29,9 @@
 	s.setWaitReason(reason.Cause, reason.Team)
 }
 
-// candidates returns the attempts of the batch that could be evicted, as candidates and by
+// collectCandidates returns the attempts of the batch that could be evicted, as collectCandidates and by
 // attempt number. It stops the attempts whose stops have been charged.
-func (s *step) candidates() (candidates []drain.Candidate, attempts map[uint64]*machines.Attempt) {
+func (s *drainStep) collectCandidates() (candidates []drain.Candidate, attempts map[uint64]*machines.Attempt) {
 	attempts = map[uint64]*machines.Attempt{}
 	for _, name := range s.record.Batch.Machines {
 		m := s.d.cluster.Machines.Get(name)
@@ -39,7 +39,7 @@
 			continue
 		}
 		for _, a := range m.Attempts() {
-			s.d.examined++
+			s.d.examinedCount++
 			switch {
 			case !a.State().IsReported() || a.IsEvicting() || !a.ShouldRun():
 			case s.d.ledger.IsCharged(a.Number()):
@@ -54,7 +54,7 @@
 }
 
 // chargeAndStop stores a charge and stops its attempts once it is durable.
-func (s *step) chargeAndStop(charge *drain.Charge, attempts map[uint64]*machines.Attempt) {
+func (s *drainStep) chargeAndStop(charge *drain.Charge, attempts map[uint64]*machines.Attempt) {
 	if len(charge.Attempts) == 0 {
 		return
 	}
@@ -89,7 +89,7 @@
 
 // candidate returns the candidate for a running attempt. The batch waits longer for the end of a
 // task without checkpoints, as an eviction loses all of its run time.
-func (s *step) candidate(a *machines.Attempt) drain.Candidate {
+func (s *drainStep) candidate(a *machines.Attempt) drain.Candidate {
 	j := a.Job
 	c := drain.Candidate{
 		Team:          j.Team,
@@ -99,17 +99,17 @@
 	maxWait := tuning.DrainCheckpointWait
 	if j.CheckpointIntervalS <= 0 {
 		maxWait = tuning.DrainCompletionWait
-		c.LostS = s.maxLossS(a)
+		c.LostS = s.maxLostS(a)
 	}
 	maxWait -= s.wall.Sub(time.UnixMilli(s.record.Batch.SinceMS))
 	c.EndsSoon = maxWait > 0 && s.d.cluster.RemainingS(s.now, a) <= maxWait.Seconds()
 	return c
 }
 
-// maxLossS returns the maximum run time in seconds that stopping a task without checkpoints can
+// maxLostS returns the maximum run time in seconds that stopping a task without checkpoints can
 // lose. It includes the lease, as the task runs on until the stop takes effect or the agent's
 // lease expires.
-func (s *step) maxLossS(a *machines.Attempt) float64 {
+func (s *drainStep) maxLostS(a *machines.Attempt) float64 {
 	earliestStart := a.CreatedAt()
 	if a.Number()>>32 != s.d.config.Term {
 		// An earlier leader started it at an unknown time after its job was submitted and its
@@ -124,8 +124,8 @@
 
 // hasAlternative reports whether a task of the job could run on a machine that can be
 // provisioned while the drain lasts.
-func (s *step) hasAlternative(j *jobs.Job) bool {
-	if has, known := s.alternatives[j]; known {
+func (s *drainStep) hasAlternative(j *jobs.Job) bool {
+	if has, known := s.hasAlternativeByJob[j]; known {
 		return has
 	}
 	constraints := j.Constraints()
@@ -134,12 +134,12 @@
 		constraints.TasksInZone = withoutZone(constraints.TasksInZone, zone)
 	}
 	has := slices.ContainsFunc(s.provisionableMachines(), constraints.CanRunOn)
-	s.alternatives[j] = has
+	s.hasAlternativeByJob[j] = has
 	return has
 }
 
 // provisionableMachines returns the machine types, by zone, that no drain forbids to provision.
-func (s *step) provisionableMachines() []*placement.Machine {
+func (s *drainStep) provisionableMachines() []*placement.Machine {
 	return s.d.cluster.Catalogue.Offerings(func(machineType, zone string) bool {
 		return !s.d.BlocksProvisioning(autoscale.Offering{Type: machineType, Zone: zone})
 	})
--- a/internal/drainer/replacements.go
+++ b/internal/drainer/replacements.go
@@ -15,7 +15,7 @@
 // replacementCount counts the replacements of a batch by machine type: those needed, those ready,
 // and those provisioned that are not ready yet.
 type replacementCount struct {
-	needed, ready, pending map[string]int
+	needed, ready, notReady map[string]int
 }
 
 // countReplacements counts the replacements of a batch. A replacement is ready once it is
@@ -34,19 +34,19 @@
 		case d.cluster.IsSchedulable(now, m):
 			n.ready[m.Type]++
 		default:
-			n.pending[m.Type]++
+			n.notReady[m.Type]++
 		}
 	}
 	return n
 }
 
-// missing returns the number of replacements of a type that are yet to be provisioned.
-func (n *replacementCount) missing(machineType string) int {
-	return max(0, n.needed[machineType]-n.ready[machineType]-n.pending[machineType])
+// missingOfType returns the number of replacements of a type that are yet to be provisioned.
+func (n *replacementCount) missingOfType(machineType string) int {
+	return max(0, n.needed[machineType]-n.ready[machineType]-n.notReady[machineType])
 }
 
-// complete reports whether every machine of the batch has a replacement that is ready.
-func (n *replacementCount) complete() bool {
+// allReady reports whether every machine of the batch has a replacement that is ready.
+func (n *replacementCount) allReady() bool {
 	for machineType, needed := range n.needed {
 		if n.ready[machineType] < needed {
 			return false
@@ -55,12 +55,12 @@
 	return true
 }
 
-// awaitReplacements cordons the batch once its replacements are ready. If they are not ready
+// cordonOnceReplaced cordons the batch once its replacements are ready. If they are not ready
 // within ReplacementTimeout, it pauses the drain.
-func (s *step) awaitReplacements() {
+func (s *drainStep) cordonOnceReplaced() {
 	n := s.d.countReplacements(s.now, s.record.Batch)
 	switch {
-	case n.complete():
+	case n.allReady():
 		s.cordonBatch()
 	case s.wall.Sub(time.UnixMilli(s.record.Batch.SinceMS)) > tuning.ReplacementTimeout:
 		if s.record.Pause(drain.Reason{Cause: drain.ReplacementTimedOut}) {
@@ -72,14 +72,14 @@
 }
 
 // cordonBatch cordons the machines of the batch and stores that.
-func (s *step) cordonBatch() {
+func (s *drainStep) cordonBatch() {
 	s.record.Batch.Cordoned, s.record.Batch.SinceMS = true, s.wall.UnixMilli()
 	s.applyBatchCordon()
 	s.d.storeDrain(s.record, nil)
 }
 
-// awaitingReplacements returns the drain whose batch waits for replacements, nil if there is none.
-func (d *Drainer) awaitingReplacements() *storedDrain {
+// drainWaitingForReplacements returns the drain whose batch waits for replacements, nil if there is none.
+func (d *Drainer) drainWaitingForReplacements() *storedDrain {
 	for _, r := range d.drains {
 		if r.durable && r.State == drain.Running && r.Batch != nil && !r.Batch.Cordoned {
 			return r
@@ -91,7 +91,7 @@
 // ReplacementCalls returns the cloud calls that provision the replacements missing for the running
 // drain's batch.
 func (d *Drainer) ReplacementCalls(now time.Time) []scaling.CloudCall {
-	r := d.awaitingReplacements()
+	r := d.drainWaitingForReplacements()
 	if r == nil || !d.cluster.MachineListCurrent() {
 		// Before the lists are complete, a new leader could provision a second time what an
 		// earlier leader has provisioned and no list shows yet.
@@ -103,20 +103,20 @@
 	n := d.countReplacements(now, r.Batch)
 	var calls []scaling.CloudCall
 	for _, machineType := range slices.Sorted(maps.Keys(n.needed)) {
-		missing := n.missing(machineType)
+		missing := n.missingOfType(machineType)
 		if limit := d.config.MaxMachines; limit > 0 {
 			missing = min(missing, limit-d.cluster.Machines.Len())
 		}
-		if o, ok := d.replacementOffer(now, r.Batch, machineType); ok && missing > 0 {
+		if o, ok := d.replacementOffering(now, r.Batch, machineType); ok && missing > 0 {
 			calls = append(calls, d.cluster.Scaler.Provision(now, o, missing, r.Spec.Name))
 		}
 	}
 	return calls
 }
 
-// replacementOffer returns the offer from which to provision a replacement of a type. It prefers
+// replacementOffering returns the offer from which to provision a replacement of a type. It prefers
 // the zone of the replaced machine, then any other zone, and falls back from spot to on-demand.
-func (d *Drainer) replacementOffer(now time.Time, b *drain.Batch, machineType string) (autoscale.Offering, bool) {
+func (d *Drainer) replacementOffering(now time.Time, b *drain.Batch, machineType string) (autoscale.Offering, bool) {
 	i := slices.IndexFunc(b.Machines, func(name string) bool {
 		m := d.cluster.Machines.Get(name)
 		return m != nil && m.Type == machineType
@@ -135,14 +135,14 @@
 }
 
 // AddReplacements adds machines that were provisioned for a drain to its current batch.
-func (d *Drainer) AddReplacements(drainName string, replacements []string) {
+func (d *Drainer) AddReplacements(drainName string, machineIDs []string) {
 	r := d.drains[drainName]
-	if r == nil || r.Batch == nil || len(replacements) == 0 {
+	if r == nil || r.Batch == nil || len(machineIDs) == 0 {
 		return
 	}
 	// Replacements that no longer exist would only take space in the record.
-	r.Batch.Replacements = slices.DeleteFunc(r.Batch.Replacements, d.confirmedReleased)
-	r.Batch.Replacements = append(r.Batch.Replacements, replacements...)
-	r.Counts.Replacements += len(replacements)
+	r.Batch.Replacements = slices.DeleteFunc(r.Batch.Replacements, d.noLongerExists)
+	r.Batch.Replacements = append(r.Batch.Replacements, machineIDs...)
+	r.Counts.Replacements += len(machineIDs)
 	d.storeDrain(r, nil)
 }
--- a/internal/drainer/requests.go
+++ b/internal/drainer/requests.go
@@ -63,13 +63,13 @@
 			HasMachine: func(name string) bool { return d.cluster.Machines.Get(name) != nil },
 		})
 	}
-	if err == nil && recordSize(s) > d.config.ValueLimit {
+	if err == nil && maxRecordSize(s) > d.config.ValueLimit {
 		err = &drain.FieldError{Field: "batchSize", Reason: "the drain's record would be larger than a value of the state service"}
 	}
 	switch {
 	case err != nil:
 		return &drain.Response{Status: http.StatusUnprocessableEntity, Reason: err.Error()}
-	case d.unreadable[s.Name]:
+	case d.unreadableDrains[s.Name]:
 		return &drain.Response{Status: http.StatusConflict, Reason: fmt.Sprintf("name: a stored drain %q can't be read", s.Name)}
 	case !d.ensureRecordCapacity():
 		return &drain.Response{Status: http.StatusTooManyRequests, Reason: fmt.Sprintf("%d drains are not over yet", len(d.drains))}
@@ -77,9 +77,9 @@
 	return nil
 }
 
-// recordSize estimates the maximum size in bytes of a drain's record, which it has with a full
+// maxRecordSize estimates the maximum size in bytes of a drain's record, which it has with a full
 // batch and all of its replacements.
-func recordSize(s *drain.Spec) int {
+func maxRecordSize(s *drain.Spec) int {
 	const fixedBytes = 512 // counts, reason and state
 	return len(drain.NewRecord(*s, time.Time{}).Encode()) + fixedBytes + 2*s.BatchSize*tuning.DrainMachineNameBytes
 }
@@ -180,7 +180,7 @@
 		status.Batch = &batch
 	}
 	for _, m := range d.cluster.Machines.All() {
-		if !r.State.IsTerminal() && selects(r.Record, now, wall, m) {
+		if !r.State.IsTerminal() && isSelected(r.Record, now, wall, m) {
 			status.MachinesLeft++
 		}
 	}
--- a/internal/drainer/store.go
+++ b/internal/drainer/store.go
@@ -12,9 +12,9 @@
 // loadedCharge is a charge stored by an earlier leader; at is when it was made, on the steady
 // clock.
 type loadedCharge struct {
-	key    string
-	charge *drain.Charge
-	at     time.Time
+	key       string
+	charge    *drain.Charge
+	chargedAt time.Time
 }
 
 // LoadDrain loads a stored drain. It returns the errors of drain.DecodeRecord.
@@ -24,7 +24,7 @@
 	}
 	r, err := drain.DecodeRecord(name, value)
 	if err != nil {
-		d.unreadable[name] = true
+		d.unreadableDrains[name] = true
 		return err
 	}
 	d.drains[name] = &storedDrain{r, true}
@@ -50,7 +50,7 @@
 // drains have cordoned. It is called before the first placement.
 func (d *Drainer) FinishLoading() {
 	for _, loaded := range d.loadedCharges {
-		d.ledger.RecordCharge(loaded.key, loaded.charge, loaded.at, d.teamOfAttempt)
+		d.ledger.RecordCharge(loaded.key, loaded.charge, loaded.chargedAt, d.teamOfAttempt)
 	}
 	d.loadedCharges = nil
 	for _, m := range d.cluster.Machines.All() {
--- a/internal/scaling/history.go
+++ b/internal/scaling/history.go
@@ -10,8 +10,8 @@
 // DemandHistory smooths recent demand. With it, machines survive a short lull, and new ones are
 // provisioned before a backlog becomes urgent.
 type DemandHistory struct {
-	meanUsedCPUs float64
-	meanUsedCPUsAt   time.Time
+	meanUsedCPUs   float64
+	meanUsedCPUsAt time.Time
 	// arrivalRate is the smoothed work of arriving jobs at inflowAt, in CPU seconds per second.
 	arrivalRate   float64
 	arrivalRateAt time.Time
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -61,11 +61,11 @@
 	config             Config
 	cluster            Cluster
 	History            DemandHistory
-	unavailableUntil        map[autoscale.Offering]time.Time // when the offer may be requested again
-	lastRequestNumber        uint64                           // number of the last provision request in this term
+	unavailableUntil   map[autoscale.Offering]time.Time // when the offer may be requested again
+	lastRequestNumber  uint64                           // number of the last provision request in this term
 	provisionsInFlight map[string]*InFlightProvision    // provision calls in flight, by request ID
 	releasesInFlight   int
-	nextPlanAt           time.Time
+	nextPlanAt         time.Time
 }
 
 // InFlightProvision is a provision call in flight.
@@ -82,7 +82,7 @@
 	return &Scaler{
 		config:             config,
 		cluster:            cluster,
-		unavailableUntil:        map[autoscale.Offering]time.Time{},
+		unavailableUntil:   map[autoscale.Offering]time.Time{},
 		provisionsInFlight: map[string]*InFlightProvision{},
 	}
 }
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -15,7 +15,7 @@
 )
 
 var (
-	testStart    = time.Unix(1_700_000_000, 0)
+	testStart        = time.Unix(1_700_000_000, 0)
 	spotOffering     = autoscale.Offering{Type: "std-8", Zone: "a", Spot: true}
 	onDemandOffering = autoscale.Offering{Type: "std-8", Zone: "a"}
 )
