--- a/internal/drain/eviction.go
+++ b/internal/drain/eviction.go
@@ -10,11 +10,12 @@
 type Candidate struct {
 	Team    string
 	Attempt Attempt
-	// LostS is the maximum run time in seconds that stopping the task loses.
+	// LostS is the maximum run time, in seconds, that is lost if the task is stopped.
 	LostS float64
-	// EndsSoon is set if the task is expected to end while the batch reason for it.
+	// EndsSoon is set if the task is expected to end before the batch stops waiting for it.
 	EndsSoon bool
-	// NoAlternative is set if the task can only run on machines that are drained.
+	// NoAlternative is set if the task can run only on machines that drains exclude, so it could not
+	// be restarted after an eviction.
 	NoAlternative bool
 }
 
@@ -22,17 +23,18 @@
 type Evictor struct {
 	Ledger  *Ledger
 	Budgets *Budgets
-	// Force also evicts tasks that can run nowhere else.
+	// Force allows the eviction of tasks without an alternative.
 	Force bool
 	// Now is the time on the ledger's clock.
 	Now time.Time
-	// MaxChargeBytes bounds the stored form of a charge.
+	// MaxChargeBytes is the maximum size of an encoded charge.
 	MaxChargeBytes int
 }
 
-// Choose adds the candidates to be evicted now to the charge, in ascending order of loss. It
-// returns the first reason why one of the others may not be evicted, WaitTaskEnd only if there is
-// no other reason. If the charge is full, the remaining candidates are left to the next charge.
+// Choose adds to the charge the candidates that may be evicted now, in ascending order of lost run
+// time, until the charge is full. The next charge can hold the remaining ones. Choose returns the
+// first reason why a candidate may not be evicted; it returns WaitTaskEnd only if it found no other
+// reason. The reason is empty if every candidate considered may be evicted.
 func (e *Evictor) Choose(charge *Charge, candidates []Candidate) Reason {
 	slices.SortStableFunc(candidates, func(a, b Candidate) int { return cmp.Compare(a.LostS, b.LostS) })
 	var reason Reason
@@ -48,7 +50,8 @@
 	return reason
 }
 
-// blockedBy returns why a candidate may not be evicted now, "" if it may.
+// blockedBy returns why a candidate may not be evicted now, or "" if it may. The evictions already
+// in the charge count as usage of the budget.
 func (e *Evictor) blockedBy(charge *Charge, c Candidate) Cause {
 	budget, used := e.Budgets.For(c.Team), e.Ledger.Used(c.Team, e.Now)
 	charged := charge.Teams[c.Team]
--- a/internal/drain/file.go
+++ b/internal/drain/file.go
@@ -12,29 +12,30 @@
 	"time"
 )
 
-// specXML is the XML form of a drain in an operator's specXML. Omitted fields are empty.
+// specXML is the drain element of an operator's file. Fields of omitted elements are empty.
 type specXML struct {
 	XMLName           xml.Name `xml:"drain"`
 	Name              string   `xml:"name,attr"`
 	Zone              string   `xml:"selector>zone"`
 	Type              string   `xml:"selector>type"`
 	Machines          []string `xml:"selector>machine"`
-	ProvisionedBefore string   `xml:"selector>rentedBefore"`
+	ProvisionedBefore string   `xml:"selector>rentedBefore"` // operators say rented for provisioned
 	Replace           string   `xml:"replace"`
 	BatchSize         string   `xml:"batchSize"`
 	Deadline          string   `xml:"deadline"`
 	Force             string   `xml:"force"`
 }
 
-// allowedElements has the names of the allowed elements by the path of their parent.
+// allowedElements lists, by the path of a parent element, the names of its allowed child elements.
+// The parent of the root element is "".
 var allowedElements = map[string][]string{
 	"":               {"drain"},
 	"drain":          {"selector", "replace", "batchSize", "deadline", "force"},
 	"drain/selector": {"zone", "type", "machine", "rentedBefore"},
 }
 
-// Parse parses and validates the drain in an operator's file; now is the wall-clock time. It
-// returns a FieldError, an ElementCountError, or an error of the XML decoder.
+// Parse parses and validates the drain in an operator's file; now is the wall-clock time. Its error
+// is a FieldError, an ElementCountError or an error of the XML decoder.
 func Parse(data []byte, now time.Time) (*Spec, error) {
 	if err := checkElements(data); err != nil {
 		return nil, err
@@ -53,7 +54,8 @@
 	return s, nil
 }
 
-// toSpec converts the fields, without checks across fields.
+// toSpec converts the text of each field to the type of the field in Spec. It does not check the
+// values; Spec.Validate does.
 func (f *specXML) toSpec() (*Spec, error) {
 	s := &Spec{Name: f.Name, Selector: Selector{Zone: strings.TrimSpace(f.Zone), Type: strings.TrimSpace(f.Type)}}
 	for _, name := range f.Machines {
@@ -80,15 +82,16 @@
 
 // ElementCountError is the error of a file that doesn't hold exactly one drain element.
 type ElementCountError struct {
-	Count int
+	Count int // root elements in the file
 }
 
 func (e *ElementCountError) Error() string {
 	return fmt.Sprintf("must hold one drain element, holds %d", e.Count)
 }
 
-// checkElements rejects unknown elements and attributes. The XML decoder ignores them, so that a
-// mistyped one would make the drain select more machines than intended.
+// checkElements returns an error if the file has unknown elements or attributes, or not exactly one
+// root element. The XML decoder ignores unknown ones. If it ignored a mistyped element of the
+// selector, the drain would select more machines than intended.
 func checkElements(data []byte) error {
 	decoder := xml.NewDecoder(bytes.NewReader(data))
 	var path []string
@@ -120,8 +123,8 @@
 	return nil
 }
 
-// checkElement checks an element within the path of its parent, which is empty for the root. Only
-// the root may have an attribute, its name.
+// checkElement checks the name and the attributes of an element. parent is the path of its parent
+// element, empty for the root element. Only the root may have an attribute: name, the drain's name.
 func checkElement(parent string, element xml.StartElement) error {
 	name := element.Name.Local
 	path := name
--- a/internal/drain/ledger.go
+++ b/internal/drain/ledger.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// Ledger counts the disruption of each team's work: by drains, as charged, and by failures and
-// preemptions.
+// Ledger records how much each team's work is disrupted: by drains, through their charges, and by
+// failures and preemptions. Drains compare it with the teams' budgets. An unavailable task is one
+// that was interrupted, or whose stop was charged, and that does not run again yet.
 type Ledger struct {
 	window time.Duration
 	teams  map[string]*teamLedger
-	// unavailableByJob has, by job, the tasks that were interrupted or charged and don't run again yet.
+	// unavailableByJob holds the indexes of the unavailable tasks by job ID.
 	unavailableByJob map[string]map[int32]bool
-	teamByJob        map[string]string  // team of each job in unavailable
-	chargedAttempts  map[uint64]bool    // numbers of the attempts in charges
+	teamByJob        map[string]string  // team of each job in unavailableByJob
+	chargedAttempts  map[uint64]bool    // numbers of the attempts in chargesByKey
 	chargesByKey     map[string]*Charge // by the key of the stored charge
 }
 
@@ -22,15 +23,15 @@
 
 // usageBucket is the usage of one part of the window.
 type usageBucket struct {
-	start time.Time
+	start time.Time // of that part
 	usage Usage
 }
 
-// bucketsPerWindow is the number of parts into which the window is divided. Usage counts for at
-// least the window, and for up to one part longer.
+// bucketsPerWindow is the number of buckets into which the window is divided. A bucket expires as a
+// whole, so usage counts for at least the window and for up to one bucket longer.
 const bucketsPerWindow = 20
 
-// NewLedger returns an empty ledger that counts usage within a sliding window.
+// NewLedger returns an empty ledger that counts usage within a sliding window of the given length.
 func NewLedger(window time.Duration) *Ledger {
 	return &Ledger{
 		window: window, teams: map[string]*teamLedger{}, unavailableByJob: map[string]map[int32]bool{}, teamByJob: map[string]string{},
@@ -38,7 +39,7 @@
 	}
 }
 
-// ensureTeam returns the ledger of a ensureTeam, which it creates if there is none.
+// ensureTeam returns the ledger of a team and creates it if necessary.
 func (l *Ledger) ensureTeam(name string) *teamLedger {
 	t := l.teams[name]
 	if t == nil {
@@ -48,8 +49,8 @@
 	return t
 }
 
-// addUsage adds usage of a team at a time. Usage from before the latest bucket is added to that
-// bucket, and so counts longer.
+// addUsage adds usage of a team at the given time. Usage that is older than the latest bucket is
+// added to the latest bucket as well, so it counts for too long rather than too briefly.
 func (l *Ledger) addUsage(team string, at time.Time, usage Usage) {
 	t := l.ensureTeam(team)
 	if n := len(t.buckets); n == 0 || at.Sub(t.buckets[n-1].start) >= l.window/bucketsPerWindow {
@@ -60,7 +61,8 @@
 	last.usage.LostS += usage.LostS
 }
 
-// Used returns a team's usage within the window before now, or up to one bucket longer.
+// Used returns a team's usage within the window before now. It may include usage that is up to one
+// bucket older than the window.
 func (l *Ledger) Used(team string, now time.Time) Usage {
 	t := l.ensureTeam(team)
 	for len(t.buckets) > 0 && now.Sub(t.buckets[0].start) >= l.window+l.window/bucketsPerWindow {
@@ -74,12 +76,11 @@
 	return sum
 }
 
-// Unavailable returns the number of a team's tasks that were interrupted or charged and don't run
-// again yet.
+// Unavailable returns the number of a team's unavailable tasks.
 func (l *Ledger) Unavailable(team string) int { return l.ensureTeam(team).unavailableTasks }
 
-// RecordInterruption counts the interruption of a running task by something other than a drain,
-// unless the task is unavailable already.
+// RecordInterruption records that a running task was interrupted by something other than a drain. A
+// task that is unavailable already doesn't run, so it is not counted again.
 func (l *Ledger) RecordInterruption(team, job string, index int32, at time.Time, lostS float64) {
 	if l.unavailableByJob[job][index] {
 		return
@@ -88,11 +89,11 @@
 	l.addUnavailable(team, job, index)
 }
 
-// RecordUnavailable counts a task as unavailable without adding usage: its stop has been charged,
-// or it is unknown whether it ran.
+// RecordUnavailable counts a task as unavailable without adding usage. It is for a task whose stop
+// has been charged, and for one that may not have run.
 func (l *Ledger) RecordUnavailable(team, job string, index int32) { l.addUnavailable(team, job, index) }
 
-// addUnavailable counts a task as unavailable unless it is counted already.
+// addUnavailable counts a task as unavailable, at most once.
 func (l *Ledger) addUnavailable(team, job string, index int32) {
 	tasks := l.unavailableByJob[job]
 	if tasks == nil {
@@ -105,7 +106,7 @@
 	}
 }
 
-// RecordAvailable removes a task that runs again or is done from the unavailable ones.
+// RecordAvailable records that a task runs again or is done, so it no longer counts as unavailable.
 func (l *Ledger) RecordAvailable(job string, index int32) {
 	if !l.unavailableByJob[job][index] {
 		return
@@ -118,7 +119,7 @@
 	}
 }
 
-// RecordJobEnd removes all tasks of an ended job from the unavailable ones.
+// RecordJobEnd records that a job has ended, so its tasks no longer count as unavailable.
 func (l *Ledger) RecordJobEnd(job string) {
 	if n := len(l.unavailableByJob[job]); n > 0 {
 		l.ensureTeam(l.teamByJob[job]).unavailableTasks -= n
@@ -127,8 +128,9 @@
 	delete(l.teamByJob, job)
 }
 
-// RecordCharge counts a charge that is stored under a key and was made at the given time. teamOf
-// returns the team of an attempt's task, and false if the task has ended.
+// RecordCharge adds the usage of a charge and counts its tasks as unavailable unless they have ended.
+// key is the key of the stored charge, at is when the charge was made. teamOf returns the team of an
+// attempt's task, or false if the task has ended.
 func (l *Ledger) RecordCharge(key string, c *Charge, at time.Time, teamOf func(Attempt) (team string, ok bool)) {
 	l.chargesByKey[key] = c
 	for team, usage := range c.Teams {
@@ -145,8 +147,9 @@
 // IsCharged reports whether the stop of an attempt has been charged.
 func (l *Ledger) IsCharged(number uint64) bool { return l.chargedAttempts[number] }
 
-// Expire removes the charges that no longer count, and returns their keys. A charge counts until
-// its window has passed and none of its tasks is unavailable; now is the wall-clock time.
+// Expire removes the charges that are no longer needed and returns their keys, so that the caller can
+// delete the stored ones. A charge is needed until its usage has left the window and none of its
+// tasks is unavailable. now is the wall-clock time.
 func (l *Ledger) Expire(now time.Time) []string {
 	var keys []string
 	for key, c := range l.chargesByKey {
--- a/internal/drain/lifecycle.go
+++ b/internal/drain/lifecycle.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// pastDeadline reports whether the deadline, if there is one, has passed.
+// pastDeadline reports whether the drain has a deadline that has passed.
 func (r *Record) pastDeadline(now time.Time) bool {
 	return r.Spec.Deadline != nil && now.After(*r.Spec.Deadline)
 }
 
-// IsForced reports whether the drain also evicts tasks that can run nowhere else: it has Force set
-// and its deadline has passed.
+// IsForced reports whether the drain may evict tasks without an alternative: it has Force set and its
+// deadline has passed.
 func (r *Record) IsForced(now time.Time) bool { return r.Spec.Force && r.pastDeadline(now) }
 
-// SetWaitReason records why the drain makes no progress. It pauses a drain whose deadline has
-// passed, unless the drain has Force set or the wait is part of its progress, and reports whether
-// it did so.
+// SetWaitReason records why the drain waits. If its deadline has passed, it pauses the drain, unless
+// Force is set or the wait ends by itself. It reports whether it paused the drain. now is the
+// wall-clock time.
 func (r *Record) SetWaitReason(now time.Time, reason Reason) bool {
 	if r.pastDeadline(now) && !r.Spec.Force && !reason.Cause.endsByItself() {
 		reason.Deadline = true
@@ -27,7 +27,7 @@
 	return false
 }
 
-// Pause pauses the drain unless it is paused or has ended. It reports whether the record changed.
+// Pause pauses the drain unless it is paused already or has ended. It reports whether it paused it.
 func (r *Record) Pause(reason Reason) bool {
 	if r.State == Paused || r.State.IsTerminal() {
 		return false
@@ -36,7 +36,8 @@
 	return true
 }
 
-// Resume makes a paused drain pending again. The waiting times of its batch start anew.
+// Resume makes a paused drain pending again and restarts the waiting times of its batch. now is the
+// wall-clock time.
 func (r *Record) Resume(now time.Time) {
 	if r.State != Paused {
 		return
@@ -47,7 +48,7 @@
 	}
 }
 
-// Cancel cancels the drain. It then cordons no machine and blocks no provisioning.
+// Cancel cancels the drain. A cancelled drain cordons no machine and blocks no provisioning.
 func (r *Record) Cancel() {
 	r.State, r.Reason, r.Batch = Cancelled, Reason{}, nil
 }
@@ -60,8 +61,9 @@
 	return strings.Compare(r.Spec.Name, other.Spec.Name)
 }
 
-// EnsureRunning returns the running drain. If there is none, it sets the oldest pending drain running,
-// returns it and reports a changed record. It sorts the records in place.
+// EnsureRunning returns the running drain. If there is none, it starts the oldest pending drain,
+// returns that one, and sets started. It returns nil if no drain is pending either. It sorts the
+// records in place.
 func EnsureRunning(records []*Record) (r *Record, started bool) {
 	slices.SortFunc(records, (*Record).Compare)
 	for _, r := range records {
--- a/internal/drain/reason.go
+++ b/internal/drain/reason.go
@@ -5,20 +5,21 @@
 
 // States of a drain.
 const (
-	Pending   State = "pending" // waits for the running drain and older pending ones
+	Pending   State = "pending" // until the running drain and older pending ones end or pause
 	Running   State = "running"
 	Paused    State = "paused" // until an operator resumes it
-	Done      State = "done"   // no selected machine is left
+	Done      State = "done"   // no selected machine exists any more
 	Cancelled State = "cancelled"
 )
 
 // IsTerminal reports whether the drain has ended.
 func (s State) IsTerminal() bool { return s == Done || s == Cancelled }
 
-// Cause is why a drain waits or is paused.
+// Cause is the cause for which a drain waits or is paused.
 type Cause string
 
-// Causes. Their values are shown to operators.
+// Causes: Wait… holds up the eviction of tasks or the rest of a batch, BlockedBy… the start of a
+// batch, and the others pause the drain. Operators see the values.
 const (
 	WaitTaskEnd           Cause = "waits for tasks to end"
 	WaitUnavailableBudget Cause = "budget of unavailable tasks is used up"
@@ -35,15 +36,15 @@
 	PausedByOperator      Cause = "paused by an operator"
 )
 
-// Reason is why a drain waits or is paused, with the team concerned, if any.
+// Reason is why a drain waits or is paused.
 type Reason struct {
 	Cause Cause  `json:"cause,omitempty"`
-	Team  string `json:"team,omitempty"`
+	Team  string `json:"team,omitempty"` // whose tasks or guarantee are the cause, "" if none
 	// Deadline is set if the drain was paused because its deadline had passed.
 	Deadline bool `json:"deadline,omitempty"`
 }
 
-// String returns the text for operators.
+// String returns the reason as shown to operators.
 func (r Reason) String() string {
 	text := string(r.Cause)
 	if r.Team != "" {
@@ -55,6 +56,6 @@
 	return text
 }
 
-// endsByItself reports whether a wait for this cause is part of the drain's progress: the tasks or
-// the releases that it waits for end by themselves.
+// endsByItself reports whether a wait for this cause is a normal part of a drain: the tasks end, or
+// the machines are released, without an operator's help.
 func (c Cause) endsByItself() bool { return c == WaitTaskEnd || c == WaitMachineRelease }
--- a/internal/drain/record.go
+++ b/internal/drain/record.go
@@ -8,23 +8,25 @@
 	"time"
 )
 
-// recordVersion is the version of the stored form. Records of later versions are not changed.
+// recordVersion is the version of the stored form. A record of a later version is not decoded and
+// stays as it is.
 const recordVersion = 1
 
 // Errors of stored records.
 var (
-	// ErrUnreadable is matched by the errors of records that are corrupt.
+	// ErrUnreadable is matched by the errors of corrupt drain records and charges.
 	ErrUnreadable = errors.New("drain record can't be read")
 	// ErrNewerVersion is matched by the errors of records that a later version of the program wrote.
 	ErrNewerVersion = errors.New("drain record is of a later version")
 )
 
-// Counts has the totals of a drain.
+// Counts holds the totals of a drain since it was accepted.
 type Counts struct {
+	// Batches and Machines count the drained ones that no longer exist.
 	Batches  int `json:"batches,omitempty"`
 	Machines int `json:"machines,omitempty"`
-	// Evicted is the number of tasks that the drain stopped, Moved the number of them with
-	// checkpoints.
+	// Evicted is the number of tasks that the drain evicted. Moved is the number of evicted tasks
+	// with checkpoints, which continue on another machine.
 	Evicted int `json:"evicted,omitempty"`
 	Moved   int `json:"moved,omitempty"`
 	// Replacements is the number of machines provisioned to replace drained ones.
@@ -33,13 +35,13 @@
 
 // Batch is a group of machines that are drained together.
 type Batch struct {
-	Machines []string `json:"machines"`
+	Machines []string `json:"machines"` // names of the machines that still exist
 	// Cordoned is set once the machines are cordoned. Until then the batch waits for replacements.
 	Cordoned bool `json:"cordoned,omitempty"`
-	// SinceMS is when the batch was started, cordoned or resumed, whichever was last, as Unix time
-	// in milliseconds.
+	// SinceMS is the Unix time in milliseconds at which the batch was started, cordoned or resumed,
+	// whichever was last. The batch measures its waiting times from then.
 	SinceMS int64 `json:"since"`
-	// Replacements are the machines provisioned for this batch.
+	// Replacements are the names of the machines provisioned to replace those of this batch.
 	Replacements []string `json:"replacements,omitempty"`
 }
 
@@ -54,19 +56,19 @@
 	Counts    Counts `json:"counts"`
 }
 
-// NewRecord returns the record of a drain that is accepted at a wall-clock time.
+// NewRecord returns the record of a drain that was just accepted; now is the wall-clock time.
 func NewRecord(s Spec, now time.Time) *Record {
 	return &Record{Version: recordVersion, Spec: s, CreatedMS: now.UnixMilli(), State: Pending}
 }
 
-// Encode returns the stored form.
+// Encode returns the record as stored JSON.
 func (r *Record) Encode() json.RawMessage {
 	value, _ := json.Marshal(r) // can't fail: JSON can represent every value
 	return value
 }
 
-// DecodeRecord decodes and checks the stored form of the drain with the given name. It returns
-// errors that match ErrUnreadable or ErrNewerVersion.
+// DecodeRecord decodes and checks the stored record of the drain with the given name. Its errors
+// match ErrUnreadable or ErrNewerVersion.
 func DecodeRecord(name string, value []byte) (*Record, error) {
 	var version struct {
 		Version int `json:"version"`
@@ -87,7 +89,7 @@
 	return r, nil
 }
 
-// validateStored returns an error if no leader could have written the record under the name.
+// validateStored returns an error if the record is invalid or belongs to a drain of another name.
 func (r *Record) validateStored(name string) error {
 	if err := validate.Struct(&r.Spec); err != nil {
 		return fieldError(err)
@@ -105,18 +107,18 @@
 	return nil
 }
 
-// Cordons reports whether the drain cordons a machine.
+// Cordons reports whether the drain has cordoned a machine.
 func (r *Record) Cordons(machine string) bool {
 	return r.Batch != nil && r.Batch.Cordoned && slices.Contains(r.Batch.Machines, machine)
 }
 
-// HasReplacement reports whether a machine was provisioned for the current batch.
+// HasReplacement reports whether a machine was provisioned as a replacement for the current batch.
 func (r *Record) HasReplacement(machine string) bool {
 	return r.Batch != nil && slices.Contains(r.Batch.Replacements, machine)
 }
 
-// BlocksProvisioning reports whether no machine of a type may be provisioned in a zone, as the
-// drain would select it. A completed drain blocks provisioning until it is cancelled.
+// BlocksProvisioning reports whether the drain forbids provisioning machines of a type in a zone
+// because it would select them. A drain that is done still forbids it until it is cancelled.
 func (r *Record) BlocksProvisioning(machineType, zone string) bool {
 	return (r.State == Running || r.State == Paused || r.State == Done) && r.Spec.Selector.SelectsAllOf(machineType, zone)
 }
--- a/internal/drain/request.go
+++ b/internal/drain/request.go
@@ -1,6 +1,6 @@
 package drain
 
-// Action is an operator's command.
+// Action is what an operator asks the leader to do.
 type Action string
 
 // Actions.
@@ -13,17 +13,17 @@
 	Cancel Action = "cancel"
 )
 
-// Request is an operator's request to the leader. It is idempotent.
+// Request is an operator's request to the leader. It can be repeated without another effect.
 type Request struct {
 	Action Action `json:"action"`
-	Name   string `json:"name,omitempty"`
-	Spec   *Spec  `json:"spec,omitempty"`
+	Name   string `json:"name,omitempty"` // of the drain, unless the action is Apply or List
+	Spec   *Spec  `json:"spec,omitempty"` // for Apply
 }
 
-// TeamUsage is a team's budget and how much of it is used.
+// TeamUsage is a team's budget and the used part of it.
 type TeamUsage struct {
 	Team        string `json:"team"`
-	Unavailable int    `json:"unavailable"`
+	Unavailable int    `json:"unavailable"` // number of unavailable tasks
 	Usage       Usage  `json:"used"`
 	Budget      Budget `json:"budget"`
 }
@@ -37,7 +37,7 @@
 	Counts Counts `json:"counts"`
 	// MachinesLeft is the number of selected machines that still exist, 0 once the drain has ended.
 	MachinesLeft int `json:"machinesLeft"`
-	// Teams has the usage of every team. It is empty in the response to List.
+	// Teams holds the usage of every team. It is empty in the response to List.
 	Teams []TeamUsage `json:"teams,omitempty"`
 }
 
--- a/internal/drain/selector.go
+++ b/internal/drain/selector.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// Selector selects the machines that match all fields that are set.
+// Selector selects the machines that match every field that is set.
 type Selector struct {
 	Zone     string   `json:"zone,omitempty" xml:"zone"`
 	Type     string   `json:"type,omitempty" xml:"type"`
 	Machines []string `json:"machines,omitempty" xml:"machine" validate:"dive,min=1,max=64"`
-	// ProvisionedBefore, if set, selects only machines provisioned before that time.
+	// ProvisionedBefore is the time before which a selected machine was provisioned. Operators say
+	// rented for provisioned.
 	ProvisionedBefore *time.Time `json:"rentedBefore,omitempty" xml:"rentedBefore"`
 }
 
-// Machine has the properties of a machine that a selector compares.
+// Machine holds the properties of a machine that a selector compares.
 type Machine struct {
 	Name, Type, Zone string
 	ProvisionedAt    time.Time
 }
 
-// Selects reports whether a machine matches.
+// Selects reports whether the selector selects a machine.
 func (s *Selector) Selects(m Machine) bool {
 	switch {
 	case s.Zone != "" && s.Zone != m.Zone, s.Type != "" && s.Type != m.Type:
@@ -31,8 +32,8 @@
 	return s.ProvisionedBefore == nil || m.ProvisionedAt.Before(*s.ProvisionedBefore)
 }
 
-// SelectsAllOf reports whether every machine of a type in a zone is selected, including machines
-// provisioned later.
+// SelectsAllOf reports whether the selector selects every machine of a type in a zone, including
+// machines that are provisioned later.
 func (s *Selector) SelectsAllOf(machineType, zone string) bool {
 	if len(s.Machines) > 0 || s.ProvisionedBefore != nil {
 		return false
--- a/internal/drain/spec.go
+++ b/internal/drain/spec.go
@@ -10,18 +10,19 @@
 type Spec struct {
 	Name     string   `json:"name" xml:"name,attr" validate:"drainname"`
 	Selector Selector `json:"selector" xml:"selector"`
-	// Replace provisions a replacement for every machine of a batch before the batch is cordoned.
+	// Replace means that a replacement for every machine of a batch is provisioned before the batch
+	// is cordoned.
 	Replace bool `json:"replace,omitempty" xml:"replace"`
 	// BatchSize is the maximum number of machines drained at a time.
 	BatchSize int `json:"batchSize" xml:"batchSize" validate:"min=1,max=1000"`
-	// Deadline, if set, is when a drain that makes no progress is paused or, with Force, evicts
-	// tasks that can run nowhere else.
+	// Deadline is optional. From then on, a drain that is held up is paused if Force isn't set. With
+	// Force, it may evict tasks that can run nowhere else.
 	Deadline *time.Time `json:"deadline,omitempty" xml:"deadline"`
 	Force    bool       `json:"force,omitempty" xml:"force"`
 }
 
-// Validate checks the fields without knowledge of the deployment; now is the wall-clock time. It
-// returns a FieldError.
+// Validate checks the fields as far as possible without knowledge of the deployment; now is the
+// wall-clock time. Its error is a FieldError.
 func (s *Spec) Validate(now time.Time) error {
 	if err := validate.Struct(s); err != nil {
 		return fieldError(err)
@@ -37,14 +38,14 @@
 	return nil
 }
 
-// Deployment has the zones, machine types and machines that a selector may name.
+// Deployment holds the zones, machine types and machines that a selector may name.
 type Deployment struct {
 	Zones, Types []string
 	HasMachine   func(name string) bool
 }
 
 // ValidateFor checks that the selector names only zones, machine types and machines of the
-// deployment. It returns a FieldError.
+// deployment. Its error is a FieldError.
 func (s *Spec) ValidateFor(d Deployment) error {
 	if zone := s.Selector.Zone; zone != "" && !slices.Contains(d.Zones, zone) {
 		return &FieldError{Field: "selector/zone", Reason: fmt.Sprintf("%q is not a zone of this deployment", zone)}
--- a/internal/drain/validation.go
+++ b/internal/drain/validation.go
@@ -19,21 +19,22 @@
 
 var validate = newValidator()
 
-// newValidator returns a validator whose errors name fields as the operators' files do.
+// newValidator returns a validator whose errors give the fields the names of their XML elements, which
+// operators know.
 func newValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
 		name, _, _ := strings.Cut(f.Tag.Get("xml"), ",")
 		return name
 	})
-	_ = v.RegisterValidation("drainname", isDrainName) // fails only for an empty name or a nil function
+	_ = v.RegisterValidation("drainname", isDrainName) // fails only for an empty tag or a nil function
 	return v
 }
 
 // isDrainName reports whether a field is a valid name of a drain.
 func isDrainName(f validator.FieldLevel) bool { return drainName.MatchString(f.Field().String()) }
 
-// fieldError converts the first error of the validator to a FieldError.
+// fieldError converts the first error that the validator found to a FieldError.
 func fieldError(err error) error {
 	var all validator.ValidationErrors
 	if !errors.As(err, &all) {
