--- a/internal/autoscale/bins.go
+++ b/internal/autoscale/bins.go
@@ -8,16 +8,17 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// bin is an existing or requested machine to which the planner assigns demand.
+// bin is a machine to which the planner assigns demand: an existing or requested one, or one that the
+// plan provisions.
 type bin struct {
-	machineID           string // the machine's ID, or empty if it is to be provisioned
+	machineID           string // empty unless the machine exists
 	offering            Offering
 	capacity            placement.Resources
 	free                placement.Resources
-	remainingCPUSeconds float64 // of running and assigned tasks
-	bootRemainingS      float64
+	remainingCPUSeconds float64 // estimated work of the machine's tasks and of those assigned to it
+	bootRemainingS      float64 // expected time until it has booted
 	schedulable         bool
-	hasDemand           bool // whether demand was assigned to it
+	hasDemand           bool // whether the plan has assigned tasks to it
 }
 
 func newBin(m *Machine) bin {
@@ -27,8 +28,8 @@
 	}
 }
 
-// assignTasks assigns up to the given number of tasks to the bin: as many as fit into its free
-// resources now or, if that is more, as it can run within withinS. It returns their number.
+// assignTasks assigns as many of the tasks to the bin as fit into its free resources now, or as many as
+// its CPUs can run within withinS seconds, whichever is more. It returns the number of assigned tasks.
 func (b *bin) assignTasks(d *Demand, tasks int, withinS float64) int {
 	taskCPUSeconds := max(d.EstimateS, tuning.MinimumEstimateS) * d.Request.CPUs
 	availableCPUSeconds := b.capacity.CPUs*usableShare(b.capacity, d.Request)*(withinS-min(b.bootRemainingS, withinS/2)) - b.remainingCPUSeconds
@@ -40,10 +41,10 @@
 	return n
 }
 
-// roundingTolerance compensates for rounding errors when amounts of resources are divided.
+// roundingTolerance compensates for floating-point errors when amounts of resources are divided.
 const roundingTolerance = 1e-6
 
-// parallelTasks returns how many tasks with the request fit into the free resources.
+// parallelTasks returns how many tasks with the request fit into the free resources at the same time.
 func parallelTasks(free, request placement.Resources) int {
 	n := math.Inf(1)
 	for _, amount := range [][2]float64{{free.CPUs, request.CPUs}, {free.MemoryGB, request.MemoryGB}, {free.GPUs, request.GPUs}} {
@@ -54,7 +55,8 @@
 	return int(max(0, min(n, wire.MaxTasks)))
 }
 
-// usableShare returns the share of a machine's CPUs that tasks with the request can use.
+// usableShare returns the share of a machine's CPUs, from 0 to 1, that tasks with the request can use.
+// The rest stays unused because of the memory and GPUs that the tasks need, or because of rounding.
 func usableShare(capacity, request placement.Resources) float64 {
 	if capacity.CPUs <= 0 {
 		return 0
--- a/internal/autoscale/doc.go
+++ b/internal/autoscale/doc.go
@@ -1,3 +1,3 @@
-// Package autoscale decides which machines to provision and which to release.
-// It works on a snapshot of demand and machines, reads no clock and does no I/O.
+// Package autoscale plans which machines to provision and which to release. A plan depends only on
+// a snapshot of demand and machines. The package reads no clock and does no I/O.
 package autoscale
--- a/internal/autoscale/offerings.go
+++ b/internal/autoscale/offerings.go
@@ -7,19 +7,20 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// Offering is a machine type in a zone, either as a spot instance or on demand.
+// Offering is a machine type in a zone, either as spot or as on-demand instances.
 type Offering struct {
 	Type string
 	Zone string
 	Spot bool
 }
 
+// pricedOffering is an offering and its price per CPU.
 type pricedOffering struct {
 	Offering
 	pricePerCPU float64
 }
 
-// offeringsByPrice returns all offers, sorted by ascending price per CPU.
+// offeringsByPrice returns all offerings of the machine types, by ascending price per CPU.
 func offeringsByPrice(types []wire.MachineType) []pricedOffering {
 	var offerings []pricedOffering
 	for _, t := range types {
@@ -35,10 +36,10 @@
 	return offerings
 }
 
-// cheapestOffering returns the cheapest available offer that the demand allows and
-// whose machines are large enough for a task. Among equally cheap offers it
-// chooses the one with the fewest machines in the plan, to spread machines over
-// zones.
+// cheapestOffering returns the cheapest available offering that the demand allows and
+// whose machines are large enough for a task, or false if there is none. Among
+// equally cheap ones it chooses the offering of which the plan provisions the fewest
+// machines, to spread machines over zones.
 func (p *planner) cheapestOffering(d *Demand) (pricedOffering, bool) {
 	var best *pricedOffering
 	for i := range p.offerings {
--- a/internal/autoscale/plan.go
+++ b/internal/autoscale/plan.go
@@ -14,22 +14,22 @@
 type Demand struct {
 	Tasks     int
 	Request   placement.Resources // per task
-	EstimateS float64             // estimated run time of a task
+	EstimateS float64             // estimated run time of a task in seconds
 	// MachineTypes lists the allowed machine types; empty allows all.
 	MachineTypes []string
 	// Zone is the only allowed zone; empty allows all.
 	Zone string
-	// Spot allows spot instances.
+	// Spot also allows spot instances.
 	Spot bool
 	// StartWithinS is the time in seconds within which the tasks should start.
 	StartWithinS float64
-	// AvoidMachines contains the machines on which the job has failed. The planner
-	// does not count them as capacity for the job: otherwise a single faulty machine
-	// could keep the job waiting forever.
+	// AvoidMachines contains the IDs of the machines on which the job has failed. The
+	// planner assigns none of the job's tasks to them: if it counted a faulty machine as
+	// capacity, it might never provision another one, and the job would wait forever.
 	AvoidMachines map[string]bool
 }
 
-// allows reports whether the tasks may run on a machine of the offer.
+// allows reports whether the tasks may run on machines of the offering.
 func (d *Demand) allows(o Offering) bool {
 	if o.Spot && !d.Spot || d.Zone != "" && d.Zone != o.Zone {
 		return false
@@ -37,45 +37,49 @@
 	return len(d.MachineTypes) == 0 || slices.Contains(d.MachineTypes, o.Type)
 }
 
-// Machine describes an existing or requested machine.
+// Machine is the snapshot of an existing machine or of one that a provision call in
+// flight requests.
 type Machine struct {
-	ID       string
+	ID       string // empty if the machine is only requested
 	Offering Offering
 	Capacity placement.Resources
 	Free     placement.Resources
-	// RemainingCPUSeconds is the estimated remaining work of the machine's tasks.
+	// RemainingCPUSeconds is the estimated remaining work of the machine's tasks: the
+	// sum of their remaining run times, each multiplied by its CPUs.
 	RemainingCPUSeconds float64
-	// BootRemainingS is the expected time in seconds until a booting machine is up.
+	// BootRemainingS is the expected time in seconds until the machine has booted, 0 if
+	// it has.
 	BootRemainingS float64
 	// Schedulable reports whether new tasks may be assigned to the machine, now or
 	// once it has booted.
 	Schedulable bool
 	// Idle reports whether the machine has no tasks and may be released.
 	Idle    bool
-	IdleFor time.Duration
+	IdleFor time.Duration // how long the machine has had no tasks
 	Price   float64
 }
 
 // Input is the snapshot of the cluster that a plan is based on.
 type Input struct {
-	// Demand is sorted in place by NewPlan.
+	// Demand is the work that waits for capacity. NewPlan sorts it in place.
 	Demand       []Demand
 	Machines     []Machine
 	MachineTypes []wire.MachineType
-	// Unavailable reports whether an offer cannot be provisioned now.
+	// Unavailable reports whether an offering cannot be provisioned now.
 	Unavailable func(Offering) bool
-	// ReserveCPUs is the number of CPUs that scale-in must keep. It is the smoothed
-	// number of CPUs in use.
+	// ReserveCPUs is the number of schedulable CPUs that scale-in must keep. It is the
+	// smoothed number of CPUs in use.
 	ReserveCPUs float64
-	// ArrivalCPUs is the number of CPUs that jobs arriving at the recent rate keep busy.
+	// ArrivalCPUs is how many CPUs are needed to run work as fast as it has recently
+	// arrived.
 	ArrivalCPUs float64
-	// ScaleInIdleTime is how long a machine must be idle before it is released.
+	// ScaleInIdleTime is how long a machine must have been idle before it is released.
 	ScaleInIdleTime time.Duration
 	// MaxMachines limits the number of machines; 0 means no limit.
 	MaxMachines int
 }
 
-// Plan is the number of machines to provision of each offer, and the IDs of the
+// Plan is the number of machines to provision of each offering, and the IDs of the
 // machines to release.
 type Plan struct {
 	ScaleOut map[Offering]int
@@ -89,13 +93,15 @@
 	types     map[string]wire.MachineType
 	offerings []pricedOffering
 	bins      []bin
-	// machineCount includes the machines that the plan provisions.
+	// machineCount is the number of existing and requested machines and of those that
+	// the plan provisions.
 	machineCount int
 }
 
-// NewPlan assigns demand, the most urgent first, to the existing machines as far
-// as they can start it in time. For the rest it provisions machines of the
-// cheapest offers. It releases idle machines to which no demand was assigned.
+// NewPlan returns a plan for the input. It assigns the waiting tasks, the most
+// urgent first, to existing and requested machines that can start them in time.
+// For the other tasks it provisions machines of the cheapest offerings. It releases
+// idle machines to which it assigned no tasks.
 func NewPlan(in Input) Plan {
 	p := newPlanner(in)
 	schedulableCPUs, freeCPUs := p.schedulableCPUs()
@@ -104,8 +110,8 @@
 		p.planDemand(&in.Demand[i])
 	}
 	p.scaleOutForArrivals(schedulableCPUs, freeCPUs)
-	// Scale-in does not wait for a plan without scale-out: with several hundred
-	// machines, nearly every plan provisions some.
+	// A plan may both provision and release machines. With several hundred machines,
+	// nearly every plan provisions some, so releases could otherwise wait for very long.
 	p.plan.ScaleIn = chooseReleases(&in, p.bins, schedulableCPUs)
 	return p.plan
 }
@@ -125,7 +131,7 @@
 }
 
 // schedulableCPUs returns the total CPUs of the schedulable machines, and the free
-// CPUs of those that have booted.
+// CPUs of the schedulable machines that have booted.
 func (p *planner) schedulableCPUs() (total, free float64) {
 	for _, m := range p.in.Machines {
 		if !m.Schedulable {
@@ -139,13 +145,13 @@
 	return total, free
 }
 
-// belowMaxMachines reports whether another machine is within MaxMachines.
+// belowMaxMachines reports whether MaxMachines allows another machine.
 func (p *planner) belowMaxMachines() bool {
 	return p.in.MaxMachines == 0 || p.machineCount < p.in.MaxMachines
 }
 
-// planDemand assigns to the bins the tasks that they can start in time, and
-// provisions machines for the rest.
+// planDemand assigns tasks of the demand to the bins that can start them in time, and
+// provisions machines for the other tasks.
 func (p *planner) planDemand(d *Demand) {
 	tasks := p.assignToBins(d, d.Tasks, d.StartWithinS)
 	retriedWithLongerWait := false
@@ -155,8 +161,8 @@
 			return
 		}
 		if lowest := p.offerings[0].pricePerCPU; offering.pricePerCPU > lowest && !retriedWithLongerWait {
-			// Before it provisions an expensive offer, the planner lets the tasks wait
-			// longer for existing machines: the more expensive the offer, the longer.
+			// Before provisioning an expensive offering, try once more to assign the tasks
+			// to the bins, with a longer wait: the more expensive the offering, the longer.
 			retriedWithLongerWait = true
 			tasks = p.assignToBins(d, tasks, d.StartWithinS*math.Sqrt(offering.pricePerCPU/lowest))
 			continue
@@ -165,8 +171,8 @@
 	}
 }
 
-// assignToBins assigns as many of the tasks as the bins can start within withinS,
-// and returns the number of tasks left.
+// assignToBins assigns to the bins as many of the tasks as they can start within
+// withinS seconds, and returns the number of tasks left.
 func (p *planner) assignToBins(d *Demand, tasks int, withinS float64) int {
 	for i := range p.bins {
 		b := &p.bins[i]
@@ -177,8 +183,8 @@
 	return tasks
 }
 
-// scaleOut adds one machine of the offer to the plan, assigns tasks to it, and
-// returns their number.
+// scaleOut adds one machine of the offering to the plan, assigns tasks to it, and
+// returns the number of assigned tasks, which is at least 1.
 func (p *planner) scaleOut(o Offering, d *Demand, tasks int) int {
 	capacity := placement.MachineCapacity(p.types[o.Type])
 	b := bin{offering: o, capacity: capacity, free: capacity, schedulable: true}
@@ -189,12 +195,12 @@
 	return assigned
 }
 
-// scaleOutForArrivals provisions machines until the schedulable CPUs cover the
-// inflow, as long as tasks are waiting that do not fit into free CPUs. With
-// fewer CPUs, the backlog would grow until all of it is urgent at once; machines
-// would then be up one boot time too late, and more of them, at higher prices,
-// would be needed. It uses only the cheapest offers; expensive offers are
-// reserved for urgent work.
+// scaleOutForArrivals provisions machines until there are as many schedulable CPUs as
+// ArrivalCPUs, but only while more tasks wait than fit into the free CPUs. With fewer
+// CPUs, the backlog would grow until all of it became urgent at once. Machines
+// provisioned only then would be ready one boot time too late, and more of them would
+// be needed, at higher prices. The planner provisions only the cheapest offerings here;
+// more expensive ones are reserved for urgent work.
 func (p *planner) scaleOutForArrivals(schedulableCPUs, freeCPUs float64) {
 	for o, n := range p.plan.ScaleOut {
 		schedulableCPUs += float64(n) * p.types[o.Type].CPUs
--- a/internal/autoscale/scalein.go
+++ b/internal/autoscale/scale_in.go
@@ -2,15 +2,16 @@
 
 import "sort"
 
-// negligibleCPUs is the smoothed demand that scale-in ignores: the smoothed value
-// decays exponentially and never reaches zero.
+// negligibleCPUs is the part of ReserveCPUs that scale-in ignores. The smoothed value
+// decays exponentially and never reaches zero, so the last machine would never be
+// released.
 const negligibleCPUs = 1
 
-// chooseReleases returns the idle machines to release, the most expensive first.
-// Schedulable machines must have been idle for ScaleInIdleTime, and without them
-// the schedulable CPUs must still cover the smoothed demand. Machines to which
-// demand was assigned are kept. The first len(in.Machines) bins must be those of
-// in.Machines, in the same order.
+// chooseReleases returns the IDs of the idle machines to release, the most expensive
+// first. It keeps machines to which the plan has assigned tasks. It releases a
+// schedulable machine only if it has been idle for ScaleInIdleTime and the other
+// schedulable machines have at least ReserveCPUs. The first len(in.Machines) bins must
+// be those of in.Machines, in the same order.
 func chooseReleases(in *Input, bins []bin, schedulableCPUs float64) []string {
 	idle := make([]Machine, 0)
 	for i, m := range in.Machines {
--- a/internal/drainer/batch.go
+++ b/internal/drainer/batch.go
@@ -11,8 +11,9 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// beginBatch selects the next machines to drain, those with the fewest attempts first. It
-// starts no batch while it is blocked or the other machines could not meet the teams' guarantees.
+// beginBatch starts a batch of the selected machines that have the fewest attempts. It starts none
+// while batches are blocked, or if the remaining machines could not meet the teams' guarantees. If no
+// selected machine can be drained any more, the drain is done or waits for the outstanding ones.
 func (s *drainStep) beginBatch() {
 	if cause := s.d.cluster.BatchBlockedCause(s.now); cause != "" {
 		s.setWaitReason(cause, "")
@@ -43,7 +44,7 @@
 	s.d.storeDrain(s.record, nil)
 }
 
-// applyBatchCordon applies the cordon of the record to the machines of the batch.
+// applyBatchCordon cordons the machines of the batch if the record says so.
 func (s *drainStep) applyBatchCordon() {
 	for _, name := range s.record.Batch.Machines {
 		if m := s.d.cluster.Machines.Get(name); m != nil {
@@ -52,8 +53,9 @@
 	}
 }
 
-// markDoneIfComplete ends a drain without further machines to drain, once no selected machine is being
-// released, not listed yet or being provisioned.
+// markDoneIfComplete marks a drain done that has no machine left to drain. It waits while outstanding
+// selected machines are being released or not listed yet, and while a provision call in flight may
+// add more.
 func (s *drainStep) markDoneIfComplete(outstanding int) {
 	if outstanding > 0 || s.selectsProvisionInFlight() {
 		s.setWaitReason(drain.WaitMachineRelease, "")
@@ -64,16 +66,16 @@
 	s.d.storeDrain(s.record, nil)
 }
 
-// selectsProvisionInFlight reports whether a pending provisioning call may add machines that the
-// drain selects.
+// selectsProvisionInFlight reports whether a provision call in flight may add machines that the drain
+// selects.
 func (s *drainStep) selectsProvisionInFlight() bool {
 	return s.d.cluster.Scaler.AnyProvisionInFlight(func(p *scaling.InFlightProvision) bool {
 		return s.record.Spec.Selector.SelectsAllOf(p.Offering.Type, p.Offering.Zone)
 	})
 }
 
-// selectedMachines returns the selected machines that can be drained now, and the number of
-// selected machines that are being released or not listed by the cloud yet.
+// selectedMachines returns the selected machines that can be drained now. outstanding is the number of
+// the other selected machines: those that are being released or that the cloud does not list yet.
 func (s *drainStep) selectedMachines() (selected []*machines.Machine, outstanding int) {
 	for _, m := range s.d.cluster.Machines.All() {
 		s.d.examinedCount++
@@ -88,16 +90,17 @@
 	return selected, outstanding
 }
 
-// isSelected reports whether a drain isSelected a machine.
+// isSelected reports whether a drain selects a machine. now and wall are the same moment on the
+// monotonic clock and as wall-clock time.
 func isSelected(r *drain.Record, now, wall time.Time, m *machines.Machine) bool {
 	provisionedAt := wall.Add(m.ProvisionedAt().Sub(now))
 	return r.Spec.Selector.Selects(drain.Machine{Name: m.ID, Type: m.Type, Zone: m.Zone, ProvisionedAt: provisionedAt})
 }
 
-// teamWithUnmetGuarantee returns the first team whose guarantee could not be met without the machines of
-// the batch, "" if there is none. For the teams with waiting tasks, it adds up the
-// guarantee or the CPUs in use and waiting, whichever is less, and compares the sum with the CPUs
-// of the schedulable machines that remain.
+// teamWithUnmetGuarantee returns the first team whose guarantee could not be met without the machines
+// of the batch, or "" if there is none. A team with waiting tasks needs its guaranteed CPUs, or the
+// CPUs that its tasks use and wait for if these are fewer. The needs of such teams together must not
+// exceed the CPUs of the schedulable machines that remain.
 func (s *drainStep) teamWithUnmetGuarantee(batch []*machines.Machine) string {
 	waiting := map[string]float64{}
 	for j := range s.d.cluster.RunnableJobs() {
@@ -116,8 +119,8 @@
 	return ""
 }
 
-// schedulableCPUsWithout returns the CPUs of the schedulable machines. It leaves out the batch unless the
-// machines of the batch are replaced.
+// schedulableCPUsWithout returns the CPUs of the schedulable machines without those of the batch. If
+// the drain replaces its machines, their replacements add as many CPUs, so the batch is included.
 func (s *drainStep) schedulableCPUsWithout(batch []*machines.Machine) float64 {
 	cpus := 0.0
 	for _, m := range s.d.cluster.Machines.All() {
@@ -137,8 +140,8 @@
 	return cpus
 }
 
-// removeReleased removes the machines that no longer exist from the batch. A batch without
-// machines ends.
+// removeReleased removes the machines that no longer exist from the batch, and ends the batch if none
+// are left.
 func (s *drainStep) removeReleased() {
 	remaining := slices.DeleteFunc(slices.Clone(s.record.Batch.Machines), s.d.noLongerExists)
 	removed := len(s.record.Batch.Machines) - len(remaining)
--- a/internal/drainer/drainer.go
+++ b/internal/drainer/drainer.go
@@ -1,7 +1,7 @@
-// Package drainer carries out the operators' drains: it handles their requests, evicts the tasks
-// of the selected machines batch by batch within the teams' budgets, and counts the disruption
-// of each team's work by drains and by other interruptions. Package drain has the rules. The
-// package reads no clock and does no I/O.
+// Package drainer runs the operators' drains by the rules of package drain. It handles operators'
+// requests, evicts the tasks of the selected machines batch by batch within the teams' disruption
+// budgets, and records how drains and other interruptions disrupt each team's work. It reads no clock
+// and does no I/O: callers pass in the time, and writes are queued.
 package drainer
 
 import (
@@ -22,13 +22,13 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Config has the settings of a drainer.
+// Config holds the settings of a drainer.
 type Config struct {
 	Term    uint64
-	Budgets *drain.Budgets // nil: drains are off
+	Budgets *drain.Budgets // nil disables drains
 	Teams   []config.Team
 	Zones   []string
-	// MaxMachines is the maximum number of machines, 0 for no maximum.
+	// MaxMachines limits the number of machines; 0 means no limit.
 	MaxMachines int
 	ValueLimit  int // maximum size of a stored value in bytes
 	// LeaseExpiry is the time after a response at which the agent's lease has surely expired.
@@ -37,45 +37,46 @@
 	LeaseS float64
 }
 
-// Cluster is a drainer's access to the state of the cluster.
+// Cluster gives the drainer access to the state of the cluster.
 type Cluster struct {
 	Machines  *machines.Registry
 	Catalogue *machines.Catalogue
 	Writes    *records.WriteQueues
 	Scaler    *scaling.Scaler
-	// Job returns the job with an ID, nil if it is unknown.
+	// Job returns the job with an ID, or nil if there is none.
 	Job func(id string) *jobs.Job
-	// RunnableJobs returns the jobs that have not ended and wait for no other job.
+	// RunnableJobs returns the jobs that have not ended and are not blocked by dependencies.
 	RunnableJobs func() iter.Seq[*jobs.Job]
-	// TeamUsedCPUs returns the CPUs of all tasks of a team that may be on machines.
+	// TeamUsedCPUs returns the total CPUs of a team's tasks that may be on machines.
 	TeamUsedCPUs func(team string) float64
-	// IsSchedulable reports whether a machine is schedulable.
+	// IsSchedulable reports whether new tasks may be assigned to a machine.
 	IsSchedulable func(time.Time, *machines.Machine) bool
 	// RemainingS estimates the remaining run time of an attempt in seconds.
 	RemainingS func(time.Time, *machines.Attempt) float64
-	// MachinesKnown reports whether the cloud's machine types and a machine list have been received.
+	// MachinesKnown reports whether the machine types are known and a machine list has been applied.
 	MachinesKnown func() bool
-	// MachineListCurrent reports whether a machine list shows the state after this term began. From
-	// then on, an unknown machine that a record names no longer exists.
+	// MachineListCurrent reports whether a machine list shows the cloud's state after this term
+	// began. Then a machine in a record that is missing from the registry no longer exists.
 	MachineListCurrent func() bool
-	// BatchBlockedCause returns why no batch of any drain may start now, "" if one may.
+	// BatchBlockedCause returns why no drain may start a batch now, or "" if one may.
 	BatchBlockedCause func(time.Time) drain.Cause
-	// ScheduleCall schedules a direct call to a machine on which attempts are to be stopped.
+	// ScheduleCall schedules a direct call to a machine, which sends the stops of its attempts to
+	// its agent.
 	ScheduleCall func(*machines.Machine)
 	// RequestSchedulingPass requests a scheduling pass after machines became schedulable again.
 	RequestSchedulingPass func()
 }
 
-// Drainer owns the drains and the ledger of the disruption of the teams' work. Without budgets,
-// drains are off: it has no drains and no ledger.
+// Drainer owns the drains, and the ledger of how much the teams' work is disrupted. If drains are
+// disabled (Config.Budgets is nil), it has neither.
 type Drainer struct {
 	log     zerolog.Logger
 	config  Config
 	cluster Cluster
 
-	ledger *drain.Ledger // nil: drains are off
-	drains map[string]*storedDrain
-	// unreadableDrains has the names of stored drains that are corrupt or of a later version.
+	ledger *drain.Ledger           // nil if drains are disabled
+	drains map[string]*storedDrain // by name
+	// unreadableDrains holds the names of stored drains that are corrupt or of a later version.
 	unreadableDrains map[string]bool
 	loadedCharges    []loadedCharge
 	lastChargeNumber uint64
@@ -84,34 +85,35 @@
 	examinedCount    int
 }
 
-// storedDrain is a drain's record; durable is set once the record has been persisted for the
-// first time.
+// storedDrain is the record of a drain.
 type storedDrain struct {
 	*drain.Record
-	durable bool
+	durable bool // whether the record has been persisted at least once
 }
 
 // New returns a drainer without drains.
 func New(log zerolog.Logger, c Config, cluster Cluster) *Drainer {
 	d := &Drainer{log: log, config: c, cluster: cluster, drains: map[string]*storedDrain{}, unreadableDrains: map[string]bool{}}
 	if c.Budgets != nil {
-		// A stop may take effect after a stop that was charged later. The longer window still
-		// counts its charge then.
+		// A stop takes effect up to maxDelay after its charge. The window is longer by that time, so
+		// that the charge still counts for a whole window after the stop.
 		maxDelay := seconds.Duration(c.LeaseS * tuning.DrainDeliveryLeases)
 		d.ledger = drain.NewLedger(c.Budgets.Window + maxDelay)
 	}
 	return d
 }
 
-// ExaminedCount returns the number of machines and attempts that drains have examined so far.
+// ExaminedCount returns the number of machines and attempts that drains have examined so far, as a
+// measure of the work of drains.
 func (d *Drainer) ExaminedCount() int { return d.examinedCount }
 
-// ApplyCordon cordons a machine if a drain requires it, and otherwise lifts the drain cordon.
+// ApplyCordon cordons a machine if any drain cordons it, and otherwise removes the drain's cordon.
+// Other cordons stay.
 func (d *Drainer) ApplyCordon(m *machines.Machine) {
 	m.SetCordon(machines.CordonDrained, d.anyDrain(func(r *drain.Record) bool { return r.Cordons(m.ID) }))
 }
 
-// BlocksProvisioning reports whether a drain forbids provisioning machines of an offer.
+// BlocksProvisioning reports whether any drain forbids provisioning machines of an offering.
 func (d *Drainer) BlocksProvisioning(o autoscale.Offering) bool {
 	return d.anyDrain(func(r *drain.Record) bool { return r.BlocksProvisioning(o.Type, o.Zone) })
 }
@@ -142,8 +144,8 @@
 	return list
 }
 
-// noLongerExists reports whether a machine named by a record no longer exists: the cloud
-// answered its release with status 200, or it is missing from a machine list that would have it.
+// noLongerExists reports whether a machine that a record names no longer exists: the cloud has
+// confirmed its release with status 200, or a current machine list lacks it.
 func (d *Drainer) noLongerExists(name string) bool {
 	return d.cluster.Machines.Get(name) == nil && (d.cluster.Machines.WasReleased(name) || d.cluster.MachineListCurrent())
 }
--- a/internal/drainer/evict.go
+++ b/internal/drainer/evict.go
@@ -12,8 +12,8 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// evict stops tasks of the batch within the budgets. Their charge is durable before the first
-// stop is sent. Stops that an earlier leader charged are sent at once.
+// evict evicts tasks of the batch within the budgets. It sends no stop before the charge for it is
+// durable. Stops that an earlier leader charged already are sent at once.
 func (s *drainStep) evict() {
 	candidates, attempts := s.collectCandidates()
 	charge := drain.NewCharge(s.record.Spec.Name, s.wall)
@@ -29,8 +29,9 @@
 	s.setWaitReason(reason.Cause, reason.Team)
 }
 
-// collectCandidates returns the attempts of the batch that could be evicted, as collectCandidates and by
-// attempt number. It stops the attempts whose stops have been charged.
+// collectCandidates returns the running attempts of the batch that are not being evicted, as
+// candidates and by attempt number. It stops attempts whose stops an earlier leader charged, and
+// leaves them out.
 func (s *drainStep) collectCandidates() (candidates []drain.Candidate, attempts map[uint64]*machines.Attempt) {
 	attempts = map[uint64]*machines.Attempt{}
 	for _, name := range s.record.Batch.Machines {
@@ -53,7 +54,7 @@
 	return candidates, attempts
 }
 
-// chargeAndStop stores a charge and stops its attempts once it is durable.
+// chargeAndStop stores a charge, and stops the attempts in it once the charge is durable.
 func (s *drainStep) chargeAndStop(charge *drain.Charge, attempts map[uint64]*machines.Attempt) {
 	if len(charge.Attempts) == 0 {
 		return
@@ -80,15 +81,15 @@
 	d.log.Info().Str("drain", s.record.Spec.Name).Int("tasks", len(evicted)).Msg("drain evicting tasks")
 }
 
-// stopEvicted stops an attempt whose stop has been charged. The attempt has a grace period to
-// save a checkpoint.
+// stopEvicted stops an attempt whose stop has been charged. The task may first save a checkpoint,
+// within a grace period.
 func (d *Drainer) stopEvicted(a *machines.Attempt) {
 	a.Evict()
 	d.cluster.ScheduleCall(a.Machine)
 }
 
-// candidate returns the candidate for a running attempt. The batch waits longer for the end of a
-// task without checkpoints, as an eviction loses all of its run time.
+// candidate returns the candidate for a running attempt. A batch waits longer for the end of a task
+// without checkpoints, because the eviction of such a task loses all of its run time.
 func (s *drainStep) candidate(a *machines.Attempt) drain.Candidate {
 	j := a.Job
 	c := drain.Candidate{
@@ -106,14 +107,14 @@
 	return c
 }
 
-// maxLostS returns the maximum run time in seconds that stopping a task without checkpoints can
-// lose. It includes the lease, as the task runs on until the stop takes effect or the agent's
+// maxLostS returns the maximum run time, in seconds, that is lost if a task without checkpoints is
+// stopped. It includes the lease, because the task runs on until the stop takes effect or the agent's
 // lease expires.
 func (s *drainStep) maxLostS(a *machines.Attempt) float64 {
 	earliestStart := a.CreatedAt()
 	if a.Number()>>32 != s.d.config.Term {
-		// An earlier leader started it at an unknown time after its job was submitted and its
-		// machine was provisioned.
+		// An earlier leader started the attempt. The time of that is unknown, but it is later than
+		// the submission of the job and the provisioning of the machine.
 		earliestStart = a.Job.SubmittedAt()
 		if a.Machine.ProvisionedAt().After(earliestStart) {
 			earliestStart = a.Machine.ProvisionedAt()
@@ -122,15 +123,16 @@
 	return (s.now.Sub(earliestStart) + s.d.config.LeaseExpiry).Seconds()
 }
 
-// hasAlternative reports whether a task of the job could run on a machine that can be
-// provisioned while the drain lasts.
+// hasAlternative reports whether a task of the job could run on a machine that drains allow to be
+// provisioned. It caches the result for the step.
 func (s *drainStep) hasAlternative(j *jobs.Job) bool {
 	if has, known := s.hasAlternativeByJob[j]; known {
 		return has
 	}
 	constraints := j.Constraints()
 	if zone := s.record.Spec.Selector.Zone; j.OneZone && s.record.Spec.Selector.SelectsAllOf("", zone) {
-		// The drain empties the whole zone, so the job's tasks there don't bind it to the zone.
+		// All tasks of the job must run in one zone. The drain empties this zone, so the job's
+		// tasks here don't keep the others from moving to another zone.
 		constraints.TasksInZone = withoutZone(constraints.TasksInZone, zone)
 	}
 	has := slices.ContainsFunc(s.provisionableMachines(), constraints.CanRunOn)
@@ -138,7 +140,7 @@
 	return has
 }
 
-// provisionableMachines returns the machine types, by zone, that no drain forbids to provision.
+// provisionableMachines returns a machine of each offering that no drain forbids to provision.
 func (s *drainStep) provisionableMachines() []*placement.Machine {
 	return s.d.cluster.Catalogue.Offerings(func(machineType, zone string) bool {
 		return !s.d.BlocksProvisioning(autoscale.Offering{Type: machineType, Zone: zone})
--- a/internal/drainer/interruptions.go
+++ b/internal/drainer/interruptions.go
@@ -7,9 +7,10 @@
 	"switchshore.example/switchshore/internal/machines"
 )
 
-// RecordInterruption counts the task of an attempt that is about to be removed as interrupted, if
-// the attempt may have run and has not failed, and the task has no other attempt. An attempt that
-// a drain has charged, or that may not have started, adds no usage to the team's window.
+// RecordInterruption records that the task of an attempt is interrupted. It is called before the
+// attempt is removed. It ignores a failed attempt, a task that is done or has another attempt, and an
+// attempt that has certainly not run. The interruption adds usage to the team's budget unless a drain
+// has charged it already or the attempt may not have started.
 func (d *Drainer) RecordInterruption(now time.Time, a *machines.Attempt) {
 	j := a.Job
 	if d.ledger == nil || !j.NeedsTask(int(a.Index)) || j.AllocationsOf(a.Index) > 1 || a.HasFailed() {
@@ -23,8 +24,8 @@
 	}
 }
 
-// RecordTaskRunning counts an interrupted task as running again, unless the attempt is one that a
-// drain is about to stop.
+// RecordTaskRunning records that an interrupted task runs again, as the given attempt. It ignores an
+// attempt that a drain is about to stop.
 func (d *Drainer) RecordTaskRunning(a *machines.Attempt) {
 	if d.ledger == nil || a.IsEvicting() || d.ledger.IsCharged(a.Number()) && a.Machine.CordonedFor(machines.CordonDrained) {
 		return
@@ -32,14 +33,14 @@
 	d.ledger.RecordAvailable(a.Job.ID, a.Index)
 }
 
-// RecordTaskDone counts an interrupted task as done: it is no longer unavailable.
+// RecordTaskDone records that a task is done, so it no longer counts as unavailable.
 func (d *Drainer) RecordTaskDone(j *jobs.Job, index int32) {
 	if d.ledger != nil {
 		d.ledger.RecordAvailable(j.ID, index)
 	}
 }
 
-// RecordJobEnd removes the tasks of an ended job from the unavailable ones.
+// RecordJobEnd records that a job has ended, so its tasks no longer count as unavailable.
 func (d *Drainer) RecordJobEnd(j *jobs.Job) {
 	if d.ledger != nil {
 		d.ledger.RecordJobEnd(j.ID)
--- a/internal/drainer/replacements.go
+++ b/internal/drainer/replacements.go
@@ -12,14 +12,15 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// replacementCount counts the replacements of a batch by machine type: those needed, those ready,
-// and those provisioned that are not ready yet.
+// replacementCount counts the replacements of a batch by machine type. notReady counts those that were
+// provisioned but are not ready yet.
 type replacementCount struct {
 	needed, ready, notReady map[string]int
 }
 
-// countReplacements counts the replacements of a batch. A replacement is ready once it is
-// schedulable. Replacements that are being released or will not become schedulable don't count.
+// countReplacements counts the replacements of a batch. Each machine of the batch needs one of its
+// type. A replacement is ready once it is schedulable. Replacements that are being released, or that
+// will be, don't count.
 func (d *Drainer) countReplacements(now time.Time, b *drain.Batch) replacementCount {
 	n := replacementCount{map[string]int{}, map[string]int{}, map[string]int{}}
 	for _, name := range b.Machines {
@@ -40,12 +41,12 @@
 	return n
 }
 
-// missingOfType returns the number of replacements of a type that are yet to be provisioned.
+// missingOfType returns the number of replacements of a type that have not been provisioned yet.
 func (n *replacementCount) missingOfType(machineType string) int {
 	return max(0, n.needed[machineType]-n.ready[machineType]-n.notReady[machineType])
 }
 
-// allReady reports whether every machine of the batch has a replacement that is ready.
+// allReady reports whether as many replacements of each type are ready as are needed.
 func (n *replacementCount) allReady() bool {
 	for machineType, needed := range n.needed {
 		if n.ready[machineType] < needed {
@@ -55,8 +56,8 @@
 	return true
 }
 
-// cordonOnceReplaced cordons the batch once its replacements are ready. If they are not ready
-// within ReplacementTimeout, it pauses the drain.
+// cordonOnceReplaced cordons the batch if all of its replacements are ready, and otherwise records that
+// the drain waits for them. After tuning.ReplacementTimeout it pauses the drain.
 func (s *drainStep) cordonOnceReplaced() {
 	n := s.d.countReplacements(s.now, s.record.Batch)
 	switch {
@@ -71,14 +72,15 @@
 	}
 }
 
-// cordonBatch cordons the machines of the batch and stores that.
+// cordonBatch cordons the machines of the batch and stores the record.
 func (s *drainStep) cordonBatch() {
 	s.record.Batch.Cordoned, s.record.Batch.SinceMS = true, s.wall.UnixMilli()
 	s.applyBatchCordon()
 	s.d.storeDrain(s.record, nil)
 }
 
-// drainWaitingForReplacements returns the drain whose batch waits for replacements, nil if there is none.
+// drainWaitingForReplacements returns the drain whose batch waits for replacements, or nil if there is
+// none.
 func (d *Drainer) drainWaitingForReplacements() *storedDrain {
 	for _, r := range d.drains {
 		if r.durable && r.State == drain.Running && r.Batch != nil && !r.Batch.Cordoned {
@@ -88,13 +90,13 @@
 	return nil
 }
 
-// ReplacementCalls returns the cloud calls that provision the replacements missing for the running
-// drain's batch.
+// ReplacementCalls returns the cloud calls that provision the missing replacements for the batch of
+// the running drain. It returns none while such a call is in flight.
 func (d *Drainer) ReplacementCalls(now time.Time) []scaling.CloudCall {
 	r := d.drainWaitingForReplacements()
 	if r == nil || !d.cluster.MachineListCurrent() {
-		// Before the lists are complete, a new leader could provision a second time what an
-		// earlier leader has provisioned and no list shows yet.
+		// An earlier leader may have provisioned replacements that no machine list shows yet. Without
+		// this check, a new leader could provision them a second time.
 		return nil
 	}
 	if d.cluster.Scaler.AnyProvisionInFlight(func(p *scaling.InFlightProvision) bool { return p.ReplacementFor != "" }) {
@@ -114,8 +116,9 @@
 	return calls
 }
 
-// replacementOffering returns the offer from which to provision a replacement of a type. It prefers
-// the zone of the replaced machine, then any other zone, and falls back from spot to on-demand.
+// replacementOffering returns the offering of which to provision a replacement of a type, and false if
+// none can be provisioned now. It prefers the zone of the replaced machine to other zones. For a spot
+// machine it tries the spot offerings of all zones before the on-demand ones.
 func (d *Drainer) replacementOffering(now time.Time, b *drain.Batch, machineType string) (autoscale.Offering, bool) {
 	i := slices.IndexFunc(b.Machines, func(name string) bool {
 		m := d.cluster.Machines.Get(name)
@@ -134,13 +137,14 @@
 	return autoscale.Offering{}, false
 }
 
-// AddReplacements adds machines that were provisioned for a drain to its current batch.
+// AddReplacements records machines that were provisioned for a drain as replacements of its current
+// batch.
 func (d *Drainer) AddReplacements(drainName string, machineIDs []string) {
 	r := d.drains[drainName]
 	if r == nil || r.Batch == nil || len(machineIDs) == 0 {
 		return
 	}
-	// Replacements that no longer exist would only take space in the record.
+	// Replacements that no longer exist would only make the record larger.
 	r.Batch.Replacements = slices.DeleteFunc(r.Batch.Replacements, d.noLongerExists)
 	r.Batch.Replacements = append(r.Batch.Replacements, machineIDs...)
 	r.Counts.Replacements += len(machineIDs)
--- a/internal/drainer/requests.go
+++ b/internal/drainer/requests.go
@@ -11,8 +11,8 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Handle carries out an operator's request. It calls respond with the response once the change
-// that the response reports is durable. wall is the wall-clock time.
+// Handle executes an operator's request and calls respond with the response. If the response reports a
+// change, it calls respond only once the change is durable. wall is the wall-clock time.
 func (d *Drainer) Handle(now, wall time.Time, request *drain.Request, respond func(drain.Response)) {
 	switch {
 	case d.config.Budgets == nil:
@@ -26,7 +26,7 @@
 	}
 }
 
-// apply accepts a new drain. A repeated request with an equal spec changes nothing.
+// apply accepts a new drain. If a drain with an equal spec exists already, it changes nothing.
 func (d *Drainer) apply(now, wall time.Time, request *drain.Request, respond func(drain.Response)) {
 	if request.Spec == nil {
 		respond(drain.Response{Status: http.StatusBadRequest, Reason: "no drain is given"})
@@ -50,7 +50,7 @@
 	})
 }
 
-// checkNewDrain returns the response that refuses a new drain, nil if the drain is acceptable.
+// checkNewDrain returns the response that rejects a new drain, or nil if the drain is acceptable.
 func (d *Drainer) checkNewDrain(wall time.Time, s *drain.Spec) *drain.Response {
 	if !d.cluster.MachinesKnown() {
 		return &drain.Response{Status: http.StatusServiceUnavailable, Reason: "the machines are not known yet"}
@@ -77,15 +77,16 @@
 	return nil
 }
 
-// maxRecordSize estimates the maximum size in bytes of a drain's record, which it has with a full
-// batch and all of its replacements.
+// maxRecordSize estimates the maximum size, in bytes, of the record of a drain. The record is largest
+// while it names the machines of a full batch and a replacement for each of them.
 func maxRecordSize(s *drain.Spec) int {
 	const fixedBytes = 512 // counts, reason and state
 	return len(drain.NewRecord(*s, time.Time{}).Encode()) + fixedBytes + 2*s.BatchSize*tuning.DrainMachineNameBytes
 }
 
-// ensureRecordCapacity reports whether another drain can be stored. At MaxDrainRecords it deletes
-// the oldest ended drain first; a completed drain that still blocks provisioning is kept.
+// ensureRecordCapacity reports whether another drain can be stored. If MaxDrainRecords drains are
+// stored, it deletes the oldest one that has ended. It keeps a drain that is done but still blocks
+// provisioning.
 func (d *Drainer) ensureRecordCapacity() bool {
 	if len(d.drains) < tuning.MaxDrainRecords {
 		return true
@@ -100,7 +101,7 @@
 	return false
 }
 
-// handleExisting carries out a request about one stored drain.
+// handleExisting executes a request about one stored drain.
 func (d *Drainer) handleExisting(now, wall time.Time, request *drain.Request, respond func(drain.Response)) {
 	r := d.drains[request.Name]
 	if r == nil || !r.durable {
@@ -133,8 +134,8 @@
 	d.storeDrain(r, respondStatus)
 }
 
-// cancel cancels a drain: its machines are schedulable again, and attempts whose stops have not
-// been sent go on running.
+// cancel cancels a drain. It removes the drain's cordon from the machines of the batch, and attempts
+// whose stops have not been sent yet are no longer evicted.
 func (d *Drainer) cancel(r *storedDrain) {
 	var drained []string
 	if r.Batch != nil {
@@ -157,7 +158,7 @@
 	d.cluster.RequestSchedulingPass()
 }
 
-// statuses returns the statuses of all durable drains, oldest first, without the teams' usage.
+// statuses returns the status of every durable drain, oldest first, without the teams' usage.
 func (d *Drainer) statuses(now, wall time.Time) []drain.Status {
 	all := d.sortedRecords()
 	list := make([]drain.Status, 0, len(all))
@@ -171,7 +172,7 @@
 	return list
 }
 
-// status returns the status of a drain for operators.
+// status returns the status of a drain as shown to operators.
 func (d *Drainer) status(now, wall time.Time, r *storedDrain) drain.Status {
 	status := drain.Status{Spec: r.Spec, State: r.State, Reason: r.Reason.String(), Counts: r.Counts}
 	if r.Batch != nil {
--- a/internal/drainer/step.go
+++ b/internal/drainer/step.go
@@ -8,17 +8,19 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// drainStep is the state of one drainStep of the running drain.
+// drainStep is the state of one step of the running drain. now and wall are the same moment on the
+// monotonic clock and as wall-clock time.
 type drainStep struct {
 	d         *Drainer
 	record    *storedDrain
 	now, wall time.Time
-	// hasAlternativeByJob caches whether a task of the job could run on machines that are not drained.
+	// hasAlternativeByJob caches the results of hasAlternative.
 	hasAlternativeByJob map[*jobs.Job]bool
 }
 
-// Advance carries out the next step of the running drain, at most one in each
-// DrainStepInterval; wall is the wall-clock time. Only a leader that may act calls it.
+// Advance runs the next step of the running drain, at most once per DrainStepInterval, and starts a
+// pending drain if none is running. It must be called only while the leader has authority. wall is the
+// wall-clock time.
 func (d *Drainer) Advance(now, wall time.Time) {
 	if d.config.Budgets == nil || now.Before(d.nextStepAt) {
 		return
@@ -40,8 +42,8 @@
 	s.advance()
 }
 
-// advance starts a batch if there is none, waits for the replacements of a batch that is not
-// cordoned, or evicts tasks of a cordoned one.
+// advance starts a batch if there is none. It evicts tasks of a cordoned batch. It cordons any other
+// batch once its replacements are ready.
 func (s *drainStep) advance() {
 	if s.record.Batch == nil {
 		s.beginBatch()
@@ -57,15 +59,15 @@
 	}
 }
 
-// setWaitReason records why the drain makes no progress. If that pauses the drain as its
-// deadline has passed, the pause is logged and stored.
+// setWaitReason records why the drain waits. A drain whose deadline has passed may be paused by that;
+// the pause is then logged and stored.
 func (s *drainStep) setWaitReason(cause drain.Cause, team string) {
 	if s.record.SetWaitReason(s.wall, drain.Reason{Cause: cause, Team: team}) {
 		s.logAndStorePaused()
 	}
 }
 
-// logAndStorePaused logs and stores that the drain was paused.
+// logAndStorePaused logs that the drain was paused and stores its record.
 func (s *drainStep) logAndStorePaused() {
 	s.d.log.Info().Str("drain", s.record.Spec.Name).Stringer("reason", s.record.Reason).Msg("drain paused")
 	s.d.storeDrain(s.record, nil)
--- a/internal/drainer/store.go
+++ b/internal/drainer/store.go
@@ -9,15 +9,14 @@
 	"switchshore.example/switchshore/internal/records"
 )
 
-// loadedCharge is a charge stored by an earlier leader; at is when it was made, on the steady
-// clock.
+// loadedCharge is a charge that an earlier leader stored.
 type loadedCharge struct {
 	key       string
 	charge    *drain.Charge
-	chargedAt time.Time
+	chargedAt time.Time // on the monotonic clock
 }
 
-// LoadDrain loads a stored drain. It returns the errors of drain.DecodeRecord.
+// LoadDrain loads the stored drain with the given name. It returns the errors of drain.DecodeRecord.
 func (d *Drainer) LoadDrain(name string, value json.RawMessage) error {
 	if d.config.Budgets == nil {
 		return nil
@@ -31,8 +30,9 @@
 	return nil
 }
 
-// LoadCharge loads a stored charge. wall and now, the same moment on both clocks, convert the
-// charge's wall-clock time to the steady clock. It returns the errors of drain.DecodeCharge.
+// LoadCharge loads the charge stored under key. now and wall must be the same moment on the monotonic
+// clock and as wall-clock time: the charge's wall-clock time is converted by their difference.
+// LoadCharge returns the errors of drain.DecodeCharge.
 func (d *Drainer) LoadCharge(now, wall time.Time, key string, value json.RawMessage) error {
 	if d.config.Budgets == nil {
 		return nil
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// FinishLoading records the loaded charges in the ledger and cordons the machines that the loaded
-// drains have cordoned. It is called before the first placement.
+// FinishLoading adds the loaded charges to the ledger, and cordons the machines of the loaded drains
+// again. It must be called before the first placement, so that no task is placed on these machines.
 func (d *Drainer) FinishLoading() {
 	for _, loaded := range d.loadedCharges {
 		d.ledger.RecordCharge(loaded.key, loaded.charge, loaded.chargedAt, d.teamOfAttempt)
@@ -58,7 +58,7 @@
 	}
 }
 
-// teamOfAttempt returns the team of an attempt's task unless the task has ended.
+// teamOfAttempt returns the team of an attempt's task, or false if the task has ended.
 func (d *Drainer) teamOfAttempt(a drain.Attempt) (string, bool) {
 	j := d.cluster.Job(a.Job)
 	if j == nil || a.Index < 0 || int(a.Index) >= j.Tasks || !j.NeedsTask(int(a.Index)) {
@@ -67,8 +67,8 @@
 	return j.Team, true
 }
 
-// storeDrain queues the write of a drain's record and calls onDurable, if set, once the record is
-// durable.
+// storeDrain queues the write of a drain's record. Once the record is durable, it calls onDurable
+// unless that is nil.
 func (d *Drainer) storeDrain(r *storedDrain, onDurable func()) {
 	d.cluster.Writes.Interactive.Put(records.DrainKey(r.Spec.Name), r.Encode(), func() {
 		r.durable = true
@@ -78,8 +78,8 @@
 	})
 }
 
-// storeCharge records a charge in the ledger and queues its write. It calls onDurable once the
-// charge is durable.
+// storeCharge adds a charge to the ledger and queues its write. Once the charge is durable, it calls
+// onDurable.
 func (d *Drainer) storeCharge(now time.Time, charge *drain.Charge, onDurable func()) {
 	d.lastChargeNumber++
 	key := records.ChargeKey(d.config.Term, d.lastChargeNumber)
@@ -87,7 +87,7 @@
 	d.cluster.Writes.Interactive.Put(key, charge.Encode(), onDurable)
 }
 
-// expireCharges deletes the stored charges that no longer count.
+// expireCharges deletes the stored charges that are no longer needed.
 func (d *Drainer) expireCharges(wall time.Time) {
 	keys := d.ledger.Expire(wall)
 	slices.Sort(keys)
--- a/internal/scaling/plan_input.go
+++ b/internal/scaling/plan_input.go
@@ -11,7 +11,8 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// planInput returns the snapshot of demand and machines from which the planner decides.
+// planInput returns the snapshot of demand and machines on which the plan is based. It also adds a
+// sample of the CPUs in use to the history.
 func (s *Scaler) planInput(now time.Time) autoscale.Input {
 	return autoscale.Input{
 		MachineTypes:    s.cluster.Catalogue.OfferedTypes(),
@@ -39,7 +40,7 @@
 	return busy
 }
 
-// existingMachines returns all machines that are not being released, in the form the planner uses.
+// existingMachines returns snapshots of all machines that are not being released.
 func (s *Scaler) existingMachines(now time.Time) []autoscale.Machine {
 	list := make([]autoscale.Machine, 0, s.cluster.Machines.Len())
 	for _, m := range s.cluster.Machines.All() {
@@ -50,7 +51,7 @@
 	return list
 }
 
-// toPlannerMachine converts a machine to the form the planner uses.
+// toPlannerMachine returns the planner's snapshot of a machine.
 func (s *Scaler) toPlannerMachine(now time.Time, m *machines.Machine) autoscale.Machine {
 	snapshot := autoscale.Machine{
 		ID:          m.ID,
@@ -73,8 +74,8 @@
 	return snapshot
 }
 
-// requestedMachines returns one machine for each that is requested in a provision call in flight, so
-// that the planner does not provision for the same demand twice.
+// requestedMachines returns a snapshot for every machine that a provision call in flight requests.
+// Without them, the planner would provision machines for the same demand twice.
 func (s *Scaler) requestedMachines() []autoscale.Machine {
 	var list []autoscale.Machine
 	for _, requestID := range slices.Sorted(maps.Keys(s.provisionsInFlight)) {
--- a/internal/scaling/scale_in.go
+++ b/internal/scaling/scale_in.go
@@ -6,14 +6,14 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// ReleaseInFlight reports whether a release call is in flight. The caller then puts off further
-// releases and later sends them in one batch, which leaves more of the call budget for
-// provisioning.
+// ReleaseInFlight reports whether a release call is in flight. Until it returns, the caller makes no
+// further release calls. Later releases then share a call, which leaves more of the cloud's rate limit
+// for provision calls.
 func (s *Scaler) ReleaseInFlight() bool { return s.releasesInFlight > 0 }
 
-// ScaleIn marks the named machines as being released and returns the release calls for them.
-// names lists the most urgent machines first; those beyond the limit of calls in flight are
-// left for a later call.
+// ScaleIn marks the named machines as being released and returns the release calls for them. names
+// lists the most urgent machines first. ScaleIn leaves out the machines that exceed the limit of
+// release calls in flight; the caller names them again later.
 func (s *Scaler) ScaleIn(names []string) []CloudCall {
 	maxMachines := tuning.MaxReleaseCount * max(1, int(s.config.CloudRPS*tuning.CloudCallShare*tuning.ReleasesInFlight))
 	var releasing []string
--- a/internal/scaling/scale_out.go
+++ b/internal/scaling/scale_out.go
@@ -12,8 +12,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// ScaleOut returns the provision calls for the wanted machines, up to the limit of calls in
-// flight.
+// ScaleOut returns provision calls for the wanted number of machines of each offering, up to the limit
+// of provision calls in flight.
 func (s *Scaler) ScaleOut(now time.Time, wanted map[autoscale.Offering]int) []CloudCall {
 	maxCalls := max(1, int(s.config.CloudRPS*tuning.CloudCallShare*tuning.ProvisionsInFlight))
 	var calls []CloudCall
@@ -26,8 +26,9 @@
 	return calls
 }
 
-// Provision returns the call that provisions machines of an offer and records it as in flight.
-// replacementFor is the name of the drain whose machines they replace, or "".
+// Provision returns a call that provisions machines of an offering, and records it as in flight. It
+// requests at most tuning.MaxProvisionCount machines. replacementFor is the name of the drain whose
+// machines they replace, or "".
 func (s *Scaler) Provision(now time.Time, o autoscale.Offering, count int, replacementFor string) CloudCall {
 	s.lastRequestNumber++
 	r := wire.ProvisionRequest{
@@ -41,7 +42,7 @@
 	return CloudCall{Op: CloudProvision, Provision: r}
 }
 
-// compareOfferings orders spot offers first, then by type and zone.
+// compareOfferings sorts spot offerings before on-demand ones, and then by type and zone.
 func compareOfferings(a, b autoscale.Offering) int {
 	if a.Spot != b.Spot {
 		if a.Spot {
@@ -52,16 +53,15 @@
 	return cmp.Or(cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone))
 }
 
-// CanProvision reports whether machines of an offer may be provisioned now: the cloud has not
-// recently run out of capacity for the offer, the zone is not partitioned, and no drain blocks
-// the offer.
+// CanProvision reports whether machines of an offering may be provisioned now: the cloud has not
+// recently run out of capacity for the offering, its zone is not partitioned, and no drain forbids it.
 func (s *Scaler) CanProvision(now time.Time, o autoscale.Offering) bool {
 	return !now.Before(s.unavailableUntil[o]) && !s.cluster.Partitioned(now, o.Zone) && !s.cluster.BlockedByDrain(o)
 }
 
-// FinishProvision records the number of machines that a provision call returned, and returns the
-// call, or nil if it is not in flight. If the cloud returned fewer machines than requested, the
-// offer counts as unavailable for tuning.UnavailableOfferBackoff.
+// FinishProvision records that a provision call has returned, with the number of received machines. It
+// returns the call, or nil if the call is not in flight. If the cloud returned fewer machines than
+// requested, the offering can't be provisioned for tuning.UnavailableOfferingBackoff.
 func (s *Scaler) FinishProvision(now time.Time, r wire.ProvisionRequest, received int) *InFlightProvision {
 	p := s.provisionsInFlight[r.RequestID]
 	delete(s.provisionsInFlight, r.RequestID)
@@ -71,7 +71,7 @@
 	return p
 }
 
-// AnyProvisionInFlight reports whether any provision call in flight matches.
+// AnyProvisionInFlight reports whether matches returns true for any provision call in flight.
 func (s *Scaler) AnyProvisionInFlight(matches func(*InFlightProvision) bool) bool {
 	for _, p := range s.provisionsInFlight {
 		if matches(p) {
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -1,6 +1,6 @@
-// Package scaling decides when to provision and release machines, and tracks the cloud calls in
-// flight. It reads no clock and does no I/O: it returns the calls for the caller to make, and the
-// caller passes in their results.
+// Package scaling turns the plans of package autoscale into cloud calls that provision and release
+// machines, and tracks the calls in flight. It reads no clock and does no I/O: the caller makes the
+// calls that it returns, and passes in their results.
 package scaling
 
 import (
@@ -28,13 +28,13 @@
 	Release   []string              // names of machines, for CloudRelease
 }
 
-// Config holds the leader's term and the settings for scaling.
+// Config holds the settings of a scaler.
 type Config struct {
-	Term     uint64
+	Term     uint64  // of this leader; part of the request IDs
 	CloudRPS float64 // the cloud's rate limit, in requests per second
 	// MaxMachines limits the number of machines; 0 means no limit.
 	MaxMachines int
-	// ScaleInIdleTime is how long a machine must be idle before it is released.
+	// ScaleInIdleTime is how long a machine must have been idle before it is released.
 	ScaleInIdleTime time.Duration
 }
 
@@ -42,28 +42,30 @@
 type Cluster struct {
 	Machines  *machines.Registry
 	Catalogue *machines.Catalogue
-	// Demand returns the work that is waiting for capacity.
+	// Demand returns the tasks that wait for capacity.
 	Demand func(now time.Time) []autoscale.Demand
 	// HeartbeatOverdue reports whether a machine's heartbeat is overdue.
 	HeartbeatOverdue func(now time.Time, m *machines.Machine) bool
 	// RemainingS returns the estimated remaining run time of an attempt, in seconds.
 	RemainingS func(now time.Time, a *machines.Attempt) float64
-	// IsReplacement reports whether a machine was provisioned as a replacement for an active drain.
+	// IsReplacement reports whether a machine was provisioned as a replacement for the current batch
+	// of the running drain.
 	IsReplacement func(id string) bool
-	// BlockedByDrain reports whether an active drain forbids provisioning machines of an offer.
+	// BlockedByDrain reports whether a drain forbids provisioning machines of an offering.
 	BlockedByDrain func(autoscale.Offering) bool
 	// Partitioned reports whether a zone appears to be unreachable over the network.
 	Partitioned func(now time.Time, zone string) bool
 }
 
-// Scaler plans scaling, and tracks cloud calls in flight and offers without capacity.
+// Scaler plans scaling. It tracks the cloud calls in flight, and the offerings for which the cloud has
+// run out of capacity.
 type Scaler struct {
 	config             Config
 	cluster            Cluster
 	History            DemandHistory
-	unavailableUntil   map[autoscale.Offering]time.Time // when the offer may be requested again
-	lastRequestNumber  uint64                           // number of the last provision request in this term
-	provisionsInFlight map[string]*InFlightProvision    // provision calls in flight, by request ID
+	unavailableUntil   map[autoscale.Offering]time.Time // when the offering may be requested again
+	lastRequestNumber  uint64                           // of a provision call in this term
+	provisionsInFlight map[string]*InFlightProvision    // by request ID
 	releasesInFlight   int
 	nextPlanAt         time.Time
 }
@@ -77,7 +79,7 @@
 	ReplacementFor string
 }
 
-// New returns a scaler with no calls in flight.
+// New returns a scaler without calls in flight.
 func New(config Config, cluster Cluster) *Scaler {
 	return &Scaler{
 		config:             config,
@@ -87,8 +89,8 @@
 	}
 }
 
-// StartPlanIfDue reports whether the next plan is due. If so, it schedules the following one after
-// tuning.ScalingInterval.
+// StartPlanIfDue reports whether a plan is due. If so, the caller must plan now, and the next plan is due
+// after tuning.ScalingInterval.
 func (s *Scaler) StartPlanIfDue(now time.Time) bool {
 	if now.Before(s.nextPlanAt) {
 		return false
@@ -97,8 +99,8 @@
 	return true
 }
 
-// Plan returns how many machines of each offer to provision, beyond existing and requested ones,
-// and which machines to release.
+// Plan returns how many machines of each offering to provision in addition to existing and requested
+// ones, and which machines to release.
 func (s *Scaler) Plan(now time.Time) autoscale.Plan {
 	return autoscale.NewPlan(s.planInput(now))
 }
