--- a/internal/autoscale/plan_test.go
+++ b/internal/autoscale/plan_test.go
@@ -9,9 +9,9 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// TestScaleInWhileScalingOut: one plan provisions a machine in the zone that the
-// demand requires, keeps the idle machine there, and releases the idle machines
-// of the other zone.
+// TestScaleInWhileScalingOut: a single plan provisions a machine in the zone that the
+// demand requires, keeps the idle machine there, and releases the idle machines of
+// the other zone.
 func TestScaleInWhileScalingOut(t *testing.T) {
 	capacity := placement.Resources{CPUs: 8, MemoryGB: 32}
 	idle := func(id, zone string) Machine {
@@ -33,9 +33,9 @@
 	}
 }
 
-// TestAvoidedMachineIsNotCapacity: the planner does not count a machine on which a
-// job has failed as capacity for the job. Otherwise, if it were the only machine,
-// the job would wait forever.
+// TestAvoidedMachineIsNotCapacity: the planner does not count a machine on which a job
+// has failed as capacity for that job. Otherwise the job would wait forever if there
+// were no other machine.
 func TestAvoidedMachineIsNotCapacity(t *testing.T) {
 	capacity := placement.Resources{CPUs: 8, MemoryGB: 32}
 	for _, c := range []struct {
@@ -49,15 +49,15 @@
 			Unavailable:  func(Offering) bool { return false },
 		})
 		if n := plan.ScaleOut[Offering{Type: "t", Zone: "a"}]; n != c.scaleOut {
-			t.Errorf("avoiding %v: %d machines provisioned", c.avoid, n)
+			t.Errorf("avoiding machines %v: got %d machines to provision, want another number", c.avoid, n)
 		}
 	}
 }
 
-// TestScaleOutCoversArrivals: while tasks wait that the existing machines could
-// start in time, machines of the cheapest offer are provisioned until the CPUs
-// cover the inflow. No machines of more expensive offers are provisioned, and none
-// at all while the tasks fit into free CPUs.
+// TestScaleOutCoversArrivals: even if the existing machines could start all waiting
+// tasks in time, the plan provisions machines of the cheapest offering until there are
+// as many CPUs as ArrivalCPUs. It provisions no machines of more expensive offerings,
+// and none at all if the tasks fit into the free CPUs.
 func TestScaleOutCoversArrivals(t *testing.T) {
 	capacity := placement.Resources{CPUs: 8, MemoryGB: 32}
 	scaleOut := func(inflow float64, tasks int, unavailable bool) map[Offering]int {
@@ -85,7 +85,7 @@
 		{inflow: 104, tasks: 50, unavailable: true},
 	} {
 		if got := scaleOut(c.inflow, c.tasks, c.unavailable); got[spot] != c.spot || got[onDemand] != 0 {
-			t.Errorf("%+v: %v", c, got)
+			t.Errorf("%+v: got machines %v to provision, want as many spot machines as the case says and no others", c, got)
 		}
 	}
 }
--- a/internal/drain/eviction_test.go
+++ b/internal/drain/eviction_test.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// candidate returns a candidate with a number that identifies its task and attempt.
+// candidate returns a candidate of job-1; number is both its task index and its attempt number.
 func candidate(team string, number uint64, lossS float64) Candidate {
 	return Candidate{Team: team, Attempt: Attempt{Job: "job-1", Index: int32(number), Number: number}, LostS: lossS}
 }
 
-// TestEvictions checks that candidates are evicted in ascending order of loss until a bound of the
-// budget is reached, and that Choose returns the cause that blocks the others.
+// TestEvictions checks that Choose evicts candidates in ascending order of lost run time until a limit of
+// the budget is reached, that it returns the cause that blocks the others, and that it keeps the charge
+// within the maximum size.
 func TestEvictions(t *testing.T) {
 	budgets := &Budgets{Window: time.Minute, Default: Budget{MaxUnavailable: 2, Evictions: 3, LostS: 100}}
 	candidates := []Candidate{candidate("blue", 1, 60), candidate("blue", 2, 30), candidate("blue", 3, 10)}
@@ -35,13 +36,13 @@
 		evictor := Evictor{Ledger: NewLedger(b.Window), Budgets: &b, Force: c.force, Now: testNow, MaxChargeBytes: 10_000}
 		reason := evictor.Choose(charge, list)
 		if len(charge.Attempts) != c.stops || reason.Cause != c.cause {
-			t.Errorf("%s: %d stops, %v", name, len(charge.Attempts), reason)
+			t.Errorf("%s: got %d evictions and reason %v", name, len(charge.Attempts), reason)
 		}
 	}
 	charge := NewCharge("zone-a", testNow)
 	evictor := Evictor{Ledger: NewLedger(time.Minute), Budgets: &Budgets{Default: Budget{9, 9, 1e6}}, Now: testNow, MaxChargeBytes: 400}
 	evictor.Choose(charge, candidates)
 	if n := len(charge.Encode()); len(charge.Attempts) == 0 || len(charge.Attempts) == 3 || n > 400 {
-		t.Errorf("charge limited to 400 bytes: %d attempts in %d bytes", len(charge.Attempts), n)
+		t.Errorf("charge limited to 400 bytes: got %d attempts in %d bytes, want 1 or 2 attempts within the limit", len(charge.Attempts), n)
 	}
 }
--- a/internal/drain/file_test.go
+++ b/internal/drain/file_test.go
@@ -7,17 +7,19 @@
 	"time"
 )
 
+// testNow is the wall-clock time of the tests.
 var testNow = time.Date(2026, 12, 2, 20, 0, 0, 0, time.UTC)
 
+// validDrain is a file with a drain that is valid at testNow.
 const validDrain = `<drain name="zone-a"><selector><zone>a</zone></selector><batchSize>5</batchSize>
 <deadline>2026-12-03T04:00:00Z</deadline><replace>yes</replace><force>yes</force></drain>`
 
-// TestParse checks that a valid file yields its drain, and that the error of an invalid one names
-// the field.
+// TestParse checks that Parse returns the drain of a valid file, and that the error for an invalid file
+// names the invalid field.
 func TestParse(t *testing.T) {
 	s, err := Parse([]byte(validDrain), testNow)
 	if err != nil || s.Name != "zone-a" || s.Selector.Zone != "a" || s.BatchSize != 5 || !s.Replace || !s.Force || s.Deadline.Hour() != 4 {
-		t.Fatalf("%+v, %v", s, err)
+		t.Fatalf("got %+v, %v, want the drain of validDrain", s, err)
 	}
 	for name, c := range map[string]struct{ from, to, field string }{
 		"unknown element":        {"<batchSize>", "<speed>1</speed><batchSize>", "drain/speed"},
@@ -38,18 +40,18 @@
 		_, err := Parse([]byte(strings.Replace(validDrain, c.from, c.to, 1)), testNow)
 		var invalid *FieldError
 		if !errors.As(err, &invalid) || !strings.HasPrefix(invalid.Field, c.field) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v, want a FieldError for the field of this case", name, err)
 		}
 	}
 	for _, text := range []string{"", "<drain", "<cluster/>", validDrain + validDrain, "{}"} {
 		if _, err := Parse([]byte(text), testNow); err == nil {
-			t.Errorf("%q was accepted", text)
+			t.Errorf("%q: got no error, want one", text)
 		}
 	}
 }
 
-// FuzzDecode checks that decoding arbitrary files and stored records yields a valid value or an
-// error.
+// FuzzDecode checks that Parse, DecodeRecord and DecodeCharge return a valid value or an error for any
+// input, and that a decoded record can be encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(validDrain))
 	s, _ := Parse([]byte(validDrain), testNow)
@@ -57,11 +59,11 @@
 	f.Add([]byte(`{"drain":"zone-a","at":1,"teams":{"blue":{"evictions":1,"lostS":2}},"attempts":[{"job":"job-1","index":0,"attempt":7}]}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if s, err := Parse(data, testNow); err == nil && (s.Selector.isEmpty() || s.BatchSize < 1) {
-			t.Errorf("parsed an invalid drain: %+v", s)
+			t.Errorf("Parse returned an invalid drain: %+v", s)
 		}
 		if r, err := DecodeRecord("zone-a", data); err == nil {
 			if again, err := DecodeRecord("zone-a", r.Encode()); err != nil || again.State != r.State {
-				t.Errorf("%v: %+v", err, r)
+				t.Errorf("decoded again: got error %v or another state, want the record %+v", err, r)
 			}
 		}
 		if c, err := DecodeCharge(data); err == nil {
--- a/internal/drain/ledger_test.go
+++ b/internal/drain/ledger_test.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// alwaysTeamBlue reports that a task has not ended and belongs to team blue.
+// alwaysTeamBlue is a teamOf function by which no task has ended and every task is of team blue.
 func alwaysTeamBlue(Attempt) (string, bool) { return "blue", true }
 
-// TestLedgerAgainstEventList compares the ledger with a list of all events after random
-// interruptions, charges, restarts and expirations: its usage is at least that of the events
-// within the window, and the same tasks are unavailable.
+// TestLedgerAgainstEventList compares the ledger with a list of all events, after each of a random
+// sequence of interruptions, charges, expirations, and tasks that become available again. The ledger's
+// usage must be at least that of the events within the window, and it must count the same tasks as
+// unavailable.
 func TestLedgerAgainstEventList(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -29,7 +30,7 @@
 			index := int32(rng.IntN(20))
 			switch rng.IntN(4) {
 			case 0:
-				if !unavailable[index] {
+				if !unavailable[index] { // an unavailable task doesn't run, so the ledger ignores this
 					events = append(events, event{at, 5})
 				}
 				unavailable[index] = true
@@ -55,12 +56,12 @@
 			}
 			used := ledger.Used("blue", at)
 			if used.Evictions < want.Evictions || used.LostS < want.LostS || ledger.Unavailable("blue") != len(unavailable) {
-				t.Fatalf("seed %d step %d: used %+v of %+v, %d unavailable of %d", seed, step, used, want, ledger.Unavailable("blue"), len(unavailable))
+				t.Fatalf("seed %d step %d: used %+v, want at least %+v; %d tasks unavailable, want %d", seed, step, used, want, ledger.Unavailable("blue"), len(unavailable))
 			}
 		}
 		ledger.RecordJobEnd("job-1")
 		if keys := ledger.Expire(at.Add(time.Hour)); len(ledger.chargesByKey) != 0 || len(ledger.chargedAttempts) != 0 || ledger.Unavailable("blue") != 0 {
-			t.Fatalf("not empty after all charges have expired: %v", keys)
+			t.Fatalf("the ledger is not empty after the job has ended and the charges %v have expired", keys)
 		}
 	}
 }
--- a/internal/drain/lifecycle_test.go
+++ b/internal/drain/lifecycle_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestDrainsRunOneAtATime checks that drains run one at a time in the order of their creation, that the next one
-// runs while one is paused, and that a resumed one runs before younger pending ones.
+// TestDrainsRunOneAtATime checks that drains run one at a time, the oldest pending one first, that the
+// next one runs while one is paused, and that a resumed one runs before younger pending ones.
 func TestDrainsRunOneAtATime(t *testing.T) {
 	var all []*Record
 	for i, name := range []string{"c", "a", "b"} {
@@ -33,7 +33,7 @@
 	}
 	order = append(order, runNext())
 	if got := strings.Join(order, ""); got != "caac" {
-		t.Errorf("ran %s", got)
+		t.Errorf("drains ran in the order %s, want caac", got)
 	}
 }
 
@@ -47,15 +47,15 @@
 		reason := Reason{Cause: WaitNoAlternative, Team: "blue"}
 		r.SetWaitReason(testNow, reason)
 		if r.State != Running {
-			t.Fatal("paused before the deadline")
+			t.Fatal("the drain is paused before its deadline")
 		}
 		r.SetWaitReason(testNow.Add(2*time.Minute), Reason{Cause: WaitMachineRelease})
 		if r.State != Running {
-			t.Fatal("paused while its machines are being released")
+			t.Fatal("the drain is paused while it waits for its machines to be released")
 		}
 		r.SetWaitReason(testNow.Add(2*time.Minute), reason)
 		if (r.State == Paused) == force || r.IsForced(testNow.Add(2*time.Minute)) != force || !strings.Contains(r.Reason.String(), "(team blue)") {
-			t.Errorf("force %v: %s, %s", force, r.State, r.Reason)
+			t.Errorf("force %v: got state %s and reason %s, want paused without force only, with the team", force, r.State, r.Reason)
 		}
 	}
 }
--- a/internal/drain/record_test.go
+++ b/internal/drain/record_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// TestDecodeRecord checks that an encoded record decodes to the same drain, and that corrupt
-// records and records of a later version have different errors.
+// TestDecodeRecord checks that a record is the same after it is encoded and decoded, and that corrupt
+// records and records of a later version yield different errors.
 func TestDecodeRecord(t *testing.T) {
 	s, _ := Parse([]byte(validDrain), testNow)
 	r := NewRecord(*s, testNow)
 	r.State, r.Batch = Running, &Batch{Machines: []string{"i-1"}, Cordoned: true}
 	decoded, err := DecodeRecord("zone-a", r.Encode())
 	if err != nil || !decoded.Spec.Equal(s) || decoded.State != Running || !decoded.Cordons("i-1") || decoded.Cordons("i-2") {
-		t.Fatalf("%+v, %v", decoded, err)
+		t.Fatalf("got %+v, %v, want the encoded record", decoded, err)
 	}
 	valid := string(r.Encode())
 	for text, want := range map[string]error{
@@ -27,7 +27,7 @@
 		valid[:len(valid)/2]: ErrUnreadable,
 	} {
 		if _, err := DecodeRecord("zone-a", []byte(text)); !errors.Is(err, want) {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("%s: got error %v, want the one of this case", text, err)
 		}
 	}
 }
--- a/internal/drainer/drainer_test.go
+++ b/internal/drainer/drainer_test.go
@@ -23,9 +23,11 @@
 	"switchshore.example/switchshore/wire"
 )
 
+// testStart is the time at which the tests start, on both clocks.
 var testStart = time.Unix(1_700_000_000, 0)
 
-// fixture has a drainer in a cluster with one machine type in one zone.
+// fixture holds a drainer in a cluster with one machine type in one zone. By default no batch is
+// blocked, and a team's budget allows one eviction.
 type fixture struct {
 	*drainer.Drainer
 	t              *testing.T
@@ -35,7 +37,7 @@
 	scaler         *scaling.Scaler
 	jobs           map[string]*jobs.Job
 	blockedCause   drain.Cause
-	scheduledCalls []string // machines for which a call was scheduled
+	scheduledCalls []string // IDs of the machines to which direct calls were scheduled
 }
 
 func newFixture(t *testing.T) *fixture {
@@ -81,7 +83,7 @@
 	return f
 }
 
-// addMachine adds a machine that is listed and reconciled.
+// addMachine adds a schedulable machine that is listed and reconciled.
 func (f *fixture) addMachine(id string) *machines.Machine {
 	m := machines.New(testStart, id, "std-8", "a", "", false)
 	m.SetCapacity(placement.Resources{CPUs: 8, MemoryGB: 32})
@@ -92,7 +94,7 @@
 	return m
 }
 
-// handleRequest handles a handleRequest, commits its writes and returns the response.
+// handleRequest passes a request to the drainer, commits all writes and returns the response.
 func (f *fixture) handleRequest(request *drain.Request) drain.Response {
 	f.t.Helper()
 	var got drain.Response
@@ -101,23 +103,23 @@
 	return got
 }
 
-// applyDrain requests a drain of the given machines, with a batch size of 1.
+// applyDrain requests a drain named maintenance of the given machines, one at a time.
 func (f *fixture) applyDrain(replace bool, names ...string) {
 	f.t.Helper()
 	r := f.handleRequest(&drain.Request{Action: drain.Apply, Spec: &drain.Spec{
 		Name: "maintenance", BatchSize: 1, Replace: replace, Selector: drain.Selector{Machines: names},
 	}})
 	if r.Status != http.StatusCreated {
-		f.t.Fatalf("%+v", r)
+		f.t.Fatalf("response %+v, want status 201", r)
 	}
 }
 
-// drainStatus returns the status of the drain.
+// drainStatus requests the status of the drain maintenance.
 func (f *fixture) drainStatus() drain.Status {
 	f.t.Helper()
 	r := f.handleRequest(&drain.Request{Action: drain.Show, Name: "maintenance"})
 	if len(r.Drains) != 1 {
-		f.t.Fatalf("%+v", r)
+		f.t.Fatalf("response %+v, want one drain", r)
 	}
 	return r.Drains[0]
 }
@@ -134,20 +136,20 @@
 	return keys
 }
 
-// advance advances the time and then the drain.
+// advance advances the time by d and then runs a step of the drain if one is due.
 func (f *fixture) advance(d time.Duration) {
 	f.now = f.now.Add(d)
 	f.Advance(f.now, f.now)
 }
 
-// confirmRelease removes a machine as if the cloud had confirmed its confirmRelease.
+// confirmRelease removes a machine as if the cloud had confirmed its release.
 func (f *fixture) confirmRelease(id string) {
 	f.registry.MarkReleased(id)
 	f.registry.Remove(f.registry.Get(id))
 }
 
-// TestBatchesRunInSequence checks that a batch stays cordoned until its machines no longer exist,
-// that the next batch is cordoned only then, and that the drain is done after the last one.
+// TestBatchesRunInSequence checks that a batch stays cordoned until its machines no longer exist, that
+// the next batch is cordoned only after that, and that the drain is done after the last batch.
 func TestBatchesRunInSequence(t *testing.T) {
 	f := newFixture(t)
 	for _, id := range []string{"m1", "m2", "m3"} {
@@ -158,11 +160,11 @@
 		f.advance(tuning.DrainBatchInterval)
 		status := f.drainStatus()
 		if status.State != drain.Running || status.Batch == nil || !slices.Equal(status.Batch.Machines, []string{id}) {
-			t.Fatalf("%+v, batch %+v", status, status.Batch)
+			t.Fatalf("got %+v with batch %+v, want a running drain with a batch of one machine", status, status.Batch)
 		}
 		for _, m := range f.registry.All() {
 			if m.CordonedFor(machines.CordonDrained) != (m.ID == id) {
-				t.Errorf("batch of %s: cordon of %s", id, m.ID)
+				t.Errorf("batch of %s: got another cordon of %s, want only the batch cordoned", id, m.ID)
 			}
 		}
 		f.confirmRelease(id)
@@ -170,7 +172,7 @@
 	}
 	f.advance(tuning.DrainBatchInterval)
 	if status := f.drainStatus(); status.State != drain.Done || status.Counts.Machines != 2 || status.Counts.Batches != 2 {
-		t.Errorf("%+v", status)
+		t.Errorf("got %+v, want a drain that is done with 2 machines in 2 batches", status)
 	}
 }
 
@@ -182,17 +184,17 @@
 	f.blockedCause = drain.BlockedByOverload
 	f.advance(tuning.DrainBatchInterval)
 	if status := f.drainStatus(); status.Batch != nil || m.Cordoned() || status.Reason != string(drain.BlockedByOverload) {
-		t.Errorf("%+v", status)
+		t.Errorf("while blocked: got %+v, want no batch and the cause as the reason", status)
 	}
 	f.blockedCause = ""
 	f.advance(tuning.DrainBatchInterval)
 	if status := f.drainStatus(); status.Batch == nil || !m.Cordoned() {
-		t.Errorf("%+v", status)
+		t.Errorf("no longer blocked: got %+v, want a cordoned batch", status)
 	}
 }
 
-// TestEvictionsStayWithinBudget checks that no stop is sent before its charge is durable, and that
-// no second task is stopped while the first one uses up the budget.
+// TestEvictionsStayWithinBudget checks that no attempt is stopped before its charge is durable, and that
+// no second task is evicted once the first eviction has used up the budget.
 func TestEvictionsStayWithinBudget(t *testing.T) {
 	f := newFixture(t)
 	m := f.addMachine("m1")
@@ -208,22 +210,22 @@
 	f.advance(tuning.DrainBatchInterval)
 	f.advance(tuning.DrainCheckpointWait + time.Second)
 	if len(f.scheduledCalls) != 0 {
-		t.Fatal("stopped before the charge is durable")
+		t.Fatal("an attempt was stopped before its charge was durable")
 	}
 	charged := slices.ContainsFunc(f.commitWrites(), func(key string) bool { return strings.HasPrefix(key, records.KindCharge.Prefix()) })
 	stopping := slices.DeleteFunc(slices.Clone(m.Attempts()), func(a *machines.Attempt) bool { return !a.IsStopping() })
 	if !charged || len(f.scheduledCalls) != 1 || len(stopping) != 1 || stopping[0].GracePeriodS() != 5 {
-		t.Fatalf("charged %v, stopped on %v, %d attempts", charged, f.scheduledCalls, len(stopping))
+		t.Fatalf("charge stored: %v, calls to %v, %d attempts stopping; want a stored charge, 1 call, and 1 attempt", charged, f.scheduledCalls, len(stopping))
 	}
 	f.advance(tuning.DrainCheckpointWait)
 	f.commitWrites()
 	if len(f.scheduledCalls) != 1 {
-		t.Error("stopped another one beyond the budget")
+		t.Error("a second attempt was stopped beyond the budget")
 	}
 }
 
-// TestBatchWaitsForReplacements checks that one replacement is provisioned for each machine, only
-// once, and that the batch is cordoned only when the replacement is schedulable.
+// TestBatchWaitsForReplacements checks that a single replacement is provisioned for the machine of the
+// batch, and that the batch is cordoned only once the replacement is schedulable.
 func TestBatchWaitsForReplacements(t *testing.T) {
 	f := newFixture(t)
 	m := f.addMachine("m1")
@@ -231,20 +233,20 @@
 	f.advance(tuning.DrainBatchInterval)
 	calls := f.ReplacementCalls(f.now)
 	if len(calls) != 1 || calls[0].Provision.Type != "std-8" || calls[0].Provision.Count != 1 {
-		t.Fatalf("%+v", calls)
+		t.Fatalf("got calls %+v, want one for one machine of type std-8", calls)
 	}
 	if again := f.ReplacementCalls(f.now); len(again) != 0 {
-		t.Fatalf("provisioned again: %+v", again)
+		t.Fatalf("got further calls %+v, want none while one is in flight", again)
 	}
 	p := f.scaler.FinishProvision(f.now, calls[0].Provision, 1)
 	f.AddReplacements(p.ReplacementFor, []string{"m2"})
 	f.advance(tuning.DrainStepInterval)
 	if m.Cordoned() || !f.IsReplacement("m2") {
-		t.Fatal("cordoned before the replacement is ready")
+		t.Fatal("the batch is cordoned before its replacement is ready, or m2 is not a replacement")
 	}
 	f.addMachine("m2")
 	f.advance(tuning.DrainStepInterval)
 	if !m.CordonedFor(machines.CordonDrained) {
-		t.Error("not cordoned although the replacement is ready")
+		t.Error("the batch is not cordoned although its replacement is ready")
 	}
 }
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -20,8 +20,8 @@
 	onDemandOffering = autoscale.Offering{Type: "std-8", Zone: "a"}
 )
 
-// newScaler returns a scaler for an empty cluster with one machine type in one zone. Its call
-// budget allows a single call of each kind in flight.
+// newScaler returns a scaler for a cluster without machines, with one machine type in one zone. Its
+// rate limit of 0 allows a single provision call and a single release call in flight.
 func newScaler() (*scaling.Scaler, *scaling.Cluster) {
 	cluster := scaling.Cluster{
 		Machines:         machines.NewRegistry(),
@@ -37,8 +37,8 @@
 	return scaling.New(scaling.Config{Term: 5, ScaleInIdleTime: time.Minute}, cluster), &cluster
 }
 
-// TestProvisionCallsInFlightAreLimited: the call budget limits the provision calls in flight, spot
-// offers are requested first, and the next call may be made once one has returned.
+// TestProvisionCallsInFlightAreLimited: the cloud's rate limit bounds the provision calls in flight, spot
+// offerings are requested first, and another call is made only after one has returned.
 func TestProvisionCallsInFlightAreLimited(t *testing.T) {
 	s, _ := newScaler()
 	wanted := map[autoscale.Offering]int{onDemandOffering: 3, spotOffering: 2}
@@ -47,22 +47,22 @@
 		t.Fatalf("calls %+v, want one for 2 spot machines", calls)
 	}
 	if more := s.ScaleOut(testStart, wanted); len(more) != 0 {
-		t.Fatalf("calls beyond the limit: %+v", more)
+		t.Fatalf("got calls %+v beyond the limit, want none", more)
 	}
 	if p := s.FinishProvision(testStart, calls[0].Provision, 2); p == nil || p.Offering != spotOffering || p.Count != 2 {
 		t.Fatalf("finished call %+v, want the one for 2 spot machines", p)
 	}
 	if p := s.FinishProvision(testStart, calls[0].Provision, 2); p != nil {
-		t.Errorf("a repeated result finished another call: %+v", p)
+		t.Errorf("a repeated result finished the call %+v, want none", p)
 	}
 	if more := s.ScaleOut(testStart, wanted); len(more) != 1 || more[0].Provision.RequestID != "r-5-2" {
 		t.Errorf("calls after a result: %+v, want the request r-5-2", more)
 	}
 }
 
-// TestOfferingWithoutCapacityIsNotRequested: after a call that returned too few machines, its offer,
-// and no other, cannot be provisioned until the backoff is over. Offers in drained and partitioned
-// zones cannot be provisioned either.
+// TestOfferingWithoutCapacityIsNotRequested: if a call returned too few machines, its offering can't be
+// provisioned until the backoff is over, but others can. Offerings in drained and partitioned zones
+// can't be provisioned either.
 func TestOfferingWithoutCapacityIsNotRequested(t *testing.T) {
 	s, _ := newScaler()
 	call := s.Provision(testStart, spotOffering, 3, "")
@@ -80,13 +80,14 @@
 		"partitioned zone": {testStart, autoscale.Offering{Type: "std-8", Zone: "partitioned"}, false},
 	} {
 		if got := s.CanProvision(test.now, test.offer); got != test.want {
-			t.Errorf("%s: CanProvision %v", name, got)
+			t.Errorf("%s: CanProvision returned %v, want the opposite", name, got)
 		}
 	}
 }
 
-// TestReleaseCallsInFlightAreLimited: each machine is released once, machines beyond the limit of
-// calls in flight are not released, and ReleaseInFlight is true until the calls have returned.
+// TestReleaseCallsInFlightAreLimited: each machine is released only once, machines beyond the limit of
+// release calls in flight are not released, and ReleaseInFlight returns true until the calls have
+// returned.
 func TestReleaseCallsInFlightAreLimited(t *testing.T) {
 	s, cluster := newScaler()
 	registry := cluster.Machines
@@ -101,21 +102,21 @@
 		released += len(call.Release)
 	}
 	if released != tuning.MaxReleaseCount || !registry.Get(names[0]).IsReleasing() || registry.Get(names[len(names)-1]).IsReleasing() {
-		t.Errorf("%d released, want as many as one call allows, the first ones of the list", released)
+		t.Errorf("%d machines released, want as many as one call allows, the first ones of the list", released)
 	}
 	if !s.ReleaseInFlight() {
-		t.Error("no release call in flight before the result")
+		t.Error("ReleaseInFlight returned false before the result, want true")
 	}
 	for range calls {
 		s.FinishRelease()
 	}
 	if s.ReleaseInFlight() {
-		t.Error("a release call is in flight after the result")
+		t.Error("ReleaseInFlight returned true after the result, want false")
 	}
 }
 
-// TestPlanCountsRequestedMachines: a plan counts the machines of provision calls in flight, so that it
-// does not provision for the same demand again.
+// TestPlanCountsRequestedMachines: a plan counts the machines that provision calls in flight request.
+// Otherwise it would provision for the same demand again.
 func TestPlanCountsRequestedMachines(t *testing.T) {
 	_, cluster := newScaler()
 	cluster.Demand = func(time.Time) []autoscale.Demand {
@@ -124,23 +125,23 @@
 	s := scaling.New(scaling.Config{Term: 5, CloudRPS: 5}, *cluster)
 	plan := s.Plan(testStart)
 	if len(plan.ScaleOut) == 0 {
-		t.Fatal("no machines are provisioned for waiting tasks")
+		t.Fatal("the plan provisions no machines, want some for the waiting tasks")
 	}
 	s.ScaleOut(testStart, plan.ScaleOut)
 	if again := s.Plan(testStart); len(again.ScaleOut) != 0 {
-		t.Errorf("provisioned again: %v", again.ScaleOut)
+		t.Errorf("the next plan provisions %v, want none", again.ScaleOut)
 	}
 }
 
-// TestPlanIsDueOncePerInterval: Due is true once and then again after an interval.
+// TestPlanIsDueOncePerInterval: StartPlanIfDue returns true once, and again after an interval.
 func TestPlanIsDueOncePerInterval(t *testing.T) {
 	s, _ := newScaler()
 	if !s.StartPlanIfDue(testStart) || s.StartPlanIfDue(testStart) || !s.StartPlanIfDue(testStart.Add(tuning.ScalingInterval)) {
-		t.Error("Due is not true exactly once per interval")
+		t.Error("StartPlanIfDue does not return true exactly once per interval")
 	}
 }
 
-// TestDemandHistoryDecays: the smoothed CPUs in use and the inflow decay exponentially.
+// TestDemandHistoryDecays: the mean of the CPUs in use and the arrival rate decay exponentially.
 func TestDemandHistoryDecays(t *testing.T) {
 	var h scaling.DemandHistory
 	if first := h.AddUsedCPUs(testStart, 100); first != 100 {
@@ -148,11 +149,11 @@
 	}
 	later := h.AddUsedCPUs(testStart.Add(tuning.DemandDecay), 0)
 	if want := 100 / math.E; math.Abs(later-want) > 0.01 {
-		t.Errorf("%v after one decay time, want %v", later, want)
+		t.Errorf("mean of the CPUs in use is %v after one time constant, want %v", later, want)
 	}
 	h.AddArrival(testStart, testStart, 60)
 	initial, decayed := h.ArrivalCPUs(testStart), h.ArrivalCPUs(testStart.Add(tuning.InflowDecay))
 	if want := 60 / tuning.InflowDecay.Seconds(); math.Abs(initial-want) > 1e-9 || math.Abs(decayed-want/math.E) > 1e-9 {
-		t.Errorf("inflow %v, then %v, want %v at first", initial, decayed, want)
+		t.Errorf("CPUs for arriving work are %v, then %v; want %v at first, and 1/e of it after one time constant", initial, decayed, want)
 	}
 }
