--- a/internal/autoscale/plan_test.go
+++ b/internal/autoscale/plan_test.go
@@ -39,8 +39,8 @@
 func TestAvoidedMachineIsNotCapacity(t *testing.T) {
 	capacity := placement.Resources{CPUs: 8, MemoryGB: 32}
 	for _, c := range []struct {
-		avoid    map[string]bool
-		scaleOut int
+		avoid        map[string]bool
+		wantMachines int
 	}{{nil, 0}, {map[string]bool{"a1": true}, 1}} {
 		plan := NewPlan(Input{
 			MachineTypes: []wire.MachineType{{Name: "t", CPUs: 8, MemoryGB: 32, Price: 1, Zones: []string{"a"}}},
@@ -48,8 +48,8 @@
 			Machines:     []Machine{{ID: "a1", Offering: Offering{Type: "t", Zone: "a"}, Capacity: capacity, Free: capacity, Schedulable: true, Price: 1}},
 			Unavailable:  func(Offering) bool { return false },
 		})
-		if n := plan.ScaleOut[Offering{Type: "t", Zone: "a"}]; n != c.scaleOut {
-			t.Errorf("avoiding machines %v: got %d machines to provision, want another number", c.avoid, n)
+		if n := plan.ScaleOut[Offering{Type: "t", Zone: "a"}]; n != c.wantMachines {
+			t.Errorf("avoiding machines %v: got %d machines to provision, want 1 only if a1 is avoided", c.avoid, n)
 		}
 	}
 }
@@ -74,17 +74,17 @@
 	}
 	spot, onDemand := Offering{Type: "t", Zone: "a", Spot: true}, Offering{Type: "t", Zone: "a"}
 	for _, c := range []struct {
-		inflow      float64
-		tasks       int
-		unavailable bool
-		spot        int
+		inflow           float64
+		tasks            int
+		unavailable      bool
+		wantSpotMachines int
 	}{
 		{inflow: 70, tasks: 50},
-		{inflow: 104, tasks: 50, spot: 3},
+		{inflow: 104, tasks: 50, wantSpotMachines: 3},
 		{inflow: 104, tasks: 10},
 		{inflow: 104, tasks: 50, unavailable: true},
 	} {
-		if got := scaleOut(c.inflow, c.tasks, c.unavailable); got[spot] != c.spot || got[onDemand] != 0 {
+		if got := scaleOut(c.inflow, c.tasks, c.unavailable); got[spot] != c.wantSpotMachines || got[onDemand] != 0 {
 			t.Errorf("%+v: got machines %v to provision, want as many spot machines as the case says and no others", c, got)
 		}
 	}
--- a/internal/drain/eviction.go
+++ b/internal/drain/eviction.go
@@ -14,8 +14,8 @@
 	LostS float64
 	// EndsSoon is set if the task is expected to end before the batch stops waiting for it.
 	EndsSoon bool
-	// NoAlternative is set if the task can run only on machines that drains exclude, so it could not
-	// be restarted after an eviction.
+	// NoAlternative is set if the task can run on no machine that may be provisioned, so it might
+	// not run again after an eviction.
 	NoAlternative bool
 }
 
@@ -53,14 +53,14 @@
 // blockedBy returns why a candidate may not be evicted now, or "" if it may. The evictions already
 // in the charge count as usage of the budget.
 func (e *Evictor) blockedBy(charge *Charge, c Candidate) Cause {
-	budget, used := e.Budgets.For(c.Team), e.Ledger.Used(c.Team, e.Now)
+	budget, used := e.Budgets.For(c.Team), e.Ledger.Usage(c.Team, e.Now)
 	charged := charge.Teams[c.Team]
 	switch {
 	case c.EndsSoon:
 		return WaitTaskEnd
 	case c.NoAlternative && !e.Force:
 		return WaitNoAlternative
-	case e.Ledger.Unavailable(c.Team)+charged.Evictions+1 > budget.MaxUnavailable:
+	case e.Ledger.UnavailableTasks(c.Team)+charged.Evictions+1 > budget.MaxUnavailable:
 		return WaitUnavailableBudget
 	case used.Evictions+charged.Evictions+1 > budget.Evictions:
 		return WaitEvictionBudget
--- a/internal/drain/eviction_test.go
+++ b/internal/drain/eviction_test.go
@@ -17,10 +17,10 @@
 	budgets := &Budgets{Window: time.Minute, Default: Budget{MaxUnavailable: 2, Evictions: 3, LostS: 100}}
 	candidates := []Candidate{candidate("blue", 1, 60), candidate("blue", 2, 30), candidate("blue", 3, 10)}
 	for name, c := range map[string]struct {
-		change func(*Budgets, []Candidate)
-		force  bool
-		stops  int
-		cause  Cause
+		change        func(*Budgets, []Candidate)
+		force         bool
+		wantEvictions int
+		wantCause     Cause
 	}{
 		"unavailable":       {func(*Budgets, []Candidate) {}, false, 2, WaitUnavailableBudget},
 		"evictions":         {func(b *Budgets, _ []Candidate) { b.Default.Evictions = 1 }, false, 1, WaitEvictionBudget},
@@ -31,15 +31,15 @@
 		"no other place":    {func(_ *Budgets, l []Candidate) { l[1].NoAlternative, l[0].NoAlternative = true, true }, false, 1, WaitNoAlternative},
 		"forced":            {func(_ *Budgets, l []Candidate) { l[1].NoAlternative, l[0].NoAlternative = true, true }, true, 2, WaitUnavailableBudget},
 	} {
-		b, list, charge := *budgets, append([]Candidate(nil), candidates...), NewCharge("zone-a", testNow)
+		b, list, charge := *budgets, append([]Candidate(nil), candidates...), NewCharge("drain-1", testNow)
 		c.change(&b, list)
 		evictor := Evictor{Ledger: NewLedger(b.Window), Budgets: &b, Force: c.force, Now: testNow, MaxChargeBytes: 10_000}
 		reason := evictor.Choose(charge, list)
-		if len(charge.Attempts) != c.stops || reason.Cause != c.cause {
+		if len(charge.Attempts) != c.wantEvictions || reason.Cause != c.wantCause {
 			t.Errorf("%s: got %d evictions and reason %v", name, len(charge.Attempts), reason)
 		}
 	}
-	charge := NewCharge("zone-a", testNow)
+	charge := NewCharge("drain-1", testNow)
 	evictor := Evictor{Ledger: NewLedger(time.Minute), Budgets: &Budgets{Default: Budget{9, 9, 1e6}}, Now: testNow, MaxChargeBytes: 400}
 	evictor.Choose(charge, candidates)
 	if n := len(charge.Encode()); len(charge.Attempts) == 0 || len(charge.Attempts) == 3 || n > 400 {
--- a/internal/drain/file_test.go
+++ b/internal/drain/file_test.go
@@ -21,7 +21,7 @@
 	if err != nil || s.Name != "zone-a" || s.Selector.Zone != "a" || s.BatchSize != 5 || !s.Replace || !s.Force || s.Deadline.Hour() != 4 {
 		t.Fatalf("got %+v, %v, want the drain of validDrain", s, err)
 	}
-	for name, c := range map[string]struct{ from, to, field string }{
+	for name, c := range map[string]struct{ from, to, wantField string }{
 		"unknown element":        {"<batchSize>", "<speed>1</speed><batchSize>", "drain/speed"},
 		"element out of place":   {"<zone>a</zone>", "<batchSize>1</batchSize>", "drain/selector/batchSize"},
 		"unknown attribute":      {"<drain ", `<drain zone="b" `, "drain/zone"},
@@ -39,7 +39,7 @@
 	} {
 		_, err := Parse([]byte(strings.Replace(validDrain, c.from, c.to, 1)), testNow)
 		var invalid *FieldError
-		if !errors.As(err, &invalid) || !strings.HasPrefix(invalid.Field, c.field) {
+		if !errors.As(err, &invalid) || !strings.HasPrefix(invalid.Field, c.wantField) {
 			t.Errorf("%s: got error %v, want a FieldError for the field of this case", name, err)
 		}
 	}
--- a/internal/drain/ledger.go
+++ b/internal/drain/ledger.go
@@ -27,8 +27,8 @@
 	usage Usage
 }
 
-// bucketsPerWindow is the number of buckets into which the window is divided. A bucket expires as a
-// whole, so usage counts for at least the window and for up to one bucket longer.
+// bucketsPerWindow is the number of buckets into which the window is divided. A bucket leaves the
+// window as a whole, so usage counts for at least the window and for up to one bucket longer.
 const bucketsPerWindow = 20
 
 // NewLedger returns an empty ledger that counts usage within a sliding window of the given length.
@@ -61,9 +61,9 @@
 	last.usage.LostS += usage.LostS
 }
 
-// Used returns a team's usage within the window before now. It may include usage that is up to one
+// Usage returns a team's usage within the window before now. It may include usage that is up to one
 // bucket older than the window.
-func (l *Ledger) Used(team string, now time.Time) Usage {
+func (l *Ledger) Usage(team string, now time.Time) Usage {
 	t := l.ensureTeam(team)
 	for len(t.buckets) > 0 && now.Sub(t.buckets[0].start) >= l.window+l.window/bucketsPerWindow {
 		t.buckets = t.buckets[1:]
@@ -76,8 +76,8 @@
 	return sum
 }
 
-// Unavailable returns the number of a team's unavailable tasks.
-func (l *Ledger) Unavailable(team string) int { return l.ensureTeam(team).unavailableTasks }
+// UnavailableTasks returns the number of a team's unavailable tasks.
+func (l *Ledger) UnavailableTasks(team string) int { return l.ensureTeam(team).unavailableTasks }
 
 // RecordInterruption records that a running task was interrupted by something other than a drain. A
 // task that is unavailable already doesn't run, so it is not counted again.
@@ -147,10 +147,10 @@
 // IsCharged reports whether the stop of an attempt has been charged.
 func (l *Ledger) IsCharged(number uint64) bool { return l.chargedAttempts[number] }
 
-// Expire removes the charges that are no longer needed and returns their keys, so that the caller can
-// delete the stored ones. A charge is needed until its usage has left the window and none of its
+// RemoveOldCharges removes the charges that are no longer needed and returns their keys, so that the
+// caller can delete the stored ones. A charge is needed until its usage has left the window and none of its
 // tasks is unavailable. now is the wall-clock time.
-func (l *Ledger) Expire(now time.Time) []string {
+func (l *Ledger) RemoveOldCharges(now time.Time) []string {
 	var keys []string
 	for key, c := range l.chargesByKey {
 		if now.Sub(time.UnixMilli(c.AtMS)) < l.window+l.window/bucketsPerWindow || l.hasUnavailable(c) {
--- a/internal/drain/ledger_test.go
+++ b/internal/drain/ledger_test.go
@@ -11,7 +11,7 @@
 func alwaysTeamBlue(Attempt) (string, bool) { return "blue", true }
 
 // TestLedgerAgainstEventList compares the ledger with a list of all events, after each of a random
-// sequence of interruptions, charges, expirations, and tasks that become available again. The ledger's
+// sequence of interruptions, charges, removals of old charges, and tasks that become available again. The ledger's
 // usage must be at least that of the events within the window, and it must count the same tasks as
 // unavailable.
 func TestLedgerAgainstEventList(t *testing.T) {
@@ -36,7 +36,7 @@
 				unavailable[index] = true
 				ledger.RecordInterruption("blue", "job-1", index, at, 5)
 			case 1:
-				c := NewCharge("zone-a", at)
+				c := NewCharge("drain-1", at)
 				c.Add(Candidate{Team: "blue", Attempt: Attempt{"job-1", index, uint64(step + 1)}, LostS: 7}, 10_000)
 				events = append(events, event{at, 7})
 				unavailable[index] = true
@@ -45,7 +45,7 @@
 				delete(unavailable, index)
 				ledger.RecordAvailable("job-1", index)
 			default:
-				ledger.Expire(at)
+				ledger.RemoveOldCharges(at)
 			}
 			var want Usage
 			for _, e := range events {
@@ -54,14 +54,14 @@
 					want.LostS += e.lostS
 				}
 			}
-			used := ledger.Used("blue", at)
-			if used.Evictions < want.Evictions || used.LostS < want.LostS || ledger.Unavailable("blue") != len(unavailable) {
-				t.Fatalf("seed %d step %d: used %+v, want at least %+v; %d tasks unavailable, want %d", seed, step, used, want, ledger.Unavailable("blue"), len(unavailable))
+			used := ledger.Usage("blue", at)
+			if used.Evictions < want.Evictions || used.LostS < want.LostS || ledger.UnavailableTasks("blue") != len(unavailable) {
+				t.Fatalf("seed %d step %d: used %+v, want at least %+v; %d tasks unavailable, want %d", seed, step, used, want, ledger.UnavailableTasks("blue"), len(unavailable))
 			}
 		}
 		ledger.RecordJobEnd("job-1")
-		if keys := ledger.Expire(at.Add(time.Hour)); len(ledger.chargesByKey) != 0 || len(ledger.chargedAttempts) != 0 || ledger.Unavailable("blue") != 0 {
-			t.Fatalf("the ledger is not empty after the job has ended and the charges %v have expired", keys)
+		if keys := ledger.RemoveOldCharges(at.Add(time.Hour)); len(ledger.chargesByKey) != 0 || len(ledger.chargedAttempts) != 0 || ledger.UnavailableTasks("blue") != 0 {
+			t.Fatalf("the ledger is not empty after the job has ended and the charges %v were removed", keys)
 		}
 	}
 }
--- a/internal/drain/lifecycle_test.go
+++ b/internal/drain/lifecycle_test.go
@@ -55,7 +55,7 @@
 		}
 		r.SetWaitReason(testNow.Add(2*time.Minute), reason)
 		if (r.State == Paused) == force || r.IsForced(testNow.Add(2*time.Minute)) != force || !strings.Contains(r.Reason.String(), "(team blue)") {
-			t.Errorf("force %v: got state %s and reason %s, want paused without force only, with the team", force, r.State, r.Reason)
+			t.Errorf("force %v: got state %s and reason %s, want it paused only without force, and a reason with the team", force, r.State, r.Reason)
 		}
 	}
 }
--- a/internal/drain/record.go
+++ b/internal/drain/record.go
@@ -22,7 +22,8 @@
 
 // Counts holds the totals of a drain since it was accepted.
 type Counts struct {
-	// Batches and Machines count the drained ones that no longer exist.
+	// Batches is the number of finished batches. Machines is the number of drained machines that no
+	// longer exist.
 	Batches  int `json:"batches,omitempty"`
 	Machines int `json:"machines,omitempty"`
 	// Evicted is the number of tasks that the drain evicted. Moved is the number of evicted tasks
--- a/internal/drainer/batch.go
+++ b/internal/drainer/batch.go
@@ -44,7 +44,7 @@
 	s.d.storeDrain(s.record, nil)
 }
 
-// applyBatchCordon cordons the machines of the batch if the record says so.
+// applyBatchCordon cordons the machines of the batch if the record marks the batch as cordoned.
 func (s *drainStep) applyBatchCordon() {
 	for _, name := range s.record.Batch.Machines {
 		if m := s.d.cluster.Machines.Get(name); m != nil {
--- a/internal/drainer/drainer.go
+++ b/internal/drainer/drainer.go
@@ -31,7 +31,7 @@
 	// MaxMachines limits the number of machines; 0 means no limit.
 	MaxMachines int
 	ValueLimit  int // maximum size of a stored value in bytes
-	// LeaseExpiry is the time after a response at which the agent's lease has surely expired.
+	// LeaseExpiry is how long after the last response to an agent its lease has certainly expired.
 	LeaseExpiry time.Duration
 	// LeaseS is the duration of an agent's lease in seconds.
 	LeaseS float64
--- a/internal/drainer/drainer_test.go
+++ b/internal/drainer/drainer_test.go
@@ -36,8 +36,8 @@
 	writes         *records.WriteQueues
 	scaler         *scaling.Scaler
 	jobs           map[string]*jobs.Job
-	blockedCause   drain.Cause
-	scheduledCalls []string // IDs of the machines to which direct calls were scheduled
+	blockedCause   drain.Cause // returned by BatchBlockedCause
+	scheduledCalls []string    // IDs of the machines to which direct calls were scheduled
 }
 
 func newFixture(t *testing.T) *fixture {
@@ -164,7 +164,7 @@
 		}
 		for _, m := range f.registry.All() {
 			if m.CordonedFor(machines.CordonDrained) != (m.ID == id) {
-				t.Errorf("batch of %s: got another cordon of %s, want only the batch cordoned", id, m.ID)
+				t.Errorf("batch of %s: wrong cordon of machine %s, want only the batch's machine cordoned", id, m.ID)
 			}
 		}
 		f.confirmRelease(id)
--- a/internal/drainer/requests.go
+++ b/internal/drainer/requests.go
@@ -188,8 +188,8 @@
 	for _, t := range d.config.Teams {
 		status.Teams = append(status.Teams, drain.TeamUsage{
 			Team:        t.Name,
-			Unavailable: d.ledger.Unavailable(t.Name),
-			Usage:       d.ledger.Used(t.Name, now),
+			Unavailable: d.ledger.UnavailableTasks(t.Name),
+			Usage:       d.ledger.Usage(t.Name, now),
 			Budget:      d.config.Budgets.For(t.Name),
 		})
 	}
--- a/internal/drainer/step.go
+++ b/internal/drainer/step.go
@@ -26,7 +26,7 @@
 		return
 	}
 	d.nextStepAt = now.Add(tuning.DrainStepInterval)
-	d.expireCharges(wall)
+	d.deleteOldCharges(wall)
 	r, started := drain.EnsureRunning(d.sortedRecords())
 	if r == nil {
 		return
--- a/internal/drainer/store.go
+++ b/internal/drainer/store.go
@@ -87,9 +87,9 @@
 	d.cluster.Writes.Interactive.Put(key, charge.Encode(), onDurable)
 }
 
-// expireCharges deletes the stored charges that are no longer needed.
-func (d *Drainer) expireCharges(wall time.Time) {
-	keys := d.ledger.Expire(wall)
+// deleteOldCharges deletes the stored charges that are no longer needed.
+func (d *Drainer) deleteOldCharges(wall time.Time) {
+	keys := d.ledger.RemoveOldCharges(wall)
 	slices.Sort(keys)
 	for _, key := range keys {
 		d.cluster.Writes.Background.Delete(key)
--- a/internal/scaling/plan_input.go
+++ b/internal/scaling/plan_input.go
@@ -21,13 +21,13 @@
 		Unavailable:     func(o autoscale.Offering) bool { return !s.CanProvision(now, o) },
 		Machines:        slices.Concat(s.existingMachines(now), s.requestedMachines()),
 		Demand:          s.cluster.Demand(now),
-		ReserveCPUs:     s.History.AddUsedCPUs(now, s.busyCPUs()),
+		ReserveCPUs:     s.History.AddUsedCPUs(now, s.usedCPUs()),
 		ArrivalCPUs:     s.History.ArrivalCPUs(now),
 	}
 }
 
-// busyCPUs returns the CPUs allocated to attempts on machines that are not being released.
-func (s *Scaler) busyCPUs() float64 {
+// usedCPUs returns the CPUs allocated to attempts on machines that are not being released.
+func (s *Scaler) usedCPUs() float64 {
 	busy := 0.0
 	for _, m := range s.cluster.Machines.All() {
 		if m.IsReleasing() {
--- a/internal/scaling/scale_in.go
+++ b/internal/scaling/scale_in.go
@@ -15,10 +15,10 @@
 // lists the most urgent machines first. ScaleIn leaves out the machines that exceed the limit of
 // release calls in flight; the caller names them again later.
 func (s *Scaler) ScaleIn(names []string) []CloudCall {
-	maxMachines := tuning.MaxReleaseCount * max(1, int(s.config.CloudRPS*tuning.CloudCallShare*tuning.ReleasesInFlight))
+	maxReleases := tuning.MaxReleaseCount * max(1, int(s.config.CloudRPS*tuning.CloudCallShare*tuning.ReleasesInFlight))
 	var releasing []string
 	for _, name := range names {
-		if m := s.cluster.Machines.Get(name); m != nil && !m.IsReleasing() && len(releasing) < maxMachines {
+		if m := s.cluster.Machines.Get(name); m != nil && !m.IsReleasing() && len(releasing) < maxReleases {
 			m.BeginRelease()
 			releasing = append(releasing, name)
 		}
