--- a/internal/autoscale/bins.go
+++ b/internal/autoscale/bins.go
@@ -29,8 +29,8 @@
 }
 
 // assignTasks assigns as many of the tasks to the bin as fit into its free resources now, or as many as
-// its CPUs can run within withinS seconds, whichever is more. The remaining boot time
-// is subtracted from withinS, but at most half of it. assignTasks returns the number of assigned tasks.
+// its CPUs can run within withinS seconds, whichever is more. The remaining boot time shortens withinS,
+// but by at most half. assignTasks returns the number of assigned tasks.
 func (b *bin) assignTasks(d *Demand, tasks int, withinS float64) int {
 	taskCPUSeconds := max(d.EstimateS, tuning.MinimumEstimateS) * d.Request.CPUs
 	availableCPUSeconds := b.capacity.CPUs*usableShare(b.capacity, d.Request)*(withinS-min(b.bootRemainingS, withinS/2)) - b.remainingCPUSeconds
--- a/internal/drain/reason.go
+++ b/internal/drain/reason.go
@@ -15,11 +15,11 @@
 // IsTerminal reports whether the drain has ended.
 func (s State) IsTerminal() bool { return s == Done || s == Cancelled }
 
-// Cause is the cause for which a drain waits or is paused.
+// Cause is why a drain waits or is paused.
 type Cause string
 
-// Causes: Wait… holds up the eviction of tasks or the rest of a batch, BlockedBy… the start of a
-// batch, and the others pause the drain. Operators see the values.
+// Causes of three kinds: with Wait…, a batch or the end of the drain has to wait; with BlockedBy…, no
+// batch may start; the last two pause the drain. Operators see the texts.
 const (
 	WaitTaskEnd           Cause = "waits for tasks to end"
 	WaitUnavailableBudget Cause = "budget of unavailable tasks is used up"
@@ -36,7 +36,7 @@
 	PausedByOperator      Cause = "paused by an operator"
 )
 
-// Reason is why a drain waits or is paused.
+// Reason is a cause with its details.
 type Reason struct {
 	Cause Cause  `json:"cause,omitempty"`
 	Team  string `json:"team,omitempty"` // whose tasks or guarantee are the cause, "" if none
--- a/internal/drain/spec.go
+++ b/internal/drain/spec.go
@@ -15,10 +15,11 @@
 	Replace bool `json:"replace,omitempty" xml:"replace"`
 	// BatchSize is the maximum number of machines drained at a time.
 	BatchSize int `json:"batchSize" xml:"batchSize" validate:"min=1,max=1000"`
-	// Deadline is optional. From then on, a drain that is held up is paused if Force isn't set. With
-	// Force, it may evict tasks that can run nowhere else.
+	// Deadline is optional. Without Force, a drain that still has to wait after its deadline is
+	// paused, unless it only waits for tasks to end or for machines to be released.
 	Deadline *time.Time `json:"deadline,omitempty" xml:"deadline"`
-	Force    bool       `json:"force,omitempty" xml:"force"`
+	// Force allows the drain, after its deadline, to evict tasks that can run nowhere else.
+	Force bool `json:"force,omitempty" xml:"force"`
 }
 
 // Validate checks the fields as far as possible without knowledge of the deployment; now is the
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -73,9 +73,9 @@
 // InFlightProvision is a provision call in flight.
 type InFlightProvision struct {
 	Offering    autoscale.Offering
-	Count       int
+	Count       int // number of requested machines
 	RequestedAt time.Time
-	// ReplacementFor is the name of the drain whose machines these replace, or "".
+	// ReplacementFor is the name of the drain whose machines the requested ones replace, or "".
 	ReplacementFor string
 }
 
