--- a/internal/autoscale/plan.go
+++ b/internal/autoscale/plan.go
@@ -86,13 +86,14 @@
 	ScaleIn  []string
 }
 
-// planner holds the state of one call of NewPlan.
+// planner holds the state of one call of NewPlan. Its bins are in the order of
+// in.Machines, followed by the machines that the plan provisions.
 type planner struct {
-	in        Input
-	plan      Plan
-	types     map[string]wire.MachineType
-	offerings []pricedOffering
-	bins      []bin
+	in          Input
+	plan        Plan
+	typesByName map[string]wire.MachineType
+	offerings   []pricedOffering
+	bins        []bin
 	// machineCount is the number of existing and requested machines and of those that
 	// the plan provisions.
 	machineCount int
@@ -118,11 +119,11 @@
 
 func newPlanner(in Input) *planner {
 	p := &planner{
-		in: in, plan: Plan{ScaleOut: map[Offering]int{}}, types: map[string]wire.MachineType{},
+		in: in, plan: Plan{ScaleOut: map[Offering]int{}}, typesByName: map[string]wire.MachineType{},
 		offerings: offeringsByPrice(in.MachineTypes), bins: make([]bin, 0, len(in.Machines)), machineCount: len(in.Machines),
 	}
 	for _, t := range in.MachineTypes {
-		p.types[t.Name] = t
+		p.typesByName[t.Name] = t
 	}
 	for i := range in.Machines {
 		p.bins = append(p.bins, newBin(&in.Machines[i]))
@@ -184,9 +185,10 @@
 }
 
 // scaleOut adds one machine of the offering to the plan, assigns tasks to it, and
-// returns the number of assigned tasks, which is at least 1.
+// returns the number of assigned tasks. It returns 1 if the machine can run none in
+// time, so that the loop in planDemand ends.
 func (p *planner) scaleOut(o Offering, d *Demand, tasks int) int {
-	capacity := placement.MachineCapacity(p.types[o.Type])
+	capacity := placement.MachineCapacity(p.typesByName[o.Type])
 	b := bin{offering: o, capacity: capacity, free: capacity, schedulable: true}
 	assigned := max(1, b.assignTasks(d, tasks, d.StartWithinS))
 	p.bins = append(p.bins, b)
@@ -203,20 +205,20 @@
 // more expensive ones are reserved for urgent work.
 func (p *planner) scaleOutForArrivals(schedulableCPUs, freeCPUs float64) {
 	for o, n := range p.plan.ScaleOut {
-		schedulableCPUs += float64(n) * p.types[o.Type].CPUs
+		schedulableCPUs += float64(n) * p.typesByName[o.Type].CPUs
 	}
 	for i := range p.in.Demand {
 		d := &p.in.Demand[i]
 		waitingCPUs := float64(d.Tasks)*d.Request.CPUs - freeCPUs
 		freeCPUs = max(0, -waitingCPUs)
 		for waitingCPUs > 0 && schedulableCPUs < p.in.ArrivalCPUs && p.belowMaxMachines() {
-			offer, ok := p.cheapestOffering(d)
-			if !ok || offer.pricePerCPU > p.offerings[0].pricePerCPU {
+			offering, ok := p.cheapestOffering(d)
+			if !ok || offering.pricePerCPU > p.offerings[0].pricePerCPU {
 				break
 			}
-			p.plan.ScaleOut[offer.Offering]++
+			p.plan.ScaleOut[offering.Offering]++
 			p.machineCount++
-			cpus := p.types[offer.Type].CPUs
+			cpus := p.typesByName[offering.Type].CPUs
 			waitingCPUs -= cpus
 			schedulableCPUs += cpus
 		}
--- a/internal/drain/eviction_test.go
+++ b/internal/drain/eviction_test.go
@@ -6,13 +6,13 @@
 )
 
 // candidate returns a candidate of job-1; number is both its task index and its attempt number.
-func candidate(team string, number uint64, lossS float64) Candidate {
-	return Candidate{Team: team, Attempt: Attempt{Job: "job-1", Index: int32(number), Number: number}, LostS: lossS}
+func candidate(team string, number uint64, lostS float64) Candidate {
+	return Candidate{Team: team, Attempt: Attempt{Job: "job-1", Index: int32(number), Number: number}, LostS: lostS}
 }
 
-// TestEvictions checks that Choose evicts candidates in ascending order of lost run time until a limit of
-// the budget is reached, that it returns the cause that blocks the others, and that it keeps the charge
-// within the maximum size.
+// TestEvictions checks that Choose evicts candidates in ascending order of lost run time until a limit
+// of the budget is reached, that it returns the cause that blocks the others, and that it keeps the
+// charge within the maximum size.
 func TestEvictions(t *testing.T) {
 	budgets := &Budgets{Window: time.Minute, Default: Budget{MaxUnavailable: 2, Evictions: 3, LostS: 100}}
 	candidates := []Candidate{candidate("blue", 1, 60), candidate("blue", 2, 30), candidate("blue", 3, 10)}
@@ -28,7 +28,7 @@
 		"budget 0":          {func(b *Budgets, _ []Candidate) { b.Default.MaxUnavailable = 0 }, true, 0, WaitUnavailableBudget},
 		"team's own budget": {func(b *Budgets, _ []Candidate) { b.Teams = map[string]Budget{"blue": {}} }, false, 0, WaitUnavailableBudget},
 		"ends by itself":    {func(_ *Budgets, l []Candidate) { l[2].EndsSoon = true }, false, 2, WaitTaskEnd},
-		"no other place":    {func(_ *Budgets, l []Candidate) { l[1].NoAlternative, l[0].NoAlternative = true, true }, false, 1, WaitNoAlternative},
+		"no alternative":    {func(_ *Budgets, l []Candidate) { l[1].NoAlternative, l[0].NoAlternative = true, true }, false, 1, WaitNoAlternative},
 		"forced":            {func(_ *Budgets, l []Candidate) { l[1].NoAlternative, l[0].NoAlternative = true, true }, true, 2, WaitUnavailableBudget},
 	} {
 		b, list, charge := *budgets, append([]Candidate(nil), candidates...), NewCharge("drain-1", testNow)
@@ -36,7 +36,7 @@
 		evictor := Evictor{Ledger: NewLedger(b.Window), Budgets: &b, Force: c.force, Now: testNow, MaxChargeBytes: 10_000}
 		reason := evictor.Choose(charge, list)
 		if len(charge.Attempts) != c.wantEvictions || reason.Cause != c.wantCause {
-			t.Errorf("%s: got %d evictions and reason %v", name, len(charge.Attempts), reason)
+			t.Errorf("%s: got %d evictions and reason %v, want those of the case", name, len(charge.Attempts), reason)
 		}
 	}
 	charge := NewCharge("drain-1", testNow)
--- a/internal/drain/ledger_test.go
+++ b/internal/drain/ledger_test.go
@@ -11,9 +11,9 @@
 func alwaysTeamBlue(Attempt) (string, bool) { return "blue", true }
 
 // TestLedgerAgainstEventList compares the ledger with a list of all events, after each of a random
-// sequence of interruptions, charges, removals of old charges, and tasks that become available again. The ledger's
-// usage must be at least that of the events within the window, and it must count the same tasks as
-// unavailable.
+// sequence of interruptions, charges, removals of old charges, and tasks that become available again.
+// The ledger's usage must be at least that of the events within the window, and it must count the same
+// tasks as unavailable.
 func TestLedgerAgainstEventList(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 3))
