--- a/internal/autoscale/bins.go
+++ b/internal/autoscale/bins.go
@@ -57,7 +57,7 @@
 }
 
 // usableShare returns the share of a machine's CPUs, from 0 to 1, that tasks with the request can use.
-// The rest stays unused because of the memory and GPUs that the tasks need, or because of rounding.
+// The rest stays unused if memory or GPUs run out first, or if it is too small for another task.
 func usableShare(capacity, request placement.Resources) float64 {
 	if capacity.CPUs <= 0 {
 		return 0
--- a/internal/drainer/interruptions.go
+++ b/internal/drainer/interruptions.go
@@ -9,8 +9,8 @@
 
 // RecordInterruption records that the task of an attempt is interrupted. It is called before the
 // attempt is removed. It ignores a failed attempt, a task that is done or has another attempt, and an
-// attempt that has certainly not run. The interruption adds usage to the team's budget unless a drain
-// has charged it already or the attempt may not have started.
+// attempt that has certainly not run. The interruption uses up the team's budget unless a drain has
+// charged it already or the attempt may not have started.
 func (d *Drainer) RecordInterruption(now time.Time, a *machines.Attempt) {
 	j := a.Job
 	if d.ledger == nil || !j.NeedsTask(int(a.Index)) || j.AllocationsOf(a.Index) > 1 || a.HasFailed() {
--- a/internal/drainer/step.go
+++ b/internal/drainer/step.go
@@ -42,8 +42,8 @@
 	s.advance()
 }
 
-// advance starts a batch if there is none. It evicts tasks of a cordoned batch. It cordons any other
-// batch once its replacements are ready.
+// advance starts a batch if there is none, evicts tasks if the batch is cordoned, and otherwise cordons
+// the batch once its replacements are ready.
 func (s *drainStep) advance() {
 	if s.record.Batch == nil {
 		s.beginBatch()
@@ -59,8 +59,8 @@
 	}
 }
 
-// setWaitReason records why the drain waits. A drain whose deadline has passed may be paused by that;
-// the pause is then logged and stored.
+// setWaitReason records why the drain waits. If that pauses the drain because its deadline has passed,
+// setWaitReason logs and stores the pause.
 func (s *drainStep) setWaitReason(cause drain.Cause, team string) {
 	if s.record.SetWaitReason(s.wall, drain.Reason{Cause: cause, Team: team}) {
 		s.logAndStorePaused()
