--- a/internal/drainer/drainer.go
+++ b/internal/drainer/drainer.go
@@ -55,9 +55,9 @@
 	RemainingS func(time.Time, *machines.Attempt) float64
 	// MachinesKnown reports whether the machine types are known and a machine list has been applied.
 	MachinesKnown func() bool
-	// MachineListCurrent reports whether a machine list shows the cloud's state after this term
+	// HasCurrentMachineList reports whether a machine list shows the cloud's state after this term
 	// began. Then a machine in a record that is missing from the registry no longer exists.
-	MachineListCurrent func() bool
+	HasCurrentMachineList func() bool
 	// BatchBlockedCause returns why no drain may start a batch now, or "" if one may.
 	BatchBlockedCause func(time.Time) drain.Cause
 	// ScheduleCall schedules a direct call to a machine, which sends the stops of its attempts to
@@ -147,5 +147,5 @@
 // noLongerExists reports whether a machine that a record names no longer exists: the cloud has
 // confirmed its release with status 200, or a current machine list lacks it.
 func (d *Drainer) noLongerExists(name string) bool {
-	return d.cluster.Machines.Get(name) == nil && (d.cluster.Machines.WasReleased(name) || d.cluster.MachineListCurrent())
+	return d.cluster.Machines.Get(name) == nil && (d.cluster.Machines.WasReleased(name) || d.cluster.HasCurrentMachineList())
 }
--- a/internal/drainer/drainer_test.go
+++ b/internal/drainer/drainer_test.go
@@ -75,7 +75,7 @@
 		IsSchedulable:         func(_ time.Time, m *machines.Machine) bool { return m.IsReconciled() && !m.Cordoned() },
 		RemainingS:            func(time.Time, *machines.Attempt) float64 { return 3600 },
 		MachinesKnown:         func() bool { return true },
-		MachineListCurrent:    func() bool { return true },
+		HasCurrentMachineList: func() bool { return true },
 		BatchBlockedCause:     func(time.Time) drain.Cause { return f.blockedCause },
 		ScheduleCall:          func(m *machines.Machine) { f.scheduledCalls = append(f.scheduledCalls, m.ID) },
 		RequestSchedulingPass: func() {},
--- a/internal/drainer/replacements.go
+++ b/internal/drainer/replacements.go
@@ -94,7 +94,7 @@
 // the running drain. It returns none while such a call is in flight.
 func (d *Drainer) ReplacementCalls(now time.Time) []scaling.CloudCall {
 	r := d.drainWaitingForReplacements()
-	if r == nil || !d.cluster.MachineListCurrent() {
+	if r == nil || !d.cluster.HasCurrentMachineList() {
 		// An earlier leader may have provisioned replacements that no machine list shows yet. Without
 		// this check, a new leader could provision them a second time.
 		return nil
--- a/internal/leader/drains.go
+++ b/internal/leader/drains.go
@@ -30,7 +30,7 @@
 		IsSchedulable:         l.isSchedulable,
 		RemainingS:            l.remainingS,
 		MachinesKnown:         l.machinesKnown,
-		MachineListCurrent:    func() bool { return l.machineLists.current },
+		HasCurrentMachineList: func() bool { return l.machineLists.current },
 		BatchBlockedCause:     l.drainsBlocked,
 		ScheduleCall:          l.directCalls.schedule,
 		RequestSchedulingPass: func() { l.passRequested = true },
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -38,7 +38,7 @@
 // PlanScaling decides whether to scale out and in, at most once per planning period, and returns
 // the cloud calls to be made.
 func (l *Leader) PlanScaling(now time.Time) []scaling.CloudCall {
-	if !l.machinesKnown() || !l.scaler.StartPlanIfDue(now) {
+	if !l.machinesKnown() || !l.scaler.BeginPlanningIfDue(now) {
 		return nil
 	}
 	l.reachability.Update(now, l.machines.All(), &l.timing)
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -89,9 +89,9 @@
 	}
 }
 
-// StartPlanIfDue reports whether a plan is due. If so, the caller must plan now, and the next plan is due
+// BeginPlanningIfDue reports whether a plan is due. If so, the caller must plan now, and the next plan is due
 // after tuning.ScalingInterval.
-func (s *Scaler) StartPlanIfDue(now time.Time) bool {
+func (s *Scaler) BeginPlanningIfDue(now time.Time) bool {
 	if now.Before(s.nextPlanAt) {
 		return false
 	}
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -133,11 +133,11 @@
 	}
 }
 
-// TestPlanIsDueOncePerInterval: StartPlanIfDue returns true once, and again after an interval.
+// TestPlanIsDueOncePerInterval: BeginPlanningIfDue returns true once, and again after an interval.
 func TestPlanIsDueOncePerInterval(t *testing.T) {
 	s, _ := newScaler()
-	if !s.StartPlanIfDue(testStart) || s.StartPlanIfDue(testStart) || !s.StartPlanIfDue(testStart.Add(tuning.ScalingInterval)) {
-		t.Error("StartPlanIfDue does not return true exactly once per interval")
+	if !s.BeginPlanningIfDue(testStart) || s.BeginPlanningIfDue(testStart) || !s.BeginPlanningIfDue(testStart.Add(tuning.ScalingInterval)) {
+		t.Error("BeginPlanningIfDue does not return true exactly once per interval")
 	}
 }
 
