--- a/internal/drain/reason.go
+++ b/internal/drain/reason.go
@@ -5,10 +5,10 @@
 
 // States of a drain.
 const (
-	Pending   State = "pending" // waits for the running drain and older pending ones
+	Pending   State = "pending" // until the running drain and older pending ones end or pause
 	Running   State = "running"
 	Paused    State = "paused" // until an operator resumes it
-	Done      State = "done"   // no selected machine is left
+	Done      State = "done"   // no selected machine exists any more
 	Cancelled State = "cancelled"
 )
 
@@ -18,32 +18,33 @@
 // Cause is why a drain waits or is paused.
 type Cause string
 
-// Causes. Their values are shown to operators.
+// Causes of three kinds: with Wait…, a batch or the end of the drain has to wait; with BlockedBy…, no
+// batch may start; the last two pause the drain. Operators see the texts.
 const (
-	WaitTaskEnd         Cause = "waits for tasks to end"
-	WaitUnavailable     Cause = "budget of unavailable tasks is used up"
-	WaitEvictions       Cause = "budget of evictions is used up"
-	WaitLostTime        Cause = "budget of lost run time is used up"
-	WaitNoAlternative   Cause = "tasks have no place outside the drained machines"
-	WaitReplacement     Cause = "waits for replacement machines"
-	WaitMachineRelease  Cause = "waits for machines to be gone"
-	BlockedByGuarantee  Cause = "the guarantee of a team with waiting work would not fit"
-	BlockedByOverload   Cause = "new jobs are being shed"
-	BlockedByPartition  Cause = "machines are cut off"
-	BlockedByNewLeader  Cause = "the leader is new"
-	ReplacementTimedOut Cause = "no replacement machine came up in time"
-	PausedByOperator    Cause = "paused by an operator"
+	WaitTaskEnd           Cause = "waits for tasks to end"
+	WaitUnavailableBudget Cause = "budget of unavailable tasks is used up"
+	WaitEvictionBudget    Cause = "budget of evictions is used up"
+	WaitLostTimeBudget    Cause = "budget of lost run time is used up"
+	WaitNoAlternative     Cause = "tasks have no place outside the drained machines"
+	WaitReplacement       Cause = "waits for replacement machines"
+	WaitMachineRelease    Cause = "waits for machines to be gone"
+	BlockedByGuarantee    Cause = "the guarantee of a team with waiting work would not fit"
+	BlockedByOverload     Cause = "new jobs are being shed"
+	BlockedByPartition    Cause = "machines are cut off"
+	BlockedByNewLeader    Cause = "the leader is new"
+	ReplacementTimedOut   Cause = "no replacement machine came up in time"
+	PausedByOperator      Cause = "paused by an operator"
 )
 
-// Reason is why a drain waits or is paused, with the team concerned, if any.
+// Reason is a cause with its details.
 type Reason struct {
 	Cause Cause  `json:"cause,omitempty"`
-	Team  string `json:"team,omitempty"`
+	Team  string `json:"team,omitempty"` // whose tasks or guarantee are the cause, "" if none
 	// Deadline is set if the drain was paused because its deadline had passed.
 	Deadline bool `json:"deadline,omitempty"`
 }
 
-// String returns the text for operators.
+// String returns the reason as shown to operators.
 func (r Reason) String() string {
 	text := string(r.Cause)
 	if r.Team != "" {
@@ -55,6 +56,6 @@
 	return text
 }
 
-// isProgress reports whether a wait for this cause is part of the drain's progress: the tasks or
-// the releases that it waits for end by themselves.
-func (c Cause) isProgress() bool { return c == WaitTaskEnd || c == WaitMachineRelease }
+// endsByItself reports whether a wait for this cause is a normal part of a drain: the tasks end, or
+// the machines are released, without an operator's help.
+func (c Cause) endsByItself() bool { return c == WaitTaskEnd || c == WaitMachineRelease }
--- a/internal/leader/drains.go
+++ b/internal/leader/drains.go
@@ -31,7 +31,7 @@
 		RemainingS:            l.remainingS,
 		MachinesKnown:         l.machinesAndTypesKnown,
 		HasCurrentMachineList: func() bool { return l.machineLists.hasCurrent },
-		BlockedCause:          l.drainsBlocked,
+		BatchBlockedCause:     l.drainsBlocked,
 		QueueDirectCall:       l.directCalls.enqueue,
 		RequestSchedulingPass: func() { l.schedulingPassRequested = true },
 	})
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -111,7 +111,7 @@
 	}
 	m.RecordImage(now, j.Image)
 	l.schedulingPassRequested = true
-	l.drainer.RecordRunning(a)
+	l.drainer.RecordTaskRunning(a)
 }
 
 // recordIgnoredStarts records that an earlier response had no effect if the task list lacks one of
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -30,7 +30,7 @@
 		HeartbeatOverdue: func(now time.Time, m *machines.Machine) bool { return m.HeartbeatOverdue(now, &l.timing) },
 		RemainingS:       l.remainingS,
 		IsReplacement:    func(id string) bool { return l.drainer.IsReplacement(id) },
-		BlockedByDrain:   func(o autoscale.Offer) bool { return l.drainer.BlocksProvisioning(o) },
+		BlockedByDrain:   func(o autoscale.Offering) bool { return l.drainer.BlocksProvisioning(o) },
 		Partitioned:      l.reachability.IsPartitioned,
 	})
 }
