--- a/internal/leader/admission_test.go
+++ b/internal/leader/admission_test.go
@@ -15,17 +15,17 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// sheddingLeader returns a leader that has accepted job-1 and now rejects new jobs, because the
-// changes that users wait for have been queued for too long.
+// sheddingLeader returns a leader that has accepted job-1 and whose admission control now rejects new
+// jobs, because too many writes that users wait for are pending.
 func sheddingLeader(t *testing.T) *testLeader {
 	t.Helper()
-	operator := config.OperatorSettings{Admission: &config.Admission{}}
+	settings := config.OperatorSettings{Admission: &config.Admission{}}
 	l := &testLeader{
-		Leader: leader.New(zerolog.Nop(), params, operator, 5, start, leader.GracePeriod(params.Workers)),
-		t:      t, now: start, store: map[string]json.RawMessage{},
+		Leader: leader.New(zerolog.Nop(), testParams, settings, 5, startTime, leader.GracePeriod(testParams.Workers)),
+		t:      t, now: startTime, store: map[string]json.RawMessage{},
 	}
-	l.FinishLoading(start)
-	l.SetMachineTypes([]wire.MachineType{bigType})
+	l.FinishLoading(startTime)
+	l.SetMachineTypes([]wire.MachineType{std8Type})
 	l.submit("job-1")
 	l.UpdateAdmission(l.now, l.now, 0, nil)
 	for round := range 5 {
@@ -36,60 +36,62 @@
 		l.UpdateAdmission(l.now, l.now, 0, nil)
 	}
 	if s, on := l.AdmissionSummary(); !on || !s.Shedding {
-		t.Fatalf("does not shed load: %+v", s)
+		t.Fatalf("admission control does not shed load: %+v", s)
 	}
 	return l
 }
 
-// submitWithClaim submits a job and returns the response, which has status 0 if there is none yet.
-func (l *testLeader) submitWithClaim(j *wire.Job, claim *admission.Claim) (got leader.Response) {
+// submitWithAdmissionClaim submits a job with the admission claim of the node that received it. It
+// returns the response, which has status 0 if there is none yet.
+func (l *testLeader) submitWithAdmissionClaim(j *wire.Job, claim *admission.Claim) (got leader.Response) {
 	l.SubmitWithClaim(l.now, l.now, j, claim, func(v leader.Response) { got = v })
 	return got
 }
 
-// TestSheddingRejectsOnlyNewJobs checks that, while admission control sheds load, a new job gets 429
-// with a retry time, a repeated submission of an accepted job gets its state, and a job that can
-// never run still gets 422.
+// TestSheddingRejectsOnlyNewJobs checks the responses while admission control sheds load: a new job
+// gets 429 with a retry time, a repeated submission of an accepted job gets its state, and a job that
+// can never run still gets 422. Queries and cancellations are executed as usual.
 func TestSheddingRejectsOnlyNewJobs(t *testing.T) {
 	l := sheddingLeader(t)
-	l.commit() // until then, the bound of the write queue rejects the jobs
+	l.commit() // empties the write queue: a full queue would reject jobs before admission control does
 	rejected := 0
 	for i := range 50 {
-		if v := l.submitWithClaim(newJob(fmt.Sprint("job-8", i)), nil); v.Status == 429 && v.RetryAfter >= 1 {
+		if v := l.submitWithAdmissionClaim(newJob(fmt.Sprint("job-8", i)), nil); v.Status == 429 && v.RetryAfter >= 1 {
 			rejected++
 		}
 	}
 	if rejected < 40 {
-		t.Errorf("%d of 50 new jobs rejected", rejected)
+		t.Errorf("%d of 50 new jobs got 429 with a retry time, want at least 40", rejected)
 	}
-	if v := l.submitWithClaim(newJob("job-1"), nil); v.Status != 200 {
-		t.Errorf("repeated submission of an accepted job: %+v", v)
+	if v := l.submitWithAdmissionClaim(newJob("job-1"), nil); v.Status != 200 {
+		t.Errorf("repeated submission of an accepted job: got %+v, want status 200", v)
 	}
 	unknownTeam := newJob("job-2")
 	unknownTeam.Team = "nobody"
-	if v := l.submitWithClaim(unknownTeam, nil); v.Status != 422 {
-		t.Errorf("submission of an unknown team: %+v", v)
+	if v := l.submitWithAdmissionClaim(unknownTeam, nil); v.Status != 422 {
+		t.Errorf("submission for an unknown team: got %+v, want status 422", v)
 	}
 	if v := l.Query("job-1"); v.Status != 200 {
-		t.Errorf("query: %+v", v)
+		t.Errorf("query: got %+v, want status 200", v)
 	}
 	cancelled := false
 	l.Cancel(l.now, "job-1", func(v leader.Response) { cancelled = v.Status == 200 })
 	l.commit()
 	if !cancelled {
-		t.Error("cancellation not carried out")
+		t.Error("cancellation not executed, want status 200")
 	}
 }
 
-// TestAcceptedJobsStartUnderOverload checks, with admission control on and off, that queued
-// acceptances do not fill every transaction. Otherwise no accepted job would start.
+// TestAcceptedJobsStartUnderOverload checks, with admission control on and off, that a transaction
+// also contains a start record while more acceptances are queued than it can hold. Otherwise no
+// accepted job would start.
 func TestAcceptedJobsStartUnderOverload(t *testing.T) {
-	off := newLeader(t, 5, start, map[string]json.RawMessage{})
-	off.submit("job-1")
+	withoutAdmission := newLeader(t, 5, startTime, map[string]json.RawMessage{})
+	withoutAdmission.submit("job-1")
 	for i := range 120 {
-		off.Submit(off.now, off.now, newJob(fmt.Sprint("job-7", i)), func(leader.Response) {})
+		withoutAdmission.Submit(withoutAdmission.now, withoutAdmission.now, newJob(fmt.Sprint("job-7", i)), func(leader.Response) {})
 	}
-	for name, l := range map[string]*testLeader{"on": sheddingLeader(t), "off": off} {
+	for name, l := range map[string]*testLeader{"on": sheddingLeader(t), "off": withoutAdmission} {
 		l.sendHeartbeat("m1", 1)
 		l.tickAfter(time.Second)
 		starts, acceptances := 0, 0
@@ -102,15 +104,15 @@
 			}
 		}
 		if starts != 1 || acceptances != 7 {
-			t.Errorf("admission %s: %d starts and %d acceptances in a transaction of 8", name, starts, acceptances)
+			t.Errorf("admission control %s: got %d start records and %d acceptances in a transaction of 8, want 1 and 7", name, starts, acceptances)
 		}
 	}
 }
 
-// TestLimitViolationAgreesWithLeader checks that LimitViolation, which a node uses without a leader,
-// finds the same jobs impossible as a leader does.
+// TestLimitViolationAgreesWithLeader checks that LimitViolation, which a node calls while it knows no
+// leader, rejects the same jobs as a leader, for the same reasons.
 func TestLimitViolationAgreesWithLeader(t *testing.T) {
-	l := newLeader(t, 5, start, map[string]json.RawMessage{})
+	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	for i, change := range []func(*wire.Job){
 		func(*wire.Job) {},
 		func(j *wire.Job) { j.Team = "nobody" },
@@ -119,9 +121,9 @@
 	} {
 		j := newJob(fmt.Sprint("job-3", i))
 		change(j)
-		reason := leader.LimitViolation(params.Teams, j)
-		if v := l.submitWithClaim(j, nil); (reason != "") != (v.Status == 422) || reason != v.Reason {
-			t.Errorf("%d: got %q, the leader responds %+v", i, reason, v)
+		reason := leader.LimitViolation(testParams.Teams, j)
+		if v := l.submitWithAdmissionClaim(j, nil); (reason != "") != (v.Status == 422) || reason != v.Reason {
+			t.Errorf("job %d: LimitViolation returns %q, the leader responds %+v", i, reason, v)
 		}
 	}
 }
--- a/internal/leader/benchmark_test.go
+++ b/internal/leader/benchmark_test.go
@@ -15,13 +15,14 @@
 
 const (
 	benchmarkMachines = 4000
-	tasksPerMachine   = 4 // of 2 CPUs each, on machines of 8
-	// benchmarkEstimateS is longer than any benchmark runs. With a shorter estimate the placement
-	// algorithm would wait for machines that seem to become free soon.
+	tasksPerMachine   = 4 // tasks have 2 CPUs each, machines 8
+	// benchmarkEstimateS is the estimated run time of all tasks. It is longer than any benchmark
+	// runs: with a shorter one the placement algorithm would let tasks wait for machines whose
+	// tasks seem to end soon.
 	benchmarkEstimateS = 1e6
 )
 
-// benchmarkAgent is an agent whose tasks run until completeNewest ends them.
+// benchmarkAgent is an agent. Its tasks run until completeNewestJob completes them.
 type benchmarkAgent struct {
 	heartbeat wire.Heartbeat
 }
@@ -32,22 +33,22 @@
 	b      *testing.B
 	now    time.Time
 	agents []*benchmarkAgent
-	jobs   int
+	jobs   int // number of jobs submitted; the newest has the ID "job-<jobs>"
 }
 
 // newBenchmarkCluster returns a leader that has received a heartbeat of every agent.
 func newBenchmarkCluster(b *testing.B) *benchmarkCluster {
 	b.Helper()
-	settings := params
-	settings.Teams = []config.Team{{Name: "blue"}} // without a limit
-	l := leader.New(zerolog.Nop(), settings, config.OperatorSettings{}, 1, start, leader.GracePeriod(settings.Workers))
-	l.FinishLoading(start)
-	l.SetMachineTypes([]wire.MachineType{bigType})
-	c := &benchmarkCluster{Leader: l, b: b, now: start}
+	unlimitedParams := testParams
+	unlimitedParams.Teams = []config.Team{{Name: "blue"}} // without a limit
+	l := leader.New(zerolog.Nop(), unlimitedParams, config.OperatorSettings{}, 1, startTime, leader.GracePeriod(unlimitedParams.Workers))
+	l.FinishLoading(startTime)
+	l.SetMachineTypes([]wire.MachineType{std8Type})
+	c := &benchmarkCluster{Leader: l, b: b, now: startTime}
 	for i := range benchmarkMachines {
 		name := fmt.Sprintf("i-%06d", i)
 		c.agents = append(c.agents, &benchmarkAgent{heartbeat: wire.Heartbeat{
-			Machine: name, Addr: name + ":9", Type: bigType.Name, Zone: "a", AgentEpoch: 1, FencingToken: l.Term(),
+			Machine: name, Addr: name + ":9", Type: std8Type.Name, Zone: "a", AgentEpoch: 1, FencingToken: l.Term(),
 		}})
 	}
 	c.sendAllHeartbeats()
@@ -59,7 +60,7 @@
 	a.heartbeat.Sequence++
 	response, outcome := c.HandleHeartbeat(c.now, &a.heartbeat, true)
 	if outcome != leader.HeartbeatApplied {
-		c.b.Fatalf("%s: outcome %d", a.heartbeat.Machine, outcome)
+		c.b.Fatalf("heartbeat of %s: got outcome %d, want HeartbeatApplied", a.heartbeat.Machine, outcome)
 	}
 	for _, command := range response.Commands {
 		a.execute(command)
@@ -84,7 +85,7 @@
 	}
 }
 
-// submit submits a job and commits it.
+// submit submits a job with the given class and number of tasks, and commits it.
 func (c *benchmarkCluster) submit(class string, tasks int) {
 	c.jobs++
 	job := newJob(fmt.Sprintf("job-%d", c.jobs))
@@ -100,24 +101,24 @@
 	}
 }
 
-// fill runs the given number of tasks on each machine.
+// fill submits a job of class "long" and places the given number of its tasks on each machine.
 func (c *benchmarkCluster) fill(tasks int) {
-	c.submit("lasting", benchmarkMachines*tasks)
+	c.submit("long", benchmarkMachines*tasks)
 	for range 1000 {
 		c.now = c.now.Add(time.Second)
 		c.Tick(c.now, true)
 		c.commit()
 		c.sendAllHeartbeats()
 		if c.Counts().ReadyTasks == 0 {
-			c.sendAllHeartbeats()
+			c.sendAllHeartbeats() // lists the last tasks started as running
 			return
 		}
 	}
-	c.b.Fatalf("%d tasks were not placed", c.Counts().ReadyTasks)
+	c.b.Fatalf("%d tasks were not placed, want 0", c.Counts().ReadyTasks)
 }
 
-// completeNewest completes the tasks of the newest job.
-func (c *benchmarkCluster) completeNewest() {
+// completeNewestJob marks the tasks of the newest job as exited on their agents.
+func (c *benchmarkCluster) completeNewestJob() {
 	newest := fmt.Sprintf("job-%d", c.jobs)
 	for _, a := range c.agents {
 		for i := range a.heartbeat.Tasks {
@@ -129,8 +130,8 @@
 	}
 }
 
-// BenchmarkPlacementPass measures a pass over 4,000 machines: one that places 100 tasks on a
-// half-used cluster, and one over a full cluster with 100 queued jobs.
+// BenchmarkPlacementPass measures a placement pass over 4,000 machines: "half-used" places 100 tasks
+// on a half-used cluster, "full" places none, because 100 jobs are queued for a full cluster.
 func BenchmarkPlacementPass(b *testing.B) {
 	b.Run("half-used", func(b *testing.B) {
 		c := newBenchmarkCluster(b)
@@ -138,20 +139,22 @@
 		for b.Loop() {
 			b.StopTimer()
 			c.now = c.now.Add(time.Second)
-			c.submit("short", 100) // its own class, whose estimate is corrected by the run times
+			// Another class than that of the long jobs: the short run times lower the estimates of
+			// their whole class.
+			c.submit("short", 100)
 			b.StartTimer()
 			c.Tick(c.now, true)
 			b.StopTimer()
 			if ready := c.Counts().ReadyTasks; ready != 0 {
-				b.Fatalf("%d tasks were not placed", ready)
+				b.Fatalf("%d tasks were not placed, want 0", ready)
 			}
 			c.commit()
-			c.sendAllHeartbeats() // sends the starts
-			c.completeNewest()
-			c.sendAllHeartbeats() // lists the tasks as exited
+			c.sendAllHeartbeats() // the responses start the tasks
+			c.completeNewestJob()
+			c.sendAllHeartbeats() // the heartbeats list the tasks as exited
 			c.Tick(c.now, false)
 			c.commit()
-			c.sendAllHeartbeats() // sends the forgets
+			c.sendAllHeartbeats() // the responses remove the exited tasks
 			b.StartTimer()
 		}
 	})
@@ -159,7 +162,7 @@
 		c := newBenchmarkCluster(b)
 		c.fill(tasksPerMachine)
 		for range 100 {
-			c.submit("lasting", 100)
+			c.submit("long", 100)
 		}
 		for b.Loop() {
 			b.StopTimer()
@@ -176,15 +179,16 @@
 func BenchmarkHeartbeat(b *testing.B) {
 	c := newBenchmarkCluster(b)
 	c.fill(tasksPerMachine)
-	step := 3 * time.Second / benchmarkMachines
-	next := 0
+	// Each machine sends a heartbeat every 3 s.
+	heartbeatSpacing := 3 * time.Second / benchmarkMachines
+	nextAgent := 0
 	for b.Loop() {
-		c.now = c.now.Add(step)
-		a := c.agents[next]
-		next = (next + 1) % benchmarkMachines
+		c.now = c.now.Add(heartbeatSpacing)
+		a := c.agents[nextAgent]
+		nextAgent = (nextAgent + 1) % benchmarkMachines
 		a.heartbeat.Sequence++
 		if _, outcome := c.HandleHeartbeat(c.now, &a.heartbeat, true); outcome != leader.HeartbeatApplied {
-			b.Fatalf("outcome %d", outcome)
+			b.Fatalf("got outcome %d, want HeartbeatApplied", outcome)
 		}
 	}
 }
--- a/internal/leader/cancellation_test.go
+++ b/internal/leader/cancellation_test.go
@@ -39,7 +39,7 @@
 // TestTaskOfUnknownJobIsStopped checks that a task of an unknown job is stopped, and forgotten once
 // it has exited.
 func TestTaskOfUnknownJobIsStopped(t *testing.T) {
-	l := newLeader(t, 5, start, map[string]json.RawMessage{})
+	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	task := wire.TaskStatus{Task: "job-9/3", Attempt: 7, State: wire.TaskRunning}
 	if cs := l.sendHeartbeat("m1", 1, task); formatCommands(cs) != "kill job-9/3" {
 		t.Fatal(formatCommands(cs))
@@ -64,7 +64,7 @@
 // TestLateStartOfEndedJobIsFenced checks that a machine that may still receive a start of a
 // cancelled job is released well before the deadline for cancellations.
 func TestLateStartOfEndedJobIsFenced(t *testing.T) {
-	l, call, _ := leaderWithCallInFlight(t)
+	l, call, _ := leaderWithDirectCallInFlight(t)
 	l.DirectCallDone(l.now, call, leader.DirectUnknown, nil)
 	l.Cancel(l.now, "job-1", func(leader.Response) {})
 	l.commit()
@@ -98,14 +98,14 @@
 // get no more responses once its lease would outlast the deadline for cancellations, until its agent
 // begins a new session, in which the start is void.
 func TestLateStartOfEndedJobExpiresSession(t *testing.T) {
-	l, call, _ := leaderWithCallInFlight(t)
+	l, call, _ := leaderWithDirectCallInFlight(t)
 	l.DirectCallDone(l.now, call, leader.DirectUnknown, nil)
 	l.Cancel(l.now, "job-1", func(leader.Response) {})
 	l.commit()
 	cancelledAt, lastResponse := l.now, l.now
 	sendHeartbeat := func(session uint64) leader.HeartbeatOutcome {
-		l.seq++
-		_, outcome := l.HandleHeartbeat(l.now, &wire.Heartbeat{Machine: "m1", Addr: "m1:9", Type: "std-8", Zone: "a", AgentEpoch: session, Sequence: l.seq, FencingToken: l.Term()}, false)
+		l.lastSequence++
+		_, outcome := l.HandleHeartbeat(l.now, &wire.Heartbeat{Machine: "m1", Addr: "m1:9", Type: "std-8", Zone: "a", AgentEpoch: session, Sequence: l.lastSequence, FencingToken: l.Term()}, false)
 		return outcome
 	}
 	for l.now.Sub(cancelledAt) < 60*time.Second {
@@ -115,8 +115,8 @@
 		l.now = l.now.Add(time.Second)
 		l.Tick(l.now, false)
 	}
-	leaseEndS := lastResponse.Sub(cancelledAt).Seconds() + params.Workers.LeaseS
-	if leaseEndS >= params.Workers.CancelDeadlineS || lastResponse.Sub(cancelledAt) < 5*time.Second {
+	leaseEndS := lastResponse.Sub(cancelledAt).Seconds() + testParams.Workers.LeaseS
+	if leaseEndS >= testParams.Workers.CancelDeadlineS || lastResponse.Sub(cancelledAt) < 5*time.Second {
 		t.Fatalf("last response after %v: the lease may last until %v s", lastResponse.Sub(cancelledAt), leaseEndS)
 	}
 	if sendHeartbeat(2) != leader.HeartbeatApplied {
@@ -137,9 +137,9 @@
 	if outcome != leader.HeartbeatApplied || formatCommands(response.Commands) != "kill job-1/0, kill job-9/0" || response.Commands[0].Attempt != task.Attempt {
 		t.Fatalf("first heartbeat in a term: %s", formatCommands(response.Commands))
 	}
-	l, call, _ := leaderWithCallInFlight(t)
-	l.seq++
-	l.DirectCallDone(l.now, call, leader.DirectReplied, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.seq + 1, FencingToken: 5, Tasks: []wire.TaskStatus{task}})
+	l, call, _ := leaderWithDirectCallInFlight(t)
+	l.lastSequence++
+	l.DirectCallDone(l.now, call, leader.DirectReplied, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.lastSequence + 1, FencingToken: 5, Tasks: []wire.TaskStatus{task}})
 	l.Cancel(l.now, "job-1", func(leader.Response) {})
 	if cs := l.sendHeartbeat("m1", 1, task); formatCommands(cs) != "kill job-1/0" {
 		t.Fatalf("overtaken by the reply to a direct call: %q", formatCommands(cs))
--- a/internal/leader/dependencies_test.go
+++ b/internal/leader/dependencies_test.go
@@ -12,12 +12,12 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// useTightLimits sets the smallest limits of the key-value store that its operators have announced.
-func useTightLimits(t *testing.T) {
+// useSmallStoreLimits sets the smallest limits of the key-value store that its operators have announced.
+func useSmallStoreLimits(t *testing.T) {
 	t.Helper()
-	old := params
-	t.Cleanup(func() { params = old })
-	params.KVStore.ValueKB, params.KVStore.TxnOps, params.KVStore.WriteRPS = 2, 8, 42
+	old := testParams
+	t.Cleanup(func() { testParams = old })
+	testParams.KVStore.ValueKB, testParams.KVStore.TxnOps, testParams.KVStore.WriteRPS = 2, 8, 42
 }
 
 func dependentJob(id string, dependencies ...string) *wire.Job {
@@ -26,8 +26,8 @@
 	return j
 }
 
-// submitAsync submits a job without committing it. The response is filled in when it is given.
-func (l *testLeader) submitAsync(j *wire.Job) *leader.Response {
+// submitWithoutCommit submits a job without committing it. The response is filled in when it is given.
+func (l *testLeader) submitWithoutCommit(j *wire.Job) *leader.Response {
 	v := &leader.Response{}
 	l.Submit(l.now, l.now, j, func(got leader.Response) { *v = got })
 	return v
@@ -36,7 +36,7 @@
 func (l *testLeader) submitAll(jobs ...*wire.Job) {
 	l.t.Helper()
 	for _, j := range jobs {
-		v := l.submitAsync(j)
+		v := l.submitWithoutCommit(j)
 		l.commit()
 		if v.Status != 201 {
 			l.t.Fatalf("%s: %+v", j.ID, *v)
@@ -110,7 +110,7 @@
 // TestSubmissionsWithDependencies checks which jobs with dependencies are accepted, rejected for
 // good (422) or rejected for now (503).
 func TestSubmissionsWithDependencies(t *testing.T) {
-	l := newLeader(t, 5, start, map[string]json.RawMessage{})
+	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	l.submitAll(newJob("job-1"), newJob("job-2"))
 	l.Cancel(l.now, "job-2", func(leader.Response) {})
 	l.commit()
@@ -124,23 +124,23 @@
 		{dependentJob("job-3", "else"), 422, "else"},
 		{dependentJob("job-3", strings.Repeat("<", 60_000)), 422, "<<"},
 	} {
-		if v := l.submitAsync(c.job); v.Status != c.status || !strings.Contains(v.Reason, c.reason) || len(v.Reason) > 300 {
+		if v := l.submitWithoutCommit(c.job); v.Status != c.status || !strings.Contains(v.Reason, c.reason) || len(v.Reason) > 300 {
 			t.Errorf("%.60v: %d %.300s", c.job.DependsOn, v.Status, v.Reason)
 		}
 	}
 	// A repeated submission gets the job state, even with other dependencies.
-	if v := l.submitAsync(dependentJob("job-1", "job-404")); v.Status != 200 {
+	if v := l.submitWithoutCommit(dependentJob("job-1", "job-404")); v.Status != 200 {
 		t.Errorf("repeated submission: %+v", *v)
 	}
 	// A job is rejected for now if the acceptance of a dependency is not durable yet.
-	l.submitAsync(newJob("job-4"))
-	if v := l.submitAsync(dependentJob("job-5", "job-4")); v.Status != 503 {
+	l.submitWithoutCommit(newJob("job-4"))
+	if v := l.submitWithoutCommit(dependentJob("job-5", "job-4")); v.Status != 503 {
 		t.Errorf("depends on a job that is being accepted: %+v", *v)
 	}
 	l.commit()
 	// A job that depends on a cancelled one is accepted and cancelled with one response:
 	// "queued" would be wrong long after the first cancellation.
-	v := l.submitAsync(dependentJob("job-6", "job-1", "job-2"))
+	v := l.submitWithoutCommit(dependentJob("job-6", "job-1", "job-2"))
 	if v.Status != 0 {
 		t.Fatalf("response before the acceptance is durable: %+v", *v)
 	}
@@ -159,8 +159,8 @@
 // completes those that its predecessor has left, and does not report a job as queued that will be
 // cancelled.
 func TestCancellationReachesDependents(t *testing.T) {
-	useTightLimits(t)
-	l := newLeader(t, 5, start, map[string]json.RawMessage{})
+	useSmallStoreLimits(t)
+	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	l.submitAll(newJob("job-0"), newJob("job-1"))
 	var all []string
 	add := func(dependencies ...string) string {
@@ -195,7 +195,7 @@
 			t.Fatalf("%d of %d dependents cancelled", ended, len(all))
 		}
 		l.tickAfter(200 * time.Millisecond)
-		v := l.submitAsync(newJob(fmt.Sprintf("job-%d", 10_000+rounds)))
+		v := l.submitWithoutCommit(newJob(fmt.Sprintf("job-%d", 10_000+rounds)))
 		wait := 0
 		for ; v.Status == 0; wait++ {
 			l.commitBatch(7, 7)
@@ -283,7 +283,7 @@
 func TestCriticalPathRaisesPriority(t *testing.T) {
 	for _, cancelled := range []bool{false, true} {
 		for _, succession := range []bool{false, true} {
-			l := newLeader(t, 5, start, map[string]json.RawMessage{})
+			l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 			first, other := newJob("job-1"), newJob("job-2")
 			first.Priority, first.CPUs = wire.PriorityIdle, 8
 			other.Priority, other.CPUs = wire.PriorityNormal, 8
@@ -318,10 +318,10 @@
 // TestTightestCriticalPathGoesFirst checks that of two chains of equal priority the one with the
 // earlier deadline goes first, although the first job of neither has a deadline.
 func TestTightestCriticalPathGoesFirst(t *testing.T) {
-	old := params
-	defer func() { params = old }()
-	params.Teams = []config.Team{{Name: "blue", CPUs: 16, CPUsMax: 16}}
-	l := newLeader(t, 5, start, map[string]json.RawMessage{})
+	old := testParams
+	defer func() { testParams = old }()
+	testParams.Teams = []config.Team{{Name: "blue", CPUs: 16, CPUsMax: 16}}
+	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	for i, deadline := range []float64{400, 200} {
 		first, last := newJob(fmt.Sprint("job-1", i)), dependentJob(fmt.Sprint("job-3", i), fmt.Sprint("job-2", i))
 		first.CPUs = 8
@@ -339,11 +339,11 @@
 // TestEndedJobsHoldNoGuarantee checks that cancelled and blocked jobs leave their team's guarantee
 // to its next job.
 func TestEndedJobsHoldNoGuarantee(t *testing.T) {
-	old := params
-	defer func() { params = old }()
-	params.Teams = []config.Team{{Name: "blue", CPUs: 16, CPUsMax: 32}, {Name: "green", CPUs: 8, CPUsMax: 16}}
+	old := testParams
+	defer func() { testParams = old }()
+	testParams.Teams = []config.Team{{Name: "blue", CPUs: 16, CPUsMax: 32}, {Name: "green", CPUs: 8, CPUsMax: 16}}
 	for _, blocked := range []bool{false, true} {
-		l := newLeader(t, 5, start, map[string]json.RawMessage{})
+		l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 		first, second, other := newJob("job-1"), newJob("job-2"), newJob("job-3")
 		first.Tasks, first.CPUs, second.CPUs, other.CPUs, other.Team = 2, 8, 8, 8, "green"
 		if blocked {
--- a/internal/leader/drain_test.go
+++ b/internal/leader/drain_test.go
@@ -16,15 +16,15 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// drainOperator returns operator settings that turn drains on, with one budget for all teams.
-func drainOperator(b drain.Budget) config.OperatorSettings {
+// drainSettings returns operator settings that turn drains on, with one budget for all teams.
+func drainSettings(b drain.Budget) config.OperatorSettings {
 	return config.OperatorSettings{Drains: &drain.Budgets{Window: 10 * time.Minute, Default: b}}
 }
 
 var ampleBudget = drain.Budget{MaxUnavailable: 10, Evictions: 10, LostS: 10_000}
 
-// applyList applies a machine list that contains exactly the named machines.
-func (l *testLeader) applyList(names ...string) {
+// applyMachineList applies a machine list that contains exactly the named machines.
+func (l *testLeader) applyMachineList(names ...string) {
 	var rows []wire.ListedMachine
 	for _, name := range names {
 		rows = append(rows, wire.ListedMachine{Name: name, Type: "std-8", Zone: "a", State: wire.MachineRunning, AgeS: 100})
@@ -70,14 +70,14 @@
 // leaderForDrain returns a leader and a task that has run on m1 for 40 s.
 func leaderForDrain(t *testing.T, operator config.OperatorSettings) (*testLeader, wire.TaskStatus) {
 	t.Helper()
-	l := newLeaderWith(t, operator, 5, start, map[string]json.RawMessage{})
+	l := newLeaderWithSettings(t, operator, 5, startTime, map[string]json.RawMessage{})
 	l.submit("job-1")
 	l.sendHeartbeat("m1", 1)
-	l.applyList("m1")
+	l.applyMachineList("m1")
 	l.tickAfter(time.Second)
 	l.commit()
 	task := wire.TaskStatus{Task: "job-1/0", Attempt: l.sendHeartbeat("m1", 1)[0].Attempt, State: wire.TaskRunning}
-	l.runDrains(40*time.Second, func() { l.sendHeartbeat("m1", 1, task); l.applyList("m1") })
+	l.runDrains(40*time.Second, func() { l.sendHeartbeat("m1", 1, task); l.applyMachineList("m1") })
 	return l, task
 }
 
@@ -85,7 +85,7 @@
 // successor that loads the charge stops the attempt without another charge. If the task runs as
 // another attempt, the successor charges again.
 func TestChargeIsDurableBeforeTheStop(t *testing.T) {
-	l, task := leaderForDrain(t, drainOperator(ampleBudget))
+	l, task := leaderForDrain(t, drainSettings(ampleBudget))
 	attempt := task.Attempt
 	if r := l.sendDrainRequest(newApplyRequest("maintenance", "m1")); r.Status != http.StatusCreated {
 		t.Fatalf("%+v", r)
@@ -110,9 +110,9 @@
 		for key, value := range l.store {
 			store[key] = value
 		}
-		next := newLeaderWith(t, drainOperator(ampleBudget), 6, l.now.Add(time.Second), store)
-		next.seq = l.seq
-		next.applyList("m1")
+		next := newLeaderWithSettings(t, drainSettings(ampleBudget), 6, l.now.Add(time.Second), store)
+		next.lastSequence = l.lastSequence
+		next.applyMachineList("m1")
 		running := task
 		running.Attempt = c.attempt
 		next.sendHeartbeat("m1", 1, running)
@@ -127,15 +127,15 @@
 // TestDrainRequests checks that invalid requests are rejected before anything is stored, and that a
 // repeated request changes nothing.
 func TestDrainRequests(t *testing.T) {
-	off := newLeader(t, 5, start, map[string]json.RawMessage{})
-	off.applyList("m1")
+	off := newLeader(t, 5, startTime, map[string]json.RawMessage{})
+	off.applyMachineList("m1")
 	if r := off.sendDrainRequest(newApplyRequest("maintenance", "m1")); r.Status != http.StatusForbidden {
 		t.Errorf("off: %+v", r)
 	}
-	l := newLeaderWith(t, drainOperator(ampleBudget), 5, start, map[string]json.RawMessage{
+	l := newLeaderWithSettings(t, drainSettings(ampleBudget), 5, startTime, map[string]json.RawMessage{
 		"e/damaged": json.RawMessage(`{"version":1}`), "e/newer": json.RawMessage(`{"version":9}`),
 	})
-	l.applyList("m1")
+	l.applyMachineList("m1")
 	change := func(f func(*drain.Spec)) drain.Request {
 		q := newApplyRequest("maintenance", "m1")
 		f(q.Spec)
@@ -190,19 +190,19 @@
 // TestDrainStepExaminesItsBatchOnly checks that a step of a drain of 4,000 machines examines only
 // the machines of the batch and the attempts on them.
 func TestDrainStepExaminesItsBatchOnly(t *testing.T) {
-	l := newLeaderWith(t, drainOperator(drain.Budget{}), 1, start, map[string]json.RawMessage{})
+	l := newLeaderWithSettings(t, drainSettings(drain.Budget{}), 1, startTime, map[string]json.RawMessage{})
 	names := make([]string, 4000)
 	for i := range names {
 		names[i] = fmt.Sprintf("m%04d", i)
 		l.sendHeartbeat(names[i], 1)
 	}
-	l.applyList(names...)
+	l.applyMachineList(names...)
 	l.submit("job-1")
 	l.now = l.now.Add(time.Minute)
 	for _, name := range names {
 		l.sendHeartbeat(name, 1)
 	}
-	l.applyList(names...)
+	l.applyMachineList(names...)
 	l.tickAfter(time.Second)
 	l.commit()
 	l.sendDrainRequest(drain.Request{Action: drain.Apply, Spec: &drain.Spec{Name: "all", BatchSize: 5, Selector: drain.Selector{Type: "std-8"}}})
@@ -225,10 +225,10 @@
 // provisioning in the zone until it is cancelled. A leader without machines used to presume that it
 // was isolated, so that the drain never ended.
 func TestDrainOfAnEmptyZoneEnds(t *testing.T) {
-	l := newLeaderWith(t, drainOperator(ampleBudget), 5, start, map[string]json.RawMessage{})
-	l.applyList()
+	l := newLeaderWithSettings(t, drainSettings(ampleBudget), 5, startTime, map[string]json.RawMessage{})
+	l.applyMachineList()
 	l.sendDrainRequest(drain.Request{Action: drain.Apply, Spec: &drain.Spec{Name: "zone", BatchSize: 1, Selector: drain.Selector{Zone: "a"}}})
-	l.runDrains(2*time.Minute, func() { l.applyList(); l.PlanScaling(l.now); l.commit() })
+	l.runDrains(2*time.Minute, func() { l.applyMachineList(); l.PlanScaling(l.now); l.commit() })
 	if r := l.sendDrainRequest(drain.Request{Action: drain.Show, Name: "zone"}); r.Drains[0].State != drain.Done {
 		t.Fatalf("%+v", r.Drains[0])
 	}
@@ -238,7 +238,7 @@
 			l.sendDrainRequest(drain.Request{Action: drain.Cancel, Name: "zone"})
 		}
 		l.tickAfter(time.Minute)
-		if provisioned := provisions(l.PlanScaling(l.now)); provisioned != cancelled {
+		if provisioned := hasProvisionCall(l.PlanScaling(l.now)); provisioned != cancelled {
 			t.Errorf("cancelled: %v, provisioned: %v", cancelled, provisioned)
 		}
 	}
@@ -249,7 +249,7 @@
 // stops the task.
 func TestZoneBoundWorkBlocksADrain(t *testing.T) {
 	for _, force := range []bool{false, true} {
-		l, task := leaderForDrain(t, drainOperator(ampleBudget))
+		l, task := leaderForDrain(t, drainSettings(ampleBudget))
 		deadline := l.now.Add(2 * time.Minute)
 		l.sendDrainRequest(drain.Request{Action: drain.Apply, Spec: &drain.Spec{
 			Name: "zone", BatchSize: 1, Selector: drain.Selector{Zone: "a"}, Deadline: &deadline, Force: force,
@@ -272,11 +272,11 @@
 // TestReplacementTimeout checks that a batch is not cordoned while the cloud has no replacements,
 // that the drain is paused after the timeout, and that it tries again once it is resumed.
 func TestReplacementTimeout(t *testing.T) {
-	l, task := leaderForDrain(t, drainOperator(ampleBudget))
+	l, task := leaderForDrain(t, drainSettings(ampleBudget))
 	provisionCalls := 0
 	step := func() {
 		l.sendHeartbeat("m1", 1, task)
-		l.applyList("m1")
+		l.applyMachineList("m1")
 		for _, call := range l.PlanScaling(l.now) {
 			if call.Op == scaling.CloudProvision {
 				provisionCalls++
@@ -313,7 +313,7 @@
 // machines, and is cordoned once they are schedulable. A successor that loads them from the record
 // provisions none, even if the machine list lacks them.
 func TestReplacementsAreProvisionedOnce(t *testing.T) {
-	l, task := leaderForDrain(t, drainOperator(ampleBudget))
+	l, task := leaderForDrain(t, drainSettings(ampleBudget))
 	sendAndList := func(l *testLeader, names ...string) {
 		for _, name := range names {
 			if name == "m1" {
@@ -322,7 +322,7 @@
 				l.sendHeartbeat(name, 1)
 			}
 		}
-		l.applyList(names...)
+		l.applyMachineList(names...)
 	}
 	q := newApplyRequest("maintenance", "m1")
 	q.Spec.Replace = true
@@ -341,11 +341,11 @@
 	if len(provisionCalls) != 1 || provisionCalls[0].Count != 1 {
 		t.Fatalf("provision calls: %+v", provisionCalls)
 	}
-	next := newLeaderWith(t, drainOperator(ampleBudget), 6, l.now, l.store)
-	next.seq = l.seq
+	next := newLeaderWithSettings(t, drainSettings(ampleBudget), 6, l.now, l.store)
+	next.lastSequence = l.lastSequence
 	next.runDrains(6*time.Second, func() {
 		sendAndList(next, "m1")
-		if provisions(next.PlanScaling(next.now)) {
+		if hasProvisionCall(next.PlanScaling(next.now)) {
 			t.Fatal("the successor provisions again although replacements are recorded")
 		}
 	})
@@ -364,8 +364,8 @@
 // TestNextDrainKeepsCordonOfPausedDrain checks that a machine cordoned by a paused drain gets no
 // work, even while another drain waits for a replacement before it cordons the same machine.
 func TestNextDrainKeepsCordonOfPausedDrain(t *testing.T) {
-	l, task := leaderForDrain(t, drainOperator(ampleBudget))
-	step := func() { l.sendHeartbeat("m1", 1, task); l.applyList("m1"); l.commit() }
+	l, task := leaderForDrain(t, drainSettings(ampleBudget))
+	step := func() { l.sendHeartbeat("m1", 1, task); l.applyMachineList("m1"); l.commit() }
 	l.sendDrainRequest(newApplyRequest("first", "m1"))
 	l.runDrains(5*time.Second, step)
 	l.sendDrainRequest(drain.Request{Action: drain.Pause, Name: "first"})
--- a/internal/leader/failures_test.go
+++ b/internal/leader/failures_test.go
@@ -40,7 +40,7 @@
 // machine quarantined, but a machine is still quarantined if jobs fail on it that complete
 // elsewhere.
 func TestJobFailingEverywhereQuarantinesNoMachine(t *testing.T) {
-	l := newLeader(t, 5, start, map[string]json.RawMessage{})
+	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	machines := []string{"m1", "m2", "m3"}
 	faulty := map[string]bool{} // machines on which every task fails
 	lists := map[string][]wire.TaskStatus{}
@@ -106,7 +106,7 @@
 	l.ApplyMachineList(l.now, l.now, nil)
 	for range 70 {
 		l.tickAfter(time.Second)
-		if provisions(l.PlanScaling(l.now)) {
+		if hasProvisionCall(l.PlanScaling(l.now)) {
 			return
 		}
 	}
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -14,24 +14,25 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// fleet simulates one leader and several hundred or thousand machines without network faults, in
-// steps of 100 ms and within the write budget of the settings.
+// fleet simulates one leader and several hundred or thousand machines, in steps of 100 ms. The network
+// has no faults. The leader writes to the key-value store at the rate that testParams allow.
 type fleet struct {
 	*testLeader
-	agents []*fleetAgent
-	byName map[string]*fleetAgent
-	rng    *rand.Rand
-	tokens float64
+	agents      []*fleetAgent
+	byName      map[string]*fleetAgent
+	rng         *rand.Rand
+	writeTokens float64 // number of changes that may be committed now
 
-	mutations, bytes, starts   int
-	accepted                   int
-	scoredPairs, maxPassScores int // pairs scored, in total and at most in one pass
-	cloudCalls                 int
-	submitted                  map[string]time.Time
-	startedJobs                map[string]bool
-	startDelays                []time.Duration
+	committedMutations, committedBytes, startedTasks int
+	acceptedJobs                                     int
+	scoredPairs, maxPairsPerPass                     int                  // pairs of job and machine scored, in total and at most in one step
+	cloudCalls                                       int                  // number of calls to the cloud
+	submittedAt                                      map[string]time.Time // by job
+	startedJobs                                      map[string]bool      // jobs of which a task has started
+	startDelays                                      []time.Duration      // of each start, the time since the submission of its job
 }
 
+// fleetAgent is the agent of one machine. endTimes[i] is when tasks[i] completes.
 type fleetAgent struct {
 	name          string
 	tasks         []wire.TaskStatus
@@ -39,18 +40,19 @@
 	seq           uint64
 	nextHeartbeat time.Time
 	lastHeartbeat time.Time
-	changed       bool
-	failed        bool // sends no heartbeats, but is still listed until it is released
+	tasksChanged  bool // since the last heartbeat
+	failed        bool // sends no heartbeats; the cloud still lists the machine until it is released
 	released      bool
 	// lastStartTerm is the term of the last start received.
 	lastStartTerm uint64
 }
 
-// newFleet returns a leader of term 5 and running machines that have not sent a heartbeat.
+// newFleet returns a leader of term 5 and the given number of machines. Their agents have not sent a
+// heartbeat yet.
 func newFleet(t *testing.T, machines int) *fleet {
 	f := &fleet{
-		testLeader: newLeader(t, 5, start, map[string]json.RawMessage{}), rng: rand.New(rand.NewPCG(1, 1)),
-		submitted: map[string]time.Time{}, startedJobs: map[string]bool{}, byName: map[string]*fleetAgent{},
+		testLeader: newLeader(t, 5, startTime, map[string]json.RawMessage{}), rng: rand.New(rand.NewPCG(1, 1)),
+		submittedAt: map[string]time.Time{}, startedJobs: map[string]bool{}, byName: map[string]*fleetAgent{},
 	}
 	for i := range machines {
 		a := &fleetAgent{name: fmt.Sprintf("i-%06d", i)}
@@ -60,10 +62,10 @@
 }
 
 func (f *fleet) submitJob(j *wire.Job) {
-	f.submitted[j.ID] = f.now
+	f.submittedAt[j.ID] = f.now
 	f.Submit(f.now, f.now, j, func(v leader.Response) {
 		if v.Status == 201 {
-			f.accepted++
+			f.acceptedJobs++
 		}
 	})
 }
@@ -92,10 +94,10 @@
 // execute executes the commands of a response or a direct call on an agent.
 func (f *fleet) execute(a *fleetAgent, commands []wire.Command) {
 	for _, c := range commands {
-		a.changed = true
+		a.tasksChanged = true
 		switch c.Op {
 		case wire.OpStart:
-			f.start(a, c)
+			f.startTask(a, c)
 		case wire.OpStop:
 			for i := range a.tasks {
 				if t := &a.tasks[i]; t.Task == c.Task && t.Attempt == c.Attempt && t.State == wire.TaskRunning {
@@ -114,10 +116,11 @@
 	}
 }
 
-// start runs a task on an agent for 5 to 14 s, or seven times as long if it is of a long job.
-func (f *fleet) start(a *fleetAgent, c wire.Command) {
+// startTask starts a task on an agent. The task runs for 5 to 14 s, or seven times as long if it
+// belongs to a long job, whose ID begins with "job-9".
+func (f *fleet) startTask(a *fleetAgent, c wire.Command) {
 	a.tasks = append(a.tasks, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
-	f.starts++
+	f.startedTasks++
 	a.lastStartTerm = f.Term()
 	job, _, _ := wire.SplitTask(c.Task)
 	f.startedJobs[job] = true
@@ -126,10 +129,10 @@
 		duration *= 7
 	}
 	a.endTimes = append(a.endTimes, f.now.Add(duration))
-	f.startDelays = append(f.startDelays, f.now.Sub(f.submitted[job]))
+	f.startDelays = append(f.startDelays, f.now.Sub(f.submittedAt[job]))
 }
 
-// step simulates 100 ms.
+// step simulates 100 ms of the agents, the leader, the key-value store and the cloud.
 func (f *fleet) step() {
 	f.t.Helper()
 	f.now = f.now.Add(100 * time.Millisecond)
@@ -138,38 +141,39 @@
 			f.runAgent(a)
 		}
 	}
-	before := f.scoredPairs
+	scoredBefore := f.scoredPairs
 	f.Tick(f.now, true)
 	f.scoredPairs = f.Counts().ScoredPairs
-	f.maxPassScores = max(f.maxPassScores, f.scoredPairs-before)
+	f.maxPairsPerPass = max(f.maxPairsPerPass, f.scoredPairs-scoredBefore)
 	f.commitWithinBudget()
-	f.scale()
-	f.callAgents()
+	f.executeCloudCalls()
+	f.executeDirectCalls()
 }
 
-// runAgent completes the tasks of an agent whose run time is over and sends a heartbeat if one is
-// due.
+// runAgent completes those tasks of an agent that have reached their end times. It then sends a
+// heartbeat if one is due: every 3 s, or 500 ms after the last one if a task has changed.
 func (f *fleet) runAgent(a *fleetAgent) {
 	f.t.Helper()
 	for i := range a.tasks {
 		if a.tasks[i].State == wire.TaskRunning && !f.now.Before(a.endTimes[i]) {
 			a.tasks[i].State, a.tasks[i].ExitReason = wire.TaskExited, wire.ExitDone
-			a.changed = true
+			a.tasksChanged = true
 		}
 	}
-	if f.now.Before(a.nextHeartbeat) && (!a.changed || f.now.Sub(a.lastHeartbeat) < 500*time.Millisecond) {
+	if f.now.Before(a.nextHeartbeat) && (!a.tasksChanged || f.now.Sub(a.lastHeartbeat) < 500*time.Millisecond) {
 		return
 	}
-	a.changed, a.lastHeartbeat, a.nextHeartbeat = false, f.now, f.now.Add(3*time.Second)
+	a.tasksChanged, a.lastHeartbeat, a.nextHeartbeat = false, f.now, f.now.Add(3*time.Second)
 	response, outcome := f.HandleHeartbeat(f.now, f.newHeartbeat(a), true)
 	if outcome != leader.HeartbeatApplied {
-		f.t.Fatalf("%s: outcome %d", a.name, outcome)
+		f.t.Fatalf("heartbeat of %s: got outcome %d, want HeartbeatApplied", a.name, outcome)
 	}
 	f.execute(a, response.Commands)
 }
 
-// scale responds to the calls to the cloud, which has no capacity for new machines.
-func (f *fleet) scale() {
+// executeCloudCalls executes the calls to the cloud, which releases machines but has no capacity for
+// new ones.
+func (f *fleet) executeCloudCalls() {
 	for _, call := range f.PlanScaling(f.now) {
 		f.cloudCalls++
 		if call.Op == scaling.CloudProvision {
@@ -183,8 +187,9 @@
 	}
 }
 
-// callAgents makes the direct calls to agents.
-func (f *fleet) callAgents() {
+// executeDirectCalls executes the direct calls to agents. A call to a failed agent has an uncertain
+// outcome.
+func (f *fleet) executeDirectCalls() {
 	for _, call := range f.NextDirectCalls(f.now) {
 		a := f.byName[call.Machine]
 		if a.failed {
@@ -196,24 +201,26 @@
 	}
 }
 
-// commitWithinBudget commits as many changes as the write budget allows.
+// commitWithinBudget commits as many changes as the write budget allows. The budget is a token bucket
+// that holds at most the writes of half a second. Changes that no user waits for leave the writes of
+// a quarter second for the others.
 func (f *fleet) commitWithinBudget() {
 	f.t.Helper()
-	s := params.KVStore
-	perSecond := s.WriteRPS * tuning.StoreWriteShare
-	f.tokens = min(f.tokens+perSecond/10, perSecond/2)
-	for f.tokens >= 1 {
-		b := f.NextBatch(min(s.TxnOps, int(f.tokens)), max(0, int(f.tokens-perSecond/4)))
+	limits := testParams.KVStore
+	perSecond := limits.WriteRPS * tuning.StoreWriteShare
+	f.writeTokens = min(f.writeTokens+perSecond/10, perSecond/2)
+	for f.writeTokens >= 1 {
+		b := f.NextBatch(min(limits.TxnOps, int(f.writeTokens)), max(0, int(f.writeTokens-perSecond/4)))
 		if b == nil {
 			return
 		}
-		f.tokens -= float64(len(b.Mutations))
-		total := 0
+		f.writeTokens -= float64(len(b.Mutations))
+		batchBytes := 0
 		for _, w := range b.Mutations {
-			f.mutations++
-			total += len(w.Key()) + len(w.Value) + 40
-			if float64(len(w.Value)) > s.ValueKB*1024 {
-				f.t.Fatalf("%s has %d bytes", w.Put, len(w.Value))
+			f.committedMutations++
+			batchBytes += len(w.Key()) + len(w.Value) + 40
+			if float64(len(w.Value)) > limits.ValueKB*1024 {
+				f.t.Fatalf("value of %s has %d bytes, more than the limit", w.Put, len(w.Value))
 			}
 			if w.Delete != "" {
 				delete(f.store, w.Delete)
@@ -221,36 +228,37 @@
 				f.store[w.Put] = w.Value
 			}
 		}
-		if f.bytes += total; total > 64<<10 {
-			f.t.Fatalf("transaction of %d bytes", total)
+		if f.committedBytes += batchBytes; batchBytes > 64<<10 {
+			f.t.Fatalf("transaction has %d bytes, want at most 64 KiB", batchBytes)
 		}
 		f.BatchCommitted(b, nil)
 	}
 }
 
-// applyList applies the cloud's machine list, which still contains failed machines.
-func (f *fleet) applyList() {
+// applyFleetMachineList applies the cloud's machine list, which contains all machines that are not
+// released, also failed ones.
+func (f *fleet) applyFleetMachineList() {
 	var rows []wire.ListedMachine
 	for _, a := range f.agents {
 		if !a.released {
-			rows = append(rows, wire.ListedMachine{Name: a.name, Addr: a.name + ":9", Type: "std-8", Zone: "a", State: wire.MachineRunning, AgeS: f.now.Sub(start).Seconds()})
+			rows = append(rows, wire.ListedMachine{Name: a.name, Addr: a.name + ":9", Type: "std-8", Zone: "a", State: wire.MachineRunning, AgeS: f.now.Sub(startTime).Seconds()})
 		}
 	}
 	f.ApplyMachineList(f.now, f.now, rows)
 }
 
 // checkAllMachinesGetStarts checks that every machine that has not failed got a start in the given
-// term, unless it is still full of tasks started earlier.
+// term, unless tasks that started earlier still use all its CPUs.
 func (f *fleet) checkAllMachinesGetStarts(term uint64) {
 	f.t.Helper()
-	idle := 0
+	withoutStart := 0
 	for _, a := range f.agents {
-		if !a.failed && a.lastStartTerm < term && a.usedCPUs() < bigType.CPUs {
-			idle++
+		if !a.failed && a.lastStartTerm < term && a.usedCPUs() < std8Type.CPUs {
+			withoutStart++
 		}
 	}
-	if idle > 0 {
-		f.t.Errorf("%d machines that have not failed got no start in term %d", idle, term)
+	if withoutStart > 0 {
+		f.t.Errorf("%d machines that have not failed and have free CPUs got no start in term %d, want none", withoutStart, term)
 	}
 }
 
@@ -270,18 +278,18 @@
 	return cpus
 }
 
-// checkWorkPerRequest limits the allocations for a heartbeat and for a query. They must not grow
-// with the number of machines, jobs or ended jobs.
-func (f *fleet) checkWorkPerRequest() {
+// checkAllocationsPerRequest checks the number of memory allocations for one heartbeat and for one
+// query. It must not grow with the number of machines, jobs or ended jobs.
+func (f *fleet) checkAllocationsPerRequest() {
 	f.t.Helper()
 	a := f.agents[1]
 	limit := 40 + 8*len(a.tasks)
 	if got := testing.AllocsPerRun(50, func() { f.HandleHeartbeat(f.now, f.newHeartbeat(a), true) }); got > float64(limit) {
 		f.t.Errorf("a heartbeat with %d tasks allocates %.0f times, want at most %d", len(a.tasks), got, limit)
 	}
-	for id := range f.submitted {
+	for id := range f.submittedAt {
 		if got := testing.AllocsPerRun(50, func() { f.Query(id) }); got > 0 {
-			f.t.Errorf("a query allocates %.0f times", got)
+			f.t.Errorf("a query allocates %.0f times, want 0", got)
 		}
 		break
 	}
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -18,9 +18,12 @@
 )
 
 var (
-	start   = time.Unix(1_700_000_000, 0)
-	bigType = wire.MachineType{Name: "std-8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootTimeS: 10, Zones: []string{"a"}}
-	params  = config.Params{
+	// startTime is the time at which the tests begin.
+	startTime = time.Unix(1_700_000_000, 0)
+	// std8Type is the only machine type that the cloud offers.
+	std8Type = wire.MachineType{Name: "std-8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootTimeS: 10, Zones: []string{"a"}}
+	// testParams are the service parameters. A test that changes them restores them at its end.
+	testParams = config.Params{
 		Teams:   []config.Team{{Name: "blue", CPUs: 8, CPUsMax: 16}},
 		Workers: config.Workers{HeartbeatIntervalS: 3, LeaseS: 15, CancelDeadlineS: 45},
 		KVStore: config.KVStoreLimits{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 48},
@@ -28,6 +31,7 @@
 	}
 )
 
+// newJob returns a job of team blue that has one task of 2 CPUs and an estimated run time of 30 s.
 func newJob(id string) *wire.Job {
 	return &wire.Job{
 		ID: id, Class: "c", Team: "blue", Kind: wire.KindArray, Priority: wire.PriorityHigh,
@@ -35,23 +39,25 @@
 	}
 }
 
-// testLeader is a leader with a map in place of the key-value store.
+// testLeader is a leader with a simulated clock and a map in place of the key-value store.
 type testLeader struct {
 	*leader.Leader
-	t     *testing.T
-	now   time.Time
-	store map[string]json.RawMessage
-	seq   uint64
+	t            *testing.T
+	now          time.Time
+	store        map[string]json.RawMessage
+	lastSequence uint64 // sequence number of the last heartbeat of any agent
 }
 
+// newLeader returns the leader of a term, which has loaded the stored records.
 func newLeader(t *testing.T, term uint64, now time.Time, store map[string]json.RawMessage) *testLeader {
 	t.Helper()
-	return newLeaderWith(t, config.OperatorSettings{}, term, now, store)
+	return newLeaderWithSettings(t, config.OperatorSettings{}, term, now, store)
 }
 
-func newLeaderWith(t *testing.T, operator config.OperatorSettings, term uint64, now time.Time, store map[string]json.RawMessage) *testLeader {
+// newLeaderWithSettings is newLeader with operator settings.
+func newLeaderWithSettings(t *testing.T, settings config.OperatorSettings, term uint64, now time.Time, store map[string]json.RawMessage) *testLeader {
 	t.Helper()
-	c := leader.New(zerolog.Nop(), params, operator, term, now, leader.GracePeriod(params.Workers))
+	c := leader.New(zerolog.Nop(), testParams, settings, term, now, leader.GracePeriod(testParams.Workers))
 	for _, prefix := range records.LoadOrder {
 		for _, k := range slices.Sorted(maps.Keys(store)) {
 			if strings.HasPrefix(k, prefix) {
@@ -62,7 +68,7 @@
 		}
 	}
 	c.FinishLoading(now)
-	c.SetMachineTypes([]wire.MachineType{bigType})
+	c.SetMachineTypes([]wire.MachineType{std8Type})
 	return &testLeader{Leader: c, t: t, now: now, store: store}
 }
 
@@ -85,25 +91,28 @@
 	}
 }
 
+// tickAfter advances the time and runs the leader's periodic work, including scheduling passes.
 func (l *testLeader) tickAfter(d time.Duration) {
 	l.now = l.now.Add(d)
 	l.Tick(l.now, true)
 }
 
-func (l *testLeader) sendHeartbeat(machine string, session uint64, tasks ...wire.TaskStatus) []wire.Command {
+// sendHeartbeat sends a heartbeat that lists the given tasks, and returns the commands in the
+// response. agentEpoch identifies the session of the agent.
+func (l *testLeader) sendHeartbeat(machine string, agentEpoch uint64, tasks ...wire.TaskStatus) []wire.Command {
 	l.t.Helper()
-	l.seq++
+	l.lastSequence++
 	response, outcome := l.HandleHeartbeat(l.now, &wire.Heartbeat{
-		Machine: machine, Addr: machine + ":9", Type: "std-8", Zone: "a", AgentEpoch: session, Sequence: l.seq, FencingToken: l.Term(), Tasks: tasks,
+		Machine: machine, Addr: machine + ":9", Type: "std-8", Zone: "a", AgentEpoch: agentEpoch, Sequence: l.lastSequence, FencingToken: l.Term(), Tasks: tasks,
 	}, true)
 	if outcome == leader.HeartbeatSuperseded {
-		l.t.Fatal("heartbeat superseded")
+		l.t.Fatal("the leader treats the heartbeat as one from a later term")
 	}
 	return response.Commands
 }
 
-// plannedRelease returns the machines that the planner releases now if the given machine is among
-// them, otherwise nil.
+// plannedRelease plans the calls to the cloud. If one of them releases the given machine, it returns
+// all machines that this call releases, otherwise nil.
 func (l *testLeader) plannedRelease(machine string) []string {
 	for _, c := range l.PlanScaling(l.now) {
 		if c.Op == scaling.CloudRelease && slices.Contains(c.Release, machine) {
@@ -114,23 +123,24 @@
 }
 
 // checkPlacedOnlyAfterRelease checks that m1 is released, and that the task on m1 is placed on m2
-// after the release and not before. It calls each in every step.
-func (l *testLeader) checkPlacedOnlyAfterRelease(step time.Duration, each func()) {
+// after the release and not before. It advances time by interval per step and calls onStep in every
+// step.
+func (l *testLeader) checkPlacedOnlyAfterRelease(interval time.Duration, onStep func()) {
 	l.t.Helper()
 	for range 40 {
-		l.tickAfter(step)
-		each()
+		l.tickAfter(interval)
+		onStep()
 		l.sendHeartbeat("m2", 1)
 		l.commit()
 		if cs := l.sendHeartbeat("m2", 1); len(cs) != 0 {
-			l.t.Fatalf("placed elsewhere before the release: %s", formatCommands(cs))
+			l.t.Fatalf("placed elsewhere before the release of m1: %s", formatCommands(cs))
 		}
 		if release := l.plannedRelease("m1"); release != nil {
 			l.ReleaseDone(l.now, release)
 			l.tickAfter(time.Second)
 			l.commit()
 			if cs := l.sendHeartbeat("m2", 1); formatCommands(cs) != "run job-1/0" {
-				l.t.Fatalf("after the release: %q", formatCommands(cs))
+				l.t.Fatalf("after the release of m1: got %q, want a start of job-1/0", formatCommands(cs))
 			}
 			return
 		}
@@ -138,19 +148,23 @@
 	l.t.Fatal("m1 not released")
 }
 
+// submit submits a job and commits it. It checks that the user gets a response only once the job is
+// durable.
 func (l *testLeader) submit(id string) {
 	l.t.Helper()
 	var got leader.Response
 	l.Submit(l.now, l.now, newJob(id), func(v leader.Response) { got = v })
 	if got.Status != 0 {
-		l.t.Fatalf("status %d before the job was durable", got.Status)
+		l.t.Fatalf("got response status %d before the job was durable, want none", got.Status)
 	}
 	l.commit()
 	if got.Status != 201 {
-		l.t.Fatalf("submission: %+v", got)
+		l.t.Fatalf("submission: got %+v, want status 201", got)
 	}
 }
 
+// formatCommands returns the operation and the task of each command. The operations are written as on
+// the wire: "run" is wire.OpStart, "kill" is wire.OpStop and "reap" is wire.OpForget.
 func formatCommands(cs []wire.Command) string {
 	var out []string
 	for _, c := range cs {
@@ -159,10 +173,10 @@
 	return strings.Join(out, ", ")
 }
 
-// leaderWithRunningTask returns a leader and the only task of a job, which runs on m1.
+// leaderWithRunningTask returns a leader and the status of the only task of job-1, which runs on m1.
 func leaderWithRunningTask(t *testing.T) (*testLeader, wire.TaskStatus) {
 	t.Helper()
-	l := newLeader(t, 5, start, map[string]json.RawMessage{})
+	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	l.submit("job-1")
 	l.sendHeartbeat("m1", 1)
 	l.tickAfter(time.Second)
@@ -172,7 +186,7 @@
 	l.commit()
 	cs := l.sendHeartbeat("m1", 1)
 	if formatCommands(cs) != "run job-1/0" {
-		t.Fatalf("want a start, got %q", formatCommands(cs))
+		t.Fatalf("got %q, want a start of job-1/0", formatCommands(cs))
 	}
 	task := wire.TaskStatus{Task: "job-1/0", Attempt: cs[0].Attempt, State: wire.TaskRunning}
 	if cs := l.sendHeartbeat("m1", 1, task); len(cs) != 0 {
@@ -181,16 +195,16 @@
 	return l, task
 }
 
-// provisions reports whether any of the calls provisions machines.
-func provisions(calls []scaling.CloudCall) bool {
+// hasProvisionCall reports whether any of the calls hasProvisionCall machines.
+func hasProvisionCall(calls []scaling.CloudCall) bool {
 	return slices.ContainsFunc(calls, func(c scaling.CloudCall) bool { return c.Op == scaling.CloudProvision })
 }
 
-// leaderWithCallInFlight returns a leader with a direct call to m1 in flight, the call, and the task
-// as m1 lists it once it has executed the start in the call.
-func leaderWithCallInFlight(t *testing.T) (*testLeader, *leader.DirectCall, wire.TaskStatus) {
+// leaderWithDirectCallInFlight returns a leader with a direct call to m1 in flight that starts
+// job-1/0, the call, and the status of the task that m1 lists after it has executed the call.
+func leaderWithDirectCallInFlight(t *testing.T) (*testLeader, *leader.DirectCall, wire.TaskStatus) {
 	t.Helper()
-	l := newLeader(t, 5, start, map[string]json.RawMessage{})
+	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	l.submit("job-1")
 	l.sendHeartbeat("m1", 1)
 	l.tickAfter(time.Second)
@@ -200,7 +214,7 @@
 	l.commit()
 	calls := l.NextDirectCalls(l.now)
 	if len(calls) != 1 || formatCommands(calls[0].Request.Commands) != "run job-1/0" || calls[0].Request.FencingToken != 5 || calls[0].Request.AgentEpoch != 1 {
-		t.Fatalf("%+v", calls)
+		t.Fatalf("direct calls: got %+v, want one that starts job-1/0", calls)
 	}
 	task := wire.TaskStatus{Task: "job-1/0", Attempt: calls[0].Request.Commands[0].Attempt, State: wire.TaskRunning}
 	return l, calls[0], task
--- a/internal/leader/placement_test.go
+++ b/internal/leader/placement_test.go
@@ -17,13 +17,13 @@
 // TestNoStartsWithoutAuthority checks that heartbeats still get a response while the key-value store
 // can't be reached, but no task is started.
 func TestNoStartsWithoutAuthority(t *testing.T) {
-	l := newLeader(t, 5, start, map[string]json.RawMessage{})
+	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	l.submit("job-1")
 	l.sendHeartbeat("m1", 1)
 	l.tickAfter(time.Second)
 	l.commit()
-	l.seq++
-	response, outcome := l.HandleHeartbeat(l.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.seq, FencingToken: 5}, false)
+	l.lastSequence++
+	response, outcome := l.HandleHeartbeat(l.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.lastSequence, FencingToken: 5}, false)
 	if outcome != leader.HeartbeatApplied || len(response.Commands) != 0 {
 		t.Fatalf("%v %+v", outcome, response)
 	}
@@ -32,7 +32,7 @@
 // TestTeamAtLimitPreemptsOwnTasks checks that a team whose less urgent tasks use its whole limit has
 // one of them stopped for its own urgent job, because no other machine would help.
 func TestTeamAtLimitPreemptsOwnTasks(t *testing.T) {
-	l := newLeader(t, 5, start, map[string]json.RawMessage{})
+	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	normal := newJob("job-1")
 	normal.Priority, normal.Tasks, normal.CPUs, normal.CheckpointIntervalS, normal.EstimateS = wire.PriorityNormal, 2, 8, 20, 300
 	l.Submit(l.now, l.now, normal, func(leader.Response) {})
@@ -85,7 +85,7 @@
 		running            int     // number of tasks of 1 CPU that can be stopped
 		stops              int
 	}{{6.5, 1, 0}, {6, 2, 2}} {
-		l := newLeader(t, 5, start, map[string]json.RawMessage{})
+		l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 		nonPreemptible := newJob("job-1")
 		nonPreemptible.Tasks, nonPreemptible.CPUs, nonPreemptible.EstimateS = 2, c.nonPreemptibleCPUs, 600
 		low := newJob("job-2")
@@ -131,7 +131,7 @@
 // priority and exit one after the other: the capacity that the first exit frees does not go to tasks
 // of lower priority.
 func TestPreemptedCapacityIsReserved(t *testing.T) {
-	l := newLeader(t, 5, start, map[string]json.RawMessage{})
+	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	low := newJob("job-1")
 	low.Priority, low.Tasks, low.CPUs, low.CheckpointIntervalS, low.EstimateS = wire.PriorityIdle, 2, 4, 5, 300
 	l.Submit(l.now, l.now, low, func(leader.Response) {})
@@ -180,7 +180,7 @@
 // once it has run for that long. After that it is stopped.
 func TestAgedStartIsProtectedFromPreemption(t *testing.T) {
 	for _, waited := range []time.Duration{time.Second, tuning.AgingThreshold} {
-		l := newLeader(t, 5, start, map[string]json.RawMessage{})
+		l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 		idle := newJob("job-1")
 		idle.Priority, idle.CPUs, idle.CheckpointIntervalS, idle.EstimateS = wire.PriorityIdle, 8, 5, 300
 		l.Submit(l.now, l.now, idle, func(leader.Response) {})
@@ -214,7 +214,7 @@
 // TestLargeJobIsNotStarved checks that, under a lasting backlog of smaller and more urgent jobs, a
 // large job of low priority starts within four minutes, and that more of its tasks start later.
 func TestLargeJobIsNotStarved(t *testing.T) {
-	l := newLeader(t, 5, start, map[string]json.RawMessage{})
+	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	large := newJob("job-999999")
 	large.Priority, large.Tasks, large.CPUs, large.EstimateS = wire.PriorityIdle, 40, 8, 20
 	const submitAfterS = 100 // the backlog exists by then
@@ -244,7 +244,7 @@
 					if strings.HasPrefix(c.Task, large.ID) {
 						run = 20 * time.Second
 						if starts++; starts == 1 {
-							firstDelay = l.now.Sub(start) - submitAfterS*time.Second
+							firstDelay = l.now.Sub(startTime) - submitAfterS*time.Second
 						}
 					}
 					ends[c.Task] = l.now.Add(run)
@@ -268,7 +268,7 @@
 // can't save is not moved.
 func TestUnderusedMachineIsConsolidated(t *testing.T) {
 	for _, checkpoint := range []float64{20, 0} {
-		l := newLeader(t, 5, start, map[string]json.RawMessage{})
+		l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 		submit := func(id string, estimate float64) {
 			j := newJob(id)
 			j.CPUs, j.EstimateS, j.CheckpointIntervalS, j.CheckpointSaveS = 4, estimate, checkpoint, 4
--- a/internal/leader/reachability_test.go
+++ b/internal/leader/reachability_test.go
@@ -15,15 +15,15 @@
 // zonedCluster is a leader of two zones with machines a0 to a9 and b0 to b9.
 type zonedCluster struct {
 	*testLeader
-	silent map[string]bool // machines that send no heartbeats
+	silentMachines map[string]bool // machines that send no heartbeats
 }
 
 var zones = []string{"a", "b"}
 
 func newZonedCluster(t *testing.T, term uint64, now time.Time, store map[string]json.RawMessage) *zonedCluster {
-	old := bigType
-	bigType.Zones = zones
-	t.Cleanup(func() { bigType = old })
+	old := std8Type
+	std8Type.Zones = zones
+	t.Cleanup(func() { std8Type = old })
 	z := &zonedCluster{newLeader(t, term, now, store), map[string]bool{}}
 	var rows []wire.ListedMachine
 	for _, zone := range zones {
@@ -41,12 +41,12 @@
 	for _, zone := range zones {
 		for i := range 10 {
 			id := fmt.Sprint(zone, i)
-			if z.silent[id] {
+			if z.silentMachines[id] {
 				continue
 			}
-			z.seq++
+			z.lastSequence++
 			response, _ := z.HandleHeartbeat(z.now, &wire.Heartbeat{
-				Machine: id, Addr: "x:1", Type: "std-8", Zone: zone, AgentEpoch: 1, Sequence: z.seq, FencingToken: z.Term(), Tasks: tasks[id],
+				Machine: id, Addr: "x:1", Type: "std-8", Zone: zone, AgentEpoch: 1, Sequence: z.lastSequence, FencingToken: z.Term(), Tasks: tasks[id],
 			}, true)
 			for _, c := range response.Commands {
 				if c.Op == wire.OpStart {
@@ -88,7 +88,7 @@
 				continue
 			}
 			for _, id := range c.Release {
-				z.silent[id] = true
+				z.silentMachines[id] = true
 			}
 			released = append(released, c.Release...)
 			z.ReleaseDone(z.now, c.Release)
@@ -100,10 +100,10 @@
 }
 
 func addWideTeam(t *testing.T) {
-	old := params
-	t.Cleanup(func() { params = old })
-	params.Teams = append(slices.Clone(params.Teams), old.Teams[0])
-	team := &params.Teams[len(params.Teams)-1]
+	old := testParams
+	t.Cleanup(func() { testParams = old })
+	testParams.Teams = append(slices.Clone(testParams.Teams), old.Teams[0])
+	team := &testParams.Teams[len(testParams.Teams)-1]
 	team.Name, team.CPUs, team.CPUsMax = "wide", 500, 500
 }
 
@@ -123,7 +123,7 @@
 // released.
 func TestPartitionedZoneIsReleasedForUrgentWork(t *testing.T) {
 	addWideTeam(t)
-	z := newZonedCluster(t, 5, start, map[string]json.RawMessage{})
+	z := newZonedCluster(t, 5, startTime, map[string]json.RawMessage{})
 	tasks := z.runWideJob(newUrgentJob())
 	released, provisioned := z.advance(10*time.Second, tasks, "a")
 	if len(released) != 10 || released[0] != "b0" || released[9] != "b9" {
@@ -138,7 +138,7 @@
 	}
 
 	// Machines that boot in that zone don't count as capacity for the work either.
-	booting := newZonedCluster(t, 5, start, map[string]json.RawMessage{})
+	booting := newZonedCluster(t, 5, startTime, map[string]json.RawMessage{})
 	tasks = booting.runWideJob(newUrgentJob())
 	var rows []wire.ListedMachine
 	for i := range 40 {
@@ -149,7 +149,7 @@
 		t.Errorf("with machines booting in the zone: provisioned in %v", provisioned)
 	}
 
-	nonUrgent := newZonedCluster(t, 5, start, map[string]json.RawMessage{})
+	nonUrgent := newZonedCluster(t, 5, startTime, map[string]json.RawMessage{})
 	if released, _ := nonUrgent.advance(10*time.Second, nonUrgent.runWideJob(newJobDueIn(500)), "a"); len(released) != 0 {
 		t.Errorf("released without urgent work: %v", released)
 	}
@@ -159,7 +159,7 @@
 // presumes that it is isolated, and releases no machine before its lease has expired.
 func TestSilenceOfAllMachinesReleasesNone(t *testing.T) {
 	addWideTeam(t)
-	z := newZonedCluster(t, 5, start, map[string]json.RawMessage{})
+	z := newZonedCluster(t, 5, startTime, map[string]json.RawMessage{})
 	if released, _ := z.advance(10*time.Second, z.runWideJob(newUrgentJob())); len(released) != 0 {
 		t.Errorf("released: %v", released)
 	}
@@ -169,10 +169,10 @@
 // machines of every zone releases none either.
 func TestSilenceInAllZonesReleasesNone(t *testing.T) {
 	addWideTeam(t)
-	z := newZonedCluster(t, 5, start, map[string]json.RawMessage{})
+	z := newZonedCluster(t, 5, startTime, map[string]json.RawMessage{})
 	tasks := z.runWideJob(newUrgentJob())
 	for i := range 5 {
-		z.silent[fmt.Sprint("a", 2*i)], z.silent[fmt.Sprint("b", 2*i)] = true, true
+		z.silentMachines[fmt.Sprint("a", 2*i)], z.silentMachines[fmt.Sprint("b", 2*i)] = true, true
 	}
 	if released, _ := z.advance(10*time.Second, tasks, zones...); len(released) != 0 {
 		t.Errorf("released: %v", released)
@@ -184,7 +184,7 @@
 // to them.
 func TestSuccessorReleasesPartitionedZone(t *testing.T) {
 	addWideTeam(t)
-	z := newZonedCluster(t, 5, start, map[string]json.RawMessage{})
+	z := newZonedCluster(t, 5, startTime, map[string]json.RawMessage{})
 	tasks := z.runWideJob(newUrgentJob())
 	next := newZonedCluster(t, 6, z.now, z.store)
 	next.sendHeartbeats(tasks, "a")
--- a/internal/leader/records_test.go
+++ b/internal/leader/records_test.go
@@ -22,8 +22,8 @@
 // machine types is stored in pieces that fit the value limit. If a leader crashes between the
 // writes, a successor has the whole job or none of it, and deletes the pieces that no record names.
 func TestLongDependenciesFitSmallValues(t *testing.T) {
-	useTightLimits(t)
-	l := newLeader(t, 5, start, map[string]json.RawMessage{})
+	useSmallStoreLimits(t)
+	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	long := dependentJob("job-999999999")
 	for i := range 400 {
 		id := fmt.Sprintf("job-%d", 1000+i)
@@ -34,7 +34,7 @@
 	for i := range 100 {
 		long.MachineTypes = append(long.MachineTypes, fmt.Sprintf("machine-type-%d", i))
 	}
-	v := l.submitAsync(long)
+	v := l.submitWithoutCommit(long)
 	for step := 0; v.Status == 0; step++ {
 		store := maps.Clone(l.store)
 		next := newLeader(t, 6, l.now, store)
@@ -42,7 +42,7 @@
 			t.Fatal("job known before its last write")
 		}
 		// Submits the same job again while pieces of the first submission are stored.
-		again := next.submitAsync(long)
+		again := next.submitWithoutCommit(long)
 		next.commit()
 		if again.Status != 201 || next.queryState(long.ID) != wire.JobQueued {
 			t.Fatalf("%+v", *again)
@@ -93,12 +93,12 @@
 // that any other corrupt record fails the loading. Jobs in a dependency cycle, which no submission
 // can create, stay queued without an endless loop, and can be cancelled.
 func TestCorruptRecords(t *testing.T) {
-	useTightLimits(t)
-	l := newLeader(t, 5, start, map[string]json.RawMessage{})
+	useSmallStoreLimits(t)
+	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	l.submitAll(newJob("job-1"), dependentJob("job-2", "job-1"), dependentJob("job-3", "job-2"))
 	load := func(store map[string]json.RawMessage) (*leader.Leader, string, error) {
 		var logs bytes.Buffer
-		c := leader.New(zerolog.New(&logs), params, config.OperatorSettings{}, 6, l.now, 0)
+		c := leader.New(zerolog.New(&logs), testParams, config.OperatorSettings{}, 6, l.now, 0)
 		for _, prefix := range records.LoadOrder {
 			for _, key := range slices.Sorted(maps.Keys(store)) {
 				if !strings.HasPrefix(key, prefix) {
@@ -158,7 +158,7 @@
 // TestRefusedStartRecordBlocksNothing checks that, if the key-value store refuses a start record,
 // the tasks in it are placed again and all other changes are committed.
 func TestRefusedStartRecordBlocksNothing(t *testing.T) {
-	l := newLeader(t, 5, start, map[string]json.RawMessage{})
+	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	l.submitAll(newJob("job-1"))
 	l.sendHeartbeat("m1", 1)
 	l.tickAfter(time.Second)
@@ -180,20 +180,20 @@
 // TestOversizedChangeIsNotSent checks that a change above the value limit is not sent but logged
 // with its key, and that other changes are committed.
 func TestOversizedChangeIsNotSent(t *testing.T) {
-	old := params
-	defer func() { params = old }()
-	l := newLeader(t, 5, start, map[string]json.RawMessage{})
+	old := testParams
+	defer func() { testParams = old }()
+	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	l.submitAll(newJob("job-1"), newJob("job-2"))
-	params.KVStore.ValueKB = 0.05 // less than the size of any start record
+	testParams.KVStore.ValueKB = 0.05 // less than the size of any start record
 	var logs bytes.Buffer
-	c := leader.New(zerolog.New(&logs), params, config.OperatorSettings{}, 6, l.now, 0)
+	c := leader.New(zerolog.New(&logs), testParams, config.OperatorSettings{}, 6, l.now, 0)
 	for _, id := range []string{"job-1", "job-2"} {
 		if err := c.LoadRecord(l.now, l.now, wire.KeyValue{Key: "j/" + id, Value: l.store["j/"+id]}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	c.FinishLoading(l.now)
-	c.SetMachineTypes([]wire.MachineType{bigType})
+	c.SetMachineTypes([]wire.MachineType{std8Type})
 	next := &testLeader{Leader: c, t: t, now: l.now, store: l.store}
 	next.sendHeartbeat("m1", 1)
 	next.tickAfter(time.Second)
--- a/internal/leader/recovery_test.go
+++ b/internal/leader/recovery_test.go
@@ -37,7 +37,7 @@
 	if cs := next.sendHeartbeat("m2", 1); len(cs) != 0 {
 		t.Fatalf("placed because of an old heartbeat: %s", formatCommands(cs))
 	}
-	next.seq = 60
+	next.lastSequence = 60
 	next.sendHeartbeat("m1", 1, task)
 	if v := next.Query("job-1"); v.State != wire.JobRunning {
 		t.Fatalf("%+v", v)
@@ -45,7 +45,7 @@
 	// Without a heartbeat of m1 the task is placed once the lease has expired, counted from the
 	// last response that a predecessor may have sent.
 	other := newLeader(t, 7, l.now, l.store)
-	wait := leader.GracePeriod(params.Workers) + 15*time.Second
+	wait := leader.GracePeriod(testParams.Workers) + 15*time.Second
 	for other.now.Before(l.now.Add(wait)) {
 		other.sendHeartbeat("m2", 1)
 		other.tickAfter(time.Second)
@@ -69,7 +69,7 @@
 func TestReportedTaskIsRecordedAgain(t *testing.T) {
 	l, task := leaderWithRunningTask(t)
 	next := newLeader(t, 6, l.now, l.store)
-	next.seq = 100
+	next.lastSequence = 100
 	older := wire.TaskStatus{Task: task.Task, Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitStopped}
 	next.sendHeartbeat("m1", 1, older, task)
 	next.commit()
@@ -110,7 +110,7 @@
 func TestSuccessorLoadsCatalogue(t *testing.T) {
 	l, _ := leaderWithRunningTask(t)
 	l.commit()
-	next := leader.New(zerolog.Nop(), params, config.OperatorSettings{}, 6, l.now, 0)
+	next := leader.New(zerolog.Nop(), testParams, config.OperatorSettings{}, 6, l.now, 0)
 	for key, value := range l.store {
 		if strings.HasPrefix(key, records.MachineTypesKey) {
 			if err := next.LoadRecord(l.now, l.now, wire.KeyValue{Key: key, Value: value}); err != nil {
@@ -148,7 +148,7 @@
 	for pad := range 60 {
 		l, task := leaderWithRunningTask(t)
 		next := newLeader(t, 6, l.now, l.store)
-		next.seq = 100
+		next.lastSequence = 100
 		older := wire.TaskStatus{Task: task.Task, Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitStopped}
 		next.sendHeartbeat("m1", 1, older, task)
 		// Writes that users wait for come first and nearly fill the transaction.
@@ -178,11 +178,11 @@
 // TestStartRecordsFitTheValueLimit checks that the starts of one pass on many machines are split
 // into records within the value limit.
 func TestStartRecordsFitTheValueLimit(t *testing.T) {
-	old := params
-	defer func() { params = old }()
-	params.KVStore.ValueKB = 1
-	params.Teams = []config.Team{{Name: "blue", CPUs: 8, CPUsMax: 1600}}
-	l := newLeader(t, 5, start, map[string]json.RawMessage{})
+	old := testParams
+	defer func() { testParams = old }()
+	testParams.KVStore.ValueKB = 1
+	testParams.Teams = []config.Team{{Name: "blue", CPUs: 8, CPUsMax: 1600}}
+	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	wide := newJob("job-1")
 	wide.Tasks, wide.CPUs = 40, 8
 	l.Submit(l.now, l.now, wide, func(leader.Response) {})
--- a/internal/leader/reports_test.go
+++ b/internal/leader/reports_test.go
@@ -33,7 +33,7 @@
 // TestLateStartKeepsTaskOnMachine checks that a start that may arrive minutes late keeps the task
 // allocated to its machine, and that its exit is not forgotten there before a new session.
 func TestLateStartKeepsTaskOnMachine(t *testing.T) {
-	l, call, task := leaderWithCallInFlight(t)
+	l, call, task := leaderWithDirectCallInFlight(t)
 	l.DirectCallDone(l.now, call, leader.DirectUnknown, nil)
 	if cs := l.sendHeartbeat("m1", 1); formatCommands(cs) != "run job-1/0" || cs[0].Attempt != task.Attempt {
 		t.Fatalf("want the same start again, got %s", formatCommands(cs))
@@ -60,15 +60,15 @@
 // TestOvertakingReplyProvesNothing checks that the reply to a direct call does not prove a task
 // absent: the response to an earlier heartbeat, which carries the start, may still be in flight.
 func TestOvertakingReplyProvesNothing(t *testing.T) {
-	l, call, _ := leaderWithCallInFlight(t)
+	l, call, _ := leaderWithDirectCallInFlight(t)
 	l.DirectCallDone(l.now, call, leader.DirectNotDelivered, nil)
 	if cs := l.sendHeartbeat("m1", 1); formatCommands(cs) != "run job-1/0" {
 		t.Fatal(formatCommands(cs))
 	}
 	l.Cancel(l.now, "job-1", func(leader.Response) {})
 	l.commit()
-	l.seq++
-	l.DirectCallDone(l.now, call, leader.DirectReplied, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.seq, FencingToken: 5})
+	l.lastSequence++
+	l.DirectCallDone(l.now, call, leader.DirectReplied, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.lastSequence, FencingToken: 5})
 	l.commit()
 	if l.store["j/job-1"] == nil {
 		t.Fatal("the task was released while its start was in flight")
@@ -116,7 +116,7 @@
 // TestIgnoredStartsGoElsewhere checks that the task of a machine that ignores several responses in a
 // row is placed elsewhere, long before the lease expires.
 func TestIgnoredStartsGoElsewhere(t *testing.T) {
-	l := newLeader(t, 5, start, map[string]json.RawMessage{})
+	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	l.submit("job-1")
 	l.sendHeartbeat("m1", 1)
 	l.tickAfter(time.Second)
@@ -150,7 +150,7 @@
 // expiry of the lease and get no response, which would renew it.
 func TestDuplicateHeartbeatsRenewNoLease(t *testing.T) {
 	l, task := leaderWithRunningTask(t)
-	late := &wire.Heartbeat{Machine: "m1", Addr: "m1:9", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.seq, FencingToken: 5, Tasks: []wire.TaskStatus{task}}
+	late := &wire.Heartbeat{Machine: "m1", Addr: "m1:9", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.lastSequence, FencingToken: 5, Tasks: []wire.TaskStatus{task}}
 	for range 10 {
 		l.tickAfter(2 * time.Second)
 		if response, outcome := l.HandleHeartbeat(l.now, late, true); outcome != leader.HeartbeatStale || len(response.Commands) != 0 {
@@ -173,7 +173,7 @@
 // older than the state known before the call counts as a new agent on the same machine. Tasks that
 // it may have are placed elsewhere only after the machine is released.
 func TestReplacedAgentIsDetectedByDirectReply(t *testing.T) {
-	l, call, _ := leaderWithCallInFlight(t)
+	l, call, _ := leaderWithDirectCallInFlight(t)
 	l.DirectCallDone(l.now, call, leader.DirectReplied, &wire.Heartbeat{
 		Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: 1, FencingToken: 5,
 		Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: call.Request.Commands[0].Attempt, State: wire.TaskRunning}},
@@ -208,7 +208,7 @@
 // allocated after the lease has expired, because a new agent may have received it. Only the release
 // of the machine frees the task.
 func TestLateStartOutlivesTheLease(t *testing.T) {
-	l, call, _ := leaderWithCallInFlight(t)
+	l, call, _ := leaderWithDirectCallInFlight(t)
 	l.DirectCallDone(l.now, call, leader.DirectUnknown, nil)
 	l.ApplyMachineList(l.now, l.now, []wire.ListedMachine{{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
 	l.checkPlacedOnlyAfterRelease(time.Second, func() {})
@@ -236,10 +236,10 @@
 // overtaken by the reply to a direct call gets a response: without one, its agent would switch to
 // another node. A duplicate of it gets none.
 func TestOvertakenHeartbeatGetsResponse(t *testing.T) {
-	l, call, task := leaderWithCallInFlight(t)
-	l.seq += 2
-	l.DirectCallDone(l.now, call, leader.DirectReplied, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.seq, FencingToken: 5, Tasks: []wire.TaskStatus{task}})
-	overtaken := &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.seq - 1, FencingToken: 5}
+	l, call, task := leaderWithDirectCallInFlight(t)
+	l.lastSequence += 2
+	l.DirectCallDone(l.now, call, leader.DirectReplied, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.lastSequence, FencingToken: 5, Tasks: []wire.TaskStatus{task}})
+	overtaken := &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.lastSequence - 1, FencingToken: 5}
 	if response, outcome := l.HandleHeartbeat(l.now, overtaken, true); outcome != leader.HeartbeatApplied || len(response.Commands) != 0 {
 		t.Fatalf("%v %+v", outcome, response)
 	}
--- a/internal/leader/requests_test.go
+++ b/internal/leader/requests_test.go
@@ -50,7 +50,7 @@
 // TestNoResponseBeforeAcceptanceIsDurable checks that a cancellation requested before the acceptance
 // is durable does not make the job known to users: after a crash the job would not exist.
 func TestNoResponseBeforeAcceptanceIsDurable(t *testing.T) {
-	l := newLeader(t, 5, start, map[string]json.RawMessage{})
+	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	l.Submit(l.now, l.now, newJob("job-1"), func(leader.Response) {})
 	l.Cancel(l.now, "job-1", func(leader.Response) {})
 	var repeated leader.Response
@@ -85,7 +85,7 @@
 // TestImpossibleJobs checks that a job that can never run gets 422, and any job 503 while the
 // machine types are not known.
 func TestImpossibleJobs(t *testing.T) {
-	l := newLeader(t, 5, start, map[string]json.RawMessage{})
+	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	for name, change := range map[string]func(*wire.Job){
 		"team":  func(j *wire.Job) { j.Team = "red" },
 		"size":  func(j *wire.Job) { j.CPUs = 9 },
@@ -102,9 +102,9 @@
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
-	fresh := leader.New(zerolog.Nop(), params, config.OperatorSettings{}, 1, start, 0)
+	fresh := leader.New(zerolog.Nop(), testParams, config.OperatorSettings{}, 1, startTime, 0)
 	var got leader.Response
-	fresh.Submit(start, start, newJob("job-1"), func(v leader.Response) { got = v })
+	fresh.Submit(startTime, startTime, newJob("job-1"), func(v leader.Response) { got = v })
 	if got.Status != 503 {
 		t.Errorf("without machine types: %+v", got)
 	}
@@ -113,11 +113,11 @@
 // TestTeamWithoutGuaranteeOrLimit checks that a guarantee and a limit of 0 mean none: a job of such
 // a team is accepted and runs where capacity is free.
 func TestTeamWithoutGuaranteeOrLimit(t *testing.T) {
-	settings := params
-	settings.Teams = append(slices.Clone(params.Teams), config.Team{Name: "guests"})
-	c := leader.New(zerolog.Nop(), settings, config.OperatorSettings{}, 5, start, 0)
-	c.SetMachineTypes([]wire.MachineType{bigType})
-	l := &testLeader{Leader: c, t: t, now: start, store: map[string]json.RawMessage{}}
+	settings := testParams
+	settings.Teams = append(slices.Clone(testParams.Teams), config.Team{Name: "guests"})
+	c := leader.New(zerolog.Nop(), settings, config.OperatorSettings{}, 5, startTime, 0)
+	c.SetMachineTypes([]wire.MachineType{std8Type})
+	l := &testLeader{Leader: c, t: t, now: startTime, store: map[string]json.RawMessage{}}
 	j := newJob("job-1")
 	j.Team, j.Tasks = "guests", 3
 	var got leader.Response
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -18,10 +18,10 @@
 // store gets few writes per start, that values, transactions and passes are bounded, that urgent
 // tasks start at once, and that a successor knows of every task.
 func TestLargeFleet(t *testing.T) {
-	old := params
-	defer func() { params = old }()
-	params.Teams = []config.Team{{Name: "blue", CPUs: 4000, CPUsMax: 4800}}
-	params.KVStore = config.KVStoreLimits{RPS: 150, WriteRPS: 60, ValueKB: 8, TxnOps: 24}
+	old := testParams
+	defer func() { testParams = old }()
+	testParams.Teams = []config.Team{{Name: "blue", CPUs: 4000, CPUsMax: 4800}}
+	testParams.KVStore = config.KVStoreLimits{RPS: 150, WriteRPS: 60, ValueKB: 8, TxnOps: 24}
 	f := newFleet(t, 600)
 	for tick := range 900 {
 		if tick%10 == 0 {
@@ -33,12 +33,12 @@
 		}
 		f.step()
 	}
-	if f.accepted < 175 || f.starts < 5500 {
-		t.Fatalf("accepted %d jobs, started %d tasks", f.accepted, f.starts)
+	if f.acceptedJobs < 175 || f.startedTasks < 5500 {
+		t.Fatalf("accepted %d jobs, started %d tasks", f.acceptedJobs, f.startedTasks)
 	}
 	// A pass that reaches its limit still completes the current group of jobs.
-	if f.maxPassScores > 2*tuning.PassMaxScoredPairs {
-		t.Fatalf("one pass scored %d pairs", f.maxPassScores)
+	if f.maxPairsPerPass > 2*tuning.PassMaxScoredPairs {
+		t.Fatalf("one pass scored %d pairs", f.maxPairsPerPass)
 	}
 	lateStarts := 0
 	for _, wait := range f.startDelays {
@@ -46,13 +46,13 @@
 			lateStarts++
 		}
 	}
-	if lateStarts > f.starts/100 {
-		t.Errorf("%d of %d tasks started after more than 2 s", lateStarts, f.starts)
+	if lateStarts > f.startedTasks/100 {
+		t.Errorf("%d of %d tasks started after more than 2 s", lateStarts, f.startedTasks)
 	}
-	if perStart := float64(f.mutations) / float64(f.starts); perStart > 0.6 {
+	if perStart := float64(f.committedMutations) / float64(f.startedTasks); perStart > 0.6 {
 		t.Errorf("%.2f changes per start", perStart)
 	}
-	if perStart := f.bytes / f.starts; perStart > 300 {
+	if perStart := f.committedBytes / f.startedTasks; perStart > 300 {
 		t.Errorf("%d bytes written per start", perStart)
 	}
 	running, records := f.runningTasks(), 0
@@ -68,7 +68,7 @@
 	if known := next.Counts().AllocatedTasks; known < running {
 		t.Errorf("a successor knows of %d tasks, %d are running", known, running)
 	}
-	t.Logf("%d starts, %.2f changes and %d bytes per start, %d records, %d scored pairs", f.starts, float64(f.mutations)/float64(f.starts), f.bytes/f.starts, records, f.Counts().ScoredPairs)
+	t.Logf("%d starts, %.2f changes and %d bytes per start, %d records, %d scored pairs", f.startedTasks, float64(f.committedMutations)/float64(f.startedTasks), f.committedBytes/f.startedTasks, records, f.Counts().ScoredPairs)
 }
 
 // TestFleetBeyondPlannedSize runs 4,000 machines under a lasting backlog of urgent tasks and of long
@@ -77,16 +77,16 @@
 // work is bounded and that the machines stay in use. A pass that scored every machine for every aged
 // job once left 39,000 of 46,000 CPUs idle.
 func TestFleetBeyondPlannedSize(t *testing.T) {
-	oldParams, oldType := params, bigType
-	defer func() { params, bigType = oldParams, oldType }()
-	bigType.CPUs, bigType.MemoryGB = 32, 128
-	params.Teams = nil
+	oldParams, oldType := testParams, std8Type
+	defer func() { testParams, std8Type = oldParams, oldType }()
+	std8Type.CPUs, std8Type.MemoryGB = 32, 128
+	testParams.Teams = nil
 	for k := range 10 {
-		params.Teams = append(params.Teams, config.Team{Name: fmt.Sprint("team", k), CPUs: 11000, CPUsMax: 22000})
+		testParams.Teams = append(testParams.Teams, config.Team{Name: fmt.Sprint("team", k), CPUs: 11000, CPUsMax: 22000})
 	}
-	params.Workers = config.Workers{HeartbeatIntervalS: 6, LeaseS: 31, CancelDeadlineS: 56}
-	params.KVStore = config.KVStoreLimits{RPS: 400, WriteRPS: 180, ValueKB: 8, TxnOps: 24}
-	params.Cloud = config.CloudLimits{RPS: 2, ListLagS: 8}
+	testParams.Workers = config.Workers{HeartbeatIntervalS: 6, LeaseS: 31, CancelDeadlineS: 56}
+	testParams.KVStore = config.KVStoreLimits{RPS: 400, WriteRPS: 180, ValueKB: 8, TxnOps: 24}
+	testParams.Cloud = config.CloudLimits{RPS: 2, ListLagS: 8}
 	const machines = 4000
 	f := newFleet(t, machines)
 	for tick := range 1800 {
@@ -111,7 +111,7 @@
 			f.submitJob(j)
 		}
 		if tick%60 == 0 {
-			f.applyList()
+			f.applyFleetMachineList()
 		}
 		switch tick {
 		case 1000:
@@ -125,21 +125,21 @@
 				t.Errorf("a successor knows of %d tasks, %d are running", n.AllocatedTasks, running)
 			}
 			f.scoredPairs = 0
-			f.applyList()
+			f.applyFleetMachineList()
 		}
 		f.step()
 	}
 	f.checkAllMachinesGetStarts(6)
-	f.checkWorkPerRequest()
-	f.checkBounds(machines)
+	f.checkAllocationsPerRequest()
+	f.checkWorkAndUsage(machines)
 }
 
-// checkBounds checks that the leader's work was bounded and that its machines, a tenth of which have
+// checkWorkAndUsage checks that the leader's work was bounded and that its machines, a tenth of which have
 // failed, are in use.
-func (f *fleet) checkBounds(machines int) {
+func (f *fleet) checkWorkAndUsage(machines int) {
 	f.t.Helper()
 	waiting := 0
-	for id, at := range f.submitted {
+	for id, at := range f.submittedAt {
 		if !f.startedJobs[id] && f.now.Sub(at) > tuning.AgingThreshold+30*time.Second {
 			waiting++
 		}
@@ -149,12 +149,12 @@
 	}
 	n := f.Counts()
 	f.t.Logf("%d accepted, %d starts, %.2f changes and %d bytes per start, at most %d pairs per pass, %d cloud calls, %+v",
-		f.accepted, f.starts, float64(f.mutations)/float64(f.starts), f.bytes/f.starts, f.maxPassScores, f.cloudCalls, n)
-	if f.maxPassScores > 2*tuning.PassMaxScoredPairs {
-		f.t.Errorf("one pass scored %d pairs", f.maxPassScores)
+		f.acceptedJobs, f.startedTasks, float64(f.committedMutations)/float64(f.startedTasks), f.committedBytes/f.startedTasks, f.maxPairsPerPass, f.cloudCalls, n)
+	if f.maxPairsPerPass > 2*tuning.PassMaxScoredPairs {
+		f.t.Errorf("one pass scored %d pairs", f.maxPairsPerPass)
 	}
-	if f.mutations > f.starts {
-		f.t.Errorf("%d changes for %d starts", f.mutations, f.starts)
+	if f.committedMutations > f.startedTasks {
+		f.t.Errorf("%d changes for %d starts", f.committedMutations, f.startedTasks)
 	}
 	if n.WantedCPUs < n.CPUs || n.UsedCPUs < 0.95*n.CPUs {
 		f.t.Errorf("%.0f of %.0f CPUs in use, ready tasks need %.0f", n.UsedCPUs, n.CPUs, n.WantedCPUs)
@@ -172,7 +172,7 @@
 // When the plan counted run times alone, urgent jobs under a backlog were late.
 func TestPlanIncludesStartDelay(t *testing.T) {
 	for _, slow := range []bool{false, true} {
-		l := newLeader(t, 1, start, map[string]json.RawMessage{})
+		l := newLeader(t, 1, startTime, map[string]json.RawMessage{})
 		l.ApplyMachineList(l.now, l.now, nil)
 		l.sendHeartbeat("m1", 1)
 		var tasks []wire.TaskStatus
@@ -188,7 +188,7 @@
 		l.commit()
 		l.tickAfter(2 * time.Second)
 		l.sendHeartbeat("m1", 1)
-		if provisioned := provisions(l.PlanScaling(l.now)); provisioned != slow {
+		if provisioned := hasProvisionCall(l.PlanScaling(l.now)); provisioned != slow {
 			t.Errorf("slow starts: %v, provisioned: %v", slow, provisioned)
 		}
 	}
--- a/internal/leader/upgrade_test.go
+++ b/internal/leader/upgrade_test.go
@@ -23,9 +23,9 @@
 // reads them.
 func previousVersionLeader(t *testing.T, term uint64, now time.Time, store map[string]json.RawMessage) *testLeader {
 	t.Helper()
-	old := params
-	defer func() { params = old }()
-	params.KVStore.ValueKB = 16
+	old := testParams
+	defer func() { testParams = old }()
+	testParams.KVStore.ValueKB = 16
 	read := map[string]json.RawMessage{}
 	for key, value := range store {
 		if item, ok := simulation.PreviousVersionReads(wire.KeyValue{Key: key, Value: value}); ok {
@@ -68,7 +68,7 @@
 // above today's limit, and those stored since in smaller records are kept by leaders of both
 // versions in any order, and deleted with the job.
 func TestCompletionsOfBothVersions(t *testing.T) {
-	useTightLimits(t)
+	useSmallStoreLimits(t)
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 0))
 		store := previousVersionRecords(t)
@@ -82,7 +82,7 @@
 		if seed == 0 && want.Len() != 1667 {
 			t.Fatalf("%d completions in the stored records", want.Len())
 		}
-		now := start.Add(time.Minute)
+		now := startTime.Add(time.Minute)
 		for term := uint64(8); !want.Full(); term++ {
 			previous := rng.IntN(2) == 0 && want.Len() < 2900
 			var l *testLeader
@@ -132,9 +132,9 @@
 // the previous version are loaded, and that the record of a job without dependencies has kept its
 // form.
 func TestRecordsOfThePreviousVersion(t *testing.T) {
-	useTightLimits(t)
+	useSmallStoreLimits(t)
 	store := previousVersionRecords(t)
-	l := newLeader(t, 8, start.Add(time.Minute), store)
+	l := newLeader(t, 8, startTime.Add(time.Minute), store)
 	for id, want := range map[string]string{"job-1": wire.JobQueued, "job-2": wire.JobDone, "job-3": wire.JobCancelled, "job-4": wire.JobQueued} {
 		if got := l.queryState(id); got != want {
 			t.Errorf("%s: %s, want %s", id, got, want)
@@ -144,7 +144,7 @@
 		t.Errorf("%+v", n)
 	}
 	record := store["j/job-4"]
-	fresh := newLeader(t, 8, start, map[string]json.RawMessage{})
+	fresh := newLeader(t, 8, startTime, map[string]json.RawMessage{})
 	fresh.submitAll(newJob("job-4"))
 	if got := fresh.store["j/job-4"]; !bytes.Equal(got, record) {
 		t.Errorf("stored as\n%s, by the previous version as\n%s", got, record)
@@ -155,8 +155,8 @@
 // dependent job and can cancel it, but never starts it, whatever machine types the cloud offers. It
 // leaves unknown records untouched.
 func TestPreviousVersionKeepsDependentJobs(t *testing.T) {
-	useTightLimits(t)
-	l := newLeader(t, 5, start, map[string]json.RawMessage{})
+	useSmallStoreLimits(t)
+	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	l.submitAll(newJob("job-1"))
 	manyTypes := dependentJob("job-3", "job-1")
 	for i := range 300 {
