--- a/internal/leader/admission_test.go
+++ b/internal/leader/admission_test.go
@@ -16,7 +16,7 @@
 )
 
 // sheddingLeader returns a leader that has accepted job-1 and whose admission control now rejects new
-// jobs, because too many writes that users wait for are pending.
+// jobs, because writes that users wait for have been pending for too long.
 func sheddingLeader(t *testing.T) *testLeader {
 	t.Helper()
 	settings := config.OperatorSettings{Admission: &config.Admission{}}
@@ -53,7 +53,8 @@
 // can never run still gets 422. Queries and cancellations are executed as usual.
 func TestSheddingRejectsOnlyNewJobs(t *testing.T) {
 	l := sheddingLeader(t)
-	l.commit() // empties the write queue: a full queue would reject jobs before admission control does
+	// Empty the write queue: while it is full, jobs get 503 before admission control decides.
+	l.commit()
 	rejected := 0
 	for i := range 50 {
 		if v := l.submitWithAdmissionClaim(newJob(fmt.Sprint("job-8", i)), nil); v.Status == 429 && v.RetryAfter >= 1 {
@@ -109,8 +110,8 @@
 	}
 }
 
-// TestLimitViolationAgreesWithLeader checks that LimitViolation, which a node calls while it knows no
-// leader, rejects the same jobs as a leader, for the same reasons.
+// TestLimitViolationAgreesWithLeader checks that LimitViolation, which any node calls, even
+// while no leader is known, rejects the same jobs as a leader, for the same reasons.
 func TestLimitViolationAgreesWithLeader(t *testing.T) {
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	for i, change := range []func(*wire.Job){
--- a/internal/leader/cancellation_test.go
+++ b/internal/leader/cancellation_test.go
@@ -11,8 +11,9 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// TestCancellationIsDurableAndStopsTask checks that a cancellation gets its response only once it is
-// durable, that the next response to a heartbeat stops the task, and that a successor stops it too.
+// TestCancellationIsDurableAndStopsTask checks that the user gets the response to a cancellation only
+// once the cancellation is durable, that the next response to a heartbeat stops the task, and that a
+// successor stops the task too.
 func TestCancellationIsDurableAndStopsTask(t *testing.T) {
 	l, task := leaderWithRunningTask(t)
 	var got leader.Response
@@ -22,22 +23,22 @@
 	}
 	l.commit()
 	if got.State != wire.JobCancelled {
-		t.Fatalf("%+v", got)
+		t.Fatalf("after the commit: got %+v, want state cancelled", got)
 	}
 	if cs := l.sendHeartbeat("m1", 1, task); formatCommands(cs) != "kill job-1/0" {
 		t.Fatal(formatCommands(cs))
 	}
-	next := newLeader(t, 6, l.now, l.store)
-	if cs := next.sendHeartbeat("m1", 1, task); formatCommands(cs) != "kill job-1/0" {
-		t.Fatal("successor:", formatCommands(cs))
+	successor := newLeader(t, 6, l.now, l.store)
+	if cs := successor.sendHeartbeat("m1", 1, task); formatCommands(cs) != "kill job-1/0" {
+		t.Fatal("want a stop of job-1/0 from the successor, got", formatCommands(cs))
 	}
-	if v := next.Query("job-1"); v.State != wire.JobCancelled {
-		t.Fatalf("%+v", v)
+	if v := successor.Query("job-1"); v.State != wire.JobCancelled {
+		t.Fatalf("response of the successor: got %+v, want state cancelled", v)
 	}
 }
 
-// TestTaskOfUnknownJobIsStopped checks that a task of an unknown job is stopped, and forgotten once
-// it has exited.
+// TestTaskOfUnknownJobIsStopped checks that a task of an unknown job is stopped. Once it has exited,
+// its agent is told to forget it.
 func TestTaskOfUnknownJobIsStopped(t *testing.T) {
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	task := wire.TaskStatus{Task: "job-9/3", Attempt: 7, State: wire.TaskRunning}
@@ -50,20 +51,21 @@
 	}
 }
 
-// TestGracePeriodFitsCancelDeadline checks that the grace period and a lease after it, with a
-// reserve, end before the deadline for cancellations.
+// TestGracePeriodFitsCancelDeadline checks that a lease that is renewed at the end of the grace period
+// expires before the deadline for stopping the tasks of cancelled jobs.
 func TestGracePeriodFitsCancelDeadline(t *testing.T) {
-	for _, w := range []config.Workers{{LeaseS: 17, CancelDeadlineS: 47}, {LeaseS: 22, CancelDeadlineS: 47}, {LeaseS: 30, CancelDeadlineS: 31}} {
-		g := leader.GracePeriod(w)
-		if g < 0 || g > 0 && g.Seconds()+w.LeaseS >= w.CancelDeadlineS {
-			t.Errorf("%+v: grace %v", w, g)
+	for _, workers := range []config.Workers{{LeaseS: 17, CancelDeadlineS: 47}, {LeaseS: 22, CancelDeadlineS: 47}, {LeaseS: 30, CancelDeadlineS: 31}} {
+		gracePeriod := leader.GracePeriod(workers)
+		if gracePeriod < 0 || gracePeriod > 0 && gracePeriod.Seconds()+workers.LeaseS >= workers.CancelDeadlineS {
+			t.Errorf("%+v: grace period %v, want one that ends a lease before the cancellation deadline, or 0", workers, gracePeriod)
 		}
 	}
 }
 
-// TestLateStartOfEndedJobIsFenced checks that a machine that may still receive a start of a
-// cancelled job is released well before the deadline for cancellations.
-func TestLateStartOfEndedJobIsFenced(t *testing.T) {
+// TestMachineWithLateStartOfEndedJobIsReleased checks that a machine that may still receive a start of
+// a cancelled job is released well before the cancellation deadline. The job's record is deleted only
+// after that release.
+func TestMachineWithLateStartOfEndedJobIsReleased(t *testing.T) {
 	l, call, _ := leaderWithDirectCallInFlight(t)
 	l.DirectCallDone(l.now, call, leader.DirectUnknown, nil)
 	l.Cancel(l.now, "job-1", func(leader.Response) {})
@@ -74,7 +76,7 @@
 		l.tickAfter(time.Second)
 		l.commit()
 		if l.store["j/job-1"] == nil {
-			t.Fatal("job removed while a late start may still arrive")
+			t.Fatal("record of job-1 deleted while a late start may still arrive")
 		}
 		for _, c := range l.PlanScaling(l.now) {
 			if c.Op == scaling.CloudRelease {
@@ -84,28 +86,28 @@
 				l.ReleaseDone(l.now, c.Release)
 				l.commit()
 				if l.store["j/job-1"] != nil {
-					t.Fatal("machine released, but the job is still stored")
+					t.Fatal("the record of job-1 is still stored after the release of m1")
 				}
 				return
 			}
 		}
 	}
-	t.Fatal("machine not released")
+	t.Fatal("m1 was not released within 30 s")
 }
 
 // TestLateStartOfEndedJobExpiresSession checks a machine that may still receive a start of a
-// cancelled job and can't be released, because the key-value store can't be reached. Its heartbeats
-// get no more responses once its lease would outlast the deadline for cancellations, until its agent
-// begins a new session, in which the start is void.
+// cancelled job and can't be released, because the key-value store can't be reached. The leader stops
+// responding to its heartbeats in time for its lease to expire before the cancellation deadline. It
+// responds again once the agent has begun a new session, in which the start is void.
 func TestLateStartOfEndedJobExpiresSession(t *testing.T) {
 	l, call, _ := leaderWithDirectCallInFlight(t)
 	l.DirectCallDone(l.now, call, leader.DirectUnknown, nil)
 	l.Cancel(l.now, "job-1", func(leader.Response) {})
 	l.commit()
 	cancelledAt, lastResponse := l.now, l.now
-	sendHeartbeat := func(session uint64) leader.HeartbeatOutcome {
+	sendHeartbeat := func(agentEpoch uint64) leader.HeartbeatOutcome {
 		l.lastSequence++
-		_, outcome := l.HandleHeartbeat(l.now, &wire.Heartbeat{Machine: "m1", Addr: "m1:9", Type: "std-8", Zone: "a", AgentEpoch: session, Sequence: l.lastSequence, FencingToken: l.Term()}, false)
+		_, outcome := l.HandleHeartbeat(l.now, &wire.Heartbeat{Machine: "m1", Addr: "m1:9", Type: "std-8", Zone: "a", AgentEpoch: agentEpoch, Sequence: l.lastSequence, FencingToken: l.Term()}, false)
 		return outcome
 	}
 	for l.now.Sub(cancelledAt) < 60*time.Second {
@@ -117,31 +119,32 @@
 	}
 	leaseEndS := lastResponse.Sub(cancelledAt).Seconds() + testParams.Workers.LeaseS
 	if leaseEndS >= testParams.Workers.CancelDeadlineS || lastResponse.Sub(cancelledAt) < 5*time.Second {
-		t.Fatalf("last response after %v: the lease may last until %v s", lastResponse.Sub(cancelledAt), leaseEndS)
+		t.Fatalf("last response %v after the cancellation, want at least 5s; its lease expires after %v s, want less than the cancellation deadline", lastResponse.Sub(cancelledAt), leaseEndS)
 	}
 	if sendHeartbeat(2) != leader.HeartbeatApplied {
-		t.Fatal("no response to a new session")
+		t.Fatal("no response to a heartbeat of a new session")
 	}
 }
 
-// TestEveryResponseCarriesStops checks that every response carries the stops of tasks that are no
-// longer needed, because every response renews the lease. This includes the responses to an agent
-// that has not seen this term and to a heartbeat that a reply to a direct call has overtaken.
+// TestEveryResponseCarriesStops checks that every response to a heartbeat stops the tasks of cancelled
+// and unknown jobs. Otherwise it would only renew the lease under which these tasks run. The test
+// covers the response to an agent that has not seen the leader's term, and the response to a heartbeat
+// that is older than a reply to a direct call.
 func TestEveryResponseCarriesStops(t *testing.T) {
 	l, task := leaderWithRunningTask(t)
 	l.Cancel(l.now, "job-1", func(leader.Response) {})
 	l.commit()
-	next := newLeader(t, 6, l.now.Add(time.Second), l.store)
-	list := []wire.TaskStatus{task, {Task: "job-9/0", Attempt: 1, State: wire.TaskFetching}, {Task: "job-9/1", Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitError}}
-	response, outcome := next.HandleHeartbeat(next.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: 50, FencingToken: 5, Tasks: list}, false)
+	successor := newLeader(t, 6, l.now.Add(time.Second), l.store)
+	tasks := []wire.TaskStatus{task, {Task: "job-9/0", Attempt: 1, State: wire.TaskFetching}, {Task: "job-9/1", Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitError}}
+	response, outcome := successor.HandleHeartbeat(successor.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: 50, FencingToken: 5, Tasks: tasks}, false)
 	if outcome != leader.HeartbeatApplied || formatCommands(response.Commands) != "kill job-1/0, kill job-9/0" || response.Commands[0].Attempt != task.Attempt {
-		t.Fatalf("first heartbeat in a term: %s", formatCommands(response.Commands))
+		t.Fatalf("first heartbeat in a term: got %s, want the stops of job-1/0 and job-9/0", formatCommands(response.Commands))
 	}
 	l, call, _ := leaderWithDirectCallInFlight(t)
 	l.lastSequence++
 	l.DirectCallDone(l.now, call, leader.DirectReplied, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.lastSequence + 1, FencingToken: 5, Tasks: []wire.TaskStatus{task}})
 	l.Cancel(l.now, "job-1", func(leader.Response) {})
 	if cs := l.sendHeartbeat("m1", 1, task); formatCommands(cs) != "kill job-1/0" {
-		t.Fatalf("overtaken by the reply to a direct call: %q", formatCommands(cs))
+		t.Fatalf("heartbeat older than the reply to a direct call: got %q, want a stop of job-1/0", formatCommands(cs))
 	}
 }
--- a/internal/leader/dependencies_test.go
+++ b/internal/leader/dependencies_test.go
@@ -12,7 +12,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// useSmallStoreLimits sets the smallest limits of the key-value store that its operators have announced.
+// useSmallStoreLimits sets the smallest limits that the operators of the key-value store have
+// announced, until the end of the test.
 func useSmallStoreLimits(t *testing.T) {
 	t.Helper()
 	old := testParams
@@ -20,32 +21,35 @@
 	testParams.KVStore.ValueKB, testParams.KVStore.TxnOps, testParams.KVStore.WriteRPS = 2, 8, 42
 }
 
+// dependentJob returns a job that depends on the given jobs.
 func dependentJob(id string, dependencies ...string) *wire.Job {
 	j := newJob(id)
 	j.DependsOn = dependencies
 	return j
 }
 
-// submitWithoutCommit submits a job without committing it. The response is filled in when it is given.
+// submitWithoutCommit submits a job without committing it. It returns a response that is filled in
+// once the leader responds; until then its status is 0.
 func (l *testLeader) submitWithoutCommit(j *wire.Job) *leader.Response {
 	v := &leader.Response{}
 	l.Submit(l.now, l.now, j, func(got leader.Response) { *v = got })
 	return v
 }
 
+// submitAll submits and commits jobs, and checks that each of them is accepted.
 func (l *testLeader) submitAll(jobs ...*wire.Job) {
 	l.t.Helper()
 	for _, j := range jobs {
 		v := l.submitWithoutCommit(j)
 		l.commit()
 		if v.Status != 201 {
-			l.t.Fatalf("%s: %+v", j.ID, *v)
+			l.t.Fatalf("submission of %s: got %+v, want status 201", j.ID, *v)
 		}
 	}
 }
 
-// commitBatch commits a batch of at most maxOps changes, of which at most spare are changes that no
-// user waits for, and returns their number.
+// commitBatch commits a batch of at most maxOps changes and returns their number. At most spare of
+// them are changes that no user waits for.
 func (l *testLeader) commitBatch(maxOps, spare int) int {
 	b := l.NextBatch(maxOps, spare)
 	if b == nil {
@@ -65,50 +69,51 @@
 	return fmt.Sprint(response.Status)
 }
 
+// completedTask returns the status of a task that has completed.
 func completedTask(task string, attempt uint64) wire.TaskStatus {
 	return wire.TaskStatus{Task: task, Attempt: attempt, State: wire.TaskExited, ExitReason: wire.ExitDone}
 }
 
 // TestNoStartBeforeDependenciesAreDurable checks that a job starts only once the end of its
-// dependency is durable: until then a successor could run the dependency again or cancel it. A
-// blocked job adds no demand and takes nothing of its team's guarantee.
+// dependency is durable: until then a successor could run the dependency again or cancel it. The
+// tasks of a blocked job do not count as ready.
 func TestNoStartBeforeDependenciesAreDurable(t *testing.T) {
 	l, task := leaderWithRunningTask(t)
 	l.submitAll(dependentJob("job-2", "job-1"), newJob("job-3"))
 	if n := l.Counts(); n.ReadyTasks != 1 {
-		t.Fatalf("%d tasks are ready, want that of job-3", n.ReadyTasks)
+		t.Fatalf("%d tasks are ready, want only that of job-3", n.ReadyTasks)
 	}
 	l.tickAfter(time.Second)
 	l.commit()
 	if got := formatCommands(l.sendHeartbeat("m1", 1, task)); got != "run job-3/0" {
-		t.Fatalf("started %q", got)
+		t.Fatalf("got %q, want a start of job-3/0", got)
 	}
 	task.State, task.ExitReason = wire.TaskExited, wire.ExitDone
 	l.sendHeartbeat("m1", 1, task)
 	l.tickAfter(time.Second)
 	l.sendHeartbeat("m3", 1)
 	if n := l.Counts(); n.AllocatedTasks != 1 {
-		t.Fatalf("%d tasks placed before the end of job-1 is durable, want that of job-3", n.AllocatedTasks)
+		t.Fatalf("%d tasks allocated before the end of job-1 is durable, want only that of job-3", n.AllocatedTasks)
 	}
-	if next := newLeader(t, 6, l.now, l.store); next.queryState("job-2") != wire.JobQueued || next.Counts().ReadyTasks != 0 {
-		t.Fatal("a successor starts job-2 although it does not know job-1 as done")
+	if successor := newLeader(t, 6, l.now, l.store); successor.queryState("job-2") != wire.JobQueued || successor.Counts().ReadyTasks != 0 {
+		t.Fatal("a successor does not report job-2 as queued and blocked, although job-1 is not done in the store")
 	}
 	l.commit()
 	l.tickAfter(time.Second)
 	l.commit()
 	if got := formatCommands(l.sendHeartbeat("m3", 1)) + formatCommands(l.sendHeartbeat("m1", 1)); !strings.Contains(got, "run job-2/0") {
-		t.Fatalf("job-2 not started: %q", got)
+		t.Fatalf("got %q, want a start of job-2/0", got)
 	}
 	// A successor restores the same state.
-	next := newLeader(t, 6, l.now, l.store)
-	next.tickAfter(time.Second)
-	if n := next.Counts(); n.AllocatedTasks != 2 {
-		t.Fatalf("%d tasks allocated by the successor", n.AllocatedTasks)
+	successor := newLeader(t, 6, l.now, l.store)
+	successor.tickAfter(time.Second)
+	if n := successor.Counts(); n.AllocatedTasks != 2 {
+		t.Fatalf("the successor has %d allocated tasks, want 2", n.AllocatedTasks)
 	}
 }
 
-// TestSubmissionsWithDependencies checks which jobs with dependencies are accepted, rejected for
-// good (422) or rejected for now (503).
+// TestSubmissionsWithDependencies checks which jobs with dependencies are accepted, and which are
+// rejected permanently (422) or temporarily (503).
 func TestSubmissionsWithDependencies(t *testing.T) {
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	l.submitAll(newJob("job-1"), newJob("job-2"))
@@ -125,56 +130,56 @@
 		{dependentJob("job-3", strings.Repeat("<", 60_000)), 422, "<<"},
 	} {
 		if v := l.submitWithoutCommit(c.job); v.Status != c.status || !strings.Contains(v.Reason, c.reason) || len(v.Reason) > 300 {
-			t.Errorf("%.60v: %d %.300s", c.job.DependsOn, v.Status, v.Reason)
+			t.Errorf("job that depends on %.60v: got status %d, reason %.300s", c.job.DependsOn, v.Status, v.Reason)
 		}
 	}
 	// A repeated submission gets the job state, even with other dependencies.
 	if v := l.submitWithoutCommit(dependentJob("job-1", "job-404")); v.Status != 200 {
-		t.Errorf("repeated submission: %+v", *v)
+		t.Errorf("repeated submission: got %+v, want status 200", *v)
 	}
-	// A job is rejected for now if the acceptance of a dependency is not durable yet.
+	// A job is rejected temporarily if the acceptance of a dependency is not durable yet.
 	l.submitWithoutCommit(newJob("job-4"))
 	if v := l.submitWithoutCommit(dependentJob("job-5", "job-4")); v.Status != 503 {
-		t.Errorf("depends on a job that is being accepted: %+v", *v)
+		t.Errorf("the acceptance of the dependency is not durable: got %+v, want status 503", *v)
 	}
 	l.commit()
-	// A job that depends on a cancelled one is accepted and cancelled with one response:
-	// "queued" would be wrong long after the first cancellation.
+	// A job that depends on a cancelled one is accepted and cancelled at once. The user gets one
+	// response, after both are durable, because the state "queued" would be wrong.
 	v := l.submitWithoutCommit(dependentJob("job-6", "job-1", "job-2"))
 	if v.Status != 0 {
 		t.Fatalf("response before the acceptance is durable: %+v", *v)
 	}
 	l.commit()
 	if v.Status != 201 || v.State != wire.JobCancelled {
-		t.Errorf("depends on a cancelled job: %+v", *v)
+		t.Errorf("job that depends on a cancelled one: got %+v, want status 201 and state cancelled", *v)
 	}
-	next := newLeader(t, 6, l.now, l.store)
-	if got := next.queryState("job-6"); got != wire.JobCancelled {
-		t.Errorf("after a succession: %s", got)
+	successor := newLeader(t, 6, l.now, l.store)
+	if got := successor.queryState("job-6"); got != wire.JobCancelled {
+		t.Errorf("job-6 in the next term: got %s, want cancelled", got)
 	}
 }
 
-// TestCancellationReachesDependents cancels a job with 2,000 dependents in two layers and a chain of
-// 1,000. The cancellations take bounded steps and do not delay other submissions. A successor
-// completes those that its predecessor has left, and does not report a job as queued that will be
-// cancelled.
+// TestCancellationReachesDependents cancels job-0, which has 1,000 direct dependents, one dependent of
+// each of these, and a chain of 1,000 further dependents. It checks that the cancellations of the
+// dependents do not delay other submissions, that a successor cancels the dependents that its
+// predecessor has not, and that it never reports them as queued.
 func TestCancellationReachesDependents(t *testing.T) {
 	useSmallStoreLimits(t)
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	l.submitAll(newJob("job-0"), newJob("job-1"))
-	var all []string
-	add := func(dependencies ...string) string {
-		id := fmt.Sprintf("job-%d", 1000+len(all))
-		all = append(all, id)
+	var dependents []string
+	submitDependent := func(dependencies ...string) string {
+		id := fmt.Sprintf("job-%d", 1000+len(dependents))
+		dependents = append(dependents, id)
 		l.submitAll(dependentJob(id, dependencies...))
 		return id
 	}
 	for range 1000 {
-		add(add("job-0"), "job-1")
+		submitDependent(submitDependent("job-0"), "job-1")
 	}
 	last := "job-0"
 	for range 1000 {
-		last = add(last)
+		last = submitDependent(last)
 	}
 	cancelResponse := leader.Response{}
 	l.Cancel(l.now, "job-0", func(v leader.Response) { cancelResponse = v })
@@ -183,56 +188,56 @@
 	}
 	l.tickAfter(time.Second)
 	if l.commitBatch(7, 0) == 0 {
-		t.Fatal("the cancellations of dependents wait for spare writes")
+		t.Fatal("no cancellation of a dependent was written in a batch for writes that users wait for")
 	}
-	rounds, maxWait := 0, 0
-	for ended := 0; ended < len(all); rounds++ {
+	rounds, maxTransactions := 0, 0
+	for cancelledCount := 0; cancelledCount < len(dependents); rounds++ {
 		if rounds == 40 {
-			// Most dependents are not cancelled yet.
+			// A change of leader while most dependents are not cancelled yet.
 			l = newLeader(t, 6, l.now, l.store)
 		}
 		if rounds > 700 {
-			t.Fatalf("%d of %d dependents cancelled", ended, len(all))
+			t.Fatalf("%d of %d dependents cancelled", cancelledCount, len(dependents))
 		}
 		l.tickAfter(200 * time.Millisecond)
 		v := l.submitWithoutCommit(newJob(fmt.Sprintf("job-%d", 10_000+rounds)))
-		wait := 0
-		for ; v.Status == 0; wait++ {
+		transactions := 0
+		for ; v.Status == 0; transactions++ {
 			l.commitBatch(7, 7)
 		}
-		maxWait = max(maxWait, wait)
+		maxTransactions = max(maxTransactions, transactions)
 		l.commitBatch(7, 7)
 		l.commitBatch(7, 7)
-		ended = 0
-		for _, id := range all {
+		cancelledCount = 0
+		for _, id := range dependents {
 			if _, ok := l.store["f/"+id]; ok {
-				ended++
+				cancelledCount++
 			}
 			if got := l.queryState(id); rounds >= 40 && got != wire.JobCancelled && got != "503" {
-				t.Fatalf("%s is reported as %s", id, got)
+				t.Fatalf("%s is reported as %s, want cancelled or 503", id, got)
 			}
 		}
 	}
-	if maxWait > 1 {
-		t.Errorf("a submission waited for %d transactions", maxWait)
+	if maxTransactions > 1 {
+		t.Errorf("a submission waited for %d transactions, want at most 1", maxTransactions)
 	}
 	if got := l.queryState("job-1"); got != wire.JobQueued {
-		t.Errorf("the other dependency is reported as %s", got)
+		t.Errorf("job-1, the other dependency, is reported as %s, want queued", got)
 	}
 	for range 3000 {
 		l.commitBatch(7, 7)
 	}
-	next := newLeader(t, 7, l.now, l.store)
-	for _, id := range all {
-		if got := next.queryState(id); got != wire.JobCancelled {
-			t.Fatalf("after a succession, %s is reported as %s", id, got)
+	successor := newLeader(t, 7, l.now, l.store)
+	for _, id := range dependents {
+		if got := successor.queryState(id); got != wire.JobCancelled {
+			t.Fatalf("in the next term, %s is reported as %s, want cancelled", id, got)
 		}
 	}
 }
 
-// TestCancelAfterCompletionSparesDependents checks that a cancellation whose response is that the
-// job is done does not cancel dependents.
-func TestCancelAfterCompletionSparesDependents(t *testing.T) {
+// TestCancelOfDoneJobKeepsDependents checks that the cancellation of a job that is done already does
+// not cancel its dependents.
+func TestCancelOfDoneJobKeepsDependents(t *testing.T) {
 	l, task := leaderWithRunningTask(t)
 	l.submitAll(dependentJob("job-2", "job-1"))
 	task.State, task.ExitReason = wire.TaskExited, wire.ExitDone
@@ -241,16 +246,16 @@
 	l.Cancel(l.now, "job-1", func(got leader.Response) { v = got })
 	l.commit()
 	if v.State != wire.JobDone {
-		t.Fatalf("%+v", v)
+		t.Fatalf("response to the cancellation: got %+v, want state done", v)
 	}
 	l.tickAfter(time.Second)
 	if got := l.queryState("job-2"); got != wire.JobQueued || l.Counts().AllocatedTasks != 1 {
-		t.Fatalf("job-2 is reported as %s, %d tasks allocated", got, l.Counts().AllocatedTasks)
+		t.Fatalf("job-2 is reported as %s, want queued; %d tasks allocated, want 1", got, l.Counts().AllocatedTasks)
 	}
 }
 
 // TestWaitingTimeBeginsWhenDependenciesAreDone checks that the time for which a job was blocked does
-// not count as waiting time.
+// not count as waiting time: job-3, which was ready before job-2, is placed first.
 func TestWaitingTimeBeginsWhenDependenciesAreDone(t *testing.T) {
 	l, task := leaderWithRunningTask(t)
 	dependent, other := dependentJob("job-2", "job-1"), newJob("job-3")
@@ -273,16 +278,16 @@
 	l.commit()
 	got := formatCommands(l.sendHeartbeat("m1", 1))
 	if !strings.HasPrefix(got, "run job-3/0") {
-		t.Fatalf("the time blocked counts as waiting time: %s", got)
+		t.Fatalf("got %s, want a start of job-3/0, which has waited longer since it was ready", got)
 	}
 }
 
-// TestCriticalPathRaisesPriority checks that the first job of a chain with an urgent last job goes
-// before a job of higher priority, but not once the last job is cancelled. A successor decides the
-// same.
+// TestCriticalPathRaisesPriority checks a chain of jobs whose last job is urgent. The first job of the
+// chain is placed before a job of higher priority, unless the last job has been cancelled. A
+// successor decides the same.
 func TestCriticalPathRaisesPriority(t *testing.T) {
 	for _, cancelled := range []bool{false, true} {
-		for _, succession := range []bool{false, true} {
+		for _, changeLeader := range []bool{false, true} {
 			l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 			first, other := newJob("job-1"), newJob("job-2")
 			first.Priority, first.CPUs = wire.PriorityIdle, 8
@@ -298,7 +303,7 @@
 				l.Cancel(l.now, "job-3", func(leader.Response) {})
 				l.commit()
 			}
-			if succession {
+			if changeLeader {
 				l = newLeader(t, 6, l.now, l.store)
 			}
 			l.sendHeartbeat("m1", 1)
@@ -309,17 +314,17 @@
 				want = "run job-2/0"
 			}
 			if got := formatCommands(l.sendHeartbeat("m1", 1)); got != want {
-				t.Errorf("cancelled %v, succession %v: %q, want %q", cancelled, succession, got, want)
+				t.Errorf("last job cancelled: %v, placed by a successor: %v: got %q, want %q", cancelled, changeLeader, got, want)
 			}
 		}
 	}
 }
 
-// TestTightestCriticalPathGoesFirst checks that of two chains of equal priority the one with the
-// earlier deadline goes first, although the first job of neither has a deadline.
-func TestTightestCriticalPathGoesFirst(t *testing.T) {
-	old := testParams
-	defer func() { testParams = old }()
+// TestEarlierDeadlineOfChainGoesFirst checks two chains of equal priority whose last jobs have
+// deadlines. The first job of the chain with the earlier deadline is placed first.
+func TestEarlierDeadlineOfChainGoesFirst(t *testing.T) {
+	oldParams := testParams
+	defer func() { testParams = oldParams }()
 	testParams.Teams = []config.Team{{Name: "blue", CPUs: 16, CPUsMax: 16}}
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	for i, deadline := range []float64{400, 200} {
@@ -336,11 +341,11 @@
 	}
 }
 
-// TestEndedJobsHoldNoGuarantee checks that cancelled and blocked jobs leave their team's guarantee
-// to its next job.
-func TestEndedJobsHoldNoGuarantee(t *testing.T) {
-	old := testParams
-	defer func() { testParams = old }()
+// TestCancelledAndBlockedJobsHoldNoGuarantee checks that cancelled and blocked jobs use nothing of their
+// team's guaranteed CPUs: the team's next job is placed before a job of another team.
+func TestCancelledAndBlockedJobsHoldNoGuarantee(t *testing.T) {
+	oldParams := testParams
+	defer func() { testParams = oldParams }()
 	testParams.Teams = []config.Team{{Name: "blue", CPUs: 16, CPUsMax: 32}, {Name: "green", CPUs: 8, CPUsMax: 16}}
 	for _, blocked := range []bool{false, true} {
 		l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
@@ -371,7 +376,7 @@
 		l.tickAfter(time.Second)
 		l.commit()
 		if got := formatCommands(l.sendHeartbeat("m1", 1)); got != "run job-2/0" {
-			t.Errorf("blocked %v: %q", blocked, got)
+			t.Errorf("first job blocked (otherwise cancelled): %v: got %q, want a start of job-2/0", blocked, got)
 		}
 	}
 }
--- a/internal/leader/drain_test.go
+++ b/internal/leader/drain_test.go
@@ -16,14 +16,16 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// drainSettings returns operator settings that turn drains on, with one budget for all teams.
+// drainSettings returns operator settings that turn drains on. The disruption budget b applies to every
+// team.
 func drainSettings(b drain.Budget) config.OperatorSettings {
 	return config.OperatorSettings{Drains: &drain.Budgets{Window: 10 * time.Minute, Default: b}}
 }
 
+// ampleBudget allows every eviction of these tests.
 var ampleBudget = drain.Budget{MaxUnavailable: 10, Evictions: 10, LostS: 10_000}
 
-// applyMachineList applies a machine list that contains exactly the named machines.
+// applyMachineList applies a machine list of the cloud that contains exactly the named machines.
 func (l *testLeader) applyMachineList(names ...string) {
 	var rows []wire.ListedMachine
 	for _, name := range names {
@@ -32,7 +34,7 @@
 	l.ApplyMachineList(l.now, l.now, rows)
 }
 
-// sendDrainRequest handles a request, commits the queued changes and returns the response.
+// sendDrainRequest sends an operator's request to the leader, commits the queued changes and returns the response.
 func (l *testLeader) sendDrainRequest(q drain.Request) drain.Response {
 	l.t.Helper()
 	var got drain.Response
@@ -41,22 +43,25 @@
 	return got
 }
 
+// newApplyRequest returns a request for a drain of the given machines.
 func newApplyRequest(name string, machines ...string) drain.Request {
 	return drain.Request{Action: drain.Apply, Name: name, Spec: &drain.Spec{
 		Name: name, BatchSize: 2, Selector: drain.Selector{Machines: machines},
 	}}
 }
 
-// runDrains advances time and the drains in steps of a second. It calls each in every step.
-func (l *testLeader) runDrains(d time.Duration, each func()) {
+// runDrains advances the time by d in steps of a second. In each step it calls onStep and then advances
+// the drains.
+func (l *testLeader) runDrains(d time.Duration, onStep func()) {
 	for end := l.now.Add(d); l.now.Before(end); {
 		l.tickAfter(time.Second)
-		each()
+		onStep()
 		l.AdvanceDrains(l.now, l.now)
 	}
 }
 
-// storedCharges returns the keys of the stored charges.
+// storedCharges returns the keys of the stored charges, the records of evictions that count against a
+// disruption budget.
 func (l *testLeader) storedCharges() []string {
 	var keys []string
 	for key := range l.store {
@@ -67,10 +72,10 @@
 	return keys
 }
 
-// leaderForDrain returns a leader and a task that has run on m1 for 40 s.
-func leaderForDrain(t *testing.T, operator config.OperatorSettings) (*testLeader, wire.TaskStatus) {
+// leaderForDrain returns a leader and the status of a task that has run on m1 for 40 s.
+func leaderForDrain(t *testing.T, settings config.OperatorSettings) (*testLeader, wire.TaskStatus) {
 	t.Helper()
-	l := newLeaderWithSettings(t, operator, 5, startTime, map[string]json.RawMessage{})
+	l := newLeaderWithSettings(t, settings, 5, startTime, map[string]json.RawMessage{})
 	l.submit("job-1")
 	l.sendHeartbeat("m1", 1)
 	l.applyMachineList("m1")
@@ -81,9 +86,9 @@
 	return l, task
 }
 
-// TestChargeIsDurableBeforeTheStop checks that a task is stopped only once its charge is durable. A
-// successor that loads the charge stops the attempt without another charge. If the task runs as
-// another attempt, the successor charges again.
+// TestChargeIsDurableBeforeTheStop checks that a drain stops a task only once the charge of its
+// eviction is durable. A successor finds the charge in the store and stops the same attempt without a
+// second charge. It charges again if the task runs as a new attempt.
 func TestChargeIsDurableBeforeTheStop(t *testing.T) {
 	l, task := leaderForDrain(t, drainSettings(ampleBudget))
 	attempt := task.Attempt
@@ -92,7 +97,7 @@
 	}
 	l.runDrains(tuning.DrainCompletionWait+5*time.Second, func() {
 		if cs := l.sendHeartbeat("m1", 1, task); len(cs) != 0 {
-			t.Fatalf("stopped before the charge was durable: %s", formatCommands(cs))
+			t.Fatalf("got %s before the charge was durable, want no command", formatCommands(cs))
 		}
 	})
 	if len(l.storedCharges()) != 0 {
@@ -100,26 +105,26 @@
 	}
 	l.commit()
 	if cs := l.sendHeartbeat("m1", 1, task); formatCommands(cs) != "kill job-1/0" || len(l.storedCharges()) != 1 {
-		t.Fatalf("got %q, charges %v", formatCommands(cs), l.storedCharges())
+		t.Fatalf("got %q and the charges %v, want a stop of job-1/0 and one charge", formatCommands(cs), l.storedCharges())
 	}
 	for _, c := range []struct {
-		attempt uint64
-		charges int
+		attempt     uint64
+		wantCharges int
 	}{{attempt, 1}, {attempt + 1, 2}} {
 		store := map[string]json.RawMessage{}
 		for key, value := range l.store {
 			store[key] = value
 		}
-		next := newLeaderWithSettings(t, drainSettings(ampleBudget), 6, l.now.Add(time.Second), store)
-		next.lastSequence = l.lastSequence
-		next.applyMachineList("m1")
+		successor := newLeaderWithSettings(t, drainSettings(ampleBudget), 6, l.now.Add(time.Second), store)
+		successor.lastSequence = l.lastSequence
+		successor.applyMachineList("m1")
 		running := task
 		running.Attempt = c.attempt
-		next.sendHeartbeat("m1", 1, running)
+		successor.sendHeartbeat("m1", 1, running)
 		var commands []wire.Command
-		next.runDrains(3*time.Second, func() { commands = next.sendHeartbeat("m1", 1, running); next.commit() })
-		if formatCommands(commands) != "kill job-1/0" || len(next.storedCharges()) != c.charges {
-			t.Errorf("attempt %d: got %q, charges %v", c.attempt, formatCommands(commands), next.storedCharges())
+		successor.runDrains(3*time.Second, func() { commands = successor.sendHeartbeat("m1", 1, running); successor.commit() })
+		if formatCommands(commands) != "kill job-1/0" || len(successor.storedCharges()) != c.wantCharges {
+			t.Errorf("attempt %d: got %q from the successor, charges %v", c.attempt, formatCommands(commands), successor.storedCharges())
 		}
 	}
 }
@@ -127,10 +132,10 @@
 // TestDrainRequests checks that invalid requests are rejected before anything is stored, and that a
 // repeated request changes nothing.
 func TestDrainRequests(t *testing.T) {
-	off := newLeader(t, 5, startTime, map[string]json.RawMessage{})
-	off.applyMachineList("m1")
-	if r := off.sendDrainRequest(newApplyRequest("maintenance", "m1")); r.Status != http.StatusForbidden {
-		t.Errorf("off: %+v", r)
+	drainsOff := newLeader(t, 5, startTime, map[string]json.RawMessage{})
+	drainsOff.applyMachineList("m1")
+	if r := drainsOff.sendDrainRequest(newApplyRequest("maintenance", "m1")); r.Status != http.StatusForbidden {
+		t.Errorf("with drains off: got %+v, want status 403", r)
 	}
 	l := newLeaderWithSettings(t, drainSettings(ampleBudget), 5, startTime, map[string]json.RawMessage{
 		"e/damaged": json.RawMessage(`{"version":1}`), "e/newer": json.RawMessage(`{"version":9}`),
@@ -146,22 +151,22 @@
 		status int
 		reason string
 	}{
-		"unknown zone":    {change(func(s *drain.Spec) { s.Selector.Zone = "z" }), http.StatusUnprocessableEntity, "selector/zone"},
-		"unknown type":    {change(func(s *drain.Spec) { s.Selector.Type = "z" }), http.StatusUnprocessableEntity, "selector/type"},
-		"unknown machine": {newApplyRequest("maintenance", "m9"), http.StatusUnprocessableEntity, "selector/machine"},
-		"too large":       {change(func(s *drain.Spec) { s.BatchSize = 900 }), http.StatusUnprocessableEntity, "batchSize"},
-		"no batch":        {change(func(s *drain.Spec) { s.BatchSize = 0 }), http.StatusUnprocessableEntity, "batchSize"},
-		"damaged record":  {newApplyRequest("damaged", "m1"), http.StatusConflict, "can't be read"},
-		"newer record":    {newApplyRequest("newer", "m1"), http.StatusConflict, "can't be read"},
-		"nothing":         {drain.Request{Action: drain.Apply}, http.StatusBadRequest, "no drain"},
-		"unknown drain":   {drain.Request{Action: drain.Pause, Name: "none"}, http.StatusNotFound, "none"},
+		"unknown zone":          {change(func(s *drain.Spec) { s.Selector.Zone = "z" }), http.StatusUnprocessableEntity, "selector/zone"},
+		"unknown type":          {change(func(s *drain.Spec) { s.Selector.Type = "z" }), http.StatusUnprocessableEntity, "selector/type"},
+		"unknown machine":       {newApplyRequest("maintenance", "m9"), http.StatusUnprocessableEntity, "selector/machine"},
+		"batch too large":       {change(func(s *drain.Spec) { s.BatchSize = 900 }), http.StatusUnprocessableEntity, "batchSize"},
+		"batch size 0":          {change(func(s *drain.Spec) { s.BatchSize = 0 }), http.StatusUnprocessableEntity, "batchSize"},
+		"damaged record":        {newApplyRequest("damaged", "m1"), http.StatusConflict, "can't be read"},
+		"newer record":          {newApplyRequest("newer", "m1"), http.StatusConflict, "can't be read"},
+		"request without drain": {drain.Request{Action: drain.Apply}, http.StatusBadRequest, "no drain"},
+		"unknown drain":         {drain.Request{Action: drain.Pause, Name: "none"}, http.StatusNotFound, "none"},
 	} {
 		if r := l.sendDrainRequest(c.q); r.Status != c.status || !strings.Contains(r.Reason, c.reason) || strings.Contains(r.Reason, "\n") {
-			t.Errorf("%s: %+v", name, r)
+			t.Errorf("%s: response %+v", name, r)
 		}
 	}
 	if _, stored := l.store["e/maintenance"]; stored || len(l.store) != 2+1 {
-		t.Errorf("stored: %v", l.store)
+		t.Errorf("records in the store: %v, want only the two unreadable drains and the machine types", l.store)
 	}
 	steps := []struct {
 		q      drain.Request
@@ -182,13 +187,13 @@
 	for i, s := range steps {
 		r := l.sendDrainRequest(s.q)
 		if r.Status != s.status || s.state != "" && (len(r.Drains) != 1 || r.Drains[0].State != s.state) {
-			t.Errorf("step %d: %+v", i, r)
+			t.Errorf("request %d: response %+v", i, r)
 		}
 	}
 }
 
-// TestDrainStepExaminesItsBatchOnly checks that a step of a drain of 4,000 machines examines only
-// the machines of the batch and the attempts on them.
+// TestDrainStepExaminesItsBatchOnly checks a drain of 4,000 machines in batches of 5: each step examines
+// only the machines of the current batch and the attempts on them.
 func TestDrainStepExaminesItsBatchOnly(t *testing.T) {
 	l := newLeaderWithSettings(t, drainSettings(drain.Budget{}), 1, startTime, map[string]json.RawMessage{})
 	names := make([]string, 4000)
@@ -210,27 +215,27 @@
 	if r := l.sendDrainRequest(drain.Request{Action: drain.Show, Name: "all"}); len(r.Drains) != 1 || r.Drains[0].Batch == nil || r.Drains[0].MachinesLeft != 4000 {
 		t.Fatalf("no batch formed: %+v", r)
 	}
-	before := l.Counts().DrainSteps
+	examinedBefore := l.Counts().DrainSteps
 	const steps = 20
 	for range steps {
 		l.now = l.now.Add(time.Second)
 		l.AdvanceDrains(l.now, l.now)
 	}
-	if examined := l.Counts().DrainSteps - before; examined > steps*5*2 {
-		t.Errorf("%d machines and attempts examined in %d steps", examined, steps)
+	if examined := l.Counts().DrainSteps - examinedBefore; examined > steps*5*2 {
+		t.Errorf("%d machines and attempts examined in %d steps, want at most 10 per step", examined, steps)
 	}
 }
 
-// TestDrainOfAnEmptyZoneEnds checks that a drain of a zone without machines is done, and blocks
-// provisioning in the zone until it is cancelled. A leader without machines used to presume that it
-// was isolated, so that the drain never ended.
+// TestDrainOfAnEmptyZoneEnds checks that a drain of a zone without machines reaches the state done. A
+// done drain still prevents provisioning in its zone until it is cancelled. Earlier, a leader without
+// machines concluded that it had lost contact with them, and the drain never ended.
 func TestDrainOfAnEmptyZoneEnds(t *testing.T) {
 	l := newLeaderWithSettings(t, drainSettings(ampleBudget), 5, startTime, map[string]json.RawMessage{})
 	l.applyMachineList()
 	l.sendDrainRequest(drain.Request{Action: drain.Apply, Spec: &drain.Spec{Name: "zone", BatchSize: 1, Selector: drain.Selector{Zone: "a"}}})
 	l.runDrains(2*time.Minute, func() { l.applyMachineList(); l.PlanScaling(l.now); l.commit() })
 	if r := l.sendDrainRequest(drain.Request{Action: drain.Show, Name: "zone"}); r.Drains[0].State != drain.Done {
-		t.Fatalf("%+v", r.Drains[0])
+		t.Fatalf("got %+v, want state done", r.Drains[0])
 	}
 	l.submit("job-1")
 	for _, cancelled := range []bool{false, true} {
@@ -239,14 +244,14 @@
 		}
 		l.tickAfter(time.Minute)
 		if provisioned := hasProvisionCall(l.PlanScaling(l.now)); provisioned != cancelled {
-			t.Errorf("cancelled: %v, provisioned: %v", cancelled, provisioned)
+			t.Errorf("drain cancelled: %v, machines provisioned: %v, want the same value", cancelled, provisioned)
 		}
 	}
 }
 
 // TestZoneBoundWorkBlocksADrain checks that a task whose job may run in no other zone is not stopped
-// before the deadline of the drain. After it, the drain is paused and names the team or, with force,
-// stops the task.
+// before the deadline of the drain. After the deadline, a drain with force stops the task. A drain
+// without force is paused, and its reason names the team.
 func TestZoneBoundWorkBlocksADrain(t *testing.T) {
 	for _, force := range []bool{false, true} {
 		l, task := leaderForDrain(t, drainSettings(ampleBudget))
@@ -264,13 +269,14 @@
 		r := l.sendDrainRequest(drain.Request{Action: drain.Show, Name: "zone"}).Drains[0]
 		stopped := slices.ContainsFunc(commands, func(c wire.Command) bool { return c.Op == wire.OpStop })
 		if stopped != force || (r.State == drain.Paused) == force || !force && !strings.Contains(r.Reason, "(team blue)") {
-			t.Errorf("force %v: stopped %v, %s, %s", force, stopped, r.State, r.Reason)
+			t.Errorf("force: %v, stopped: %v, want the same value; drain state %s, reason %q", force, stopped, r.State, r.Reason)
 		}
 	}
 }
 
-// TestReplacementTimeout checks that a batch is not cordoned while the cloud has no replacements,
-// that the drain is paused after the timeout, and that it tries again once it is resumed.
+// TestReplacementTimeout checks a drain that needs replacement machines while the cloud has none. Its
+// batch is not cordoned, the drain is paused after the timeout, and it calls the cloud again once it
+// is resumed.
 func TestReplacementTimeout(t *testing.T) {
 	l, task := leaderForDrain(t, drainSettings(ampleBudget))
 	provisionCalls := 0
@@ -285,36 +291,36 @@
 		}
 		l.commit()
 	}
-	q := newApplyRequest("maintenance", "m1")
-	q.Spec.Replace = true
-	l.sendDrainRequest(q)
+	request := newApplyRequest("maintenance", "m1")
+	request.Spec.Replace = true
+	l.sendDrainRequest(request)
 	l.runDrains(tuning.ReplacementTimeout-10*time.Second, step)
 	show := drain.Request{Action: drain.Show, Name: "maintenance"}
 	if s := l.sendDrainRequest(show).Drains[0]; s.State != drain.Running || s.Batch == nil || s.Batch.Cordoned || provisionCalls < 10 {
-		t.Fatalf("%+v after %d provision calls", s, provisionCalls)
+		t.Fatalf("got %+v after %d provision calls, want a running drain with a batch that is not cordoned, and 10 calls", s, provisionCalls)
 	}
 	l.runDrains(20*time.Second, step)
 	if s := l.sendDrainRequest(show).Drains[0]; s.State != drain.Paused || s.Reason != string(drain.ReplacementTimedOut) {
-		t.Fatalf("%+v", s)
+		t.Fatalf("after the timeout: got %+v, want a paused drain", s)
 	}
-	paused := provisionCalls
+	callsWhenPaused := provisionCalls
 	l.runDrains(time.Minute, step)
-	if provisionCalls != paused {
-		t.Error("provisioned replacements for a paused drain")
+	if provisionCalls != callsWhenPaused {
+		t.Error("provision calls for a paused drain, want none")
 	}
 	l.sendDrainRequest(drain.Request{Action: drain.Resume, Name: "maintenance"})
 	l.runDrains(time.Minute, step)
-	if provisionCalls == paused {
-		t.Error("did not try again")
+	if provisionCalls == callsWhenPaused {
+		t.Error("no provision call after the drain was resumed")
 	}
 }
 
-// TestReplacementsAreProvisionedOnce checks that a batch gets as many replacements as it has
-// machines, and is cordoned once they are schedulable. A successor that loads them from the record
-// provisions none, even if the machine list lacks them.
+// TestReplacementsAreProvisionedOnce checks that a batch gets as many replacements as it has machines,
+// and is cordoned once they are schedulable. A successor that loads the record of the drain
+// provisions no further replacements, even if the machine list lacks the recorded ones.
 func TestReplacementsAreProvisionedOnce(t *testing.T) {
 	l, task := leaderForDrain(t, drainSettings(ampleBudget))
-	sendAndList := func(l *testLeader, names ...string) {
+	sendHeartbeatsAndMachineList := func(l *testLeader, names ...string) {
 		for _, name := range names {
 			if name == "m1" {
 				l.sendHeartbeat(name, 1, task)
@@ -324,12 +330,12 @@
 		}
 		l.applyMachineList(names...)
 	}
-	q := newApplyRequest("maintenance", "m1")
-	q.Spec.Replace = true
-	l.sendDrainRequest(q)
+	request := newApplyRequest("maintenance", "m1")
+	request.Spec.Replace = true
+	l.sendDrainRequest(request)
 	var provisionCalls []wire.ProvisionRequest
 	l.runDrains(10*time.Second, func() {
-		sendAndList(l, "m1")
+		sendHeartbeatsAndMachineList(l, "m1")
 		for _, call := range l.PlanScaling(l.now) {
 			if call.Op == scaling.CloudProvision {
 				provisionCalls = append(provisionCalls, call.Provision)
@@ -339,30 +345,31 @@
 		l.commit()
 	})
 	if len(provisionCalls) != 1 || provisionCalls[0].Count != 1 {
-		t.Fatalf("provision calls: %+v", provisionCalls)
+		t.Fatalf("provision calls: got %+v, want one call for one machine", provisionCalls)
 	}
-	next := newLeaderWithSettings(t, drainSettings(ampleBudget), 6, l.now, l.store)
-	next.lastSequence = l.lastSequence
-	next.runDrains(6*time.Second, func() {
-		sendAndList(next, "m1")
-		if hasProvisionCall(next.PlanScaling(next.now)) {
+	successor := newLeaderWithSettings(t, drainSettings(ampleBudget), 6, l.now, l.store)
+	successor.lastSequence = l.lastSequence
+	successor.runDrains(6*time.Second, func() {
+		sendHeartbeatsAndMachineList(successor, "m1")
+		if hasProvisionCall(successor.PlanScaling(successor.now)) {
 			t.Fatal("the successor provisions again although replacements are recorded")
 		}
 	})
 	status := func() drain.Status {
-		return next.sendDrainRequest(drain.Request{Action: drain.Show, Name: "maintenance"}).Drains[0]
+		return successor.sendDrainRequest(drain.Request{Action: drain.Show, Name: "maintenance"}).Drains[0]
 	}
 	if s := status(); s.Batch == nil || s.Batch.Cordoned {
-		t.Fatalf("cordoned before the replacement is up: %+v", s.Batch)
+		t.Fatalf("batch is missing or was cordoned before the replacement was schedulable: %+v", s.Batch)
 	}
-	next.runDrains(5*time.Second, func() { sendAndList(next, "m1", "m2") })
+	successor.runDrains(5*time.Second, func() { sendHeartbeatsAndMachineList(successor, "m1", "m2") })
 	if s := status(); s.Batch == nil || !s.Batch.Cordoned {
-		t.Errorf("not cordoned though the replacement is up: %+v, %s", s.Batch, s.Reason)
+		t.Errorf("batch is missing or was not cordoned although the replacement is schedulable: %+v, reason %q", s.Batch, s.Reason)
 	}
 }
 
-// TestNextDrainKeepsCordonOfPausedDrain checks that a machine cordoned by a paused drain gets no
-// work, even while another drain waits for a replacement before it cordons the same machine.
+// TestNextDrainKeepsCordonOfPausedDrain checks that a machine cordoned by a paused drain stays cordoned
+// when another drain selects it. That drain has not cordoned the machine itself, because it still
+// waits for a replacement.
 func TestNextDrainKeepsCordonOfPausedDrain(t *testing.T) {
 	l, task := leaderForDrain(t, drainSettings(ampleBudget))
 	step := func() { l.sendHeartbeat("m1", 1, task); l.applyMachineList("m1"); l.commit() }
@@ -375,12 +382,12 @@
 	l.runDrains(5*time.Second, step)
 	s := l.sendDrainRequest(drain.Request{Action: drain.Show, Name: "next"}).Drains[0]
 	if s.Batch == nil || s.Batch.Cordoned {
-		t.Fatalf("the next drain does not wait for a replacement: %+v", s)
+		t.Fatalf("got %+v, want the second drain to wait for a replacement with a batch that is not cordoned", s)
 	}
 	l.submit("job-2")
 	l.runDrains(3*time.Second, func() {
 		if commands := l.sendHeartbeat("m1", 1, task); len(commands) > 0 {
-			t.Fatalf("a cordoned machine got %s", formatCommands(commands))
+			t.Fatalf("a cordoned machine got %s, want no command", formatCommands(commands))
 		}
 		l.commit()
 	})
--- a/internal/leader/failures_test.go
+++ b/internal/leader/failures_test.go
@@ -11,8 +11,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// TestFailingJobBacksOff checks that a job whose tasks fail leaves room for other jobs, and that a
-// machine on which several jobs fail gets no more work.
+// TestFailingJobBacksOff checks that a failed task is not retried at once, which leaves its capacity to
+// other jobs, and that a machine on which several jobs fail gets no more work.
 func TestFailingJobBacksOff(t *testing.T) {
 	l, task := leaderWithRunningTask(t)
 	task.State, task.ExitReason = wire.TaskExited, wire.ExitError
@@ -24,32 +24,32 @@
 	l.commit()
 	cs := l.sendHeartbeat("m1", 1)
 	if formatCommands(cs) != "run job-2/0" {
-		t.Fatalf("want job-2 only, got %q", formatCommands(cs))
+		t.Fatalf("got %q, want a start of job-2/0 only", formatCommands(cs))
 	}
 	l.sendHeartbeat("m1", 1, wire.TaskStatus{Task: "job-2/0", Attempt: cs[0].Attempt, State: wire.TaskExited, ExitReason: wire.ExitError})
 	l.submit("job-3")
 	l.tickAfter(time.Second)
 	l.commit()
 	if cs := l.sendHeartbeat("m1", 1); len(cs) != 0 {
-		t.Fatalf("a faulty machine got %s", formatCommands(cs))
+		t.Fatalf("a machine on which two jobs have failed got %s, want no command", formatCommands(cs))
 	}
 }
 
-// TestJobFailingEverywhereQuarantinesNoMachine checks that a job that fails on every machine is
-// tried once on each, one task at a time and with growing delays. No number of such jobs gets a
-// machine quarantined, but a machine is still quarantined if jobs fail on it that complete
-// elsewhere.
+// TestJobFailingEverywhereQuarantinesNoMachine checks that a job that fails on every machine is started
+// once on each, one task at a time and with growing delays. Jobs of this kind, however many, do not get a machine quarantined. A machine is still
+// quarantined if jobs fail on it that complete elsewhere. job-1 to job-4 fail on every machine, job-500
+// and later ones only on faulty machines.
 func TestJobFailingEverywhereQuarantinesNoMachine(t *testing.T) {
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	machines := []string{"m1", "m2", "m3"}
 	faulty := map[string]bool{} // machines on which every task fails
-	lists := map[string][]wire.TaskStatus{}
-	startCounts := map[string]int{}
-	step := func() {
+	tasksByMachine := map[string][]wire.TaskStatus{}
+	startCounts := map[string]int{} // by "<job> on <machine>"
+	advanceSecond := func() {
 		l.tickAfter(time.Second)
 		l.commit()
 		for _, m := range machines {
-			for _, cmd := range l.sendHeartbeat(m, 1, lists[m]...) {
+			for _, cmd := range l.sendHeartbeat(m, 1, tasksByMachine[m]...) {
 				switch cmd.Op {
 				case wire.OpStart:
 					id, _, _ := wire.SplitTask(cmd.Task)
@@ -58,9 +58,9 @@
 					if id < "job-5" || faulty[m] {
 						exitReason = wire.ExitError
 					}
-					lists[m] = append(lists[m], wire.TaskStatus{Task: cmd.Task, Attempt: cmd.Attempt, State: wire.TaskExited, ExitReason: exitReason})
+					tasksByMachine[m] = append(tasksByMachine[m], wire.TaskStatus{Task: cmd.Task, Attempt: cmd.Attempt, State: wire.TaskExited, ExitReason: exitReason})
 				case wire.OpForget:
-					lists[m] = slices.DeleteFunc(lists[m], func(r wire.TaskStatus) bool { return r.Task == cmd.Task && r.Attempt == cmd.Attempt })
+					tasksByMachine[m] = slices.DeleteFunc(tasksByMachine[m], func(r wire.TaskStatus) bool { return r.Task == cmd.Task && r.Attempt == cmd.Attempt })
 				}
 			}
 		}
@@ -69,7 +69,7 @@
 		l.submit(id)
 	}
 	for range 300 {
-		step()
+		advanceSecond()
 	}
 	for _, id := range []string{"job-1", "job-2", "job-3", "job-4"} {
 		total := 0
@@ -77,30 +77,30 @@
 			total += startCounts[id+" on "+m]
 		}
 		if total != len(machines) {
-			t.Errorf("%s was started %d times: %v", id, total, startCounts)
+			t.Errorf("%s was started %d times, want once on each machine: %v", id, total, startCounts)
 		}
 	}
 	// All machines are still schedulable. Now one becomes faulty.
 	faulty["m1"] = true
 	for i := range 30 {
 		l.submit(fmt.Sprint("job-", 500+i))
-		step()
+		advanceSecond()
 	}
 	for range 5 {
-		step()
+		advanceSecond()
 	}
-	onFaulty := 0
+	startsOnFaulty := 0
 	for key, n := range startCounts {
 		if strings.HasPrefix(key, "job-5") && strings.HasSuffix(key, "m1") {
-			onFaulty += n
+			startsOnFaulty += n
 		}
 	}
-	if onFaulty < 2 || onFaulty > 4 {
-		t.Errorf("%d tasks of jobs that complete elsewhere went to the faulty machine", onFaulty)
+	if startsOnFaulty < 2 || startsOnFaulty > 4 {
+		t.Errorf("%d tasks of jobs that complete elsewhere were started on the faulty machine, want 2 to 4", startsOnFaulty)
 	}
 	for i := range 30 {
 		if v := l.Query(fmt.Sprint("job-", 500+i)); v.State != wire.JobDone {
-			t.Errorf("job-%d: %+v", 500+i, v)
+			t.Errorf("job-%d: got %+v, want state done", 500+i, v)
 		}
 	}
 	l.ApplyMachineList(l.now, l.now, nil)
@@ -110,5 +110,5 @@
 			return
 		}
 	}
-	t.Error("no machine is provisioned for the jobs that have failed on all machines")
+	t.Error("no machine was provisioned for the jobs that have failed on all machines")
 }
--- a/internal/leader/placement_test.go
+++ b/internal/leader/placement_test.go
@@ -14,8 +14,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// TestNoStartsWithoutAuthority checks that heartbeats still get a response while the key-value store
-// can't be reached, but no task is started.
+// TestNoStartsWithoutAuthority checks that, while the key-value store can't be reached, heartbeats still
+// get a response, but the response starts no task.
 func TestNoStartsWithoutAuthority(t *testing.T) {
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	l.submit("job-1")
@@ -25,84 +25,85 @@
 	l.lastSequence++
 	response, outcome := l.HandleHeartbeat(l.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.lastSequence, FencingToken: 5}, false)
 	if outcome != leader.HeartbeatApplied || len(response.Commands) != 0 {
-		t.Fatalf("%v %+v", outcome, response)
+		t.Fatalf("got outcome %v and response %+v, want HeartbeatApplied and no commands", outcome, response)
 	}
 }
 
-// TestTeamAtLimitPreemptsOwnTasks checks that a team whose less urgent tasks use its whole limit has
-// one of them stopped for its own urgent job, because no other machine would help.
+// TestTeamAtLimitPreemptsOwnTasks checks a team that is at its CPU limit because of its less urgent
+// tasks. One of them is stopped for an urgent job of the team: free machines do not help while the
+// team is at its limit.
 func TestTeamAtLimitPreemptsOwnTasks(t *testing.T) {
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	normal := newJob("job-1")
 	normal.Priority, normal.Tasks, normal.CPUs, normal.CheckpointIntervalS, normal.EstimateS = wire.PriorityNormal, 2, 8, 20, 300
 	l.Submit(l.now, l.now, normal, func(leader.Response) {})
 	l.commit()
-	lists := map[string][]wire.TaskStatus{"m1": nil, "m2": nil, "m3": nil}
+	tasksByMachine := map[string][]wire.TaskStatus{"m1": nil, "m2": nil, "m3": nil}
 	machines := []string{"m1", "m2", "m3"}
-	step := func(d time.Duration) (stops, starts string) {
+	advance := func(d time.Duration) (stops, starts string) {
 		l.tickAfter(d)
 		l.commit()
 		for _, m := range machines {
-			for _, c := range l.sendHeartbeat(m, 1, lists[m]...) {
+			for _, c := range l.sendHeartbeat(m, 1, tasksByMachine[m]...) {
 				switch c.Op {
 				case wire.OpStart:
 					starts += c.Task + " "
-					lists[m] = append(lists[m], wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
+					tasksByMachine[m] = append(tasksByMachine[m], wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
 				case wire.OpStop:
 					stops += c.Task + " "
-					lists[m] = nil
+					tasksByMachine[m] = nil
 				}
 			}
 		}
 		return stops, starts
 	}
-	step(time.Second)
-	if _, starts := step(time.Second); starts == "" {
+	advance(time.Second)
+	if _, starts := advance(time.Second); starts == "" {
 		t.Fatal("the less urgent job did not start")
 	}
 	// Advances to just after the first checkpoint, when stopping loses little progress.
 	for range 11 {
-		step(2 * time.Second)
+		advance(2 * time.Second)
 	}
 	l.submit("job-2")
 	var stops, starts string
 	for range 4 {
-		a, b := step(500 * time.Millisecond)
-		stops, starts = stops+a, starts+b
+		newStops, newStarts := advance(500 * time.Millisecond)
+		stops, starts = stops+newStops, starts+newStarts
 	}
 	if len(strings.Fields(stops)) != 1 || !strings.Contains(starts, "job-2/0") {
-		t.Fatalf("stopped %q, started %q", stops, starts)
+		t.Fatalf("stopped %q, want one task; started %q, want job-2/0", stops, starts)
 	}
 }
 
-// TestNoPreemptionWithoutEnoughRoom checks a team at its limit with a large job of high priority. If
-// its preemptible tasks are too small to make room for the job, none is stopped: they would be
-// stopped in every pass and never complete, and the large job would not start either. If they are
-// large enough, as many are stopped as needed.
+// TestNoPreemptionWithoutEnoughRoom checks a team at its CPU limit that submits a large job of high
+// priority. If stopping all preemptible tasks of the team would not make enough room for the job, none
+// is stopped. Otherwise they would be stopped in every pass and never complete, and the large job would
+// not start either. If they make enough room, as many are stopped as needed.
 func TestNoPreemptionWithoutEnoughRoom(t *testing.T) {
 	for _, c := range []struct {
-		nonPreemptibleCPUs float64 // CPUs of each of two tasks that can't be stopped; the limit is 16
-		running            int     // number of tasks of 1 CPU that can be stopped
-		stops              int
+		nonPreemptibleCPUs float64 // CPUs of each of two tasks that can't be preempted; the limit is 16
+		preemptibleTasks   int     // number of tasks of 1 CPU that can be preempted
+		wantStops          int
 	}{{6.5, 1, 0}, {6, 2, 2}} {
 		l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 		nonPreemptible := newJob("job-1")
 		nonPreemptible.Tasks, nonPreemptible.CPUs, nonPreemptible.EstimateS = 2, c.nonPreemptibleCPUs, 600
 		low := newJob("job-2")
-		low.Priority, low.Tasks, low.CPUs, low.CheckpointIntervalS, low.EstimateS = wire.PriorityIdle, c.running, 1, 5, 300
-		lists := map[string][]wire.TaskStatus{"m1": nil, "m2": nil, "m3": nil}
+		low.Priority, low.Tasks, low.CPUs, low.CheckpointIntervalS, low.EstimateS = wire.PriorityIdle, c.preemptibleTasks, 1, 5, 300
+		tasksByMachine := map[string][]wire.TaskStatus{"m1": nil, "m2": nil, "m3": nil}
 		stops := 0
-		step := func() {
+		advance := func() {
 			l.tickAfter(500 * time.Millisecond)
 			l.commit()
 			for _, m := range []string{"m1", "m2", "m3"} {
-				for _, command := range l.sendHeartbeat(m, 1, lists[m]...) {
+				for _, command := range l.sendHeartbeat(m, 1, tasksByMachine[m]...) {
 					switch command.Op {
 					case wire.OpStart:
-						lists[m] = append(lists[m], wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: wire.TaskRunning})
+						tasksByMachine[m] = append(tasksByMachine[m], wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, State: wire.TaskRunning})
 					case wire.OpStop:
 						stops++
-						lists[m] = slices.DeleteFunc(lists[m], func(r wire.TaskStatus) bool { return r.Task == command.Task })
+						tasksByMachine[m] = slices.DeleteFunc(tasksByMachine[m], func(r wire.TaskStatus) bool { return r.Task == command.Task })
 					}
 				}
 			}
@@ -111,7 +112,7 @@
 			l.Submit(l.now, l.now, j, func(leader.Response) {})
 			l.commit()
 			for range 3 {
-				step()
+				advance()
 			}
 		}
 		high := newJob("job-3")
@@ -119,17 +120,17 @@
 		l.Submit(l.now, l.now, high, func(leader.Response) {})
 		l.commit()
 		for range 8 {
-			step()
+			advance()
 		}
-		if stops != c.stops {
-			t.Errorf("with %d preemptible tasks: %d stops, want %d", c.running, stops, c.stops)
+		if stops != c.wantStops {
+			t.Errorf("with %d preemptible tasks: %d stops, want %d", c.preemptibleTasks, stops, c.wantStops)
 		}
 	}
 }
 
-// TestPreemptedCapacityIsReserved checks two tasks that are stopped for a larger one of a higher
-// priority and exit one after the other: the capacity that the first exit frees does not go to tasks
-// of lower priority.
+// TestPreemptedCapacityIsReserved checks two tasks that are preempted for a larger one of a higher
+// priority and exit one after the other. The capacity that the first exit frees is reserved for the
+// larger task and does not go to tasks of lower priority.
 func TestPreemptedCapacityIsReserved(t *testing.T) {
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	low := newJob("job-1")
@@ -153,7 +154,7 @@
 	l.commit()
 	l.tickAfter(time.Second)
 	if cs := l.sendHeartbeat("m1", 1, running...); len(cs) != 2 || cs[0].Op != wire.OpStop || cs[1].Op != wire.OpStop {
-		t.Fatalf("want two stops, got %s", formatCommands(cs))
+		t.Fatalf("got %s, want two stops", formatCommands(cs))
 	}
 	exited := func(r wire.TaskStatus) wire.TaskStatus {
 		r.State, r.ExitReason = wire.TaskExited, wire.ExitStopped
@@ -175,17 +176,18 @@
 	}
 }
 
-// TestAgedStartIsProtectedFromPreemption checks that a task that was placed because of its job's age
-// is not stopped for more urgent work in its first 30 s, because a start counts to the user only
-// once it has run for that long. After that it is stopped.
+// TestAgedStartIsProtectedFromPreemption checks that a task that was placed because its job had waited
+// for tuning.AgingThreshold is not preempted in its first 30 s: a start only counts for the user once
+// the task has run for that long. Later the task is preempted. A task of a job that has not waited is
+// preempted within 30 s.
 func TestAgedStartIsProtectedFromPreemption(t *testing.T) {
-	for _, waited := range []time.Duration{time.Second, tuning.AgingThreshold} {
+	for _, jobWait := range []time.Duration{time.Second, tuning.AgingThreshold} {
 		l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 		idle := newJob("job-1")
 		idle.Priority, idle.CPUs, idle.CheckpointIntervalS, idle.EstimateS = wire.PriorityIdle, 8, 5, 300
 		l.Submit(l.now, l.now, idle, func(leader.Response) {})
 		l.commit()
-		l.tickAfter(waited)
+		l.tickAfter(jobWait)
 		l.sendHeartbeat("m1", 1)
 		l.tickAfter(time.Second)
 		l.commit()
@@ -193,85 +195,85 @@
 		if formatCommands(cs) != "run job-1/0" {
 			t.Fatal(formatCommands(cs))
 		}
-		began := l.now
+		startedAt := l.now
 		l.submit("job-2")
 		for {
 			l.tickAfter(time.Second)
 			l.commit()
-			if l.now.Sub(began) > 90*time.Second {
-				t.Fatal("not stopped within 90 s")
+			if l.now.Sub(startedAt) > 90*time.Second {
+				t.Fatal("job-1/0 was not stopped within 90 s")
 			}
 			if len(l.sendHeartbeat("m1", 1, wire.TaskStatus{Task: "job-1/0", Attempt: cs[0].Attempt, State: wire.TaskRunning})) > 0 {
 				break
 			}
 		}
-		if ran := l.now.Sub(began); ran > 30*time.Second != (waited == tuning.AgingThreshold) {
-			t.Errorf("after a wait of %v: stopped after %v", waited, ran)
+		if runTime := l.now.Sub(startedAt); runTime > 30*time.Second != (jobWait == tuning.AgingThreshold) {
+			t.Errorf("job waited %v: task stopped after %v, want more than 30s only if the job waited for tuning.AgingThreshold", jobWait, runTime)
 		}
 	}
 }
 
-// TestLargeJobIsNotStarved checks that, under a lasting backlog of smaller and more urgent jobs, a
+// TestLargeJobIsNotStarved checks that, under a permanent backlog of smaller and more urgent jobs, a
 // large job of low priority starts within four minutes, and that more of its tasks start later.
 func TestLargeJobIsNotStarved(t *testing.T) {
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	large := newJob("job-999999")
 	large.Priority, large.Tasks, large.CPUs, large.EstimateS = wire.PriorityIdle, 40, 8, 20
-	const submitAfterS = 100 // the backlog exists by then
-	lists := map[string][]wire.TaskStatus{"m1": nil, "m2": nil}
-	ends := map[string]time.Time{}
-	firstDelay, starts := time.Duration(0), 0
+	const submitAfterS = 100 // after this time there is a backlog of small jobs
+	tasksByMachine := map[string][]wire.TaskStatus{"m1": nil, "m2": nil}
+	endTimes := map[string]time.Time{}
+	firstStartDelay, starts := time.Duration(0), 0
 	for second := range 600 {
 		if second == submitAfterS {
 			l.Submit(l.now, l.now, large, func(leader.Response) {})
 		}
-		// The two machines have capacity for a third of these tasks.
+		// The two machines have capacity for only a third of these tasks.
 		small := newJob(fmt.Sprintf("job-%06d", second))
 		small.Tasks, small.EstimateS = 4, 6
 		l.Submit(l.now, l.now, small, func(leader.Response) {})
 		l.tickAfter(time.Second)
 		l.commit()
 		for _, m := range []string{"m1", "m2"} {
-			for i := range lists[m] {
-				if task := &lists[m][i]; !l.now.Before(ends[task.Task]) {
+			for i := range tasksByMachine[m] {
+				if task := &tasksByMachine[m][i]; !l.now.Before(endTimes[task.Task]) {
 					task.State, task.ExitReason = wire.TaskExited, wire.ExitDone
 				}
 			}
-			for _, c := range l.sendHeartbeat(m, 1, lists[m]...) {
+			for _, c := range l.sendHeartbeat(m, 1, tasksByMachine[m]...) {
 				switch c.Op {
 				case wire.OpStart:
-					run := 6 * time.Second
+					runTime := 6 * time.Second
 					if strings.HasPrefix(c.Task, large.ID) {
-						run = 20 * time.Second
+						runTime = 20 * time.Second
 						if starts++; starts == 1 {
-							firstDelay = l.now.Sub(startTime) - submitAfterS*time.Second
+							firstStartDelay = l.now.Sub(startTime) - submitAfterS*time.Second
 						}
 					}
-					ends[c.Task] = l.now.Add(run)
-					lists[m] = append(lists[m], wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
+					endTimes[c.Task] = l.now.Add(runTime)
+					tasksByMachine[m] = append(tasksByMachine[m], wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
 				case wire.OpForget:
-					lists[m] = slices.DeleteFunc(lists[m], func(r wire.TaskStatus) bool { return r.Task == c.Task })
+					tasksByMachine[m] = slices.DeleteFunc(tasksByMachine[m], func(r wire.TaskStatus) bool { return r.Task == c.Task })
 				}
 			}
 		}
 	}
-	if starts == 0 || firstDelay > 4*time.Minute {
-		t.Fatalf("%d tasks started, the first after %v", starts, firstDelay)
+	if starts == 0 || firstStartDelay > 4*time.Minute {
+		t.Fatalf("%d tasks of the large job started, the first after %v, want the first within 4m", starts, firstStartDelay)
 	}
 	if starts < 2 {
-		t.Fatalf("only %d tasks started, the first after %v", starts, firstDelay)
+		t.Fatalf("%d tasks of the large job started, the first after %v, want more than one", starts, firstStartDelay)
 	}
 }
 
-// TestUnderusedMachineIsConsolidated checks two machines that run one long task each. A task that
-// saves checkpoints is moved to the other machine, and its own machine is released. A task that
-// can't save is not moved.
+// TestUnderusedMachineIsConsolidated checks two machines that run one long task each. If the tasks save
+// checkpoints, one of them is moved to the other machine, and the machine that it leaves is released.
+// Tasks that save no checkpoints are not moved.
 func TestUnderusedMachineIsConsolidated(t *testing.T) {
-	for _, checkpoint := range []float64{20, 0} {
+	for _, checkpointIntervalS := range []float64{20, 0} {
 		l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
-		submit := func(id string, estimate float64) {
+		submit := func(id string, estimateS float64) {
 			j := newJob(id)
-			j.CPUs, j.EstimateS, j.CheckpointIntervalS, j.CheckpointSaveS = 4, estimate, checkpoint, 4
+			j.CPUs, j.EstimateS, j.CheckpointIntervalS, j.CheckpointSaveS = 4, estimateS, checkpointIntervalS, 4
 			l.Submit(l.now, l.now, j, func(leader.Response) {})
 		}
 		submit("job-0", 40) // runs on m1 beside job-1 until it completes
@@ -279,7 +281,7 @@
 		l.ApplyMachineList(l.now, l.now, []wire.ListedMachine{
 			{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}, {Name: "m2", Type: "std-8", Zone: "a", State: wire.MachineRunning},
 		})
-		lists := map[string][]wire.TaskStatus{}
+		tasksByMachine := map[string][]wire.TaskStatus{}
 		stops, released := 0, ""
 		for second := range 120 {
 			if second == 5 {
@@ -291,24 +293,24 @@
 				if released == m || second < 5 && m == "m2" {
 					continue
 				}
-				for i := range lists[m] {
-					if second == 45 && lists[m][i].Task == "job-0/0" {
-						lists[m][i].State, lists[m][i].ExitReason = wire.TaskExited, wire.ExitDone
+				for i := range tasksByMachine[m] {
+					if second == 45 && tasksByMachine[m][i].Task == "job-0/0" {
+						tasksByMachine[m][i].State, tasksByMachine[m][i].ExitReason = wire.TaskExited, wire.ExitDone
 					}
 				}
-				for _, c := range l.sendHeartbeat(m, 1, lists[m]...) {
-					at := slices.IndexFunc(lists[m], func(r wire.TaskStatus) bool { return r.Task == c.Task })
+				for _, c := range l.sendHeartbeat(m, 1, tasksByMachine[m]...) {
+					index := slices.IndexFunc(tasksByMachine[m], func(r wire.TaskStatus) bool { return r.Task == c.Task })
 					switch c.Op {
 					case wire.OpStart:
-						lists[m] = append(lists[m], wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
+						tasksByMachine[m] = append(tasksByMachine[m], wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
 					case wire.OpStop:
 						if c.GracePeriodS == nil || *c.GracePeriodS < 4 {
-							t.Fatalf("stopped without time to save a checkpoint: %+v", c)
+							t.Fatalf("stopped with too short a grace period for saving a checkpoint: %+v", c)
 						}
 						stops++
-						lists[m][at].State, lists[m][at].ExitReason, lists[m][at].CheckpointSaved = wire.TaskExited, wire.ExitStopped, true
+						tasksByMachine[m][index].State, tasksByMachine[m][index].ExitReason, tasksByMachine[m][index].CheckpointSaved = wire.TaskExited, wire.ExitStopped, true
 					case wire.OpForget:
-						lists[m] = slices.Delete(lists[m], at, at+1)
+						tasksByMachine[m] = slices.Delete(tasksByMachine[m], index, index+1)
 					}
 				}
 			}
@@ -319,11 +321,11 @@
 				}
 			}
 		}
-		if checkpoint > 0 && (stops != 1 || released == "" || len(lists["m1"])+len(lists["m2"]) != 2) {
-			t.Fatalf("stops: %d, released: %q, tasks: %v", stops, released, lists)
+		if checkpointIntervalS > 0 && (stops != 1 || released == "" || len(tasksByMachine["m1"])+len(tasksByMachine["m2"]) != 2) {
+			t.Fatalf("%d stops, want 1; released machine %q, want one; tasks %v, want 2", stops, released, tasksByMachine)
 		}
-		if checkpoint == 0 && stops != 0 {
-			t.Fatal("a task that can't save a checkpoint was moved")
+		if checkpointIntervalS == 0 && stops != 0 {
+			t.Fatal("a task that saves no checkpoints was stopped")
 		}
 	}
 }
--- a/internal/leader/reachability_test.go
+++ b/internal/leader/reachability_test.go
@@ -12,7 +12,7 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// zonedCluster is a leader of two zones with machines a0 to a9 and b0 to b9.
+// zonedCluster is a leader and its machines in two zones: a0 to a9 in zone a, b0 to b9 in zone b.
 type zonedCluster struct {
 	*testLeader
 	silentMachines map[string]bool // machines that send no heartbeats
@@ -20,10 +20,11 @@
 
 var zones = []string{"a", "b"}
 
+// newZonedCluster returns a cluster whose leader has received a machine list but no heartbeats.
 func newZonedCluster(t *testing.T, term uint64, now time.Time, store map[string]json.RawMessage) *zonedCluster {
-	old := std8Type
+	oldType := std8Type
 	std8Type.Zones = zones
-	t.Cleanup(func() { std8Type = old })
+	t.Cleanup(func() { std8Type = oldType })
 	z := &zonedCluster{newLeader(t, term, now, store), map[string]bool{}}
 	var rows []wire.ListedMachine
 	for _, zone := range zones {
@@ -35,8 +36,8 @@
 	return z
 }
 
-// sendHeartbeats sends a heartbeat of every machine in the given zones that is not silent, and
-// starts the tasks that the responses ask for.
+// sendHeartbeats sends a heartbeat of every machine in the given zones that is not silent. It adds the
+// tasks that the responses start to the tasks of their machines.
 func (z *zonedCluster) sendHeartbeats(tasks map[string][]wire.TaskStatus, zones ...string) {
 	for _, zone := range zones {
 		for i := range 10 {
@@ -57,7 +58,8 @@
 	}
 }
 
-// runWideJob runs a job of 80 tasks, four on each machine, and returns the tasks by machine.
+// runWideJob gives the job 80 tasks and runs four of them on each machine. It returns the tasks by
+// machine.
 func (z *zonedCluster) runWideJob(j *wire.Job) map[string][]wire.TaskStatus {
 	tasks := map[string][]wire.TaskStatus{}
 	z.sendHeartbeats(tasks, zones...)
@@ -74,8 +76,8 @@
 	return tasks
 }
 
-// advance advances time in steps of a second while only the given zones send heartbeats. It returns
-// the machines released and the zones of provisioning calls.
+// advance advances the time by d in steps of a second, while only the machines in the reachable zones
+// send heartbeats. It returns the machines released and the zones in which machines were provisioned.
 func (z *zonedCluster) advance(d time.Duration, tasks map[string][]wire.TaskStatus, reachable ...string) (released, provisioned []string) {
 	for range int(d / time.Second) {
 		z.tickAfter(time.Second)
@@ -99,45 +101,48 @@
 	return released, slices.Compact(provisioned)
 }
 
+// addWideTeam adds the team wide, whose quota has room for the job of runWideJob, until the end of the
+// test.
 func addWideTeam(t *testing.T) {
-	old := testParams
-	t.Cleanup(func() { testParams = old })
-	testParams.Teams = append(slices.Clone(testParams.Teams), old.Teams[0])
+	oldParams := testParams
+	t.Cleanup(func() { testParams = oldParams })
+	testParams.Teams = append(slices.Clone(testParams.Teams), oldParams.Teams[0])
 	team := &testParams.Teams[len(testParams.Teams)-1]
 	team.Name, team.CPUs, team.CPUsMax = "wide", 500, 500
 }
 
-// newJobDueIn returns a job with a deadline.
+// newJobDueIn returns a job whose deadline is the given time after its submission.
 func newJobDueIn(seconds float64) *wire.Job {
 	j := newJob("job-1")
 	j.DeadlineS = &seconds
 	return j
 }
 
-// newUrgentJob returns a job that would be late if it waited until a lease of 15 s has expired.
+// newUrgentJob returns a job that would miss its deadline if its tasks were started elsewhere only after
+// a lease of 15 s has expired.
 func newUrgentJob() *wire.Job { return newJobDueIn(50) }
 
-// TestPartitionedZoneIsReleasedForUrgentWork checks that, when no heartbeats arrive from a zone, its
-// machines are released if their work would be late once their leases have expired, so that it can
-// start elsewhere. Nothing is provisioned in that zone. Machines without urgent work are not
-// released.
+// TestPartitionedZoneIsReleasedForUrgentWork checks what the leader does when no heartbeats arrive from
+// a zone. A machine in it is released if a task on it would otherwise miss its deadline: after the
+// release the task can start elsewhere, before the lease expires. Machines without such tasks are not
+// released. No machine is provisioned in that zone.
 func TestPartitionedZoneIsReleasedForUrgentWork(t *testing.T) {
 	addWideTeam(t)
 	z := newZonedCluster(t, 5, startTime, map[string]json.RawMessage{})
 	tasks := z.runWideJob(newUrgentJob())
 	released, provisioned := z.advance(10*time.Second, tasks, "a")
 	if len(released) != 10 || released[0] != "b0" || released[9] != "b9" {
-		t.Errorf("released: %v", released)
+		t.Errorf("released %v, want b0 to b9", released)
 	}
 	z.sendHeartbeats(tasks, "a")
 	if _, more := z.advance(3*time.Second, tasks, "a"); fmt.Sprint(append(provisioned, more...)) != "[a]" {
-		t.Errorf("provisioned in %v, then %v", provisioned, more)
+		t.Errorf("provisioned in the zones %v, then %v, want only a", provisioned, more)
 	}
 	if n := z.Counts(); n.AllocatedTasks != 40 || n.ReadyTasks != 40 {
-		t.Errorf("%+v", n)
+		t.Errorf("got %+v, want 40 allocated and 40 ready tasks", n)
 	}
 
-	// Machines that boot in that zone don't count as capacity for the work either.
+	// Machines that boot in the partitioned zone do not count as capacity for the tasks.
 	booting := newZonedCluster(t, 5, startTime, map[string]json.RawMessage{})
 	tasks = booting.runWideJob(newUrgentJob())
 	var rows []wire.ListedMachine
@@ -146,27 +151,27 @@
 	}
 	booting.ApplyMachineList(booting.now, booting.now, rows)
 	if _, provisioned := booting.advance(10*time.Second, tasks, "a"); fmt.Sprint(provisioned) != "[a]" {
-		t.Errorf("with machines booting in the zone: provisioned in %v", provisioned)
+		t.Errorf("with machines booting in zone b: provisioned in the zones %v, want only a", provisioned)
 	}
 
 	nonUrgent := newZonedCluster(t, 5, startTime, map[string]json.RawMessage{})
 	if released, _ := nonUrgent.advance(10*time.Second, nonUrgent.runWideJob(newJobDueIn(500)), "a"); len(released) != 0 {
-		t.Errorf("released without urgent work: %v", released)
+		t.Errorf("released %v without urgent work, want none", released)
 	}
 }
 
-// TestSilenceOfAllMachinesReleasesNone checks that a node that receives no heartbeats at all
-// presumes that it is isolated, and releases no machine before its lease has expired.
+// TestSilenceOfAllMachinesReleasesNone checks that a leader that receives no heartbeats at all concludes
+// that its own node is isolated. It releases no machine before its lease has expired.
 func TestSilenceOfAllMachinesReleasesNone(t *testing.T) {
 	addWideTeam(t)
 	z := newZonedCluster(t, 5, startTime, map[string]json.RawMessage{})
 	if released, _ := z.advance(10*time.Second, z.runWideJob(newUrgentJob())); len(released) != 0 {
-		t.Errorf("released: %v", released)
+		t.Errorf("released %v, want none", released)
 	}
 }
 
-// TestSilenceInAllZonesReleasesNone checks that a node that receives no heartbeats from half of the
-// machines of every zone releases none either.
+// TestSilenceInAllZonesReleasesNone checks that a leader also concludes that its own node is isolated if
+// it receives no heartbeats from half of the machines of every zone. It releases none of them.
 func TestSilenceInAllZonesReleasesNone(t *testing.T) {
 	addWideTeam(t)
 	z := newZonedCluster(t, 5, startTime, map[string]json.RawMessage{})
@@ -175,26 +180,26 @@
 		z.silentMachines[fmt.Sprint("a", 2*i)], z.silentMachines[fmt.Sprint("b", 2*i)] = true, true
 	}
 	if released, _ := z.advance(10*time.Second, tasks, zones...); len(released) != 0 {
-		t.Errorf("released: %v", released)
+		t.Errorf("released %v, want none", released)
 	}
 }
 
-// TestSuccessorReleasesPartitionedZone checks that a new leader releases machines that it has never
-// received a heartbeat from, because its predecessor may be partitioned with them and still respond
-// to them.
+// TestSuccessorReleasesPartitionedZone checks that a successor releases machines with urgent work from
+// which it has never received a heartbeat. Its predecessor may be in the same partition and renew their
+// leases, so that they would not expire in time.
 func TestSuccessorReleasesPartitionedZone(t *testing.T) {
 	addWideTeam(t)
 	z := newZonedCluster(t, 5, startTime, map[string]json.RawMessage{})
 	tasks := z.runWideJob(newUrgentJob())
-	next := newZonedCluster(t, 6, z.now, z.store)
-	next.sendHeartbeats(tasks, "a")
-	if released, _ := next.advance(7*time.Second, tasks, "a"); len(released) != 0 {
-		t.Errorf("released before a heartbeat was overdue: %v", released)
+	successor := newZonedCluster(t, 6, z.now, z.store)
+	successor.sendHeartbeats(tasks, "a")
+	if released, _ := successor.advance(7*time.Second, tasks, "a"); len(released) != 0 {
+		t.Errorf("released %v before a heartbeat was overdue, want none", released)
 	}
-	if released, _ := next.advance(4*time.Second, tasks, "a"); len(released) != 10 {
-		t.Errorf("released: %v", released)
+	if released, _ := successor.advance(4*time.Second, tasks, "a"); len(released) != 10 {
+		t.Errorf("released %v, want 10 machines", released)
 	}
-	if n := next.Counts(); n.AllocatedTasks != 40 || n.ReadyTasks != 40 {
-		t.Errorf("%+v", n)
+	if n := successor.Counts(); n.AllocatedTasks != 40 || n.ReadyTasks != 40 {
+		t.Errorf("got %+v, want 40 allocated and 40 ready tasks", n)
 	}
 }
--- a/internal/leader/records_test.go
+++ b/internal/leader/records_test.go
@@ -18,9 +18,10 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// TestLongDependenciesFitSmallValues checks that a valid job with long lists of dependencies and
-// machine types is stored in pieces that fit the value limit. If a leader crashes between the
-// writes, a successor has the whole job or none of it, and deletes the pieces that no record names.
+// TestLongDependenciesFitSmallValues checks that a job with long lists of dependencies and machine types
+// is stored in pieces that fit the value limit of the key-value store. If a leader crashes between the
+// writes, a successor knows either the whole job or nothing of it. It deletes pieces that belong to no
+// job record.
 func TestLongDependenciesFitSmallValues(t *testing.T) {
 	useSmallStoreLimits(t)
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
@@ -34,83 +35,83 @@
 	for i := range 100 {
 		long.MachineTypes = append(long.MachineTypes, fmt.Sprintf("machine-type-%d", i))
 	}
-	v := l.submitWithoutCommit(long)
-	for step := 0; v.Status == 0; step++ {
+	response := l.submitWithoutCommit(long)
+	for step := 0; response.Status == 0; step++ {
 		store := maps.Clone(l.store)
-		next := newLeader(t, 6, l.now, store)
-		if next.Query(long.ID).Status != 404 {
-			t.Fatal("job known before its last write")
+		successor := newLeader(t, 6, l.now, store)
+		if successor.Query(long.ID).Status != 404 {
+			t.Fatal("the job is known before its last write")
 		}
-		// Submits the same job again while pieces of the first submission are stored.
-		again := next.submitWithoutCommit(long)
-		next.commit()
-		if again.Status != 201 || next.queryState(long.ID) != wire.JobQueued {
-			t.Fatalf("%+v", *again)
+		// Submit the same job again while pieces of the first submission are stored.
+		resubmission := successor.submitWithoutCommit(long)
+		successor.commit()
+		if resubmission.Status != 201 || successor.queryState(long.ID) != wire.JobQueued {
+			t.Fatalf("second submission: got %+v, want an accepted and queued job", *resubmission)
 		}
-		other := newLeader(t, 7, l.now, store)
-		if other.queryState(long.ID) != wire.JobQueued {
-			t.Fatal("job lost by a successor")
+		laterSuccessor := newLeader(t, 7, l.now, store)
+		if laterSuccessor.queryState(long.ID) != wire.JobQueued {
+			t.Fatal("a successor does not know the job although its acceptance was durable")
 		}
-		other.commit()
+		laterSuccessor.commit()
 		for key := range store {
 			if strings.HasPrefix(key, "n/"+long.ID+"/5-") {
-				t.Fatalf("%s is still stored", key)
+				t.Fatalf("%s of the first submission is still stored", key)
 			}
 		}
 		l.commitBatch(1, 1)
 	}
-	if v.Status != 201 {
-		t.Fatalf("%+v", *v)
+	if response.Status != 201 {
+		t.Fatalf("first submission: got %+v, want status 201", *response)
 	}
 	pieces := 0
 	for key, value := range l.store {
 		if len(value) > 2048 {
-			t.Errorf("%s has %d bytes", key, len(value))
+			t.Errorf("value of %s has %d bytes, want at most 2048", key, len(value))
 		}
 		if strings.HasPrefix(key, "n/") {
 			pieces++
 		}
 	}
 	if pieces < 3 {
-		t.Errorf("%d pieces", pieces)
+		t.Errorf("the job is stored in %d pieces, want at least 3", pieces)
 	}
-	next := newLeader(t, 8, l.now, l.store)
-	next.Cancel(next.now, long.DependsOn[17], func(leader.Response) {})
-	next.commit()
-	next.tickAfter(time.Second)
-	next.commit()
-	if got := next.queryState(long.ID); got != wire.JobCancelled {
-		t.Errorf("a dependency was lost: reported as %s", got)
+	successor := newLeader(t, 8, l.now, l.store)
+	successor.Cancel(successor.now, long.DependsOn[17], func(leader.Response) {})
+	successor.commit()
+	successor.tickAfter(time.Second)
+	successor.commit()
+	if got := successor.queryState(long.ID); got != wire.JobCancelled {
+		t.Errorf("after the cancellation of a dependency the job is reported as %s, want cancelled", got)
 	}
-	for key := range next.store {
+	for key := range successor.store {
 		if strings.HasPrefix(key, "n/") {
 			t.Errorf("%s is still stored", key)
 		}
 	}
 }
 
-// TestCorruptRecords checks that a corrupt optional record is skipped and logged with its key, and
-// that any other corrupt record fails the loading. Jobs in a dependency cycle, which no submission
-// can create, stay queued without an endless loop, and can be cancelled.
+// TestCorruptRecords checks that a leader skips a corrupt optional record and logs its key, and fails to
+// load any other corrupt record. Jobs in a dependency cycle, which no submission can create, stay
+// queued, cause no endless loop, and can be cancelled.
 func TestCorruptRecords(t *testing.T) {
 	useSmallStoreLimits(t)
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	l.submitAll(newJob("job-1"), dependentJob("job-2", "job-1"), dependentJob("job-3", "job-2"))
 	load := func(store map[string]json.RawMessage) (*leader.Leader, string, error) {
 		var logs bytes.Buffer
-		c := leader.New(zerolog.New(&logs), testParams, config.OperatorSettings{}, 6, l.now, 0)
+		successor := leader.New(zerolog.New(&logs), testParams, config.OperatorSettings{}, 6, l.now, 0)
 		for _, prefix := range records.LoadOrder {
 			for _, key := range slices.Sorted(maps.Keys(store)) {
 				if !strings.HasPrefix(key, prefix) {
 					continue
 				}
-				if err := c.LoadRecord(l.now, l.now, wire.KeyValue{Key: key, Value: store[key]}); err != nil {
+				if err := successor.LoadRecord(l.now, l.now, wire.KeyValue{Key: key, Value: store[key]}); err != nil {
 					return nil, logs.String(), err
 				}
 			}
 		}
-		c.FinishLoading(l.now)
-		return c, logs.String(), nil
+		successor.FinishLoading(l.now)
+		return successor, logs.String(), nil
 	}
 	long := newJob("job-5")
 	for i := range 200 {
@@ -118,45 +119,46 @@
 	}
 	long.MachineTypes[0] = "std-8"
 	l.submitAll(long)
+	// wantKey is the key in the error that fails the loading, or empty for an optional record.
 	for key, wantKey := range map[string]string{"d/job-1/0": "", "c/types": "", "n/job-1/5-0": "", "n/job-5/5-1": "j/job-5", "j/job-1": "j/job-1", "f/job-1": "f/job-1", "s/1-1": "s/1-1"} {
 		store := maps.Clone(l.store)
 		store[key] = json.RawMessage(`7`)
 		_, logs, err := load(store)
 		if (err != nil) != (wantKey != "") || err != nil && !strings.Contains(err.Error(), wantKey) || err == nil && !strings.Contains(logs, key) {
-			t.Errorf("%s: %v, logs %s", key, err, logs)
+			t.Errorf("corrupt record %s: got error %v, logs %s", key, err, logs)
 		}
 	}
 	store := maps.Clone(l.store)
 	store["j/job-2"] = bytes.ReplaceAll(store["j/job-2"], []byte(`"awaits":["job-1"]`), []byte(`"awaits":["job-3"]`))
-	c, logs, err := load(store)
+	successor, logs, err := load(store)
 	if err != nil || !strings.Contains(logs, "j/job-2") || !strings.Contains(logs, "j/job-3") {
-		t.Fatalf("%v, logs %s", err, logs)
+		t.Fatalf("dependency cycle: got error %v, want none and both keys in the logs %s", err, logs)
 	}
 	urgent := dependentJob("job-4", "job-3")
 	deadline := 100.0
 	urgent.DeadlineS = &deadline
-	c.Submit(l.now, l.now, urgent, func(leader.Response) {})
+	successor.Submit(l.now, l.now, urgent, func(leader.Response) {})
 	for range 5 {
-		c.Tick(l.now, true)
+		successor.Tick(l.now, true)
 	}
-	if n := c.Counts().DependencySteps; n != 0 {
-		t.Errorf("%d steps queued for jobs in a cycle", n)
+	if n := successor.Counts().DependencySteps; n != 0 {
+		t.Errorf("%d dependency updates queued for jobs in a cycle, want 0", n)
 	}
-	if v := c.Query("job-3"); v.State != wire.JobQueued {
-		t.Errorf("%+v", v)
+	if v := successor.Query("job-3"); v.State != wire.JobQueued {
+		t.Errorf("job-3: got %+v, want state queued", v)
 	}
-	c.Cancel(l.now, "job-3", func(leader.Response) {})
-	for b := c.NextBatch(10, 10); b != nil; b = c.NextBatch(10, 10) {
-		c.BatchCommitted(b, nil)
-		c.Tick(l.now, true)
+	successor.Cancel(l.now, "job-3", func(leader.Response) {})
+	for b := successor.NextBatch(10, 10); b != nil; b = successor.NextBatch(10, 10) {
+		successor.BatchCommitted(b, nil)
+		successor.Tick(l.now, true)
 	}
-	if v := c.Query("job-2"); v.State != wire.JobCancelled {
-		t.Errorf("%+v", v)
+	if v := successor.Query("job-2"); v.State != wire.JobCancelled {
+		t.Errorf("job-2: got %+v, want state cancelled", v)
 	}
 }
 
-// TestRefusedStartRecordBlocksNothing checks that, if the key-value store refuses a start record,
-// the tasks in it are placed again and all other changes are committed.
+// TestRefusedStartRecordBlocksNothing checks that, if the key-value store refuses a start record, the
+// tasks in it are not started but placed again, and later changes are committed.
 func TestRefusedStartRecordBlocksNothing(t *testing.T) {
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	l.submitAll(newJob("job-1"))
@@ -164,11 +166,11 @@
 	l.tickAfter(time.Second)
 	b := l.NextBatch(10, 10)
 	if b == nil || !strings.HasPrefix(b.Mutations[0].Put, "s/") {
-		t.Fatal("no start record")
+		t.Fatal("the first change is not a start record")
 	}
 	l.BatchCommitted(b, []string{b.Mutations[0].Put})
 	if cs := l.sendHeartbeat("m1", 1); len(cs) != 0 {
-		t.Fatalf("started without a record: %s", formatCommands(cs))
+		t.Fatalf("got %s without a start record, want no command", formatCommands(cs))
 	}
 	l.tickAfter(time.Second)
 	l.commit()
@@ -177,36 +179,36 @@
 	}
 }
 
-// TestOversizedChangeIsNotSent checks that a change above the value limit is not sent but logged
-// with its key, and that other changes are committed.
+// TestOversizedChangeIsNotSent checks that a change whose value is above the limit is dropped and its
+// key logged, and that other changes are committed.
 func TestOversizedChangeIsNotSent(t *testing.T) {
-	old := testParams
-	defer func() { testParams = old }()
+	oldParams := testParams
+	defer func() { testParams = oldParams }()
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	l.submitAll(newJob("job-1"), newJob("job-2"))
 	testParams.KVStore.ValueKB = 0.05 // less than the size of any start record
 	var logs bytes.Buffer
-	c := leader.New(zerolog.New(&logs), testParams, config.OperatorSettings{}, 6, l.now, 0)
+	successor := leader.New(zerolog.New(&logs), testParams, config.OperatorSettings{}, 6, l.now, 0)
 	for _, id := range []string{"job-1", "job-2"} {
-		if err := c.LoadRecord(l.now, l.now, wire.KeyValue{Key: "j/" + id, Value: l.store["j/"+id]}); err != nil {
+		if err := successor.LoadRecord(l.now, l.now, wire.KeyValue{Key: "j/" + id, Value: l.store["j/"+id]}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	c.FinishLoading(l.now)
-	c.SetMachineTypes([]wire.MachineType{std8Type})
-	next := &testLeader{Leader: c, t: t, now: l.now, store: l.store}
-	next.sendHeartbeat("m1", 1)
-	next.tickAfter(time.Second)
-	c.Cancel(next.now, "job-2", func(leader.Response) {})
-	b := c.NextBatch(10, 10)
+	successor.FinishLoading(l.now)
+	successor.SetMachineTypes([]wire.MachineType{std8Type})
+	successorWithStore := &testLeader{Leader: successor, t: t, now: l.now, store: l.store}
+	successorWithStore.sendHeartbeat("m1", 1)
+	successorWithStore.tickAfter(time.Second)
+	successor.Cancel(successorWithStore.now, "job-2", func(leader.Response) {})
+	b := successor.NextBatch(10, 10)
 	if b == nil || len(b.Mutations) != 1 || b.Mutations[0].Put != "f/job-2" {
-		t.Fatalf("%+v", b)
+		t.Fatalf("batch: got %+v, want only the final state of job-2", b)
 	}
-	c.BatchCommitted(b, nil)
+	successor.BatchCommitted(b, nil)
 	if !strings.Contains(logs.String(), `"key":"s/`) {
-		t.Errorf("key not logged: %s", logs.String())
+		t.Errorf("key of the start record not logged: %s", logs.String())
 	}
-	if n := c.Counts(); n.AllocatedTasks != 0 || n.ReadyTasks != 1 {
+	if n := successor.Counts(); n.AllocatedTasks != 0 || n.ReadyTasks != 1 {
 		t.Errorf("the task of the dropped record is not ready again: %+v", n)
 	}
 }
--- a/internal/leader/recovery_test.go
+++ b/internal/leader/recovery_test.go
@@ -16,170 +16,173 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// TestSuccessorWaitsForRecordedMachine checks that a new leader places a task only once the machine
-// that may have it has sent a heartbeat in the new term, or the machine's lease has expired.
+// TestSuccessorWaitsForRecordedMachine checks that a successor does not place a task that may run on
+// the machine of its start record. It waits until that machine has sent a heartbeat in the new term or
+// the machine's lease has expired.
 func TestSuccessorWaitsForRecordedMachine(t *testing.T) {
 	l, task := leaderWithRunningTask(t)
-	next := newLeader(t, 6, l.now, l.store)
-	next.sendHeartbeat("m2", 1)
-	next.tickAfter(time.Second)
-	next.commit()
-	if cs := next.sendHeartbeat("m2", 1); len(cs) != 0 {
-		t.Fatalf("placed a task that m1 may have: %s", formatCommands(cs))
-	}
-	// A heartbeat with the token of an earlier term proves nothing yet.
-	response, outcome := next.HandleHeartbeat(next.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: 50, FencingToken: 5}, true)
+	successor := newLeader(t, 6, l.now, l.store)
+	successor.sendHeartbeat("m2", 1)
+	successor.tickAfter(time.Second)
+	successor.commit()
+	if cs := successor.sendHeartbeat("m2", 1); len(cs) != 0 {
+		t.Fatalf("got %s, although the task may still run on m1", formatCommands(cs))
+	}
+	// A heartbeat with the fencing token of an earlier term does not show whether the task still runs.
+	response, outcome := successor.HandleHeartbeat(successor.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: 50, FencingToken: 5}, true)
 	if outcome != leader.HeartbeatApplied || response.FencingToken != 6 || len(response.Commands) != 0 {
-		t.Fatalf("%+v", response)
+		t.Fatalf("got %+v, want the fencing token 6 and no commands", response)
 	}
-	next.tickAfter(time.Second)
-	next.commit()
-	if cs := next.sendHeartbeat("m2", 1); len(cs) != 0 {
-		t.Fatalf("placed because of an old heartbeat: %s", formatCommands(cs))
+	successor.tickAfter(time.Second)
+	successor.commit()
+	if cs := successor.sendHeartbeat("m2", 1); len(cs) != 0 {
+		t.Fatalf("got %s after a heartbeat of an earlier term, want no command", formatCommands(cs))
 	}
-	next.lastSequence = 60
-	next.sendHeartbeat("m1", 1, task)
-	if v := next.Query("job-1"); v.State != wire.JobRunning {
-		t.Fatalf("%+v", v)
+	successor.lastSequence = 60
+	successor.sendHeartbeat("m1", 1, task)
+	if v := successor.Query("job-1"); v.State != wire.JobRunning {
+		t.Fatalf("job-1: got %+v, want state running", v)
 	}
-	// Without a heartbeat of m1 the task is placed once the lease has expired, counted from the
-	// last response that a predecessor may have sent.
-	other := newLeader(t, 7, l.now, l.store)
+	// Without a heartbeat of m1 the task is placed once the lease of m1 has expired. The lease may
+	// have been renewed by a predecessor until the end of its grace period.
+	laterSuccessor := newLeader(t, 7, l.now, l.store)
 	wait := leader.GracePeriod(testParams.Workers) + 15*time.Second
-	for other.now.Before(l.now.Add(wait)) {
-		other.sendHeartbeat("m2", 1)
-		other.tickAfter(time.Second)
-		other.commit()
-		if cs := other.sendHeartbeat("m2", 1); len(cs) != 0 {
-			t.Fatalf("placed %v after the succession", other.now.Sub(l.now))
+	for laterSuccessor.now.Before(l.now.Add(wait)) {
+		laterSuccessor.sendHeartbeat("m2", 1)
+		laterSuccessor.tickAfter(time.Second)
+		laterSuccessor.commit()
+		if cs := laterSuccessor.sendHeartbeat("m2", 1); len(cs) != 0 {
+			t.Fatalf("placed %v after the change of leader, before the lease of m1 expired", laterSuccessor.now.Sub(l.now))
 		}
 	}
-	other.tickAfter(3 * time.Second)
-	other.sendHeartbeat("m2", 1)
-	other.tickAfter(time.Second)
-	other.commit()
-	if cs := other.sendHeartbeat("m2", 1); formatCommands(cs) != "run job-1/0" {
-		t.Fatalf("after the lease has expired: %q", formatCommands(cs))
+	laterSuccessor.tickAfter(3 * time.Second)
+	laterSuccessor.sendHeartbeat("m2", 1)
+	laterSuccessor.tickAfter(time.Second)
+	laterSuccessor.commit()
+	if cs := laterSuccessor.sendHeartbeat("m2", 1); formatCommands(cs) != "run job-1/0" {
+		t.Fatalf("after the lease of m1 has expired: got %q, want a start of job-1/0", formatCommands(cs))
 	}
 }
 
-// TestReportedTaskIsRecordedAgain checks a machine that lists an exited attempt of a task and a
-// newer one that runs. The record of the start is deleted with the exited attempt, but a successor
-// must still know of the newer one.
+// TestReportedTaskIsRecordedAgain checks a machine that lists an exited attempt of a task and a newer
+// attempt that runs. The leader deletes the start record of the exited attempt, but writes a new one
+// for the running attempt: without it, a successor would start the task a second time.
 func TestReportedTaskIsRecordedAgain(t *testing.T) {
 	l, task := leaderWithRunningTask(t)
-	next := newLeader(t, 6, l.now, l.store)
-	next.lastSequence = 100
+	successor := newLeader(t, 6, l.now, l.store)
+	successor.lastSequence = 100
 	older := wire.TaskStatus{Task: task.Task, Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitStopped}
-	next.sendHeartbeat("m1", 1, older, task)
-	next.commit()
-	last := newLeader(t, 7, next.now, next.store)
-	last.sendHeartbeat("m2", 1)
-	last.tickAfter(time.Second)
-	last.commit()
-	if cs := last.sendHeartbeat("m2", 1); len(cs) != 0 {
-		t.Fatalf("started a second time: %s", formatCommands(cs))
+	successor.sendHeartbeat("m1", 1, older, task)
+	successor.commit()
+	laterSuccessor := newLeader(t, 7, successor.now, successor.store)
+	laterSuccessor.sendHeartbeat("m2", 1)
+	laterSuccessor.tickAfter(time.Second)
+	laterSuccessor.commit()
+	if cs := laterSuccessor.sendHeartbeat("m2", 1); len(cs) != 0 {
+		t.Fatalf("got %s although the task runs on m1, want no command", formatCommands(cs))
 	}
 }
 
-// TestUnlistedMachineIsRemoved checks that a machine, and its tasks, no longer exist if a later
-// machine list lacks it. A list that may describe an earlier time than the one before it proves
-// nothing.
+// TestUnlistedMachineIsRemoved checks that a machine is removed if a later machine list lacks it, and
+// that its tasks are then placed elsewhere. A list is ignored for this if it may describe an earlier
+// time than the list before it.
 func TestUnlistedMachineIsRemoved(t *testing.T) {
 	l, _ := leaderWithRunningTask(t)
 	l.ApplyMachineList(l.now, l.now, []wire.ListedMachine{{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
-	startsAfterList := func(d time.Duration) string {
-		l.now = l.now.Add(d)
+	commandsAfterList := func(wait time.Duration) string {
+		l.now = l.now.Add(wait)
 		l.sendHeartbeat("m2", 1)
 		l.ApplyMachineList(l.now, l.now, []wire.ListedMachine{{Name: "m2", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
 		l.tickAfter(time.Second)
 		l.commit()
 		return formatCommands(l.sendHeartbeat("m2", 1))
 	}
-	// The list may be older than the first by twice the lag of 4 s.
-	if got := startsAfterList(7 * time.Second); got != "" {
-		t.Fatalf("placed because of an outdated list: %s", got)
+	// A list may be 8 s old, twice the lag of 4 s: a list that arrives 7 s after the first may describe an
+	// earlier time.
+	if got := commandsAfterList(7 * time.Second); got != "" {
+		t.Fatalf("got %s because of a list that may be outdated, want no command", got)
 	}
-	if got := startsAfterList(time.Second); got != "run job-1/0" {
-		t.Fatalf("want a start elsewhere, got %q", got)
+	if got := commandsAfterList(time.Second); got != "run job-1/0" {
+		t.Fatalf("got %q, want a start of job-1/0 on m2", got)
 	}
 }
 
-// TestSuccessorLoadsCatalogue checks that a successor knows the machine types before the cloud
-// responds, so that it can decide on submissions.
-func TestSuccessorLoadsCatalogue(t *testing.T) {
+// TestSuccessorLoadsMachineTypes checks that a successor loads the machine types from the store. It can
+// then decide on submissions before the cloud responds.
+func TestSuccessorLoadsMachineTypes(t *testing.T) {
 	l, _ := leaderWithRunningTask(t)
 	l.commit()
-	next := leader.New(zerolog.Nop(), testParams, config.OperatorSettings{}, 6, l.now, 0)
+	successor := leader.New(zerolog.Nop(), testParams, config.OperatorSettings{}, 6, l.now, 0)
 	for key, value := range l.store {
 		if strings.HasPrefix(key, records.MachineTypesKey) {
-			if err := next.LoadRecord(l.now, l.now, wire.KeyValue{Key: key, Value: value}); err != nil {
+			if err := successor.LoadRecord(l.now, l.now, wire.KeyValue{Key: key, Value: value}); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	if !next.CatalogueKnown() {
-		t.Fatal("no machine types known")
+	if !successor.CatalogueKnown() {
+		t.Fatal("the successor does not know the machine types")
 	}
 }
 
-// TestLastStartRecordOfATaskCounts checks that the latest of two start records that name a task
-// applies, because the task was started again only after it had left the first machine. A successor
-// does not wait for that machine.
-func TestLastStartRecordOfATaskCounts(t *testing.T) {
+// TestLatestStartRecordOfTaskApplies checks that a successor uses the latest of two start records of a
+// task and does not wait for the machine of the earlier one: the task was started again only after it
+// had left that machine.
+func TestLatestStartRecordOfTaskApplies(t *testing.T) {
 	l, _ := leaderWithRunningTask(t)
 	for key, value := range maps.Clone(l.store) {
 		if strings.HasPrefix(key, "s/") {
 			l.store[key+"-later"] = json.RawMessage(strings.Replace(string(value), `"m1"`, `"m2"`, 1))
 		}
 	}
-	next := newLeader(t, 6, l.now, l.store)
-	next.sendHeartbeat("m2", 1) // has seen this term and does not list the task
-	next.tickAfter(time.Second)
-	next.commit()
-	if cs := next.sendHeartbeat("m2", 1); formatCommands(cs) != "run job-1/0" {
-		t.Fatalf("want a start, got %q", formatCommands(cs))
+	successor := newLeader(t, 6, l.now, l.store)
+	successor.sendHeartbeat("m2", 1) // in this term and without the task: it does not run on m2
+	successor.tickAfter(time.Second)
+	successor.commit()
+	if cs := successor.sendHeartbeat("m2", 1); formatCommands(cs) != "run job-1/0" {
+		t.Fatalf("got %q, want a start of job-1/0", formatCommands(cs))
 	}
 }
 
-// TestStartRecordsAreDeletedAfterTheirReplacements checks, with batches filled to different sizes,
-// that no start record is deleted before the record that replaces it is written.
+// TestStartRecordsAreDeletedAfterTheirReplacements checks that no start record is deleted before the
+// record that replaces it is written. Values of different sizes fill the batch before these two
+// changes, because a batch may end between them.
 func TestStartRecordsAreDeletedAfterTheirReplacements(t *testing.T) {
-	for pad := range 60 {
+	for padding := range 60 {
 		l, task := leaderWithRunningTask(t)
-		next := newLeader(t, 6, l.now, l.store)
-		next.lastSequence = 100
+		successor := newLeader(t, 6, l.now, l.store)
+		successor.lastSequence = 100
 		older := wire.TaskStatus{Task: task.Task, Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitStopped}
-		next.sendHeartbeat("m1", 1, older, task)
-		// Writes that users wait for come first and nearly fill the transaction.
+		successor.sendHeartbeat("m1", 1, older, task)
+		// Changes that users wait for come first and nearly fill the transaction.
 		for i := range 100 {
 			j := newJob(fmt.Sprintf("job-%06d", i))
-			j.Class = strings.Repeat("x", 120+pad)
-			next.Submit(next.now, next.now, j, func(leader.Response) {})
+			j.Class = strings.Repeat("x", 120+padding)
+			successor.Submit(successor.now, successor.now, j, func(leader.Response) {})
 		}
 		replacementStored := false
-		for b := next.NextBatch(500, 500); b != nil; b = next.NextBatch(500, 500) {
+		for b := successor.NextBatch(500, 500); b != nil; b = successor.NextBatch(500, 500) {
 			for _, w := range b.Mutations {
 				if strings.HasPrefix(w.Put, "s/") {
 					replacementStored = true
 				}
 				if strings.HasPrefix(w.Delete, "s/") && !replacementStored {
-					t.Fatalf("pad %d: %s deleted before its replacement is written", pad, w.Delete)
+					t.Fatalf("padding %d: %s deleted before its replacement is written", padding, w.Delete)
 				}
 			}
-			next.BatchCommitted(b, nil)
+			successor.BatchCommitted(b, nil)
 		}
 		if !replacementStored {
-			t.Fatal("the listed task was not recorded")
+			t.Fatal("no start record was written for the running attempt")
 		}
 	}
 }
 
-// TestStartRecordsFitTheValueLimit checks that the starts of one pass on many machines are split
-// into records within the value limit.
+// TestStartRecordsFitTheValueLimit checks that the starts of one placement pass on many machines are
+// split into several start records, so that each fits the value limit of the key-value store.
 func TestStartRecordsFitTheValueLimit(t *testing.T) {
-	old := testParams
-	defer func() { testParams = old }()
+	oldParams := testParams
+	defer func() { testParams = oldParams }()
 	testParams.KVStore.ValueKB = 1
 	testParams.Teams = []config.Team{{Name: "blue", CPUs: 8, CPUsMax: 1600}}
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
@@ -192,16 +195,16 @@
 	}
 	l.tickAfter(time.Second)
 	l.commit()
-	records := 0
+	startRecords := 0
 	for key, value := range l.store {
 		if strings.HasPrefix(key, "s/") {
-			records++
+			startRecords++
 		}
 		if len(value) > 1024 {
-			t.Errorf("%s has %d bytes", key, len(value))
+			t.Errorf("value of %s has %d bytes, want at most 1024", key, len(value))
 		}
 	}
-	if allocated := newLeader(t, 6, l.now, l.store).Counts().AllocatedTasks; allocated != wide.Tasks || records < 2 {
-		t.Errorf("%d records name %d of %d tasks", records, allocated, wide.Tasks)
+	if allocated := newLeader(t, 6, l.now, l.store).Counts().AllocatedTasks; allocated != wide.Tasks || startRecords < 2 {
+		t.Errorf("a successor loads %d start records with %d of %d tasks, want at least 2 records and all tasks", startRecords, allocated, wide.Tasks)
 	}
 }
--- a/internal/leader/reports_test.go
+++ b/internal/leader/reports_test.go
@@ -9,8 +9,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// TestExpiredSessionIsNotRevived checks that, once a lease has expired and the task runs elsewhere,
-// a late heartbeat of the expired session changes nothing.
+// TestExpiredSessionIsNotRevived checks that a late heartbeat of a session changes nothing after the
+// lease of the session has expired and its task runs elsewhere.
 func TestExpiredSessionIsNotRevived(t *testing.T) {
 	l, task := leaderWithRunningTask(t)
 	l.tickAfter(17 * time.Second)
@@ -19,47 +19,49 @@
 	l.commit()
 	cs := l.sendHeartbeat("m2", 1)
 	if formatCommands(cs) != "run job-1/0" {
-		t.Fatalf("want a start elsewhere, got %q", formatCommands(cs))
+		t.Fatalf("got %q, want a start of job-1/0 on m2", formatCommands(cs))
 	}
 	if cs := l.sendHeartbeat("m1", 1, task); len(cs) != 0 {
-		t.Fatalf("a late heartbeat of an expired session got %s", formatCommands(cs))
+		t.Fatalf("a late heartbeat of an expired session got %s, want no command", formatCommands(cs))
 	}
 	l.sendHeartbeat("m2", 1, wire.TaskStatus{Task: "job-1/0", Attempt: cs[0].Attempt, State: wire.TaskRunning})
 	if v := l.Query("job-1"); v.RunningTasks != 1 {
-		t.Fatalf("%d tasks running", v.RunningTasks)
+		t.Fatalf("%d tasks running, want 1", v.RunningTasks)
 	}
 }
 
-// TestLateStartKeepsTaskOnMachine checks that a start that may arrive minutes late keeps the task
-// allocated to its machine, and that its exit is not forgotten there before a new session.
+// TestLateStartKeepsTaskOnMachine checks a start sent by a direct call with an uncertain result, which
+// may arrive minutes late. The task stays allocated to its machine. After the task has exited, the agent
+// is told to forget it only in a new session, because the late start could run it again before.
 func TestLateStartKeepsTaskOnMachine(t *testing.T) {
 	l, call, task := leaderWithDirectCallInFlight(t)
 	l.DirectCallDone(l.now, call, leader.DirectUnknown, nil)
 	if cs := l.sendHeartbeat("m1", 1); formatCommands(cs) != "run job-1/0" || cs[0].Attempt != task.Attempt {
-		t.Fatalf("want the same start again, got %s", formatCommands(cs))
+		t.Fatalf("got %s, want the same start again", formatCommands(cs))
 	}
 	l.sendHeartbeat("m1", 1)
 	l.sendHeartbeat("m2", 1)
 	l.tickAfter(time.Second)
 	l.commit()
 	if cs := l.sendHeartbeat("m2", 1); len(cs) != 0 {
-		t.Fatalf("placed elsewhere: %s", formatCommands(cs))
+		t.Fatalf("m2 got %s, want no command", formatCommands(cs))
 	}
 	l.sendHeartbeat("m1", 1, task)
 	task.State, task.ExitReason = wire.TaskExited, wire.ExitError
 	for range 2 {
 		if cs := l.sendHeartbeat("m1", 1, task); len(cs) != 0 {
-			t.Fatalf("forgotten while a late start may arrive: %s", formatCommands(cs))
+			t.Fatalf("got %s while a late start may arrive, want no command", formatCommands(cs))
 		}
 	}
 	if cs := l.sendHeartbeat("m1", 2, task); formatCommands(cs) != "reap job-1/0" {
-		t.Fatalf("in a new session: %q", formatCommands(cs))
+		t.Fatalf("in a new session: got %q, want the command to forget job-1/0", formatCommands(cs))
 	}
 }
 
-// TestOvertakingReplyProvesNothing checks that the reply to a direct call does not prove a task
-// absent: the response to an earlier heartbeat, which carries the start, may still be in flight.
-func TestOvertakingReplyProvesNothing(t *testing.T) {
+// TestDirectReplyDoesNotProveTaskAbsent checks that a task is not released because the reply to a direct
+// call does not list it: the response to an earlier heartbeat, which starts the task, may still be in
+// flight.
+func TestDirectReplyDoesNotProveTaskAbsent(t *testing.T) {
 	l, call, _ := leaderWithDirectCallInFlight(t)
 	l.DirectCallDone(l.now, call, leader.DirectNotDelivered, nil)
 	if cs := l.sendHeartbeat("m1", 1); formatCommands(cs) != "run job-1/0" {
@@ -71,18 +73,18 @@
 	l.DirectCallDone(l.now, call, leader.DirectReplied, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.lastSequence, FencingToken: 5})
 	l.commit()
 	if l.store["j/job-1"] == nil {
-		t.Fatal("the task was released while its start was in flight")
+		t.Fatal("the record of job-1 was deleted while a start was in flight")
 	}
 	l.sendHeartbeat("m1", 1)
 	l.commit()
 	if l.store["j/job-1"] != nil {
-		t.Fatal("the task was not released although the next heartbeat does not list it")
+		t.Fatal("the record of job-1 was not deleted although the next heartbeat does not list the task")
 	}
 }
 
-// TestMachineWithoutResponsesIsReleased checks a machine whose heartbeats arrive but that receives
-// no responses. Its task is placed elsewhere once a new session shows that the lease has expired.
-// The machine gets no more work and is released.
+// TestMachineWithoutResponsesIsReleased checks a machine that receives no responses although its
+// heartbeats arrive. A new session of its agent shows that the lease has expired: the task is then
+// placed elsewhere, and the machine gets no more work and is released.
 func TestMachineWithoutResponsesIsReleased(t *testing.T) {
 	l, task := leaderWithRunningTask(t)
 	l.ApplyMachineList(l.now, l.now, []wire.ListedMachine{{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
@@ -97,10 +99,10 @@
 	l.tickAfter(time.Second)
 	l.commit()
 	if cs := l.sendHeartbeat("m1", 2); len(cs) != 0 {
-		t.Fatalf("a machine without responses got %s", formatCommands(cs))
+		t.Fatalf("a machine that receives no responses got %s, want no command", formatCommands(cs))
 	}
 	if cs := l.sendHeartbeat("m2", 1); formatCommands(cs) != "run job-1/0" {
-		t.Fatalf("want a start elsewhere, got %q", formatCommands(cs))
+		t.Fatalf("got %q, want a start of job-1/0 on m2", formatCommands(cs))
 	}
 	for i := range 12 {
 		l.tickAfter(3 * time.Second)
@@ -110,12 +112,12 @@
 			return
 		}
 	}
-	t.Fatal("m1 not released")
+	t.Fatal("m1 was not released")
 }
 
-// TestIgnoredStartsGoElsewhere checks that the task of a machine that ignores several responses in a
-// row is placed elsewhere, long before the lease expires.
-func TestIgnoredStartsGoElsewhere(t *testing.T) {
+// TestIgnoredStartIsPlacedElsewhere checks a machine whose heartbeats do not list a task although several
+// responses in a row have started it. The task is placed elsewhere, long before the lease expires.
+func TestIgnoredStartIsPlacedElsewhere(t *testing.T) {
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	l.submit("job-1")
 	l.sendHeartbeat("m1", 1)
@@ -128,21 +130,21 @@
 	l.tickAfter(time.Second)
 	l.commit()
 	if cs := l.sendHeartbeat("m2", 1); formatCommands(cs) != "run job-1/0" {
-		t.Fatalf("want a start elsewhere, got %q", formatCommands(cs))
+		t.Fatalf("got %q, want a start of job-1/0 on m2", formatCommands(cs))
 	}
 }
 
-// TestMachineThatNeverSeesTheTermIsReleased checks a machine whose heartbeats reach a successor but
-// whose agent never sees the new term. The machine is released, and only then its task is placed
-// elsewhere.
+// TestMachineThatNeverSeesTheTermIsReleased checks a machine whose heartbeats reach a successor, while
+// no response of the successor reaches its agent: the heartbeats still carry the earlier term. The
+// machine is released, and its task is placed elsewhere only after the release.
 func TestMachineThatNeverSeesTheTermIsReleased(t *testing.T) {
 	l, task := leaderWithRunningTask(t)
-	next := newLeader(t, 6, l.now, l.store)
-	next.ApplyMachineList(next.now, next.now, []wire.ListedMachine{{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
-	seq := uint64(100)
-	next.checkPlacedOnlyAfterRelease(3*time.Second, func() {
-		seq++
-		next.HandleHeartbeat(next.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: seq, FencingToken: 5, Tasks: []wire.TaskStatus{task}}, true)
+	successor := newLeader(t, 6, l.now, l.store)
+	successor.ApplyMachineList(successor.now, successor.now, []wire.ListedMachine{{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
+	sequence := uint64(100)
+	successor.checkPlacedOnlyAfterRelease(3*time.Second, func() {
+		sequence++
+		successor.HandleHeartbeat(successor.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: sequence, FencingToken: 5, Tasks: []wire.TaskStatus{task}}, true)
 	})
 }
 
@@ -150,28 +152,28 @@
 // expiry of the lease and get no response, which would renew it.
 func TestDuplicateHeartbeatsRenewNoLease(t *testing.T) {
 	l, task := leaderWithRunningTask(t)
-	late := &wire.Heartbeat{Machine: "m1", Addr: "m1:9", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.lastSequence, FencingToken: 5, Tasks: []wire.TaskStatus{task}}
+	duplicate := &wire.Heartbeat{Machine: "m1", Addr: "m1:9", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.lastSequence, FencingToken: 5, Tasks: []wire.TaskStatus{task}}
 	for range 10 {
 		l.tickAfter(2 * time.Second)
-		if response, outcome := l.HandleHeartbeat(l.now, late, true); outcome != leader.HeartbeatStale || len(response.Commands) != 0 {
-			t.Fatalf("response to a late duplicate: %v %+v", outcome, response)
+		if response, outcome := l.HandleHeartbeat(l.now, duplicate, true); outcome != leader.HeartbeatStale || len(response.Commands) != 0 {
+			t.Fatalf("late duplicate: got outcome %v and response %+v, want HeartbeatStale and no commands", outcome, response)
 		}
 		l.sendHeartbeat("m2", 1)
 	}
 	l.tickAfter(time.Second)
 	l.commit()
 	if cs := l.sendHeartbeat("m2", 1); formatCommands(cs) != "run job-1/0" {
-		t.Fatalf("want a start elsewhere once the lease has expired, got %q", formatCommands(cs))
+		t.Fatalf("got %q after the lease has expired, want a start of job-1/0 on m2", formatCommands(cs))
 	}
-	late.Sequence += 100
-	if _, outcome := l.HandleHeartbeat(l.now, late, true); outcome != leader.HeartbeatStale {
-		t.Fatal("an expired session was revived")
+	duplicate.Sequence += 100
+	if _, outcome := l.HandleHeartbeat(l.now, duplicate, true); outcome != leader.HeartbeatStale {
+		t.Fatal("a heartbeat of the expired session was not treated as stale")
 	}
 }
 
-// TestReplacedAgentIsDetectedByDirectReply checks that an agent whose reply to a direct call is
-// older than the state known before the call counts as a new agent on the same machine. Tasks that
-// it may have are placed elsewhere only after the machine is released.
+// TestReplacedAgentIsDetectedByDirectReply checks a reply to a direct call that is older than the state
+// known before the call: it comes from a new agent on the same machine. The tasks that the new agent may
+// run are placed elsewhere only after the machine is released.
 func TestReplacedAgentIsDetectedByDirectReply(t *testing.T) {
 	l, call, _ := leaderWithDirectCallInFlight(t)
 	l.DirectCallDone(l.now, call, leader.DirectReplied, &wire.Heartbeat{
@@ -179,43 +181,43 @@
 		Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: call.Request.Commands[0].Attempt, State: wire.TaskRunning}},
 	})
 	l.ApplyMachineList(l.now, l.now, []wire.ListedMachine{{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
-	released := false
-	var release []string
+	isReleased := false
+	var releaseCall []string
 	for i := range 20 {
 		l.tickAfter(2 * time.Second)
-		if i == 11 { // long after its lease has expired
-			if len(release) == 0 {
-				t.Fatal("m1 not released")
+		if i == 11 { // long after the lease of m1 has expired
+			if len(releaseCall) == 0 {
+				t.Fatal("m1 was not released")
 			}
-			released = true
-			l.ReleaseDone(l.now, release)
+			isReleased = true
+			l.ReleaseDone(l.now, releaseCall)
 		}
 		l.sendHeartbeat("m2", 1)
 		l.commit()
-		if cs := l.sendHeartbeat("m2", 1); len(cs) != 0 && !released {
-			t.Fatalf("placed elsewhere: %s", formatCommands(cs))
+		if cs := l.sendHeartbeat("m2", 1); len(cs) != 0 && !isReleased {
+			t.Fatalf("m2 got %s before the release of m1, want no command", formatCommands(cs))
 		} else if len(cs) != 0 {
 			return
 		}
 		if planned := l.plannedRelease("m1"); planned != nil {
-			release = planned
+			releaseCall = planned
 		}
 	}
-	t.Fatal("not placed after the release of m1")
+	t.Fatal("job-1/0 was not placed after the release of m1")
 }
 
-// TestLateStartOutlivesTheLease checks that a start sent by a direct call without a reply stays
-// allocated after the lease has expired, because a new agent may have received it. Only the release
-// of the machine frees the task.
-func TestLateStartOutlivesTheLease(t *testing.T) {
+// TestLateStartStaysAllocatedAfterLease checks that a task whose start was sent by a direct call without
+// a reply stays allocated to its machine after the lease has expired, because a new agent may have
+// received the start. The task is placed elsewhere only after the machine is released.
+func TestLateStartStaysAllocatedAfterLease(t *testing.T) {
 	l, call, _ := leaderWithDirectCallInFlight(t)
 	l.DirectCallDone(l.now, call, leader.DirectUnknown, nil)
 	l.ApplyMachineList(l.now, l.now, []wire.ListedMachine{{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
 	l.checkPlacedOnlyAfterRelease(time.Second, func() {})
 }
 
-// TestMachineOfReplacedAgentIsReleased checks that a machine is released soon after the lease has
-// expired if a new agent on it sends heartbeats that look like late duplicates.
+// TestMachineOfReplacedAgentIsReleased checks a machine on which a new agent sends heartbeats that look
+// like late duplicates of the earlier agent's. The machine is released soon after the lease has expired.
 func TestMachineOfReplacedAgentIsReleased(t *testing.T) {
 	l, _ := leaderWithRunningTask(t)
 	l.ApplyMachineList(l.now, l.now, []wire.ListedMachine{{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
@@ -223,30 +225,30 @@
 		l.tickAfter(3 * time.Second)
 		_, outcome := l.HandleHeartbeat(l.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: uint64(i%2 + 1)}, true)
 		if outcome != leader.HeartbeatStale {
-			t.Fatal("heartbeat of a new agent not detected as stale")
+			t.Fatal("heartbeat of the new agent: want HeartbeatStale")
 		}
 		if l.plannedRelease("m1") != nil {
 			return
 		}
 	}
-	t.Fatal("m1 not released")
+	t.Fatal("m1 was not released")
 }
 
-// TestOvertakenHeartbeatGetsResponse checks that a heartbeat that came through another node and was
-// overtaken by the reply to a direct call gets a response: without one, its agent would switch to
-// another node. A duplicate of it gets none.
+// TestOvertakenHeartbeatGetsResponse checks a heartbeat that came through another node and was overtaken
+// by a newer reply to a direct call. It gets a response but does not change the task state: without a
+// response, the agent would switch to another node. A duplicate of the heartbeat gets no response.
 func TestOvertakenHeartbeatGetsResponse(t *testing.T) {
 	l, call, task := leaderWithDirectCallInFlight(t)
 	l.lastSequence += 2
 	l.DirectCallDone(l.now, call, leader.DirectReplied, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.lastSequence, FencingToken: 5, Tasks: []wire.TaskStatus{task}})
 	overtaken := &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.lastSequence - 1, FencingToken: 5}
 	if response, outcome := l.HandleHeartbeat(l.now, overtaken, true); outcome != leader.HeartbeatApplied || len(response.Commands) != 0 {
-		t.Fatalf("%v %+v", outcome, response)
+		t.Fatalf("got outcome %v and response %+v, want HeartbeatApplied and no commands", outcome, response)
 	}
 	if v := l.Query("job-1"); v.RunningTasks != 1 {
-		t.Fatal("an overtaken heartbeat changed the task state")
+		t.Fatal("the overtaken heartbeat changed the task state, want one running task")
 	}
 	if _, outcome := l.HandleHeartbeat(l.now, overtaken, true); outcome != leader.HeartbeatStale {
-		t.Fatal("response to a duplicate of the overtaken heartbeat")
+		t.Fatal("duplicate of the overtaken heartbeat: want HeartbeatStale")
 	}
 }
--- a/internal/leader/requests_test.go
+++ b/internal/leader/requests_test.go
@@ -16,21 +16,21 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// TestCompletionIsDurableBeforeForget checks that an agent is told to forget a completed task, and
-// users are told of its completion, only once the completion is durable. Until then only the agent
-// knows of it.
+// TestCompletionIsDurableBeforeForget checks that, before the completion of a task is durable, the agent
+// is not told to forget the task and users do not see the completion. Until then, only the agent's list
+// of tasks shows that the task has completed.
 func TestCompletionIsDurableBeforeForget(t *testing.T) {
 	l, task := leaderWithRunningTask(t)
 	task.State, task.ExitReason = wire.TaskExited, wire.ExitDone
 	if cs := l.sendHeartbeat("m1", 1, task); len(cs) != 0 {
-		t.Fatalf("forgotten before the completion is durable: %s", formatCommands(cs))
+		t.Fatalf("got %s before the completion is durable, want no command", formatCommands(cs))
 	}
 	if v := l.Query("job-1"); v.State == wire.JobDone {
-		t.Fatal("reported as done before the completion is durable")
+		t.Fatal("job-1 is reported as done before the completion is durable")
 	}
 	l.commit()
 	if v := l.Query("job-1"); v.State != wire.JobDone || v.CompletedTasks != 1 {
-		t.Fatalf("%+v", v)
+		t.Fatalf("after the commit: got %+v, want state done and 1 completed task", v)
 	}
 	if cs := l.sendHeartbeat("m1", 1, task); formatCommands(cs) != "reap job-1/0" {
 		t.Fatal(formatCommands(cs))
@@ -41,14 +41,15 @@
 			t.Errorf("%s is still stored", key)
 		}
 	}
-	later := newLeader(t, 6, l.now, l.store)
-	if v := later.Query("job-1"); v.State != wire.JobDone || v.CompletedTasks != 1 {
-		t.Fatalf("after a succession: %+v", v)
+	successor := newLeader(t, 6, l.now, l.store)
+	if v := successor.Query("job-1"); v.State != wire.JobDone || v.CompletedTasks != 1 {
+		t.Fatalf("response of the successor: got %+v, want state done and 1 completed task", v)
 	}
 }
 
-// TestNoResponseBeforeAcceptanceIsDurable checks that a cancellation requested before the acceptance
-// is durable does not make the job known to users: after a crash the job would not exist.
+// TestNoResponseBeforeAcceptanceIsDurable checks a job that is cancelled before its acceptance is
+// durable. No response may mention the job until the acceptance is durable: after a crash of the leader
+// the job would not exist.
 func TestNoResponseBeforeAcceptanceIsDurable(t *testing.T) {
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	l.Submit(l.now, l.now, newJob("job-1"), func(leader.Response) {})
@@ -56,19 +57,19 @@
 	var repeated leader.Response
 	l.Submit(l.now, l.now, newJob("job-1"), func(v leader.Response) { repeated = v })
 	if repeated.Status != 0 {
-		t.Fatalf("response to the repeated submission: %+v", repeated)
+		t.Fatalf("response %+v to the repeated submission before the commit, want none", repeated)
 	}
 	if v := l.Query("job-1"); v.Status != 503 {
-		t.Fatalf("response to the query: %+v", v)
+		t.Fatalf("response to the query: got %+v, want status 503", v)
 	}
 	l.commit()
 	if repeated.Status != 200 || repeated.State != wire.JobCancelled {
-		t.Fatalf("%+v", repeated)
+		t.Fatalf("response to the repeated submission: got %+v, want status 200 and state cancelled", repeated)
 	}
 }
 
-// TestQueryDoesNotAllocate checks that a query allocates no memory, however many jobs there are,
-// because users at times query many times as often as usual.
+// TestQueryDoesNotAllocate checks that a query allocates no memory, however many jobs there are: at times
+// users send many times more queries than usual.
 func TestQueryDoesNotAllocate(t *testing.T) {
 	l, _ := leaderWithRunningTask(t)
 	for i := range 3000 {
@@ -77,13 +78,13 @@
 	}
 	for _, id := range []string{"job-1", "job-2000", "job-999999"} {
 		if n := testing.AllocsPerRun(100, func() { l.Query(id) }); n > 0 {
-			t.Errorf("%s: %v allocations", id, n)
+			t.Errorf("query of %s: %v allocations, want 0", id, n)
 		}
 	}
 }
 
-// TestImpossibleJobs checks that a job that can never run gets 422, and any job 503 while the
-// machine types are not known.
+// TestImpossibleJobs checks that the submission of a job that can never run gets 422, and that every
+// submission gets 503 while the machine types are not known.
 func TestImpossibleJobs(t *testing.T) {
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	for name, change := range map[string]func(*wire.Job){
@@ -99,23 +100,24 @@
 		var got leader.Response
 		l.Submit(l.now, l.now, j, func(v leader.Response) { got = v })
 		if got.Status != 422 {
-			t.Errorf("%s: %+v", name, got)
+			t.Errorf("job that violates %s: got %+v, want status 422", name, got)
 		}
 	}
-	fresh := leader.New(zerolog.Nop(), testParams, config.OperatorSettings{}, 1, startTime, 0)
+	withoutTypes := leader.New(zerolog.Nop(), testParams, config.OperatorSettings{}, 1, startTime, 0)
 	var got leader.Response
-	fresh.Submit(startTime, startTime, newJob("job-1"), func(v leader.Response) { got = v })
+	withoutTypes.Submit(startTime, startTime, newJob("job-1"), func(v leader.Response) { got = v })
 	if got.Status != 503 {
-		t.Errorf("without machine types: %+v", got)
+		t.Errorf("without machine types: got %+v, want status 503", got)
 	}
 }
 
-// TestTeamWithoutGuaranteeOrLimit checks that a guarantee and a limit of 0 mean none: a job of such
-// a team is accepted and runs where capacity is free.
+// TestTeamWithoutGuaranteeOrLimit checks that 0 as a team's guarantee means no guarantee, and 0 as its
+// limit means no limit. The team's jobs are accepted, machines are provisioned for them, and they run
+// where capacity is free.
 func TestTeamWithoutGuaranteeOrLimit(t *testing.T) {
-	settings := testParams
-	settings.Teams = append(slices.Clone(testParams.Teams), config.Team{Name: "guests"})
-	c := leader.New(zerolog.Nop(), settings, config.OperatorSettings{}, 5, startTime, 0)
+	paramsWithGuests := testParams
+	paramsWithGuests.Teams = append(slices.Clone(testParams.Teams), config.Team{Name: "guests"})
+	c := leader.New(zerolog.Nop(), paramsWithGuests, config.OperatorSettings{}, 5, startTime, 0)
 	c.SetMachineTypes([]wire.MachineType{std8Type})
 	l := &testLeader{Leader: c, t: t, now: startTime, store: map[string]json.RawMessage{}}
 	j := newJob("job-1")
@@ -123,20 +125,20 @@
 	var got leader.Response
 	l.Submit(l.now, l.now, j, func(v leader.Response) { got = v })
 	l.commit()
-	l.tickAfter(10 * time.Second) // a list would contain the machines of a predecessor by then
+	l.tickAfter(10 * time.Second) // a machine list now contains all machines that a predecessor has provisioned
 	l.ApplyMachineList(l.now, l.now, nil)
 	if calls := l.PlanScaling(l.now); got.Status != 201 || len(calls) == 0 || calls[0].Op != scaling.CloudProvision {
-		t.Fatalf("%+v, then %+v", got, calls)
+		t.Fatalf("got the response %+v and the calls %+v, want status 201 and a provision call", got, calls)
 	}
 	l.sendHeartbeat("m1", 1)
 	l.tickAfter(time.Second)
 	l.commit()
 	if cs := l.sendHeartbeat("m1", 1); len(cs) != 3 {
-		t.Fatalf("want three starts, got %s", formatCommands(cs))
+		t.Fatalf("got %s, want three starts", formatCommands(cs))
 	}
 	j = newJob("job-2")
 	j.Team, j.GPUs = "guests", 1
 	if l.Submit(l.now, l.now, j, func(v leader.Response) { got = v }); got.Status != 422 {
-		t.Fatalf("accepted although no machine type has GPUs: %+v", got)
+		t.Fatalf("no machine type has GPUs: got %+v, want status 422", got)
 	}
 }
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -14,12 +14,13 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// TestLargeFleet runs 600 machines with about 70 starts per second. It checks that the key-value
-// store gets few writes per start, that values, transactions and passes are bounded, that urgent
-// tasks start at once, and that a successor knows of every task.
+// TestLargeFleet simulates 600 machines with about 70 starts per second. It checks that few changes are
+// written to the key-value store per start, that the sizes of values and transactions and the work of a
+// placement pass are limited, that tasks start within 2 s, and that a successor knows every running
+// task.
 func TestLargeFleet(t *testing.T) {
-	old := testParams
-	defer func() { testParams = old }()
+	oldParams := testParams
+	defer func() { testParams = oldParams }()
 	testParams.Teams = []config.Team{{Name: "blue", CPUs: 4000, CPUsMax: 4800}}
 	testParams.KVStore = config.KVStoreLimits{RPS: 150, WriteRPS: 60, ValueKB: 8, TxnOps: 24}
 	f := newFleet(t, 600)
@@ -34,48 +35,48 @@
 		f.step()
 	}
 	if f.acceptedJobs < 175 || f.startedTasks < 5500 {
-		t.Fatalf("accepted %d jobs, started %d tasks", f.acceptedJobs, f.startedTasks)
+		t.Fatalf("accepted %d jobs and started %d tasks, want at least 175 and 5500", f.acceptedJobs, f.startedTasks)
 	}
-	// A pass that reaches its limit still completes the current group of jobs.
+	// A pass that reaches tuning.PassMaxScoredPairs still completes the current group of jobs.
 	if f.maxPairsPerPass > 2*tuning.PassMaxScoredPairs {
-		t.Fatalf("one pass scored %d pairs", f.maxPairsPerPass)
+		t.Fatalf("one placement pass scored %d pairs of job and machine, want at most twice tuning.PassMaxScoredPairs", f.maxPairsPerPass)
 	}
 	lateStarts := 0
-	for _, wait := range f.startDelays {
-		if wait > 2*time.Second {
+	for _, delay := range f.startDelays {
+		if delay > 2*time.Second {
 			lateStarts++
 		}
 	}
 	if lateStarts > f.startedTasks/100 {
-		t.Errorf("%d of %d tasks started after more than 2 s", lateStarts, f.startedTasks)
+		t.Errorf("%d of %d tasks started after more than 2 s, want at most 1 %%", lateStarts, f.startedTasks)
 	}
 	if perStart := float64(f.committedMutations) / float64(f.startedTasks); perStart > 0.6 {
-		t.Errorf("%.2f changes per start", perStart)
+		t.Errorf("%.2f changes written per start, want at most 0.6", perStart)
 	}
 	if perStart := f.committedBytes / f.startedTasks; perStart > 300 {
-		t.Errorf("%d bytes written per start", perStart)
+		t.Errorf("%d bytes written per start, want at most 300", perStart)
 	}
-	running, records := f.runningTasks(), 0
+	running, startRecords := f.runningTasks(), 0
 	for key := range f.store {
 		if strings.HasPrefix(key, "s/") {
-			records++
+			startRecords++
 		}
 	}
-	if records > 400 {
-		t.Errorf("%d start records for a successor to read", records)
+	if startRecords > 400 {
+		t.Errorf("%d start records for a successor to load, want at most 400", startRecords)
 	}
-	next := newLeader(t, 6, f.now, f.store)
-	if known := next.Counts().AllocatedTasks; known < running {
-		t.Errorf("a successor knows of %d tasks, %d are running", known, running)
+	successor := newLeader(t, 6, f.now, f.store)
+	if knownTasks := successor.Counts().AllocatedTasks; knownTasks < running {
+		t.Errorf("a successor knows %d tasks, but %d are running", knownTasks, running)
 	}
-	t.Logf("%d starts, %.2f changes and %d bytes per start, %d records, %d scored pairs", f.startedTasks, float64(f.committedMutations)/float64(f.startedTasks), f.committedBytes/f.startedTasks, records, f.Counts().ScoredPairs)
+	t.Logf("%d starts, %.2f changes and %d bytes per start, %d records, %d scored pairs", f.startedTasks, float64(f.committedMutations)/float64(f.startedTasks), f.committedBytes/f.startedTasks, startRecords, f.Counts().ScoredPairs)
 }
 
-// TestFleetBeyondPlannedSize runs 4,000 machines under a lasting backlog of urgent tasks and of long
-// ones with checkpoints, with several hundred starts per second. A tenth of the machines fail, and
-// the leader fails soon after. It checks that the successor starts tasks on every machine, that its
-// work is bounded and that the machines stay in use. A pass that scored every machine for every aged
-// job once left 39,000 of 46,000 CPUs idle.
+// TestFleetBeyondPlannedSize simulates 4,000 machines with several hundred starts per second, under a
+// permanent backlog of urgent tasks and of long tasks with checkpoints. A tenth of the machines fail, and
+// the leader fails soon after. The test checks that the successor starts tasks on every machine, that its
+// work is limited and that nearly all CPUs stay in use. Earlier, a placement pass scored every machine
+// for every aged job, which left 39,000 of 46,000 CPUs idle.
 func TestFleetBeyondPlannedSize(t *testing.T) {
 	oldParams, oldType := testParams, std8Type
 	defer func() { testParams, std8Type = oldParams, oldType }()
@@ -94,12 +95,12 @@
 			number := 10*tick + k
 			var j *wire.Job
 			switch {
-			case tick%10 == 0 && k < 4:
+			case tick%10 == 0 && k < 4: // an urgent job
 				j = newJob(fmt.Sprintf("job-%06d", number))
 				j.Tasks, j.CPUs, j.MemoryGB, j.EstimateS = 30+f.rng.IntN(60), 4, 14, 10
 				deadline := 60.0
 				j.DeadlineS = &deadline
-			case tick%3 == 0 && k == 5 || tick == 0:
+			case tick%3 == 0 && k == 5 || tick == 0: // a long job with checkpoints
 				j = newJob(fmt.Sprintf("job-9%05d", number))
 				j.Tasks, j.CPUs, j.MemoryGB, j.EstimateS, j.Priority = 50+f.rng.IntN(150), 8, 28, 70, wire.PriorityNormal
 				j.CheckpointIntervalS, j.CheckpointSaveS = 20, 4
@@ -114,15 +115,15 @@
 			f.applyFleetMachineList()
 		}
 		switch tick {
-		case 1000:
+		case 1000: // a tenth of the machines fail
 			for i := range machines / 10 {
 				f.agents[10*i].failed = true
 			}
-		case 1050:
+		case 1050: // a successor loads the records
 			running := f.runningTasks()
 			f.testLeader = newLeader(t, 6, f.now, f.store)
 			if n := f.Counts(); n.AllocatedTasks < running {
-				t.Errorf("a successor knows of %d tasks, %d are running", n.AllocatedTasks, running)
+				t.Errorf("a successor knows %d tasks, but %d are running", n.AllocatedTasks, running)
 			}
 			f.scoredPairs = 0
 			f.applyFleetMachineList()
@@ -134,50 +135,51 @@
 	f.checkWorkAndUsage(machines)
 }
 
-// checkWorkAndUsage checks that the leader's work was bounded and that its machines, a tenth of which have
-// failed, are in use.
+// checkWorkAndUsage checks that the leader's work was limited and that the CPUs of the machines are in
+// use. A tenth of the machines must have failed.
 func (f *fleet) checkWorkAndUsage(machines int) {
 	f.t.Helper()
-	waiting := 0
+	agedJobs := 0
 	for id, at := range f.submittedAt {
 		if !f.startedJobs[id] && f.now.Sub(at) > tuning.AgingThreshold+30*time.Second {
-			waiting++
+			agedJobs++
 		}
 	}
-	if waiting > 0 {
-		f.t.Errorf("%d aged jobs have not started", waiting)
+	if agedJobs > 0 {
+		f.t.Errorf("%d aged jobs have not started, want none", agedJobs)
 	}
-	n := f.Counts()
+	counts := f.Counts()
 	f.t.Logf("%d accepted, %d starts, %.2f changes and %d bytes per start, at most %d pairs per pass, %d cloud calls, %+v",
-		f.acceptedJobs, f.startedTasks, float64(f.committedMutations)/float64(f.startedTasks), f.committedBytes/f.startedTasks, f.maxPairsPerPass, f.cloudCalls, n)
+		f.acceptedJobs, f.startedTasks, float64(f.committedMutations)/float64(f.startedTasks), f.committedBytes/f.startedTasks, f.maxPairsPerPass, f.cloudCalls, counts)
 	if f.maxPairsPerPass > 2*tuning.PassMaxScoredPairs {
-		f.t.Errorf("one pass scored %d pairs", f.maxPairsPerPass)
+		f.t.Errorf("one placement pass scored %d pairs of job and machine, want at most twice tuning.PassMaxScoredPairs", f.maxPairsPerPass)
 	}
 	if f.committedMutations > f.startedTasks {
-		f.t.Errorf("%d changes for %d starts", f.committedMutations, f.startedTasks)
+		f.t.Errorf("%d changes written for %d starts, want at most one per start", f.committedMutations, f.startedTasks)
 	}
-	if n.WantedCPUs < n.CPUs || n.UsedCPUs < 0.95*n.CPUs {
-		f.t.Errorf("%.0f of %.0f CPUs in use, ready tasks need %.0f", n.UsedCPUs, n.CPUs, n.WantedCPUs)
+	if counts.WantedCPUs < counts.CPUs || counts.UsedCPUs < 0.95*counts.CPUs {
+		f.t.Errorf("%.0f of %.0f CPUs in use, want at least 95 %%; ready tasks need %.0f, want at least all CPUs", counts.UsedCPUs, counts.CPUs, counts.WantedCPUs)
 	}
-	if n.UpMachines > machines-machines/10 {
-		f.t.Errorf("%d machines count as up", n.UpMachines)
+	if counts.UpMachines > machines-machines/10 {
+		f.t.Errorf("%d machines count as up, want none of the failed ones", counts.UpMachines)
 	}
-	if n.PendingWrites > 200 {
-		f.t.Errorf("%d changes pending", n.PendingWrites)
+	if counts.PendingWrites > 200 {
+		f.t.Errorf("%d changes pending, want at most 200", counts.PendingWrites)
 	}
 }
 
-// TestPlanIncludesStartDelay checks that the plan counts the time from the placement of a task to
-// its start, during which its CPUs are allocated. Short tasks with slow starts need more machines.
-// When the plan counted run times alone, urgent jobs under a backlog were late.
+// TestPlanIncludesStartDelay checks that the scaling plan counts the time from the placement of a task to
+// its start, because the CPUs of the task are already allocated during that time. Short tasks with slow
+// starts therefore need more machines. When the plan counted only run times, urgent jobs under a backlog
+// were late.
 func TestPlanIncludesStartDelay(t *testing.T) {
-	for _, slow := range []bool{false, true} {
+	for _, slowStarts := range []bool{false, true} {
 		l := newLeader(t, 1, startTime, map[string]json.RawMessage{})
 		l.ApplyMachineList(l.now, l.now, nil)
 		l.sendHeartbeat("m1", 1)
 		var tasks []wire.TaskStatus
 		for i := range 60 {
-			tasks = l.runShortTask(fmt.Sprintf("job-%d", i+10), slow)
+			tasks = l.runShortTask(fmt.Sprintf("job-%d", i+10), slowStarts)
 			tasks[0].State, tasks[0].ExitReason = wire.TaskExited, wire.ExitDone
 			l.sendHeartbeat("m1", 1, tasks...)
 			l.commit()
@@ -188,15 +190,15 @@
 		l.commit()
 		l.tickAfter(2 * time.Second)
 		l.sendHeartbeat("m1", 1)
-		if provisioned := hasProvisionCall(l.PlanScaling(l.now)); provisioned != slow {
-			t.Errorf("slow starts: %v, provisioned: %v", slow, provisioned)
+		if provisioned := hasProvisionCall(l.PlanScaling(l.now)); provisioned != slowStarts {
+			t.Errorf("slow starts: %v, machines provisioned: %v, want the same value", slowStarts, provisioned)
 		}
 	}
 }
 
-// runShortTask runs a short task on m1 and returns its status. With slow, m1 lists the task as
-// running only 5 s after the start was sent.
-func (l *testLeader) runShortTask(id string, slow bool) []wire.TaskStatus {
+// runShortTask runs a task of 4 s on m1 and returns its status at the end of that time. With slowStart,
+// m1 lists the task as running only 5 s after the start was sent.
+func (l *testLeader) runShortTask(id string, slowStart bool) []wire.TaskStatus {
 	l.t.Helper()
 	j := newJob(id)
 	j.EstimateS = 4
@@ -205,14 +207,14 @@
 	l.tickAfter(time.Second)
 	l.commit()
 	commands := l.sendHeartbeat("m1", 1)
-	started := slices.IndexFunc(commands, func(c wire.Command) bool { return c.Op == wire.OpStart })
-	if started < 0 {
-		l.t.Fatalf("not started: %s", formatCommands(commands))
+	startIndex := slices.IndexFunc(commands, func(c wire.Command) bool { return c.Op == wire.OpStart })
+	if startIndex < 0 {
+		l.t.Fatalf("got %s, want a start", formatCommands(commands))
 	}
-	if slow {
+	if slowStart {
 		l.now = l.now.Add(5 * time.Second)
 	}
-	running := []wire.TaskStatus{{Task: commands[started].Task, Attempt: commands[started].Attempt, State: wire.TaskRunning}}
+	running := []wire.TaskStatus{{Task: commands[startIndex].Task, Attempt: commands[startIndex].Attempt, State: wire.TaskRunning}}
 	l.sendHeartbeat("m1", 1, running...)
 	l.now = l.now.Add(4 * time.Second)
 	return running
--- a/internal/leader/upgrade_test.go
+++ b/internal/leader/upgrade_test.go
@@ -19,25 +19,26 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// previousVersionLeader returns a leader that has loaded the stored records as the previous version
-// reads them.
+// previousVersionLeader returns a leader that has loaded the stored records in the way in which the
+// previous version of the scheduler reads them.
 func previousVersionLeader(t *testing.T, term uint64, now time.Time, store map[string]json.RawMessage) *testLeader {
 	t.Helper()
-	old := testParams
-	defer func() { testParams = old }()
+	oldParams := testParams
+	defer func() { testParams = oldParams }()
 	testParams.KVStore.ValueKB = 16
-	read := map[string]json.RawMessage{}
+	loadedRecords := map[string]json.RawMessage{}
 	for key, value := range store {
 		if item, ok := simulation.PreviousVersionReads(wire.KeyValue{Key: key, Value: value}); ok {
-			read[key] = item.Value
+			loadedRecords[key] = item.Value
 		}
 	}
-	l := newLeader(t, term, now, read)
+	l := newLeader(t, term, now, loadedRecords)
 	l.store = store
 	return l
 }
 
-// previousVersionCommit commits those of the queued changes that the previous version would make.
+// previousVersionCommit commits all queued changes, but applies only those to the store that the previous
+// version would write.
 func (l *testLeader) previousVersionCommit() {
 	for b := l.NextBatch(10, 10); b != nil; b = l.NextBatch(10, 10) {
 		l.apply(simulation.PreviousVersionWrites(b.Mutations))
@@ -45,6 +46,7 @@
 	}
 }
 
+// previousVersionRecords returns records that the previous version has written.
 func previousVersionRecords(t *testing.T) map[string]json.RawMessage {
 	t.Helper()
 	data, err := os.ReadFile("testdata/previous_version.json")
@@ -64,48 +66,48 @@
 	return store
 }
 
-// TestCompletionsOfBothVersions checks that completions stored by the previous version, in values
-// above today's limit, and those stored since in smaller records are kept by leaders of both
-// versions in any order, and deleted with the job.
+// TestCompletionsOfBothVersions checks that leaders of both versions, in any order, load all completions:
+// those that the previous version stored in values above the new limit, and those that the current
+// version stores in smaller records. All of them are deleted with the job.
 func TestCompletionsOfBothVersions(t *testing.T) {
 	useSmallStoreLimits(t)
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 0))
 		store := previousVersionRecords(t)
-		want := intervals.New(3000)
+		completed := intervals.New(3000)
 		for key, value := range store {
 			var text string
 			if strings.HasPrefix(key, "d/job-1/") && json.Unmarshal(value, &text) == nil {
-				_ = intervals.ParseEach(text, 3000, func(i int) { want.Add(i) })
+				_ = intervals.ParseEach(text, 3000, func(i int) { completed.Add(i) })
 			}
 		}
-		if seed == 0 && want.Len() != 1667 {
-			t.Fatalf("%d completions in the stored records", want.Len())
+		if seed == 0 && completed.Len() != 1667 {
+			t.Fatalf("%d completions in the records of the previous version, want 1667", completed.Len())
 		}
 		now := startTime.Add(time.Minute)
-		for term := uint64(8); !want.Full(); term++ {
-			previous := rng.IntN(2) == 0 && want.Len() < 2900
+		for term := uint64(8); !completed.Full(); term++ {
+			previous := rng.IntN(2) == 0 && completed.Len() < 2900
 			var l *testLeader
 			if previous {
 				l = previousVersionLeader(t, term, now, store)
 			} else {
 				l = newLeader(t, term, now, store)
 			}
-			if v := l.Query("job-1"); v.CompletedTasks != want.Len() {
-				t.Fatalf("seed %d, term %d, previous %v: %d done, want %d", seed, term, previous, v.CompletedTasks, want.Len())
+			if v := l.Query("job-1"); v.CompletedTasks != completed.Len() {
+				t.Fatalf("seed %d, term %d, previous version %v: %d tasks completed, want %d", seed, term, previous, v.CompletedTasks, completed.Len())
 			}
-			var list []wire.TaskStatus
+			var tasks []wire.TaskStatus
 			for range 150 {
-				if i := rng.IntN(3000); want.Add(i) {
-					list = append(list, completedTask(wire.TaskName("job-1", i), 1))
+				if i := rng.IntN(3000); completed.Add(i) {
+					tasks = append(tasks, completedTask(wire.TaskName("job-1", i), 1))
 				}
 			}
-			for i := 0; want.Len() >= 2900 && i < 3000; i++ {
-				if want.Add(i) {
-					list = append(list, completedTask(wire.TaskName("job-1", i), 1))
+			for i := 0; completed.Len() >= 2900 && i < 3000; i++ {
+				if completed.Add(i) {
+					tasks = append(tasks, completedTask(wire.TaskName("job-1", i), 1))
 				}
 			}
-			l.sendHeartbeat("m9", 1, list...)
+			l.sendHeartbeat("m9", 1, tasks...)
 			l.tickAfter(2 * time.Second)
 			if previous {
 				l.previousVersionCommit()
@@ -114,12 +116,12 @@
 			}
 			now = l.now
 		}
-		next := newLeader(t, 1000, now, store)
-		if got := next.queryState("job-1"); got != wire.JobDone {
-			t.Fatalf("seed %d: %s", seed, got)
+		successor := newLeader(t, 1000, now, store)
+		if got := successor.queryState("job-1"); got != wire.JobDone {
+			t.Fatalf("seed %d: job-1 is reported as %s, want done", seed, got)
 		}
-		next.tickAfter(40 * time.Second)
-		next.commit()
+		successor.tickAfter(40 * time.Second)
+		successor.commit()
 		for key := range store {
 			if strings.HasPrefix(key, "d/") {
 				t.Errorf("seed %d: %s is still stored", seed, key)
@@ -128,9 +130,9 @@
 	}
 }
 
-// TestRecordsOfThePreviousVersion checks that jobs, final states, starts and machine types stored by
-// the previous version are loaded, and that the record of a job without dependencies has kept its
-// form.
+// TestRecordsOfThePreviousVersion checks that a leader loads jobs, final states, starts and machine types
+// stored by the previous version, and that it stores a job without dependencies in the same form as the
+// previous version.
 func TestRecordsOfThePreviousVersion(t *testing.T) {
 	useSmallStoreLimits(t)
 	store := previousVersionRecords(t)
@@ -141,19 +143,19 @@
 		}
 	}
 	if n := l.Counts(); n.AllocatedTasks == 0 || n.Machines != 2 && n.Machines != 1 {
-		t.Errorf("%+v", n)
+		t.Errorf("got %+v, want allocated tasks and 1 or 2 machines", n)
 	}
 	record := store["j/job-4"]
 	fresh := newLeader(t, 8, startTime, map[string]json.RawMessage{})
 	fresh.submitAll(newJob("job-4"))
 	if got := fresh.store["j/job-4"]; !bytes.Equal(got, record) {
-		t.Errorf("stored as\n%s, by the previous version as\n%s", got, record)
+		t.Errorf("job-4 is stored as\n%s, want the form of the previous version\n%s", got, record)
 	}
 }
 
-// TestPreviousVersionKeepsDependentJobs checks that a leader of the previous version knows a
-// dependent job and can cancel it, but never starts it, whatever machine types the cloud offers. It
-// leaves unknown records untouched.
+// TestPreviousVersionKeepsDependentJobs checks that a leader of the previous version loads a dependent
+// job and can cancel it, but never starts it, whatever machine types the cloud offers. It does not change
+// records that it does not know.
 func TestPreviousVersionKeepsDependentJobs(t *testing.T) {
 	useSmallStoreLimits(t)
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
@@ -166,18 +168,18 @@
 	l.submitAll(dependentJob("job-2", "job-1"), manyTypes)
 	for key, value := range l.store {
 		item, ok := simulation.PreviousVersionReads(wire.KeyValue{Key: key, Value: value})
-		var rec struct {
+		var record struct {
 			Job wire.Job `json:"job"`
 		}
-		if !ok || key == "j/job-1" || json.Unmarshal(item.Value, &rec) != nil || rec.Job.ID == "" {
+		if !ok || key == "j/job-1" || json.Unmarshal(item.Value, &record) != nil || record.Job.ID == "" {
 			continue
 		}
-		probe := placement.PendingJob{MachineTypes: rec.Job.MachineTypes, Zone: rec.Job.Zone, Spot: true, Request: placement.Resources{CPUs: rec.Job.CPUs}, TotalTasks: 1}
-		if probe.CanRunOn(&placement.Machine{Type: "std-8", Zone: "a", Capacity: placement.Resources{CPUs: 8, MemoryGB: 32}}) {
-			t.Errorf("%s could be started: %s", key, value)
+		pendingJob := placement.PendingJob{MachineTypes: record.Job.MachineTypes, Zone: record.Job.Zone, Spot: true, Request: placement.Resources{CPUs: record.Job.CPUs}, TotalTasks: 1}
+		if pendingJob.CanRunOn(&placement.Machine{Type: "std-8", Zone: "a", Capacity: placement.Resources{CPUs: 8, MemoryGB: 32}}) {
+			t.Errorf("the previous version could start the job in %s: %s", key, value)
 		}
 	}
-	before := slices.Sorted(maps.Keys(l.store))
+	keysBefore := slices.Sorted(maps.Keys(l.store))
 	previous := previousVersionLeader(t, 6, l.now, l.store)
 	for range 2 {
 		previous.sendHeartbeat("m1", 1)
@@ -185,15 +187,15 @@
 		previous.previousVersionCommit()
 	}
 	if got := previous.Counts().AllocatedTasks; got != 1 {
-		t.Errorf("%d tasks placed, want that of job-1", got)
+		t.Errorf("%d tasks allocated, want only that of job-1", got)
 	}
 	if previous.queryState("job-2") != wire.JobQueued || previous.queryState("job-3") != wire.JobQueued {
 		t.Error("the previous version does not report the dependent jobs as queued")
 	}
 	previous.Cancel(previous.now, "job-2", func(leader.Response) {})
 	previous.previousVersionCommit()
-	next := newLeader(t, 7, previous.now, l.store)
-	if next.queryState("job-2") != wire.JobCancelled || next.queryState("job-3") != wire.JobQueued {
-		t.Errorf("job-2 %s, job-3 %s, of %v", next.queryState("job-2"), next.queryState("job-3"), before)
+	successor := newLeader(t, 7, previous.now, l.store)
+	if successor.queryState("job-2") != wire.JobCancelled || successor.queryState("job-3") != wire.JobQueued {
+		t.Errorf("job-2 is reported as %s, want cancelled; job-3 as %s, want queued; stored keys %v", successor.queryState("job-2"), successor.queryState("job-3"), keysBefore)
 	}
 }
