--- a/internal/leader/admission_test.go
+++ b/internal/leader/admission_test.go
@@ -27,7 +27,7 @@
 	l.FinishLoading(startTime)
 	l.SetMachineTypes([]wire.MachineType{std8Type})
 	l.submit("job-1")
-	l.UpdateAdmission(l.now, l.now, 0, nil)
+	l.UpdateAdmission(l.now, l.now, 0, nil) // without lag and without load offered to other nodes
 	for round := range 5 {
 		for i := range 120 {
 			l.Submit(l.now, l.now, newJob(fmt.Sprintf("job-7%d%03d", round, i)), func(leader.Response) {})
--- a/internal/leader/dependencies_test.go
+++ b/internal/leader/dependencies_test.go
@@ -120,16 +120,16 @@
 	l.Cancel(l.now, "job-2", func(leader.Response) {})
 	l.commit()
 	for _, c := range []struct {
-		job    *wire.Job
-		status int
-		reason string
+		job        *wire.Job
+		wantStatus int
+		wantReason string
 	}{
 		{dependentJob("job-3", "job-1", "job-404"), 422, "job-404"},
 		{dependentJob("job-3", "job-3"), 422, "job-3"},
 		{dependentJob("job-3", "else"), 422, "else"},
 		{dependentJob("job-3", strings.Repeat("<", 60_000)), 422, "<<"},
 	} {
-		if v := l.submitWithoutCommit(c.job); v.Status != c.status || !strings.Contains(v.Reason, c.reason) || len(v.Reason) > 300 {
+		if v := l.submitWithoutCommit(c.job); v.Status != c.wantStatus || !strings.Contains(v.Reason, c.wantReason) || len(v.Reason) > 300 {
 			t.Errorf("job that depends on %.60v: got status %d, reason %.300s", c.job.DependsOn, v.Status, v.Reason)
 		}
 	}
@@ -184,7 +184,7 @@
 	cancelResponse := leader.Response{}
 	l.Cancel(l.now, "job-0", func(v leader.Response) { cancelResponse = v })
 	for cancelResponse.Status == 0 {
-		l.commitBatch(7, 0)
+		l.commitBatch(7, 0) // only changes that users wait for
 	}
 	l.tickAfter(time.Second)
 	if l.commitBatch(7, 0) == 0 {
@@ -213,6 +213,7 @@
 			if _, ok := l.store["f/"+id]; ok {
 				cancelledCount++
 			}
+			// 503 is the response while the cancellation is not durable yet.
 			if got := l.queryState(id); rounds >= 40 && got != wire.JobCancelled && got != "503" {
 				t.Fatalf("%s is reported as %s, want cancelled or 503", id, got)
 			}
@@ -268,7 +269,7 @@
 		l.tickAfter(time.Second)
 		l.commit()
 		if got := formatCommands(l.sendHeartbeat("m1", 1, task)); got != "" {
-			t.Fatalf("placed on a full machine: %s", got)
+			t.Fatalf("full machine: got %s, want no command", got)
 		}
 	}
 	task.State, task.ExitReason = wire.TaskExited, wire.ExitDone
@@ -297,7 +298,7 @@
 			deadline := 70.0
 			last.DeadlineS = &deadline
 			l.submitAll(last)
-			l.Tick(l.now, false)
+			l.Tick(l.now, false /* authority */)
 			if cancelled {
 				l.Cancel(l.now, "job-4", func(leader.Response) {})
 				l.Cancel(l.now, "job-3", func(leader.Response) {})
--- a/internal/leader/drain_test.go
+++ b/internal/leader/drain_test.go
@@ -16,10 +16,10 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// drainSettings returns operator settings that turn drains on. The disruption budget b applies to every
+// drainSettings returns operator settings that turn drains on. The disruption budget applies to every
 // team.
-func drainSettings(b drain.Budget) config.OperatorSettings {
-	return config.OperatorSettings{Drains: &drain.Budgets{Window: 10 * time.Minute, Default: b}}
+func drainSettings(budget drain.Budget) config.OperatorSettings {
+	return config.OperatorSettings{Drains: &drain.Budgets{Window: 10 * time.Minute, Default: budget}}
 }
 
 // ampleBudget allows every eviction of these tests.
@@ -34,11 +34,12 @@
 	l.ApplyMachineList(l.now, l.now, rows)
 }
 
-// sendDrainRequest sends an operator's request to the leader, commits the queued changes and returns the response.
-func (l *testLeader) sendDrainRequest(q drain.Request) drain.Response {
+// sendDrainRequest sends an operator's request to the leader, commits the queued changes and returns
+// the response.
+func (l *testLeader) sendDrainRequest(request drain.Request) drain.Response {
 	l.t.Helper()
 	var got drain.Response
-	l.HandleDrainRequest(l.now, l.now, &q, func(r drain.Response) { got = r })
+	l.HandleDrainRequest(l.now, l.now, &request, func(r drain.Response) { got = r })
 	l.commit()
 	return got
 }
@@ -93,7 +94,7 @@
 	l, task := leaderForDrain(t, drainSettings(ampleBudget))
 	attempt := task.Attempt
 	if r := l.sendDrainRequest(newApplyRequest("maintenance", "m1")); r.Status != http.StatusCreated {
-		t.Fatalf("%+v", r)
+		t.Fatalf("got %+v, want status 201", r)
 	}
 	l.runDrains(tuning.DrainCompletionWait+5*time.Second, func() {
 		if cs := l.sendHeartbeat("m1", 1, task); len(cs) != 0 {
@@ -142,14 +143,14 @@
 	})
 	l.applyMachineList("m1")
 	change := func(f func(*drain.Spec)) drain.Request {
-		q := newApplyRequest("maintenance", "m1")
-		f(q.Spec)
-		return q
+		request := newApplyRequest("maintenance", "m1")
+		f(request.Spec)
+		return request
 	}
 	for name, c := range map[string]struct {
-		q      drain.Request
-		status int
-		reason string
+		request    drain.Request
+		wantStatus int
+		wantReason string
 	}{
 		"unknown zone":          {change(func(s *drain.Spec) { s.Selector.Zone = "z" }), http.StatusUnprocessableEntity, "selector/zone"},
 		"unknown type":          {change(func(s *drain.Spec) { s.Selector.Type = "z" }), http.StatusUnprocessableEntity, "selector/type"},
@@ -161,17 +162,17 @@
 		"request without drain": {drain.Request{Action: drain.Apply}, http.StatusBadRequest, "no drain"},
 		"unknown drain":         {drain.Request{Action: drain.Pause, Name: "none"}, http.StatusNotFound, "none"},
 	} {
-		if r := l.sendDrainRequest(c.q); r.Status != c.status || !strings.Contains(r.Reason, c.reason) || strings.Contains(r.Reason, "\n") {
+		if r := l.sendDrainRequest(c.request); r.Status != c.wantStatus || !strings.Contains(r.Reason, c.wantReason) || strings.Contains(r.Reason, "\n") {
 			t.Errorf("%s: response %+v", name, r)
 		}
 	}
 	if _, stored := l.store["e/maintenance"]; stored || len(l.store) != 2+1 {
 		t.Errorf("records in the store: %v, want only the two unreadable drains and the machine types", l.store)
 	}
-	steps := []struct {
-		q      drain.Request
-		status int
-		state  drain.State
+	requests := []struct {
+		request    drain.Request
+		wantStatus int
+		wantState  drain.State
 	}{
 		{newApplyRequest("maintenance", "m1"), http.StatusCreated, drain.Pending},
 		{newApplyRequest("maintenance", "m1"), http.StatusOK, drain.Pending},
@@ -184,9 +185,9 @@
 		{drain.Request{Action: drain.Resume, Name: "maintenance"}, http.StatusConflict, ""},
 		{drain.Request{Action: drain.List}, http.StatusOK, drain.Cancelled},
 	}
-	for i, s := range steps {
-		r := l.sendDrainRequest(s.q)
-		if r.Status != s.status || s.state != "" && (len(r.Drains) != 1 || r.Drains[0].State != s.state) {
+	for i, s := range requests {
+		r := l.sendDrainRequest(s.request)
+		if r.Status != s.wantStatus || s.wantState != "" && (len(r.Drains) != 1 || r.Drains[0].State != s.wantState) {
 			t.Errorf("request %d: response %+v", i, r)
 		}
 	}
@@ -213,7 +214,7 @@
 	l.sendDrainRequest(drain.Request{Action: drain.Apply, Spec: &drain.Spec{Name: "all", BatchSize: 5, Selector: drain.Selector{Type: "std-8"}}})
 	l.AdvanceDrains(l.now, l.now)
 	if r := l.sendDrainRequest(drain.Request{Action: drain.Show, Name: "all"}); len(r.Drains) != 1 || r.Drains[0].Batch == nil || r.Drains[0].MachinesLeft != 4000 {
-		t.Fatalf("no batch formed: %+v", r)
+		t.Fatalf("got %+v, want a drain of 4000 machines with a batch", r)
 	}
 	examinedBefore := l.Counts().DrainSteps
 	const steps = 20
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -61,6 +61,7 @@
 	return f
 }
 
+// submitJob submits a job without committing it and counts it once it is accepted.
 func (f *fleet) submitJob(j *wire.Job) {
 	f.submittedAt[j.ID] = f.now
 	f.Submit(f.now, f.now, j, func(v leader.Response) {
@@ -83,6 +84,7 @@
 	return count
 }
 
+// newHeartbeat returns the next heartbeat of an agent.
 func (f *fleet) newHeartbeat(a *fleetAgent) *wire.Heartbeat {
 	a.seq++
 	return &wire.Heartbeat{
@@ -142,7 +144,7 @@
 		}
 	}
 	scoredBefore := f.scoredPairs
-	f.Tick(f.now, true)
+	f.Tick(f.now, true /* authority */)
 	f.scoredPairs = f.Counts().ScoredPairs
 	f.maxPairsPerPass = max(f.maxPairsPerPass, f.scoredPairs-scoredBefore)
 	f.commitWithinBudget()
@@ -164,7 +166,7 @@
 		return
 	}
 	a.tasksChanged, a.lastHeartbeat, a.nextHeartbeat = false, f.now, f.now.Add(3*time.Second)
-	response, outcome := f.HandleHeartbeat(f.now, f.newHeartbeat(a), true)
+	response, outcome := f.HandleHeartbeat(f.now, f.newHeartbeat(a), true /* authority */)
 	if outcome != leader.HeartbeatApplied {
 		f.t.Fatalf("heartbeat of %s: got outcome %d, want HeartbeatApplied", a.name, outcome)
 	}
@@ -284,7 +286,7 @@
 	f.t.Helper()
 	a := f.agents[1]
 	limit := 40 + 8*len(a.tasks)
-	if got := testing.AllocsPerRun(50, func() { f.HandleHeartbeat(f.now, f.newHeartbeat(a), true) }); got > float64(limit) {
+	if got := testing.AllocsPerRun(50, func() { f.HandleHeartbeat(f.now, f.newHeartbeat(a), true /* authority */) }); got > float64(limit) {
 		f.t.Errorf("a heartbeat with %d tasks allocates %.0f times, want at most %d", len(a.tasks), got, limit)
 	}
 	for id := range f.submittedAt {
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -42,8 +42,10 @@
 // testLeader is a leader with a simulated clock and a map in place of the key-value store.
 type testLeader struct {
 	*leader.Leader
-	t            *testing.T
-	now          time.Time
+	t   *testing.T
+	now time.Time // both the monotonic and the wall-clock time
+	// store holds the stored records by key. The prefix of a key is the kind of its record, such as
+	// "j/" for jobs, "f/" for final states and "s/" for starts: see records.Kind.
 	store        map[string]json.RawMessage
 	lastSequence uint64 // sequence number of the last heartbeat of any agent
 }
@@ -83,7 +85,7 @@
 	}
 }
 
-// commit commits all queued changes.
+// commit commits all queued changes, in batches of at most 10.
 func (l *testLeader) commit() {
 	for b := l.NextBatch(10, 10); b != nil; b = l.NextBatch(10, 10) {
 		l.apply(b.Mutations)
@@ -94,7 +96,7 @@
 // tickAfter advances the time and runs the leader's periodic work, including scheduling passes.
 func (l *testLeader) tickAfter(d time.Duration) {
 	l.now = l.now.Add(d)
-	l.Tick(l.now, true)
+	l.Tick(l.now, true /* authority */)
 }
 
 // sendHeartbeat sends a heartbeat that lists the given tasks, and returns the commands in the
@@ -104,7 +106,7 @@
 	l.lastSequence++
 	response, outcome := l.HandleHeartbeat(l.now, &wire.Heartbeat{
 		Machine: machine, Addr: machine + ":9", Type: "std-8", Zone: "a", AgentEpoch: agentEpoch, Sequence: l.lastSequence, FencingToken: l.Term(), Tasks: tasks,
-	}, true)
+	}, true /* authority */)
 	if outcome == leader.HeartbeatSuperseded {
 		l.t.Fatal("the leader treats the heartbeat as one from a later term")
 	}
@@ -145,7 +147,7 @@
 			return
 		}
 	}
-	l.t.Fatal("m1 not released")
+	l.t.Fatal("m1 was not released")
 }
 
 // submit submits a job and commits it. It checks that the user gets a response only once the job is
@@ -195,7 +197,7 @@
 	return l, task
 }
 
-// hasProvisionCall reports whether any of the calls hasProvisionCall machines.
+// hasProvisionCall reports whether any of the calls to the cloud provisions machines.
 func hasProvisionCall(calls []scaling.CloudCall) bool {
 	return slices.ContainsFunc(calls, func(c scaling.CloudCall) bool { return c.Op == scaling.CloudProvision })
 }
--- a/internal/leader/placement_test.go
+++ b/internal/leader/placement_test.go
@@ -23,7 +23,7 @@
 	l.tickAfter(time.Second)
 	l.commit()
 	l.lastSequence++
-	response, outcome := l.HandleHeartbeat(l.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.lastSequence, FencingToken: 5}, false)
+	response, outcome := l.HandleHeartbeat(l.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.lastSequence, FencingToken: 5}, false /* authority */)
 	if outcome != leader.HeartbeatApplied || len(response.Commands) != 0 {
 		t.Fatalf("got outcome %v and response %+v, want HeartbeatApplied and no commands", outcome, response)
 	}
@@ -61,7 +61,7 @@
 	if _, starts := advance(time.Second); starts == "" {
 		t.Fatal("the less urgent job did not start")
 	}
-	// Advances to just after the first checkpoint, when stopping loses little progress.
+	// Advance to just after the first checkpoint: a stop then loses little progress.
 	for range 11 {
 		advance(2 * time.Second)
 	}
--- a/internal/leader/reachability_test.go
+++ b/internal/leader/reachability_test.go
@@ -36,10 +36,10 @@
 	return z
 }
 
-// sendHeartbeats sends a heartbeat of every machine in the given zones that is not silent. It adds the
-// tasks that the responses start to the tasks of their machines.
-func (z *zonedCluster) sendHeartbeats(tasks map[string][]wire.TaskStatus, zones ...string) {
-	for _, zone := range zones {
+// sendHeartbeats sends a heartbeat of every machine in the reachable zones that is not silent. It adds
+// the tasks that the responses start to the tasks of their machines.
+func (z *zonedCluster) sendHeartbeats(tasksByMachine map[string][]wire.TaskStatus, reachable ...string) {
+	for _, zone := range reachable {
 		for i := range 10 {
 			id := fmt.Sprint(zone, i)
 			if z.silentMachines[id] {
@@ -47,11 +47,11 @@
 			}
 			z.lastSequence++
 			response, _ := z.HandleHeartbeat(z.now, &wire.Heartbeat{
-				Machine: id, Addr: "x:1", Type: "std-8", Zone: zone, AgentEpoch: 1, Sequence: z.lastSequence, FencingToken: z.Term(), Tasks: tasks[id],
-			}, true)
+				Machine: id, Addr: "x:1", Type: "std-8", Zone: zone, AgentEpoch: 1, Sequence: z.lastSequence, FencingToken: z.Term(), Tasks: tasksByMachine[id],
+			}, true /* authority */)
 			for _, c := range response.Commands {
 				if c.Op == wire.OpStart {
-					tasks[id] = append(tasks[id], wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
+					tasksByMachine[id] = append(tasksByMachine[id], wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
 				}
 			}
 		}
@@ -61,27 +61,27 @@
 // runWideJob gives the job 80 tasks and runs four of them on each machine. It returns the tasks by
 // machine.
 func (z *zonedCluster) runWideJob(j *wire.Job) map[string][]wire.TaskStatus {
-	tasks := map[string][]wire.TaskStatus{}
-	z.sendHeartbeats(tasks, zones...)
+	tasksByMachine := map[string][]wire.TaskStatus{}
+	z.sendHeartbeats(tasksByMachine, zones...)
 	j.Tasks, j.Team = 80, "wide"
 	z.Submit(z.now, z.now, j, func(leader.Response) {})
 	for range 4 {
 		z.commit()
 		z.tickAfter(time.Second)
-		z.sendHeartbeats(tasks, zones...)
+		z.sendHeartbeats(tasksByMachine, zones...)
 	}
 	z.commit()
-	z.sendHeartbeats(tasks, zones...)
-	z.sendHeartbeats(tasks, zones...)
-	return tasks
+	z.sendHeartbeats(tasksByMachine, zones...)
+	z.sendHeartbeats(tasksByMachine, zones...)
+	return tasksByMachine
 }
 
 // advance advances the time by d in steps of a second, while only the machines in the reachable zones
 // send heartbeats. It returns the machines released and the zones in which machines were provisioned.
-func (z *zonedCluster) advance(d time.Duration, tasks map[string][]wire.TaskStatus, reachable ...string) (released, provisioned []string) {
+func (z *zonedCluster) advance(d time.Duration, tasksByMachine map[string][]wire.TaskStatus, reachable ...string) (released, provisioned []string) {
 	for range int(d / time.Second) {
 		z.tickAfter(time.Second)
-		z.sendHeartbeats(tasks, reachable...)
+		z.sendHeartbeats(tasksByMachine, reachable...)
 		z.commit()
 		for _, c := range z.PlanScaling(z.now) {
 			if c.Op == scaling.CloudProvision {
@@ -129,13 +129,13 @@
 func TestPartitionedZoneIsReleasedForUrgentWork(t *testing.T) {
 	addWideTeam(t)
 	z := newZonedCluster(t, 5, startTime, map[string]json.RawMessage{})
-	tasks := z.runWideJob(newUrgentJob())
-	released, provisioned := z.advance(10*time.Second, tasks, "a")
+	tasksByMachine := z.runWideJob(newUrgentJob())
+	released, provisioned := z.advance(10*time.Second, tasksByMachine, "a")
 	if len(released) != 10 || released[0] != "b0" || released[9] != "b9" {
 		t.Errorf("released %v, want b0 to b9", released)
 	}
-	z.sendHeartbeats(tasks, "a")
-	if _, more := z.advance(3*time.Second, tasks, "a"); fmt.Sprint(append(provisioned, more...)) != "[a]" {
+	z.sendHeartbeats(tasksByMachine, "a")
+	if _, more := z.advance(3*time.Second, tasksByMachine, "a"); fmt.Sprint(append(provisioned, more...)) != "[a]" {
 		t.Errorf("provisioned in the zones %v, then %v, want only a", provisioned, more)
 	}
 	if n := z.Counts(); n.AllocatedTasks != 40 || n.ReadyTasks != 40 {
@@ -144,13 +144,13 @@
 
 	// Machines that boot in the partitioned zone do not count as capacity for the tasks.
 	booting := newZonedCluster(t, 5, startTime, map[string]json.RawMessage{})
-	tasks = booting.runWideJob(newUrgentJob())
+	tasksByMachine = booting.runWideJob(newUrgentJob())
 	var rows []wire.ListedMachine
 	for i := range 40 {
 		rows = append(rows, wire.ListedMachine{Name: fmt.Sprint("b9", i), Addr: "x:1", Type: "std-8", Zone: "b", State: wire.MachineBooting})
 	}
 	booting.ApplyMachineList(booting.now, booting.now, rows)
-	if _, provisioned := booting.advance(10*time.Second, tasks, "a"); fmt.Sprint(provisioned) != "[a]" {
+	if _, provisioned := booting.advance(10*time.Second, tasksByMachine, "a"); fmt.Sprint(provisioned) != "[a]" {
 		t.Errorf("with machines booting in zone b: provisioned in the zones %v, want only a", provisioned)
 	}
 
@@ -161,7 +161,8 @@
 }
 
 // TestSilenceOfAllMachinesReleasesNone checks that a leader that receives no heartbeats at all concludes
-// that its own node is isolated. It releases no machine before its lease has expired.
+// that its own node is isolated. It releases no machine before the lease
+// of that machine has expired.
 func TestSilenceOfAllMachinesReleasesNone(t *testing.T) {
 	addWideTeam(t)
 	z := newZonedCluster(t, 5, startTime, map[string]json.RawMessage{})
@@ -175,28 +176,28 @@
 func TestSilenceInAllZonesReleasesNone(t *testing.T) {
 	addWideTeam(t)
 	z := newZonedCluster(t, 5, startTime, map[string]json.RawMessage{})
-	tasks := z.runWideJob(newUrgentJob())
+	tasksByMachine := z.runWideJob(newUrgentJob())
 	for i := range 5 {
 		z.silentMachines[fmt.Sprint("a", 2*i)], z.silentMachines[fmt.Sprint("b", 2*i)] = true, true
 	}
-	if released, _ := z.advance(10*time.Second, tasks, zones...); len(released) != 0 {
+	if released, _ := z.advance(10*time.Second, tasksByMachine, zones...); len(released) != 0 {
 		t.Errorf("released %v, want none", released)
 	}
 }
 
 // TestSuccessorReleasesPartitionedZone checks that a successor releases machines with urgent work from
-// which it has never received a heartbeat. Its predecessor may be in the same partition and renew their
-// leases, so that they would not expire in time.
+// which it has never received a heartbeat. Its predecessor may be in the same partition and still renew
+// their leases.
 func TestSuccessorReleasesPartitionedZone(t *testing.T) {
 	addWideTeam(t)
 	z := newZonedCluster(t, 5, startTime, map[string]json.RawMessage{})
-	tasks := z.runWideJob(newUrgentJob())
+	tasksByMachine := z.runWideJob(newUrgentJob())
 	successor := newZonedCluster(t, 6, z.now, z.store)
-	successor.sendHeartbeats(tasks, "a")
-	if released, _ := successor.advance(7*time.Second, tasks, "a"); len(released) != 0 {
+	successor.sendHeartbeats(tasksByMachine, "a")
+	if released, _ := successor.advance(7*time.Second, tasksByMachine, "a"); len(released) != 0 {
 		t.Errorf("released %v before a heartbeat was overdue, want none", released)
 	}
-	if released, _ := successor.advance(4*time.Second, tasks, "a"); len(released) != 10 {
+	if released, _ := successor.advance(4*time.Second, tasksByMachine, "a"); len(released) != 10 {
 		t.Errorf("released %v, want 10 machines", released)
 	}
 	if n := successor.Counts(); n.AllocatedTasks != 40 || n.ReadyTasks != 40 {
--- a/internal/leader/records_test.go
+++ b/internal/leader/records_test.go
@@ -99,7 +99,7 @@
 	l.submitAll(newJob("job-1"), dependentJob("job-2", "job-1"), dependentJob("job-3", "job-2"))
 	load := func(store map[string]json.RawMessage) (*leader.Leader, string, error) {
 		var logs bytes.Buffer
-		successor := leader.New(zerolog.New(&logs), testParams, config.OperatorSettings{}, 6, l.now, 0)
+		successor := leader.New(zerolog.New(&logs), testParams, config.OperatorSettings{}, 6, l.now, 0 /* grace period */)
 		for _, prefix := range records.LoadOrder {
 			for _, key := range slices.Sorted(maps.Keys(store)) {
 				if !strings.HasPrefix(key, prefix) {
@@ -139,7 +139,7 @@
 	urgent.DeadlineS = &deadline
 	successor.Submit(l.now, l.now, urgent, func(leader.Response) {})
 	for range 5 {
-		successor.Tick(l.now, true)
+		successor.Tick(l.now, true /* authority */)
 	}
 	if n := successor.Counts().DependencySteps; n != 0 {
 		t.Errorf("%d dependency updates queued for jobs in a cycle, want 0", n)
@@ -150,7 +150,7 @@
 	successor.Cancel(l.now, "job-3", func(leader.Response) {})
 	for b := successor.NextBatch(10, 10); b != nil; b = successor.NextBatch(10, 10) {
 		successor.BatchCommitted(b, nil)
-		successor.Tick(l.now, true)
+		successor.Tick(l.now, true /* authority */)
 	}
 	if v := successor.Query("job-2"); v.State != wire.JobCancelled {
 		t.Errorf("job-2: got %+v, want state cancelled", v)
@@ -188,7 +188,7 @@
 	l.submitAll(newJob("job-1"), newJob("job-2"))
 	testParams.KVStore.ValueKB = 0.05 // less than the size of any start record
 	var logs bytes.Buffer
-	successor := leader.New(zerolog.New(&logs), testParams, config.OperatorSettings{}, 6, l.now, 0)
+	successor := leader.New(zerolog.New(&logs), testParams, config.OperatorSettings{}, 6, l.now, 0 /* grace period */)
 	for _, id := range []string{"job-1", "job-2"} {
 		if err := successor.LoadRecord(l.now, l.now, wire.KeyValue{Key: "j/" + id, Value: l.store["j/"+id]}); err != nil {
 			t.Fatal(err)
--- a/internal/leader/recovery_test.go
+++ b/internal/leader/recovery_test.go
@@ -29,7 +29,7 @@
 		t.Fatalf("got %s, although the task may still run on m1", formatCommands(cs))
 	}
 	// A heartbeat with the fencing token of an earlier term does not show whether the task still runs.
-	response, outcome := successor.HandleHeartbeat(successor.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: 50, FencingToken: 5}, true)
+	response, outcome := successor.HandleHeartbeat(successor.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: 50, FencingToken: 5}, true /* authority */)
 	if outcome != leader.HeartbeatApplied || response.FencingToken != 6 || len(response.Commands) != 0 {
 		t.Fatalf("got %+v, want the fencing token 6 and no commands", response)
 	}
@@ -38,7 +38,7 @@
 	if cs := successor.sendHeartbeat("m2", 1); len(cs) != 0 {
 		t.Fatalf("got %s after a heartbeat of an earlier term, want no command", formatCommands(cs))
 	}
-	successor.lastSequence = 60
+	successor.lastSequence = 60 // above all earlier sequence numbers
 	successor.sendHeartbeat("m1", 1, task)
 	if v := successor.Query("job-1"); v.State != wire.JobRunning {
 		t.Fatalf("job-1: got %+v, want state running", v)
@@ -70,7 +70,7 @@
 func TestReportedTaskIsRecordedAgain(t *testing.T) {
 	l, task := leaderWithRunningTask(t)
 	successor := newLeader(t, 6, l.now, l.store)
-	successor.lastSequence = 100
+	successor.lastSequence = 100 // above all earlier sequence numbers
 	older := wire.TaskStatus{Task: task.Task, Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitStopped}
 	successor.sendHeartbeat("m1", 1, older, task)
 	successor.commit()
@@ -112,7 +112,7 @@
 func TestSuccessorLoadsMachineTypes(t *testing.T) {
 	l, _ := leaderWithRunningTask(t)
 	l.commit()
-	successor := leader.New(zerolog.Nop(), testParams, config.OperatorSettings{}, 6, l.now, 0)
+	successor := leader.New(zerolog.Nop(), testParams, config.OperatorSettings{}, 6, l.now, 0 /* grace period */)
 	for key, value := range l.store {
 		if strings.HasPrefix(key, records.MachineTypesKey) {
 			if err := successor.LoadRecord(l.now, l.now, wire.KeyValue{Key: key, Value: value}); err != nil {
@@ -151,7 +151,7 @@
 	for padding := range 60 {
 		l, task := leaderWithRunningTask(t)
 		successor := newLeader(t, 6, l.now, l.store)
-		successor.lastSequence = 100
+		successor.lastSequence = 100 // above all earlier sequence numbers
 		older := wire.TaskStatus{Task: task.Task, Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitStopped}
 		successor.sendHeartbeat("m1", 1, older, task)
 		// Changes that users wait for come first and nearly fill the transaction.
--- a/internal/leader/requests_test.go
+++ b/internal/leader/requests_test.go
@@ -103,7 +103,7 @@
 			t.Errorf("job that violates %s: got %+v, want status 422", name, got)
 		}
 	}
-	withoutTypes := leader.New(zerolog.Nop(), testParams, config.OperatorSettings{}, 1, startTime, 0)
+	withoutTypes := leader.New(zerolog.Nop(), testParams, config.OperatorSettings{}, 1, startTime, 0 /* grace period */)
 	var got leader.Response
 	withoutTypes.Submit(startTime, startTime, newJob("job-1"), func(v leader.Response) { got = v })
 	if got.Status != 503 {
@@ -117,7 +117,7 @@
 func TestTeamWithoutGuaranteeOrLimit(t *testing.T) {
 	paramsWithGuests := testParams
 	paramsWithGuests.Teams = append(slices.Clone(testParams.Teams), config.Team{Name: "guests"})
-	c := leader.New(zerolog.Nop(), paramsWithGuests, config.OperatorSettings{}, 5, startTime, 0)
+	c := leader.New(zerolog.Nop(), paramsWithGuests, config.OperatorSettings{}, 5, startTime, 0 /* grace period */)
 	c.SetMachineTypes([]wire.MachineType{std8Type})
 	l := &testLeader{Leader: c, t: t, now: startTime, store: map[string]json.RawMessage{}}
 	j := newJob("job-1")
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -24,7 +24,7 @@
 	testParams.Teams = []config.Team{{Name: "blue", CPUs: 4000, CPUsMax: 4800}}
 	testParams.KVStore = config.KVStoreLimits{RPS: 150, WriteRPS: 60, ValueKB: 8, TxnOps: 24}
 	f := newFleet(t, 600)
-	for tick := range 900 {
+	for tick := range 900 { // 90 s
 		if tick%10 == 0 {
 			for k := range 2 {
 				j := newJob(fmt.Sprintf("job-%06d", 2*tick+k))
@@ -80,7 +80,7 @@
 func TestFleetBeyondPlannedSize(t *testing.T) {
 	oldParams, oldType := testParams, std8Type
 	defer func() { testParams, std8Type = oldParams, oldType }()
-	std8Type.CPUs, std8Type.MemoryGB = 32, 128
+	std8Type.CPUs, std8Type.MemoryGB = 32, 128 // despite its name
 	testParams.Teams = nil
 	for k := range 10 {
 		testParams.Teams = append(testParams.Teams, config.Team{Name: fmt.Sprint("team", k), CPUs: 11000, CPUsMax: 22000})
@@ -90,7 +90,7 @@
 	testParams.Cloud = config.CloudLimits{RPS: 2, ListLagS: 8}
 	const machines = 4000
 	f := newFleet(t, machines)
-	for tick := range 1800 {
+	for tick := range 1800 { // 180 s
 		for k := range 10 {
 			number := 10*tick + k
 			var j *wire.Job
@@ -119,7 +119,7 @@
 			for i := range machines / 10 {
 				f.agents[10*i].failed = true
 			}
-		case 1050: // a successor loads the records
+		case 1050: // the leader fails, and a successor loads its records
 			running := f.runningTasks()
 			f.testLeader = newLeader(t, 6, f.now, f.store)
 			if n := f.Counts(); n.AllocatedTasks < running {
--- a/internal/leader/upgrade_test.go
+++ b/internal/leader/upgrade_test.go
@@ -102,6 +102,7 @@
 					tasks = append(tasks, completedTask(wire.TaskName("job-1", i), 1))
 				}
 			}
+			// The last leader receives the completions of all remaining tasks.
 			for i := 0; completed.Len() >= 2900 && i < 3000; i++ {
 				if completed.Add(i) {
 					tasks = append(tasks, completedTask(wire.TaskName("job-1", i), 1))
