--- a/internal/leader/admission_test.go
+++ b/internal/leader/admission_test.go
@@ -36,7 +36,7 @@
 		l.UpdateAdmission(l.now, l.now, 0, nil)
 	}
 	if s, on := l.AdmissionSummary(); !on || !s.Shedding {
-		t.Fatalf("admission control does not shed load: %+v", s)
+		t.Fatalf("admission control: got %+v, want it to shed load", s)
 	}
 	return l
 }
@@ -124,7 +124,7 @@
 		change(j)
 		reason := leader.LimitViolation(testParams.Teams, j)
 		if v := l.submitWithAdmissionClaim(j, nil); (reason != "") != (v.Status == 422) || reason != v.Reason {
-			t.Errorf("job %d: LimitViolation returns %q, the leader responds %+v", i, reason, v)
+			t.Errorf("job %d: LimitViolation returns %q, want the reason in the leader's response %+v", i, reason, v)
 		}
 	}
 }
--- a/internal/leader/cancellation_test.go
+++ b/internal/leader/cancellation_test.go
@@ -19,7 +19,7 @@
 	var got leader.Response
 	l.Cancel(l.now, "job-1", func(v leader.Response) { got = v })
 	if got.Status != 0 {
-		t.Fatal("response before the cancellation is durable")
+		t.Fatal("response before the cancellation is durable, want none")
 	}
 	l.commit()
 	if got.State != wire.JobCancelled {
@@ -86,7 +86,7 @@
 				l.ReleaseDone(l.now, c.Release)
 				l.commit()
 				if l.store["j/job-1"] != nil {
-					t.Fatal("the record of job-1 is still stored after the release of m1")
+					t.Fatal("the record of job-1 is still stored after the release of m1, want it deleted")
 				}
 				return
 			}
--- a/internal/leader/dependencies_test.go
+++ b/internal/leader/dependencies_test.go
@@ -16,8 +16,8 @@
 // announced, until the end of the test.
 func useSmallStoreLimits(t *testing.T) {
 	t.Helper()
-	old := testParams
-	t.Cleanup(func() { testParams = old })
+	oldParams := testParams
+	t.Cleanup(func() { testParams = oldParams })
 	testParams.KVStore.ValueKB, testParams.KVStore.TxnOps, testParams.KVStore.WriteRPS = 2, 8, 42
 }
 
@@ -104,7 +104,7 @@
 	if got := formatCommands(l.sendHeartbeat("m3", 1)) + formatCommands(l.sendHeartbeat("m1", 1)); !strings.Contains(got, "run job-2/0") {
 		t.Fatalf("got %q, want a start of job-2/0", got)
 	}
-	// A successor restores the same state.
+	// A successor loads the allocations of job-2 and job-3.
 	successor := newLeader(t, 6, l.now, l.store)
 	successor.tickAfter(time.Second)
 	if n := successor.Counts(); n.AllocatedTasks != 2 {
@@ -130,7 +130,7 @@
 		{dependentJob("job-3", strings.Repeat("<", 60_000)), 422, "<<"},
 	} {
 		if v := l.submitWithoutCommit(c.job); v.Status != c.wantStatus || !strings.Contains(v.Reason, c.wantReason) || len(v.Reason) > 300 {
-			t.Errorf("job that depends on %.60v: got status %d, reason %.300s", c.job.DependsOn, v.Status, v.Reason)
+			t.Errorf("job that depends on %.60v: got status %d and reason %.300s, want a short reason that names the dependency", c.job.DependsOn, v.Status, v.Reason)
 		}
 	}
 	// A repeated submission gets the job state, even with other dependencies.
@@ -147,7 +147,7 @@
 	// response, after both are durable, because the state "queued" would be wrong.
 	v := l.submitWithoutCommit(dependentJob("job-6", "job-1", "job-2"))
 	if v.Status != 0 {
-		t.Fatalf("response before the acceptance is durable: %+v", *v)
+		t.Fatalf("got the response %+v before the acceptance is durable, want none", *v)
 	}
 	l.commit()
 	if v.Status != 201 || v.State != wire.JobCancelled {
@@ -197,7 +197,7 @@
 			l = newLeader(t, 6, l.now, l.store)
 		}
 		if rounds > 700 {
-			t.Fatalf("%d of %d dependents cancelled", cancelledCount, len(dependents))
+			t.Fatalf("%d of %d dependents cancelled after 700 rounds, want all", cancelledCount, len(dependents))
 		}
 		l.tickAfter(200 * time.Millisecond)
 		v := l.submitWithoutCommit(newJob(fmt.Sprintf("job-%d", 10_000+rounds)))
@@ -328,6 +328,7 @@
 	defer func() { testParams = oldParams }()
 	testParams.Teams = []config.Team{{Name: "blue", CPUs: 16, CPUsMax: 16}}
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
+	// Chain i consists of the jobs job-1<i>, job-2<i> and job-3<i>.
 	for i, deadline := range []float64{400, 200} {
 		first, last := newJob(fmt.Sprint("job-1", i)), dependentJob(fmt.Sprint("job-3", i), fmt.Sprint("job-2", i))
 		first.CPUs = 8
--- a/internal/leader/drain_test.go
+++ b/internal/leader/drain_test.go
@@ -96,13 +96,14 @@
 	if r := l.sendDrainRequest(newApplyRequest("maintenance", "m1")); r.Status != http.StatusCreated {
 		t.Fatalf("got %+v, want status 201", r)
 	}
+	// The drain first waits for the task to end without a stop.
 	l.runDrains(tuning.DrainCompletionWait+5*time.Second, func() {
 		if cs := l.sendHeartbeat("m1", 1, task); len(cs) != 0 {
 			t.Fatalf("got %s before the charge was durable, want no command", formatCommands(cs))
 		}
 	})
 	if len(l.storedCharges()) != 0 {
-		t.Fatal("charge stored before the commit")
+		t.Fatal("charge stored before the commit, want none")
 	}
 	l.commit()
 	if cs := l.sendHeartbeat("m1", 1, task); formatCommands(cs) != "kill job-1/0" || len(l.storedCharges()) != 1 {
@@ -125,7 +126,7 @@
 		var commands []wire.Command
 		successor.runDrains(3*time.Second, func() { commands = successor.sendHeartbeat("m1", 1, running); successor.commit() })
 		if formatCommands(commands) != "kill job-1/0" || len(successor.storedCharges()) != c.wantCharges {
-			t.Errorf("attempt %d: got %q from the successor, charges %v", c.attempt, formatCommands(commands), successor.storedCharges())
+			t.Errorf("attempt %d: got %q from the successor and the charges %v, want a stop of job-1/0 and a second charge only for a new attempt", c.attempt, formatCommands(commands), successor.storedCharges())
 		}
 	}
 }
@@ -163,7 +164,7 @@
 		"unknown drain":         {drain.Request{Action: drain.Pause, Name: "none"}, http.StatusNotFound, "none"},
 	} {
 		if r := l.sendDrainRequest(c.request); r.Status != c.wantStatus || !strings.Contains(r.Reason, c.wantReason) || strings.Contains(r.Reason, "\n") {
-			t.Errorf("%s: response %+v", name, r)
+			t.Errorf("%s: got %+v, want the status and a one-line reason of the table", name, r)
 		}
 	}
 	if _, stored := l.store["e/maintenance"]; stored || len(l.store) != 2+1 {
@@ -188,7 +189,7 @@
 	for i, s := range requests {
 		r := l.sendDrainRequest(s.request)
 		if r.Status != s.wantStatus || s.wantState != "" && (len(r.Drains) != 1 || r.Drains[0].State != s.wantState) {
-			t.Errorf("request %d: response %+v", i, r)
+			t.Errorf("request %d: got %+v, want the status and the drain state of the table", i, r)
 		}
 	}
 }
@@ -250,9 +251,9 @@
 	}
 }
 
-// TestZoneBoundWorkBlocksADrain checks that a task whose job may run in no other zone is not stopped
-// before the deadline of the drain. After the deadline, a drain with force stops the task. A drain
-// without force is paused, and its reason names the team.
+// TestZoneBoundWorkBlocksADrain checks a drain of the only zone that the cloud offers: a task in it can
+// run in no other zone and is not stopped before the deadline of the drain. After the deadline, a drain
+// with force stops the task. A drain without force is paused, and its reason names the team.
 func TestZoneBoundWorkBlocksADrain(t *testing.T) {
 	for _, force := range []bool{false, true} {
 		l, task := leaderForDrain(t, drainSettings(ampleBudget))
@@ -264,7 +265,7 @@
 		step := func() { commands = append(commands, l.sendHeartbeat("m1", 1, task)...); l.commit() }
 		l.runDrains(110*time.Second, step)
 		if len(commands) > 0 {
-			t.Fatalf("stopped before the deadline: %s", formatCommands(commands))
+			t.Fatalf("got %s before the deadline, want no command", formatCommands(commands))
 		}
 		l.runDrains(30*time.Second, step)
 		r := l.sendDrainRequest(drain.Request{Action: drain.Show, Name: "zone"}).Drains[0]
@@ -353,7 +354,7 @@
 	successor.runDrains(6*time.Second, func() {
 		sendHeartbeatsAndMachineList(successor, "m1")
 		if hasProvisionCall(successor.PlanScaling(successor.now)) {
-			t.Fatal("the successor provisions again although replacements are recorded")
+			t.Fatal("the successor provisions machines although replacements are recorded, want no provision call")
 		}
 	})
 	status := func() drain.Status {
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -209,10 +209,10 @@
 func (f *fleet) commitWithinBudget() {
 	f.t.Helper()
 	limits := testParams.KVStore
-	perSecond := limits.WriteRPS * tuning.StoreWriteShare
-	f.writeTokens = min(f.writeTokens+perSecond/10, perSecond/2)
+	writesPerSecond := limits.WriteRPS * tuning.StoreWriteShare
+	f.writeTokens = min(f.writeTokens+writesPerSecond/10, writesPerSecond/2)
 	for f.writeTokens >= 1 {
-		b := f.NextBatch(min(limits.TxnOps, int(f.writeTokens)), max(0, int(f.writeTokens-perSecond/4)))
+		b := f.NextBatch(min(limits.TxnOps, int(f.writeTokens)), max(0, int(f.writeTokens-writesPerSecond/4)))
 		if b == nil {
 			return
 		}
@@ -220,9 +220,9 @@
 		batchBytes := 0
 		for _, w := range b.Mutations {
 			f.committedMutations++
-			batchBytes += len(w.Key()) + len(w.Value) + 40
+			batchBytes += len(w.Key()) + len(w.Value) + 40 // an overhead of 40 bytes per change
 			if float64(len(w.Value)) > limits.ValueKB*1024 {
-				f.t.Fatalf("value of %s has %d bytes, more than the limit", w.Put, len(w.Value))
+				f.t.Fatalf("value of %s has %d bytes, want at most the value limit", w.Put, len(w.Value))
 			}
 			if w.Delete != "" {
 				delete(f.store, w.Delete)
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -135,7 +135,7 @@
 		l.sendHeartbeat("m2", 1)
 		l.commit()
 		if cs := l.sendHeartbeat("m2", 1); len(cs) != 0 {
-			l.t.Fatalf("placed elsewhere before the release of m1: %s", formatCommands(cs))
+			l.t.Fatalf("m2 got %s before the release of m1, want no command", formatCommands(cs))
 		}
 		if release := l.plannedRelease("m1"); release != nil {
 			l.ReleaseDone(l.now, release)
@@ -183,7 +183,7 @@
 	l.sendHeartbeat("m1", 1)
 	l.tickAfter(time.Second)
 	if cs := l.sendHeartbeat("m1", 1); len(cs) != 0 {
-		t.Fatalf("started before its record was durable: %s", formatCommands(cs))
+		t.Fatalf("got %s before the start record was durable, want no command", formatCommands(cs))
 	}
 	l.commit()
 	cs := l.sendHeartbeat("m1", 1)
@@ -211,7 +211,7 @@
 	l.sendHeartbeat("m1", 1)
 	l.tickAfter(time.Second)
 	if calls := l.NextDirectCalls(l.now); len(calls) != 0 {
-		t.Fatal("direct call before the record was durable")
+		t.Fatal("direct call before the start record was durable, want none")
 	}
 	l.commit()
 	calls := l.NextDirectCalls(l.now)
--- a/internal/leader/placement_test.go
+++ b/internal/leader/placement_test.go
@@ -145,7 +145,7 @@
 		running = append(running, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
 	}
 	if len(running) != 2 {
-		t.Fatalf("%d of 2 tasks started", len(running))
+		t.Fatalf("%d tasks started, want 2", len(running))
 	}
 	l.sendHeartbeat("m1", 1, running...)
 	high := newJob("job-2")
@@ -165,7 +165,7 @@
 	l.commit()
 	for _, c := range l.sendHeartbeat("m1", 1, running[1]) {
 		if c.Op == wire.OpStart {
-			t.Fatalf("%s was started in capacity reserved for job-2", c.Task)
+			t.Fatalf("%s was started, want its capacity reserved for job-2", c.Task)
 		}
 	}
 	l.sendHeartbeat("m1", 1, exited(running[1]))
@@ -305,7 +305,7 @@
 						tasksByMachine[m] = append(tasksByMachine[m], wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
 					case wire.OpStop:
 						if c.GracePeriodS == nil || *c.GracePeriodS < 4 {
-							t.Fatalf("stopped with too short a grace period for saving a checkpoint: %+v", c)
+							t.Fatalf("got the stop %+v, want a grace period of at least 4 s for saving a checkpoint", c)
 						}
 						stops++
 						tasksByMachine[m][index].State, tasksByMachine[m][index].ExitReason, tasksByMachine[m][index].CheckpointSaved = wire.TaskExited, wire.ExitStopped, true
@@ -325,7 +325,7 @@
 			t.Fatalf("%d stops, want 1; released machine %q, want one; tasks %v, want 2", stops, released, tasksByMachine)
 		}
 		if checkpointIntervalS == 0 && stops != 0 {
-			t.Fatal("a task that saves no checkpoints was stopped")
+			t.Fatal("a task that saves no checkpoints was stopped, want no stop")
 		}
 	}
 }
--- a/internal/leader/records_test.go
+++ b/internal/leader/records_test.go
@@ -40,7 +40,7 @@
 		store := maps.Clone(l.store)
 		successor := newLeader(t, 6, l.now, store)
 		if successor.Query(long.ID).Status != 404 {
-			t.Fatal("the job is known before its last write")
+			t.Fatal("the successor knows the job before its last write, want status 404")
 		}
 		// Submit the same job again while pieces of the first submission are stored.
 		resubmission := successor.submitWithoutCommit(long)
@@ -55,7 +55,7 @@
 		laterSuccessor.commit()
 		for key := range store {
 			if strings.HasPrefix(key, "n/"+long.ID+"/5-") {
-				t.Fatalf("%s of the first submission is still stored", key)
+				t.Fatalf("%s of the first submission is still stored, want it deleted", key)
 			}
 		}
 		l.commitBatch(1, 1)
@@ -85,7 +85,7 @@
 	}
 	for key := range successor.store {
 		if strings.HasPrefix(key, "n/") {
-			t.Errorf("%s is still stored", key)
+			t.Errorf("%s is still stored, want it deleted with the cancelled job", key)
 		}
 	}
 }
@@ -125,7 +125,7 @@
 		store[key] = json.RawMessage(`7`)
 		_, logs, err := load(store)
 		if (err != nil) != (wantKey != "") || err != nil && !strings.Contains(err.Error(), wantKey) || err == nil && !strings.Contains(logs, key) {
-			t.Errorf("corrupt record %s: got error %v, logs %s", key, err, logs)
+			t.Errorf("corrupt record %s: got error %v and logs %s, want an error or, for an optional record, its key in the logs", key, err, logs)
 		}
 	}
 	store := maps.Clone(l.store)
@@ -206,9 +206,9 @@
 	}
 	successor.BatchCommitted(b, nil)
 	if !strings.Contains(logs.String(), `"key":"s/`) {
-		t.Errorf("key of the start record not logged: %s", logs.String())
+		t.Errorf("got the logs %s, want the key of the start record in them", logs.String())
 	}
 	if n := successor.Counts(); n.AllocatedTasks != 0 || n.ReadyTasks != 1 {
-		t.Errorf("the task of the dropped record is not ready again: %+v", n)
+		t.Errorf("got %+v, want the task of the dropped start record ready again", n)
 	}
 }
--- a/internal/leader/recovery_test.go
+++ b/internal/leader/recovery_test.go
@@ -26,7 +26,7 @@
 	successor.tickAfter(time.Second)
 	successor.commit()
 	if cs := successor.sendHeartbeat("m2", 1); len(cs) != 0 {
-		t.Fatalf("got %s, although the task may still run on m1", formatCommands(cs))
+		t.Fatalf("got %s although the task may still run on m1, want no command", formatCommands(cs))
 	}
 	// A heartbeat with the fencing token of an earlier term does not show whether the task still runs.
 	response, outcome := successor.HandleHeartbeat(successor.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: 50, FencingToken: 5}, true /* authority */)
@@ -52,7 +52,7 @@
 		laterSuccessor.tickAfter(time.Second)
 		laterSuccessor.commit()
 		if cs := laterSuccessor.sendHeartbeat("m2", 1); len(cs) != 0 {
-			t.Fatalf("placed %v after the change of leader, before the lease of m1 expired", laterSuccessor.now.Sub(l.now))
+			t.Fatalf("placed %v after the change of leader, want it placed only after the lease of m1 has expired", laterSuccessor.now.Sub(l.now))
 		}
 	}
 	laterSuccessor.tickAfter(3 * time.Second)
@@ -167,13 +167,13 @@
 					replacementStored = true
 				}
 				if strings.HasPrefix(w.Delete, "s/") && !replacementStored {
-					t.Fatalf("padding %d: %s deleted before its replacement is written", padding, w.Delete)
+					t.Fatalf("padding %d: %s deleted before its replacement is written, want it deleted later", padding, w.Delete)
 				}
 			}
 			successor.BatchCommitted(b, nil)
 		}
 		if !replacementStored {
-			t.Fatal("no start record was written for the running attempt")
+			t.Fatal("no start record was written for the running attempt, want one")
 		}
 	}
 }
--- a/internal/leader/reports_test.go
+++ b/internal/leader/reports_test.go
@@ -107,7 +107,7 @@
 	for i := range 12 {
 		l.tickAfter(3 * time.Second)
 		l.sendHeartbeat("m2", 1)
-		l.sendHeartbeat("m1", uint64(2+i/5))
+		l.sendHeartbeat("m1", uint64(2+i/5)) // a new session whenever a lease has expired
 		if l.plannedRelease("m1") != nil {
 			return
 		}
@@ -165,7 +165,7 @@
 	if cs := l.sendHeartbeat("m2", 1); formatCommands(cs) != "run job-1/0" {
 		t.Fatalf("got %q after the lease has expired, want a start of job-1/0 on m2", formatCommands(cs))
 	}
-	duplicate.Sequence += 100
+	duplicate.Sequence += 100 // no longer a duplicate, but of the expired session
 	if _, outcome := l.HandleHeartbeat(l.now, duplicate, true /* authority */); outcome != leader.HeartbeatStale {
 		t.Fatal("a heartbeat of the expired session was not treated as stale")
 	}
@@ -181,26 +181,26 @@
 		Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: call.Request.Commands[0].Attempt, State: wire.TaskRunning}},
 	})
 	l.ApplyMachineList(l.now, l.now, []wire.ListedMachine{{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
-	isReleased := false
-	var releaseCall []string
+	released := false
+	var machinesToRelease []string
 	for i := range 20 {
 		l.tickAfter(2 * time.Second)
 		if i == 11 { // long after the lease of m1 has expired
-			if len(releaseCall) == 0 {
+			if len(machinesToRelease) == 0 {
 				t.Fatal("m1 was not released")
 			}
-			isReleased = true
-			l.ReleaseDone(l.now, releaseCall)
+			released = true
+			l.ReleaseDone(l.now, machinesToRelease)
 		}
 		l.sendHeartbeat("m2", 1)
 		l.commit()
-		if cs := l.sendHeartbeat("m2", 1); len(cs) != 0 && !isReleased {
+		if cs := l.sendHeartbeat("m2", 1); len(cs) != 0 && !released {
 			t.Fatalf("m2 got %s before the release of m1, want no command", formatCommands(cs))
 		} else if len(cs) != 0 {
 			return
 		}
 		if planned := l.plannedRelease("m1"); planned != nil {
-			releaseCall = planned
+			machinesToRelease = planned
 		}
 	}
 	t.Fatal("job-1/0 was not placed after the release of m1")
--- a/internal/leader/requests_test.go
+++ b/internal/leader/requests_test.go
@@ -26,7 +26,7 @@
 		t.Fatalf("got %s before the completion is durable, want no command", formatCommands(cs))
 	}
 	if v := l.Query("job-1"); v.State == wire.JobDone {
-		t.Fatal("job-1 is reported as done before the completion is durable")
+		t.Fatal("job-1 is reported as done before the completion is durable, want another state")
 	}
 	l.commit()
 	if v := l.Query("job-1"); v.State != wire.JobDone || v.CompletedTasks != 1 {
@@ -38,7 +38,7 @@
 	l.commit()
 	for key := range l.store {
 		if strings.HasPrefix(key, "s/") || strings.HasPrefix(key, "j/") {
-			t.Errorf("%s is still stored", key)
+			t.Errorf("%s is still stored, want the start and job records deleted", key)
 		}
 	}
 	successor := newLeader(t, 6, l.now, l.store)
@@ -76,7 +76,7 @@
 		l.Submit(l.now, l.now, newJob(fmt.Sprint("job-", 1000+i)), func(leader.Response) {})
 		l.commit()
 	}
-	for _, id := range []string{"job-1", "job-2000", "job-999999"} {
+	for _, id := range []string{"job-1", "job-2000", "job-999999"} { // the last one does not exist
 		if n := testing.AllocsPerRun(100, func() { l.Query(id) }); n > 0 {
 			t.Errorf("query of %s: %v allocations, want 0", id, n)
 		}
@@ -89,8 +89,8 @@
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	for name, change := range map[string]func(*wire.Job){
 		"team":  func(j *wire.Job) { j.Team = "red" },
-		"size":  func(j *wire.Job) { j.CPUs = 9 },
-		"limit": func(j *wire.Job) { j.CPUs = 17 },
+		"size":  func(j *wire.Job) { j.CPUs = 9 },  // the machine type has 8
+		"limit": func(j *wire.Job) { j.CPUs = 17 }, // the limit of the team is 16
 		"type":  func(j *wire.Job) { j.MachineTypes = []string{"other"} },
 		"zone":  func(j *wire.Job) { j.Zone = "z" },
 		"gpus":  func(j *wire.Job) { j.GPUs = 1 },
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -67,7 +67,7 @@
 	}
 	successor := newLeader(t, 6, f.now, f.store)
 	if knownTasks := successor.Counts().AllocatedTasks; knownTasks < running {
-		t.Errorf("a successor knows %d tasks, but %d are running", knownTasks, running)
+		t.Errorf("a successor knows %d tasks, want all of the %d running ones", knownTasks, running)
 	}
 	t.Logf("%d starts, %.2f changes and %d bytes per start, %d records, %d scored pairs", f.startedTasks, float64(f.committedMutations)/float64(f.startedTasks), f.committedBytes/f.startedTasks, startRecords, f.Counts().ScoredPairs)
 }
@@ -123,7 +123,7 @@
 			running := f.runningTasks()
 			f.testLeader = newLeader(t, 6, f.now, f.store)
 			if n := f.Counts(); n.AllocatedTasks < running {
-				t.Errorf("a successor knows %d tasks, but %d are running", n.AllocatedTasks, running)
+				t.Errorf("a successor knows %d tasks, want all of the %d running ones", n.AllocatedTasks, running)
 			}
 			f.scoredPairs = 0
 			f.applyFleetMachineList()
--- a/internal/leader/upgrade_test.go
+++ b/internal/leader/upgrade_test.go
@@ -125,7 +125,7 @@
 		successor.commit()
 		for key := range store {
 			if strings.HasPrefix(key, "d/") {
-				t.Errorf("seed %d: %s is still stored", seed, key)
+				t.Errorf("seed %d: %s is still stored, want it deleted with the job", seed, key)
 			}
 		}
 	}
@@ -177,7 +177,7 @@
 		}
 		pendingJob := placement.PendingJob{MachineTypes: record.Job.MachineTypes, Zone: record.Job.Zone, Spot: true, Request: placement.Resources{CPUs: record.Job.CPUs}, TotalTasks: 1}
 		if pendingJob.CanRunOn(&placement.Machine{Type: "std-8", Zone: "a", Capacity: placement.Resources{CPUs: 8, MemoryGB: 32}}) {
-			t.Errorf("the previous version could start the job in %s: %s", key, value)
+			t.Errorf("the previous version could start the job in %s, want no machine on which it can run: %s", key, value)
 		}
 	}
 	keysBefore := slices.Sorted(maps.Keys(l.store))
