--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -24,7 +24,7 @@
 	std8Type = wire.MachineType{Name: "std-8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootTimeS: 10, Zones: []string{"a"}}
 	// testParams are the service parameters. A test that changes them restores them at its end.
 	testParams = config.Params{
-		Teams:   []config.Team{{Name: "blue", CPUs: 8, CPUsMax: 16}},
+		Teams:   []config.Team{{Name: "blue", CPUs: 8, CPUsMax: 16}}, // 8 CPUs are guaranteed, 16 the limit
 		Workers: config.Workers{HeartbeatIntervalS: 3, LeaseS: 15, CancelDeadlineS: 45},
 		KVStore: config.KVStoreLimits{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 48},
 		Cloud:   config.CloudLimits{RPS: 5, ListLagS: 4},
