--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -32,8 +32,8 @@
 	}
 	r := NewRegulator(s, 1, begin)
 	unknownKey := OfferedLoad{Key: Key{"blue", "made up"}, Count: 100, AgingFactorSum: 100, PriorityWeightSum: 100}
-	r.Update(begin, begin, LeaderLoad{}, []NodeOfferedLoad{{Node: "a", Started: 1}})
-	r.Update(begin.Add(time.Second), begin, LeaderLoad{}, []NodeOfferedLoad{{Node: "a", Started: 1, Loads: []OfferedLoad{unknownKey}}})
+	r.Update(begin, begin, LeaderLoad{}, []NodeOfferedLoad{{Node: "a", Incarnation: 1}})
+	r.Update(begin.Add(time.Second), begin, LeaderLoad{}, []NodeOfferedLoad{{Node: "a", Incarnation: 1, Loads: []OfferedLoad{unknownKey}}})
 	if len(r.demands) != 0 {
 		t.Errorf("%+v", r.demands)
 	}
--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -56,7 +56,7 @@
 // request. Part of MaxActiveTasks is reserved for teams that use less than their
 // share: a few huge jobs of one team must not block the others.
 func (r *Regulator) hasTaskCapacity(request *Request, tasks TaskLoad) bool {
-	if float64(tasks.Total+request.Tasks) <= tuning.MaxActiveTasks*(1-tuning.AdmissionTaskReserveShare) {
+	if float64(tasks.Total+request.Tasks) <= tuning.MaxUnfinishedTasks*(1-tuning.AdmissionTaskReserveShare) {
 		return true
 	}
 	weight := 0.0
@@ -65,7 +65,7 @@
 			weight = weightOf(t.Weight)
 		}
 	}
-	return float64(tasks.Team+request.Tasks) <= tuning.MaxActiveTasks*weight/r.teamWeightSum
+	return float64(tasks.Team+request.Tasks) <= tuning.MaxUnfinishedTasks*weight/r.teamWeightSum
 }
 
 // configureLimiter sets the limiter's rate, or returns a new limiter if it is nil. The
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -45,15 +45,15 @@
 // NodeOfferedLoad is the offered load of a node. Started identifies the process; the
 // counts never decrease while it stays the same.
 type NodeOfferedLoad struct {
-	Node    string        `json:"node"`
-	Started uint64        `json:"started"`
-	Loads   []OfferedLoad `json:"offers,omitempty"`
+	Node        string        `json:"node"`
+	Incarnation uint64        `json:"started"`
+	Loads       []OfferedLoad `json:"offers,omitempty"`
 }
 
 // olderThan reports whether the counts are older than others of the same process,
 // because their message was delayed.
 func (n *NodeOfferedLoad) olderThan(other *NodeOfferedLoad) bool {
-	return n.Started == other.Started && n.total() < other.total()
+	return n.Incarnation == other.Incarnation && n.total() < other.total()
 }
 
 func (n *NodeOfferedLoad) total() (count int64) {
@@ -146,7 +146,7 @@
 
 // OfferedLoad returns the counts of submissions so far.
 func (g *Gate) OfferedLoad(node string) NodeOfferedLoad {
-	n := NodeOfferedLoad{Node: node, Started: g.started}
+	n := NodeOfferedLoad{Node: node, Incarnation: g.started}
 	for _, o := range g.offered {
 		n.Loads = append(n.Loads, *o)
 	}
--- a/internal/admission/load.go
+++ b/internal/admission/load.go
@@ -61,7 +61,7 @@
 // between, the node counts from zero.
 func (r *Regulator) addDemand(earlier, later NodeOfferedLoad) {
 	before := map[Key]OfferedLoad{}
-	if earlier.Started == later.Started {
+	if earlier.Incarnation == later.Incarnation {
 		for _, o := range earlier.Loads {
 			before[o.Key] = o
 		}
--- a/internal/admission/policy.go
+++ b/internal/admission/policy.go
@@ -24,7 +24,7 @@
 // Share is the part of a key's submissions that is admitted.
 type Share struct {
 	Key
-	Admit float64 `json:"admit"`
+	AdmitRatio float64 `json:"admit"`
 }
 
 // ttl returns how long the policy may be applied.
@@ -43,7 +43,7 @@
 func (p *Policy) share(k Key) float64 {
 	for _, s := range p.Shares {
 		if s.Key == k {
-			return s.Admit
+			return s.AdmitRatio
 		}
 	}
 	return 1
@@ -62,11 +62,11 @@
 // rejection returns a rejection whose retry delay is longer for smaller shares. The
 // delays are spread by job ID, so that retries don't arrive all at once.
 func rejection(id string, revision uint64, share float64) Decision {
-	spread := float64(tuning.AdmissionRetryMaxS)
+	spread := float64(tuning.AdmissionRetrySpreadMaxS)
 	if share > 0 {
 		spread = min(spread, math.Ceil(1/share))
 	}
-	spread = max(spread, tuning.AdmissionRetryMinS)
+	spread = max(spread, tuning.AdmissionRetrySpreadMinS)
 	return Decision{RetryAfterS: 1 + int(samplingValue(id, ^revision)*spread)}
 }
 
--- a/internal/admission/policy_test.go
+++ b/internal/admission/policy_test.go
@@ -69,12 +69,12 @@
 	seen := map[int]int{}
 	for job := range 1000 {
 		d := rejection(fmt.Sprintf("job-%d", job), 5, 0.01)
-		if d.Admitted || d.RetryAfterS < 1 || d.RetryAfterS > int(tuning.AdmissionRetryMaxS) {
+		if d.Admitted || d.RetryAfterS < 1 || d.RetryAfterS > int(tuning.AdmissionRetrySpreadMaxS) {
 			t.Fatalf("%+v", d)
 		}
 		seen[d.RetryAfterS]++
 	}
-	for after := 1; after <= int(tuning.AdmissionRetryMaxS); after++ {
+	for after := 1; after <= int(tuning.AdmissionRetrySpreadMaxS); after++ {
 		if seen[after] < 60 || seen[after] > 180 {
 			t.Errorf("%d of 1000 retry after %d s", seen[after], after)
 		}
--- a/internal/admission/regulator.go
+++ b/internal/admission/regulator.go
@@ -84,8 +84,8 @@
 	return 1
 }
 
-// Shedding reports whether new jobs are currently rejected to reduce the load.
-func (r *Regulator) Shedding() bool { return r.shedding }
+// IsShedding reports whether new jobs are currently rejected to reduce the load.
+func (r *Regulator) IsShedding() bool { return r.shedding }
 
 // Policy returns the current policy.
 func (r *Regulator) Policy() Policy { return r.policy }
--- a/internal/admission/regulator_test.go
+++ b/internal/admission/regulator_test.go
@@ -37,7 +37,7 @@
 		}
 	}
 	o.at = o.at.Add(tuning.AdmissionInterval)
-	n := NodeOfferedLoad{Node: "a", Started: 1}
+	n := NodeOfferedLoad{Node: "a", Incarnation: 1}
 	for _, c := range o.counts {
 		n.Loads = append(n.Loads, *c)
 	}
@@ -50,13 +50,13 @@
 func TestFloodIsShed(t *testing.T) {
 	o := newOverload(1, begin)
 	o.simulateSecond(0)
-	if o.Shedding() {
+	if o.IsShedding() {
 		t.Fatal("sheds load without pressure")
 	}
 	for range 3 {
 		o.simulateSecond(80)
 	}
-	if !o.Shedding() {
+	if !o.IsShedding() {
 		t.Fatal("doesn't shed load under pressure")
 	}
 	totals := map[string]int{}
@@ -77,7 +77,7 @@
 		o.at = o.at.Add(tuning.AdmissionInterval)
 		o.Update(o.at, o.at, LeaderLoad{}, nil)
 	}
-	if o.Shedding() || len(o.Policy().Shares) > 0 {
+	if o.IsShedding() || len(o.Policy().Shares) > 0 {
 		t.Error("continues to shed without load")
 	}
 }
@@ -157,7 +157,7 @@
 		request := Request{ID: "job-1", Key: Key{team, "urgent"}, Tasks: 100_000}
 		return r.Admit(begin, &request, &Claim{}, TaskLoad{Total: all, Team: own}).Admitted
 	}
-	if limit := int(tuning.MaxActiveTasks * (1 - tuning.AdmissionTaskReserveShare)); !admits("blue", limit-100_000, limit-100_000) || admits("blue", limit, limit) {
+	if limit := int(tuning.MaxUnfinishedTasks * (1 - tuning.AdmissionTaskReserveShare)); !admits("blue", limit-100_000, limit-100_000) || admits("blue", limit, limit) {
 		t.Error("blue uses the capacity reserved for others, or may not exceed its own share")
 	} else if !admits("green", limit, 0) {
 		t.Error("green is blocked by blue's tasks")
@@ -174,7 +174,7 @@
 	}{{0, false}, {30 * time.Second, false}, {0, false}, {4 * tuning.AdmissionTargetLag, false}, {4 * tuning.AdmissionTargetLag, true}} {
 		at := begin.Add(time.Duration(i) * time.Minute)
 		r.Update(at, at, LeaderLoad{Lag: c.lag}, nil)
-		if r.Shedding() != c.want {
+		if r.IsShedding() != c.want {
 			t.Errorf("%d: shedding %v", i, !c.want)
 		}
 	}
@@ -193,7 +193,7 @@
 			before = d.rate * math.Exp(-tuning.AdmissionInterval.Seconds()/tuning.AdmissionOfferedLoadDecay.Seconds())
 		}
 		o := OfferedLoad{Key: k, Count: count, AgingFactorSum: float64(count), PriorityWeightSum: float64(count)}
-		r.Update(at, at, LeaderLoad{}, []NodeOfferedLoad{{Node: "a", Started: started, Loads: []OfferedLoad{o}}})
+		r.Update(at, at, LeaderLoad{}, []NodeOfferedLoad{{Node: "a", Incarnation: started, Loads: []OfferedLoad{o}}})
 		if d := r.demands[k]; d != nil {
 			return (d.rate - before) * tuning.AdmissionOfferedLoadDecay.Seconds()
 		}
--- a/internal/api/respond.go
+++ b/internal/api/respond.go
@@ -23,12 +23,12 @@
 	default:
 		body = encode(wire.Error{Error: response.Reason})
 	}
-	respond(rc, response.Status, max(response.RetryAfter, tuning.RetryAfterS), body)
+	respond(rc, response.Status, max(response.RetryAfter, tuning.MinRetryAfterS), body)
 }
 
 // respondError sends an error status with the reason.
 func respondError(rc *fasthttp.RequestCtx, status int, reason string) {
-	respond(rc, status, tuning.RetryAfterS, encode(wire.Error{Error: reason}))
+	respond(rc, status, tuning.MinRetryAfterS, encode(wire.Error{Error: reason}))
 }
 
 // respond writes a response. A 503 or 429 also carries Retry-After.
--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -60,7 +60,7 @@
 	}
 	for i, team := range e.Teams {
 		field := fmt.Sprintf("admission/team[%s]/class", team.Name)
-		if shares[i].Classes, err = parseShares(field, team.Classes, p.Classes(), 1); err != nil {
+		if shares[i].Classes, err = parseShares(field, team.Classes, p.ClassNames(), 1); err != nil {
 			return nil, err
 		}
 		for _, class := range team.Classes {
@@ -125,8 +125,8 @@
 	return names
 }
 
-// Classes returns the names of the classes that have objectives, without duplicates.
-func (p *Params) Classes() []string {
+// ClassNames returns the names of the classes that have objectives, without duplicates.
+func (p *Params) ClassNames() []string {
 	var names []string
 	for _, o := range p.Objectives {
 		if o.Class != "" && !slices.Contains(names, o.Class) {
@@ -141,7 +141,7 @@
 	if o.Admission == nil {
 		return nil
 	}
-	s := &admission.Settings{Classes: p.Classes(), WritesPerSecond: p.KVStore.WriteRPS * tuning.StoreWriteShare}
+	s := &admission.Settings{Classes: p.ClassNames(), WritesPerSecond: p.KVStore.WriteRPS * tuning.StoreWriteShare}
 	for _, t := range p.Teams {
 		team := admission.Team{Name: t.Name, GuaranteedCPUs: t.CPUs}
 		for _, share := range o.Admission.Teams {
--- a/internal/httpclient/pool.go
+++ b/internal/httpclient/pool.go
@@ -45,7 +45,7 @@
 		if len(p.hosts) >= p.maxHosts {
 			p.evictIdle()
 		}
-		host = &pooledClient{client: New(addr, p.maxConnections, tuning.WorkerIdleTimeout)}
+		host = &pooledClient{client: New(addr, p.maxConnections, tuning.DirectCallIdleTimeout)}
 		p.hosts[addr] = host
 	}
 	host.inFlight++
--- a/internal/kvstore/list.go
+++ b/internal/kvstore/list.go
@@ -36,7 +36,7 @@
 // for "". It retries a page after a transient error: a new leader that restarted the whole
 // list each time would never finish it while the store is slow.
 func (c *Client) readPage(ctx context.Context, prefix, after string) (wire.KeyValuePage, error) {
-	query := url.Values{"starts": {prefix}, "limit": {strconv.Itoa(tuning.PageSize)}}
+	query := url.Values{"starts": {prefix}, "limit": {strconv.Itoa(tuning.StorePageSize)}}
 	if after != "" {
 		query.Set("since", after)
 	}
--- a/internal/leader/admission.go
+++ b/internal/leader/admission.go
@@ -62,7 +62,7 @@
 }
 
 // shedding reports whether new jobs are rejected for overload.
-func (c *admissionControl) shedding() bool { return c.regulator != nil && c.regulator.Shedding() }
+func (c *admissionControl) shedding() bool { return c.regulator != nil && c.regulator.IsShedding() }
 
 // OverloadRejection returns the error for a job that admission control rejects.
 func OverloadRejection(d admission.Decision) *RejectedError {
@@ -75,13 +75,13 @@
 	if l.admission.regulator == nil {
 		return
 	}
-	wasShedding := l.admission.regulator.Shedding()
+	wasShedding := l.admission.regulator.IsShedding()
 	l.admission.regulator.Update(now, wall, admission.LeaderLoad{
 		PendingWrites: l.writes.Interactive.Len(),
 		SentWrites:    l.writes.Interactive.Dequeued(),
 		Lag:           lag,
 	}, nodes)
-	if shedding := l.admission.regulator.Shedding(); shedding != wasShedding {
+	if shedding := l.admission.regulator.IsShedding(); shedding != wasShedding {
 		s := l.admission.regulator.Summary()
 		l.log.Info().Bool("shedding", shedding).Float64("pressure", s.Pressure).Float64("offered", s.OfferedRate).
 			Float64("budget", s.Budget).Msg("admission control changed")
--- a/internal/leader/direct_calls.go
+++ b/internal/leader/direct_calls.go
@@ -102,9 +102,9 @@
 // DirectCallSockets returns the number of sockets available for direct calls.
 func DirectCallSockets(l config.ProcessLimits) int {
 	if l.MaxConnections <= 0 {
-		return tuning.DirectMaxCalls
+		return tuning.MaxDirectCalls
 	}
-	return max(1, int(float64(l.MaxConnections)*tuning.DirectSocketShare))
+	return max(1, int(float64(l.MaxConnections)*tuning.DirectCallSocketShare))
 }
 
 // DirectCallDone applies the outcome of a direct call, with the heartbeat in the agent's reply
@@ -123,7 +123,7 @@
 	m.EndCall()
 	l.directCalls.schedule(m)
 	if outcome != DirectReplied {
-		m.PauseCalls(now.Add(tuning.DirectBackoff))
+		m.PauseCalls(now.Add(tuning.DirectCallBackoff))
 		return
 	}
 	if r == nil || r.Machine != m.ID {
--- a/internal/leader/leases.go
+++ b/internal/leader/leases.go
@@ -32,6 +32,6 @@
 	}
 	m.ClearExited()
 	if len(m.Attempts()) > 0 && !m.ReleaseRequired() {
-		m.RequireRelease(now.Add(tuning.FencingDelay))
+		m.RequireRelease(now.Add(tuning.NewEpochFencingDelay))
 	}
 }
--- a/internal/leader/pass.go
+++ b/internal/leader/pass.go
@@ -40,7 +40,7 @@
 	l.passTimes.last = now
 	before := l.scoredPairs
 	l.placeReadyTasks(now)
-	l.passTimes.earliestNext = now.Add(tuning.PassInterval + time.Duration(l.scoredPairs-before)*tuning.PassDelayPerScoredPair)
+	l.passTimes.earliestNext = now.Add(tuning.PlacementInterval + time.Duration(l.scoredPairs-before)*tuning.PlacementDelayPerScoredPair)
 	l.consolidate(now)
 }
 
@@ -59,7 +59,7 @@
 	for _, j := range byID {
 		agedJobs[j] = j.PlacementWait(now) >= tuning.AgingThreshold
 	}
-	starts, work := placement.Run(l.placementTimeS(now), l.withAgedFirst(now, ready, byID), candidates, l.ledger.PlacementTeams(), tuning.PassMaxStarts)
+	starts, work := placement.Run(l.placementTimeS(now), l.withAgedFirst(now, ready, byID), candidates, l.ledger.PlacementTeams(), tuning.PlacementMaxStarts)
 	l.scoredPairs += work.ScoredPairs
 	for _, s := range starts {
 		j := byID[s.Job]
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -37,7 +37,7 @@
 		t.Fatalf("accepted %d jobs, started %d tasks", f.accepted, f.starts)
 	}
 	// A pass that reaches its limit still completes the current group of jobs.
-	if f.maxPassScores > 2*tuning.PassMaxScoredPairs {
+	if f.maxPassScores > 2*tuning.PlacementMaxScoredPairs {
 		t.Fatalf("one pass scored %d pairs", f.maxPassScores)
 	}
 	lateStarts := 0
@@ -150,7 +150,7 @@
 	n := f.Counts()
 	f.t.Logf("%d accepted, %d starts, %.2f changes and %d bytes per start, at most %d pairs per pass, %d cloud calls, %+v",
 		f.accepted, f.starts, float64(f.mutations)/float64(f.starts), f.bytes/f.starts, f.maxPassScores, f.cloudCalls, n)
-	if f.maxPassScores > 2*tuning.PassMaxScoredPairs {
+	if f.maxPassScores > 2*tuning.PlacementMaxScoredPairs {
 		f.t.Errorf("one pass scored %d pairs", f.maxPassScores)
 	}
 	if f.mutations > f.starts {
--- a/internal/leader/submission.go
+++ b/internal/leader/submission.go
@@ -53,7 +53,7 @@
 	if rejected := l.checkDependencies(spec); rejected != nil {
 		return rejected
 	}
-	if l.admission.unfinished+spec.Tasks > tuning.MaxActiveTasks || l.writes.Interactive.Len() >= l.maxInteractiveWrites() {
+	if l.admission.unfinished+spec.Tasks > tuning.MaxUnfinishedTasks || l.writes.Interactive.Len() >= l.maxInteractiveWrites() {
 		// The key-value store can't take more writes while users wait for a response: queueing
 		// them would only end in a timeout.
 		return &RejectedError{Status: http.StatusServiceUnavailable, Reason: "too much work queued"}
--- a/internal/leader/timing.go
+++ b/internal/leader/timing.go
@@ -21,7 +21,7 @@
 // the deadline for cancellations, with the same reserve as in GracePeriod. The start is void
 // once the session has ended, even if the machine can't be released.
 func lateStartLimit(w config.Workers) time.Duration {
-	return max(0, min(seconds.Duration(w.CancelDeadlineS)/tuning.FencingDivisor, seconds.Duration(w.CancelDeadlineS-w.LeaseS)-tuning.GracePeriodReserve))
+	return max(0, min(seconds.Duration(w.CancelDeadlineS)/tuning.LateStartFencingDivisor, seconds.Duration(w.CancelDeadlineS-w.LeaseS)-tuning.GracePeriodReserve))
 }
 
 // newTiming returns the timeouts that apply to machines in a term that begins now.
--- a/internal/machines/reachability.go
+++ b/internal/machines/reachability.go
@@ -71,7 +71,7 @@
 			delete(r.partitionedZones, zone)
 		}
 	}
-	r.isolated = rest.joined > 0 && rest.reachableShare() < tuning.ReachableShare
+	r.isolated = rest.joined > 0 && rest.reachableShare() < tuning.OtherZonesMinReachableShare
 }
 
 // heartbeatCount counts the machines that have joined and those of them that are unreachable.
@@ -87,7 +87,7 @@
 // isPartitioned reports whether a zone is probably partitioned, given the count of all zones.
 func (h *heartbeatCount) isPartitioned(all *heartbeatCount) bool {
 	others := heartbeatCount{joined: all.joined - h.joined, unreachable: all.unreachable - h.unreachable}
-	return h.unreachable >= tuning.PartitionedMachines && h.reachableShare() <= tuning.PartitionedShare && others.reachableShare() >= tuning.ReachableShare
+	return h.unreachable >= tuning.PartitionMinUnreachable && h.reachableShare() <= tuning.PartitionMaxReachableShare && others.reachableShare() >= tuning.OtherZonesMinReachableShare
 }
 
 // reachableShare returns the share of the joined machines that is reachable, 0 if none has
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -60,7 +60,7 @@
 // callWorker makes a direct call to a worker and passes its outcome to the leader's state.
 func (t *term) callWorker(ctx context.Context, call *leader.DirectCall) {
 	var heartbeat wire.Heartbeat
-	status, err := t.node.workerClients.Do(ctx, call.Addr, tuning.DirectTimeout, http.MethodPost, wire.PathCommands, call.Request, &heartbeat)
+	status, err := t.node.workerClients.Do(ctx, call.Addr, tuning.DirectCallTimeout, http.MethodPost, wire.PathCommands, call.Request, &heartbeat)
 	outcome := directOutcome(status, err)
 	t.node.mu.Lock()
 	t.state.DirectCallDone(time.Now(), call, outcome, &heartbeat)
--- a/internal/node/machines.go
+++ b/internal/node/machines.go
@@ -12,7 +12,7 @@
 // machineTypesLoop fetches the machine types that the cloud offers, at intervals.
 func (t *term) machineTypesLoop(ctx context.Context) error {
 	for {
-		delay := tuning.CatalogueInterval
+		delay := tuning.MachineTypesInterval
 		types, err := t.node.cloud.MachineTypes(ctx)
 		if err != nil {
 			delay = tuning.CloudRetryDelay
--- a/internal/node/summary.go
+++ b/internal/node/summary.go
@@ -10,7 +10,7 @@
 	if on && shares.Shedding {
 		event := t.node.log.Info().Float64("pressure", shares.Pressure).Float64("budget", shares.Budget).Float64("offered", shares.OfferedRate)
 		for _, s := range shares.ReducedShares {
-			event = event.Float64(s.Team+"/"+s.Class, s.Admit)
+			event = event.Float64(s.Team+"/"+s.Class, s.AdmitRatio)
 		}
 		event.Msg("admission control is shedding load")
 	}
--- a/internal/peer/line_reader.go
+++ b/internal/peer/line_reader.go
@@ -35,7 +35,7 @@
 // no data arrives within the timeout.
 func readLinesUntil(conn net.Conn, timeout time.Duration, handle func(*message) (done bool)) error {
 	scanner := bufio.NewScanner(idleTimeoutConn{Conn: conn, timeout: timeout})
-	scanner.Buffer(make([]byte, 0, tuning.PeerBuffer), tuning.PeerMaxLine)
+	scanner.Buffer(make([]byte, 0, tuning.PeerReadBufferBytes), tuning.PeerMaxLineBytes)
 	for scanner.Scan() {
 		var m message
 		if err := json.Unmarshal(scanner.Bytes(), &m); err != nil {
--- a/internal/peer/line_writer.go
+++ b/internal/peer/line_writer.go
@@ -52,7 +52,7 @@
 func (w *lineWriter) enqueue(line []byte) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.failure == nil && len(w.pending) > tuning.PeerMaxPending {
+	if w.failure == nil && len(w.pending) > tuning.PeerMaxPendingBytes {
 		w.failure = errTooManyPending
 		_ = w.conn.Close() // the connection is unusable, with or without an error
 	}
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -63,7 +63,7 @@
 		select {
 		case <-ctx.Done():
 		case <-l.heartbeatDue:
-		case <-time.After(tuning.HeartbeatInterval):
+		case <-time.After(tuning.PeerHeartbeatInterval):
 		}
 	}
 }
--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -88,7 +88,7 @@
 // its scores. Otherwise, with 2,000 full machines, each aged job would score all
 // of them without result and leave no scores for the jobs that fit.
 func (p *pass) busyCandidates(j *PendingJob, cached bool) []*Machine {
-	if p.startOnly || p.queuedTasks >= tuning.PassMaxQueuedTasks || p.stats.ScoredPairs >= tuning.PassMaxScoredPairs/2 {
+	if p.startOnly || p.queuedTasks >= tuning.PlacementMaxQueuedTasks || p.stats.ScoredPairs >= tuning.PlacementMaxScoredPairs/2 {
 		return nil
 	}
 	switch {
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -132,7 +132,7 @@
 // end.
 func (p *pass) placeGroup(jobs, later []*PendingJob) bool {
 	for {
-		if len(p.starts) >= p.maxStarts || p.stats.ScoredPairs > 2*tuning.PassMaxScoredPairs {
+		if len(p.starts) >= p.maxStarts || p.stats.ScoredPairs > 2*tuning.PlacementMaxScoredPairs {
 			return false
 		}
 		next, best := p.bestPair(jobs)
@@ -143,7 +143,7 @@
 			// As in the paper, a task is queued only while some machine can start a
 			// task of the same priority. Otherwise the pass would compute a static
 			// schedule. Aged jobs are exempt.
-			if p.queuedTasks >= tuning.PassMaxQueuedTasks {
+			if p.queuedTasks >= tuning.PlacementMaxQueuedTasks {
 				return true
 			}
 			if next.AgedS == 0 && !p.anyJobFitsNow(jobs, later) {
@@ -166,7 +166,7 @@
 			j.unplaceable = true
 			continue
 		}
-		if !j.scored && p.stats.ScoredPairs > tuning.PassMaxScoredPairs {
+		if !j.scored && p.stats.ScoredPairs > tuning.PlacementMaxScoredPairs {
 			// The jobs scored so far are placed first. A pass that spent all its
 			// scores before it started a task would start none, and so would
 			// every following pass.
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -84,7 +84,7 @@
 		if fmt.Sprint(got) != "[{small free} {small free}]" {
 			t.Errorf("aged jobs of %d tasks: started %v", tasks, got)
 		}
-		if stats.ScoredPairs > tuning.PassMaxScoredPairs {
+		if stats.ScoredPairs > tuning.PlacementMaxScoredPairs {
 			t.Errorf("aged jobs of %d tasks: %d pairs scored", tasks, stats.ScoredPairs)
 		}
 	}
@@ -102,7 +102,7 @@
 		ready = append(ready, newJob(fmt.Sprintf("j%03d", i), 0, 5))
 	}
 	got, stats := placement.Run(0, ready, machines, unlimited(), 200)
-	if len(got) == 0 || !stats.Truncated || stats.ScoredPairs > 2*tuning.PassMaxScoredPairs {
+	if len(got) == 0 || !stats.Truncated || stats.ScoredPairs > 2*tuning.PlacementMaxScoredPairs {
 		t.Errorf("%d starts, stats %+v", len(got), stats)
 	}
 }
@@ -242,7 +242,7 @@
 		ready = append(ready, j)
 	}
 	starts, stats := placement.Run(0, ready, vms, unlimited(), 1000)
-	if !stats.Truncated || stats.ScoredPairs > tuning.PassMaxScoredPairs+2*machines {
+	if !stats.Truncated || stats.ScoredPairs > tuning.PlacementMaxScoredPairs+2*machines {
 		t.Errorf("stats %+v", stats)
 	}
 	if len(starts) == 0 || starts[0].Job != "j000" {
--- a/internal/scaling/history.go
+++ b/internal/scaling/history.go
@@ -32,13 +32,13 @@
 
 // AddInflow adds work that arrived at the given time, in CPU seconds, to the inflow.
 func (h *DemandHistory) AddInflow(now, arrivedAt time.Time, cpuSeconds float64) {
-	rate := cpuSeconds / tuning.InflowDecay.Seconds()
-	h.inflow, h.inflowAt = h.InflowCPUs(now)+rate*decayFactor(now.Sub(arrivedAt), tuning.InflowDecay), now
+	rate := cpuSeconds / tuning.ArrivalRateDecay.Seconds()
+	h.inflow, h.inflowAt = h.InflowCPUs(now)+rate*decayFactor(now.Sub(arrivedAt), tuning.ArrivalRateDecay), now
 }
 
 // InflowCPUs returns the number of CPUs that jobs arriving at the recent rate keep busy.
 func (h *DemandHistory) InflowCPUs(now time.Time) float64 {
-	return h.inflow * decayFactor(now.Sub(h.inflowAt), tuning.InflowDecay)
+	return h.inflow * decayFactor(now.Sub(h.inflowAt), tuning.ArrivalRateDecay)
 }
 
 // decayFactor returns the remaining weight of a smoothed value of the given age.
--- a/internal/scaling/scale_in.go
+++ b/internal/scaling/scale_in.go
@@ -15,7 +15,7 @@
 // names lists the most urgent machines first; those beyond the limit of calls in flight are
 // left for a later call.
 func (s *Scaler) ScaleIn(names []string) []CloudCall {
-	limit := tuning.MaxReleaseCount * max(1, int(s.config.CloudRPS*tuning.CloudCallShare*tuning.ReleasesInFlight))
+	limit := tuning.MaxReleaseCount * max(1, int(s.config.CloudRPS*tuning.CloudCallShare*tuning.MaxReleasesInFlightS))
 	var releasing []string
 	for _, name := range names {
 		if m := s.cluster.Machines.Get(name); m != nil && !m.IsReleasing() && len(releasing) < limit {
--- a/internal/scaling/scale_out.go
+++ b/internal/scaling/scale_out.go
@@ -15,7 +15,7 @@
 // ScaleOut returns the provision calls for the wanted machines, up to the limit of calls in
 // flight.
 func (s *Scaler) ScaleOut(now time.Time, wanted map[autoscale.Offer]int) []CloudCall {
-	limit := max(1, int(s.config.CloudRPS*tuning.CloudCallShare*tuning.ProvisionsInFlight))
+	limit := max(1, int(s.config.CloudRPS*tuning.CloudCallShare*tuning.MaxProvisionsInFlightS))
 	var calls []CloudCall
 	for _, o := range slices.SortedFunc(maps.Keys(wanted), compareOffers) {
 		if len(s.pending) >= limit {
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -151,8 +151,8 @@
 		t.Errorf("%v after one decay time, want %v", later, want)
 	}
 	h.AddInflow(start, start, 60)
-	initial, decayed := h.InflowCPUs(start), h.InflowCPUs(start.Add(tuning.InflowDecay))
-	if want := 60 / tuning.InflowDecay.Seconds(); math.Abs(initial-want) > 1e-9 || math.Abs(decayed-want/math.E) > 1e-9 {
+	initial, decayed := h.InflowCPUs(start), h.InflowCPUs(start.Add(tuning.ArrivalRateDecay))
+	if want := 60 / tuning.ArrivalRateDecay.Seconds(); math.Abs(initial-want) > 1e-9 || math.Abs(decayed-want/math.E) > 1e-9 {
 		t.Errorf("inflow %v, then %v, want %v at first", initial, decayed, want)
 	}
 }
--- a/internal/simulation/agent_calls.go
+++ b/internal/simulation/agent_calls.go
@@ -24,7 +24,7 @@
 	c := &agentCall{n, l, call, sim.fleet.agents[call.Machine]}
 	switch {
 	case c.agent == nil:
-		c.reportOutcome(tuning.DirectTimeout, leader.DirectNotDelivered, nil)
+		c.reportOutcome(tuning.DirectCallTimeout, leader.DirectNotDelivered, nil)
 	case !c.agent.reachableFrom(n.zone) || sim.faultsAllowed() && sim.chance(0.05):
 		c.timeOut()
 	default:
@@ -36,7 +36,7 @@
 func (c *agentCall) timeOut() {
 	sim := c.node.sim
 	if sim.chance(0.3) {
-		c.reportOutcome(tuning.DirectTimeout, leader.DirectNotDelivered, nil)
+		c.reportOutcome(tuning.DirectCallTimeout, leader.DirectNotDelivered, nil)
 		return
 	}
 	sim.after(c.agent.timeUntilReachable()+sim.between(0, 60_000), func() {
@@ -45,7 +45,7 @@
 			c.deliver(c.agent)
 		}
 	})
-	c.reportOutcome(tuning.DirectTimeout, leader.DirectUnknown, nil)
+	c.reportOutcome(tuning.DirectCallTimeout, leader.DirectUnknown, nil)
 }
 
 // execute delivers the call to the machine's current agent and returns its heartbeat to the leader.
@@ -53,7 +53,7 @@
 	sim := c.node.sim
 	a := sim.fleet.agents[c.call.Machine]
 	if a == nil {
-		c.reportOutcome(tuning.DirectTimeout, leader.DirectUnknown, nil)
+		c.reportOutcome(tuning.DirectCallTimeout, leader.DirectUnknown, nil)
 		return
 	}
 	heartbeat := c.deliver(a)
--- a/internal/simulation/node_admission.go
+++ b/internal/simulation/node_admission.go
@@ -116,7 +116,7 @@
 			}
 		}
 	}
-	sim.after(tuning.HeartbeatInterval, sim.ExchangeNodeHeartbeats)
+	sim.after(tuning.PeerHeartbeatInterval, sim.ExchangeNodeHeartbeats)
 }
 
 // sendHeartbeat sends the node's offered load and, if it leads, its policy to another node.
--- a/internal/tuning/admission.go
+++ b/internal/tuning/admission.go
@@ -76,10 +76,10 @@
 	// AdmissionDependentWait is the minimum wait that a job is credited with if its
 	// dependencies are accepted: new jobs must not starve the rest of a chain.
 	AdmissionDependentWait = 30 * time.Second
-	// AdmissionRetryMinS and AdmissionRetryMaxS bound the time over which retries are
+	// AdmissionRetrySpreadMinS and AdmissionRetryMaxS bound the time over which retries are
 	// spread, in seconds: several retries fit into AdmissionRetryWindow.
-	AdmissionRetryMinS = 2.0
-	AdmissionRetryMaxS = 9
+	AdmissionRetrySpreadMinS = 2.0
+	AdmissionRetrySpreadMaxS = 9
 	// AdmissionMaxTrackedJobs bounds the job IDs in each of a node's two tables, at
 	// about 150 bytes each: the rejections of a minute at some 300 per second.
 	AdmissionMaxTrackedJobs = 20_000
--- a/internal/tuning/autoscale.go
+++ b/internal/tuning/autoscale.go
@@ -20,9 +20,9 @@
 	// are unreliable.
 	StartWithinMin = 20 * time.Second
 	StartWithinMax = 150 * time.Second
-	// InflowDecay is the time constant of the smoothed rate of new work: it covers
+	// ArrivalRateDecay is the time constant of the smoothed rate of new work: it covers
 	// some dozen jobs of each class, and about two boots.
-	InflowDecay = 75 * time.Second
+	ArrivalRateDecay = 75 * time.Second
 	// DemandDecay is the time constant of the smoothed demand, which keeps machines
 	// from being released during short dips in demand.
 	DemandDecay = 20 * time.Second
--- a/internal/tuning/cloud.go
+++ b/internal/tuning/cloud.go
@@ -17,8 +17,8 @@
 	UrgentListIntervalFactor = 0.25
 	// ListIntervalMin is the shortest interval between lists.
 	ListIntervalMin = 2 * time.Second
-	// CatalogueInterval is the interval between price updates.
-	CatalogueInterval = 60 * time.Second
+	// MachineTypesInterval is the interval between price updates.
+	MachineTypesInterval = 60 * time.Second
 	// UnavailableOfferingBackoff is how long an offering that had no capacity is not
 	// requested again; each refusal costs one call.
 	UnavailableOfferingBackoff = 6 * time.Second
@@ -28,13 +28,13 @@
 	MaxProvisionCount = 50
 	// MaxReleaseCount bounds the number of machines in a release call (protocol: 100).
 	MaxReleaseCount = 100
-	// ProvisionsInFlight bounds the provision calls in flight, in seconds of the
+	// MaxProvisionsInFlightS bounds the provision calls in flight, in seconds of the
 	// leader's call budget: more would delay lists and releases.
-	ProvisionsInFlight = 3.0
-	// ReleasesInFlight bounds the release calls in flight, in the same unit. One call
+	MaxProvisionsInFlightS = 3.0
+	// MaxReleasesInFlightS bounds the release calls in flight, in the same unit. One call
 	// usually covers all machines to release, but when a zone with several hundred
 	// machines is abandoned, their tasks wait until the machines are released.
-	ReleasesInFlight = 0.5
+	MaxReleasesInFlightS = 0.5
 	// MinimumBillingTime is the shortest time that the cloud bills for a machine:
 	// releasing it earlier saves nothing.
 	MinimumBillingTime = 60 * time.Second
--- a/internal/tuning/kvstore.go
+++ b/internal/tuning/kvstore.go
@@ -26,8 +26,8 @@
 	// StoreWriteShare is the share of the write limit that the leader uses; the
 	// rest is left for campaigns and a predecessor's last writes.
 	StoreWriteShare = 0.85
-	// PageSize is the number of keys in a page (protocol: at most 1,000).
-	PageSize = 1000
+	// StorePageSize is the number of keys in a page (protocol: at most 1,000).
+	StorePageSize = 1000
 )
 
 // Batching of writes into transactions.
--- a/internal/tuning/peers.go
+++ b/internal/tuning/peers.go
@@ -4,8 +4,8 @@
 
 // Links between nodes.
 const (
-	// HeartbeatInterval is the interval between heartbeats from node to node.
-	HeartbeatInterval = 400 * time.Millisecond
+	// PeerHeartbeatInterval is the interval between heartbeats from node to node.
+	PeerHeartbeatInterval = 400 * time.Millisecond
 	// PeerTimeout is the time without heartbeats after which a peer is unreachable.
 	PeerTimeout = 1500 * time.Millisecond
 	// PeerRedialDelay is the delay between dials.
@@ -16,14 +16,14 @@
 	// in flight, and right after a failover all of some thousand workers may send
 	// theirs through one follower. That node's socket limit is the effective bound.
 	PeerMaxCalls = 8192
-	// PeerMaxLine bounds a line between nodes, in bytes: a request or response body
+	// PeerMaxLineBytes bounds a line between nodes, in bytes: a request or response body
 	// with its envelope.
-	PeerMaxLine = 160 << 10
-	// PeerBuffer is the size of a link's read buffer. PeerMaxPending bounds the data
+	PeerMaxLineBytes = 160 << 10
+	// PeerReadBufferBytes is the size of a link's read buffer. PeerMaxPending bounds the data
 	// queued to be written: one heartbeat from each of some thousand machines with a
 	// dozen tasks each. Both are in bytes.
-	PeerBuffer     = 32 << 10
-	PeerMaxPending = 16 << 20
+	PeerReadBufferBytes = 32 << 10
+	PeerMaxPendingBytes = 16 << 20
 	// PeerFlushDelay is how long lines accumulate between two writes on a link.
 	PeerFlushDelay = 2 * time.Millisecond
 )
--- a/internal/tuning/placement.go
+++ b/internal/tuning/placement.go
@@ -4,31 +4,31 @@
 
 // The leader's event loop, and bounds on the cost of placement passes.
 const (
-	// PassInterval is the pause between two placement passes, during which changes
+	// PlacementInterval is the pause between two placement passes, during which changes
 	// accumulate: a pass visits every schedulable machine, and its starts share one
 	// record.
-	PassInterval = 80 * time.Millisecond
+	PlacementInterval = 80 * time.Millisecond
 	// TickInterval is the longest pause between two ticks of the event loop.
 	TickInterval = 200 * time.Millisecond
 	// TickIntervalMin is the shortest such pause.
 	TickIntervalMin = 20 * time.Millisecond
 	// SummaryInterval is the interval between summaries in the log.
 	SummaryInterval = 5 * time.Second
-	// PassMaxStarts bounds the starts of one pass, as the controller has only a share
+	// PlacementMaxStarts bounds the starts of one pass, as the controller has only a share
 	// of a core. The next pass starts the rest.
-	PassMaxStarts = 200
-	// PassMaxScoredPairs bounds the scored pairs of job and machine: beyond it a pass
+	PlacementMaxStarts = 200
+	// PlacementMaxScoredPairs bounds the scored pairs of job and machine: beyond it a pass
 	// begins no further job, and at twice the number it ends. That is some milliseconds
 	// of work, after which the leader handles lease renewals and responses.
-	PassMaxScoredPairs = 20_000
-	// PassDelayPerScoredPair is the pause before the next pass for each scored pair.
+	PlacementMaxScoredPairs = 20_000
+	// PlacementDelayPerScoredPair is the pause before the next pass for each scored pair.
 	// Scoring a pair takes about one microsecond on a whole core of the operators'
 	// machines, and four on a controller's share of a core. Passes thus use at most
 	// half of that share.
-	PassDelayPerScoredPair = 4 * time.Microsecond
-	// PassMaxQueuedTasks bounds the tasks that a pass queues on busy machines; with
+	PlacementDelayPerScoredPair = 4 * time.Microsecond
+	// PlacementMaxQueuedTasks bounds the tasks that a pass queues on busy machines; with
 	// more, the next pass would repeat the same work.
-	PassMaxQueuedTasks = 128
+	PlacementMaxQueuedTasks = 128
 	// MaxTasksPerMachine bounds the running and queued tasks of a machine, so that its
 	// part of a start record stays far below the value limit.
 	MaxTasksPerMachine = 128
@@ -54,10 +54,10 @@
 	// of new jobs that can't meet theirs. The slack shrinks with age: these jobs follow
 	// most jobs that can meet their deadline, but don't wait forever.
 	NoDeadlineSlackS = 400.0
-	// StageDelay is the overhead of each stage in a chain of dependent jobs, on top of
+	// DependentStartDelay is the overhead of each stage in a chain of dependent jobs, on top of
 	// run time and image fetch: the last heartbeat, the write of its record, the
 	// placement, and the next heartbeat.
-	StageDelay = 3 * time.Second
+	DependentStartDelay = 3 * time.Second
 )
 
 // Estimates of run times.
--- a/internal/tuning/requests.go
+++ b/internal/tuning/requests.go
@@ -11,11 +11,11 @@
 	QueryTimeout = 1500 * time.Millisecond
 	// HeartbeatForwardTimeout bounds a forwarded heartbeat (workers give up after 4 s).
 	HeartbeatForwardTimeout = 2500 * time.Millisecond
-	// RetryAfterS is the shortest Retry-After of refused requests, in seconds.
-	RetryAfterS = 1
-	// MaxActiveTasks bounds the unfinished tasks in memory (a few bytes each); beyond
+	// MinRetryAfterS is the shortest Retry-After of refused requests, in seconds.
+	MinRetryAfterS = 1
+	// MaxUnfinishedTasks bounds the unfinished tasks in memory (a few bytes each); beyond
 	// it, submissions are rejected with 429.
-	MaxActiveTasks = 2_000_000
+	MaxUnfinishedTasks = 2_000_000
 )
 
 // Connections of users and workers.
