--- a/internal/admission/admit.go
+++ b/internal/admission/admit.go
@@ -9,8 +9,9 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Admit decides whether a new job is admitted. claim is the report of the node that
-// received it, nil from nodes without admission control.
+// Admit decides whether a new job is admitted. claim comes from the node that received
+// the submission; it is nil if that node has no admission control. tasks are the
+// unfinished tasks before the job is admitted.
 func (r *Regulator) Admit(now time.Time, request *Request, claim *Claim, tasks TaskLoad) Decision {
 	if claim == nil {
 		countRequest(r.unclaimed, request)
@@ -36,13 +37,14 @@
 }
 
 // appliedRecentPolicy reports whether the node that received the job has applied a
-// recent policy. Applying another revision to it as well would shed the load twice.
+// recent policy to it. If the leader then applied another revision as well, too many jobs
+// would be rejected.
 func (r *Regulator) appliedRecentPolicy(claim *Claim) bool {
 	return claim != nil && claim.Revision > 0 && claim.Revision+tuning.AdmissionMaxRevisionLag >= r.policy.Revision
 }
 
-// limiterFor returns the limiter of a key. A key without one gets a new limiter with
-// the share of a team of weight 1.
+// limiterFor returns the rate limiter of a key. A key without one had no submissions when
+// the budget was divided; it gets a new limiter with the rate of a team of weight 1.
 func (r *Regulator) limiterFor(now time.Time, k Key) *rate.Limiter {
 	limiter := r.limiters[k]
 	if limiter == nil {
@@ -52,9 +54,10 @@
 	return limiter
 }
 
-// hasTaskCapacity reports whether the unfinished tasks leave room for those of the
-// request. Part of MaxActiveTasks is reserved for teams that use less than their
-// share: a few huge jobs of one team must not block the others.
+// hasTaskCapacity reports whether the tasks of the request can be added to the unfinished
+// tasks. While the reserved part of MaxUnfinishedTasks is in use, a team may add tasks
+// only up to its part by weight. Otherwise a few huge jobs of one team could block the
+// others.
 func (r *Regulator) hasTaskCapacity(request *Request, tasks TaskLoad) bool {
 	if float64(tasks.Total+request.Tasks) <= tuning.MaxUnfinishedTasks*(1-tuning.AdmissionTaskReserveShare) {
 		return true
@@ -68,8 +71,9 @@
 	return float64(tasks.Team+request.Tasks) <= tuning.MaxUnfinishedTasks*weight/r.teamWeightSum
 }
 
-// configureLimiter sets the limiter's rate, or returns a new limiter if it is nil. The
-// limiter bounds the admitted jobs of a key, however many the followers forward.
+// configureLimiter sets the rate of a limiter and returns it; if limiter is nil, it returns
+// a new one. The limiter bounds the admitted jobs of a key, even if the followers forward
+// more.
 func configureLimiter(now time.Time, limiter *rate.Limiter, perSecond float64) *rate.Limiter {
 	burst := max(1, int(math.Ceil(perSecond*tuning.AdmissionBurstTime.Seconds())))
 	if limiter == nil {
--- a/internal/admission/budget.go
+++ b/internal/admission/budget.go
@@ -9,14 +9,16 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// adjustBudget increases the budget slowly without pressure and decreases it quickly
-// under pressure, like the congestion window of TCP. It also starts and ends shedding.
+// adjustBudget starts and ends load shedding. During shedding it increases the budget
+// slowly if the load is within its targets, and decreases it quickly otherwise, like the
+// congestion window of TCP.
 func (r *Regulator) adjustBudget(now time.Time, elapsed time.Duration) {
 	admitted := float64(r.admitted) / max(elapsed.Seconds(), tuning.AdmissionInterval.Seconds())
 	r.admitted = 0
 	switch {
 	case !r.shedding:
-		// A single high value may be due to a suspended process or a short burst.
+		// The pressure must be high in two updates: a single high value may be due to a
+		// suspended process or a short burst.
 		if min(r.pressure, r.previousPressure) < tuning.AdmissionShedPressure {
 			return
 		}
@@ -38,6 +40,7 @@
 }
 
 // divideBudget divides the budget among teams, and each team's budget among its classes.
+// It sets the policy's shares and the rate limiters accordingly.
 func (r *Regulator) divideBudget(now time.Time) {
 	claimants := make([]claimant, len(r.settings.Teams))
 	for i, t := range r.settings.Teams {
@@ -55,8 +58,8 @@
 	}
 }
 
-// divideTeamBudget divides a team's budget among its classes: a floor for each, and
-// the rest by the weights of classes and priorities.
+// divideTeamBudget divides a team's budget among its classes that have submissions: each
+// gets a floor, and the rest is divided by the weights of classes and priorities.
 func (r *Regulator) divideTeamBudget(now time.Time, team *Team, teamBudget float64, oldLimiters map[Key]*rate.Limiter) {
 	var keys []Key
 	for _, name := range append(slices.Clip(r.settings.Classes), OtherClass) {
@@ -77,8 +80,8 @@
 	}
 }
 
-// classClaimant returns the claimant for a class in the division of its team's budget
-// among classCount classes.
+// classClaimant returns the claimant that stands for class k when its team's budget is
+// divided among classCount classes.
 func (r *Regulator) classClaimant(team *Team, k Key, teamBudget float64, classCount int) claimant {
 	d := r.demands[k]
 	weight, floor := 1.0, tuning.AdmissionClassFloorShare/float64(classCount)
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -9,30 +9,30 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Gate is a node's part in admission control, across terms. It counts the submissions
-// that the node receives, records the jobs that it has rejected with the time of the
-// first rejection, and applies the leader's policy.
+// Gate is a node's part in admission control. It counts the submissions that the node
+// receives, records which jobs were rejected and when first, and applies the leader's
+// policy. It exists as long as the process, through changes of the leader.
 type Gate struct {
 	settings      *Settings
 	policy        Policy
-	expires       time.Time
-	started       uint64
+	policyExpires time.Time
+	incarnation   uint64
 	offered       map[Key]*OfferedLoad
 	histories     map[string]*jobHistory
 	leaderQueries *rate.Limiter
 }
 
-// jobHistory has the rejected and admitted jobs of one team. Each team has tables of
-// its own, so that a flood of IDs evicts only entries of the same team.
+// jobHistory has the rejected and admitted jobs of one team. Each team has its own tables:
+// a flood of job IDs then evicts only entries of the same team.
 type jobHistory struct {
 	// rejected has jobs that may be retried, with the time of their first rejection.
 	rejected *simplelru.LRU[string, time.Time]
-	// admitted has jobs that were forwarded and may have been accepted: they must not
-	// be rejected as new jobs.
+	// admitted has jobs that were forwarded to the leader, which may have accepted them.
+	// They must not be rejected as new jobs.
 	admitted *simplelru.LRU[string, struct{}]
 }
 
-// OfferedLoad counts the submissions of a key since the node started.
+// OfferedLoad counts the submissions of a key since the node started, retries included.
 type OfferedLoad struct {
 	Key
 	Count int64 `json:"count"`
@@ -42,7 +42,7 @@
 	PriorityWeightSum float64 `json:"weight"`
 }
 
-// NodeOfferedLoad is the offered load of a node. Started identifies the process; the
+// NodeOfferedLoad is the offered load of a node. Incarnation identifies the process. The
 // counts never decrease while it stays the same.
 type NodeOfferedLoad struct {
 	Node        string        `json:"node"`
@@ -50,8 +50,8 @@
 	Loads       []OfferedLoad `json:"offers,omitempty"`
 }
 
-// olderThan reports whether the counts are older than others of the same process,
-// because their message was delayed.
+// olderThan reports whether n and other come from the same process, and n was counted
+// earlier. Messages with counts may be delayed.
 func (n *NodeOfferedLoad) olderThan(other *NodeOfferedLoad) bool {
 	return n.Incarnation == other.Incarnation && n.total() < other.total()
 }
@@ -63,44 +63,45 @@
 	return count
 }
 
-// NewGate returns the gate of a node. started distinguishes its counts from those of
-// earlier processes.
-func NewGate(s *Settings, started uint64) *Gate {
+// NewGate returns the gate of a node. incarnation distinguishes its counts from those of
+// the node's earlier processes.
+func NewGate(s *Settings, incarnation uint64) *Gate {
 	g := &Gate{
-		settings: s, started: started, offered: map[Key]*OfferedLoad{}, histories: map[string]*jobHistory{},
+		settings: s, incarnation: incarnation, offered: map[Key]*OfferedLoad{}, histories: map[string]*jobHistory{},
 		leaderQueries: rate.NewLimiter(tuning.AdmissionLeaderQueriesPerSecond, tuning.AdmissionLeaderQueriesPerSecond),
 	}
-	size := max(tuning.AdmissionMaxTrackedJobs/max(len(s.Teams), 1), 1)
+	jobsPerTable := max(tuning.AdmissionMaxTrackedJobs/max(len(s.Teams), 1), 1)
 	for _, t := range s.Teams {
-		rejected, _ := simplelru.NewLRU[string, time.Time](size, nil) // the only error is a size below one
-		admitted, _ := simplelru.NewLRU[string, struct{}](size, nil)  // the same
+		rejected, _ := simplelru.NewLRU[string, time.Time](jobsPerTable, nil) // the only error is a size below one
+		admitted, _ := simplelru.NewLRU[string, struct{}](jobsPerTable, nil)  // the same
 		g.histories[t.Name] = &jobHistory{rejected: rejected, admitted: admitted}
 	}
 	return g
 }
 
-// ApplyPolicy replaces the current policy by a newer one. It ignores any other: a
-// delayed copy must not extend the time for which a policy is applied.
+// ApplyPolicy replaces the current policy if p is newer. It ignores older policies and
+// copies of the current one: a delayed copy must not extend the time for which a policy is
+// applied.
 func (g *Gate) ApplyPolicy(now time.Time, p Policy) {
 	if p.newerThan(&g.policy) {
 		g.policy = p
-		g.expires = now.Add(min(p.ttl(), tuning.AdmissionPolicyTTL))
+		g.policyExpires = now.Add(min(p.ttl(), tuning.AdmissionPolicyTTL))
 	}
 }
 
-// RecordArrival counts a submission and sets how long it has waited. It returns
-// false if the job may have been accepted already or its team is unknown: only the
-// leader can decide on such a job.
+// RecordArrival counts a submission and sets r.Waited. It returns false, and does neither,
+// if the job may have been accepted already or its team is unknown: only the leader can
+// decide on such a job.
 func (g *Gate) RecordArrival(now time.Time, r *Request) bool {
 	h := g.histories[r.Key.Team]
 	if h == nil || h.admitted.Contains(r.ID) {
 		return false
 	}
-	if since, ok := h.rejected.Peek(r.ID); ok {
-		if now.Sub(since) < tuning.AdmissionRetryWindow {
-			r.Waited = now.Sub(since)
+	if firstRejectedAt, ok := h.rejected.Peek(r.ID); ok {
+		if now.Sub(firstRejectedAt) < tuning.AdmissionRetryWindow {
+			r.Waited = now.Sub(firstRejectedAt)
 		} else {
-			// The user's retries have ended since: this is a new submission.
+			// The user no longer retries the earlier submission: this is a new one.
 			h.rejected.Remove(r.ID)
 		}
 	}
@@ -108,24 +109,25 @@
 	return true
 }
 
-// Decide applies the current policy. Without one, or with an expired one, it admits
-// every job, so that the leader decides. The revision is that of the applied policy,
-// 0 for none.
+// Decide applies the current policy to a job, and returns the policy's revision. If there
+// is no policy, or it has expired, Decide admits the job, which leaves the decision to the
+// leader, and returns revision 0.
 func (g *Gate) Decide(now time.Time, r *Request) (d Decision, revision uint64) {
-	if !now.Before(g.expires) {
+	if !now.Before(g.policyExpires) {
 		return Decision{Admitted: true}, 0
 	}
 	return g.policy.Decide(r), g.policy.Revision
 }
 
-// MayQueryLeader reports whether the node may query the leader about a job that was
-// rejected before and may have been accepted through another node since. The rate of
-// queries is limited.
+// MayQueryLeader reports whether the node may query the leader about a job before it rejects
+// the job. It may only do so for a job that was rejected before, because the job may have
+// been accepted through another node since, and only if the limit on the rate of such
+// queries allows it. Each true result counts as a query.
 func (g *Gate) MayQueryLeader(now time.Time, r *Request) bool {
 	return r.Waited > 0 && g.leaderQueries.AllowN(now, 1)
 }
 
-// RecordAdmitted records that a job is forwarded to the leader.
+// RecordAdmitted records that a job is about to be forwarded to the leader.
 func (g *Gate) RecordAdmitted(r *Request) {
 	if h := g.histories[r.Key.Team]; h != nil {
 		h.admitted.Add(r.ID, struct{}{})
@@ -146,7 +148,7 @@
 
 // OfferedLoad returns the counts of submissions so far.
 func (g *Gate) OfferedLoad(node string) NodeOfferedLoad {
-	n := NodeOfferedLoad{Node: node, Incarnation: g.started}
+	n := NodeOfferedLoad{Node: node, Incarnation: g.incarnation}
 	for _, o := range g.offered {
 		n.Loads = append(n.Loads, *o)
 	}
--- a/internal/admission/load.go
+++ b/internal/admission/load.go
@@ -9,26 +9,29 @@
 
 // LeaderLoad is the current load of a leader.
 type LeaderLoad struct {
-	// PendingWrites is the number of pending writes that users wait for.
+	// PendingWrites is the number of queued writes that users wait for.
 	PendingWrites int
-	// SentWrites is the number of such writes sent to the key-value store in this term.
+	// SentWrites is the number of writes that users wait for and that the leader has sent
+	// to the key-value store in this term.
 	SentWrites int64
-	// Lag is the delay of the leader's periodic work due to lack of CPU time.
+	// Lag is how late the leader's periodic work runs for lack of CPU time.
 	Lag time.Duration
 }
 
-// TaskLoad has the numbers of unfinished tasks of all teams and of the submitting team.
+// TaskLoad has the number of unfinished tasks of all teams (Total) and of the team that
+// submits a job (Team).
 type TaskLoad struct {
 	Total, Team int
 }
 
-// demand has the smoothed rates of submissions under a key, per second: unweighted,
-// weighted by aging factor, and weighted by priority.
+// demand has the smoothed rates of submissions under a key, per second: unweighted (rate),
+// weighted by aging factor (agedRate), and weighted by priority (weightedRate).
 type demand struct {
 	rate, agedRate, weightedRate float64
 }
 
-// measureDemand adds the submissions since the last update to the smoothed rates.
+// measureDemand lets the smoothed rates decay over the elapsed time and adds the submissions
+// since the last update to them. nodes has the counts that the nodes last reported.
 func (r *Regulator) measureDemand(elapsed time.Duration, nodes []NodeOfferedLoad) {
 	decay := math.Exp(-elapsed.Seconds() / tuning.AdmissionOfferedLoadDecay.Seconds())
 	for k, d := range r.demands {
@@ -57,8 +60,8 @@
 	r.previousUnclaimed = unclaimed
 }
 
-// addDemand adds the difference between two counts of a node. After a restart in
-// between, the node counts from zero.
+// addDemand adds the submissions between two reports of a node to the smoothed rates. If the
+// node restarted in between, it has counted from zero again.
 func (r *Regulator) addDemand(earlier, later NodeOfferedLoad) {
 	before := map[Key]OfferedLoad{}
 	if earlier.Incarnation == later.Incarnation {
@@ -83,14 +86,15 @@
 	}
 }
 
-// measurePressure sets the pressure, the ratio of the load to its target: above 1 the
-// leader is overloaded.
+// measurePressure sets the pressure, which is the larger of two ratios: the expected delay of
+// writes to AdmissionTargetDelay, and the lag to AdmissionTargetLag. Above 1 the leader is
+// overloaded.
 func (r *Regulator) measurePressure(elapsed time.Duration, load LeaderLoad) {
 	if sent := load.SentWrites - r.sentWrites; load.PendingWrites > 0 && sent > 0 && elapsed > 0 {
 		// The write rate shows the capacity of the key-value store only while writes
-		// are queued, and not during an outage.
-		drained := float64(sent) / elapsed.Seconds()
-		r.writeCapacity += (min(drained, r.settings.WritesPerSecond) - r.writeCapacity) * tuning.AdmissionCapacityWeight
+		// are queued. It does not show it during an outage, when no write is sent.
+		writeRate := float64(sent) / elapsed.Seconds()
+		r.writeCapacity += (min(writeRate, r.settings.WritesPerSecond) - r.writeCapacity) * tuning.AdmissionCapacityWeight
 	}
 	r.sentWrites = load.SentWrites
 	r.previousPressure = r.pressure
@@ -98,7 +102,7 @@
 	r.pressure = max(delay/tuning.AdmissionTargetDelay.Seconds(), load.Lag.Seconds()/tuning.AdmissionTargetLag.Seconds())
 }
 
-// offeredRate returns the rate of submissions of all keys, per second.
+// offeredRate returns the smoothed rate of all submissions, per second.
 func (r *Regulator) offeredRate() float64 {
 	total := 0.0
 	for _, d := range r.demands {
--- a/internal/admission/policy.go
+++ b/internal/admission/policy.go
@@ -8,20 +8,21 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Policy has the share of submissions that is admitted for each key. The leader
+// Policy has, for each key, the share of submissions that are admitted. The leader
 // publishes it to every node.
 type Policy struct {
 	Term uint64 `json:"term"`
-	// Revision increases with every policy. It follows the Unix time in seconds, so
-	// that it keeps increasing when the leader changes.
+	// Revision increases with every policy. It is at least the Unix time in seconds, and
+	// thus also increases from one leader to the next.
 	Revision uint64 `json:"revision"`
-	// TTLMS is how long a node may apply the policy after it first received it.
+	// TTLMS is how long a node may apply the policy after it first received the policy, in
+	// milliseconds.
 	TTLMS int64 `json:"lifeMs"`
-	// Shares has the keys of which not all submissions are admitted.
+	// Shares has the keys whose submissions are not all admitted.
 	Shares []Share `json:"shares,omitempty"`
 }
 
-// Share is the part of a key's submissions that is admitted.
+// Share has the share of a key's submissions that are admitted, between 0 and 1.
 type Share struct {
 	Key
 	AdmitRatio float64 `json:"admit"`
@@ -30,7 +31,8 @@
 // ttl returns how long the policy may be applied.
 func (p *Policy) ttl() time.Duration { return time.Duration(p.TTLMS) * time.Millisecond }
 
-// newerThan reports whether the policy replaces the other one.
+// newerThan reports whether the policy is of a later term than other, or of the same term
+// and a later revision.
 func (p *Policy) newerThan(other *Policy) bool {
 	if p.Term != other.Term {
 		return p.Term > other.Term
@@ -38,7 +40,7 @@
 	return p.Revision > other.Revision
 }
 
-// share returns the part of a key's submissions that is admitted: 1 if the policy
+// share returns the share of a key's submissions that are admitted. It is 1 if the policy
 // doesn't limit the key.
 func (p *Policy) share(k Key) float64 {
 	for _, s := range p.Shares {
@@ -49,8 +51,8 @@
 	return 1
 }
 
-// Decide applies the policy to a request. Nodes with the same policy and the same
-// record of the job's wait decide alike.
+// Decide applies the policy to a request. Nodes that have the same policy, and have the
+// same Waited for the job, decide alike.
 func (p *Policy) Decide(r *Request) Decision {
 	share := p.share(r.Key)
 	if share >= 1 || samplingValue(r.ID, p.Revision) < share*r.agingFactor() {
@@ -59,15 +61,16 @@
 	return rejection(r.ID, p.Revision, share)
 }
 
-// rejection returns a rejection whose retry delay is longer for smaller shares. The
-// delays are spread by job ID, so that retries don't arrive all at once.
+// rejection returns the decision to reject a job. The retry delay depends on the job ID,
+// which prevents that all retries arrive at once, and is longer for smaller shares. With a
+// share of 0, the delays are spread over the longest time.
 func rejection(id string, revision uint64, share float64) Decision {
-	spread := float64(tuning.AdmissionRetrySpreadMaxS)
+	spreadS := float64(tuning.AdmissionRetrySpreadMaxS)
 	if share > 0 {
-		spread = min(spread, math.Ceil(1/share))
+		spreadS = min(spreadS, math.Ceil(1/share))
 	}
-	spread = max(spread, tuning.AdmissionRetrySpreadMinS)
-	return Decision{RetryAfterS: 1 + int(samplingValue(id, ^revision)*spread)}
+	spreadS = max(spreadS, tuning.AdmissionRetrySpreadMinS)
+	return Decision{RetryAfterS: 1 + int(samplingValue(id, ^revision)*spreadS)}
 }
 
 // goldenRatioMultiplier is 2^64 divided by the golden ratio: its multiples, modulo
@@ -77,9 +80,9 @@
 // mantissaBits is the precision of a float64, in bits.
 const mantissaBits = 53
 
-// samplingValue returns a pseudo-random number in [0, 1) for a job and a revision. The
-// values of one job in successive revisions are spread evenly: the more revisions have
-// rejected a job, the likelier the next one admits it, at any node and leader.
+// samplingValue returns a pseudo-random number in [0, 1) for a job and a revision, which is
+// the same on all nodes. The values of one job in successive revisions are spread evenly:
+// the more revisions have rejected a job, the likelier the next one admits it.
 func samplingValue(id string, revision uint64) float64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(id)) // a hash never fails to write
--- a/internal/admission/regulator.go
+++ b/internal/admission/regulator.go
@@ -8,33 +8,33 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Regulator is the leader's part in admission control, for one term: it measures the
-// load, makes the policy, and makes the final decision on each job.
+// Regulator is the leader's part in admission control, for one term. It measures the
+// load, makes the policies, and makes the final decision on each job.
 type Regulator struct {
 	settings      *Settings
-	teamFloors    map[string]float64 // reserved shares of the budget, by team
+	teamFloors    map[string]float64 // share of the budget that is reserved, by team
 	teamWeightSum float64            // sum of the weights of all teams
 
 	demands           map[Key]*demand
-	nodeLoads         map[string]NodeOfferedLoad // by node, as last reported
+	nodeLoads         map[string]NodeOfferedLoad // last report of each node
 	unclaimed         map[Key]*OfferedLoad       // submissions without a claim
-	previousUnclaimed NodeOfferedLoad            // unclaimed at the last update
+	previousUnclaimed NodeOfferedLoad            // copy of unclaimed at the last update
 
 	policy           Policy
 	limiters         map[Key]*rate.Limiter
 	shedding         bool
-	budget           float64 // jobs to be admitted per second
+	budget           float64 // jobs to be admitted per second during load shedding
 	writeCapacity    float64 // smoothed write rate of the key-value store, per second
-	pressure         float64 // load relative to the targets, at the last update
-	previousPressure float64 // pressure at the update before
-	admitted         int     // jobs since the last update
+	pressure         float64 // load relative to its targets at the last update; see measurePressure
+	previousPressure float64 // pressure at the last update but one
+	admitted         int     // number of jobs admitted since the last update
 	sentWrites       int64   // LeaderLoad.SentWrites at the last update
 
 	updatedAt         time.Time
-	withinBudgetSince time.Time // last time of pressure, or of an offered load above the budget
+	withinBudgetSince time.Time // last update with a pressure above 1 or an offered load above the budget
 }
 
-// NewRegulator returns the regulator of a term that begins now.
+// NewRegulator returns the regulator for a term that begins now.
 func NewRegulator(s *Settings, term uint64, now time.Time) *Regulator {
 	r := &Regulator{
 		settings:      s,
@@ -52,9 +52,9 @@
 	return r
 }
 
-// reserveFloors divides AdmissionReservedShare of the budget among the teams: the
-// floors set by the operators, and the rest in proportion to the guarantees of the
-// other teams.
+// reserveFloors returns the share of the budget that is reserved for each team. Their sum is
+// at most AdmissionReservedShare. Teams for which the operators set a floor get it, and the
+// rest is divided among the other teams in proportion to their guaranteed CPUs.
 func reserveFloors(teams []Team) map[string]float64 {
 	unassigned, guarantees := tuning.AdmissionReservedShare, 0.0
 	for _, t := range teams {
@@ -76,7 +76,7 @@
 	return floors
 }
 
-// weightOf returns the weight that is set, or the default of 1.
+// weightOf returns the weight that the operators set, or the default of 1 if it is 0.
 func weightOf(set float64) float64 {
 	if set > 0 {
 		return set
@@ -87,11 +87,12 @@
 // IsShedding reports whether new jobs are currently rejected to reduce the load.
 func (r *Regulator) IsShedding() bool { return r.shedding }
 
-// Policy returns the current policy.
+// Policy returns the current policy, whose revision is 0 before the first update.
 func (r *Regulator) Policy() Policy { return r.policy }
 
-// Update makes the next policy from the leader's load and the offered load of all
-// nodes, once the current policy is AdmissionInterval old. wall is the wall-clock time.
+// Update makes the next policy from the leader's load and the offered load of the nodes. It
+// does nothing if the current policy is younger than AdmissionInterval. wall is the
+// wall-clock time, from which the policy's revision is derived.
 func (r *Regulator) Update(now, wall time.Time, load LeaderLoad, nodes []NodeOfferedLoad) {
 	elapsed := now.Sub(r.updatedAt)
 	if elapsed < tuning.AdmissionInterval && r.policy.Revision > 0 {
@@ -111,17 +112,20 @@
 	}
 }
 
-// Summary has the figures of a regulator that are logged.
+// Summary has the state of a regulator that is logged.
 type Summary struct {
-	Shedding         bool
+	// Shedding is Regulator.IsShedding.
+	Shedding bool
+	// Pressure is the load relative to its targets, and Budget the number of jobs to be
+	// admitted per second.
 	Pressure, Budget float64
 	// OfferedRate is the rate of submissions per second, including retries.
-	// ReducedShares has the keys of which not all submissions are admitted.
-	OfferedRate   float64
+	OfferedRate float64
+	// ReducedShares has the keys whose submissions are not all admitted.
 	ReducedShares []Share
 }
 
-// Summary returns the figures of the last update.
+// Summary returns the state after the last update.
 func (r *Regulator) Summary() Summary {
 	return Summary{Shedding: r.shedding, Pressure: r.pressure, Budget: r.budget, OfferedRate: r.offeredRate(), ReducedShares: r.policy.Shares}
 }
--- a/internal/tuning/autoscale.go
+++ b/internal/tuning/autoscale.go
@@ -4,26 +4,29 @@
 
 // Scale-out and scale-in.
 const (
-	// ScalingInterval is the interval between scaling plans.
+	// ScalingInterval is the interval between scaling plans, each of which chooses the
+	// machines to provision and to release.
 	ScalingInterval = 1 * time.Second
-	// ScaleInIdleTime is how long an idle machine without demand is kept.
+	// ScaleInIdleTime is how long an idle machine that no job needs is kept before it is
+	// released.
 	ScaleInIdleTime = 4 * time.Second
-	// StartWithinDefault is the time within which waiting tasks should start. The
-	// planner scales out if the existing machines can't start them in time. It applies
-	// to jobs without a deadline and to jobs that can't meet their deadline.
+	// StartWithinDefault is the time within which waiting tasks should start if their
+	// job has no deadline or can't meet it. The planner provisions machines if the
+	// existing ones can't start the tasks in time.
 	StartWithinDefault = 60 * time.Second
-	// StartWithinSlackShare is the share of a job's slack within which its tasks
-	// should start; the rest covers boots and wrong estimates.
+	// StartWithinSlackShare is the share of a job's slack within which its tasks should
+	// start if the job can meet its deadline. The rest of the slack covers boot times and
+	// wrong estimates.
 	StartWithinSlackShare = 0.5
-	// StartWithinMin and StartWithinMax bound the time derived from the slack: below
-	// the minimum a new machine would boot too late, and forecasts beyond the maximum
-	// are unreliable.
+	// StartWithinMin and StartWithinMax bound the time that StartWithinSlackShare gives:
+	// a new machine needs longer than the minimum to boot, and forecasts beyond the
+	// maximum are unreliable.
 	StartWithinMin = 20 * time.Second
 	StartWithinMax = 150 * time.Second
-	// ArrivalRateDecay is the time constant of the smoothed rate of new work: it covers
-	// some dozen jobs of each class, and about two boots.
+	// ArrivalRateDecay is the time constant of the smoothed arrival rate of work: it
+	// covers some dozen jobs of each class, and about two boots of a machine.
 	ArrivalRateDecay = 75 * time.Second
-	// DemandDecay is the time constant of the smoothed demand, which keeps machines
-	// from being released during short dips in demand.
+	// DemandDecay is the time constant of the smoothed number of CPUs in demand. The
+	// smoothing prevents that short dips in demand cause releases.
 	DemandDecay = 20 * time.Second
 )
--- a/internal/tuning/doc.go
+++ b/internal/tuning/doc.go
@@ -5,5 +5,10 @@
 // A name ends in its unit if the type doesn't give it: S is seconds. A Share is
 // a fraction of a whole, a Divisor is the reciprocal of a share, and a Factor is
 // a multiple. A Weight is the weight of a new value in an exponential moving
-// average, or of one cost relative to another.
+// average, or of one cost relative to another. A Backoff is how long something
+// that failed is not used or retried.
+//
+// "Protocol" marks a bound that the interface to users, workers, the cloud or the
+// key-value store prescribes. A name in lower case, such as cancel_s, is a field of
+// the platform's settings.
 package tuning
--- a/internal/tuning/kvstore.go
+++ b/internal/tuning/kvstore.go
@@ -4,29 +4,33 @@
 
 // Requests to the key-value store.
 const (
-	// StoreTimeout bounds a read or a transaction; after that its outcome is unknown.
+	// StoreTimeout bounds a read or a transaction. The outcome of a transaction that
+	// times out is unknown.
 	StoreTimeout = 1500 * time.Millisecond
-	// StoreTimeoutFactor is the multiple of the usual latency after which a leader
-	// sends a transaction again. StoreTimeoutMin is the shortest such timeout, as the
-	// store occasionally takes a few hundred milliseconds.
+	// StoreTimeoutFactor is the multiple of the smoothed latency after which a leader
+	// sends a transaction again. StoreTimeoutMin is the shortest such timeout, because
+	// the store occasionally takes a few hundred milliseconds.
 	StoreTimeoutFactor = 5
 	StoreTimeoutMin    = 250 * time.Millisecond
-	// StoreLatencyWindow is the number of transactions over which the usual
-	// latency is smoothed: about a second's worth.
+	// StoreLatencyWindow is the number of transactions over which the latency is
+	// smoothed: about those of one second.
 	StoreLatencyWindow = 8
-	// StoreRetryDelay is the delay after the store refuses a request (429, 503).
+	// StoreRetryDelay is the delay before a request that the store refused (429, 503) is
+	// retried.
 	StoreRetryDelay = 150 * time.Millisecond
-	// CorruptRecordRetryDelay is the delay before a leader reloads its state after an
-	// essential record was corrupt: an operator has to repair the record.
+	// CorruptRecordRetryDelay is the delay before a leader that found an essential record
+	// to be corrupt reloads its state. It is longer, because an operator has to repair
+	// the record first.
 	CorruptRecordRetryDelay = 5 * time.Second
-	// StoreLeaderShare and StoreFollowerShare divide the request limit of the store:
-	// the leader writes, and followers only watch the leader key.
+	// StoreLeaderShare is the leader's share of the store's request limit, and
+	// StoreFollowerShare that of all followers together. Followers need less: they only
+	// watch the leader key, while the leader writes.
 	StoreLeaderShare   = 0.70
 	StoreFollowerShare = 0.20
-	// StoreWriteShare is the share of the write limit that the leader uses; the
-	// rest is left for campaigns and a predecessor's last writes.
+	// StoreWriteShare is the share of the store's write limit that the leader uses. The
+	// rest is left for the followers' campaigns and a predecessor's last writes.
 	StoreWriteShare = 0.85
-	// StorePageSize is the number of keys in a page (protocol: at most 1,000).
+	// StorePageSize is the number of keys in a page of a list (protocol: at most 1,000).
 	StorePageSize = 1000
 )
 
@@ -35,30 +39,34 @@
 	// WriteBatchInterval is the time between two transactions, during which changes
 	// accumulate.
 	WriteBatchInterval = 15 * time.Millisecond
-	// MaxTransactionBytes bounds the total size of a transaction's values (protocol:
-	// 64 KiB for the whole transaction).
+	// MaxTransactionBytes bounds the total size of a transaction's keys and values
+	// (protocol: 64 KiB for the whole request).
 	MaxTransactionBytes = 48 << 10
-	// RecordValueShare is the share of the value limit that a record of starts or
-	// evictions may fill, because its size is estimated before it is encoded.
+	// RecordValueShare is the share of the store's value limit that a record of starts or
+	// evictions may fill. The rest is a reserve, because the size of the record is
+	// estimated before the record is encoded.
 	RecordValueShare = 0.9
 	// CompletionChunkTasks is the largest number of tasks whose completions are stored
-	// under one key. CompletionBytesPerTask is the most bytes that a task adds to the
-	// value: ranges of two take twelve bytes for every three tasks ("10000-10001,").
+	// under one key. CompletionBytesPerTask is the most bytes per task of that value: in
+	// the worst case every third task is missing, and a range of two completed tasks
+	// takes twelve bytes ("10000-10001,").
 	CompletionChunkTasks   = 1024
 	CompletionBytesPerTask = 4
-	// DependentWritesDivisor: one in this many operations of a transaction goes to
-	// final states of jobs that follow from their dependencies' final states.
-	// Thousands of these must neither starve nor delay the writes that users wait for.
+	// DependentWritesDivisor: one in this many operations of a transaction is reserved
+	// for the final states of jobs that were cancelled because a dependency was. Thousands
+	// of these writes must neither starve nor delay the writes that users wait for.
 	DependentWritesDivisor = 4
-	// InteractiveWritesDivisor: one in this many operations of a transaction goes to
-	// writes that users wait for, ahead of start records. While new jobs are shed, one
-	// in this many of those goes to completions and deletions first.
+	// InteractiveWritesDivisor: one in this many operations of a transaction is reserved
+	// for writes that users wait for, ahead of start records. During load shedding,
+	// completions and deletions get at least as many operations as this reserved part
+	// divided by InteractiveWritesDivisor again.
 	InteractiveWritesDivisor = 2
-	// DependencyStepsPerTick bounds the dependents that one tick unblocks, cancels or
-	// updates after their dependencies have ended: about a millisecond of work.
+	// DependencyStepsPerTick bounds the steps in one tick that follow from ended jobs:
+	// each unblocks or cancels a dependent, or updates the critical path of a job. They
+	// take about a millisecond.
 	DependencyStepsPerTick = 500
 	// CompletionFlushDelay is how long completions of a job accumulate before they are
-	// written. Many jobs with short tasks have ended by then. None is lost, as workers
-	// keep completions until they are durable.
+	// written. Many jobs with short tasks end within this time, and need no such write.
+	// No completion is lost, because workers keep completions until they are durable.
 	CompletionFlushDelay = 1 * time.Second
 )
--- a/internal/tuning/peers.go
+++ b/internal/tuning/peers.go
@@ -2,42 +2,46 @@
 
 import "time"
 
-// Links between nodes.
+// Links between controller nodes (peers).
 const (
-	// PeerHeartbeatInterval is the interval between heartbeats from node to node.
+	// PeerHeartbeatInterval is the interval between the heartbeats of a node to a peer.
 	PeerHeartbeatInterval = 400 * time.Millisecond
 	// PeerTimeout is the time without heartbeats after which a peer is unreachable.
 	PeerTimeout = 1500 * time.Millisecond
-	// PeerRedialDelay is the delay between dials.
+	// PeerRedialDelay is the delay before a node dials a peer again.
 	PeerRedialDelay = 300 * time.Millisecond
-	// PeerDialTimeout bounds a dial.
+	// PeerDialTimeout bounds one attempt to connect to a peer.
 	PeerDialTimeout = 1 * time.Second
 	// PeerMaxCalls bounds the calls in flight on a link. Each worker has one heartbeat
-	// in flight, and right after a failover all of some thousand workers may send
-	// theirs through one follower. That node's socket limit is the effective bound.
+	// in flight, and right after a failover some thousand workers may all send their
+	// heartbeats through one follower. In practice the socket limit of that follower is
+	// reached first.
 	PeerMaxCalls = 8192
-	// PeerMaxLineBytes bounds a line between nodes, in bytes: a request or response body
-	// with its envelope.
+	// PeerMaxLineBytes bounds a line of the protocol between nodes, which is a request or
+	// response body with its envelope.
 	PeerMaxLineBytes = 160 << 10
-	// PeerReadBufferBytes is the size of a link's read buffer. PeerMaxPending bounds the data
-	// queued to be written: one heartbeat from each of some thousand machines with a
-	// dozen tasks each. Both are in bytes.
+	// PeerReadBufferBytes is the size of a link's read buffer. PeerMaxPendingBytes bounds
+	// the data queued to be written: enough for one heartbeat from each of some thousand
+	// machines with a dozen tasks each.
 	PeerReadBufferBytes = 32 << 10
 	PeerMaxPendingBytes = 16 << 20
-	// PeerFlushDelay is how long lines accumulate between two writes on a link.
+	// PeerFlushDelay is how long lines accumulate before they are written to a link.
 	PeerFlushDelay = 2 * time.Millisecond
 )
 
 // Health and operators' commands.
 const (
-	// HealthGracePeriod is how long a node that reaches no leader reports healthy: a
-	// failover takes a few seconds, and being marked unhealthy costs more.
+	// HealthGracePeriod is how long a node that reaches no leader still reports that it
+	// is healthy: a failover takes a few seconds, and marking the node unhealthy would
+	// cost more than this interruption.
 	HealthGracePeriod = 8 * time.Second
-	// HealthGracePeriodLeaderKnown replaces HealthGracePeriod while an unreachable node
-	// holds the leader key. It is longer than the key outlives a crashed leader, and
-	// longer than the successor takes to announce itself on its links.
+	// HealthGracePeriodLeaderKnown replaces HealthGracePeriod while another node holds
+	// the leader key but is unreachable, because other nodes can then serve the users. It
+	// is longer than the key of a crashed leader remains, and longer than a new leader
+	// takes to announce itself on its links.
 	HealthGracePeriodLeaderKnown = 4500 * time.Millisecond
-	// OperatorTimeout bounds how long an operator's command waits for its node: longer
-	// than a node waits for the leader, and the leader for the key-value store.
+	// OperatorTimeout bounds how long an operator's command waits for a response from its
+	// node. It is longer than the node waits for the leader, and than the leader waits for
+	// the key-value store.
 	OperatorTimeout = 15 * time.Second
 )
--- a/internal/tuning/placement.go
+++ b/internal/tuning/placement.go
@@ -4,72 +4,73 @@
 
 // The leader's event loop, and bounds on the cost of placement passes.
 const (
-	// PlacementInterval is the pause between two placement passes, during which changes
-	// accumulate: a pass visits every schedulable machine, and its starts share one
-	// record.
+	// PlacementInterval is the shortest time between two placement passes. Changes
+	// accumulate in the meantime, because a pass is expensive: it visits every schedulable
+	// machine, and writes one record of all its starts.
 	PlacementInterval = 80 * time.Millisecond
-	// TickInterval is the longest pause between two ticks of the event loop.
+	// TickInterval is the longest time between two ticks of the event loop.
 	TickInterval = 200 * time.Millisecond
-	// TickIntervalMin is the shortest such pause.
+	// TickIntervalMin is the shortest such time.
 	TickIntervalMin = 20 * time.Millisecond
-	// SummaryInterval is the interval between summaries in the log.
+	// SummaryInterval is the interval between the leader's summaries in the log.
 	SummaryInterval = 5 * time.Second
-	// PlacementMaxStarts bounds the starts of one pass, as the controller has only a share
-	// of a core. The next pass starts the rest.
+	// PlacementMaxStarts bounds the starts of one pass, because the controller has only a
+	// share of a core. The next pass starts the rest.
 	PlacementMaxStarts = 200
-	// PlacementMaxScoredPairs bounds the scored pairs of job and machine: beyond it a pass
-	// begins no further job, and at twice the number it ends. That is some milliseconds
-	// of work, after which the leader handles lease renewals and responses.
+	// PlacementMaxScoredPairs bounds the pairs of job and machine that a pass scores:
+	// beyond this number the pass scores no further job, and at twice the number it ends.
+	// The limits bound a pass to some milliseconds of work, during which lease renewals
+	// and responses wait.
 	PlacementMaxScoredPairs = 20_000
-	// PlacementDelayPerScoredPair is the pause before the next pass for each scored pair.
-	// Scoring a pair takes about one microsecond on a whole core of the operators'
-	// machines, and four on a controller's share of a core. Passes thus use at most
-	// half of that share.
+	// PlacementDelayPerScoredPair is added to PlacementInterval for each pair that the
+	// last pass scored. Scoring a pair takes about one microsecond on a whole core of the
+	// operators' machines, and four microseconds on a controller's share of a core. Passes
+	// thus use at most half of that share.
 	PlacementDelayPerScoredPair = 4 * time.Microsecond
-	// PlacementMaxQueuedTasks bounds the tasks that a pass queues on busy machines; with
-	// more, the next pass would repeat the same work.
+	// PlacementMaxQueuedTasks bounds the tasks that a pass queues on busy machines. The
+	// next pass assigns queued tasks anew, so queueing more of them repeats the same work.
 	PlacementMaxQueuedTasks = 128
-	// MaxTasksPerMachine bounds the running and queued tasks of a machine, so that its
-	// part of a start record stays far below the value limit.
+	// MaxTasksPerMachine bounds the running and queued tasks of a machine. This keeps its
+	// part of a start record far below the value limit of the key-value store.
 	MaxTasksPerMachine = 128
 )
 
 // The order of jobs.
 const (
 	// AgingThreshold is how long a job waits without a start before some of its tasks
-	// precede all others, regardless of priority and urgency, so that no job starves
-	// under a lasting backlog. Operators require that no job that could start waits
-	// for 90 s.
+	// precede all others, regardless of priority and urgency. Otherwise a job could starve
+	// under a long backlog. Operators require that no job that could start waits for 90 s.
 	AgingThreshold = 80 * time.Second
-	// AgedTaskShare is the share of a job's tasks that precede others after
+	// AgedTaskShare is the share of a job's tasks that precede all others after
 	// AgingThreshold.
 	AgedTaskShare = 0.05
-	// UrgencyResolutionS is the difference in slack, in seconds, below which jobs of
-	// one priority are equally urgent, so that the speedup determines their order.
+	// UrgencyResolutionS is the width, in seconds of slack, of the steps to which urgency
+	// is rounded. Jobs of one priority in the same step are equally urgent, and the
+	// speedup determines their order.
 	UrgencyResolutionS = 20.0
-	// SizeWeight is the penalty, in seconds of slack, for each second that a job would
-	// keep all machines busy.
+	// SizeWeight is the number of seconds by which the slack of a job is increased for
+	// each second that the job would keep all machines busy, so that small jobs precede.
 	SizeWeight = 6.0
-	// NoDeadlineSlackS is the slack, in seconds, of new jobs without a deadline and
-	// of new jobs that can't meet theirs. The slack shrinks with age: these jobs follow
-	// most jobs that can meet their deadline, but don't wait forever.
+	// NoDeadlineSlackS is the slack, in seconds, of new jobs that have no deadline or
+	// can't meet it. It places them after most jobs that can meet their deadline. The
+	// slack decreases while a job waits, and thus no job waits forever.
 	NoDeadlineSlackS = 400.0
-	// DependentStartDelay is the overhead of each stage in a chain of dependent jobs, on top of
-	// run time and image fetch: the last heartbeat, the write of its record, the
-	// placement, and the next heartbeat.
+	// DependentStartDelay is the estimated delay between the end of a job and the start
+	// of its dependent, apart from the image fetch: the heartbeat that reports the end, the
+	// write of its record, the placement, and the heartbeat that starts the dependent.
 	DependentStartDelay = 3 * time.Second
 )
 
 // Estimates of run times.
 const (
 	// MinRemainingS is the shortest assumed remaining time of a running task, in
-	// seconds, however far it has exceeded its estimate.
+	// seconds. It applies to tasks that have run for longer than their estimate.
 	MinRemainingS = 1.0
-	// MinimumEstimateS replaces shorter estimates, in seconds, so that no task counts
-	// as free.
+	// MinimumEstimateS replaces shorter estimates of a run time, in seconds. Otherwise a
+	// task could count as taking no time.
 	MinimumEstimateS = 1.0
 	// StartDelayWeight is the weight of a new start in the smoothed start delay. The
-	// average covers some dozen starts: a second or two under a backlog.
+	// average covers some dozen starts, which take a second or two under a backlog.
 	StartDelayWeight = 0.05
 	// EstimateWeight is the weight of a new observation in a job class's smoothed
 	// ratio of run time to estimate.
@@ -79,11 +80,11 @@
 // Failures of tasks and of machines.
 const (
 	// FailureBackoffMin and FailureBackoffMax bound the exponential backoff of a job
-	// whose tasks fail, so that its retries don't starve other jobs.
+	// whose tasks fail. Without a backoff its retries would starve other jobs.
 	FailureBackoffMin = 2 * time.Second
 	FailureBackoffMax = 60 * time.Second
-	// UnknownJobBackoff is the delay after a worker reported that a job is not uploaded
-	// yet.
+	// UnknownJobBackoff is the delay before a job is started again after a worker
+	// reported that the job is not uploaded yet.
 	UnknownJobBackoff = 3 * time.Second
 	// FullMachineBackoff is how long a machine gets no new starts after it refused one
 	// for lack of capacity.
@@ -91,8 +92,8 @@
 	// FaultyMachineJobs is the number of different jobs whose tasks must fail in
 	// succession on a machine before it is quarantined as faulty.
 	FaultyMachineJobs = 2
-	// FaultyJobMachines is the number of machines on which a job must have failed
-	// without a success on any before the job itself counts as faulty: a job rarely
-	// runs on two faulty machines.
+	// FaultyJobMachines is the number of machines on which a job's tasks must have
+	// failed, while none has completed anywhere, before the job itself counts as faulty:
+	// a job rarely runs on two faulty machines.
 	FaultyJobMachines = 2
 )
--- a/internal/tuning/requests.go
+++ b/internal/tuning/requests.go
@@ -4,29 +4,34 @@
 
 // Requests from users and heartbeats from workers.
 const (
-	// SubmitTimeout bounds how long a submission or cancellation waits for the
-	// key-value store before the response is 503 (users give up after 5 s).
+	// SubmitTimeout bounds how long a submission or cancellation waits until it is
+	// durable in the key-value store. After that, the response is 503 (users give up
+	// after 5 s).
 	SubmitTimeout = 2500 * time.Millisecond
-	// QueryTimeout bounds a forwarded query (users give up after 2 s).
+	// QueryTimeout bounds a query for a job that a follower forwards to the leader (users
+	// give up after 2 s).
 	QueryTimeout = 1500 * time.Millisecond
-	// HeartbeatForwardTimeout bounds a forwarded heartbeat (workers give up after 4 s).
+	// HeartbeatForwardTimeout bounds a worker's heartbeat that a follower forwards to the
+	// leader (workers give up after 4 s).
 	HeartbeatForwardTimeout = 2500 * time.Millisecond
-	// MinRetryAfterS is the shortest Retry-After of refused requests, in seconds.
+	// MinRetryAfterS is the shortest Retry-After of rejected requests, in seconds.
 	MinRetryAfterS = 1
-	// MaxUnfinishedTasks bounds the unfinished tasks in memory (a few bytes each); beyond
-	// it, submissions are rejected with 429.
+	// MaxUnfinishedTasks bounds the unfinished tasks of all jobs, which take a few bytes of
+	// memory each. A submission beyond it is rejected: with 429 by admission control, and
+	// otherwise with 503.
 	MaxUnfinishedTasks = 2_000_000
 )
 
 // Connections of users and workers.
 const (
-	// SocketShare is the share of the socket limit for connections from users and
-	// workers. WorkerSocketShare is the share that workers may use: the difference is
-	// left for users and health checks when all machines connect to this node.
+	// SocketShare is the share of the process's socket limit for connections from users
+	// and workers together. WorkerSocketShare is the largest share of the limit for
+	// workers. The difference is left for users and health checks when all machines
+	// connect to this node.
 	SocketShare       = 0.6
 	WorkerSocketShare = 0.42
-	// ConnectionIdleTimeout is how long an unused connection stays open; workers and
-	// users send a request every few seconds.
+	// ConnectionIdleTimeout is how long an unused connection stays open. It is long
+	// compared with the few seconds between the requests of a worker or user.
 	ConnectionIdleTimeout = 90 * time.Second
 	// ReadTimeout bounds the time to read one request.
 	ReadTimeout = 10 * time.Second
--- a/internal/tuning/workers.go
+++ b/internal/tuning/workers.go
@@ -2,70 +2,75 @@
 
 import "time"
 
-// Direct commands to workers.
+// Direct calls: commands that the leader sends to a worker at once, instead of in the
+// response to the worker's next heartbeat.
 const (
-	// DirectCallTimeout bounds a direct call; a worker replies at once.
+	// DirectCallTimeout bounds a direct call. A worker normally replies at once.
 	DirectCallTimeout = 1 * time.Second
-	// DirectCallBackoff is how long a machine gets commands only in responses to its
-	// heartbeats after a direct call without a reply.
+	// DirectCallBackoff is how long the leader makes no direct call to a machine after it
+	// left one without a reply. The machine gets its commands in responses to heartbeats
+	// meanwhile.
 	DirectCallBackoff = 10 * time.Second
-	// DirectCallConnections bounds the connections to one worker: calls to it are
-	// sequential.
+	// DirectCallConnections bounds the connections to one worker. One is enough, because
+	// the calls to a worker are sequential.
 	DirectCallConnections = 1
-	// MaxDirectCalls bounds the direct calls in flight if no socket limit is set.
+	// MaxDirectCalls bounds the direct calls in flight to all workers if the settings
+	// have no socket limit.
 	MaxDirectCalls = 64
-	// DirectCallSocketShare is the share of the socket limit for direct calls.
+	// DirectCallSocketShare is the share of the process's socket limit for direct calls.
 	DirectCallSocketShare = 0.25
 	// DirectCallIdleTimeout is how long an unused connection for direct calls stays open:
-	// about two heartbeat intervals. The HTTP client keeps a goroutine for that long,
-	// even for an evicted connection: a timeout of 90 s keeps 10,000 goroutines at
-	// 2,000 machines.
+	// about two heartbeat intervals. The HTTP client keeps a goroutine for that long, even
+	// after a connection was evicted from the pool: with a timeout of 90 s, there are
+	// 10,000 goroutines at 2,000 machines.
 	DirectCallIdleTimeout = 10 * time.Second
-	// NewEpochFencingDelay is how long a machine whose lease has expired may send heartbeats of
-	// a new epoch before it is released because an earlier start may still run there.
+	// NewEpochFencingDelay is how long, after a machine's lease has expired, the leader
+	// waits for a heartbeat of a new agent epoch. Without one it releases the machine,
+	// because an earlier start may still run there.
 	NewEpochFencingDelay = 5 * time.Second
-	// LateStartFencingDivisor is the divisor of cancel_s that gives the delay after which a
-	// machine that may still get a late start of an ended job is released and gets no
-	// more responses. The delay is shorter if the worker lease and GracePeriodReserve
-	// would not fit into the rest of cancel_s.
+	// The leader releases a machine that may still get a late start of an ended job, and
+	// stops responding to it, after a delay of cancel_s divided by LateStartFencingDivisor.
+	// The delay is shorter if the worker lease and GracePeriodReserve would not fit into
+	// the rest of cancel_s.
 	LateStartFencingDivisor = 3
-	// MaxCommandsPerResponse bounds the commands in a response, which must fit into a
-	// line of 64 KiB.
+	// MaxCommandsPerResponse bounds the commands in a response to a heartbeat and in a
+	// direct call. The response must fit into a line of 64 KiB.
 	MaxCommandsPerResponse = 300
 )
 
 // Failure detection of machines.
 const (
-	// HeartbeatTimeoutIntervals is the number of heartbeat intervals without a
-	// heartbeat after which a machine is unreachable and gets no new starts.
+	// HeartbeatTimeoutIntervals is the number of heartbeat intervals after which a machine
+	// that sent no heartbeat counts as unreachable and gets no new starts.
 	HeartbeatTimeoutIntervals = 2.5
-	// LateHeartbeatIntervals is the number of heartbeat intervals after which a
-	// missing heartbeat makes the next machine list urgent.
+	// LateHeartbeatIntervals is the number of heartbeat intervals after which a missing
+	// heartbeat makes the leader request machine lists at UrgentListIntervalFactor.
 	LateHeartbeatIntervals = 1.5
-	// OtherZonesMinReachableShare is the share of the machines outside a partitioned zone that must
-	// be reachable; otherwise the fault is attributed to this node. Rarely more than a
-	// tenth of the machines fail at once, but a new leader with all heartbeats still
-	// queued misses many.
+	// OtherZonesMinReachableShare is the share of the machines outside partitioned zones
+	// that must be reachable. If fewer are, the fault is attributed to this node: rarely
+	// more than a tenth of the machines fail at once, but a new leader that has not yet
+	// handled the queued heartbeats misses many.
 	OtherZonesMinReachableShare = 0.75
-	// PartitionMaxReachableShare is the largest share of a zone's machines that may still be
-	// reachable, and PartitionedMachines is the smallest number that must be
-	// unreachable, for the zone to count as partitioned: far more than fail by chance.
+	// A zone counts as partitioned if at most PartitionMaxReachableShare of its machines
+	// are reachable, and at least PartitionMinUnreachable machines are unreachable: far
+	// more than fail by chance.
 	PartitionMaxReachableShare = 0.25
 	PartitionMinUnreachable    = 4
-	// MaxIneffectiveResponses is the number of successive responses whose starts had no
-	// effect after which a machine is cordoned. Single responses may be lost.
+	// MaxIneffectiveResponses is the number of successive heartbeat responses whose starts
+	// had no effect after which a machine is cordoned. It is above one, because single
+	// responses may be lost.
 	MaxIneffectiveResponses = 3
-	// MaxStaleHeartbeats is the number of successive heartbeats older than the newest
-	// one after which a machine whose lease has expired is replaced: a few delayed
-	// copies follow every partition.
+	// MaxStaleHeartbeats is the number of successive heartbeats that are older than the
+	// newest one received, after which a machine whose lease has expired is replaced. It is
+	// above one, because a few delayed copies of heartbeats arrive after every partition.
 	MaxStaleHeartbeats = 3
-	// UnreachableReleaseDelay is the delay between the expiry of an unreachable
-	// machine's lease and its release.
+	// UnreachableReleaseDelay is the time from the expiry of an unreachable machine's
+	// lease to the release of the machine.
 	UnreachableReleaseDelay = 20 * time.Second
-	// BootTimeoutFactor is the multiple of the nominal boot time after which a
+	// BootTimeoutFactor is the multiple of a machine type's usual boot time after which a
 	// machine that never sent a heartbeat is released.
 	BootTimeoutFactor = 3.5
-	// ReclaimNoticeMargin is added to a task's save time if the reclaim notice of a
-	// spot instance leaves barely enough time for the save.
+	// ReclaimNoticeMargin is a reserve that is added to a task's save time. It decides
+	// whether the time until a spot machine is reclaimed is enough for the save.
 	ReclaimNoticeMargin = 5 * time.Second
 )
