--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-var begin = time.Unix(1_700_000_000, 0)
+var startTime = time.Unix(1_700_000_000, 0)
 
-// settings returns settings with three teams, of which guests has no guarantee.
-func settings() *Settings {
+// testSettings returns settings with three teams, of which guests has no guaranteed CPUs.
+func testSettings() *Settings {
 	return &Settings{
 		Teams: []Team{
 			{Name: "blue", GuaranteedCPUs: 60},
@@ -20,21 +20,21 @@
 	}
 }
 
-// TestKeysAreBounded checks that classes which the settings don't name share one key, and
-// that load which peers report under unknown keys is ignored.
+// TestKeysAreBounded checks that the classes which the settings don't name share one key per
+// team, and that load which nodes report under unknown keys is ignored.
 func TestKeysAreBounded(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	if k, known := s.Key("blue", "made up"); !known || k.Class != OtherClass {
-		t.Errorf("%+v %v", k, known)
+		t.Errorf("unknown class: got key %+v, known %v; want class OtherClass, known true", k, known)
 	}
 	if _, known := s.Key("nobody", "urgent"); known {
-		t.Error("an unknown team is known")
+		t.Error("Key reports that an unknown team is known")
 	}
-	r := NewRegulator(s, 1, begin)
+	r := NewRegulator(s, 1, startTime)
 	unknownKey := OfferedLoad{Key: Key{"blue", "made up"}, Count: 100, AgingFactorSum: 100, PriorityWeightSum: 100}
-	r.Update(begin, begin, LeaderLoad{}, []NodeOfferedLoad{{Node: "a", Incarnation: 1}})
-	r.Update(begin.Add(time.Second), begin, LeaderLoad{}, []NodeOfferedLoad{{Node: "a", Incarnation: 1, Loads: []OfferedLoad{unknownKey}}})
+	r.Update(startTime, startTime, LeaderLoad{}, []NodeOfferedLoad{{Node: "a", Incarnation: 1}})
+	r.Update(startTime.Add(time.Second), startTime, LeaderLoad{}, []NodeOfferedLoad{{Node: "a", Incarnation: 1, Loads: []OfferedLoad{unknownKey}}})
 	if len(r.demands) != 0 {
-		t.Errorf("%+v", r.demands)
+		t.Errorf("demands after load under an unknown key: got %+v, want none", r.demands)
 	}
 }
--- a/internal/admission/policy_test.go
+++ b/internal/admission/policy_test.go
@@ -9,9 +9,8 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// TestSamplingValuesAreSpread checks that a share admits about its part of all jobs, and
-// that each job is admitted within a bounded number of revisions, so that its chance grows
-// with each revision that has rejected it.
+// TestSamplingValuesAreSpread checks that about the given share of jobs is admitted over many
+// revisions, and that each job is admitted within a bounded number of revisions.
 func TestSamplingValuesAreSpread(t *testing.T) {
 	for _, share := range []float64{0.5, 0.1, 0.02} {
 		admitted, maxRejections := 0, 0
@@ -30,7 +29,7 @@
 			}
 		}
 		if got := float64(admitted) / (jobs * revisions); math.Abs(got-share) > share/10 {
-			t.Errorf("a share of %v admits %v", share, got)
+			t.Errorf("a share of %v of the jobs was admitted, want about %v", got, share)
 		}
 		if bound := int(3 / share); maxRejections > bound {
 			t.Errorf("with a share of %v a job was rejected in %d successive revisions, want at most %d", share, maxRejections, bound)
@@ -39,7 +38,8 @@
 }
 
 // TestAgingIncreasesAdmission checks that jobs which have waited, or depend on accepted jobs,
-// are admitted more often, and that a claimed wait counts only up to AdmissionRetryWindow.
+// are admitted more often than new jobs, and that a wait counts only up to
+// AdmissionRetryWindow.
 func TestAgingIncreasesAdmission(t *testing.T) {
 	p := Policy{Revision: 7, Shares: []Share{{Key{"blue", "urgent"}, 0.05}}}
 	admitted := func(waited time.Duration, dependent bool) (n int) {
@@ -51,32 +51,33 @@
 		}
 		return n
 	}
-	fresh, old, oldest := admitted(0, false), admitted(20*time.Second, false), admitted(tuning.AdmissionRetryWindow, false)
-	if old < 2*fresh || oldest <= old {
-		t.Errorf("admitted %d, %d after 20 s, %d after the retry window", fresh, old, oldest)
+	newJobs, waitedJobs, longestWaited := admitted(0, false), admitted(20*time.Second, false), admitted(tuning.AdmissionRetryWindow, false)
+	if waitedJobs < 2*newJobs || longestWaited <= waitedJobs {
+		t.Errorf("admitted %d new jobs, %d after 20 s, %d after the retry window; want each above the one before",
+			newJobs, waitedJobs, longestWaited)
 	}
-	if beyondWindow := admitted(1000*time.Hour, false); beyondWindow != oldest {
-		t.Errorf("a claim of 1000 hours admits %d instead of %d", beyondWindow, oldest)
+	if beyondWindow := admitted(1000*time.Hour, false); beyondWindow != longestWaited {
+		t.Errorf("admitted %d jobs after a wait of 1000 hours, want %d", beyondWindow, longestWaited)
 	}
-	if dependent := admitted(0, true); dependent < 2*fresh {
-		t.Errorf("dependent jobs: %d instead of %d", dependent, fresh)
+	if dependent := admitted(0, true); dependent < 2*newJobs {
+		t.Errorf("admitted %d dependent jobs, want at least twice the %d new jobs", dependent, newJobs)
 	}
 }
 
-// TestRetryAfterIsSpread checks that retries are spread over AdmissionRetryMaxS seconds, and
-// that none is immediate.
+// TestRetryAfterIsSpread checks that retries are spread over AdmissionRetrySpreadMaxS seconds,
+// and that none is immediate.
 func TestRetryAfterIsSpread(t *testing.T) {
-	seen := map[int]int{}
+	jobsByDelay := map[int]int{}
 	for job := range 1000 {
 		d := rejection(fmt.Sprintf("job-%d", job), 5, 0.01)
 		if d.Admitted || d.RetryAfterS < 1 || d.RetryAfterS > int(tuning.AdmissionRetrySpreadMaxS) {
-			t.Fatalf("%+v", d)
+			t.Fatalf("got %+v, want a rejection with a delay of 1 s to AdmissionRetrySpreadMaxS", d)
 		}
-		seen[d.RetryAfterS]++
+		jobsByDelay[d.RetryAfterS]++
 	}
-	for after := 1; after <= int(tuning.AdmissionRetrySpreadMaxS); after++ {
-		if seen[after] < 60 || seen[after] > 180 {
-			t.Errorf("%d of 1000 retry after %d s", seen[after], after)
+	for delayS := 1; delayS <= int(tuning.AdmissionRetrySpreadMaxS); delayS++ {
+		if jobsByDelay[delayS] < 60 || jobsByDelay[delayS] > 180 {
+			t.Errorf("%d of 1000 jobs retry after %d s, want 60 to 180", jobsByDelay[delayS], delayS)
 		}
 	}
 }
--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -9,13 +9,14 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Admission has the operators' settings for the shares of teams under overload.
+// Admission has the operators' settings for the division of new jobs among teams under
+// overload. Teams that it doesn't list have the defaults.
 type Admission struct {
 	Teams []AdmissionShare
 }
 
-// AdmissionShare is the weight and floor of a team, or of a class within a team; zero
-// is the default.
+// AdmissionShare has the weight and floor of a team, or of a class within a team, as in
+// admission.Team. Zero is the default.
 type AdmissionShare struct {
 	Name    string
 	Weight  float64
@@ -23,7 +24,8 @@
 	Classes []AdmissionShare
 }
 
-// admissionElement is the XML element of the admission settings.
+// admissionElement is the XML element of the admission settings. Other has the elements
+// that are unknown and therefore rejected.
 type admissionElement struct {
 	Teams []shareElement `xml:"team"`
 	Other []struct {
@@ -31,7 +33,8 @@
 	} `xml:",any"`
 }
 
-// shareElement is the XML element of a team or a class.
+// shareElement is the XML element of a team, or of a class within a team element. A class
+// element must have no Classes.
 type shareElement struct {
 	Name    string         `xml:"name,attr"`
 	Weight  string         `xml:"weight,attr"`
@@ -45,8 +48,8 @@
 // maxWeight bounds weights: larger ones are probably typing errors.
 const maxWeight = 1000
 
-// parse parses the element and checks it against the deployment's teams and classes.
-// Without an element, it returns nil: admission control is off.
+// parse parses the element, and checks that the deployment has the teams and classes. If e is
+// nil, because the file has no such element, it returns nil: admission control is off.
 func (e *admissionElement) parse(p *Params) (*Admission, error) {
 	if e == nil {
 		return nil, nil
@@ -72,18 +75,19 @@
 	return &Admission{Teams: shares}, nil
 }
 
-// parseShares parses the shares of teams or classes. Each must have one of the known names,
-// no name may occur twice, and the sum of the floors is at most maxFloors.
-func parseShares(field string, elements []shareElement, known []string, maxFloors float64) ([]AdmissionShare, error) {
+// parseShares parses the elements of teams or classes, whose path in the file is field. Each
+// element must have one of the known names, no name may occur twice, and the sum of the floors
+// must be at most maxFloorSum.
+func parseShares(field string, elements []shareElement, knownNames []string, maxFloorSum float64) ([]AdmissionShare, error) {
 	var shares []AdmissionShare
 	seen := map[string]bool{}
-	floors := 0.0
+	floorSum := 0.0
 	for _, e := range elements {
 		path := fmt.Sprintf("%s[%s]", field, e.Name)
 		switch {
 		case len(e.Other) > 0:
 			return nil, &FieldError{Field: path + "/" + e.Other[0].XMLName.Local, Reason: reasonUnknownElement}
-		case !slices.Contains(known, e.Name):
+		case !slices.Contains(knownNames, e.Name):
 			return nil, &FieldError{Field: path + "/name", Reason: reasonNotInSettings}
 		case seen[e.Name]:
 			return nil, &FieldError{Field: path, Reason: reasonDuplicate}
@@ -93,15 +97,16 @@
 		if err != nil {
 			return nil, err
 		}
-		if floors += share.Floor; floors > maxFloors {
-			return nil, &FieldError{Field: path + "/floor", Reason: fmt.Sprintf("floors must not sum up to more than %g", maxFloors)}
+		if floorSum += share.Floor; floorSum > maxFloorSum {
+			return nil, &FieldError{Field: path + "/floor", Reason: fmt.Sprintf("floors must not sum up to more than %g", maxFloorSum)}
 		}
 		shares = append(shares, share)
 	}
 	return shares, nil
 }
 
-// parseShare parses the weight and the floor of one team or class.
+// parseShare parses the weight and the floor of one team or class, whose path in the file is
+// field.
 func (e *shareElement) parseShare(field string) (AdmissionShare, error) {
 	weight, err := parseAmount(field+"/weight", e.Weight)
 	if err != nil {
@@ -125,7 +130,7 @@
 	return names
 }
 
-// ClassNames returns the names of the classes that have objectives, without duplicates.
+// ClassNames returns the names of the job classes that have objectives, without duplicates.
 func (p *Params) ClassNames() []string {
 	var names []string
 	for _, o := range p.Objectives {
@@ -136,7 +141,8 @@
 	return names
 }
 
-// AdmissionSettings returns the settings of admission control, or nil if it is off.
+// AdmissionSettings returns the settings for package admission, or nil if admission control
+// is off.
 func (o *OperatorSettings) AdmissionSettings(p *Params) *admission.Settings {
 	if o.Admission == nil {
 		return nil
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -8,10 +8,10 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// FieldError is the error for a missing or invalid setting.
+// FieldError is the error for a missing or invalid setting. It names the field as in the file.
 type FieldError = wire.FieldError
 
-// Reasons of a FieldError that several checks use.
+// Values of FieldError.Reason that several checks use.
 const (
 	reasonMissing          = "missing"
 	reasonNegative         = "must not be negative"
@@ -23,12 +23,12 @@
 	reasonNotInSettings    = "not in the platform's settings"
 )
 
-// checker records the first error of a series of checks.
+// checker makes a series of checks and records the error of the first that fails.
 type checker struct {
 	err error
 }
 
-// require records an error if ok is false and no check has failed before.
+// require records an error if ok is false, unless an earlier check has failed.
 func (c *checker) require(ok bool, field, reason string) {
 	if !ok && c.err == nil {
 		c.err = &FieldError{Field: field, Reason: reason}
@@ -51,7 +51,7 @@
 	c.require(!math.IsInf(value, 0), field, "must be finite")
 }
 
-// check returns the first error of the settings.
+// check checks all settings and returns the first error.
 func (c *Config) check() error {
 	k := &checker{}
 	k.require(c.Name != "", "label", reasonMissing)
@@ -83,7 +83,8 @@
 	k.require(p.Limits.MaxConnections >= 0, "facts.resources.fd_limit", reasonNegative)
 }
 
-// checkTeams checks that team names are unique, and quotas not negative.
+// checkTeams checks that there is a team, that each has a unique name, and that no quota is
+// negative.
 func checkTeams(k *checker, teams []Team) {
 	k.require(len(teams) > 0, "facts.teams", reasonMissing)
 	seen := map[string]bool{}
@@ -96,7 +97,7 @@
 	}
 }
 
-// check checks the limits, which the file has in the given table.
+// check checks the limits. table is the name of the table that has them in the file.
 func (s KVStoreLimits) check(k *checker, table string) {
 	k.requirePositive(s.RPS, table+".rps")
 	k.requirePositive(s.WriteRPS, table+".write_rps")
--- a/internal/config/drains.go
+++ b/internal/config/drains.go
@@ -15,7 +15,8 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// drainsElement is the XML element that turns drains on.
+// drainsElement is the XML element that enables drains. Attrs and Other have the attributes
+// and elements that are unknown and therefore rejected.
 type drainsElement struct {
 	Window  string          `xml:"windowSeconds,attr"`
 	Attrs   []xml.Attr      `xml:",any,attr"`
@@ -25,8 +26,8 @@
 	} `xml:",any"`
 }
 
-// budgetElement is the XML element of a team's budget, or of the default budget if it
-// names no team.
+// budgetElement is the XML element of a team's budget. If it names no team, it is the default
+// budget. Attrs has unknown attributes.
 type budgetElement struct {
 	Team           string     `xml:"team,attr"`
 	MaxUnavailable string     `xml:"maxUnavailable,attr"`
@@ -35,8 +36,8 @@
 	Attrs          []xml.Attr `xml:",any,attr"`
 }
 
-// parse parses the element and checks it against the deployment's teams. Without an
-// element, it returns nil: drains are off.
+// parse parses the element, and checks that the deployment has the teams. If e is nil, because
+// the file has no such element, it returns nil: drains are off.
 func (e *drainsElement) parse(p *Params) (*drain.Budgets, error) {
 	if e == nil {
 		return nil, nil
@@ -63,7 +64,8 @@
 	return b, nil
 }
 
-// parseWindow parses the window of the budgets and checks its bounds.
+// parseWindow parses the window of the budgets and checks its bounds. Without the attribute it
+// returns the default window.
 func (e *drainsElement) parseWindow() (time.Duration, error) {
 	const field = "drains/windowSeconds"
 	amount, err := parseAmount(field, e.Window)
@@ -117,7 +119,8 @@
 	return err
 }
 
-// parse parses the element into budget, which has the values for omitted attributes.
+// parse parses the element, whose path in the file is field, and returns the budget. Omitted
+// attributes keep the values that the argument budget has.
 func (e *budgetElement) parse(field string, budget drain.Budget) (drain.Budget, error) {
 	if len(e.Attrs) > 0 {
 		return budget, &FieldError{Field: field + "/" + e.Attrs[0].Name.Local, Reason: reasonUnknownAttribute}
@@ -151,8 +154,8 @@
 	return nil
 }
 
-// prefixField prepends the path of the element to the field of a FieldError. Other
-// errors are returned unchanged.
+// prefixField returns a FieldError with the path of the element prepended to its field. It
+// returns other errors unchanged.
 func prefixField(path string, err error) error {
 	var fieldErr *FieldError
 	if errors.As(err, &fieldErr) {
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -23,7 +23,8 @@
 }
 
 // Parse decodes and checks the platform's settings. It ignores unknown fields. The
-// error is a FieldError, wrapped in a PositionError if decoding fails.
+// error is a FieldError, which is wrapped in a PositionError if decoding fails. The returned
+// limits of the key-value store are those of KVStoreLimits.Tightest.
 func Parse(data []byte) (*Config, error) {
 	c := &Config{}
 	if err := toml.Unmarshal(data, c); err != nil {
@@ -50,8 +51,8 @@
 func (e *PositionError) Unwrap() error { return e.Err }
 
 // messageNames replaces the names of Go types and fields in the decoder's messages by
-// their names in earlier versions, so that the messages to operators stay the same. A
-// renamed type or field needs an entry here (TestDecoderMessagesKeepNames).
+// their names in earlier versions, because the messages to operators must stay the same. A
+// renamed type or field needs an entry here (checked by TestDecoderMessagesKeepNames).
 var messageNames = strings.NewReplacer(
 	"config.UpcomingKVStoreLimits", "config.StateNext",
 	"config.KVStoreLimits.Upcoming", "config.State.Next",
@@ -65,7 +66,8 @@
 	"config.Workers.CancelDeadlineS", "config.Workers.CancelS",
 )
 
-// withPosition converts an error of the TOML decoder into a PositionError.
+// withPosition converts an error of the TOML decoder into a PositionError. It returns an error
+// without a position unchanged.
 func withPosition(err error) error {
 	var decodeErr *toml.DecodeError
 	if !errors.As(err, &decodeErr) {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -14,8 +14,7 @@
 	"switchshore.example/switchshore/internal/drain"
 )
 
-// OperatorSettings has the operators' settings. A zero field has its default, or turns
-// the feature off.
+// OperatorSettings has the operators' settings. Zero fields have defaults.
 type OperatorSettings struct {
 	// MaxMachines bounds the number of provisioned machines; 0 is no bound.
 	MaxMachines int
@@ -23,13 +22,14 @@
 	ScaleInIdleS float64
 	// StartWithinS is the time within which waiting tasks should start, in seconds.
 	StartWithinS float64
-	// Admission turns on admission control under overload.
+	// Admission has the settings of admission control under overload, which is off if nil.
 	Admission *Admission
-	// Drains turns on drains of machines, and has the teams' disruption budgets.
+	// Drains has the teams' disruption budgets. Drains of machines are off if it is nil.
 	Drains *drain.Budgets
 }
 
-// operatorFile is the operators' file with unparsed values; omitted fields are empty.
+// operatorFile is the decoded XML document with unparsed values. Omitted fields are empty or
+// nil.
 type operatorFile struct {
 	XMLName      xml.Name `xml:"switchshore"`
 	MaxMachines  string   `xml:"machines>max"`
@@ -40,8 +40,8 @@
 	Drains    *drainsElement    `xml:"drains"`
 }
 
-// LoadOperatorSettings reads and checks the operators' file for a deployment. It returns
-// the defaults if path is empty.
+// LoadOperatorSettings reads the operators' file and checks it for the deployment with the
+// parameters p. It returns zero settings, which are the defaults, if path is empty.
 func LoadOperatorSettings(path string, p *Params) (*OperatorSettings, error) {
 	if path == "" {
 		return &OperatorSettings{}, nil
@@ -57,10 +57,11 @@
 	return o, nil
 }
 
-// ParseOperatorSettings decodes and checks the operators' file for a deployment. The error
-// is a FieldError, ErrNoRootElement, ErrExtraContent, or an error of the XML decoder.
+// ParseOperatorSettings decodes the operators' file and checks it for the deployment with the
+// parameters p. The error is a FieldError, ErrNoRootElement, ErrExtraContent, or an error of
+// the XML decoder.
 func ParseOperatorSettings(data []byte, p *Params) (*OperatorSettings, error) {
-	file, err := decodeOperator(data)
+	file, err := decodeOperatorFile(data)
 	if err != nil {
 		return nil, err
 	}
@@ -94,8 +95,8 @@
 	ErrExtraContent  = errors.New("more than the switchshore element")
 )
 
-// decodeOperator decodes the root element and checks that nothing follows it.
-func decodeOperator(data []byte) (*operatorFile, error) {
+// decodeOperatorFile decodes the root element and checks that nothing follows it.
+func decodeOperatorFile(data []byte) (*operatorFile, error) {
 	var file operatorFile
 	decoder := xml.NewDecoder(bytes.NewReader(data))
 	err := decoder.Decode(&file)
@@ -111,7 +112,7 @@
 	return &file, nil
 }
 
-// checkNoExtraContent checks that only comments and white space follow.
+// checkNoExtraContent checks that only comments and white space follow the root element.
 func checkNoExtraContent(decoder *xml.Decoder) error {
 	for {
 		token, err := decoder.Token()
@@ -133,7 +134,7 @@
 	}
 }
 
-// parseAmount parses a number that is not negative; an empty text is 0.
+// parseAmount parses a finite number that is not negative. An empty text is 0.
 func parseAmount(field, text string) (float64, error) {
 	text = strings.TrimSpace(text)
 	if text == "" {
