--- a/internal/admission/regulator_test.go
+++ b/internal/admission/regulator_test.go
@@ -141,7 +141,7 @@
 	successor := newOverloadedRegulator(2, o.now)
 	successor.simulateSecond(80)
 	if last, first := o.Policy().Revision, successor.Policy().Revision; first < last || first > last+2 {
-		t.Errorf("the next term begins with revision %d after %d, want an increase by at most 2", first, last)
+		t.Errorf("the next term begins with revision %d after %d, want 0 to 2 more", first, last)
 	}
 	previous := successor.Policy().Revision
 	successor.now = successor.now.Add(tuning.AdmissionInterval)
--- a/internal/config/load_test.go
+++ b/internal/config/load_test.go
@@ -7,7 +7,7 @@
 	"switchshore.example/switchshore/internal/config"
 )
 
-const settings = `
+const validSettings = `
 label = "n0"
 domain = "a"
 client_listen = "10.0.0.1:8080"
@@ -47,20 +47,20 @@
 list_lag_s = 5.0
 `
 
-// TestParse checks that settings are read, and that unknown ones are ignored.
+// TestParse checks that settings are read, and that unknown fields are ignored.
 func TestParse(t *testing.T) {
-	c, err := config.Parse([]byte(settings))
+	c, err := config.Parse([]byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c.Name != "n0" || c.Peers[0].Addr != "10.0.0.2:8081" || c.Params.Workers.LeaseS != 17 {
-		t.Fatalf("%+v", c)
+		t.Fatalf("got %+v, want the values of validSettings", c)
 	}
 }
 
 // TestErrorsNameTheField checks that the error for an invalid setting names it, on one line.
 func TestErrorsNameTheField(t *testing.T) {
-	for _, c := range [][3]string{
+	for _, c := range [][3]string{ // text to replace, replacement, field that the error names
 		{`label = "n0"`, ``, "label"},
 		{`client_listen = "10.0.0.1:8080"`, `client_listen = "here"`, "client_listen"},
 		{`addr = "10.0.0.2:8081"`, ``, "peers[0].addr"},
@@ -72,33 +72,34 @@
 		{`rps = 8.0`, `rps = -1.0`, "facts.cloud.rps"},
 		{`report_s = 3.0`, `report_s = inf`, "facts.workers.report_s"},
 	} {
-		_, err := config.Parse([]byte(strings.Replace(settings, c[0], c[1], 1)))
+		_, err := config.Parse([]byte(strings.Replace(validSettings, c[0], c[1], 1)))
 		if err == nil || !strings.Contains(err.Error(), c[2]) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", c[2], err)
+			t.Errorf("field %s: got error %v, want one line that names the field", c[2], err)
 		}
 	}
 }
 
-// TestUpcomingLimits checks that the tighter of both limits applies, that limits missing from
-// the table don't change, and that the upcoming limits are validated.
+// TestUpcomingLimits checks that the smaller of the current and the upcoming limit applies, that
+// limits missing from the table of upcoming limits don't change, and that upcoming limits are
+// validated.
 func TestUpcomingLimits(t *testing.T) {
-	before, err := config.Parse([]byte(settings))
+	withoutUpcoming, err := config.Parse([]byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := config.Parse([]byte(settings + "[facts.state.next]\nwrite_rps = 56.0\nvalue_kb = 2.0\ntxn_ops = 60\n"))
+	c, err := config.Parse([]byte(validSettings + "[facts.state.next]\nwrite_rps = 56.0\nvalue_kb = 2.0\ntxn_ops = 60\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := before.Params.KVStore
+	want := withoutUpcoming.Params.KVStore
 	want.WriteRPS, want.ValueKB = 56, 2
 	if c.Params.KVStore != want {
-		t.Errorf("%+v, want %+v", c.Params.KVStore, want)
+		t.Errorf("got limits %+v, want %+v", c.Params.KVStore, want)
 	}
 	for _, invalid := range []string{"write_rps = 0.0", "value_kb = -1.0", "txn_ops = 2", "rps = 0.0"} {
 		field, _, _ := strings.Cut(invalid, " ")
-		if _, err := config.Parse([]byte(settings + "[facts.state.next]\n" + invalid + "\n")); err == nil || !strings.Contains(err.Error(), "facts.state.next."+field) {
-			t.Errorf("%s: %v", invalid, err)
+		if _, err := config.Parse([]byte(validSettings + "[facts.state.next]\n" + invalid + "\n")); err == nil || !strings.Contains(err.Error(), "facts.state.next."+field) {
+			t.Errorf("upcoming limit %s: got error %v, want one that names the field", invalid, err)
 		}
 	}
 }
--- a/internal/config/messages_test.go
+++ b/internal/config/messages_test.go
@@ -7,10 +7,11 @@
 	"switchshore.example/switchshore/internal/config"
 )
 
-// TestDecoderMessagesKeepNames checks that the message for a value of the wrong type keeps
-// its type and field names when the types and fields of this package are renamed.
+// TestDecoderMessagesKeepNames checks that the message for a value of the wrong type has the
+// type and field names of earlier versions, even if types or fields of this package were
+// renamed.
 func TestDecoderMessagesKeepNames(t *testing.T) {
-	for path, name := range map[string]string{
+	for path, goField := range map[string]string{
 		"label":                      "config.Config.Name",
 		"domain":                     "config.Config.Zone",
 		"client_listen":              "config.Config.Listen",
@@ -73,8 +74,8 @@
 			header = "[" + parent + "]\n"
 		}
 		_, err := config.Parse([]byte(header + key + " = true\n"))
-		if err == nil || !strings.Contains(err.Error(), "struct field "+name+" of type ") || !strings.Contains(err.Error(), "field "+path+": ") {
-			t.Errorf("%s: %v", path, err)
+		if err == nil || !strings.Contains(err.Error(), "struct field "+goField+" of type ") || !strings.Contains(err.Error(), "field "+path+": ") {
+			t.Errorf("%s: got error %v, want one with the names of the field in the file and in Go", path, err)
 		}
 	}
 }
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -13,11 +13,11 @@
 func TestParseOperatorSettings(t *testing.T) {
 	o, err := config.ParseOperatorSettings([]byte(`<switchshore><machines><max>9</max></machines></switchshore>`), &config.Params{})
 	if err != nil || o.MaxMachines != 9 {
-		t.Fatalf("%+v %v", o, err)
+		t.Fatalf("got %+v, error %v; want MaxMachines 9", o, err)
 	}
-	for _, bad := range []string{"", "<other/>", `<switchshore><machines><max>-1</max></machines></switchshore>`} {
-		if _, err := config.ParseOperatorSettings([]byte(bad), &config.Params{}); err == nil {
-			t.Errorf("%q accepted", bad)
+	for _, invalid := range []string{"", "<other/>", `<switchshore><machines><max>-1</max></machines></switchshore>`} {
+		if _, err := config.ParseOperatorSettings([]byte(invalid), &config.Params{}); err == nil {
+			t.Errorf("invalid file %q is accepted", invalid)
 		}
 	}
 }
@@ -30,8 +30,8 @@
 		Objectives: []config.Objective{{Class: "urgent"}, {Class: "urgent"}, {Class: "nightly"}, {}},
 		KVStore:    config.KVStoreLimits{WriteRPS: 80},
 	}
-	parse := func(inner string) (*config.OperatorSettings, error) {
-		return config.ParseOperatorSettings([]byte("<switchshore>"+inner+"</switchshore>"), p)
+	parse := func(content string) (*config.OperatorSettings, error) {
+		return config.ParseOperatorSettings([]byte("<switchshore>"+content+"</switchshore>"), p)
 	}
 	o, err := parse(`<!-- on --><admission><team name="blue" weight="2" floor="0.25"><class name="urgent" weight="4"/></team></admission>`)
 	if err != nil {
@@ -39,12 +39,12 @@
 	}
 	s := o.AdmissionSettings(p)
 	if len(s.Teams) != 2 || s.Teams[0].Weight != 2 || s.Teams[0].Floor != 0.25 || s.Teams[0].Classes[0].Weight != 4 || len(s.Classes) != 2 {
-		t.Errorf("%+v", s)
+		t.Errorf("got %+v, want the weights and floors of the file, and two classes", s)
 	}
 	if o, err := parse(""); err != nil || o.AdmissionSettings(p) != nil {
-		t.Errorf("on without the element: %v", err)
+		t.Errorf("without the element: got error %v or settings, want neither", err)
 	}
-	for inner, field := range map[string]string{
+	for teams, field := range map[string]string{
 		`<team name="red"/>`:                            "admission/team[red]/name",
 		`<team/>`:                                       "admission/team[]/name",
 		`<team name="blue"/><team name="blue"/>`:        "admission/team[blue]",
@@ -59,13 +59,13 @@
 		`<crew name="blue"/>`:               "admission/crew",
 		`<team name="blue"><klass/></team>`: "admission/team[blue]/klass",
 	} {
-		if _, err := parse("<admission>" + inner + "</admission>"); err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", inner, err)
+		if _, err := parse("<admission>" + teams + "</admission>"); err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: got error %v, want one line that names the field", teams, err)
 		}
 	}
 	for _, file := range []string{"<switchshore><admission>", "<switchshore/><admission/>", "<switchshore/>more"} {
 		if _, err := config.ParseOperatorSettings([]byte(file), p); err == nil {
-			t.Errorf("%s accepted", file)
+			t.Errorf("invalid file %s is accepted", file)
 		}
 	}
 }
@@ -75,8 +75,8 @@
 // element.
 func TestDrainsElement(t *testing.T) {
 	p := &config.Params{Teams: []config.Team{{Name: "blue"}, {Name: "green"}}}
-	parse := func(text string) (*config.OperatorSettings, error) {
-		return config.ParseOperatorSettings([]byte("<switchshore>"+text+"</switchshore>"), p)
+	parse := func(content string) (*config.OperatorSettings, error) {
+		return config.ParseOperatorSettings([]byte("<switchshore>"+content+"</switchshore>"), p)
 	}
 	o, err := parse(`<drains windowSeconds="120"><budget team="blue" evictions="0"/><budget maxUnavailable="3" lostSeconds="9.5"/></drains>`)
 	if err != nil {
@@ -84,12 +84,12 @@
 	}
 	blue, green := o.Drains.For("blue"), o.Drains.For("green")
 	if o.Drains.Window != 2*time.Minute || blue.Evictions != 0 || blue.MaxUnavailable != 3 || green.LostS != 9.5 || green.Evictions == 0 {
-		t.Errorf("%+v", o.Drains)
+		t.Errorf("got %+v, want the window and budgets of the file", o.Drains)
 	}
 	if o, err := parse(""); err != nil || o.Drains != nil {
-		t.Errorf("on without the element: %v", err)
+		t.Errorf("without the element: got error %v or budgets, want neither", err)
 	}
-	for text, field := range map[string]string{
+	for element, field := range map[string]string{
 		`<drains windowSeconds="1"/>`:                                 "drains/windowSeconds",
 		`<drains windowSeconds="x"/>`:                                 "drains/windowSeconds",
 		`<drains speed="1"/>`:                                         "drains/speed",
@@ -103,8 +103,8 @@
 		`<drains><budget evictions="99999999"/></drains>`:             "drains/budget/evictions",
 		`<drains><budget team="blue" max="1"/></drains>`:              "drains/budget[blue]/max",
 	} {
-		if _, err := parse(text); err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", text, err)
+		if _, err := parse(element); err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: got error %v, want one line that names the field", element, err)
 		}
 	}
 }
