--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -39,8 +39,9 @@
 	Classes []Class
 }
 
-// Class is a class of jobs within a team. Its weight and floor divide the team's budget
-// in the same way as those of teams divide the whole budget.
+// Class is a class of jobs within a team. Its weight and floor apply to the division of the
+// team's budget. A weight of 0 is the default, 1. The floor is at least an equal part of
+// AdmissionClassFloorShare.
 type Class struct {
 	Name          string
 	Weight, Floor float64
@@ -55,7 +56,7 @@
 	WritesPerSecond float64
 }
 
-// Key returns the key of jobs of a team and class, and whether the team is known.
+// Key returns the key for jobs of a team and class, and whether the settings name the team.
 func (s *Settings) Key(team, class string) (Key, bool) {
 	known := slices.ContainsFunc(s.Teams, func(t Team) bool { return t.Name == team })
 	if !slices.Contains(s.Classes, class) {
--- a/internal/admission/budget.go
+++ b/internal/admission/budget.go
@@ -13,7 +13,7 @@
 // slowly if the load is within its targets, and decreases it quickly otherwise, like the
 // congestion window of TCP.
 func (r *Regulator) adjustBudget(now time.Time, elapsed time.Duration) {
-	admitted := float64(r.admitted) / max(elapsed.Seconds(), tuning.AdmissionInterval.Seconds())
+	admittedRate := float64(r.admitted) / max(elapsed.Seconds(), tuning.AdmissionInterval.Seconds())
 	r.admitted = 0
 	switch {
 	case !r.shedding:
@@ -23,10 +23,10 @@
 			return
 		}
 		r.shedding = true
-		r.budget = admitted / min(r.pressure, tuning.AdmissionMaxDecreaseFactor)
+		r.budget = admittedRate / min(r.pressure, tuning.AdmissionMaxDecreaseFactor)
 		r.withinBudgetSince = now
 	case r.pressure > 1:
-		r.budget = min(r.budget, max(admitted, 1)) / min(r.pressure, tuning.AdmissionMaxDecreaseFactor)
+		r.budget = min(r.budget, max(admittedRate, 1)) / min(r.pressure, tuning.AdmissionMaxDecreaseFactor)
 	default:
 		r.budget = r.budget*tuning.AdmissionGrowthFactor + tuning.AdmissionGrowthStep
 	}
--- a/internal/admission/load.go
+++ b/internal/admission/load.go
@@ -33,23 +33,23 @@
 // measureDemand lets the smoothed rates decay over the elapsed time and adds the submissions
 // since the last update to them. nodes has the counts that the nodes last reported.
 func (r *Regulator) measureDemand(elapsed time.Duration, nodes []NodeOfferedLoad) {
-	decay := math.Exp(-elapsed.Seconds() / tuning.AdmissionOfferedLoadDecay.Seconds())
+	decayFactor := math.Exp(-elapsed.Seconds() / tuning.AdmissionOfferedLoadDecay.Seconds())
 	for k, d := range r.demands {
-		d.rate *= decay
-		d.agedRate *= decay
-		d.weightedRate *= decay
+		d.rate *= decayFactor
+		d.agedRate *= decayFactor
+		d.weightedRate *= decayFactor
 		if d.rate < tuning.AdmissionMinOfferedRate {
 			delete(r.demands, k)
 		}
 	}
 	for _, n := range nodes {
-		earlier, known := r.nodeLoads[n.Node]
-		if known && n.olderThan(&earlier) {
+		previous, known := r.nodeLoads[n.Node]
+		if known && n.olderThan(&previous) {
 			continue
 		}
 		r.nodeLoads[n.Node] = n
 		if known {
-			r.addDemand(earlier, n)
+			r.addDemand(previous, n)
 		}
 	}
 	unclaimed := NodeOfferedLoad{}
@@ -69,7 +69,7 @@
 			before[o.Key] = o
 		}
 	}
-	perSecond := 1 / tuning.AdmissionOfferedLoadDecay.Seconds()
+	ratePerSubmission := 1 / tuning.AdmissionOfferedLoadDecay.Seconds()
 	for _, o := range later.Loads {
 		previous := before[o.Key]
 		if key, known := r.settings.Key(o.Team, o.Class); !known || key != o.Key || o.Count <= previous.Count {
@@ -80,9 +80,9 @@
 			d = &demand{}
 			r.demands[o.Key] = d
 		}
-		d.rate += float64(o.Count-previous.Count) * perSecond
-		d.agedRate += max(0, o.AgingFactorSum-previous.AgingFactorSum) * perSecond
-		d.weightedRate += max(0, o.PriorityWeightSum-previous.PriorityWeightSum) * perSecond
+		d.rate += float64(o.Count-previous.Count) * ratePerSubmission
+		d.agedRate += max(0, o.AgingFactorSum-previous.AgingFactorSum) * ratePerSubmission
+		d.weightedRate += max(0, o.PriorityWeightSum-previous.PriorityWeightSum) * ratePerSubmission
 	}
 }
 
@@ -98,8 +98,8 @@
 	}
 	r.sentWrites = load.SentWrites
 	r.previousPressure = r.pressure
-	delay := float64(load.PendingWrites) / max(r.writeCapacity, 1)
-	r.pressure = max(delay/tuning.AdmissionTargetDelay.Seconds(), load.Lag.Seconds()/tuning.AdmissionTargetLag.Seconds())
+	delayS := float64(load.PendingWrites) / max(r.writeCapacity, 1)
+	r.pressure = max(delayS/tuning.AdmissionTargetDelay.Seconds(), load.Lag.Seconds()/tuning.AdmissionTargetLag.Seconds())
 }
 
 // offeredRate returns the smoothed rate of all submissions, per second.
--- a/internal/admission/regulator.go
+++ b/internal/admission/regulator.go
@@ -56,12 +56,12 @@
 // at most AdmissionReservedShare. Teams for which the operators set a floor get it, and the
 // rest is divided among the other teams in proportion to their guaranteed CPUs.
 func reserveFloors(teams []Team) map[string]float64 {
-	unassigned, guarantees := tuning.AdmissionReservedShare, 0.0
+	unassignedShare, guaranteedCPUs := tuning.AdmissionReservedShare, 0.0
 	for _, t := range teams {
 		if t.Floor > 0 {
-			unassigned -= t.Floor
+			unassignedShare -= t.Floor
 		} else {
-			guarantees += t.GuaranteedCPUs
+			guaranteedCPUs += t.GuaranteedCPUs
 		}
 	}
 	floors := map[string]float64{}
@@ -69,8 +69,8 @@
 		switch {
 		case t.Floor > 0:
 			floors[t.Name] = t.Floor
-		case guarantees > 0:
-			floors[t.Name] = max(0, unassigned) * t.GuaranteedCPUs / guarantees
+		case guaranteedCPUs > 0:
+			floors[t.Name] = max(0, unassignedShare) * t.GuaranteedCPUs / guaranteedCPUs
 		}
 	}
 	return floors
--- a/internal/tuning/admission.go
+++ b/internal/tuning/admission.go
@@ -13,8 +13,8 @@
 	// in the key-value store: well below the users' timeout, and long enough to collect
 	// the writes of a full transaction.
 	AdmissionTargetDelay = 400 * time.Millisecond
-	// AdmissionTargetLag is the target for the time by which the leader's periodic work
-	// runs late for lack of CPU time.
+	// AdmissionTargetLag is the target for how late the leader's periodic work runs. It runs
+	// late when the leader lacks CPU time.
 	AdmissionTargetLag = 1 * time.Second
 	// AdmissionShedPressure is the multiple of the targets at which load shedding
 	// begins. The jobs of a smaller burst have all been accepted before a rejected user
--- a/internal/tuning/kvstore.go
+++ b/internal/tuning/kvstore.go
@@ -19,8 +19,8 @@
 	// retried.
 	StoreRetryDelay = 150 * time.Millisecond
 	// CorruptRecordRetryDelay is the delay before a leader that found an essential record
-	// to be corrupt reloads its state. It is longer, because an operator has to repair
-	// the record first.
+	// to be corrupt reloads its state. It is longer than StoreRetryDelay, because an
+	// operator has to repair the record first.
 	CorruptRecordRetryDelay = 5 * time.Second
 	// StoreLeaderShare is the leader's share of the store's request limit, and
 	// StoreFollowerShare that of all followers together. Followers need less: they only
--- a/internal/tuning/workers.go
+++ b/internal/tuning/workers.go
@@ -7,9 +7,9 @@
 const (
 	// DirectCallTimeout bounds a direct call. A worker normally replies at once.
 	DirectCallTimeout = 1 * time.Second
-	// DirectCallBackoff is how long the leader makes no direct call to a machine after it
-	// left one without a reply. The machine gets its commands in responses to heartbeats
-	// meanwhile.
+	// DirectCallBackoff is how long the leader makes no direct calls to a machine after one
+	// got no reply. During this time the machine gets its commands in responses to
+	// heartbeats.
 	DirectCallBackoff = 10 * time.Second
 	// DirectCallConnections bounds the connections to one worker. One is enough, because
 	// the calls to a worker are sequential.
@@ -70,7 +70,8 @@
 	// BootTimeoutFactor is the multiple of a machine type's usual boot time after which a
 	// machine that never sent a heartbeat is released.
 	BootTimeoutFactor = 3.5
-	// ReclaimNoticeMargin is a reserve that is added to a task's save time. It decides
-	// whether the time until a spot machine is reclaimed is enough for the save.
+	// ReclaimNoticeMargin is a reserve for saving checkpoints on a spot machine that the
+	// cloud is about to reclaim: a task is stopped when the remaining time is down to its
+	// save time plus this margin.
 	ReclaimNoticeMargin = 5 * time.Second
 )
