--- a/internal/admission/regulator.go
+++ b/internal/admission/regulator.go
@@ -77,9 +77,9 @@
 }
 
 // weightOf returns the weight that the operators set, or the default of 1 if it is 0.
-func weightOf(set float64) float64 {
-	if set > 0 {
-		return set
+func weightOf(configured float64) float64 {
+	if configured > 0 {
+		return configured
 	}
 	return 1
 }
--- a/internal/tuning/preemption.go
+++ b/internal/tuning/preemption.go
@@ -42,7 +42,7 @@
 	// that the tasks stopped by one pass take to save their checkpoints.
 	ConsolidateInterval = 3 * time.Second
 	// ConsolidateDivisor: at most one in this many machines is consolidated at a time,
-	// because the other machines must load the images and checkpoints of the moved tasks.
+	// because the images and checkpoints of the moved tasks put load on the other machines.
 	ConsolidateDivisor = 10
 	// ConsolidateMinRunTime is how long a task must have run before it is moved: if it
 	// is stopped earlier, its start doesn't count for its user.
