--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -71,7 +71,7 @@
 	if fetchGBPerS > 0 {
 		durationS += placement.FetchTime(j.ImageGB, fetchGBPerS)
 	}
-	return seconds.Duration(durationS) + tuning.DependentStartDelay
+	return seconds.Duration(durationS) + tuning.ChainedJobDelay
 }
 
 // processDependencyChanges carries out at most tuning.DependencyStepsPerTick of the
