--- a/internal/leader/direct_calls.go
+++ b/internal/leader/direct_calls.go
@@ -105,9 +105,9 @@
 // connection limit, or tuning.DirectMaxCalls if there is no limit.
 func MaxDirectCalls(limits config.ProcessLimits) int {
 	if limits.MaxConnections <= 0 {
-		return tuning.DirectMaxCalls
+		return tuning.MaxDirectCalls
 	}
-	return max(1, int(float64(limits.MaxConnections)*tuning.DirectSocketShare))
+	return max(1, int(float64(limits.MaxConnections)*tuning.DirectCallSocketShare))
 }
 
 // FinishDirectCall applies the outcome of a direct call. h is the heartbeat in the agent's reply,
@@ -126,7 +126,7 @@
 	m.EndCall()
 	l.directCalls.enqueue(m)
 	if outcome != DirectCallReplied {
-		m.DelayCalls(now.Add(tuning.DirectBackoff))
+		m.DelayCalls(now.Add(tuning.DirectCallBackoff))
 		return
 	}
 	if h == nil || h.Machine != m.ID {
--- a/internal/leader/leases.go
+++ b/internal/leader/leases.go
@@ -34,6 +34,6 @@
 	}
 	m.ClearExited()
 	if len(m.Attempts()) > 0 && !m.IsReleaseRequired() {
-		m.RequireRelease(now.Add(tuning.FencingDelay))
+		m.RequireRelease(now.Add(tuning.NewEpochFencingDelay))
 	}
 }
--- a/internal/leader/pass.go
+++ b/internal/leader/pass.go
@@ -41,7 +41,7 @@
 	l.passTimes.lastPass = now
 	scoredBefore := l.scoredPairs
 	l.placeReadyTasks(now)
-	l.passTimes.earliestNextPass = now.Add(tuning.PassInterval + time.Duration(l.scoredPairs-scoredBefore)*tuning.PassDelayPerScoredPair)
+	l.passTimes.earliestNextPass = now.Add(tuning.PlacementInterval + time.Duration(l.scoredPairs-scoredBefore)*tuning.PlacementDelayPerScoredPair)
 	l.consolidate(now)
 }
 
@@ -62,7 +62,7 @@
 	for _, j := range byID {
 		agedJobs[j] = j.PlacementWait(now) >= tuning.AgingThreshold
 	}
-	assignments, stats := placement.Run(l.placementTimeS(now), l.withAgedEntries(now, ready, byID), candidates, l.ledger.PlacementTeams(), tuning.PassMaxStarts)
+	assignments, stats := placement.Run(l.placementTimeS(now), l.withAgedEntries(now, ready, byID), candidates, l.ledger.PlacementTeams(), tuning.PlacementMaxStarts)
 	l.scoredPairs += stats.ScoredPairs
 	for _, s := range assignments {
 		j := byID[s.JobID]
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -38,7 +38,7 @@
 		t.Fatalf("accepted %d jobs and started %d tasks, want at least 175 and 5500", f.acceptedJobs, f.startedTasks)
 	}
 	// A pass that reaches tuning.PassMaxScoredPairs still completes the current group of jobs.
-	if f.maxPairsPerPass > 2*tuning.PassMaxScoredPairs {
+	if f.maxPairsPerPass > 2*tuning.PlacementMaxScoredPairs {
 		t.Fatalf("one placement pass scored %d pairs of job and machine, want at most twice tuning.PassMaxScoredPairs", f.maxPairsPerPass)
 	}
 	lateStarts := 0
@@ -151,7 +151,7 @@
 	counts := f.Summary()
 	f.t.Logf("%d accepted, %d starts, %.2f changes and %d bytes per start, at most %d pairs per pass, %d cloud calls, %+v",
 		f.acceptedJobs, f.startedTasks, float64(f.committedMutations)/float64(f.startedTasks), f.committedBytes/f.startedTasks, f.maxPairsPerPass, f.cloudCalls, counts)
-	if f.maxPairsPerPass > 2*tuning.PassMaxScoredPairs {
+	if f.maxPairsPerPass > 2*tuning.PlacementMaxScoredPairs {
 		f.t.Errorf("one placement pass scored %d pairs of job and machine, want at most twice tuning.PassMaxScoredPairs", f.maxPairsPerPass)
 	}
 	if f.committedMutations > f.startedTasks {
--- a/internal/leader/submission.go
+++ b/internal/leader/submission.go
@@ -54,7 +54,7 @@
 	if rejected := l.checkDependencies(spec); rejected != nil {
 		return rejected
 	}
-	if l.admission.unfinished+spec.Tasks > tuning.MaxActiveTasks || l.writes.Interactive.Len() >= l.maxInteractiveWrites() {
+	if l.admission.unfinished+spec.Tasks > tuning.MaxUnfinishedTasks || l.writes.Interactive.Len() >= l.maxInteractiveWrites() {
 		// The first limit bounds the memory for unfinished tasks. The second one bounds the queued
 		// writes: the key-value store can't execute more within the time that users wait for a
 		// response, so further requests would only time out.
--- a/internal/machines/reachability.go
+++ b/internal/machines/reachability.go
@@ -72,7 +72,7 @@
 			delete(r.partitionedZones, zone)
 		}
 	}
-	r.isolated = outsidePartitions.joined > 0 && outsidePartitions.reachableShare() < tuning.ReachableShare
+	r.isolated = outsidePartitions.joined > 0 && outsidePartitions.reachableShare() < tuning.OtherZonesMinReachableShare
 }
 
 // reachabilityCount counts machines that have joined, and how many of these are unreachable.
@@ -90,7 +90,7 @@
 // of all zones together.
 func (h *reachabilityCount) isPartitioned(all *reachabilityCount) bool {
 	others := reachabilityCount{joined: all.joined - h.joined, unreachable: all.unreachable - h.unreachable}
-	return h.unreachable >= tuning.PartitionedMachines && h.reachableShare() <= tuning.PartitionedShare && others.reachableShare() >= tuning.ReachableShare
+	return h.unreachable >= tuning.PartitionMinUnreachable && h.reachableShare() <= tuning.PartitionMaxReachableShare && others.reachableShare() >= tuning.OtherZonesMinReachableShare
 }
 
 // reachableShare returns the share of the joined machines that are reachable, or 0 if none has
--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -89,7 +89,7 @@
 // maximum of pairs. Otherwise, with 2,000 full machines, each aged job would score
 // all of them without a start, and no scores would be left for the jobs that fit.
 func (p *pass) busyMachinesToScore(j *PendingJob, imageCached bool) []*Machine {
-	if p.startOnly || p.queuedTasks >= tuning.PassMaxQueuedTasks || p.stats.ScoredPairs >= tuning.PassMaxScoredPairs/2 {
+	if p.startOnly || p.queuedTasks >= tuning.PlacementMaxQueuedTasks || p.stats.ScoredPairs >= tuning.PlacementMaxScoredPairs/2 {
 		return nil
 	}
 	switch {
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -135,7 +135,7 @@
 // because it has reached a limit.
 func (p *pass) placeGroup(jobs, later []*PendingJob) bool {
 	for {
-		if len(p.starts) >= p.maxStarts || p.stats.ScoredPairs > 2*tuning.PassMaxScoredPairs {
+		if len(p.starts) >= p.maxStarts || p.stats.ScoredPairs > 2*tuning.PlacementMaxScoredPairs {
 			return false
 		}
 		job, best := p.bestPair(jobs)
@@ -147,7 +147,7 @@
 			// task of the same priority. Otherwise the pass would plan the order of
 			// all tasks in advance. Aged jobs are exempt: their queued tasks reserve
 			// resources even if no task of their priority can start.
-			if p.queuedTasks >= tuning.PassMaxQueuedTasks {
+			if p.queuedTasks >= tuning.PlacementMaxQueuedTasks {
 				return true
 			}
 			if job.AgedS == 0 && !p.anyJobFitsNow(jobs, later) {
@@ -171,7 +171,7 @@
 			j.unplaceable = true
 			continue
 		}
-		if !j.scored && p.stats.ScoredPairs > tuning.PassMaxScoredPairs {
+		if !j.scored && p.stats.ScoredPairs > tuning.PlacementMaxScoredPairs {
 			// Only the jobs that are scored already are placed. A pass that scored
 			// pairs up to its final limit before it started a task would start
 			// none, and neither would any later pass.
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -86,7 +86,7 @@
 		if fmt.Sprint(got) != "[{small free} {small free}]" {
 			t.Errorf("aged jobs of %d tasks: started %v, want two tasks of job small", tasks, got)
 		}
-		if stats.ScoredPairs > tuning.PassMaxScoredPairs {
+		if stats.ScoredPairs > tuning.PlacementMaxScoredPairs {
 			t.Errorf("aged jobs of %d tasks: %d pairs scored, want at most tuning.PassMaxScoredPairs", tasks, stats.ScoredPairs)
 		}
 	}
@@ -104,7 +104,7 @@
 		ready = append(ready, newJob(fmt.Sprintf("j%03d", i), 0, 5))
 	}
 	got, stats := placement.Run(0, ready, machines, unlimitedTeams(), 200)
-	if len(got) == 0 || !stats.Truncated || stats.ScoredPairs > 2*tuning.PassMaxScoredPairs {
+	if len(got) == 0 || !stats.Truncated || stats.ScoredPairs > 2*tuning.PlacementMaxScoredPairs {
 		t.Errorf("%d starts, stats %+v, want some starts in a truncated pass that keeps the limit of scores", len(got), stats)
 	}
 }
@@ -244,7 +244,7 @@
 		ready = append(ready, j)
 	}
 	starts, stats := placement.Run(0, ready, machines, unlimitedTeams(), 1000)
-	if !stats.Truncated || stats.ScoredPairs > tuning.PassMaxScoredPairs+2*machineCount {
+	if !stats.Truncated || stats.ScoredPairs > tuning.PlacementMaxScoredPairs+2*machineCount {
 		t.Errorf("stats %+v, want a truncated pass that keeps the limit of scores", stats)
 	}
 	if len(starts) == 0 || starts[0].JobID != "j000" {
--- a/internal/scaling/history.go
+++ b/internal/scaling/history.go
@@ -35,13 +35,13 @@
 // AddArrival adds work that arrived at arrivedAt to the arrival rate. cpuSeconds is the estimated run
 // time of its tasks times their CPUs.
 func (h *DemandHistory) AddArrival(now, arrivedAt time.Time, cpuSeconds float64) {
-	rate := cpuSeconds / tuning.InflowDecay.Seconds()
-	h.arrivalRate, h.arrivalRateAt = h.ArrivalCPUs(now)+rate*decayFactor(now.Sub(arrivedAt), tuning.InflowDecay), now
+	rate := cpuSeconds / tuning.ArrivalRateDecay.Seconds()
+	h.arrivalRate, h.arrivalRateAt = h.ArrivalCPUs(now)+rate*decayFactor(now.Sub(arrivedAt), tuning.ArrivalRateDecay), now
 }
 
 // ArrivalCPUs returns how many CPUs are needed to run work as fast as it has recently arrived.
 func (h *DemandHistory) ArrivalCPUs(now time.Time) float64 {
-	return h.arrivalRate * decayFactor(now.Sub(h.arrivalRateAt), tuning.InflowDecay)
+	return h.arrivalRate * decayFactor(now.Sub(h.arrivalRateAt), tuning.ArrivalRateDecay)
 }
 
 // decayFactor returns the weight, from 1 down to 0, that a sample of the given age still has.
--- a/internal/scaling/scale_in.go
+++ b/internal/scaling/scale_in.go
@@ -15,7 +15,7 @@
 // lists the most urgent machines first. ScaleIn leaves out the machines that exceed the limit of
 // release calls in flight; the caller names them again later.
 func (s *Scaler) ScaleIn(names []string) []CloudCall {
-	maxReleases := tuning.MaxReleaseCount * max(1, int(s.config.CloudRPS*tuning.CloudCallShare*tuning.ReleasesInFlight))
+	maxReleases := tuning.MaxReleaseCount * max(1, int(s.config.CloudRPS*tuning.CloudCallShare*tuning.MaxReleasesInFlightS))
 	var releasing []string
 	for _, name := range names {
 		if m := s.cluster.Machines.Get(name); m != nil && !m.IsBeingReleased() && len(releasing) < maxReleases {
--- a/internal/scaling/scale_out.go
+++ b/internal/scaling/scale_out.go
@@ -15,7 +15,7 @@
 // ScaleOut returns provision calls for the wanted number of machines of each offering, up to the limit
 // of provision calls in flight.
 func (s *Scaler) ScaleOut(now time.Time, wanted map[autoscale.Offering]int) []CloudCall {
-	maxCalls := max(1, int(s.config.CloudRPS*tuning.CloudCallShare*tuning.ProvisionsInFlight))
+	maxCalls := max(1, int(s.config.CloudRPS*tuning.CloudCallShare*tuning.MaxProvisionsInFlightS))
 	var calls []CloudCall
 	for _, o := range slices.SortedFunc(maps.Keys(wanted), compareOfferings) {
 		if len(s.provisionsInFlight) >= maxCalls {
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -152,8 +152,8 @@
 		t.Errorf("mean of the CPUs in use is %v after one time constant, want %v", later, want)
 	}
 	h.AddArrival(testStart, testStart, 60)
-	initial, decayed := h.ArrivalCPUs(testStart), h.ArrivalCPUs(testStart.Add(tuning.InflowDecay))
-	if want := 60 / tuning.InflowDecay.Seconds(); math.Abs(initial-want) > 1e-9 || math.Abs(decayed-want/math.E) > 1e-9 {
+	initial, decayed := h.ArrivalCPUs(testStart), h.ArrivalCPUs(testStart.Add(tuning.ArrivalRateDecay))
+	if want := 60 / tuning.ArrivalRateDecay.Seconds(); math.Abs(initial-want) > 1e-9 || math.Abs(decayed-want/math.E) > 1e-9 {
 		t.Errorf("CPUs for arriving work are %v, then %v; want %v at first, and 1/e of it after one time constant", initial, decayed, want)
 	}
 }
