--- a/internal/api/heartbeats_test.go
+++ b/internal/api/heartbeats_test.go
@@ -25,7 +25,7 @@
 	if c.Op == peer.OpHeartbeat {
 		return peer.Response{Status: http.StatusOK, Heartbeat: &wire.HeartbeatResponse{FencingToken: 1, Commands: []wire.Command{}}}
 	}
-	return peer.Response{Status: http.StatusOK, Job: &wire.JobStatus{ID: c.Job, State: wire.JobQueued}}
+	return peer.Response{Status: http.StatusOK, Job: &wire.JobStatus{ID: c.JobID, State: wire.JobQueued}}
 }
 
 const heartbeatBody = `{"deck":"i-1","endpoint":"10.0.0.1:9000","build":"b","berth":"a","watch":1,"knot":1,"helm":0,"oars":[]}`
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -23,5 +23,5 @@
 		respondError(rc, fasthttp.StatusNotFound, "no such job")
 		return
 	}
-	s.serveCall(rc, peer.Call{Op: op, Job: id})
+	s.serveCall(rc, peer.Call{Op: op, JobID: id})
 }
--- a/internal/loadtest/drain.go
+++ b/internal/loadtest/drain.go
@@ -63,7 +63,7 @@
 func requestDrain(ctx context.Context, addr string, request *drain.Request) (peer.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
-	return peer.Request(ctx, addr, peer.Call{Op: peer.OpDrain, Drain: request})
+	return peer.SendCall(ctx, addr, peer.Call{Op: peer.OpDrain, Drain: request})
 }
 
 // Drain applies a drain and waits until it is done.
--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -54,7 +54,7 @@
 	if n.gate.mayQueryLeader(time.Now(), r) {
 		ctx, cancel := context.WithTimeout(ctx, tuning.AdmissionLeaderQueryTimeout)
 		defer cancel()
-		query := peer.Call{Op: peer.OpQuery, Job: r.ID}
+		query := peer.Call{Op: peer.OpQuery, JobID: r.ID}
 		if response := n.forward(ctx, query); response.Status == http.StatusOK {
 			return response
 		}
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -71,12 +71,12 @@
 		return nil, nil
 	}
 	result := make(chan peer.Response, 1)
-	respond := func(r leader.JobResponse) { result <- jobResponse(c.Job, r) }
+	respond := func(r leader.JobResponse) { result <- jobResponse(c.JobID, r) }
 	switch c.Op {
 	case peer.OpQuery:
-		respond(n.leader.Query(c.Job))
+		respond(n.leader.Query(c.JobID))
 	case peer.OpCancel:
-		n.leader.Cancel(now, c.Job, respond)
+		n.leader.Cancel(now, c.JobID, respond)
 	case peer.OpSubmit:
 		n.leader.SubmitWithClaim(now, time.Now(), c.Submission(), c.Admission, respond)
 	case peer.OpDrain:
--- a/internal/node/local_test.go
+++ b/internal/node/local_test.go
@@ -44,7 +44,7 @@
 			Machine: "m1", Addr: "m1:9", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: 1, FencingToken: token,
 		}}
 	}
-	query := peer.Call{Op: peer.OpQuery, Job: "job-000001"}
+	query := peer.Call{Op: peer.OpQuery, JobID: "job-000001"}
 	now := time.Now()
 	inGrace, expired := now.Add(-tuning.LeaderLeaseTTL), now.Add(-time.Minute)
 	for _, c := range []struct {
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -9,7 +9,7 @@
 // peerHeartbeat returns the heartbeat for the peers: this node's leadership or its connection
 // to the leader, the load that its users offer, and the leader's admission policy.
 func (n *Node) peerHeartbeat() peer.Heartbeat {
-	heartbeat := peer.Heartbeat{Node: n.config.Name, ReachesLeader: n.hub.LinkedToLeader()}
+	heartbeat := peer.Heartbeat{Node: n.config.Name, LinkedToLeader: n.hub.LinkedToLeader()}
 	if n.gate != nil {
 		heartbeat.OfferedLoad = n.gate.offeredLoad(n.config.Name)
 	}
--- a/internal/operatorcli/client.go
+++ b/internal/operatorcli/client.go
@@ -57,7 +57,7 @@
 func (c *Client) send(ctx context.Context, request drain.Request) error {
 	ctx, cancel := context.WithTimeout(ctx, tuning.OperatorTimeout)
 	defer cancel()
-	response, err := peer.Request(ctx, c.Addr, peer.Call{Op: peer.OpDrain, Drain: &request})
+	response, err := peer.SendCall(ctx, c.Addr, peer.Call{Op: peer.OpDrain, Drain: &request})
 	if err != nil {
 		return err
 	}
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -13,9 +13,9 @@
 // requestID is the ID of the only call on a connection that Request opens.
 const requestID = 1
 
-// Request sends one call to a node and waits for the response until the context ends. It serves
+// SendCall sends one call to a node and waits for the response until the context ends. It serves
 // callers outside the cluster, such as operators' commands.
-func Request(ctx context.Context, addr string, c Call) (Response, error) {
+func SendCall(ctx context.Context, addr string, c Call) (Response, error) {
 	dialer := net.Dialer{Timeout: tuning.PeerDialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp4", addr)
 	if err != nil {
--- a/internal/peer/heartbeats.go
+++ b/internal/peer/heartbeats.go
@@ -85,7 +85,7 @@
 		if (b.IsLeader || isHeartbeat && b.InGracePeriod) && b.Term >= highestTerm {
 			direct, highestTerm = l, b.Term
 		}
-		if b.ReachesLeader {
+		if b.LinkedToLeader {
 			relay = l
 		}
 	}
--- a/internal/peer/heartbeats_test.go
+++ b/internal/peer/heartbeats_test.go
@@ -50,7 +50,7 @@
 	old := now.Add(-2 * tuning.PeerTimeout)
 	leader := func(term uint64) Heartbeat { return Heartbeat{Term: term, IsLeader: true, InGracePeriod: true} }
 	inGrace := func(term uint64) Heartbeat { return Heartbeat{Term: term, InGracePeriod: true} }
-	relays := Heartbeat{ReachesLeader: true}
+	relays := Heartbeat{LinkedToLeader: true}
 	type peerState struct {
 		heartbeat  Heartbeat
 		receivedAt time.Time
--- a/internal/peer/hub_test.go
+++ b/internal/peer/hub_test.go
@@ -56,7 +56,7 @@
 // newTestHub returns a hub that forwards all calls.
 func newTestHub(name string, peers []config.Peer) *testHub {
 	h := &testHub{Hub: NewHub(zerolog.Nop(), peers), stopped: make(chan error, 1)}
-	h.LocalHeartbeat = func() Heartbeat { return Heartbeat{Node: name, ReachesLeader: h.LinkedToLeader()} }
+	h.LocalHeartbeat = func() Heartbeat { return Heartbeat{Node: name, LinkedToLeader: h.LinkedToLeader()} }
 	h.OnLeaderTerm = func(uint64) {}
 	h.Handle = func(ctx context.Context, c Call) Response {
 		response, err := h.Forward(ctx, c)
@@ -106,12 +106,12 @@
 			hops := make(chan int, 2) // of the calls that the leader received
 			hubs := startHubs(t, c.links, func(_ context.Context, call Call) Response {
 				hops <- call.Hops
-				return Response{Status: http.StatusOK, Reason: call.Job}
+				return Response{Status: http.StatusOK, Reason: call.JobID}
 			})
 			hubs[0].awaitLeader(t)
-			query := Call{Op: OpQuery, Job: "job-000001"}
+			query := Call{Op: OpQuery, JobID: "job-000001"}
 			response, err := hubs[0].Forward(context.Background(), query)
-			if err != nil || response.Status != http.StatusOK || response.Reason != query.Job {
+			if err != nil || response.Status != http.StatusOK || response.Reason != query.JobID {
 				t.Errorf("%+v, %v", response, err)
 			}
 			if got := <-hops; got != c.hops {
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -22,9 +22,9 @@
 type Call struct {
 	ID uint64    `json:"id"`
 	Op Operation `json:"op"`
-	// Job is the ID of the job that the call concerns.
-	Job  string    `json:"job,omitempty"`
-	Spec *wire.Job `json:"spec,omitempty"`
+	// JobID is the ID of the job that the call concerns.
+	JobID string    `json:"job,omitempty"`
+	Spec  *wire.Job `json:"spec,omitempty"`
 	// WithDependencies replaces Spec for a job that depends on others. A node whose version
 	// does not support dependencies would ignore them and start the job early. Without Spec
 	// it treats the call as incomplete and rejects it.
@@ -41,7 +41,7 @@
 
 // NewSubmitCall returns the call that submits a job.
 func NewSubmitCall(job *wire.Job) Call {
-	c := Call{Op: OpSubmit, Job: job.ID}
+	c := Call{Op: OpSubmit, JobID: job.ID}
 	if len(job.DependsOn) > 0 {
 		c.WithDependencies = job
 	} else {
@@ -109,8 +109,8 @@
 	// InGracePeriod: the node may respond to workers' heartbeats. Without IsLeader it may respond
 	// to nothing else.
 	InGracePeriod bool `json:"grace,omitempty"`
-	// ReachesLeader: the node has a direct link to a leader that holds the lease.
-	ReachesLeader bool `json:"hears,omitempty"`
+	// LinkedToLeader: the node has a direct link to a leader that holds the lease.
+	LinkedToLeader bool `json:"hears,omitempty"`
 	// Policy is the leader's admission policy, and OfferedLoad is the load that the node's users
 	// submit. Both are nil if admission control is off.
 	Policy      *admission.Policy          `json:"policy,omitempty"`
