--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,5 +1,5 @@
-// Package cloud is the client of the cloud that provisions the machines. Only the leader calls the
-// cloud, and the client keeps its calls within the leader's share of the rate limit.
+// Package cloud is the client of the cloud, which provisions the machines. Only the leader calls the
+// cloud. The client keeps the rate of calls within the leader's share of the cloud's rate limit.
 package cloud
 
 import (
@@ -20,48 +20,50 @@
 
 // Client is the HTTP client of the cloud.
 type Client struct {
-	http   *httpclient.Client
-	budget *rate.Limiter
+	http        *httpclient.Client
+	rateLimiter *rate.Limiter
 }
 
-// NewClient returns a client for addr that keeps to the leader's share of the limits.
+// NewClient returns a client for addr that keeps to the leader's share of the rate limit.
 func NewClient(addr string, limits config.CloudLimits) *Client {
 	return &Client{
-		http:   httpclient.New(addr, maxConnections, tuning.ConnectionIdleTimeout),
-		budget: newBudget(limits),
+		http:        httpclient.New(addr, maxConnections, tuning.ConnectionIdleTimeout),
+		rateLimiter: newRateLimiter(limits),
 	}
 }
 
-// newBudget returns a limiter with the leader's share of the cloud's rate limit. Its burst is at
-// most one second at that rate, because a previous leader may have used up the cloud's burst.
-func newBudget(limits config.CloudLimits) *rate.Limiter {
+// newRateLimiter returns a limiter with the leader's share of the cloud's rate limit. Its burst is the
+// calls of one second: more might exceed the limit, because a previous leader may have used up the
+// cloud's burst.
+func newRateLimiter(limits config.CloudLimits) *rate.Limiter {
 	perSecond := limits.RPS * tuning.CloudCallShare
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
 
-// MachineTypes returns the offered machine types with their current prices.
+// MachineTypes returns the machine types that the cloud offers, with their current prices.
 func (c *Client) MachineTypes(ctx context.Context) ([]wire.MachineType, error) {
 	var response wire.MachineTypes
 	err := c.do(ctx, http.MethodGet, "/machine_types", nil, &response)
 	return response.Types, err
 }
 
-// Provision requests machines and returns their names. The request's ID makes retries idempotent.
+// Provision requests machines and returns their names. A retry with the same RequestID provisions no
+// further machines.
 func (c *Client) Provision(ctx context.Context, r wire.ProvisionRequest) ([]string, error) {
 	var response wire.MachineNames
 	err := c.do(ctx, http.MethodPost, "/rentals", r, &response)
 	return response.Machines, err
 }
 
-// Release returns machines to the cloud. If there is no error, the machines and all tasks on them
-// have stopped.
+// Release releases machines. If it returns nil, the machines and all tasks on them have stopped.
 func (c *Client) Release(ctx context.Context, names []string) error {
 	return c.do(ctx, http.MethodPost, "/rentals/release", wire.MachineNames{Machines: names}, nil)
 }
 
-// do sends one request within the budget and returns an error for every status except 2xx.
+// do sends one request as soon as the rate limiter allows it. It returns an error for every status
+// except 2xx.
 func (c *Client) do(ctx context.Context, method, uri string, body, out any) error {
-	if err := c.budget.Wait(ctx); err != nil {
+	if err := c.rateLimiter.Wait(ctx); err != nil {
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	status, err := c.http.Do(ctx, tuning.CloudTimeout, method, uri, body, out)
--- a/internal/cloud/errors.go
+++ b/internal/cloud/errors.go
@@ -7,17 +7,18 @@
 	"switchshore.example/switchshore/internal/httpclient"
 )
 
-// Errors of the cloud. After httpclient.ErrNoResponse, it is unknown whether the request was
-// executed.
+// Errors of requests that the cloud did not execute. The client's methods can also return
+// httpclient.ErrNoResponse, after which the request may have been executed.
 var (
-	// ErrUnavailable: the cloud lacks capacity, has an outage or limits the rate, or the context
-	// ended before the budget allowed the request. The request was not executed.
+	// ErrUnavailable means that the cloud lacks capacity, has an outage or limits the rate, or that
+	// the context ended before the client's rate limiter allowed the request.
 	ErrUnavailable = errors.New("cloud refused")
-	// ErrInvalidRequest: the cloud rejected the request as invalid and did not execute it.
+	// ErrInvalidRequest means that the cloud rejected the request as invalid.
 	ErrInvalidRequest = errors.New("malformed request")
 )
 
-// errorForStatus returns the error that a response's status stands for, nil for 2xx.
+// errorForStatus returns the error for the status of a response, nil for 2xx. It returns ErrNoResponse
+// for unexpected statuses, because they don't say whether the request was executed.
 func errorForStatus(status int) error {
 	switch {
 	case status/100 == 2:
--- a/internal/cloud/errors_test.go
+++ b/internal/cloud/errors_test.go
@@ -8,8 +8,8 @@
 	"switchshore.example/switchshore/internal/httpclient"
 )
 
-// TestErrorForStatus checks that a request counts as not executed only if the status says so.
-// After any other status its outcome is unknown.
+// TestErrorForStatus checks that only the statuses 400, 429 and 503 mean that a request was not
+// executed. After any other error status, the request may have been executed.
 func TestErrorForStatus(t *testing.T) {
 	for status, want := range map[int]error{
 		http.StatusOK:                  nil,
@@ -22,7 +22,7 @@
 		http.StatusInternalServerError: httpclient.ErrNoResponse,
 	} {
 		if got := errorForStatus(status); !errors.Is(got, want) {
-			t.Errorf("%d: %v, want %v", status, got, want)
+			t.Errorf("status %d: got %v, want %v", status, got, want)
 		}
 	}
 }
--- a/internal/cloud/list.go
+++ b/internal/cloud/list.go
@@ -9,15 +9,15 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// listPageSize is the number of machines per page, the largest that the protocol allows.
+// listPageSize is the number of machines per page: the most that the cloud allows.
 const listPageSize = 500
 
-// ListMachines returns all machines, and reads the list page by page.
+// ListMachines returns all machines. It reads the list page by page.
 func (c *Client) ListMachines(ctx context.Context) ([]wire.ListedMachine, error) {
 	var all []wire.ListedMachine
-	after := ""
+	lastName := ""
 	for {
-		page, err := c.listPage(ctx, after)
+		page, err := c.listPage(ctx, lastName)
 		if err != nil {
 			return nil, err
 		}
@@ -25,12 +25,12 @@
 		if !page.More || len(page.Machines) == 0 {
 			return all, nil
 		}
-		after = page.Machines[len(page.Machines)-1].Name
+		lastName = page.Machines[len(page.Machines)-1].Name
 	}
 }
 
-// listPage reads one page of machines, from the first name after the given one, or from the start
-// for "".
+// listPage reads one page of machines, in the order of their names. The page starts with the first
+// name that follows after, even if the machine named after has been released.
 func (c *Client) listPage(ctx context.Context, after string) (wire.MachineList, error) {
 	query := url.Values{"limit": {strconv.Itoa(listPageSize)}}
 	if after != "" {
--- a/internal/cloud/list_test.go
+++ b/internal/cloud/list_test.go
@@ -17,13 +17,15 @@
 // maxPageSize is the largest page that the cloud returns.
 const maxPageSize = 500
 
-// machineList serves the list of machines, and removes two machines after the first page.
+// machineList is the cloud's list of machines. Two machines are released between the first and the
+// second request for a page.
 type machineList struct {
 	t        *testing.T
 	names    []string
 	requests int
 }
 
+// handle responds to a request for a page.
 func (l *machineList) handle(rc *fasthttp.RequestCtx) {
 	since, limit := string(rc.QueryArgs().Peek("since")), rc.QueryArgs().GetUintOrZero("limit")
 	if limit < 1 || limit > maxPageSize {
@@ -32,7 +34,8 @@
 	}
 	l.requests++
 	if l.requests == 2 {
-		// Two machines of the first page are released after it was read: its first and its last.
+		// The first and the last machine of the first page are released. The client's next page
+		// starts after the name of the last one.
 		l.names = append(append([]string{}, l.names[1:limit-1]...), l.names[limit:]...)
 	}
 	body, err := json.Marshal(l.page(since, limit))
@@ -42,7 +45,7 @@
 	rc.SetBody(body)
 }
 
-// page returns the machines whose names follow since.
+// page returns the first machines whose names follow since, at most limit.
 func (l *machineList) page(since string, limit int) wire.MachineList {
 	var page wire.MachineList
 	for _, name := range l.names {
@@ -58,9 +61,9 @@
 	return page
 }
 
-// TestListOfManyPages checks that 2,200 machines are listed once each, in pages of at most 500. A
-// machine that is released between two pages must not make the list skip another one, because
-// the service treats a machine missing from the list as released.
+// TestListOfManyPages checks that the client reads 2,200 machines in 5 pages of at most 500 and returns
+// each machine once. If machines are released between two pages, the client must not skip other
+// machines: the service would treat them as released.
 func TestListOfManyPages(t *testing.T) {
 	l := &machineList{t: t}
 	for i := range 2200 {
@@ -72,11 +75,11 @@
 		t.Fatal(err)
 	}
 	if len(list) != 2200 || l.requests != 5 {
-		t.Fatalf("%d machines in %d calls", len(list), l.requests)
+		t.Fatalf("got %d machines in %d requests, want 2200 in 5", len(list), l.requests)
 	}
 	for i, m := range list {
 		if want := fmt.Sprintf("i-%06d", i); m.Name != want {
-			t.Fatalf("row %d is %s, want %s", i, m.Name, want)
+			t.Fatalf("machine %d is %s, want %s", i, m.Name, want)
 		}
 	}
 }
--- a/internal/ctxtime/sleep_test.go
+++ b/internal/ctxtime/sleep_test.go
@@ -10,13 +10,13 @@
 	"switchshore.example/switchshore/internal/ctxtime"
 )
 
-// TestSleep checks that a sleep ends with its duration or its context, whichever is first.
+// TestSleep checks that a sleep ends after its duration or when its context ends, whichever is first.
 func TestSleep(t *testing.T) {
 	for _, c := range []struct {
 		name            string
-		sleep, deadline time.Duration
-		slept           time.Duration
-		err             error
+		sleep, deadline time.Duration // of the sleep and of its context
+		wantSlept       time.Duration
+		wantErr         error
 	}{
 		{"duration", time.Second, time.Minute, time.Second, nil},
 		{"context", time.Minute, time.Second, time.Second, context.DeadlineExceeded},
@@ -26,12 +26,12 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithTimeout(context.Background(), c.deadline)
 				defer cancel()
-				start := time.Now()
-				if err := ctxtime.Sleep(ctx, c.sleep); !errors.Is(err, c.err) {
-					t.Errorf("error %v, want %v", err, c.err)
+				startedAt := time.Now()
+				if err := ctxtime.Sleep(ctx, c.sleep); !errors.Is(err, c.wantErr) {
+					t.Errorf("error %v, want %v", err, c.wantErr)
 				}
-				if slept := time.Since(start); slept != c.slept {
-					t.Errorf("slept %v, want %v", slept, c.slept)
+				if slept := time.Since(startedAt); slept != c.wantSlept {
+					t.Errorf("slept %v, want %v", slept, c.wantSlept)
 				}
 			})
 		})
--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -16,7 +16,7 @@
 	"switchshore.example/switchshore/internal/httpclient/loopback"
 )
 
-// echoStatusAndBody responds to "/STATUS/BODY" with that status and that body.
+// echoStatusAndBody responds to the path "/STATUS/BODY" with this status and body.
 func echoStatusAndBody(rc *fasthttp.RequestCtx) {
 	status, body, _ := strings.Cut(strings.TrimPrefix(string(rc.Path()), "/"), "/")
 	code, err := strconv.Atoi(status)
@@ -27,14 +27,14 @@
 	rc.SetBodyString(body)
 }
 
-// TestResponses checks that only a 2xx or 409 response is decoded, and that a body that can't be
-// decoded counts as no response.
+// TestResponses checks that only the body of a 2xx or 409 response is decoded, and that a body that
+// can't be decoded gives ErrNoResponse.
 func TestResponses(t *testing.T) {
 	client := httpclient.New(loopback.Serve(t, echoStatusAndBody), 1, time.Second)
 	for _, c := range []struct {
 		uri    string
 		status int
-		result int
+		result int // the decoded body; 0 if it is not decoded
 		err    error
 	}{
 		{"/200/7", http.StatusOK, 7, nil},
@@ -47,35 +47,36 @@
 		result := 0
 		status, err := client.Do(context.Background(), time.Second, http.MethodGet, c.uri, nil, &result)
 		if status != c.status || result != c.result || !errors.Is(err, c.err) {
-			t.Errorf("%s: %d, %d, %v", c.uri, status, result, err)
+			t.Errorf("%s: got status %d, result %d, error %v, want those of the case", c.uri, status, result, err)
 		}
 	}
 }
 
-// TestConnectFailureIsErrNotSent checks that a failed connection gives ErrNotSent, as the request
-// can't have been executed, and that the error matches ErrNoResponse too.
+// TestConnectFailureIsErrNotSent checks that a request without a connection gives an error that matches
+// ErrNotSent, because the request can't have been executed, and that matches ErrNoResponse too.
 func TestConnectFailureIsErrNotSent(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = ln.Close() // nobody listens there now
+	_ = ln.Close() // connections to its address are refused now
 	_, err = httpclient.New(ln.Addr().String(), 1, time.Second).Do(context.Background(), time.Second, http.MethodGet, "/x", nil, nil)
 	var noResponse *httpclient.NoResponseError
 	if !errors.Is(err, httpclient.ErrNotSent) || !errors.Is(err, httpclient.ErrNoResponse) || !errors.As(err, &noResponse) || noResponse.URI != "/x" {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want a NoResponseError for /x that matches ErrNotSent and ErrNoResponse", err)
 	}
 }
 
-// TestStatusErrorWrapsItsCause checks that callers can match the wrapped error and read the status.
+// TestStatusErrorWrapsItsCause checks that callers can match the cause of a StatusError and read the
+// status, and that the text has both.
 func TestStatusErrorWrapsItsCause(t *testing.T) {
 	cause := errors.New("refused")
 	var err error = &httpclient.StatusError{Method: http.MethodGet, URI: "/x", Status: http.StatusTooManyRequests, Err: cause}
 	var status *httpclient.StatusError
 	if !errors.Is(err, cause) || !errors.As(err, &status) || status.Status != http.StatusTooManyRequests {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want a StatusError with status 429 that wraps its cause", err)
 	}
 	if want := "refused: GET /x: status 429"; err.Error() != want {
-		t.Errorf("%q, want %q", err, want)
+		t.Errorf("error text %q, want %q", err, want)
 	}
 }
--- a/internal/httpclient/errors.go
+++ b/internal/httpclient/errors.go
@@ -6,14 +6,15 @@
 )
 
 var (
-	// ErrNoResponse means that it is unknown whether a request was executed.
+	// ErrNoResponse means that there was no response, or an invalid one. Unless the error is also an
+	// ErrNotSent, the request may have been executed.
 	ErrNoResponse = errors.New("no answer")
-	// ErrNotSent means that there was no connection, so the request was not and will not be
-	// executed. It wraps ErrNoResponse for callers that do not distinguish the two.
+	// ErrNotSent means that the request was not sent because there was no connection, so it is never
+	// executed. It wraps ErrNoResponse for callers that do not distinguish the two errors.
 	ErrNotSent = fmt.Errorf("%w: no connection", ErrNoResponse)
 )
 
-// NoResponseError is an ErrNoResponse with the request and the cause.
+// NoResponseError is an error that matches ErrNoResponse and has the request and the cause.
 type NoResponseError struct {
 	Method string
 	URI    string
@@ -28,12 +29,12 @@
 // Unwrap returns ErrNoResponse and the cause.
 func (e *NoResponseError) Unwrap() []error { return []error{ErrNoResponse, e.Err} }
 
-// StatusError is the error for a response whose status reports a failure.
+// StatusError is the error for a response whose status means a failure.
 type StatusError struct {
 	Method string
 	URI    string
 	Status int
-	// Err is the error that the calling client assigns to the status.
+	// Err is what the status means, as an error of the package that sent the request.
 	Err error
 }
 
--- a/internal/httpclient/loopback/loopback.go
+++ b/internal/httpclient/loopback/loopback.go
@@ -21,6 +21,6 @@
 		}
 	})
 	server := &fasthttp.Server{Handler: handler}
-	go func() { _ = server.Serve(ln) }() // it returns when the listener is closed
+	go func() { _ = server.Serve(ln) }() // returns when the cleanup closes the listener
 	return ln.Addr().String()
 }
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -10,11 +10,11 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// requestID is the ID of the only call on a connection that Request opens.
-const requestID = 1
+// callID is the ID of the only call on a connection that SendCall opens.
+const callID = 1
 
-// SendCall sends one call to a node and waits for the response until the context ends. It serves
-// callers outside the cluster, such as operators' commands.
+// SendCall opens a connection to a node, sends one call and waits for the response until the context
+// ends. It is for callers that are not nodes, such as operators' commands.
 func SendCall(ctx context.Context, addr string, c Call) (Response, error) {
 	dialer := net.Dialer{Timeout: tuning.PeerDialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp4", addr)
@@ -23,18 +23,18 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	// A deadline in the past makes pending reads and writes fail.
-	stopDeadline := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
+	stopAfterFunc := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	writer := newLineWriter(conn)
 	var senders sync.WaitGroup
 	senders.Go(func() { writer.run(ctx) })
 	defer func() {
-		stopDeadline()
+		stopAfterFunc()
 		cancel()
-		_ = conn.Close() // nothing more is read from it
+		_ = conn.Close() // an error is irrelevant after the last read
 		senders.Wait()
 	}()
-	c.ID = requestID
-	if err := writer.write(&message{Call: &c}); err != nil {
+	c.ID = callID
+	if err := writer.enqueue(&message{Call: &c}); err != nil {
 		return Response{}, err
 	}
 	response, err := readResponse(conn)
@@ -44,11 +44,11 @@
 	return *response, nil
 }
 
-// readResponse reads lines until the response to the request arrives.
+// readResponse reads messages until the response to the call arrives. It ignores all others.
 func readResponse(conn net.Conn) (*Response, error) {
 	var response *Response
-	err := readLinesUntil(conn, tuning.OperatorTimeout, func(m *message) bool {
-		if m.Response != nil && m.Response.ID == requestID {
+	err := readMessagesUntil(conn, tuning.OperatorTimeout, func(m *message) bool {
+		if m.Response != nil && m.Response.ID == callID {
 			response = m.Response
 		}
 		return response != nil
--- a/internal/peer/heartbeats.go
+++ b/internal/peer/heartbeats.go
@@ -18,19 +18,19 @@
 	return now.Sub(m.receivedAt) <= tuning.PeerTimeout
 }
 
-// SendHeartbeats makes all links send a heartbeat immediately, so that the peers learn of a change
-// of leadership without delay.
+// SendHeartbeats makes all links send a heartbeat immediately, to inform the peers of a change of
+// leadership without delay.
 func (h *Hub) SendHeartbeats() {
 	for _, l := range h.links {
 		select {
 		case l.heartbeatDue <- struct{}{}:
-		default:
+		default: // a heartbeat has already been requested
 		}
 	}
 }
 
-// recordHeartbeat stores a peer's heartbeat. It passes on an admission policy only if the peer
-// holds the leader's lease and the policy is of the peer's own term.
+// recordHeartbeat stores a peer's heartbeat as its last one. If the peer holds the leader's lease, it
+// calls OnLeaderTerm, and also OnPolicy if the heartbeat has an admission policy of the peer's term.
 func (h *Hub) recordHeartbeat(b *Heartbeat) {
 	h.mu.Lock()
 	h.lastHeartbeats[b.Node] = receivedHeartbeat{heartbeat: *b, receivedAt: time.Now()}
@@ -61,15 +61,17 @@
 	return loads
 }
 
-// LinkedToLeader reports whether this node has a direct link to a leader that holds the lease.
+// LinkedToLeader reports whether this node has a link to a leader that holds the lease.
 func (h *Hub) LinkedToLeader() bool { return h.route(false, false) != nil }
 
-// ReachesLeader reports whether calls can reach a leader, directly or through a peer.
+// ReachesLeader reports whether this node is linked to a leader that holds the lease, or to a peer
+// that is.
 func (h *Hub) ReachesLeader() bool { return h.route(false, true) != nil }
 
-// route returns the link on which to send a call, or nil if there is none. It chooses the leader
-// of the highest term. If no leader is linked and the call may be relayed, it chooses a peer that
-// reaches one. A worker's heartbeat may also go to a leader in its grace period.
+// route returns the link on which to send a call, or nil if there is none. It considers only links to
+// peers with a recent heartbeat, and chooses the leader of the highest term that holds the lease. For
+// a worker's heartbeat, a leader in its grace period also qualifies. If no leader qualifies and the
+// call may be relayed, route chooses a peer that is linked to a leader.
 func (h *Hub) route(isHeartbeat, mayRelay bool) *link {
 	now := time.Now()
 	h.mu.Lock()
--- a/internal/peer/hub.go
+++ b/internal/peer/hub.go
@@ -1,6 +1,7 @@
 // Package peer connects the nodes of a cluster. It forwards calls to the leader and exchanges
-// heartbeats, by which each node learns from the others who leads and how to reach the leader.
-// Messages are JSON lines, and each node opens its own connection to each peer.
+// heartbeats, which tell each node who the leader is and which nodes have a link to the leader.
+// Each message is a line of JSON. Each node opens a connection to each peer; it sends its calls on
+// that connection, and the peer sends responses there.
 package peer
 
 import (
@@ -19,7 +20,7 @@
 var (
 	// ErrUnreachable means that no leader can be reached at the moment.
 	ErrUnreachable = errors.New("no leader within reach")
-	// ErrNoResponse means that a connection ended before the response arrived.
+	// ErrNoResponse means that SendCall sent a call and received no response.
 	ErrNoResponse = errors.New("no answer")
 )
 
@@ -28,17 +29,17 @@
 	Log zerolog.Logger
 	// LocalHeartbeat returns this node's own heartbeat.
 	LocalHeartbeat func() Heartbeat
-	// OnLeaderTerm is called with the term of each heartbeat whose sender holds the leader's
-	// lease.
+	// OnLeaderTerm is called with the sender's term for each heartbeat from a peer that holds the
+	// leader's lease.
 	OnLeaderTerm func(term uint64)
-	// OnPolicy, if set, is called with each admission policy that a leader's heartbeat carries.
+	// OnPolicy, if set, is called with each admission policy that a leader sends in a heartbeat.
 	OnPolicy func(admission.Policy)
 	// Handle executes a peer's call and returns the response.
 	Handle func(context.Context, Call) Response
 
 	mu             sync.Mutex
 	links          []*link
-	lastHeartbeats map[string]receivedHeartbeat
+	lastHeartbeats map[string]receivedHeartbeat // by node name
 }
 
 // NewHub returns a hub for the given peers.
@@ -50,8 +51,8 @@
 	return h
 }
 
-// Run accepts connections on ln and keeps the links connected until the context ends. It closes
-// ln.
+// Run accepts connections on ln and keeps the links connected until the context ends. Then it closes
+// ln and waits for the connections and calls to end.
 func (h *Hub) Run(ctx context.Context, ln net.Listener) error {
 	g, ctx := errgroup.WithContext(ctx)
 	for _, l := range h.links {
@@ -72,7 +73,7 @@
 }
 
 // Forward sends a call to the leader, directly or through a peer, and waits for the response. It
-// returns ErrUnreachable if there is no route.
+// returns ErrUnreachable if there is no link on which to send the call.
 func (h *Hub) Forward(ctx context.Context, c Call) (Response, error) {
 	l := h.route(c.Op == OpHeartbeat, c.Hops == 0)
 	if l == nil {
--- a/internal/peer/hub_test.go
+++ b/internal/peer/hub_test.go
@@ -17,12 +17,12 @@
 // testHub is a hub on a loopback address.
 type testHub struct {
 	*Hub
-	cancel  context.CancelFunc
-	stopped chan error
+	cancel  context.CancelFunc // ends the context of Run
+	stopped chan error         // receives the result of Run
 }
 
-// startHubs starts linked hubs. links holds, for each hub, the indexes of the hubs that it links
-// to. The last hub leads, and responds to calls with handle.
+// startHubs starts a hub for each element of links, which has the indexes of the hubs that it links to.
+// The last hub is the leader. It responds to calls with handle.
 func startHubs(t *testing.T, links [][]int, handle func(context.Context, Call) Response) []*testHub {
 	t.Helper()
 	listeners := make([]net.Listener, len(links))
@@ -53,7 +53,7 @@
 
 func hubName(i int) string { return fmt.Sprint("n", i) }
 
-// newTestHub returns a hub that forwards all calls.
+// newTestHub returns a hub that forwards all calls that it receives.
 func newTestHub(name string, peers []config.Peer) *testHub {
 	h := &testHub{Hub: NewHub(zerolog.Nop(), peers), stopped: make(chan error, 1)}
 	h.LocalHeartbeat = func() Heartbeat { return Heartbeat{Node: name, LinkedToLeader: h.LinkedToLeader()} }
@@ -68,18 +68,19 @@
 	return h
 }
 
-// makeLeader makes the hub the leader's. It must be called before Run.
+// makeLeader makes the hub that of the leader, which responds to calls with handle. It must be called
+// before Run.
 func (h *testHub) makeLeader(handle func(context.Context, Call) Response) {
-	follower := h.LocalHeartbeat
+	followerHeartbeat := h.LocalHeartbeat
 	h.LocalHeartbeat = func() Heartbeat {
-		b := follower()
+		b := followerHeartbeat()
 		b.IsLeader, b.Term = true, 1
 		return b
 	}
 	h.Handle = handle
 }
 
-// awaitLeader waits until the hub reaches the leader.
+// awaitLeader waits until the hub can reach the leader.
 func (h *testHub) awaitLeader(t *testing.T) {
 	t.Helper()
 	for range 500 {
@@ -88,11 +89,11 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("the hub does not reach the leader")
+	t.Fatal("the hub did not reach the leader within 5 s")
 }
 
-// TestCallsReachTheLeader checks that a call reaches the leader on a direct link or through one
-// peer, and never through two.
+// TestCallsReachTheLeader checks that a call reaches the leader on a direct link or through one peer,
+// and that a relayed call is not relayed a second time.
 func TestCallsReachTheLeader(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -103,7 +104,7 @@
 		{"through a peer", [][]int{{1}, {0, 2}, {1}}, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			hops := make(chan int, 2) // of the calls that the leader received
+			hops := make(chan int, 2) // Call.Hops of the calls that the leader received
 			hubs := startHubs(t, c.links, func(_ context.Context, call Call) Response {
 				hops <- call.Hops
 				return Response{Status: http.StatusOK, Reason: call.JobID}
@@ -112,27 +113,27 @@
 			query := Call{Op: OpQuery, JobID: "job-000001"}
 			response, err := hubs[0].Forward(context.Background(), query)
 			if err != nil || response.Status != http.StatusOK || response.Reason != query.JobID {
-				t.Errorf("%+v, %v", response, err)
+				t.Errorf("got %+v, error %v, want the leader's response", response, err)
 			}
 			if got := <-hops; got != c.hops {
 				t.Errorf("the leader received a call with %d hops, want %d", got, c.hops)
 			}
 			query.Hops = 1
 			if _, err := hubs[0].Forward(context.Background(), query); (c.hops == 1) != (err == nil) || err != nil && !errors.Is(err, ErrUnreachable) {
-				t.Errorf("a call that was already relayed: %v", err)
+				t.Errorf("a relayed call: error %v, want ErrUnreachable if there is no direct link, nil otherwise", err)
 			}
 		})
 	}
 }
 
-// TestHubStopsWithItsContext: a hub must stop when its context ends, even while it handles a call
-// that never finishes. The caller of that call must not wait any longer.
+// TestHubStopsWithItsContext checks that a hub stops when its context ends, even while a call would
+// otherwise never finish, and that the caller then stops waiting for the response.
 func TestHubStopsWithItsContext(t *testing.T) {
 	handling := make(chan struct{})
 	hubs := startHubs(t, [][]int{{1}, {0}}, func(ctx context.Context, _ Call) Response {
 		close(handling)
 		<-ctx.Done()
-		return ErrorResponse(http.StatusServiceUnavailable, "ended")
+		return ErrorResponse(http.StatusServiceUnavailable, "hub stopped")
 	})
 	hubs[0].awaitLeader(t)
 	returned := make(chan struct{})
@@ -140,13 +141,13 @@
 		defer close(returned)
 		response, err := hubs[0].Forward(context.Background(), Call{Op: OpQuery})
 		if err == nil && response.Status != http.StatusServiceUnavailable {
-			t.Errorf("the caller received %+v", response)
+			t.Errorf("the caller received %+v, want an error or status 503", response)
 		}
 	}()
 	<-handling
 	hubs[1].cancel()
 	if err := <-hubs[1].stopped; err != nil {
-		t.Errorf("Run returned %v", err)
+		t.Errorf("Run returned %v, want nil", err)
 	}
 	<-returned
 }
--- a/internal/peer/line_reader.go
+++ b/internal/peer/line_reader.go
@@ -18,22 +18,22 @@
 
 // Read implements net.Conn.
 func (c idleTimeoutConn) Read(b []byte) (int, error) {
-	_ = c.SetReadDeadline(time.Now().Add(c.timeout)) // if this fails, so does the read
+	_ = c.SetReadDeadline(time.Now().Add(c.timeout)) // if this fails, the read fails too
 	return c.Conn.Read(b)
 }
 
-// readLines calls handle for every line until the connection ends or no data arrives for
-// PeerTimeout.
-func readLines(conn net.Conn, handle func(*message)) error {
-	return readLinesUntil(conn, tuning.PeerTimeout, func(m *message) bool {
+// readMessages calls handle for each message until the connection ends, a line is invalid, or no data
+// arrives for PeerTimeout.
+func readMessages(conn net.Conn, handle func(*message)) error {
+	return readMessagesUntil(conn, tuning.PeerTimeout, func(m *message) bool {
 		handle(m)
 		return false
 	})
 }
 
-// readLinesUntil calls handle for every line until handle returns true, the connection ends, or
-// no data arrives within the timeout.
-func readLinesUntil(conn net.Conn, timeout time.Duration, handle func(*message) (done bool)) error {
+// readMessagesUntil calls handle for each message until handle returns true, the connection ends, a
+// line is invalid, or no data arrives within the timeout.
+func readMessagesUntil(conn net.Conn, timeout time.Duration, handle func(*message) (done bool)) error {
 	scanner := bufio.NewScanner(idleTimeoutConn{Conn: conn, timeout: timeout})
 	scanner.Buffer(make([]byte, 0, tuning.PeerBuffer), tuning.PeerMaxLine)
 	for scanner.Scan() {
--- a/internal/peer/line_writer.go
+++ b/internal/peer/line_writer.go
@@ -13,33 +13,33 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// errTooManyPending means that a peer reads too slowly and its queue of lines is full.
+// errTooManyPending means that the peer reads too slowly, so that the queue of its lines is full.
 var errTooManyPending = fmt.Errorf("%w: too many lines pending", ErrUnreachable)
 
-// lineWriter writes whole lines to a connection. It batches the lines that are added during a
-// write or shortly after one: at several hundred heartbeats per second, a packet and a system
-// call for each line would cost more than their content. It closes the connection if a write
-// times out, or if too many lines are pending because the peer does not read them.
+// lineWriter writes messages to a connection, each as one line. It writes all lines together that are
+// queued during a write or within PeerFlushDelay after it: at several hundred heartbeats per second,
+// a packet and a system call for each line would cost more than its content. It closes the connection
+// if a write fails or times out, or if too much data is queued because the peer reads too slowly.
 type lineWriter struct {
 	conn net.Conn
-	wake chan struct{}
+	wake chan struct{} // tells run that lines are queued
 
 	mu      sync.Mutex
-	pending []byte
-	failure error
+	pending []byte // the queued lines
+	failure error  // why the connection failed, or nil
 }
 
 func newLineWriter(conn net.Conn) *lineWriter {
 	return &lineWriter{conn: conn, wake: make(chan struct{}, 1)}
 }
 
-// write queues a message as one line, which run sends.
-func (w *lineWriter) write(m *message) error {
+// enqueue queues a message, which run will send. It returns an error if the connection has failed.
+func (w *lineWriter) enqueue(m *message) error {
 	line, err := json.Marshal(m)
 	if err != nil {
 		return err
 	}
-	err = w.enqueue(line)
+	err = w.appendLine(line)
 	select {
 	case w.wake <- struct{}{}:
 	default:
@@ -47,14 +47,14 @@
 	return err
 }
 
-// enqueue queues a line. It returns an error if the connection has failed, and closes the
-// connection if too much data is pending.
-func (w *lineWriter) enqueue(line []byte) error {
+// appendLine queues a line. If too much data is queued already, it closes the connection. It returns
+// the reason if the connection has failed.
+func (w *lineWriter) appendLine(line []byte) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.failure == nil && len(w.pending) > tuning.PeerMaxPending {
 		w.failure = errTooManyPending
-		_ = w.conn.Close() // the connection is unusable, with or without an error
+		_ = w.conn.Close() // the connection is unusable even if Close fails
 	}
 	if w.failure == nil {
 		w.pending = append(append(w.pending, line...), '\n')
@@ -86,9 +86,9 @@
 	}
 }
 
-// send writes a batch of lines to the connection, and closes the connection if that fails.
+// send writes a batch of lines to the connection. If the write fails, it closes the connection.
 func (w *lineWriter) send(lines []byte) error {
-	_ = w.conn.SetWriteDeadline(time.Now().Add(tuning.PeerTimeout)) // if this fails, so does the write
+	_ = w.conn.SetWriteDeadline(time.Now().Add(tuning.PeerTimeout)) // if this fails, the write fails too
 	_, err := w.conn.Write(lines)
 	if err == nil {
 		return nil
@@ -96,6 +96,6 @@
 	w.mu.Lock()
 	w.failure = err
 	w.mu.Unlock()
-	_ = w.conn.Close() // the connection is unusable, with or without an error
+	_ = w.conn.Close() // the connection is unusable even if Close fails
 	return err
 }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -10,12 +10,12 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// link is this node's outgoing connection to one peer, which it re-establishes after failures.
+// link is this node's outgoing connection to one peer. It reconnects after failures.
 type link struct {
 	hub          *Hub
 	name, addr   string
 	heartbeatDue chan struct{} // requests a heartbeat ahead of the interval
-	connected    bool          // guarded by hub.mu
+	connected    bool          // a heartbeat has arrived on the open connection; guarded by hub.mu
 	calls        pendingCalls
 }
 
@@ -36,9 +36,9 @@
 	}
 }
 
-// serveConnection sends heartbeats and calls on a connection, and receives heartbeats and
-// responses, until the connection ends. It closes a connection on which nothing arrives for
-// PeerTimeout, because a network partition causes no error.
+// serveConnection sends heartbeats and calls on a connection, and receives heartbeats and responses,
+// until the connection ends. It closes the connection if nothing arrives for PeerTimeout, because a
+// network partition causes no error on it.
 func (l *link) serveConnection(ctx context.Context, conn net.Conn) {
 	ctx, c := newConnection(ctx, conn)
 	l.calls.open(c.writer)
@@ -46,7 +46,7 @@
 		defer c.cancel()
 		l.sendHeartbeats(ctx, c.writer)
 	})
-	_ = readLines(conn, l.handleMessage) // after any error, run reconnects
+	_ = readMessages(conn, l.handleMessage) // run reconnects after any error
 	l.setConnected(false)
 	l.calls.close()
 	c.close()
@@ -57,7 +57,7 @@
 func (l *link) sendHeartbeats(ctx context.Context, writer *lineWriter) {
 	for ctx.Err() == nil {
 		heartbeat := l.hub.LocalHeartbeat()
-		if writer.write(&message{Heartbeat: &heartbeat}) != nil {
+		if writer.enqueue(&message{Heartbeat: &heartbeat}) != nil {
 			return
 		}
 		select {
@@ -68,7 +68,7 @@
 	}
 }
 
-// handleMessage processes a message of the peer.
+// handleMessage records a heartbeat of the peer, or delivers a response to its call.
 func (l *link) handleMessage(m *message) {
 	switch {
 	case m.Heartbeat != nil:
@@ -79,19 +79,21 @@
 	}
 }
 
+// setConnected sets connected, which route reads.
 func (l *link) setConnected(connected bool) {
 	l.hub.mu.Lock()
 	defer l.hub.mu.Unlock()
 	l.connected = connected
 }
 
-// call sends a call to the peer and waits for the response.
+// call sends a call to the peer and waits for the response. It returns ErrUnreachable if there is no
+// connection, if too many calls are in flight, or if the connection ends during the wait.
 func (l *link) call(ctx context.Context, c Call) (Response, error) {
 	result, writer := l.calls.add(&c)
 	if writer == nil {
 		return Response{}, ErrUnreachable
 	}
-	if err := writer.write(&message{Call: &c}); err != nil {
+	if err := writer.enqueue(&message{Call: &c}); err != nil {
 		return Response{}, err
 	}
 	select {
--- a/internal/peer/listener.go
+++ b/internal/peer/listener.go
@@ -11,19 +11,19 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Limits on open incoming connections: a number for each peer, and a number of additional ones
-// for operators.
+// Limits on the open incoming connections: for each peer, and in addition for all operators'
+// commands together.
 const (
-	connectionsPerPeer = 4
-	spareConnections   = 4
+	connectionsPerPeer  = 4
+	operatorConnections = 4
 )
 
-// acceptConnections accepts and serves connections until the context ends, when Run closes the
-// listener. It closes a connection beyond the limit at once.
+// acceptConnections accepts and serves connections until Run closes the listener at the end of the
+// context. It closes new connections at once while the limit is reached.
 func (h *Hub) acceptConnections(ctx context.Context, ln net.Listener) {
 	var connections errgroup.Group
-	connections.SetLimit(len(h.links)*connectionsPerPeer + spareConnections)
-	defer func() { _ = connections.Wait() }() // none returns an error
+	connections.SetLimit(len(h.links)*connectionsPerPeer + operatorConnections)
+	defer func() { _ = connections.Wait() }() // the goroutines return no errors
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
@@ -41,7 +41,7 @@
 			return nil
 		})
 		if !started {
-			_ = conn.Close() // the connection was never used
+			_ = conn.Close() // an error is irrelevant, as the connection is unused
 		}
 	}
 }
@@ -51,33 +51,34 @@
 	ctx, c := newConnection(ctx, conn)
 	var calls errgroup.Group
 	calls.SetLimit(tuning.PeerMaxCalls)
-	// The error is ignored, as the peer reconnects after any of them.
-	_ = readLines(conn, func(m *message) { h.handleMessage(ctx, &calls, c.writer, m) })
+	// The error is ignored, because the peer reconnects after any error.
+	_ = readMessages(conn, func(m *message) { h.handleMessage(ctx, &calls, c.writer, m) })
 	c.close()
-	_ = calls.Wait() // none returns an error
+	_ = calls.Wait() // the goroutines return no errors
 }
 
-// handleMessage responds to one message. A failure to write the response is ignored: the
-// connection has then ended, and the peer fails all calls that are in flight on it.
+// handleMessage responds to one message. It rejects an incomplete call, and each call beyond
+// PeerMaxCalls, with 503. It ignores an error of the writer: the connection has failed then, and the
+// peer's calls in flight on it fail as well.
 func (h *Hub) handleMessage(ctx context.Context, calls *errgroup.Group, writer *lineWriter, m *message) {
 	switch {
 	case m.Heartbeat != nil:
 		h.recordHeartbeat(m.Heartbeat)
 		heartbeat := h.LocalHeartbeat()
-		_ = writer.write(&message{Heartbeat: &heartbeat})
-	case m.Call == nil:
+		_ = writer.enqueue(&message{Heartbeat: &heartbeat})
+	case m.Call == nil: // ignores messages that this version doesn't know
 	case !m.Call.isComplete():
-		_ = writer.write(&message{Response: &Response{ID: m.Call.ID, Status: http.StatusServiceUnavailable, Reason: "incomplete call"}})
+		_ = writer.enqueue(&message{Response: &Response{ID: m.Call.ID, Status: http.StatusServiceUnavailable, Reason: "incomplete call"}})
 	default:
 		call := *m.Call
 		started := calls.TryGo(func() error {
 			response := h.Handle(ctx, call)
 			response.ID = call.ID
-			_ = writer.write(&message{Response: &response})
+			_ = writer.enqueue(&message{Response: &response})
 			return nil
 		})
 		if !started {
-			_ = writer.write(&message{Response: &Response{ID: call.ID, Status: http.StatusServiceUnavailable}})
+			_ = writer.enqueue(&message{Response: &Response{ID: call.ID, Status: http.StatusServiceUnavailable}})
 		}
 	}
 }
--- a/internal/peer/listener_test.go
+++ b/internal/peer/listener_test.go
@@ -11,14 +11,14 @@
 	"github.com/rs/zerolog"
 )
 
-// TestIncompleteCallsAreRejected: a peer of another version may send calls without the fields that
-// this version requires. The hub must respond with 503, must not execute them, and must keep the
-// connection open.
+// TestIncompleteCallsAreRejected checks that the hub responds with 503 to a call without a required
+// field, does not execute it, and keeps the connection open. Peers of another version may send such
+// calls.
 func TestIncompleteCallsAreRejected(t *testing.T) {
 	h := NewHub(zerolog.Nop(), nil)
 	h.Handle = func(_ context.Context, c Call) Response {
 		if !c.isComplete() {
-			t.Errorf("executed: %+v", c)
+			t.Errorf("executed the incomplete call %+v", c)
 		}
 		return Response{Status: http.StatusOK}
 	}
@@ -36,7 +36,7 @@
 			t.Fatal(err)
 		}
 		if got, err := responses.ReadString('\n'); err != nil || !strings.Contains(got, c.want) {
-			t.Errorf("%s: %s %v", c.call, got, err)
+			t.Errorf("call %s: got the response %s, error %v, want another status", c.call, got, err)
 		}
 	}
 }
--- a/internal/peer/messages_test.go
+++ b/internal/peer/messages_test.go
@@ -11,9 +11,9 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// TestPreviousVersionMessages: messages of nodes of the version without job dependencies must be
-// decoded without loss and encoded to the same text. Those nodes must reject a dependent job
-// rather than run it without its dependencies.
+// TestPreviousVersionMessages checks that messages from nodes of the version without job dependencies
+// are decoded without loss: encoding them again must give the same text. Nodes of that version must
+// reject a job with dependencies, because they would run it without waiting for them.
 func TestPreviousVersionMessages(t *testing.T) {
 	data, err := os.ReadFile("testdata/previous_version.jsonl")
 	if err != nil {
@@ -27,25 +27,25 @@
 		}
 		if m.Call != nil {
 			if calls++; !m.Call.isComplete() {
-				t.Errorf("incomplete: %s", text)
+				t.Errorf("this call counts as incomplete: %s", text)
 			}
 		}
 		if encoded, _ := json.Marshal(&m); string(encoded) != strings.TrimSpace(text) {
-			t.Errorf("%s encoded as %s", text, encoded)
+			t.Errorf("got %s, want %s", encoded, text)
 		}
 	}
 	if calls != 4 {
-		t.Errorf("%d calls", calls)
+		t.Errorf("the file has %d calls, want 4", calls)
 	}
 	job := &wire.Job{ID: "job-000001"}
-	plain, _ := json.Marshal(NewSubmitCall(job))
+	withoutDependencies, _ := json.Marshal(NewSubmitCall(job))
 	job.DependsOn = []string{"job-000002"}
 	withDependencies, _ := json.Marshal(NewSubmitCall(job))
-	if simulation.PreviousVersionRefuses(plain) || !simulation.PreviousVersionRefuses(withDependencies) {
-		t.Errorf("%s\n%s", plain, withDependencies)
+	if simulation.PreviousVersionRefuses(withoutDependencies) || !simulation.PreviousVersionRefuses(withDependencies) {
+		t.Errorf("the previous version must accept\n%s\nand reject\n%s", withoutDependencies, withDependencies)
 	}
 	var c Call
 	if err := json.Unmarshal(withDependencies, &c); err != nil || !c.isComplete() || len(c.Submission().DependsOn) != 1 {
-		t.Errorf("%v %+v", err, c)
+		t.Errorf("got %+v, error %v, want a complete call with one dependency", c, err)
 	}
 }
--- a/internal/peer/peertest/peertest.go
+++ b/internal/peer/peertest/peertest.go
@@ -24,7 +24,8 @@
 	calls []peer.Call
 }
 
-// callLine and responseLine are the lines of a call and of its response.
+// callLine and responseLine are a call and a response as lines of the protocol. The type for lines in
+// package peer is private.
 type (
 	callLine struct {
 		Call *peer.Call `json:"call"`
@@ -34,8 +35,8 @@
 	}
 )
 
-// Start starts a server that sends the result of respond to each call, or closes the connection
-// if the result is nil.
+// Start starts a server that responds to each call with the result of respond. If the result is nil,
+// the server closes the connection.
 func Start(t testing.TB, respond func(peer.Call) *peer.Response) *Server {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -43,13 +44,13 @@
 		t.Fatal(err)
 	}
 	s := &Server{Addr: listener.Addr().String(), t: t, respond: respond}
-	var done sync.WaitGroup
-	done.Go(func() { s.accept(listener) })
+	var accepting sync.WaitGroup
+	accepting.Go(func() { s.accept(listener) })
 	t.Cleanup(func() {
 		if err := listener.Close(); err != nil {
 			t.Error(err)
 		}
-		done.Wait()
+		accepting.Wait()
 	})
 	return s
 }
@@ -61,7 +62,7 @@
 	return append([]peer.Call(nil), s.calls...)
 }
 
-// accept serves one connection at a time, which suffices as clients in tests call sequentially.
+// accept serves one connection at a time, which suffices because the tests make one call at a time.
 func (s *Server) accept(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -83,7 +84,7 @@
 	for lines.Scan() {
 		var line callLine
 		if err := json.Unmarshal(lines.Bytes(), &line); err != nil || line.Call == nil {
-			s.t.Errorf("not a call: %s (%v)", lines.Bytes(), err)
+			s.t.Errorf("got line %s (%v), want a call", lines.Bytes(), err)
 			return
 		}
 		s.mu.Lock()
--- a/internal/peer/pending_calls.go
+++ b/internal/peer/pending_calls.go
@@ -6,15 +6,15 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// pendingCalls holds the calls on a link's connection that have no response yet.
+// pendingCalls holds the calls on a link that have no response yet.
 type pendingCalls struct {
 	mu      sync.Mutex
 	writer  *lineWriter // nil without a connection
 	lastID  uint64
-	results map[uint64]chan Response
+	results map[uint64]chan Response // by call ID
 }
 
-// open lets new calls use a connection.
+// open makes new calls use the connection of writer.
 func (p *pendingCalls) open(writer *lineWriter) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -22,7 +22,7 @@
 	p.results = map[uint64]chan Response{}
 }
 
-// close fails all calls after their connection has ended, by closing their channels.
+// close fails all calls by closing their channels. It is called when the connection has ended.
 func (p *pendingCalls) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -33,9 +33,9 @@
 	}
 }
 
-// add assigns an ID to a call. It returns the channel that will receive the response and the
-// writer with which to send the call, or nil for both if there is no connection or too many calls
-// are in flight on it.
+// add assigns an ID to a call. It returns the channel that will receive the response and the writer
+// with which to send the call. If there is no connection, or if too many calls are in flight, it
+// returns nil for both.
 func (p *pendingCalls) add(c *Call) (chan Response, *lineWriter) {
 	result := make(chan Response, 1)
 	p.mu.Lock()
@@ -49,7 +49,7 @@
 	return result, p.writer
 }
 
-// resolve delivers a response to its call. It drops a response whose call was removed.
+// resolve delivers a response to its call. If the call was removed, it drops the response.
 func (p *pendingCalls) resolve(r *Response) {
 	p.mu.Lock()
 	result := p.results[r.ID]
@@ -60,8 +60,8 @@
 	}
 }
 
-// remove discards a call whose caller no longer waits. The comparison of the channels prevents it
-// from removing a later connection's call with the same ID.
+// remove removes a call whose caller no longer waits. It compares the channels, to remove no other
+// call with the same ID.
 func (p *pendingCalls) remove(id uint64, result chan Response) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/peer/pending_calls_test.go
+++ b/internal/peer/pending_calls_test.go
@@ -9,14 +9,14 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// TestPendingCalls checks that each call receives the response with its ID, that a removed call
-// receives none, that all calls end with their connection, and that their number is limited.
+// TestPendingCalls checks that a call receives the response with its ID, that a removed call receives
+// none, that all calls fail when the connection ends, and that the number of calls is limited.
 func TestPendingCalls(t *testing.T) {
 	local, remote := net.Pipe()
 	defer local.Close()
 	defer remote.Close()
 	var p pendingCalls
-	if _, out := p.add(&Call{}); out != nil {
+	if _, writer := p.add(&Call{}); writer != nil {
 		t.Fatal("a call was added without a connection")
 	}
 	p.open(newLineWriter(local))
@@ -25,11 +25,11 @@
 	secondResult, _ := p.add(&second)
 	thirdResult, _ := p.add(&third)
 	if first.ID == second.ID || second.ID == third.ID {
-		t.Fatalf("IDs %d, %d, %d", first.ID, second.ID, third.ID)
+		t.Fatalf("got the IDs %d, %d, %d, want different ones", first.ID, second.ID, third.ID)
 	}
 	p.resolve(&Response{ID: second.ID, Status: 201})
 	if got := <-secondResult; got.Status != 201 {
-		t.Errorf("the second call: %+v", got)
+		t.Errorf("the second call received %+v, want status 201", got)
 	}
 	p.remove(first.ID, firstResult)
 	p.resolve(&Response{ID: first.ID})
@@ -38,21 +38,21 @@
 	}
 	p.close()
 	if _, open := <-thirdResult; open {
-		t.Error("a call is pending after its connection has ended")
+		t.Error("the third call did not fail when its connection ended")
 	}
 	p.open(newLineWriter(local))
 	for range tuning.PeerMaxCalls {
-		if _, out := p.add(&Call{}); out == nil {
+		if _, writer := p.add(&Call{}); writer == nil {
 			t.Fatal("a call below the limit was not added")
 		}
 	}
-	if _, out := p.add(&Call{}); out != nil {
+	if _, writer := p.add(&Call{}); writer != nil {
 		t.Error("a call above the limit was added")
 	}
 }
 
-// TestCancelledCallIsRemoved checks that a call to a peer that does not respond ends with the
-// caller's context and is no longer pending.
+// TestCancelledCallIsRemoved checks that a call to a peer that does not respond returns when the
+// caller's context ends, and is no longer pending.
 func TestCancelledCallIsRemoved(t *testing.T) {
 	local, remote := net.Pipe()
 	defer local.Close()
@@ -62,9 +62,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if _, err := l.call(ctx, Call{Op: OpQuery}); !errors.Is(err, context.Canceled) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want context.Canceled", err)
 	}
 	if len(l.calls.results) != 0 {
-		t.Errorf("%d calls are pending", len(l.calls.results))
+		t.Errorf("%d calls are pending, want none", len(l.calls.results))
 	}
 }
