--- a/cmd/switchshore/drain.go
+++ b/cmd/switchshore/drain.go
@@ -10,12 +10,12 @@
 	Node string `help:"Peer address (peer_bind) of any controller." placeholder:"IP:PORT" env:"SWITCHSHORE_NODE" required:""`
 	JSON bool   `help:"Print a line of JSON for each drain."`
 
-	Apply  applyCommand  `cmd:"" help:"Ask for the drain of a file. Repeating it changes nothing."`
+	Apply  applyCommand  `cmd:"" help:"Request the drain that a file describes. Repeating the request changes nothing."`
 	List   listCommand   `cmd:"" help:"List all drains."`
 	Show   showCommand   `cmd:"" help:"Show one drain and the teams' budgets."`
-	Pause  pauseCommand  `cmd:"" help:"Let a drain stand still; the next one goes on."`
-	Resume resumeCommand `cmd:"" help:"Let a paused drain go on when it is its turn."`
-	Cancel cancelCommand `cmd:"" help:"End a drain: what it has cordoned or closed is used again."`
+	Pause  pauseCommand  `cmd:"" help:"Pause a drain; the next one goes on."`
+	Resume resumeCommand `cmd:"" help:"Resume a paused drain when it is its turn."`
+	Cancel cancelCommand `cmd:"" help:"Cancel a drain: its machines are used again, and provisioning that it blocked is allowed again."`
 }
 
 type (
@@ -23,7 +23,7 @@
 		File string `arg:"" help:"The drain (XML)."`
 	}
 	listCommand struct{}
-	// drainName has the argument of the commands about one drain.
+	// drainName is the argument of the commands about one drain.
 	drainName struct {
 		Name string `arg:"" help:"The drain's name."`
 	}
@@ -33,19 +33,19 @@
 	cancelCommand struct{ drainName }
 )
 
-// client returns a client of the controller that the --node flag names.
+// client returns a client of the controller whose address is in the --node flag.
 func (d *drainCommand) client(out *streams) *operatorcli.Client {
 	return &operatorcli.Client{Addr: d.Node, JSON: d.JSON, Out: out.stdout}
 }
 
-// send sends one request and prints the response. SIGINT and SIGTERM cancel it.
+// send sends one request and prints the response. SIGINT and SIGTERM cancel the request.
 func (d *drainCommand) send(out *streams, action drain.Action, name string) error {
 	ctx, stop := signalContext()
 	defer stop()
 	return d.client(out).Do(ctx, action, name)
 }
 
-// Run requests the drain of the file.
+// Run requests the drain that the file describes.
 func (c *applyCommand) Run(o *options, out *streams) error {
 	ctx, stop := signalContext()
 	defer stop()
--- a/cmd/switchshore/main.go
+++ b/cmd/switchshore/main.go
@@ -1,5 +1,5 @@
-// Command switchshore runs a controller of the switchshore cluster scheduler, and sends operators'
-// requests to one.
+// Command switchshore runs a controller of the switchshore cluster scheduler. Its drain subcommands send
+// operators' requests to a controller.
 package main
 
 import (
@@ -17,7 +17,7 @@
 // version is set by release builds with -ldflags "-X main.version=...".
 var version = "0.1.0"
 
-// exitFailure is the exit code of a failed command. Usage errors have the exit code of kong.
+// exitFailure is the exit code of a failed command. Kong sets the exit code of usage errors.
 const exitFailure = 1
 
 // options are the commands and global flags.
@@ -36,19 +36,19 @@
 	os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// exitRequest is the value of a panic in kong's exit function, which must not return. Kong calls it
-// to end parsing early, for instance for --help.
-type exitRequest int
+// exitPanic is the exit code that kong's exit function passes to run in a panic: kong calls the function
+// after --help or a usage error, for instance, and it must not return.
+type exitPanic int
 
-// run runs the command that the arguments name and returns the exit code.
+// run executes the command in the arguments and returns the exit code.
 func run(args []string, stdout, stderr io.Writer) (code int) {
 	defer func() {
-		switch reason := recover().(type) {
+		switch panicValue := recover().(type) {
 		case nil:
-		case exitRequest:
-			code = int(reason)
+		case exitPanic:
+			code = int(panicValue)
 		default:
-			panic(reason)
+			panic(panicValue)
 		}
 	}()
 	var opts options
@@ -57,7 +57,7 @@
 		kong.Description("A controller of the switchshore cluster scheduler: runs until it is killed, logs to standard error (LOG_LEVEL: error, info, debug)."),
 		kong.Vars{"version": "switchshore " + version},
 		kong.Writers(stdout, stderr),
-		kong.Exit(func(code int) { panic(exitRequest(code)) }),
+		kong.Exit(func(code int) { panic(exitPanic(code)) }),
 	)
 	command, err := parser.Parse(args)
 	parser.FatalIfErrorf(err)
--- a/cmd/switchshore/main_test.go
+++ b/cmd/switchshore/main_test.go
@@ -21,7 +21,7 @@
 	operatorSettings = "../../deploy/operator.xml"
 )
 
-// runCommand runs the command without the environment variables that set its flags.
+// runCommand executes the command without the environment variables that would set its flags.
 func runCommand(t *testing.T, args ...string) (code int, stdout, stderr string) {
 	t.Helper()
 	for _, name := range []string{"SWITCHSHORE_NODE", "SWITCHSHORE_OPERATOR"} {
@@ -47,14 +47,14 @@
 	return path
 }
 
-// TestArguments checks the exit codes and output of help, version and usage errors. Each case has
-// the start of the output to one of the streams; the other stream must be empty.
+// TestArguments checks the exit code and the output of help, version and usage errors. Each case has
+// the start of the output on one stream; the other stream must be empty.
 func TestArguments(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		args           []string
-		code           int
-		stdout, stderr string
+		wantCode       int
+		stdout, stderr string // start of the output; empty for no output
 	}{
 		{"help", []string{"--help"}, 0, "Usage: switchshore <command> [flags]\n", ""},
 		{"help of a command", []string{"drain", "--help"}, 0, "Usage: switchshore drain --node=IP:PORT <command>", ""},
@@ -71,8 +71,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			code, stdout, stderr := runCommand(t, c.args...)
-			if code != c.code {
-				t.Errorf("exit code %d, want %d", code, c.code)
+			if code != c.wantCode {
+				t.Errorf("exit code %d, want %d", code, c.wantCode)
 			}
 			if !strings.HasPrefix(stdout, c.stdout) || c.stdout == "" && stdout != "" {
 				t.Errorf("stdout %q, want %q", stdout, c.stdout)
@@ -84,7 +84,7 @@
 	}
 }
 
-// TestHelpNamesAllCommands checks that the help has each command and flag.
+// TestHelpNamesAllCommands checks that the help lists each command and flag.
 func TestHelpNamesAllCommands(t *testing.T) {
 	for _, c := range []struct{ args, want []string }{
 		{nil, []string{"--version", "serve --config=PATH", "drain apply", "drain list", "drain show", "drain pause", "drain resume", "drain cancel"}},
@@ -100,15 +100,15 @@
 	}
 }
 
-// TestCheck checks that --check accepts valid settings, and that the error of invalid ones is one
-// line with the file and the field.
+// TestCheck checks that --check accepts valid settings, and that it prints one line with the file and
+// the field if settings are invalid.
 func TestCheck(t *testing.T) {
 	example, err := os.ReadFile(exampleSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
 	badSettings := writeFile(t, "settings.toml", strings.Replace(string(example), "lease_s = 20.0", "lease_s = -1.0", 1))
-	badOperator := writeFile(t, "operator.xml", "<switchshore><machines><max>many</max></machines></switchshore>")
+	badOperatorSettings := writeFile(t, "operator.xml", "<switchshore><machines><max>many</max></machines></switchshore>")
 	missing := filepath.Join(t.TempDir(), "missing.toml")
 	for _, c := range []struct {
 		name     string
@@ -116,11 +116,11 @@
 		args     []string
 		stderr   []string // parts of the error line; nil if the settings are valid
 	}{
-		{"platform's", "", []string{"--config", exampleSettings}, nil},
-		{"platform's and operators'", "debug", []string{"--config", exampleSettings, "--operator", operatorSettings}, nil},
-		{"command by name", "", []string{"serve", "--config", exampleSettings}, nil},
-		{"bad field", "", []string{"--config", badSettings}, []string{badSettings, "field facts.workers.lease_s: must be above zero"}},
-		{"bad operators' field", "", []string{"--config", exampleSettings, "--operator", badOperator}, []string{badOperator, "field machines/max: not a number"}},
+		{"platform settings", "", []string{"--config", exampleSettings}, nil},
+		{"platform and operator settings", "debug", []string{"--config", exampleSettings, "--operator", operatorSettings}, nil},
+		{"explicit serve command", "", []string{"serve", "--config", exampleSettings}, nil},
+		{"bad platform setting", "", []string{"--config", badSettings}, []string{badSettings, "field facts.workers.lease_s: must be above zero"}},
+		{"bad operator setting", "", []string{"--config", exampleSettings, "--operator", badOperatorSettings}, []string{badOperatorSettings, "field machines/max: not a number"}},
 		{"missing file", "", []string{"--config", missing}, []string{missing, "no such file"}},
 		{"bad log level", "loud", []string{"--config", exampleSettings}, []string{`LOG_LEVEL: "loud" is not one of error, info, debug`}},
 	} {
@@ -129,12 +129,12 @@
 			code, stdout, stderr := runCommand(t, append(c.args, "--check")...)
 			if c.stderr == nil {
 				if code != 0 || stdout != "settings are valid\n" || stderr != "" {
-					t.Errorf("exit code %d, stdout %q, stderr %q", code, stdout, stderr)
+					t.Errorf("got exit code %d, stdout %q, stderr %q, want success", code, stdout, stderr)
 				}
 				return
 			}
 			if code != exitFailure || stdout != "" || strings.Count(stderr, "\n") != 1 || !strings.HasPrefix(stderr, "switchshore: ") {
-				t.Errorf("exit code %d, stdout %q, stderr %q", code, stdout, stderr)
+				t.Errorf("got exit code %d, stdout %q, stderr %q, want a failure with one line on stderr", code, stdout, stderr)
 			}
 			for _, part := range c.stderr {
 				if !strings.Contains(stderr, part) {
@@ -150,7 +150,7 @@
 	t.Setenv("LOG_LEVEL", "")
 	code, stdout, stderr := runCommand(t, "--config", writeFile(t, "settings.toml", "label = 3"))
 	if code != exitFailure || stdout != "" || !strings.HasPrefix(stderr, "switchshore: settings ") {
-		t.Errorf("exit code %d, stdout %q, stderr %q", code, stdout, stderr)
+		t.Errorf("got exit code %d, stdout %q, stderr %q, want a failure because of the settings", code, stdout, stderr)
 	}
 }
 
@@ -162,17 +162,17 @@
 	t.Setenv("SWITCHSHORE_OPERATOR", missing)
 	var stdout, stderr bytes.Buffer
 	if code := run([]string{"--config", exampleSettings, "--check"}, &stdout, &stderr); code != exitFailure || !strings.Contains(stderr.String(), missing) {
-		t.Errorf("exit code %d, stderr %q", code, stderr.String())
+		t.Errorf("got exit code %d, stderr %q, want a failure that names the missing file", code, stderr.String())
 	}
 }
 
-// TestDrainCommands checks that each drain command sends one request and prints the response.
+// TestDrainCommands checks that each drain command sends one call and prints the response.
 func TestDrainCommands(t *testing.T) {
 	file := writeFile(t, "drain.xml", `<drain name="zone-a"><selector><zone>a</zone></selector><batchSize>2</batchSize></drain>`)
 	for _, c := range []struct {
 		args    []string
-		request drain.Request // without the specification
-		stdout  string
+		request drain.Request // wanted, without the specification
+		stdout  string        // the wanted start of the output
 	}{
 		{[]string{"apply", file}, drain.Request{Action: drain.Apply, Name: "zone-a"}, "NAME "},
 		{[]string{"list"}, drain.Request{Action: drain.List}, "NAME "},
@@ -188,42 +188,42 @@
 			})
 			code, stdout, stderr := runCommand(t, append([]string{"drain", "--node", server.Addr}, c.args...)...)
 			if code != 0 || stderr != "" || !strings.HasPrefix(stdout, c.stdout) || !strings.Contains(stdout, "zone-a") {
-				t.Errorf("exit code %d, stdout %q, stderr %q", code, stdout, stderr)
+				t.Errorf("got exit code %d, stdout %q, stderr %q, want success and the drain zone-a", code, stdout, stderr)
 			}
 			calls := server.Calls()
 			if len(calls) != 1 || calls[0].Drain == nil {
-				t.Fatalf("%+v", calls)
+				t.Fatalf("got the calls %+v, want one drain call", calls)
 			}
 			got := *calls[0].Drain
 			if (got.Spec != nil) != (c.request.Action == drain.Apply) {
-				t.Errorf("specification %+v", got.Spec)
+				t.Errorf("got specification %+v, want one only for apply", got.Spec)
 			}
 			got.Spec = nil
 			if got != c.request {
-				t.Errorf("%+v, want %+v", got, c.request)
+				t.Errorf("got %+v, want %+v", got, c.request)
 			}
 		})
 	}
 }
 
-// TestDrainFailures checks that a refusal and an invalid file each cause an error of one line.
+// TestDrainFailures checks that a refused request and an invalid file each cause an error of one line.
 func TestDrainFailures(t *testing.T) {
 	server := peertest.Start(t, func(peer.Call) *peer.Response {
 		return &peer.Response{Status: http.StatusNotFound, Reason: "no such drain"}
 	})
-	empty := writeFile(t, "drain.xml", "<drain/>")
+	invalidFile := writeFile(t, "drain.xml", "<drain/>")
 	for _, c := range []struct {
 		name   string
 		args   []string
 		stderr string
 	}{
 		{"refused", []string{"show", "zone-a"}, "switchshore: refused: no such drain (404)\n"},
-		{"bad file", []string{"apply", empty}, "switchshore: " + empty + ": field batchSize: must be a whole number\n"},
+		{"bad file", []string{"apply", invalidFile}, "switchshore: " + invalidFile + ": field batchSize: must be a whole number\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			code, stdout, stderr := runCommand(t, append([]string{"drain", "--node", server.Addr}, c.args...)...)
 			if code != exitFailure || stdout != "" || stderr != c.stderr {
-				t.Errorf("exit code %d, stdout %q, stderr %q", code, stdout, stderr)
+				t.Errorf("got exit code %d, stdout %q, stderr %q, want a failure with the error of the case", code, stdout, stderr)
 			}
 		})
 	}
@@ -235,6 +235,6 @@
 	t.Setenv("SWITCHSHORE_NODE", server.Addr)
 	var stdout, stderr bytes.Buffer
 	if code := run([]string{"drain", "list"}, &stdout, &stderr); code != 0 || stderr.Len() > 0 || len(server.Calls()) != 1 {
-		t.Errorf("exit code %d, stderr %q, calls %+v", code, stderr.String(), server.Calls())
+		t.Errorf("got exit code %d, stderr %q, calls %+v, want success and one call", code, stderr.String(), server.Calls())
 	}
 }
--- a/cmd/switchshore/serve.go
+++ b/cmd/switchshore/serve.go
@@ -21,7 +21,8 @@
 	Check    bool   `help:"Check the settings and exit."`
 }
 
-// Run loads the settings and runs a controller. With --check it only loads the settings.
+// Run loads the settings and runs a controller until SIGINT or SIGTERM. With --check, it only checks
+// the settings.
 func (c *serveCommand) Run(out *streams) error {
 	level, err := logLevel(os.Getenv("LOG_LEVEL"))
 	if err != nil {
@@ -31,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	operator, err := config.LoadOperatorSettings(c.Operator, &settings.Params)
+	operatorSettings, err := config.LoadOperatorSettings(c.Operator, &settings.Params)
 	if err != nil {
 		return err
 	}
@@ -44,22 +45,22 @@
 	log := zerolog.New(out.stderr).Level(level).With().Timestamp().Logger()
 	ctx, stop := signalContext()
 	defer stop()
-	return node.New(log, settings, operator).Run(ctx)
+	return node.New(log, settings, operatorSettings).Run(ctx)
 }
 
-// limitRuntime limits the Go runtime to the CPUs and the memory of the process.
+// limitRuntime adapts the Go runtime to the limits on the CPUs and the memory of the process.
 func limitRuntime(limits config.ProcessLimits) {
-	if share := limits.CPUShare; share > 0 {
-		// More running threads than the share has processors would only add context switches.
-		runtime.GOMAXPROCS(int(math.Ceil(share)))
+	if cpus := limits.CPUShare; cpus > 0 {
+		// More running threads than the process has CPUs would only cause context switches.
+		runtime.GOMAXPROCS(int(math.Ceil(cpus)))
 	}
 	debug.SetGCPercent(tuning.GCPercent)
-	if mb := limits.MemoryMB; mb > 0 {
-		debug.SetMemoryLimit(int64(mb * tuning.MemoryShare * (1 << 20)))
+	if memoryMB := limits.MemoryMB; memoryMB > 0 {
+		debug.SetMemoryLimit(int64(memoryMB * tuning.MemoryShare * (1 << 20)))
 	}
 }
 
-// logLevel returns the level with a name, info if the name is empty.
+// logLevel returns the log level with the given name. An empty name means info.
 func logLevel(name string) (zerolog.Level, error) {
 	switch name {
 	case "", "info":
--- a/internal/operatorcli/client.go
+++ b/internal/operatorcli/client.go
@@ -1,5 +1,5 @@
-// Package operatorcli implements the operators' commands: it sends a request to a controller over
-// the JSON-lines protocol between controllers, and prints the response.
+// Package operatorcli implements the operators' commands. It sends a request to a controller, with the
+// protocol that the controllers use among themselves (package peer), and prints the response.
 package operatorcli
 
 import (
@@ -19,20 +19,20 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// ErrRefused is matched by the errors of requests that the controllers refused.
+// ErrRefused means that the controllers refused a request. The client's errors wrap it.
 var ErrRefused = errors.New("refused")
 
-// Client sends requests to one controller, which forwards them to the leader.
+// Client sends requests to one controller, which forwards them to the leader and returns its response.
 type Client struct {
 	// Addr is the controller's peer address.
 	Addr string
-	// JSON selects one line of JSON for each drain as output, instead of tables.
+	// JSON makes the client print a line of JSON for each drain instead of tables.
 	JSON bool
 	// Out receives the printed responses.
 	Out io.Writer
 }
 
-// Apply requests the drain that a file describes. It validates the file before it connects.
+// Apply requests the drain that a file describes. It sends nothing if the file is invalid.
 func (c *Client) Apply(ctx context.Context, path string) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -48,7 +48,8 @@
 	return nil
 }
 
-// Do sends a request about one drain, or about all drains if the name is empty.
+// Do requests an action on the drain with the given name, or on all drains if the name is empty, and
+// prints the response.
 func (c *Client) Do(ctx context.Context, action drain.Action, name string) error {
 	return c.send(ctx, drain.Request{Action: action, Name: name})
 }
@@ -81,7 +82,8 @@
 	return nil
 }
 
-// printTables prints a table of the drains, and for each drain with team usages a table of these.
+// printTables prints a table of the drains. For each drain whose status has team usages, it also prints
+// a table of the teams' budgets.
 func (c *Client) printTables(drains []drain.Status) error {
 	table := c.newTable()
 	fmt.Fprintln(table, "NAME\tSTATE\tLEFT\tDRAINED\tBATCHES\tEVICTED\tMOVED\tREPLACED\tBATCH\tREASON")
@@ -120,7 +122,7 @@
 // columnPadding is the number of spaces between two columns of a table.
 const columnPadding = 2
 
-// newTable returns a writer that aligns tab-separated columns when it is flushed.
+// newTable returns a writer that aligns tab-separated columns. It prints them when it is flushed.
 func (c *Client) newTable() *tabwriter.Writer {
 	return tabwriter.NewWriter(c.Out, 0, 0, columnPadding, ' ', 0)
 }
@@ -128,7 +130,7 @@
 // emptyCell is printed in table cells without a value.
 const emptyCell = "-"
 
-// batchText returns the names of the machines of a batch.
+// batchText returns the names of the machines of a batch, and whether they are not cordoned yet.
 func batchText(batch *drain.Batch) string {
 	if batch == nil {
 		return emptyCell
@@ -140,6 +142,7 @@
 	return text
 }
 
+// orDash returns the text, or a dash if it is empty.
 func orDash(text string) string {
 	if text == "" {
 		return emptyCell
--- a/internal/operatorcli/client_test.go
+++ b/internal/operatorcli/client_test.go
@@ -17,8 +17,8 @@
 	"switchshore.example/switchshore/internal/peer/peertest"
 )
 
-// drains returns the statuses of a drain with a cordoned batch and of a pending one.
-func drains() []drain.Status {
+// drainStatuses returns the status of a running drain, whose batch is cordoned, and of a pending drain.
+func drainStatuses() []drain.Status {
 	return []drain.Status{
 		{
 			Spec:         drain.Spec{Name: "zone-a", BatchSize: 2, Selector: drain.Selector{Zone: "a"}},
@@ -40,8 +40,8 @@
 	}
 }
 
-// respond returns a handler with the same response to every call.
-func respond(status int, reason string, drains []drain.Status) func(peer.Call) *peer.Response {
+// respondAlways returns a handler that gives the same response to every call.
+func respondAlways(status int, reason string, drains []drain.Status) func(peer.Call) *peer.Response {
 	return func(peer.Call) *peer.Response {
 		return &peer.Response{Status: status, Reason: reason, Drains: drains}
 	}
@@ -49,31 +49,31 @@
 
 // TestOutput checks the exact tables and JSON lines, which operators' programs parse.
 func TestOutput(t *testing.T) {
-	const table = `NAME      STATE    LEFT  DRAINED  BATCHES  EVICTED  MOVED  REPLACED  BATCH                   REASON
+	const tables = `NAME      STATE    LEFT  DRAINED  BATCHES  EVICTED  MOVED  REPLACED  BATCH                   REASON
 zone-a    running  12    6        3        5        4      1         i-1,i-2                 waits for tasks to end
 old-type  pending  0     0        0        0        0      0         i-9 (not cordoned yet)  -
 
 TEAM  UNAVAILABLE  EVICTIONS  LOST SECONDS
 blue  1 of 10      2 of 100   33 of 1200
 `
-	const lines = `{"spec":{"name":"zone-a","selector":{"zone":"a"},"batchSize":2},"state":"running","reason":"waits for tasks to end",` +
+	const jsonLines = `{"spec":{"name":"zone-a","selector":{"zone":"a"},"batchSize":2},"state":"running","reason":"waits for tasks to end",` +
 		`"batch":{"machines":["i-1","i-2"],"cordoned":true,"since":7},"counts":{"batches":3,"machines":6,"evicted":5,"moved":4,"replacements":1},"machinesLeft":12,` +
 		`"teams":[{"team":"blue","unavailable":1,"used":{"evictions":2,"lostS":33.4},"budget":{"maxUnavailable":10,"evictions":100,"lostS":1200}}]}` + "\n" +
 		`{"spec":{"name":"old-type","selector":{"type":"g8"},"batchSize":1},"state":"pending","batch":{"machines":["i-9"],"since":0},"counts":{},"machinesLeft":0}` + "\n"
-	const empty = "NAME  STATE  LEFT  DRAINED  BATCHES  EVICTED  MOVED  REPLACED  BATCH  REASON\n"
+	const emptyTable = "NAME  STATE  LEFT  DRAINED  BATCHES  EVICTED  MOVED  REPLACED  BATCH  REASON\n"
 	for _, c := range []struct {
 		name   string
 		json   bool
 		drains []drain.Status
 		want   string
 	}{
-		{"table", false, drains(), table},
-		{"JSON", true, drains(), lines},
-		{"empty table", false, nil, empty},
+		{"table", false, drainStatuses(), tables},
+		{"JSON", true, drainStatuses(), jsonLines},
+		{"empty table", false, nil, emptyTable},
 		{"empty JSON", true, nil, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			server := peertest.Start(t, respond(http.StatusOK, "", c.drains))
+			server := peertest.Start(t, respondAlways(http.StatusOK, "", c.drains))
 			var out bytes.Buffer
 			client := operatorcli.Client{Addr: server.Addr, JSON: c.json, Out: &out}
 			if err := client.Do(context.Background(), drain.List, ""); err != nil {
@@ -86,7 +86,7 @@
 	}
 }
 
-// TestRequests checks that each command sends one call with its action and drain name.
+// TestRequests checks that each action sends one call, with the action and the name of the drain.
 func TestRequests(t *testing.T) {
 	for _, c := range []struct {
 		action drain.Action
@@ -95,17 +95,17 @@
 		{drain.List, ""}, {drain.Show, "zone-a"}, {drain.Pause, "zone-a"}, {drain.Resume, "zone-a"}, {drain.Cancel, "zone-a"},
 	} {
 		t.Run(string(c.action), func(t *testing.T) {
-			server := peertest.Start(t, respond(http.StatusOK, "", nil))
+			server := peertest.Start(t, respondAlways(http.StatusOK, "", nil))
 			client := operatorcli.Client{Addr: server.Addr, Out: &bytes.Buffer{}}
 			if err := client.Do(context.Background(), c.action, c.name); err != nil {
 				t.Fatal(err)
 			}
 			calls := server.Calls()
 			if len(calls) != 1 || calls[0].Op != peer.OpDrain || calls[0].Drain == nil {
-				t.Fatalf("%+v", calls)
+				t.Fatalf("got the calls %+v, want one drain call", calls)
 			}
 			if got := *calls[0].Drain; got != (drain.Request{Action: c.action, Name: c.name}) {
-				t.Errorf("%+v", got)
+				t.Errorf("got %+v, want only the action and the name", got)
 			}
 		})
 	}
@@ -123,9 +123,9 @@
 
 const zoneDrain = `<drain name="zone-a"><selector><zone>a</zone></selector><replace>yes</replace><batchSize>2</batchSize></drain>`
 
-// TestApplySendsSpec checks that Apply sends the drain of the file.
+// TestApplySendsSpec checks that Apply sends the drain that the file describes, and prints the response.
 func TestApplySendsSpec(t *testing.T) {
-	server := peertest.Start(t, respond(http.StatusCreated, "", drains()[:1]))
+	server := peertest.Start(t, respondAlways(http.StatusCreated, "", drainStatuses()[:1]))
 	var out bytes.Buffer
 	client := operatorcli.Client{Addr: server.Addr, Out: &out}
 	if err := client.Apply(context.Background(), writeFile(t, zoneDrain)); err != nil {
@@ -133,21 +133,21 @@
 	}
 	calls := server.Calls()
 	if len(calls) != 1 || calls[0].Drain == nil || calls[0].Drain.Spec == nil {
-		t.Fatalf("%+v", calls)
+		t.Fatalf("got the calls %+v, want one with a specification", calls)
 	}
 	want := drain.Spec{Name: "zone-a", Selector: drain.Selector{Zone: "a"}, Replace: true, BatchSize: 2}
 	if got := calls[0].Drain; got.Action != drain.Apply || got.Name != "zone-a" || !got.Spec.Equal(&want) {
-		t.Errorf("%+v", got)
+		t.Errorf("got %+v, want to apply the drain of the file", got)
 	}
 	if !strings.Contains(out.String(), "zone-a") {
-		t.Errorf("printed %q", out.String())
+		t.Errorf("printed %q, want the drain zone-a", out.String())
 	}
 }
 
-// TestApplyRejectsInvalidFiles checks that invalid files are rejected before a call is sent, and
-// that the error names the file and the invalid field.
+// TestApplyRejectsInvalidFiles checks that Apply sends no call for an invalid file, and that its error
+// names the file and the invalid field.
 func TestApplyRejectsInvalidFiles(t *testing.T) {
-	server := peertest.Start(t, respond(http.StatusOK, "", nil))
+	server := peertest.Start(t, respondAlways(http.StatusOK, "", nil))
 	client := operatorcli.Client{Addr: server.Addr, Out: &bytes.Buffer{}}
 	for text, field := range map[string]string{
 		`<drain name="zone-a"><selector/><batchSize>2</batchSize></drain>`:                                    "selector",
@@ -160,49 +160,49 @@
 		err := client.Apply(context.Background(), path)
 		var invalid *drain.FieldError
 		if !errors.As(err, &invalid) || invalid.Field != field || !strings.HasPrefix(err.Error(), path+": ") {
-			t.Errorf("%s: %v", field, err)
+			t.Errorf("field %s: got error %v, want a FieldError for it after the path of the file", field, err)
 		}
 	}
 	if err := client.Apply(context.Background(), writeFile(t, "no XML")); err == nil {
-		t.Error("a file without a drain was accepted")
+		t.Error("Apply accepted a file without a drain")
 	}
 	missing := filepath.Join(t.TempDir(), "missing.xml")
 	if err := client.Apply(context.Background(), missing); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("missing file: %v", err)
+		t.Errorf("missing file: error %v, want os.ErrNotExist", err)
 	}
 	if calls := server.Calls(); len(calls) != 0 {
-		t.Errorf("sent %+v", calls)
+		t.Errorf("sent %+v, want no calls", calls)
 	}
 }
 
-// TestRefusal checks that the error of a refused request has the controllers' reason and status,
+// TestRefusal checks that the error of a refused request has the reason and the status of the response,
 // and that nothing is printed.
 func TestRefusal(t *testing.T) {
-	server := peertest.Start(t, respond(http.StatusNotFound, "no such drain", nil))
+	server := peertest.Start(t, respondAlways(http.StatusNotFound, "no such drain", nil))
 	var out bytes.Buffer
 	client := operatorcli.Client{Addr: server.Addr, Out: &out}
 	err := client.Do(context.Background(), drain.Show, "zone-a")
 	if !errors.Is(err, operatorcli.ErrRefused) || err.Error() != "refused: no such drain (404)" {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want ErrRefused with reason and status", err)
 	}
 	path := writeFile(t, zoneDrain)
 	err = client.Apply(context.Background(), path)
 	if !errors.Is(err, operatorcli.ErrRefused) || err.Error() != path+": refused: no such drain (404)" {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want ErrRefused with path, reason and status", err)
 	}
 	if out.Len() > 0 {
-		t.Errorf("printed %q", out.String())
+		t.Errorf("printed %q, want nothing", out.String())
 	}
 }
 
-// TestNoResponse checks that a controller that is unreachable or closes the connection causes an
-// error other than a refusal.
+// TestNoResponse checks that the error is not ErrRefused if the controller is unreachable or closes the
+// connection without a response.
 func TestNoResponse(t *testing.T) {
-	closing := peertest.Start(t, func(peer.Call) *peer.Response { return nil })
-	client := operatorcli.Client{Addr: closing.Addr, Out: &bytes.Buffer{}}
+	closingServer := peertest.Start(t, func(peer.Call) *peer.Response { return nil })
+	client := operatorcli.Client{Addr: closingServer.Addr, Out: &bytes.Buffer{}}
 	err := client.Do(context.Background(), drain.List, "")
-	if !errors.Is(err, net.ErrClosed) || errors.Is(err, operatorcli.ErrRefused) || !strings.Contains(err.Error(), closing.Addr) {
-		t.Errorf("closed: %v", err)
+	if !errors.Is(err, net.ErrClosed) || errors.Is(err, operatorcli.ErrRefused) || !strings.Contains(err.Error(), closingServer.Addr) {
+		t.Errorf("closed connection: error %v, want net.ErrClosed with the address", err)
 	}
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -212,22 +212,22 @@
 	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
-	var failure *net.OpError
-	if err := client.Do(context.Background(), drain.List, ""); !errors.As(err, &failure) || errors.Is(err, operatorcli.ErrRefused) {
-		t.Errorf("unreachable: %v", err)
+	var networkError *net.OpError
+	if err := client.Do(context.Background(), drain.List, ""); !errors.As(err, &networkError) || errors.Is(err, operatorcli.ErrRefused) {
+		t.Errorf("unreachable controller: error %v, want a net.OpError", err)
 	}
 }
 
 // TestCancellation checks that a request with a cancelled context is not sent.
 func TestCancellation(t *testing.T) {
-	server := peertest.Start(t, respond(http.StatusOK, "", nil))
+	server := peertest.Start(t, respondAlways(http.StatusOK, "", nil))
 	client := operatorcli.Client{Addr: server.Addr, Out: &bytes.Buffer{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if err := client.Do(ctx, drain.List, ""); err == nil || errors.Is(err, operatorcli.ErrRefused) {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want one other than ErrRefused", err)
 	}
 	if calls := server.Calls(); len(calls) != 0 {
-		t.Errorf("sent %+v", calls)
+		t.Errorf("sent %+v, want no calls", calls)
 	}
 }
--- a/internal/peer/listener_test.go
+++ b/internal/peer/listener_test.go
@@ -36,7 +36,7 @@
 			t.Fatal(err)
 		}
 		if got, err := responses.ReadString('\n'); err != nil || !strings.Contains(got, c.want) {
-			t.Errorf("call %s: got the response %s, error %v, want another status", c.call, got, err)
+			t.Errorf("call %s: got the response %s, error %v, want status 503 if a field is missing, 200 otherwise", c.call, got, err)
 		}
 	}
 }
