--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -19,7 +19,7 @@
 	Types []MachineType `json:"builds"`
 }
 
-// ProvisionRequest requests machines. A retry with the same RequestID provisions no further ones.
+// ProvisionRequest requests machines. A retry with the same RequestID provisions no further machines.
 type ProvisionRequest struct {
 	RequestID string `json:"charter"`
 	Type      string `json:"build"`
@@ -28,7 +28,7 @@
 	Count     int    `json:"howMany"`
 }
 
-// MachineNames is the response to a ProvisionRequest, and the body of a release.
+// MachineNames is the response to a ProvisionRequest, and the body of a request to release machines.
 type MachineNames struct {
 	Machines []string `json:"decks"`
 }
@@ -40,7 +40,7 @@
 	MachineFailed  = "failed"
 )
 
-// ListedMachine is a row of the cloud's list.
+// ListedMachine is a machine in the cloud's list.
 type ListedMachine struct {
 	Name  string  `json:"ref"`
 	Addr  string  `json:"endpoint"`
@@ -51,7 +51,7 @@
 	AgeS  float64 `json:"heldS"`
 }
 
-// MachineList is a page of the cloud's list.
+// MachineList is a page of the cloud's list of machines.
 type MachineList struct {
 	Machines []ListedMachine `json:"decks"`
 	More     bool            `json:"hasNext"`
--- a/wire/doc.go
+++ b/wire/doc.go
@@ -1,14 +1,15 @@
 // Package wire defines the JSON messages that switchshore exchanges with its
-// users, the workers, the cloud and the key-value store. Clients may import it.
+// users, the workers, the cloud and the key-value store. Users' programs may
+// import it.
 //
-// The protocol's JSON names differ from the usual terms. The tables below map
-// them to Go names and terms. The rest of the module uses the Go names only:
-// the JSON names are in the field tags of this package, and the JSON values in
-// its constants.
+// The JSON names differ from the usual terms. The tables below map each JSON
+// name to its Go name and its meaning. The rest of the module uses the Go names
+// only: the JSON names are in the field tags of this package, and the JSON
+// values in its constants.
 //
 // Jobs (jobs.go):
 //
-//	JSON name     Go name               term
+//	JSON name     Go name               meaning
 //	ref           ID                    job ID
 //	muster        Class                 job class, to which objectives apply
 //	crew          Team                  team (tenant), to which quotas apply
@@ -23,27 +24,27 @@
 //	builds        MachineTypes          allowed machine types
 //	berth         Zone                  allowed availability zone
 //	together      OneZone               zone affinity: all tasks in one zone
-//	apart         SpreadZones           zone anti-affinity: half of the tasks in a zone at most
+//	apart         SpreadZones           zone anti-affinity: at most half of the tasks in one zone
 //	driftwood     Spot                  spot instances are allowed
 //	reckonS       EstimateS             estimated run time of a task
 //	loglineS      CheckpointIntervalS   time between two checkpoints
 //	stowS         CheckpointSaveS       time to save a checkpoint
-//	tideS         DeadlineS             deadline, from submission
-//	awaits        DependsOn             dependencies
+//	tideS         DeadlineS             deadline, counted from the submission
+//	awaits        DependsOn             IDs of the jobs that must be done before
 //	bearing       State                 job state; "aborted" is cancelled
 //	done          Done                  completed tasks
 //	running       Running               running tasks
-//	error         Error                 reason of a rejection
+//	error         Error                 why a request failed
 //
 // Heartbeats and commands (heartbeats.go):
 //
-//	JSON name     Go name               term
+//	JSON name     Go name               meaning
 //	deck          Machine               machine name
 //	endpoint      Addr                  address of the worker
 //	build         Type                  machine type
 //	berth         Zone                  availability zone
 //	driftwood     Spot                  spot instance
-//	watch         AgentEpoch            epoch of the worker, raised when its lease expires
+//	watch         AgentEpoch            epoch of the worker, which raises it when its lease expires
 //	knot          Sequence              sequence number within the epoch
 //	helm          FencingToken          fencing token of the leader
 //	recallS       ReclaimNoticeS        notice before a spot instance is reclaimed
@@ -54,13 +55,13 @@
 //	wake          ExitReason            why the task has exited; "halted" is stopped
 //	kept          CheckpointSaved       a checkpoint was saved on stopping
 //	call          Op                    operation: "run" starts, "kill" stops, "reap" removes an exited task
-//	slackS        GracePeriodS          time in which a stopped task can save a checkpoint
+//	slackS        GracePeriodS          time that a stopped task has to save a checkpoint
 //	orders        Commands              commands to the worker
 //	harbormaster  HeartbeatTo           node to send heartbeats to
 //
 // Cloud (cloud.go):
 //
-//	JSON name     Go name               term
+//	JSON name     Go name               meaning
 //	builds        Types                 machine types
 //	label         Name                  name of the machine type
 //	cores         CPUs                  CPU capacity
@@ -86,7 +87,7 @@
 //
 // Key-value store (keyvalue.go):
 //
-//	JSON name     Go name               term
+//	JSON name     Go name               meaning
 //	guards        If                    conditions of a compare-and-swap
 //	writes        Then                  mutations of a compare-and-swap
 //	path          Key                   key
--- a/wire/heartbeats.go
+++ b/wire/heartbeats.go
@@ -3,8 +3,8 @@
 // PathHeartbeat is the path to which workers send heartbeats.
 const PathHeartbeat = "/checkin"
 
-// Paths served by workers: direct commands, and the worker's status in the
-// form of a heartbeat.
+// Paths served by workers: PathCommands executes direct commands, and PathShow
+// returns the worker's status in the form of a heartbeat.
 const (
 	PathCommands = "/commands"
 	PathShow     = "/show"
@@ -12,10 +12,10 @@
 
 // Task states in heartbeats.
 const (
-	// TaskFetching is a task whose image is being fetched.
+	// TaskFetching: the task's image is being fetched.
 	TaskFetching = "fetching"
 	TaskRunning  = "running"
-	// TaskSaving is a stopped task that is saving a checkpoint.
+	// TaskSaving: the task was stopped and is saving a checkpoint.
 	TaskSaving = "saving"
 	TaskExited = "exited"
 )
@@ -29,7 +29,7 @@
 	ExitNoCapacity = "full"
 	// ExitTaskBusy: another attempt of the task is on the machine.
 	ExitTaskBusy = "in_use"
-	// ExitUnknown: the worker can't get the task's job.
+	// ExitUnknown: the worker finds no job with the ID in the task's name.
 	ExitUnknown = "unknown"
 )
 
@@ -45,13 +45,13 @@
 	Sequence uint64 `json:"knot"`
 	// FencingToken is the highest token that the worker has received.
 	FencingToken uint64 `json:"helm"`
-	// ReclaimNoticeS is the time until the cloud reclaims the machine, or nil
-	// without a notice.
+	// ReclaimNoticeS is the time until the cloud reclaims the machine. It is nil
+	// if the cloud has announced none.
 	ReclaimNoticeS *float64     `json:"recallS"`
 	Tasks          []TaskStatus `json:"oars"`
 }
 
-// TaskStatus is one task of a heartbeat.
+// TaskStatus is the status of a task in a heartbeat.
 type TaskStatus struct {
 	Task            string `json:"oar"`
 	Attempt         uint64 `json:"launch"`
@@ -66,7 +66,7 @@
 	// OpStop stops a task, which saves a checkpoint if the grace period is long
 	// enough.
 	OpStop = "kill"
-	// OpForget removes an exited task from the heartbeats.
+	// OpForget makes the worker omit an exited task from its heartbeats.
 	OpForget = "reap"
 )
 
@@ -84,7 +84,7 @@
 	Commands     []Command `json:"orders"`
 }
 
-// CommandRequest is the body of a direct command.
+// CommandRequest is the body of a request to PathCommands.
 type CommandRequest struct {
 	FencingToken uint64    `json:"helm"`
 	AgentEpoch   uint64    `json:"watch"`
--- a/wire/jobs.go
+++ b/wire/jobs.go
@@ -17,7 +17,7 @@
 const MaxTasks = 100_000
 
 // MaxIDLength is the maximum length of a job ID in bytes. Keys of the key-value
-// store add prefixes and chunk numbers to the ID and must not exceed
+// store contain the ID with a prefix and chunk numbers, and must not exceed
 // MaxKeyBytes.
 const MaxIDLength = 160
 
@@ -29,14 +29,14 @@
 	JobCancelled = "aborted"
 )
 
-// IsTerminal reports whether a job in this state remains in it.
+// IsTerminal reports whether a job in this state has ended and keeps the state.
 func IsTerminal(state string) bool { return state == JobDone || state == JobCancelled }
 
-// KindArray is the only kind of job that is accepted: a job array, whose
-// tasks are independent of each other.
+// KindArray is the only accepted kind of job: a job array, whose tasks are
+// independent of each other.
 const KindArray = "batch"
 
-// Priorities, highest first.
+// Priorities, from the highest to the lowest.
 const (
 	PriorityCritical = "critical"
 	PriorityHigh     = "high"
@@ -44,7 +44,7 @@
 	PriorityIdle     = "idle"
 )
 
-// PriorityRank maps a priority to its rank, 0 being the highest, or -1 if unknown.
+// PriorityRank returns the rank of a priority: 0 for the highest, -1 for an unknown one.
 func PriorityRank(priority string) int {
 	switch priority {
 	case PriorityCritical:
@@ -59,7 +59,8 @@
 	return -1
 }
 
-// Job is a submission. Resource requests and times are those of each task.
+// Job is the job that a user submits. The resource requests, the estimate and
+// the checkpoint times apply to each task.
 type Job struct {
 	ID       string  `json:"ref"`
 	Class    string  `json:"muster"`
@@ -86,19 +87,21 @@
 	// image fetch.
 	EstimateS float64 `json:"reckonS"`
 	// CheckpointIntervalS is the progress after which a running task saves a
-	// checkpoint; 0 if its tasks save none.
+	// checkpoint; 0 if the job's tasks save no checkpoints.
 	CheckpointIntervalS float64 `json:"loglineS"`
 	// CheckpointSaveS is the time that a stopped task takes to save a
 	// checkpoint.
 	CheckpointSaveS float64 `json:"stowS"`
-	// DeadlineS is the deadline, counted from the submission; nil is none.
+	// DeadlineS is the deadline, counted from the submission; nil if the job has
+	// none.
 	DeadlineS *float64 `json:"tideS,omitempty"`
-	// DependsOn lists the jobs that must be done before a task of this job
-	// starts, without duplicates.
+	// DependsOn lists the IDs of the jobs that must be done before a task of
+	// this job starts, without duplicates.
 	DependsOn []string `json:"awaits,omitempty"`
 }
 
-// JobStatus is the response to submissions, queries and cancellations.
+// JobStatus is the response to submissions, queries and cancellations. Done and
+// Running are numbers of tasks.
 type JobStatus struct {
 	ID      string `json:"ref"`
 	State   string `json:"bearing"`
@@ -111,7 +114,8 @@
 	Error string `json:"error"`
 }
 
-// ValidID reports whether a job ID has the protocol's form.
+// ValidID reports whether a job ID is valid: "job-" and digits, at most
+// MaxIDLength bytes.
 func ValidID(id string) bool {
 	const prefix = "job-"
 	if len(id) <= len(prefix) || len(id) > MaxIDLength || id[:len(prefix)] != prefix {
@@ -125,18 +129,20 @@
 	return true
 }
 
-// TaskName joins a job ID and a task index.
+// TaskName returns the name of a task: the job ID and the task index, with a
+// slash in between.
 func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// SplitTask splits a task name into the job ID and the task index.
+// SplitTask splits a task name into the job ID and the task index. ok is false
+// if the name is invalid.
 func SplitTask(name string) (job string, index int, ok bool) {
-	cut := strings.LastIndexByte(name, '/')
-	if cut <= 0 {
+	slash := strings.LastIndexByte(name, '/')
+	if slash <= 0 {
 		return "", 0, false
 	}
-	index, err := strconv.Atoi(name[cut+1:])
+	index, err := strconv.Atoi(name[slash+1:])
 	if err != nil || index < 0 {
 		return "", 0, false
 	}
-	return name[:cut], index, true
+	return name[:slash], index, true
 }
--- a/wire/keyvalue.go
+++ b/wire/keyvalue.go
@@ -5,13 +5,15 @@
 // MaxKeyBytes is the maximum length of a key of the key-value store.
 const MaxKeyBytes = 200
 
-// Compare is a condition of a transaction: the key's version, 0 if the key is absent.
+// Compare is a condition of a transaction: the key has this version, or is
+// absent if the version is 0.
 type Compare struct {
 	Key     string `json:"path"`
 	Version uint64 `json:"mark"`
 }
 
-// Mutation is a change of a transaction: a put or a delete.
+// Mutation is a change in a transaction: a put of the key Put, or a delete of
+// the key Delete.
 type Mutation struct {
 	Put    string          `json:"put,omitempty"`
 	Value  json.RawMessage `json:"v,omitempty"`
@@ -34,7 +36,8 @@
 	Then []Mutation `json:"writes"`
 }
 
-// TxnResult is the response to a transaction. FailedKeys is set with status 409.
+// TxnResult is the response to a transaction. If conditions don't hold, the
+// status is 409 and FailedKeys has the keys of these conditions.
 type TxnResult struct {
 	Revision   uint64   `json:"logpage"`
 	FailedKeys []string `json:"failed"`
@@ -50,7 +53,7 @@
 	Revision uint64          `json:"logpage,omitempty"`
 }
 
-// KeyValuePage is a page of keys.
+// KeyValuePage is a page of keys with their values.
 type KeyValuePage struct {
 	Items    []KeyValue `json:"rows"`
 	More     bool       `json:"hasNext"`
@@ -67,7 +70,8 @@
 	Lease uint64 `json:"mooring"`
 }
 
-// Event is a change of a key.
+// Event is a change of a key: a put of the key Put, or a delete of the key
+// Delete.
 type Event struct {
 	Put     string          `json:"put,omitempty"`
 	Value   json.RawMessage `json:"v,omitempty"`
@@ -75,8 +79,7 @@
 	Delete  string          `json:"delete,omitempty"`
 }
 
-// WatchResponse is the response to a watch: the changes up to a revision of the
-// store.
+// WatchResponse is the response to a watch: the changes up to Revision.
 type WatchResponse struct {
 	Revision uint64  `json:"logpage"`
 	Events   []Event `json:"log"`
--- a/wire/parse.go
+++ b/wire/parse.go
@@ -3,12 +3,12 @@
 import (
 	"encoding/json"
 
-	fast "github.com/goccy/go-json"
+	fastjson "github.com/goccy/go-json"
 )
 
-// jobFields mirrors Job with pointers, to distinguish a missing field from a zero
-// value. Users see its name: encoding/json includes it in the error for a value
-// of the wrong type.
+// jobFields has the fields of Job as pointers, to distinguish a missing field
+// from a zero value. Don't rename it: encoding/json includes its name in the
+// error for a value of the wrong type, which users see.
 type jobFields struct {
 	ID                  *string   `json:"ref"`
 	Class               *string   `json:"muster"`
@@ -33,8 +33,8 @@
 	DependsOn           []*string `json:"awaits"`
 }
 
-// ParseJob decodes and validates a submission. The error is a MalformedError or a
-// FieldError; either stands for status 400.
+// ParseJob decodes and validates a submission. Its error is a MalformedError or a
+// FieldError; the user gets status 400 for both.
 func ParseJob(body []byte) (*Job, error) {
 	var fields *jobFields
 	if err := json.Unmarshal(body, &fields); err != nil {
@@ -44,7 +44,7 @@
 		return nil, &MalformedError{Cause: errNotObject}
 	}
 	var r fieldReader
-	job := fields.read(&r)
+	job := fields.toJob(&r)
 	if !ValidID(job.ID) {
 		r.fail("ref", "not a job id")
 	}
@@ -60,43 +60,44 @@
 	return job, nil
 }
 
-// read validates each field by itself, in the order below, and returns the job.
-func (f *jobFields) read(r *fieldReader) *Job {
+// toJob validates each field on its own, in the order below, and returns the job.
+func (f *jobFields) toJob(r *fieldReader) *Job {
 	return &Job{
-		ID:                  r.text("ref", f.ID),
-		Class:               r.text("muster", f.Class),
-		Team:                r.text("crew", f.Team),
-		Kind:                r.text("rig", f.Kind),
-		Priority:            r.text("rank", f.Priority),
-		CPUs:                r.positive("cores", f.CPUs),
-		GPUs:                r.number("cards", f.GPUs),
-		MemoryGB:            r.number("memoryGb", f.MemoryGB),
-		Image:               r.text("hull", f.Image),
-		ImageGB:             r.number("imageGb", f.ImageGB),
-		OneZone:             r.flag("together", f.OneZone),
-		SpreadZones:         r.flag("apart", f.SpreadZones),
-		Spot:                r.flag("driftwood", f.Spot),
-		EstimateS:           r.number("reckonS", f.EstimateS),
-		CheckpointIntervalS: r.number("loglineS", f.CheckpointIntervalS),
-		CheckpointSaveS:     r.number("stowS", f.CheckpointSaveS),
-		Tasks:               r.tasks("oars", f.Tasks),
-		MachineTypes:        r.types("builds", f.MachineTypes),
-		Zone:                r.optional("berth", f.Zone),
-		DeadlineS:           r.deadline("tideS", f.DeadlineS),
-		DependsOn:           r.distinct("awaits", f.DependsOn),
+		ID:                  r.requiredString("ref", f.ID),
+		Class:               r.requiredString("muster", f.Class),
+		Team:                r.requiredString("crew", f.Team),
+		Kind:                r.requiredString("rig", f.Kind),
+		Priority:            r.requiredString("rank", f.Priority),
+		CPUs:                r.positiveNumber("cores", f.CPUs),
+		GPUs:                r.nonNegativeNumber("cards", f.GPUs),
+		MemoryGB:            r.nonNegativeNumber("memoryGb", f.MemoryGB),
+		Image:               r.requiredString("hull", f.Image),
+		ImageGB:             r.nonNegativeNumber("imageGb", f.ImageGB),
+		OneZone:             r.requiredBool("together", f.OneZone),
+		SpreadZones:         r.requiredBool("apart", f.SpreadZones),
+		Spot:                r.requiredBool("driftwood", f.Spot),
+		EstimateS:           r.nonNegativeNumber("reckonS", f.EstimateS),
+		CheckpointIntervalS: r.nonNegativeNumber("loglineS", f.CheckpointIntervalS),
+		CheckpointSaveS:     r.nonNegativeNumber("stowS", f.CheckpointSaveS),
+		Tasks:               r.taskCount("oars", f.Tasks),
+		MachineTypes:        r.optionalList("builds", f.MachineTypes),
+		Zone:                r.optionalString("berth", f.Zone),
+		DeadlineS:           r.optionalNonNegativeNumber("tideS", f.DeadlineS),
+		DependsOn:           r.distinctStrings("awaits", f.DependsOn),
 	}
 }
 
-// ParseHeartbeat decodes and validates a worker's heartbeat. The error is a
-// MalformedError or a FieldError; either stands for status 400.
+// ParseHeartbeat decodes and validates a worker's heartbeat. Its error is a
+// MalformedError or a FieldError; the worker gets status 400 for both.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	if !json.Valid(body) {
 		return nil, &MalformedError{Cause: errNotJSON}
 	}
 	var h Heartbeat
-	// The faster decoder serves the several hundred heartbeats per second. It
-	// is less strict, hence the check above.
-	if err := fast.Unmarshal(body, &h); err != nil {
+	// This decoder is faster than encoding/json, which matters at several
+	// hundred heartbeats per second. It is less strict, so json.Valid has
+	// checked the body first.
+	if err := fastjson.Unmarshal(body, &h); err != nil {
 		return nil, &MalformedError{Cause: err}
 	}
 	switch {
--- a/wire/validation.go
+++ b/wire/validation.go
@@ -6,26 +6,27 @@
 	"strings"
 )
 
-// FieldError reports a field of a message or of the settings that is missing or
-// invalid.
+// FieldError reports a missing or invalid field of a message or of the settings.
 type FieldError struct {
-	Field  string
+	Field  string // its name in JSON, TOML or XML
 	Reason string
 }
 
+// Error returns a text with the field and the reason.
 func (e *FieldError) Error() string { return "field " + e.Field + ": " + e.Reason }
 
-// MalformedError reports a body that can't be decoded as its message.
+// MalformedError reports a body that can't be decoded.
 type MalformedError struct {
 	Cause error
 }
 
+// Error returns a text with the cause.
 func (e *MalformedError) Error() string {
 	return "malformed: " + publishedTypeNames.Replace(e.Cause.Error())
 }
 
-// publishedTypeNames maps Go type names in the decoder's error texts to the names published
-// earlier. Responses with status 400 contain these texts, so renaming a type must not change them.
+// publishedTypeNames replaces Go type names in the decoder's error texts by the former names of the
+// types. Users see these texts in responses with status 400, so a renamed type must not change them.
 var publishedTypeNames = strings.NewReplacer(
 	"wire.Heartbeat", "wire.Report",
 	"wire.TaskStatus", "wire.TaskReport",
@@ -40,7 +41,7 @@
 	errNotJSON   = errors.New("not JSON")
 )
 
-// Reasons of a FieldError that several checks share.
+// Reasons of FieldErrors that several checks use.
 const (
 	reasonMissing  = "missing"
 	reasonNegative = "must not be negative"
@@ -49,7 +50,8 @@
 )
 
 // fieldReader validates the fields of a message and keeps the first error. Each
-// method takes a field's JSON name and its value, which is nil if missing.
+// of its reading methods gets the JSON name of a field and its value, which is
+// nil if the field is missing, and returns the value.
 type fieldReader struct {
 	err *FieldError
 }
@@ -61,8 +63,8 @@
 	}
 }
 
-// text reads a required, non-empty string.
-func (r *fieldReader) text(field string, value *string) string {
+// requiredString reads a required, non-empty string.
+func (r *fieldReader) requiredString(field string, value *string) string {
 	if value == nil || *value == "" {
 		r.fail(field, reasonMissing)
 		return ""
@@ -70,8 +72,8 @@
 	return *value
 }
 
-// flag reads a required boolean.
-func (r *fieldReader) flag(field string, value *bool) bool {
+// requiredBool reads a required boolean.
+func (r *fieldReader) requiredBool(field string, value *bool) bool {
 	if value == nil {
 		r.fail(field, reasonMissing)
 		return false
@@ -79,8 +81,8 @@
 	return *value
 }
 
-// number reads a required non-negative number.
-func (r *fieldReader) number(field string, value *float64) float64 {
+// nonNegativeNumber reads a required non-negative number.
+func (r *fieldReader) nonNegativeNumber(field string, value *float64) float64 {
 	if value == nil {
 		r.fail(field, reasonMissing)
 		return 0
@@ -91,17 +93,17 @@
 	return *value
 }
 
-// positive reads a required number above zero.
-func (r *fieldReader) positive(field string, value *float64) float64 {
-	n := r.number(field, value)
+// positiveNumber reads a required number above zero.
+func (r *fieldReader) positiveNumber(field string, value *float64) float64 {
+	n := r.nonNegativeNumber(field, value)
 	if value != nil && n == 0 {
 		r.fail(field, "must be above zero")
 	}
 	return n
 }
 
-// tasks reads a required number of tasks.
-func (r *fieldReader) tasks(field string, value *int) int {
+// taskCount reads a required number of tasks, from 1 to MaxTasks.
+func (r *fieldReader) taskCount(field string, value *int) int {
 	if value == nil {
 		r.fail(field, reasonMissing)
 		return 0
@@ -112,8 +114,8 @@
 	return *value
 }
 
-// optional reads a string that may be missing, but not empty.
-func (r *fieldReader) optional(field string, value *string) string {
+// optionalString reads a string that may be missing but not empty.
+func (r *fieldReader) optionalString(field string, value *string) string {
 	if value == nil {
 		return ""
 	}
@@ -123,8 +125,8 @@
 	return *value
 }
 
-// types reads a list that may be missing, but not empty.
-func (r *fieldReader) types(field string, value *[]string) []string {
+// optionalList reads a list that may be missing but not empty.
+func (r *fieldReader) optionalList(field string, value *[]string) []string {
 	if value == nil {
 		return nil
 	}
@@ -134,17 +136,17 @@
 	return *value
 }
 
-// deadline reads an optional non-negative number.
-func (r *fieldReader) deadline(field string, value *float64) *float64 {
+// optionalNonNegativeNumber reads a number that may be missing but not negative.
+func (r *fieldReader) optionalNonNegativeNumber(field string, value *float64) *float64 {
 	if value == nil {
 		return nil
 	}
-	seconds := r.number(field, value)
+	seconds := r.nonNegativeNumber(field, value)
 	return &seconds
 }
 
-// distinct reads a list of strings and drops duplicates.
-func (r *fieldReader) distinct(field string, values []*string) []string {
+// distinctStrings reads a list of strings, which may be missing, and removes duplicates.
+func (r *fieldReader) distinctStrings(field string, values []*string) []string {
 	var list []string
 	seen := map[string]bool{}
 	for _, value := range values {
--- a/wire/validation_test.go
+++ b/wire/validation_test.go
@@ -15,47 +15,51 @@
  "builds":["g8"],"berth":null,"together":true,"apart":false,"driftwood":true,
  "reckonS":240.0,"loglineS":30.0,"stowS":4.0,"tideS":900.0,"later":1}`
 
+// TestParseJob checks that a submission is parsed, ignoring unknown fields, and that an encoded job is
+// parsed to the same job.
 func TestParseJob(t *testing.T) {
-	j, err := wire.ParseJob([]byte(submission))
+	job, err := wire.ParseJob([]byte(submission))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if j.ID != "job-000412" || j.Tasks != 16 || j.Zone != "" || *j.DeadlineS != 900 || !j.OneZone {
-		t.Fatalf("%+v", j)
+	if job.ID != "job-000412" || job.Tasks != 16 || job.Zone != "" || *job.DeadlineS != 900 || !job.OneZone {
+		t.Fatalf("got %+v, want the fields of the submission", job)
 	}
-	// An encoded job, as it is forwarded and stored, must be parsed to the same job.
-	data, _ := json.Marshal(j)
-	reparsed, err := wire.ParseJob(data)
+	// Nodes forward and store the encoded job.
+	encoded, _ := json.Marshal(job)
+	reparsed, err := wire.ParseJob(encoded)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if data2, _ := json.Marshal(reparsed); string(data) != string(data2) {
-		t.Fatalf("%s\n%s", data, data2)
+	if reencoded, _ := json.Marshal(reparsed); string(encoded) != string(reencoded) {
+		t.Fatalf("want\n%s\ngot\n%s", encoded, reencoded)
 	}
 }
 
-// TestParseJobDependencies checks that duplicates are dropped, and that a job without dependencies
-// is encoded without the field.
+// TestParseJobDependencies checks that duplicate dependencies are removed, and that a job without
+// dependencies is encoded without the field.
 func TestParseJobDependencies(t *testing.T) {
-	want, _ := wire.ParseJob([]byte(submission))
-	plain, _ := json.Marshal(want)
+	independentJob, _ := wire.ParseJob([]byte(submission))
+	withoutField, _ := json.Marshal(independentJob)
 	for awaits, dependsOn := range map[string][]string{`null`: nil, `[]`: nil, `["job-2","job-1","job-2"]`: {"job-2", "job-1"}} {
 		j, err := wire.ParseJob([]byte(strings.Replace(submission, `"later":1`, `"awaits":`+awaits, 1)))
 		if err != nil || !slices.Equal(j.DependsOn, dependsOn) {
-			t.Fatalf("awaits %s: %v %+v", awaits, err, j)
+			t.Fatalf("awaits %s: error %v, got the wrong dependencies in %+v", awaits, err, j)
 		}
-		if data, _ := json.Marshal(j); (string(data) == string(plain)) != (dependsOn == nil) {
-			t.Errorf("awaits %s: %s", awaits, data)
+		if data, _ := json.Marshal(j); (string(data) == string(withoutField)) != (dependsOn == nil) {
+			t.Errorf("awaits %s: encoded as %s, want the field only with dependencies", awaits, data)
 		}
 	}
 }
 
+// TestParseJobRejects checks that submissions without a required field, with an invalid value or with
+// malformed JSON are rejected.
 func TestParseJobRejects(t *testing.T) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal([]byte(submission), &fields); err != nil {
 		t.Fatal(err)
 	}
-	optional := map[string]bool{"builds": true, "berth": true, "tideS": true, "later": true}
+	optionalFields := map[string]bool{"builds": true, "berth": true, "tideS": true, "later": true}
 	for name := range fields {
 		remaining := map[string]json.RawMessage{}
 		for k, v := range fields {
@@ -64,8 +68,8 @@
 			}
 		}
 		data, _ := json.Marshal(remaining)
-		if _, err := wire.ParseJob(data); (err == nil) != optional[name] {
-			t.Errorf("without %s: %v", name, err)
+		if _, err := wire.ParseJob(data); (err == nil) != optionalFields[name] {
+			t.Errorf("without %s: error %v, want one if the field is required", name, err)
 		}
 	}
 	for _, change := range [][2]string{
@@ -83,24 +87,24 @@
 		{`"together":true`, `"together":"yes"`},
 	} {
 		if _, err := wire.ParseJob([]byte(strings.Replace(submission, change[0], change[1], 1))); err == nil {
-			t.Errorf("%s accepted", change[1])
+			t.Errorf("ParseJob accepted %s", change[1])
 		}
 	}
 	for _, awaits := range []string{`"job-1"`, `[7]`, `[null]`, `{}`, `true`, `[["job-1"]]`} {
 		if _, err := wire.ParseJob([]byte(strings.Replace(submission, `"later":1`, `"awaits":`+awaits, 1))); err == nil || !strings.Contains(err.Error(), "awaits") {
-			t.Errorf("awaits %s: %v", awaits, err)
+			t.Errorf("awaits %s: error %v, want one that names the field", awaits, err)
 		}
 	}
 	for _, body := range []string{"", "[]", "null", "3", "{", submission + "x"} {
 		if _, err := wire.ParseJob([]byte(body)); err == nil {
-			t.Errorf("%.20q accepted", body)
+			t.Errorf("ParseJob accepted %.20q", body)
 		}
 	}
 }
 
-// TestErrorTexts checks the texts of the errors, which users see, and their types.
+// TestErrorTexts checks the texts of the errors, which users and workers get, and the types of the errors.
 func TestErrorTexts(t *testing.T) {
-	change := func(from, to string) []byte { return []byte(strings.Replace(submission, from, to, 1)) }
+	replaceInSubmission := func(from, to string) []byte { return []byte(strings.Replace(submission, from, to, 1)) }
 	parseJob := func(body []byte) error {
 		_, err := wire.ParseJob(body)
 		return err
@@ -117,15 +121,15 @@
 	}{
 		{parseJob, []byte("{"), "malformed: unexpected end of JSON input", ""},
 		{parseJob, []byte("null"), "malformed: not an object", ""},
-		{parseJob, change(`"oars":16`, `"oars":"16"`), "malformed: json: cannot unmarshal string into Go struct field jobFields.oars of type int", ""},
-		{parseJob, change(`"high"`, `"urgent"`), "field rank: unknown", "rank"},
-		{parseJob, change(`"job-000412"`, `"412"`), "field ref: not a job id", "ref"},
-		{parseJob, change(`"muster":"train",`, ``), "field muster: missing", "muster"},
-		{parseJob, change(`"oars":16`, `"oars":0`), "field oars: out of range", "oars"},
-		{parseJob, change(`"cores":8.0`, `"cores":0`), "field cores: must be above zero", "cores"},
-		{parseJob, change(`"cards":1.0`, `"cards":-1`), "field cards: must not be negative", "cards"},
-		{parseJob, change(`"builds":["g8"]`, `"builds":[]`), "field builds: empty", "builds"},
-		{parseJob, change(`"later":1`, `"awaits":[null]`), "field awaits: not a list of strings", "awaits"},
+		{parseJob, replaceInSubmission(`"oars":16`, `"oars":"16"`), "malformed: json: cannot unmarshal string into Go struct field jobFields.oars of type int", ""},
+		{parseJob, replaceInSubmission(`"high"`, `"urgent"`), "field rank: unknown", "rank"},
+		{parseJob, replaceInSubmission(`"job-000412"`, `"412"`), "field ref: not a job id", "ref"},
+		{parseJob, replaceInSubmission(`"muster":"train",`, ``), "field muster: missing", "muster"},
+		{parseJob, replaceInSubmission(`"oars":16`, `"oars":0`), "field oars: out of range", "oars"},
+		{parseJob, replaceInSubmission(`"cores":8.0`, `"cores":0`), "field cores: must be above zero", "cores"},
+		{parseJob, replaceInSubmission(`"cards":1.0`, `"cards":-1`), "field cards: must not be negative", "cards"},
+		{parseJob, replaceInSubmission(`"builds":["g8"]`, `"builds":[]`), "field builds: empty", "builds"},
+		{parseJob, replaceInSubmission(`"later":1`, `"awaits":[null]`), "field awaits: not a list of strings", "awaits"},
 		{parseHeartbeat, []byte("{"), "malformed: not JSON", ""},
 		{parseHeartbeat, []byte(`{"watch":1}`), "field deck: missing", "deck"},
 		{parseHeartbeat, []byte(`{"deck":"i-1","watch":"x"}`), "malformed: json: cannot unmarshal string into Go struct field Report.watch of type uint64", ""},
@@ -137,16 +141,16 @@
 	} {
 		err := c.parse(c.body)
 		if err == nil || err.Error() != c.text {
-			t.Errorf("%s: %v, want %s", c.body, err, c.text)
+			t.Errorf("%s: error %v, want %s", c.body, err, c.text)
 			continue
 		}
 		var invalid *wire.FieldError
 		var malformed *wire.MalformedError
 		switch {
 		case c.field == "" && !errors.As(err, &malformed):
-			t.Errorf("%v is a %T", err, err)
+			t.Errorf("error %v is a %T, want a MalformedError", err, err)
 		case c.field != "" && (!errors.As(err, &invalid) || invalid.Field != c.field):
-			t.Errorf("%v is a %T", err, err)
+			t.Errorf("error %v is a %T, want a FieldError for the field of the case", err, err)
 		}
 	}
 }
