--- a/internal/httpclient/pool_test.go
+++ b/internal/httpclient/pool_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestPoolEvictsLeastRecentlyUsed checks that a full pool removes the least recently used host, but
+// TestPoolRemovesLeastRecentlyUsed checks that a full pool removes the least recently used host, but
 // never a host with a request in flight.
-func TestPoolEvictsLeastRecentlyUsed(t *testing.T) {
+func TestPoolRemovesLeastRecentlyUsed(t *testing.T) {
 	p := NewPool(1, 3) // 3 hosts
 	busy := p.acquire("busy:1")
 	for i := range 20 {
--- a/internal/peer/heartbeats.go
+++ b/internal/peer/heartbeats.go
@@ -14,8 +14,8 @@
 }
 
 // isRecent reports whether the heartbeat arrived within the last PeerTimeout.
-func (m *receivedHeartbeat) isRecent(now time.Time) bool {
-	return now.Sub(m.receivedAt) <= tuning.PeerTimeout
+func (r *receivedHeartbeat) isRecent(now time.Time) bool {
+	return now.Sub(r.receivedAt) <= tuning.PeerTimeout
 }
 
 // SendHeartbeats makes all links send a heartbeat immediately, to inform the peers of a change of
@@ -30,30 +30,31 @@
 }
 
 // recordHeartbeat stores a peer's heartbeat as its last one. If the peer holds the leader's lease, it
-// calls OnLeaderTerm, and also OnPolicy if the heartbeat has an admission policy of the peer's term.
-func (h *Hub) recordHeartbeat(b *Heartbeat) {
+// calls OnLeaderTerm, and also OnPolicy if the heartbeat has an admission policy of the peer's own term.
+func (h *Hub) recordHeartbeat(heartbeat *Heartbeat) {
 	h.mu.Lock()
-	h.lastHeartbeats[b.Node] = receivedHeartbeat{heartbeat: *b, receivedAt: time.Now()}
+	h.lastHeartbeats[heartbeat.Node] = receivedHeartbeat{heartbeat: *heartbeat, receivedAt: time.Now()}
 	h.mu.Unlock()
-	if !b.IsLeader {
+	if !heartbeat.IsLeader {
 		return
 	}
-	h.OnLeaderTerm(b.Term)
-	if h.OnPolicy != nil && b.Policy != nil && b.Policy.Term == b.Term {
-		h.OnPolicy(*b.Policy)
+	h.OnLeaderTerm(heartbeat.Term)
+	if h.OnPolicy != nil && heartbeat.Policy != nil && heartbeat.Policy.Term == heartbeat.Term {
+		h.OnPolicy(*heartbeat.Policy)
 	}
 }
 
-// OfferedLoads returns the offered load of each peer whose last heartbeat is recent.
+// OfferedLoads returns the offered load of each peer whose last heartbeat is recent, under the name of
+// the peer's link.
 func (h *Hub) OfferedLoads() []admission.NodeOfferedLoad {
 	now := time.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var loads []admission.NodeOfferedLoad
 	for _, l := range h.links {
-		m := h.lastHeartbeats[l.name]
-		if m.heartbeat.OfferedLoad != nil && m.isRecent(now) {
-			load := *m.heartbeat.OfferedLoad
+		received := h.lastHeartbeats[l.name]
+		if received.heartbeat.OfferedLoad != nil && received.isRecent(now) {
+			load := *received.heartbeat.OfferedLoad
 			load.Node = l.name
 			loads = append(loads, load)
 		}
@@ -62,11 +63,11 @@
 }
 
 // LinkedToLeader reports whether this node has a link to a leader that holds the lease.
-func (h *Hub) LinkedToLeader() bool { return h.route(false, false) != nil }
+func (h *Hub) LinkedToLeader() bool { return h.route(false, false) != nil } // for a call without relay
 
 // ReachesLeader reports whether this node is linked to a leader that holds the lease, or to a peer
 // that is.
-func (h *Hub) ReachesLeader() bool { return h.route(false, true) != nil }
+func (h *Hub) ReachesLeader() bool { return h.route(false, true) != nil } // for a call that may be relayed
 
 // route returns the link on which to send a call, or nil if there is none. It considers only links to
 // peers with a recent heartbeat, and chooses the leader of the highest term that holds the lease. For
@@ -79,15 +80,15 @@
 	var direct, relay *link
 	var highestTerm uint64
 	for _, l := range h.links {
-		m := h.lastHeartbeats[l.name]
-		if !l.connected || !m.isRecent(now) {
+		received := h.lastHeartbeats[l.name]
+		if !l.connected || !received.isRecent(now) {
 			continue
 		}
-		b := &m.heartbeat
-		if (b.IsLeader || isHeartbeat && b.InGracePeriod) && b.Term >= highestTerm {
-			direct, highestTerm = l, b.Term
+		heartbeat := &received.heartbeat
+		if (heartbeat.IsLeader || isHeartbeat && heartbeat.InGracePeriod) && heartbeat.Term >= highestTerm {
+			direct, highestTerm = l, heartbeat.Term
 		}
-		if b.LinkedToLeader {
+		if heartbeat.LinkedToLeader {
 			relay = l
 		}
 	}
--- a/internal/peer/hub.go
+++ b/internal/peer/hub.go
@@ -1,7 +1,7 @@
-// Package peer connects the nodes of the scheduler, also called controllers. It forwards calls to the leader and exchanges
-// heartbeats, which tell each node who the leader is and which nodes have a link to the leader.
-// Each message is a line of JSON. Each node opens a connection to each peer; it sends its calls on
-// that connection, and the peer sends responses there.
+// Package peer connects the nodes of the scheduler, which are also called controllers. It forwards
+// calls to the leader and exchanges heartbeats, which tell each node who the leader is and which nodes
+// have a link to the leader. Each message is a line of JSON. Each node opens a connection to each peer;
+// it sends its calls on this connection, and the peer responds on it.
 package peer
 
 import (
