--- a/wire/doc.go
+++ b/wire/doc.go
@@ -30,7 +30,7 @@
 //	loglineS      CheckpointIntervalS   time between two checkpoints
 //	stowS         CheckpointSaveS       time to save a checkpoint
 //	tideS         DeadlineS             deadline, counted from the submission
-//	awaits        DependsOn             IDs of the jobs that must be done before
+//	awaits        DependsOn             dependencies: IDs of the jobs that must be done first
 //	bearing       State                 job state; "aborted" is cancelled
 //	done          Done                  completed tasks
 //	running       Running               running tasks
