--- a/internal/leader/admission.go
+++ b/internal/leader/admission.go
@@ -67,7 +67,7 @@
 
 // OverloadRejection returns the error for a job that admission control has rejected.
 func OverloadRejection(d admission.Decision) *RejectedError {
-	return &RejectedError{Status: http.StatusTooManyRequests, Reason: "more is submitted than can be taken now", RetryAfter: d.RetryAfterS}
+	return &RejectedError{Status: http.StatusTooManyRequests, Reason: "more is submitted than can be taken now", RetryAfterS: d.RetryAfterS}
 }
 
 // UpdateAdmission adapts admission control to the leader's load and to the offered load that the
--- a/internal/leader/admission_test.go
+++ b/internal/leader/admission_test.go
@@ -57,7 +57,7 @@
 	l.commit()
 	rejected := 0
 	for i := range 50 {
-		if v := l.submitWithAdmissionClaim(newJob(fmt.Sprint("job-8", i)), nil); v.Status == 429 && v.RetryAfter >= 1 {
+		if v := l.submitWithAdmissionClaim(newJob(fmt.Sprint("job-8", i)), nil); v.Status == 429 && v.RetryAfterS >= 1 {
 			rejected++
 		}
 	}
--- a/internal/leader/direct_calls.go
+++ b/internal/leader/direct_calls.go
@@ -99,11 +99,11 @@
 }
 
 // maxDirectCalls returns the maximum number of direct calls in flight.
-func (l *Leader) maxDirectCalls() int { return MaxDirectCalls(l.params.Limits) }
+func (l *Leader) maxDirectCalls() int { return DirectCallLimit(l.params.Limits) }
 
-// MaxDirectCalls returns the maximum number of direct calls in flight: a share of the process's
+// DirectCallLimit returns the maximum number of direct calls in flight: a share of the process's
 // connection limit, or tuning.DirectMaxCalls if there is no limit.
-func MaxDirectCalls(limits config.ProcessLimits) int {
+func DirectCallLimit(limits config.ProcessLimits) int {
 	if limits.MaxConnections <= 0 {
 		return tuning.DirectMaxCalls
 	}
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -16,10 +16,10 @@
 const (
 	// HeartbeatApplied: the heartbeat gets a response, which renews the lease of its machine.
 	HeartbeatApplied HeartbeatOutcome = iota
-	// HeartbeatStale: the agent must get an error instead of a response. A response would renew the
+	// HeartbeatRejected: the agent must get an error instead of a response. A response would renew the
 	// lease of an agent whose tasks count as ended, of a new agent that has replaced the known one,
 	// or of a session that a late start may still reach.
-	HeartbeatStale
+	HeartbeatRejected
 	// HeartbeatFromLaterTerm: the agent has seen a later term, so this leader has been superseded.
 	HeartbeatFromLaterTerm
 )
@@ -32,7 +32,7 @@
 		return response, HeartbeatFromLaterTerm
 	}
 	if l.machines.WasReleased(h.Machine) {
-		return response, HeartbeatStale
+		return response, HeartbeatRejected
 	}
 	m := l.machines.Get(h.Machine)
 	if m == nil {
@@ -49,14 +49,14 @@
 		// A stale heartbeat proves nothing about tasks, so it changes no attempt and renews no
 		// lease.
 		m.RecordStaleHeartbeat(now)
-		return response, HeartbeatStale
+		return response, HeartbeatRejected
 	}
 	if responsesLost := m.DetectLostResponses(now, h.AgentEpoch, &l.timing); responsesLost {
 		l.log.Info().Str("machine", m.ID).Msg("machine does not receive responses")
 	}
 	m.AdvanceSession(h.AgentEpoch, h.Sequence)
 	if l.mayReceiveLateStart(now, m) {
-		return response, HeartbeatStale
+		return response, HeartbeatRejected
 	}
 	l.recordHeartbeat(now, m, h)
 	if h.FencingToken < l.term {
--- a/internal/leader/reports_test.go
+++ b/internal/leader/reports_test.go
@@ -155,8 +155,8 @@
 	duplicate := &wire.Heartbeat{Machine: "m1", Addr: "m1:9", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.lastSequence, FencingToken: 5, Tasks: []wire.TaskStatus{task}}
 	for range 10 {
 		l.tickAfter(2 * time.Second)
-		if response, outcome := l.HandleHeartbeat(l.now, duplicate, true /* authority */); outcome != leader.HeartbeatStale || len(response.Commands) != 0 {
-			t.Fatalf("late duplicate: got outcome %v and response %+v, want HeartbeatStale and no commands", outcome, response)
+		if response, outcome := l.HandleHeartbeat(l.now, duplicate, true /* authority */); outcome != leader.HeartbeatRejected || len(response.Commands) != 0 {
+			t.Fatalf("late duplicate: got outcome %v and response %+v, want HeartbeatRejected and no commands", outcome, response)
 		}
 		l.sendHeartbeat("m2", 1)
 	}
@@ -166,7 +166,7 @@
 		t.Fatalf("got %q after the lease has expired, want a start of job-1/0 on m2", formatCommands(cs))
 	}
 	duplicate.Sequence += 100 // no longer a duplicate, but of the expired session
-	if _, outcome := l.HandleHeartbeat(l.now, duplicate, true /* authority */); outcome != leader.HeartbeatStale {
+	if _, outcome := l.HandleHeartbeat(l.now, duplicate, true /* authority */); outcome != leader.HeartbeatRejected {
 		t.Fatal("a heartbeat of the expired session was not treated as stale")
 	}
 }
@@ -224,8 +224,8 @@
 	for i := range 9 {
 		l.tickAfter(3 * time.Second)
 		_, outcome := l.HandleHeartbeat(l.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: uint64(i%2 + 1)}, true /* authority */)
-		if outcome != leader.HeartbeatStale {
-			t.Fatal("heartbeat of the new agent: want HeartbeatStale")
+		if outcome != leader.HeartbeatRejected {
+			t.Fatal("heartbeat of the new agent: want HeartbeatRejected")
 		}
 		if l.plannedRelease("m1") != nil {
 			return
@@ -248,7 +248,7 @@
 	if v := l.Query("job-1"); v.RunningTasks != 1 {
 		t.Fatal("the overtaken heartbeat changed the task state, want one running task")
 	}
-	if _, outcome := l.HandleHeartbeat(l.now, overtaken, true /* authority */); outcome != leader.HeartbeatStale {
-		t.Fatal("duplicate of the overtaken heartbeat: want HeartbeatStale")
+	if _, outcome := l.HandleHeartbeat(l.now, overtaken, true /* authority */); outcome != leader.HeartbeatRejected {
+		t.Fatal("duplicate of the overtaken heartbeat: want HeartbeatRejected")
 	}
 }
--- a/internal/leader/response.go
+++ b/internal/leader/response.go
@@ -15,9 +15,9 @@
 	CompletedTasks int
 	RunningTasks   int
 	Reason         string
-	// RetryAfter is the number of seconds after which a rejected request should be retried, or 0
+	// RetryAfterS is the number of seconds after which a rejected request should be retried, or 0
 	// for the default delay.
-	RetryAfter int
+	RetryAfterS int
 }
 
 // IsTerminal reports whether the response contains a final state of the job. Any node may send such
@@ -51,15 +51,15 @@
 // RejectedError says why a submission is rejected. The status is 422 if the job can never be
 // accepted, and 429 or 503 if the submission may be retried.
 type RejectedError struct {
-	Status     int
-	Reason     string
-	RetryAfter int
+	Status      int
+	Reason      string
+	RetryAfterS int
 }
 
 func (e *RejectedError) Error() string { return e.Reason }
 
 func (e *RejectedError) response() JobResponse {
-	return JobResponse{Status: e.Status, Reason: e.Reason, RetryAfter: e.RetryAfter}
+	return JobResponse{Status: e.Status, Reason: e.Reason, RetryAfterS: e.RetryAfterS}
 }
 
 // decidedResponse returns the response to a request that has waited until the job's acceptance or
--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -60,7 +60,7 @@
 		}
 	}
 	rejected := leader.OverloadRejection(d)
-	return errorResponse(rejected.Status, rejected.Reason, rejected.RetryAfter)
+	return errorResponse(rejected.Status, rejected.Reason, rejected.RetryAfterS)
 }
 
 // recordResponse records whether the submission was admitted or rejected, and returns the
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -54,7 +54,7 @@
 	case leader.HeartbeatFromLaterTerm:
 		n.leadership.Revoke()
 		return peer.Response{}, false
-	case leader.HeartbeatStale:
+	case leader.HeartbeatRejected:
 		return peer.ErrorResponse(http.StatusServiceUnavailable, "older than what is known"), true
 	}
 	return peer.Response{Status: http.StatusOK, Heartbeat: &heartbeatResponse}, true
@@ -109,7 +109,7 @@
 // jobResponse converts the leader's response about a job to a response to the call.
 func jobResponse(job string, r leader.JobResponse) peer.Response {
 	if r.Status/100 != 2 {
-		return errorResponse(r.Status, r.Reason, r.RetryAfter)
+		return errorResponse(r.Status, r.Reason, r.RetryAfterS)
 	}
 	status := &wire.JobStatus{ID: job, State: r.State, Done: r.CompletedTasks, Running: r.RunningTasks}
 	return peer.Response{Status: r.Status, Job: status}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -57,7 +57,7 @@
 		store:         kvstore.NewClient(c.Services.KVStore, c.Params.KVStore, len(c.Peers)+1),
 		cloud:         cloud.NewClient(c.Services.Cloud, c.Params.Cloud),
 		hub:           peer.NewHub(log, c.Peers),
-		workerClients: httpclient.NewPool(tuning.DirectConnections, leader.MaxDirectCalls(c.Params.Limits)),
+		workerClients: httpclient.NewPool(tuning.DirectConnections, leader.DirectCallLimit(c.Params.Limits)),
 		gracePeriod:   leader.GracePeriod(c.Params.Workers),
 		tickSignal:    make(chan struct{}, 1),
 		writeSignal:   make(chan struct{}, 1),
--- a/internal/simulation/agent_heartbeats.go
+++ b/internal/simulation/agent_heartbeats.go
@@ -126,7 +126,7 @@
 // observe counts the observations that a heartbeat's outcome makes.
 func (h *agentHeartbeat) observe(outcome leader.HeartbeatOutcome, authority, copied bool) {
 	switch {
-	case copied && outcome == leader.HeartbeatStale:
+	case copied && outcome == leader.HeartbeatRejected:
 		h.sim.Observed[StaleHeartbeatIgnored]++
 	case copied:
 		h.sim.Observed[DuplicateHeartbeatApplied]++
--- a/internal/simulation/client_requests.go
+++ b/internal/simulation/client_requests.go
@@ -94,7 +94,7 @@
 	}
 	sim, id := p.sim, p.job.ID
 	sim.trace(boundaryUserResponse, from, id, p.submission, response.Status, response.State, response.CompletedTasks,
-		response.RunningTasks, response.Reason, response.RetryAfter)
+		response.RunningTasks, response.Reason, response.RetryAfterS)
 	sim.fail(sim.Invariants.CheckResponse(ObservedResponse{
 		SentAt: sentAt, ReceivedAt: sim.now, Job: id,
 		Status: response.Status, State: response.State, Submission: p.submission,
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -134,7 +134,7 @@
 	outcome.Tries++
 	c.send(c.sim.drawNode(), c.submission(outcome.Job, func(response leader.JobResponse) {
 		outcome.FinishedAt = c.sim.elapsed()
-		pause := max(time.Duration(response.RetryAfter)*time.Second, time.Second) + c.sim.between(0, 300)
+		pause := max(time.Duration(response.RetryAfterS)*time.Second, time.Second) + c.sim.between(0, 300)
 		switch {
 		case succeeded(response.Status):
 			outcome.Accepted = true
--- a/internal/simulation/node_admission.go
+++ b/internal/simulation/node_admission.go
@@ -75,7 +75,7 @@
 func (check *admissionCheck) reject(decision admission.Decision) {
 	check.sim.Observed[ShedByFollower]++
 	check.gate.RecordRejected(check.sim.now, check.request)
-	check.rejection = &leader.JobResponse{Status: http.StatusTooManyRequests, RetryAfter: decision.RetryAfterS}
+	check.rejection = &leader.JobResponse{Status: http.StatusTooManyRequests, RetryAfterS: decision.RetryAfterS}
 }
 
 // recordResponse records the leader's response at the gate.
