--- a/internal/leader/admission.go
+++ b/internal/leader/admission.go
@@ -21,40 +21,40 @@
 	}
 }
 
-// admissionControl decides whether to admit new jobs under overload. It also counts the unfinished
-// tasks.
+// admissionControl decides whether to admit new jobs under overload. It also counts the tasks of
+// all jobs whose end is not durable yet.
 type admissionControl struct {
 	settings  *admission.Settings
 	regulator *admission.Regulator // nil if admission control is off
-	// unfinished counts the unfinished tasks of all teams, unfinishedByTeam those of each team.
-	unfinished       int
-	unfinishedByTeam map[string]int
+	// unfinished counts the unfinished tasks of all teams, unfinishedTasksByTeam those of each team.
+	unfinishedTasks       int
+	unfinishedTasksByTeam map[string]int
 }
 
 // newAdmissionControl returns the term's admission control, which is off unless the operators
 // have enabled it.
 func newAdmissionControl(p *config.Params, o *config.OperatorSettings, term uint64, now time.Time) *admissionControl {
-	c := &admissionControl{settings: o.AdmissionSettings(p), unfinishedByTeam: map[string]int{}}
+	c := &admissionControl{settings: o.AdmissionSettings(p), unfinishedTasksByTeam: map[string]int{}}
 	if c.settings != nil {
 		c.regulator = admission.NewRegulator(c.settings, term, now)
 	}
 	return c
 }
 
-// addUnfinished adds tasks to the unfinished tasks of a team. A negative number removes tasks.
-func (c *admissionControl) addUnfinished(team string, tasks int) {
-	c.unfinished += tasks
-	c.unfinishedByTeam[team] += tasks
+// addUnfinishedTasks adds tasks to the unfinished tasks of a team. A negative number removes tasks.
+func (c *admissionControl) addUnfinishedTasks(team string, tasks int) {
+	c.unfinishedTasks += tasks
+	c.unfinishedTasksByTeam[team] += tasks
 }
 
-// check returns why an acceptable job is rejected because of overload, or nil if it is admitted.
-// claim is what the node that received the submission reports, or nil.
+// check returns why an otherwise acceptable job is rejected for overload, or nil if it is admitted.
+// claim is the report on the submission by the node that received it, or nil without a report.
 func (c *admissionControl) check(now time.Time, spec *wire.Job, claim *admission.Claim) *RejectedError {
 	if c.regulator == nil {
 		return nil
 	}
 	request := NewAdmissionRequest(c.settings, spec)
-	tasks := admission.TaskLoad{Total: c.unfinished, Team: c.unfinishedByTeam[spec.Team]}
+	tasks := admission.TaskLoad{Total: c.unfinishedTasks, Team: c.unfinishedTasksByTeam[spec.Team]}
 	decision := c.regulator.Admit(now, request, claim, tasks)
 	if decision.Admitted {
 		return nil
@@ -63,7 +63,7 @@
 }
 
 // shedding reports whether new jobs are rejected for overload.
-func (c *admissionControl) shedding() bool { return c.regulator != nil && c.regulator.Shedding() }
+func (c *admissionControl) isShedding() bool { return c.regulator != nil && c.regulator.Shedding() }
 
 // OverloadRejection returns the error for a job that admission control has rejected.
 func OverloadRejection(d admission.Decision) *RejectedError {
@@ -71,7 +71,7 @@
 }
 
 // UpdateAdmission adapts admission control to the leader's load and to the offered load that the
-// nodes report. lag is how late the leader's periodic work runs.
+// nodes report. lag is the delay with which the leader's periodic work runs.
 func (l *Leader) UpdateAdmission(now, wall time.Time, lag time.Duration, nodes []admission.NodeOfferedLoad) {
 	if l.admission.regulator == nil {
 		return
--- a/internal/leader/benchmark_test.go
+++ b/internal/leader/benchmark_test.go
@@ -58,7 +58,7 @@
 // sendHeartbeat sends an agent's heartbeat and executes the commands in the response.
 func (c *benchmarkCluster) sendHeartbeat(a *benchmarkAgent) {
 	a.heartbeat.Sequence++
-	response, outcome := c.HandleHeartbeat(c.now, &a.heartbeat, true /* authority */)
+	response, outcome := c.HandleHeartbeat(c.now, &a.heartbeat, true /* holdsLeaderLease */)
 	if outcome != leader.HeartbeatApplied {
 		c.b.Fatalf("heartbeat of %s: got outcome %d, want HeartbeatApplied", a.heartbeat.Machine, outcome)
 	}
@@ -106,7 +106,7 @@
 	c.submit("long", benchmarkMachines*tasks)
 	for range 1000 {
 		c.now = c.now.Add(time.Second)
-		c.Tick(c.now, true /* authority */)
+		c.Tick(c.now, true /* holdsLeaderLease */)
 		c.commit()
 		c.sendAllHeartbeats()
 		if c.Summary().ReadyTasks == 0 {
@@ -143,7 +143,7 @@
 			// their whole class.
 			c.submit("short", 100)
 			b.StartTimer()
-			c.Tick(c.now, true /* authority */)
+			c.Tick(c.now, true /* holdsLeaderLease */)
 			b.StopTimer()
 			if ready := c.Summary().ReadyTasks; ready != 0 {
 				b.Fatalf("%d tasks were not placed, want 0", ready)
@@ -152,7 +152,7 @@
 			c.sendAllHeartbeats() // the responses start the tasks
 			c.completeNewestJob()
 			c.sendAllHeartbeats() // the heartbeats list the tasks as exited
-			c.Tick(c.now, false /* authority */)
+			c.Tick(c.now, false /* holdsLeaderLease */)
 			c.commit()
 			c.sendAllHeartbeats() // the responses remove the exited tasks
 			b.StartTimer()
@@ -169,7 +169,7 @@
 			c.now = c.now.Add(time.Second)
 			c.sendAllHeartbeats()
 			b.StartTimer()
-			c.Tick(c.now, true /* authority */)
+			c.Tick(c.now, true /* holdsLeaderLease */)
 		}
 	})
 }
@@ -187,7 +187,7 @@
 		a := c.agents[nextAgent]
 		nextAgent = (nextAgent + 1) % benchmarkMachines
 		a.heartbeat.Sequence++
-		if _, outcome := c.HandleHeartbeat(c.now, &a.heartbeat, true /* authority */); outcome != leader.HeartbeatApplied {
+		if _, outcome := c.HandleHeartbeat(c.now, &a.heartbeat, true /* holdsLeaderLease */); outcome != leader.HeartbeatApplied {
 			b.Fatalf("got outcome %d, want HeartbeatApplied", outcome)
 		}
 	}
--- a/internal/leader/cancellation_test.go
+++ b/internal/leader/cancellation_test.go
@@ -107,7 +107,7 @@
 	cancelledAt, lastResponse := l.now, l.now
 	sendHeartbeat := func(agentEpoch uint64) leader.HeartbeatOutcome {
 		l.lastSequence++
-		_, outcome := l.HandleHeartbeat(l.now, &wire.Heartbeat{Machine: "m1", Addr: "m1:9", Type: "std-8", Zone: "a", AgentEpoch: agentEpoch, Sequence: l.lastSequence, FencingToken: l.Term()}, false /* authority */)
+		_, outcome := l.HandleHeartbeat(l.now, &wire.Heartbeat{Machine: "m1", Addr: "m1:9", Type: "std-8", Zone: "a", AgentEpoch: agentEpoch, Sequence: l.lastSequence, FencingToken: l.Term()}, false /* holdsLeaderLease */)
 		return outcome
 	}
 	for l.now.Sub(cancelledAt) < 60*time.Second {
@@ -115,7 +115,7 @@
 			lastResponse = l.now
 		}
 		l.now = l.now.Add(time.Second)
-		l.Tick(l.now, false /* authority */)
+		l.Tick(l.now, false /* holdsLeaderLease */)
 	}
 	leaseEndS := lastResponse.Sub(cancelledAt).Seconds() + testParams.Workers.LeaseS
 	if leaseEndS >= testParams.Workers.CancelDeadlineS || lastResponse.Sub(cancelledAt) < 5*time.Second {
@@ -136,7 +136,7 @@
 	l.commit()
 	successor := newLeader(t, 6, l.now.Add(time.Second), l.store)
 	tasks := []wire.TaskStatus{task, {Task: "job-9/0", Attempt: 1, State: wire.TaskFetching}, {Task: "job-9/1", Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitError}}
-	response, outcome := successor.HandleHeartbeat(successor.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: 50, FencingToken: 5, Tasks: tasks}, false /* authority */)
+	response, outcome := successor.HandleHeartbeat(successor.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: 50, FencingToken: 5, Tasks: tasks}, false /* holdsLeaderLease */)
 	if outcome != leader.HeartbeatApplied || formatCommands(response.Commands) != "kill job-1/0, kill job-9/0" || response.Commands[0].Attempt != task.Attempt {
 		t.Fatalf("first heartbeat in a term: got %s, want the stops of job-1/0 and job-9/0", formatCommands(response.Commands))
 	}
--- a/internal/leader/completion.go
+++ b/internal/leader/completion.go
@@ -11,7 +11,7 @@
 // jobs are unblocked or cancelled, when this write is durable.
 func (l *Leader) endJob(now time.Time, j *jobs.Job, state jobs.State, queue *records.Queue) {
 	f := j.End(now, state)
-	l.pendingCompletions.Remove(j)
+	l.unqueuedCompletions.Remove(j)
 	l.jobs.MarkNotRunnable(j)
 	l.drainer.RecordJobEnd(j)
 	if state == jobs.Cancelled {
@@ -19,7 +19,7 @@
 	}
 	queue.Put(records.FinalStateKey(j.ID), f.Encode(), func() {
 		l.jobs.SetFinalState(j.ID, f)
-		l.admission.addUnfinished(j.Team, -j.Tasks)
+		l.admission.addUnfinishedTasks(j.Team, -j.Tasks)
 		j.MarkEndDurable()
 		l.graph.QueueDependents(j.ID, f)
 		j.NotifyWaiters(true) // the end is durable
@@ -27,24 +27,24 @@
 	})
 }
 
-// removeIfFinished removes an ended job and deletes its records, once its final state is durable
-// and none of its tasks can be on a machine. Until then, the counts of allocated resources need the
-// job's team, zone and size.
+// removeIfFinished removes an ended job and deletes its records. It does so only if the job's final
+// state is durable and none of its tasks can be on a machine. While a task can be on a machine, the
+// counts of allocated resources need the job's team, zone and size.
 func (l *Leader) removeIfFinished(j *jobs.Job) {
 	if !j.EndDurable() || j.AllocatedTasks() > 0 || l.jobs.Get(j.ID) != j {
 		return
 	}
 	l.jobs.Remove(j)
-	l.pendingCompletions.Remove(j)
+	l.unqueuedCompletions.Remove(j)
 	l.writes.Background.Delete(records.JobKey(j.ID))
 	for _, key := range j.RecordKeys() {
 		l.writes.Background.Delete(key)
 	}
 }
 
-// recordCompletion records that a task is done. The completion is written after a delay, so that
-// one write covers several completions. If it was the job's last task, the job ends, and its final
-// state is queued at once.
+// recordCompletion records that a task is done. If it was the job's last task, the job ends, and
+// the write of its final state is queued at once. Otherwise the write of the completion is queued
+// after a delay, so that one write covers several completions.
 func (l *Leader) recordCompletion(now time.Time, j *jobs.Job, index int32) {
 	if !j.MarkCompleted(index) {
 		return
@@ -59,12 +59,12 @@
 		l.endJob(now, j, jobs.Done, &l.writes.Interactive)
 		return
 	}
-	j.MarkCompletionPending(index, l.valueLimit())
-	l.pendingCompletions.Add(now, j)
+	j.MarkCompletionPending(index, l.maxStoredValueBytes())
+	l.unqueuedCompletions.Add(now, j)
 }
 
 // logIfDeadlineMissed logs the start times and the estimates of a job that was done after its
-// deadline. The logged times count from the submission.
+// deadline. The logged times are seconds since the submission.
 func (l *Leader) logIfDeadlineMissed(now time.Time, j *jobs.Job) {
 	if j.DeadlineS == nil || now.Sub(j.SubmittedAt()).Seconds() <= *j.DeadlineS {
 		return
@@ -74,14 +74,14 @@
 		Float64("deadline_s", *j.DeadlineS).Float64("done_s", now.Sub(j.SubmittedAt()).Seconds()).
 		Float64("first_start_s", firstStart.Sub(j.SubmittedAt()).Seconds()).
 		Float64("last_start_s", lastStart.Sub(j.SubmittedAt()).Seconds()).
-		Float64("estimate_s", j.EstimateS).Float64("corrected_estimate_s", l.runTimes.Estimate(j)).
+		Float64("estimate_s", j.EstimateS).Float64("corrected_estimate_s", l.runTimeRatios.Estimate(j)).
 		Int("interrupted", j.TasksWithProgress()).Int("failures", j.Failures()).Msg("deadline missed")
 }
 
 // flushCompletions queues the writes of the completions whose delay has passed.
 func (l *Leader) flushCompletions(now time.Time) {
-	for _, j := range l.pendingCompletions.PopDue(now) {
-		for _, completions := range j.PopPendingCompletions(l.valueLimit()) {
+	for _, j := range l.unqueuedCompletions.PopDue(now) {
+		for _, completions := range j.PopPendingCompletions(l.maxStoredValueBytes()) {
 			l.writes.Background.Put(completions.Key, completions.Encode(), func() { j.MarkCompletionsDurable(completions) })
 		}
 	}
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -31,8 +31,9 @@
 }
 
 // cancelDependent cancels a job that depends on a cancelled one. It queues the cancellation of the
-// job's own dependents at once, without waiting until this write is durable: the cancellation of
-// the first job in the chain is durable already, and a successor would derive all others from it.
+// job's own dependents at once, and does not wait until the write of this cancellation is durable.
+// The cancellation of the first job in the chain is durable already, so a successor would cancel
+// all jobs that depend on it directly or indirectly.
 func (l *Leader) cancelDependent(now time.Time, j *jobs.Job) {
 	if j.State().IsTerminal() {
 		return
@@ -46,8 +47,8 @@
 	l.graph.QueueDependents(j.ID, records.FinalState{Outcome: records.OutcomeCancelled})
 }
 
-// makeReadyIfUnblocked makes the tasks of an accepted job ready unless the job waits for
-// dependencies. If a dependency was cancelled, it queues the cancellation of the job.
+// makeReadyIfUnblocked makes the tasks of an accepted job ready, unless the job is blocked. If a
+// dependency was cancelled, it queues the cancellation of the job instead.
 func (l *Leader) makeReadyIfUnblocked(now time.Time, j *jobs.Job) {
 	switch {
 	case !j.IsActive():
@@ -56,28 +57,29 @@
 	case !j.IsBlocked():
 		l.jobs.MarkRunnable(j)
 		j.RebuildReadyTasks()
-		l.scaler.History.AddArrival(now, j.WaitingSince(), float64(j.Tasks)*j.CPUs*l.runTimes.Estimate(j))
+		l.scaler.History.AddArrival(now, j.WaitingSince(), float64(j.Tasks)*j.CPUs*l.runTimeRatios.Estimate(j))
 		l.schedulingPassRequested = true
 	}
 }
 
-// chainedJobDuration estimates the time from the end of a job's last dependency to the job's own
-// end. It consists of the run time, the fetch of the image at the fastest rate offered, and
-// tuning.ChainedJobDelay for heartbeats, the start record and the placement in between.
-func (l *Leader) chainedJobDuration(j *jobs.Job) time.Duration {
+// dependentJobDuration estimates the time from the end of a job's last dependency to the job's own
+// end. It consists of the run time, the fetch of the image at the fastest rate that any machine type
+// offers, and tuning.ChainedJobDelay for the heartbeats, the placement and the start record.
+func (l *Leader) dependentJobDuration(j *jobs.Job) time.Duration {
 	fetchGBPerS := 0.0
 	for _, t := range l.catalogue.OfferedTypes() {
 		fetchGBPerS = max(fetchGBPerS, t.FetchGBPerS)
 	}
-	durationS := l.runTimes.Estimate(j)
+	durationS := l.runTimeRatios.Estimate(j)
 	if fetchGBPerS > 0 {
 		durationS += placement.FetchTimeS(j.ImageGB, fetchGBPerS)
 	}
 	return seconds.Duration(durationS) + tuning.ChainedJobDelay
 }
 
-// processDependencyChanges handles the consequences of ended jobs: it cancels dependents, unblocks
-// dependents and updates critical paths, for at most tuning.DependencyStepsPerTick jobs per call.
+// processDependencyChanges handles the consequences of ended jobs: it cancels dependents of cancelled
+// jobs, unblocks dependents of done jobs and updates critical paths. One call handles at most
+// tuning.DependencyStepsPerTick jobs.
 func (l *Leader) processDependencyChanges(now time.Time) {
 	stepsLeft := tuning.DependencyStepsPerTick
 	for ; stepsLeft > 0; stepsLeft-- {
@@ -109,7 +111,8 @@
 	}
 }
 
-// linkLoadedJobs builds the dependency graph of the loaded jobs.
+// linkLoadedJobs builds the dependency graph of the loaded jobs. It logs an error for each missing
+// dependency, and for each job that has no critical path because of a dependency cycle.
 func (l *Leader) linkLoadedJobs(loadedJobs []*jobs.Job) {
 	missing, cyclic := l.graph.LinkAll(loadedJobs)
 	for _, m := range missing {
--- a/internal/leader/dependencies_test.go
+++ b/internal/leader/dependencies_test.go
@@ -298,7 +298,7 @@
 			deadline := 70.0
 			last.DeadlineS = &deadline
 			l.submitAll(last)
-			l.Tick(l.now, false /* authority */)
+			l.Tick(l.now, false /* holdsLeaderLease */)
 			if cancelled {
 				l.Cancel(l.now, "job-4", func(leader.JobResponse) {})
 				l.Cancel(l.now, "job-3", func(leader.JobResponse) {})
--- a/internal/leader/direct_calls.go
+++ b/internal/leader/direct_calls.go
@@ -12,12 +12,12 @@
 // DirectCall is a request with commands that the leader sends to an agent's own address, without
 // waiting for the agent's next heartbeat.
 type DirectCall struct {
-	Machine string
-	Addr    string
+	Machine string // ID of the machine
+	Addr    string // the agent's address
 	Request wire.CommandRequest
 
 	startedAttempts []*machines.Attempt // attempts whose start is in the request
-	sequenceBefore  uint64              // sequence number of the session's newest message when the call was made
+	newestSequence  uint64              // sequence number of the agent's newest message when the call was made
 }
 
 // DirectCallOutcome is the outcome of a direct call.
@@ -35,23 +35,23 @@
 	DirectCallUncertain
 )
 
-// directCalls holds the queue of machines to be called and the number of calls in flight.
+// directCalls holds the state of the direct calls to all machines.
 type directCalls struct {
-	queue    []*machines.Machine
-	inFlight int
+	queue    []*machines.Machine // machines for which commands may be due
+	inFlight int                 // number of calls without an outcome yet
 }
 
-// NextDirectCalls returns the calls to be made now. They contain stops, and starts whose record is
-// durable, for machines whose heartbeats arrive. The commands thus need not wait for the next
-// heartbeat.
+// NextDirectCalls returns the direct calls to be made now, so that commands need not wait for the
+// next heartbeat. It calls only machines whose heartbeats arrive on time. A call contains the stops
+// that are due and the starts whose start record is durable.
 func (l *Leader) NextDirectCalls(now time.Time) []*DirectCall {
 	var calls []*DirectCall
 	handled := 0
-	for ; handled < len(l.directCalls.queue) && l.directCalls.inFlight < l.maxDirectCalls(); handled++ {
+	for ; handled < len(l.directCalls.queue) && l.directCalls.inFlight < l.maxCallsInFlight(); handled++ {
 		m := l.directCalls.queue[handled]
 		m.DequeueCall()
 		if !m.CanBeCalled(now, &l.timing) || l.machines.Get(m.ID) != m {
-			// The response to the next heartbeat carries the commands.
+			// If the machine still exists, the response to its next heartbeat contains the commands.
 			continue
 		}
 		if call := l.newDirectCall(now, m); len(call.Request.Commands) > 0 {
@@ -67,13 +67,14 @@
 	return calls
 }
 
-// newDirectCall returns a call with the stops and starts for a machine that have not been sent yet.
+// newDirectCall returns a call to a machine. It contains the machine's stops that no direct call has
+// contained yet, and its starts that were sent neither by a direct call nor in a response.
 func (l *Leader) newDirectCall(now time.Time, m *machines.Machine) *DirectCall {
 	call := &DirectCall{
 		Machine:        m.ID,
 		Addr:           m.Addr,
 		Request:        wire.CommandRequest{FencingToken: l.term, AgentEpoch: m.Epoch()},
-		sequenceBefore: m.Sequence(),
+		newestSequence: m.Sequence(),
 	}
 	schedulable := m.IsSchedulable(now, &l.timing)
 	for _, a := range m.Attempts() {
@@ -98,11 +99,11 @@
 	}
 }
 
-// maxDirectCalls returns the maximum number of direct calls in flight.
-func (l *Leader) maxDirectCalls() int { return DirectCallLimit(l.params.Limits) }
+// maxCallsInFlight returns the maximum number of direct calls in flight of this process.
+func (l *Leader) maxCallsInFlight() int { return DirectCallLimit(l.params.Limits) }
 
-// DirectCallLimit returns the maximum number of direct calls in flight: a share of the process's
-// connection limit, or tuning.DirectMaxCalls if there is no limit.
+// DirectCallLimit returns the maximum number of direct calls in flight of a process with the given
+// limits: a share of the connection limit, or tuning.DirectMaxCalls if there is no such limit.
 func DirectCallLimit(limits config.ProcessLimits) int {
 	if limits.MaxConnections <= 0 {
 		return tuning.DirectMaxCalls
@@ -111,9 +112,10 @@
 }
 
 // FinishDirectCall applies the outcome of a direct call. h is the heartbeat in the agent's reply,
-// or nil without a reply. A reply does not renew the agent's lease.
+// or nil without a reply. Only a periodic heartbeat renews the agent's lease, a reply does not.
 func (l *Leader) FinishDirectCall(now time.Time, call *DirectCall, outcome DirectCallOutcome, h *wire.Heartbeat) {
 	if outcome != DirectCallUncertain {
+		// The starts were executed, refused or not delivered, so they can no longer arrive late.
 		for _, a := range call.startedAttempts {
 			a.ClearStartSentDirectly()
 		}
@@ -124,6 +126,7 @@
 		return
 	}
 	m.EndCall()
+	// Commands that became due during the call have not been sent, so the machine is queued again.
 	l.directCalls.enqueue(m)
 	if outcome != DirectCallReplied {
 		m.DelayCalls(now.Add(tuning.DirectBackoff))
@@ -132,9 +135,10 @@
 	if h == nil || h.Machine != m.ID {
 		return
 	}
-	if h.AgentEpoch < call.Request.AgentEpoch || h.AgentEpoch == call.Request.AgentEpoch && h.Sequence <= call.sequenceBefore {
-		// A reply of the known agent would be newer than the messages received before the call was
-		// made. So a new agent has replaced it, and may have executed the starts.
+	if h.AgentEpoch < call.Request.AgentEpoch || h.AgentEpoch == call.Request.AgentEpoch && h.Sequence <= call.newestSequence {
+		// A reply of the known agent would be newer than its messages before the call. So this reply
+		// comes from a new agent that has replaced it and counts its epochs from the start again.
+		// Only the release of the machine proves that the tasks of the earlier agent have ended.
 		l.log.Info().Str("machine", m.ID).Msg("worker replaced, releasing machine")
 		m.Cordon(machines.CordonAgentReplaced)
 		return
--- a/internal/leader/drains.go
+++ b/internal/leader/drains.go
@@ -15,7 +15,7 @@
 		Teams:       l.params.Teams,
 		Zones:       l.params.Zones,
 		MaxMachines: l.operatorSettings.MaxMachines,
-		ValueLimit:  l.valueLimit(),
+		ValueLimit:  l.maxStoredValueBytes(),
 		LeaseExpiry: l.timing.LeaseExpiry,
 		LeaseS:      l.params.Workers.LeaseS,
 	}
@@ -31,28 +31,28 @@
 		RemainingS:            l.remainingS,
 		MachinesKnown:         l.machinesAndTypesKnown,
 		HasCurrentMachineList: func() bool { return l.machineLists.hasCurrent },
-		BatchBlockedCause:     l.drainsBlocked,
+		BatchBlockedCause:     l.batchBlockedCause,
 		QueueDirectCall:       l.directCalls.enqueue,
 		RequestSchedulingPass: func() { l.schedulingPassRequested = true },
 	})
 }
 
-// HandleDrainRequest executes an operator's request. It calls respond when the state that the
-// response reports is durable. wall is the wall-clock time.
+// HandleDrainRequest executes an operator's request about drains. It calls respond when the state
+// that the response reports is durable. wall is the wall-clock time of now.
 func (l *Leader) HandleDrainRequest(now, wall time.Time, request *drain.Request, respond func(drain.Response)) {
 	l.drainer.Handle(now, wall, request, respond)
 }
 
 // AdvanceDrains executes the next step of the running drain. It must be called only while the
-// leader has authority. wall is the wall-clock time.
+// leader holds the leader lease. wall is the wall-clock time of now.
 func (l *Leader) AdvanceDrains(now, wall time.Time) { l.drainer.Advance(now, wall) }
 
-// drainsBlocked returns why no batch of any drain may begin now, or "" if one may.
-func (l *Leader) drainsBlocked(now time.Time) drain.Cause {
+// batchBlockedCause returns why no batch of any drain may begin now, or "" if a batch may begin.
+func (l *Leader) batchBlockedCause(now time.Time) drain.Cause {
 	switch {
 	case !l.machineLists.hasCurrent || now.Before(l.timing.InheritedTasksEnd):
 		return drain.BlockedByNewLeader
-	case l.admission.shedding():
+	case l.admission.isShedding():
 		return drain.BlockedByOverload
 	case l.reachability.IsIsolated() || l.reachability.AnyPartitioned(now):
 		return drain.BlockedByPartition
--- a/internal/leader/estimates.go
+++ b/internal/leader/estimates.go
@@ -14,18 +14,20 @@
 	if a.HasRun() {
 		ranS += a.RunTime(now).Seconds()
 	}
-	return max(0, l.runTimes.Estimate(a.Job)-ranS)
+	return max(0, l.runTimeRatios.Estimate(a.Job)-ranS)
 }
 
-// startWithinS returns the time in seconds within which a job's tasks should start: the operators'
-// setting if there is one, otherwise a share of the job's slack. The planner thus provisions
-// machines for urgent jobs, while other jobs wait for existing machines.
+// startWithinS returns the time in seconds within which a job's tasks should start. It is the
+// operators' setting if there is one, otherwise a share of the job's slack. The scaler provisions
+// machines if the existing ones can't start the tasks within this time. So urgent jobs, whose time
+// is short, get new machines, and other jobs wait for existing ones.
 func (l *Leader) startWithinS(now time.Time, j *jobs.Job) float64 {
 	if l.operatorSettings.StartWithinS > 0 {
 		return l.operatorSettings.StartWithinS
 	}
-	slackS, ok := l.runTimes.DeadlineSlack(now, j, l.params.Objectives)
+	slackS, ok := l.runTimeRatios.DeadlineSlack(now, j, l.params.Objectives)
 	if !ok {
+		// The job has no deadline, or can no longer meet it.
 		return tuning.StartWithinDefault.Seconds()
 	}
 	return min(max(slackS*tuning.StartWithinSlackShare, tuning.StartWithinMin.Seconds()), tuning.StartWithinMax.Seconds())
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -30,7 +30,8 @@
 // recordTaskSuccess records that a task of the job has completed on the machine.
 func (l *Leader) recordTaskSuccess(j *jobs.Job, m *machines.Machine) {
 	m.RecordTaskSuccess()
-	// The job is not at fault: its failures count against the other machines.
+	// The job is not at fault, so its failures count against the machines on which they occurred,
+	// except m, which has just completed a task.
 	for id := range j.FailedOn() {
 		if other := l.machines.Get(id); other != nil && other != m {
 			l.countFailedJob(other, j)
@@ -39,8 +40,8 @@
 	j.RecordSuccess()
 }
 
-// countFailedJob counts a failed job against a machine. The machine is quarantined if this makes
-// too many such jobs.
+// countFailedJob counts a failed job against a machine. The machine is quarantined if too many jobs
+// in a row have now failed on it.
 func (l *Leader) countFailedJob(m *machines.Machine, j *jobs.Job) {
 	if quarantined := m.CountFailedJob(j.ID); quarantined {
 		l.log.Info().Str("machine", m.ID).Msg("machine quarantined")
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -144,7 +144,7 @@
 		}
 	}
 	scoredBefore := f.scoredPairs
-	f.Tick(f.now, true /* authority */)
+	f.Tick(f.now, true /* holdsLeaderLease */)
 	f.scoredPairs = f.Summary().ScoredPairs
 	f.maxPairsPerPass = max(f.maxPairsPerPass, f.scoredPairs-scoredBefore)
 	f.commitWithinBudget()
@@ -166,7 +166,7 @@
 		return
 	}
 	a.tasksChanged, a.lastHeartbeat, a.nextHeartbeat = false, f.now, f.now.Add(3*time.Second)
-	response, outcome := f.HandleHeartbeat(f.now, f.newHeartbeat(a), true /* authority */)
+	response, outcome := f.HandleHeartbeat(f.now, f.newHeartbeat(a), true /* holdsLeaderLease */)
 	if outcome != leader.HeartbeatApplied {
 		f.t.Fatalf("heartbeat of %s: got outcome %d, want HeartbeatApplied", a.name, outcome)
 	}
@@ -286,7 +286,7 @@
 	f.t.Helper()
 	a := f.agents[1]
 	limit := 40 + 8*len(a.tasks)
-	if got := testing.AllocsPerRun(50, func() { f.HandleHeartbeat(f.now, f.newHeartbeat(a), true /* authority */) }); got > float64(limit) {
+	if got := testing.AllocsPerRun(50, func() { f.HandleHeartbeat(f.now, f.newHeartbeat(a), true /* holdsLeaderLease */) }); got > float64(limit) {
 		f.t.Errorf("a heartbeat with %d tasks allocates %.0f times, want at most %d", len(a.tasks), got, limit)
 	}
 	for id := range f.submittedAt {
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -16,17 +16,20 @@
 const (
 	// HeartbeatApplied: the heartbeat gets a response, which renews the lease of its machine.
 	HeartbeatApplied HeartbeatOutcome = iota
-	// HeartbeatRejected: the agent must get an error instead of a response. A response would renew the
-	// lease of an agent whose tasks count as ended, of a new agent that has replaced the known one,
-	// or of a session that a late start may still reach.
+	// HeartbeatRejected: the agent must get an error, because a response would renew its lease. The
+	// lease must not be renewed in these cases:
+	//   - The agent's session has expired or its machine was released, so its tasks count as ended.
+	//   - A new agent has replaced the known one.
+	//   - A start of an ended job may still reach the agent, see mayReceiveLateStart.
+	//   - The heartbeat is not newer than a message that was applied already.
 	HeartbeatRejected
 	// HeartbeatFromLaterTerm: the agent has seen a later term, so this leader has been superseded.
 	HeartbeatFromLaterTerm
 )
 
-// HandleHeartbeat applies an agent's heartbeat and returns the response. authority is false while
-// the leader can't reach the key-value store; the response then contains no starts.
-func (l *Leader) HandleHeartbeat(now time.Time, h *wire.Heartbeat, authority bool) (wire.HeartbeatResponse, HeartbeatOutcome) {
+// HandleHeartbeat applies an agent's heartbeat and returns the response. holdsLeaderLease is false
+// while the leader can't reach the key-value store. The response then contains no starts.
+func (l *Leader) HandleHeartbeat(now time.Time, h *wire.Heartbeat, holdsLeaderLease bool) (wire.HeartbeatResponse, HeartbeatOutcome) {
 	response := wire.HeartbeatResponse{FencingToken: l.term, Commands: []wire.Command{}}
 	if h.FencingToken > l.term {
 		return response, HeartbeatFromLaterTerm
@@ -40,14 +43,15 @@
 	}
 	if m.IsOvertakenByDirectReply(h) {
 		// The agent sent this heartbeat before its reply to a direct call, but the reply arrived
-		// first. The agent still waits for the response to the heartbeat.
+		// first. The reply is newer, so this task list is not applied. The agent still waits for the
+		// response, without which it would switch to another node.
 		m.RenewLease(now, h.Sequence)
 		response.Commands = l.stopCommands(h)
 		return response, HeartbeatApplied
 	}
 	if m.IsStale(h) {
-		// A stale heartbeat proves nothing about tasks, so it changes no attempt and renews no
-		// lease.
+		// A stale heartbeat does not show the current tasks, so it changes no attempt and renews
+		// no lease.
 		m.RecordStaleHeartbeat(now)
 		return response, HeartbeatRejected
 	}
@@ -60,30 +64,30 @@
 	}
 	l.recordHeartbeat(now, m, h)
 	if h.FencingToken < l.term {
-		// The agent had not seen this term yet, and may still execute commands of an earlier one.
-		// Its task list is complete only after it has seen this term.
+		// The agent had not seen this term yet, so it may still execute starts of an earlier term
+		// that its task list lacks. Its lists are complete only after it has seen this term.
 		response.Commands = l.stopCommands(h)
 		return response, HeartbeatApplied
 	}
 	l.reconcileTasks(now, m, h, true) // a periodic heartbeat
 	l.checkpointBeforeReclaim(now, m)
-	response.Commands = l.heartbeatCommands(m, h, authority)
+	response.Commands = l.heartbeatCommands(m, h, holdsLeaderLease)
 	return response, HeartbeatApplied
 }
 
 // recordHeartbeat renews the machine's lease and applies the fields of a heartbeat that describe
 // the machine itself.
 func (l *Leader) recordHeartbeat(now time.Time, m *machines.Machine, h *wire.Heartbeat) {
-	joined, reclaimed := m.RecordHeartbeat(now, h)
+	joined, reclaimAnnounced := m.RecordHeartbeat(now, h)
 	l.schedulingPassRequested = l.schedulingPassRequested || joined
-	if reclaimed {
+	if reclaimAnnounced {
 		l.log.Debug().Str("machine", m.ID).Float64("notice_s", *h.ReclaimNoticeS).Msg("spot reclaim notice")
 	}
 }
 
-// mayReceiveLateStart reports whether the machine's current session may still receive a delayed
-// start of a job that ended longer than lateStartLimit ago. If so, no response may renew the lease
-// of that session: the start becomes void when the session ends.
+// mayReceiveLateStart reports whether a delayed start of a job may still reach the machine although
+// the job ended more than lateStartLimit ago. The leader then no longer renews the machine's lease.
+// When the lease expires, the agent's session ends, which makes the start void.
 func (l *Leader) mayReceiveLateStart(now time.Time, m *machines.Machine) bool {
 	limit := lateStartLimit(l.params.Workers)
 	return slices.ContainsFunc(m.Attempts(), func(a *machines.Attempt) bool {
@@ -91,12 +95,12 @@
 	})
 }
 
-// checkpointBeforeReclaim stops the running tasks that can save a checkpoint on a machine that the
-// cloud is about to reclaim. It does so when the remaining time is only just enough to save the
-// checkpoint.
+// checkpointBeforeReclaim stops running tasks on a machine that the cloud has announced to reclaim,
+// so that they save a checkpoint. It stops a task when the remaining time is only just enough for
+// that. Tasks without checkpoints run on.
 func (l *Leader) checkpointBeforeReclaim(now time.Time, m *machines.Machine) {
-	remaining, reclaimed := m.ReclaimIn(now)
-	if !reclaimed {
+	remaining, reclaimAnnounced := m.ReclaimIn(now)
+	if !reclaimAnnounced {
 		return
 	}
 	margin := tuning.ReclaimNoticeMargin.Seconds()
--- a/internal/leader/heartbeat_commands.go
+++ b/internal/leader/heartbeat_commands.go
@@ -7,9 +7,9 @@
 )
 
 // heartbeatCommands returns the commands of the response to a heartbeat: first stops, then commands
-// to forget exited tasks, then starts. Stops come first because the number of commands is limited,
-// and the response renews the lease even if some commands are left out.
-func (l *Leader) heartbeatCommands(m *machines.Machine, h *wire.Heartbeat, authority bool) []wire.Command {
+// to forget exited tasks, then starts. The number of commands is limited. Stops come first because
+// the response renews the lease, so a task whose stop is left out would continue to run.
+func (l *Leader) heartbeatCommands(m *machines.Machine, h *wire.Heartbeat, holdsLeaderLease bool) []wire.Command {
 	commands := l.stopCommands(h)
 	for _, a := range m.Attempts() {
 		// stopCommands has already added the stops of tasks that their jobs no longer need.
@@ -22,14 +22,15 @@
 			commands = append(commands, wire.Command{Op: wire.OpForget, Task: e.Task, Attempt: e.Attempt})
 		}
 	}
-	if authority && !m.IsBeingReleased() {
+	if holdsLeaderLease && !m.IsBeingReleased() {
 		commands = appendStarts(commands, m, h.Sequence)
 	}
 	return commands
 }
 
-// appendStarts appends the starts of attempts that no task list has contained yet, except for
-// starts in a direct call that is in flight. sequence is the sequence number of the heartbeat.
+// appendStarts appends the starts of attempts that no task list has contained yet. It omits starts
+// in a direct call that is in flight. If no task list contains them after the call, a later response
+// does. sequence is the sequence number of the heartbeat.
 func appendStarts(commands []wire.Command, m *machines.Machine, sequence uint64) []wire.Command {
 	for _, a := range m.Attempts() {
 		if !a.NeedsStart() || a.StartSentDirectly() && m.IsBeingCalled() || len(commands) >= tuning.MaxCommandsPerResponse {
@@ -41,10 +42,10 @@
 	return commands
 }
 
-// stopCommands returns stops for all listed tasks that their jobs no longer need. Every response
-// contains these stops, because every response renews the lease. Otherwise several leaders in a
-// row, each of which receives one heartbeat of an agent in its term, could keep a cancelled task
-// running beyond the deadline for cancellations.
+// stopCommands returns stops for the tasks in the heartbeat's task list that their jobs no longer
+// need. Every response contains these stops, because every response renews the lease. Without the
+// stops, a cancelled task could run beyond the deadline for cancellations if the leader changes
+// several times and each leader receives a single heartbeat of the agent.
 func (l *Leader) stopCommands(h *wire.Heartbeat) []wire.Command {
 	stops := []wire.Command{}
 	noGracePeriod := 0.0
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -96,7 +96,7 @@
 // tickAfter advances the time and runs the leader's periodic work, including scheduling passes.
 func (l *testLeader) tickAfter(d time.Duration) {
 	l.now = l.now.Add(d)
-	l.Tick(l.now, true /* authority */)
+	l.Tick(l.now, true /* holdsLeaderLease */)
 }
 
 // sendHeartbeat sends a heartbeat that lists the given tasks, and returns the commands in the
@@ -106,7 +106,7 @@
 	l.lastSequence++
 	response, outcome := l.HandleHeartbeat(l.now, &wire.Heartbeat{
 		Machine: machine, Addr: machine + ":9", Type: "std-8", Zone: "a", AgentEpoch: agentEpoch, Sequence: l.lastSequence, FencingToken: l.Term(), Tasks: tasks,
-	}, true /* authority */)
+	}, true /* holdsLeaderLease */)
 	if outcome == leader.HeartbeatFromLaterTerm {
 		l.t.Fatal("the leader treats the heartbeat as one from a later term")
 	}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -33,29 +33,29 @@
 
 	// Stored records: their loading and their writes.
 	writes   *records.WriteQueues
-	startLog *startlog.Log // start records
+	startLog *startlog.Log // durable records of the tasks to start, written before their starts are sent
 	loading  loadState
 
 	// Jobs.
-	jobs               *jobs.Registry
-	graph              *jobs.DependencyGraph
-	admission          *admissionControl
-	pendingCompletions jobs.PendingCompletions
-	runTimes           jobs.RunTimeRatios // correct the estimates of jobs
-	startDelay         jobs.StartDelay    // usual time between the placement of a task and its start
+	jobs                *jobs.Registry
+	graph               *jobs.DependencyGraph
+	admission           *admissionControl
+	unqueuedCompletions jobs.PendingCompletions // jobs with completions whose write is not queued yet
+	runTimeRatios       jobs.RunTimeRatios      // ratio of observed to estimated run time, by job class
+	startDelay          jobs.StartDelay         // usual time between the placement of a task and its start
 
 	// Machines.
 	machines       *machines.Registry
-	catalogue      *machines.Catalogue // machine types
-	ledger         *allocation.Ledger  // quotas of the teams, and what their attempts use
-	directCalls    directCalls
-	machineLists   machineLists
-	taskListNumber uint64 // number of task lists applied so far, which numbers the newest one
-	reachability   *machines.Reachability
+	catalogue      *machines.Catalogue    // machine types, including those no longer offered
+	ledger         *allocation.Ledger     // quotas of the teams, and the CPUs allocated to their attempts
+	directCalls    directCalls            // commands sent to agents between their heartbeats
+	machineLists   machineLists           // state of the cloud's machine lists
+	taskListNumber uint64                 // number of task lists applied so far, also used as the number of the newest one
+	reachability   *machines.Reachability // zones that are probably partitioned from this node
 
 	// Decisions.
 	passTimes               passTimes
-	schedulingPassRequested bool // something that may allow new placements has changed since the last pass
+	schedulingPassRequested bool // a change since the last pass may allow new placements
 	scoredPairs             int  // pairs of job and machine scored so far
 	preemptor               *preemption.Preemptor
 	consolidator            *consolidation.Consolidator
@@ -66,32 +66,32 @@
 // passTimes holds the times of scheduling passes and of the last check for expired leases.
 type passTimes struct {
 	lastPass         time.Time
-	earliestNextPass time.Time // earliest time of the next pass
+	earliestNextPass time.Time
 	lastExpiryCheck  time.Time
 }
 
-// New returns an empty state for a term that begins at now. grace is the grace period, in which a
-// leader that can't reach the key-value store still responds to heartbeats.
-func New(log zerolog.Logger, params config.Params, operator config.OperatorSettings, term uint64, now time.Time, grace time.Duration) *Leader {
+// New returns an empty state for a term that begins at now. gracePeriod is how long a leader that
+// can't reach the key-value store still responds to heartbeats.
+func New(log zerolog.Logger, params config.Params, operator config.OperatorSettings, term uint64, now time.Time, gracePeriod time.Duration) *Leader {
 	l := &Leader{
-		log:                log,
-		params:             params,
-		operatorSettings:   operator,
-		term:               term,
-		jobs:               jobs.NewRegistry(),
-		admission:          newAdmissionControl(&params, &operator, term, now),
-		pendingCompletions: jobs.PendingCompletions{},
-		ledger:             allocation.NewLedger(params.Teams),
-		runTimes:           jobs.RunTimeRatios{},
-		machines:           machines.NewRegistry(),
-		catalogue:          machines.NewCatalogue(),
-		timing:             newTiming(params.Workers, now, grace),
-		loading:            loadState{pieces: records.JobPieces{}, attempts: map[taskKey]*machines.Attempt{}},
-		reachability:       machines.NewReachability(),
+		log:                 log,
+		params:              params,
+		operatorSettings:    operator,
+		term:                term,
+		jobs:                jobs.NewRegistry(),
+		admission:           newAdmissionControl(&params, &operator, term, now),
+		unqueuedCompletions: jobs.PendingCompletions{},
+		ledger:              allocation.NewLedger(params.Teams),
+		runTimeRatios:       jobs.RunTimeRatios{},
+		machines:            machines.NewRegistry(),
+		catalogue:           machines.NewCatalogue(),
+		timing:              newTiming(params.Workers, now, gracePeriod),
+		loading:             loadState{jobPieces: records.JobPieces{}, newestAttempts: map[taskKey]*machines.Attempt{}},
+		reachability:        machines.NewReachability(),
 	}
-	l.graph = jobs.NewDependencyGraph(l.jobs, l.chainedJobDuration)
-	l.writes = records.NewWriteQueues(log, l.valueLimit())
-	l.startLog = startlog.New(term, l.valueLimit(), l.writes, startlog.Callbacks{OnDurable: l.allowStart, OnRefused: l.abandonStart})
+	l.graph = jobs.NewDependencyGraph(l.jobs, l.dependentJobDuration)
+	l.writes = records.NewWriteQueues(log, l.maxStoredValueBytes())
+	l.startLog = startlog.New(term, l.maxStoredValueBytes(), l.writes, startlog.Callbacks{OnDurable: l.allowStart, OnRefused: l.abandonStart})
 	l.scaler = l.newScaler()
 	l.drainer = l.newDrainer()
 	l.preemptor, l.consolidator = l.newPreemptor(), l.newConsolidator()
@@ -105,16 +105,16 @@
 // rejected.
 func (l *Leader) MachineTypesKnown() bool { return l.catalogue.HasAnyType() }
 
-// nextAttemptNumber returns a new attempt number. The term in its upper 32 bits makes it differ
-// from the numbers assigned by other leaders.
+// nextAttemptNumber returns a new attempt number. Its upper 32 bits contain the term, so that
+// different leaders never assign the same number.
 func (l *Leader) nextAttemptNumber() uint64 {
 	l.attemptCount++
 	return l.term<<32 | l.attemptCount
 }
 
-// EndTerm ends the term: all waiting requests get a response with status 503.
+// EndTerm ends the term: all requests that wait for a durable write get a response with status 503.
 func (l *Leader) EndTerm() {
 	for _, j := range l.jobs.Sorted() { // sorted, so that simulated runs are reproducible
-		j.NotifyWaiters(false) // no decision became durable in this term
+		j.NotifyWaiters(false) // false: the decision did not become durable in this term
 	}
 }
--- a/internal/leader/leases.go
+++ b/internal/leader/leases.go
@@ -7,8 +7,8 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// expireLeases ends the session of each machine whose lease has expired, and releases its attempts.
-// A reconciled machine without attempts keeps its session.
+// expireLeases ends the session of each machine whose lease has expired, and releases the machine's
+// attempts. A reconciled machine without attempts keeps its session.
 func (l *Leader) expireLeases(now time.Time) {
 	for _, m := range l.machines.All() {
 		if (len(m.Attempts()) > 0 || !m.IsReconciled()) && m.HasLeaseExpired(now, &l.timing) && m.HasJoined() {
@@ -21,11 +21,10 @@
 	}
 }
 
-// releaseAttemptsAfterExpiry releases the attempts on a machine whose lease has expired, except for
-// attempts whose start, sent by a direct call, may still arrive. A new agent that has replaced the
-// known one and numbers its sessions from the beginning could still execute such a start. So the
-// machine is released as well, unless a heartbeat of a new session arrives within
-// tuning.FencingDelay.
+// releaseAttemptsAfterExpiry releases the attempts on a machine whose lease has expired. It keeps
+// attempts whose start was sent by a direct call and may still arrive: a new agent that has replaced
+// the known one and counts its epochs from the start again could execute such a start. The machine
+// is then released, unless a heartbeat of a new session arrives within tuning.FencingDelay.
 func (l *Leader) releaseAttemptsAfterExpiry(now time.Time, m *machines.Machine) {
 	for i := len(m.Attempts()) - 1; i >= 0; i-- {
 		if a := m.Attempts()[i]; !a.MayStartLate() {
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -16,9 +16,10 @@
 
 // loadState holds the data that is needed only while stored records are loaded.
 type loadState struct {
-	pieces records.JobPieces // pieces of job records too large for one value, by key
-	// attempts holds the attempt of each task in the newest start record that lists the task.
-	attempts map[taskKey]*machines.Attempt
+	jobPieces records.JobPieces // pieces of job records that are too large for one value, by key
+	// newestAttempts maps each task to its attempt from the newest start record, of those loaded so
+	// far, that lists the task.
+	newestAttempts map[taskKey]*machines.Attempt
 }
 
 // taskKey identifies a task of a job.
@@ -28,10 +29,10 @@
 }
 
 // LoadRecord loads one stored record, and ignores keys that belong to no kind of record. Records
-// must be loaded in records.LoadOrder. now and wall are the same instant on the monotonic clock and
-// in wall-clock time, which is the time that records contain. For a corrupt record, LoadRecord
-// returns a records.CorruptError, or logs the error and returns nil if the service can do without
-// the record.
+// must be loaded in records.LoadOrder. now and wall are the same instant: now on the monotonic
+// clock, wall in wall-clock time, which the records use. For a corrupt record, LoadRecord returns a
+// records.CorruptError. If records of this kind are optional, it logs the error and returns nil
+// instead.
 func (l *Leader) LoadRecord(now, wall time.Time, item wire.KeyValue) error {
 	kind, id, ok := records.ParseKey(item.Key)
 	if !ok {
@@ -55,7 +56,7 @@
 	case records.KindMachineTypes:
 		return l.loadMachineTypes(item.Value)
 	case records.KindJobPiece:
-		return l.loading.pieces.Add(item.Key, item.Value)
+		return l.loading.jobPieces.Add(item.Key, item.Value)
 	case records.KindJob:
 		return l.loadJob(now, wall, id, item.Value)
 	case records.KindCompletions:
@@ -87,21 +88,21 @@
 	if err != nil {
 		return err
 	}
-	l.catalogue.SetStoredTypes(value) // already stored: needs no write
+	l.catalogue.SetStoredTypes(value) // loaded from the store, so no write is queued
 	l.SetMachineTypes(types)
 	return nil
 }
 
 // loadJob loads a job's record. The pieces of the record must have been loaded before.
 func (l *Leader) loadJob(now, wall time.Time, id string, value json.RawMessage) error {
-	stored, err := records.DecodeJob(id, value, l.loading.pieces)
+	stored, err := records.DecodeJob(id, value, l.loading.jobPieces)
 	if err != nil {
 		return err
 	}
 	sinceSubmission := max(0, wall.Sub(time.UnixMilli(stored.SubmittedAtMS)))
 	j := jobs.Restore(stored, now.Add(-sinceSubmission))
 	l.jobs.Add(j)
-	l.admission.addUnfinished(j.Team, j.Tasks)
+	l.admission.addUnfinishedTasks(j.Team, j.Tasks)
 	return nil
 }
 
@@ -109,8 +110,8 @@
 func (l *Leader) loadCompletions(id string, item wire.KeyValue) error {
 	j := l.jobs.Get(records.CompletionsJobID(id))
 	if j == nil {
-		// A leader of an earlier version, which does not know this kind of record, deleted the job
-		// without it.
+		// A leader of an earlier version deleted the job's other records. It left this one, because
+		// it did not know this kind of record.
 		l.writes.Background.Delete(item.Key)
 		return nil
 	}
@@ -118,7 +119,7 @@
 	return records.DecodeCompletions(item.Value, j.Tasks, j.RestoreCompletion)
 }
 
-// loadFinalState loads the final state of a job.
+// loadFinalState loads the final state of a job. The job's other records may have been deleted.
 func (l *Leader) loadFinalState(id string, value json.RawMessage) error {
 	f, err := records.DecodeFinalState(value)
 	if err != nil {
@@ -130,11 +131,11 @@
 		return nil
 	}
 	j.RestoreEnd(f)
-	l.admission.addUnfinished(j.Team, -j.Tasks)
+	l.admission.addUnfinishedTasks(j.Team, -j.Tasks)
 	return nil
 }
 
-// loadStarts loads a start record, which lists the tasks that may be on each of its machines.
+// loadStarts loads a start record, which lists machines and the tasks that may be on each of them.
 func (l *Leader) loadStarts(now time.Time, key string, starts *records.Starts) error {
 	record := l.startLog.AddLoadedRecord(key)
 	for _, machine := range starts.Machines {
@@ -161,26 +162,26 @@
 // loadAttempt adds an attempt for a task that may be on a machine, unless the task is completed.
 func (l *Leader) loadAttempt(now time.Time, record *startlog.Record, m *machines.Machine, j *jobs.Job, index int32) {
 	if j.IsCompleted(index) {
-		// A stored completion proves that the task has exited and is not started again.
+		// The stored completion proves that the task has exited and will not be started again.
 		return
 	}
 	task := taskKey{j, index}
-	earlierAttempt := l.loading.attempts[task]
+	earlierAttempt := l.loading.newestAttempts[task]
 	a := machines.NewPossiblyStartedAttempt(m, j, index, now)
 	record.LinkAttempt(a)
 	l.ledger.Allocate(a)
-	l.loading.attempts[task] = a
+	l.loading.newestAttempts[task] = a
 	if earlierAttempt != nil {
-		// The task was started on m later, so it had left the earlier machine by then.
+		// The later start on m was decided only after the task had left the earlier machine.
 		l.releaseAttempt(now, earlierAttempt)
 	}
 }
 
-// FinishLoading ends the loading of records. From then on, tasks that are on no machine can be
-// placed.
+// FinishLoading ends the loading of records. It links the loaded jobs, ends those whose tasks are all
+// completed, and makes the tasks ready that can't be on a machine.
 func (l *Leader) FinishLoading(now time.Time) {
 	l.startLog.FinishLoading()
-	for _, key := range slices.Sorted(maps.Keys(l.loading.pieces)) {
+	for _, key := range slices.Sorted(maps.Keys(l.loading.jobPieces)) {
 		// The remaining pieces belong to jobs that were not accepted or have ended.
 		l.writes.Background.Delete(key)
 	}
@@ -188,8 +189,8 @@
 	l.linkLoadedJobs(loadedJobs)
 	for _, j := range loadedJobs {
 		if len(j.DependsOn) > 0 {
-			// The record does not contain the time at which the last dependency was done, so the
-			// job's waiting time counts from now.
+			// The job's record does not contain the time at which its last dependency was done, so
+			// its waiting time counts from now.
 			j.BeginWaiting(now)
 		}
 		if j.IsActive() && j.AllCompleted() {
@@ -199,8 +200,8 @@
 		l.removeIfFinished(j)
 	}
 	for l.graph.HasJobsToCancel() {
-		// Cancel all dependents of cancelled jobs before any request gets a response: no response
-		// may say that such a job still waits or runs.
+		// All dependents of cancelled jobs are cancelled before any request gets a response, because
+		// no response may describe such a job as queued or running.
 		l.processDependencyChanges(now)
 	}
 	l.drainer.FinishLoading()
--- a/internal/leader/machine_list.go
+++ b/internal/leader/machine_list.go
@@ -8,11 +8,12 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// machineLists tracks the cloud's machine lists.
+// machineLists records which of the cloud's machine lists have been applied in this term.
 type machineLists struct {
-	appliedCount uint64
+	appliedCount uint64 // number of lists applied
 	// hasCurrent is true once a list that shows the state after the beginning of this term has been
-	// applied. From then on, an unknown machine that a record names no longer exists.
+	// applied. From then on, a machine that a stored record mentions but the leader does not know
+	// no longer exists.
 	hasCurrent bool
 }
 
@@ -29,7 +30,7 @@
 			l.applyListedMachine(requestedAt, now, row)
 		}
 	}
-	if nonexistent := l.nonexistentMachines(requestedAt, listed); len(nonexistent) > 0 {
+	if nonexistent := l.recordMissingMachines(requestedAt, listed); len(nonexistent) > 0 {
 		l.removeMachines(now, nonexistent)
 	}
 }
@@ -43,15 +44,15 @@
 	m.ApplyCloudListing(requestedAt, now, row)
 }
 
-// longestListLag returns how old the state in a machine list may be when the list is requested:
-// twice the list lag of the cloud, with clock drift.
+// longestListLag returns how far the state in a machine list may lie before the request for the
+// list: twice the cloud's list lag, increased by the clock drift.
 func (l *Leader) longestListLag() time.Duration {
 	return seconds.Duration(l.params.Cloud.ListLagS * (1 + tuning.ClockDrift) * 2)
 }
 
-// nonexistentMachines counts a missing entry for each machine that a list lacks, and returns the
-// machines that certainly no longer exist.
-func (l *Leader) nonexistentMachines(requestedAt time.Time, listed map[string]bool) []string {
+// recordMissingMachines records for each machine outside the list that this list lacks it. It
+// returns the machines that no longer exist, as the list proves.
+func (l *Leader) recordMissingMachines(requestedAt time.Time, listed map[string]bool) []string {
 	var nonexistent []string
 	longestLag := l.longestListLag()
 	for _, m := range l.machines.All() {
@@ -77,8 +78,9 @@
 	l.schedulingPassRequested = true
 }
 
-// HasLateHeartbeats reports whether the heartbeat of a machine with attempts is late. The next
-// machine list is then urgent, because it may show that the machine no longer exists.
+// HasLateHeartbeats reports whether the heartbeat of any machine with attempts is late. The next
+// machine list is then urgent: it may show that the machine no longer exists, and that its tasks can
+// be placed again.
 func (l *Leader) HasLateHeartbeats(now time.Time) bool {
 	for _, m := range l.machines.All() {
 		if m.IsReconciled() && len(m.Attempts()) > 0 && m.SinceHeartbeat(now) > seconds.Duration(l.params.Workers.HeartbeatIntervalS*tuning.LateHeartbeatIntervals) {
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -32,13 +32,13 @@
 	m.MarkSnapshotOutdated()
 }
 
-// SetMachineTypes applies the cloud's catalogue of machine types and queues its record if it has
-// changed.
+// SetMachineTypes applies the machine types that the cloud offers, and queues the write of their
+// record if they have changed. An empty list is ignored.
 func (l *Leader) SetMachineTypes(types []wire.MachineType) {
 	if len(types) == 0 {
 		return
 	}
-	if value := records.EncodeMachineTypes(types); len(value) <= l.valueLimit() && l.catalogue.SetStoredTypes(value) {
+	if value := records.EncodeMachineTypes(types); len(value) <= l.maxStoredValueBytes() && l.catalogue.SetStoredTypes(value) {
 		l.writes.Background.Put(records.MachineTypesKey, value, nil)
 	}
 	l.catalogue.SetOfferedTypes(types)
@@ -48,8 +48,8 @@
 	l.schedulingPassRequested = true
 }
 
-// releaseAttempt releases the allocation of an attempt. The task must certainly have left the
-// machine.
+// releaseAttempt releases the allocation of an attempt. It may be called only when the task is
+// certainly not on the machine, because the task can then start elsewhere.
 func (l *Leader) releaseAttempt(now time.Time, a *machines.Attempt) {
 	if !a.IsAllocated() {
 		return
--- a/internal/leader/pass.go
+++ b/internal/leader/pass.go
@@ -12,16 +12,16 @@
 )
 
 // Tick does the work that is due: dependency changes, writes of completions, checks for expired
-// leases, and a scheduling pass. authority is false while the leader can't reach the key-value
-// store; no pass runs then.
-func (l *Leader) Tick(now time.Time, authority bool) {
+// leases, and a scheduling pass. holdsLeaderLease is false while the leader can't reach the key-value
+// store. No pass runs then.
+func (l *Leader) Tick(now time.Time, holdsLeaderLease bool) {
 	l.processDependencyChanges(now)
 	l.flushCompletions(now)
 	if now.Sub(l.passTimes.lastExpiryCheck) >= tuning.TickInterval {
 		l.passTimes.lastExpiryCheck = now
 		l.expireLeases(now)
 	}
-	if authority && l.passIsDue(now) {
+	if holdsLeaderLease && l.passIsDue(now) {
 		l.runPass(now)
 	}
 }
@@ -34,8 +34,9 @@
 	return !now.Before(l.passTimes.earliestNextPass) && (l.schedulingPassRequested || now.Sub(l.passTimes.lastPass) >= maxPassInterval)
 }
 
-// runPass runs a scheduling pass. The delay before the next pass grows with the number of pairs
-// scored, so that passes use only a limited share of the CPU time.
+// runPass runs a scheduling pass: it places ready tasks, preempts tasks and consolidates machines.
+// The delay before the next pass grows with the number of scored pairs of job and machine, so that
+// passes use only a limited share of the CPU time.
 func (l *Leader) runPass(now time.Time) {
 	l.schedulingPassRequested = false
 	l.passTimes.lastPass = now
@@ -46,8 +47,8 @@
 }
 
 // placeReadyTasks places ready tasks on machines and queues the records of their starts. It then
-// preempts tasks in favour of those that could not be placed. If the placement reached its limits,
-// it requests another pass instead.
+// preempts running tasks in favour of ready tasks that could not be placed. If the placement stopped
+// early because it reached its limits, placeReadyTasks requests another pass instead.
 func (l *Leader) placeReadyTasks(now time.Time) {
 	ready, byID := l.readyJobs(now)
 	if len(ready) == 0 {
@@ -57,7 +58,7 @@
 	if len(candidates) == 0 {
 		return
 	}
-	// This is determined before the starts, which reset the time since the last placement.
+	// The aged jobs are determined here, because each start resets the job's PlacementWait.
 	agedJobs := map[*jobs.Job]bool{}
 	for _, j := range byID {
 		agedJobs[j] = j.PlacementWait(now) >= tuning.AgingThreshold
@@ -81,9 +82,9 @@
 	return slices.MinFunc(ready, func(a, b *placement.PendingJob) int { return cmp.Compare(a.PriorityRank, b.PriorityRank) }).PriorityRank
 }
 
-// schedulableMachines returns snapshots of the schedulable machines for the placement. The
-// reservation of a machine for a priority applies only while a job of that priority or a higher one
-// is ready.
+// schedulableMachines returns snapshots of the schedulable machines for the placement. highestRank is
+// the rank of the highest priority among the ready jobs. If a machine is reserved for a priority,
+// the reservation applies only while a job of that priority or a higher one is ready.
 func (l *Leader) schedulableMachines(now time.Time, highestRank int) []*placement.Machine {
 	var candidates []*placement.Machine
 	for _, m := range l.machines.All() {
@@ -99,8 +100,8 @@
 }
 
 // startTask assigns the next ready task of a job to a machine and queues the start record. The
-// start may be sent only when the record is durable, because a successor must find out from it
-// which machine may have the task.
+// start may be sent only when the record is durable: from the record a successor learns that the
+// task may be on the machine.
 func (l *Leader) startTask(now time.Time, j *jobs.Job, m *machines.Machine, jobIsAged bool) {
 	index := j.PopReadyTask(now)
 	a := machines.NewPendingAttempt(m, j, index, now, l.nextAttemptNumber(), jobIsAged)
@@ -114,10 +115,9 @@
 	l.directCalls.enqueue(a.Machine)
 }
 
-// abandonStart releases an attempt whose start record the key-value store has refused. The start
-// has not been sent, so the task can be placed again.
+// abandonStart releases an attempt whose start record the key-value store has refused. Its start was
+// never sent, so the task can be placed again.
 func (l *Leader) abandonStart(a *machines.Attempt) { l.releaseAttempt(a.CreatedAt(), a) }
 
-// placementTimeS returns a time as the placement algorithm uses it: in seconds since the term
-// began.
+// placementTimeS converts a time to that of the placement algorithm: seconds since the term began.
 func (l *Leader) placementTimeS(now time.Time) float64 { return now.Sub(l.timing.TermStart).Seconds() }
--- a/internal/leader/placement_test.go
+++ b/internal/leader/placement_test.go
@@ -23,7 +23,7 @@
 	l.tickAfter(time.Second)
 	l.commit()
 	l.lastSequence++
-	response, outcome := l.HandleHeartbeat(l.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.lastSequence, FencingToken: 5}, false /* authority */)
+	response, outcome := l.HandleHeartbeat(l.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.lastSequence, FencingToken: 5}, false /* holdsLeaderLease */)
 	if outcome != leader.HeartbeatApplied || len(response.Commands) != 0 {
 		t.Fatalf("got outcome %v and response %+v, want HeartbeatApplied and no commands", outcome, response)
 	}
--- a/internal/leader/reachability_test.go
+++ b/internal/leader/reachability_test.go
@@ -48,7 +48,7 @@
 			z.lastSequence++
 			response, _ := z.HandleHeartbeat(z.now, &wire.Heartbeat{
 				Machine: id, Addr: "x:1", Type: "std-8", Zone: zone, AgentEpoch: 1, Sequence: z.lastSequence, FencingToken: z.Term(), Tasks: tasksByMachine[id],
-			}, true /* authority */)
+			}, true /* holdsLeaderLease */)
 			for _, c := range response.Commands {
 				if c.Op == wire.OpStart {
 					tasksByMachine[id] = append(tasksByMachine[id], wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning})
--- a/internal/leader/ready_jobs.go
+++ b/internal/leader/ready_jobs.go
@@ -9,10 +9,11 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// withAgedEntries adds a second entry for each aged job, to which it moves some of the job's ready
-// tasks. A job is aged if none of its tasks has been placed for tuning.AgingThreshold. The
-// placement handles the aged entries before all others. Otherwise a long backlog of smaller or more
-// urgent jobs could starve a large job, because priority, urgency and size decide the order.
+// withAgedEntries adds a second entry for each aged job and moves some of the job's ready tasks to
+// it. A job is aged if none of its tasks has been placed for tuning.AgingThreshold. The placement
+// handles the aged entries before all others. Without them, a long backlog of smaller or more urgent
+// jobs could starve a large job, because priority, urgency and size decide the order. A job that is
+// at fault itself gets no aged entry.
 func (l *Leader) withAgedEntries(now time.Time, ready []*placement.PendingJob, byID map[string]*jobs.Job) []*placement.PendingJob {
 	entries := ready
 	for _, r := range ready {
@@ -23,8 +24,8 @@
 		aged := *r
 		aged.AgedS = j.PlacementWait(now).Seconds()
 		aged.ReadyTasks = min(r.ReadyTasks, max(1, int(float64(j.Tasks)*tuning.AgedTaskShare)))
-		// The two entries share the map TasksInZone, so each takes the starts of the other into
-		// account.
+		// The two entries share the map TasksByZone, so the placement counts the starts of both
+		// entries in it.
 		r.ReadyTasks -= aged.ReadyTasks
 		entries = append(entries, &aged)
 	}
@@ -48,13 +49,13 @@
 		}
 		r := j.PlacementConstraints()
 		r.JobID, r.Team, r.PriorityRank, r.WithinGuarantee = j.ID, j.Team, j.PriorityRank(), guaranteed[j]
-		r.Urgency, r.ReadyTasks = l.runTimes.Urgency(now, j, l.params.Objectives, totalCPUs), j.ReadyTasks()
-		r.EstimatedRunTimeS, r.Image, r.ImageGB = l.runTimes.Estimate(j), j.Image, j.ImageGB
+		r.Urgency, r.ReadyTasks = l.runTimeRatios.Urgency(now, j, l.params.Objectives, totalCPUs), j.ReadyTasks()
+		r.EstimatedRunTimeS, r.Image, r.ImageGB = l.runTimeRatios.Estimate(j), j.Image, j.ImageGB
 		if j.Failures() > 0 {
 			// A job whose tasks fail starts one task at a time.
 			r.ReadyTasks = 1
 		}
-		r.TasksByZone = maps.Clone(r.TasksByZone) // copied, as the placement adds its own starts
+		r.TasksByZone = maps.Clone(r.TasksByZone) // copied, because the placement adds its starts to the map
 		byID[j.ID] = j
 		ready = append(ready, r)
 	}
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -11,9 +11,9 @@
 )
 
 // reconcileTasks compares the machine's complete task list with its attempts. periodic is false for
-// the heartbeat in the reply to a direct call. If a task list lacks a start from an earlier
-// response, only a periodic heartbeat proves that the start was not executed: the agent may have
-// replied to a direct call before it received that response.
+// the heartbeat in the reply to a direct call. If the list in a periodic heartbeat lacks a task whose
+// start was in an earlier response, the start was not executed. The list in a reply does not prove
+// that: the agent may have replied before it received the response.
 func (l *Leader) reconcileTasks(now time.Time, m *machines.Machine, h *wire.Heartbeat, periodic bool) {
 	l.taskListNumber++
 	m.ClearExited()
@@ -21,7 +21,7 @@
 		l.applyListedTask(now, m, &h.Tasks[i])
 	}
 	if periodic {
-		l.recordIgnoredStarts(now, m)
+		l.recordIneffectiveResponse(now, m)
 	}
 	l.releaseUnlisted(now, m, periodic)
 	if first := m.MarkReconciled(now); first {
@@ -58,21 +58,24 @@
 func (l *Leader) applyExitedTask(now time.Time, m *machines.Machine, j *jobs.Job, index int32, t *wire.TaskStatus) {
 	a := m.Find(j, index)
 	switch {
-	// The number of an attempt that was possibly started under an earlier leader is not known.
+	// An attempt in state PossiblyStarted was started under an earlier leader, so its number is not
+	// known and any number matches.
 	case a != nil && (a.Number() == t.Attempt || a.State() == machines.PossiblyStarted):
 		a.MarkExitInTaskList(l.taskListNumber)
 		if a.State() == machines.StartSent {
 			m.RecordStartExecuted()
 		}
 		if a.StartSentDirectly() {
-			// The start may still arrive. An agent that had forgotten the attempt would run it again.
+			// The start may still arrive late. An agent that had forgotten the attempt would run the
+			// task again.
 			m.RetainExit(machines.ExitKey{Task: t.Task, Attempt: t.Attempt})
 		}
 		l.applyExit(now, a, t)
 	case t.ExitReason == wire.ExitDone:
 		l.recordCompletion(now, j, index)
 	}
-	// The agent has to remember a done task until the completion is durable.
+	// The agent must not forget a done task until its completion is durable. Otherwise a successor
+	// would not learn that the task is done.
 	recordExited(m, t, t.ExitReason != wire.ExitDone || j.IsCompletionDurable(index))
 }
 
@@ -82,8 +85,8 @@
 	if a == nil {
 		a = machines.NewPossiblyStartedAttempt(m, j, index, now)
 		l.ledger.Allocate(a)
-		// No start record names this attempt, or none does any more, but a successor has to find it
-		// in one.
+		// A successor has to find the attempt in a start record, but no record contains it, or none
+		// contains it any more.
 		l.startLog.Add(a)
 		if j.IsActive() {
 			j.RemoveReadyTask(index)
@@ -105,7 +108,8 @@
 func (l *Leader) recordRunning(now time.Time, a *machines.Attempt) {
 	m, j := a.Machine, a.Job
 	j.AddRunningAttempt()
-	// The delay is measured without an image fetch. The upper half of an attempt number is the term.
+	// The start delay is measured only for tasks that needed no image fetch, and whose start was
+	// decided in this term. The upper 32 bits of an attempt number contain the term.
 	if m.HasImage(j.Image) && a.Number()>>32 == l.term {
 		l.startDelay.Observe(now.Sub(a.CreatedAt()).Seconds(), l.params.Workers.HeartbeatIntervalS)
 	}
@@ -114,9 +118,9 @@
 	l.drainer.RecordTaskRunning(a)
 }
 
-// recordIgnoredStarts records that an earlier response had no effect if the task list lacks one of
-// its starts.
-func (l *Leader) recordIgnoredStarts(now time.Time, m *machines.Machine) {
+// recordIneffectiveResponse records that an earlier response had no effect, if the task list lacks a
+// task whose start was in that response.
+func (l *Leader) recordIneffectiveResponse(now time.Time, m *machines.Machine) {
 	if slices.ContainsFunc(m.Attempts(), func(a *machines.Attempt) bool {
 		return !a.IsInTaskList(l.taskListNumber) && a.State() == machines.StartSent && a.StartSentInResponse()
 	}) {
@@ -124,8 +128,8 @@
 	}
 }
 
-// releaseUnlisted releases the attempts that are certainly not on the machine, because the task
-// list just applied lacks them.
+// releaseUnlisted releases attempts that the newest task list lacks, if this proves that they are not
+// on the machine. Attempts whose start may still arrive are kept.
 func (l *Leader) releaseUnlisted(now time.Time, m *machines.Machine, periodic bool) {
 	for i := len(m.Attempts()) - 1; i >= 0; i-- {
 		a := m.Attempts()[i]
@@ -137,8 +141,9 @@
 		case a.StartSentDirectly():
 			l.requireFencingRelease(now, a)
 		case periodic || !a.StartSentInResponse():
-			// The start was not sent, or only in a response that the agent no longer waits for. So
-			// it has not been executed and never will be.
+			// The start was not sent, or only in a response that the agent no longer waits for. So it
+			// was not executed and never will be. It is sent again if the task should still run on
+			// this machine.
 			a.MarkStartResponseIneffective()
 			if !a.ShouldRun() || !l.isSchedulable(now, m) {
 				l.releaseAttempt(now, a)
@@ -147,8 +152,9 @@
 	}
 }
 
-// requireFencingRelease requires the release of a machine that may still receive the start of a
-// task that must no longer run.
+// requireFencingRelease requires the release of the attempt's machine if the task must no longer run.
+// The machine may still receive the task's start, and only its release proves that the task can't
+// run there.
 func (l *Leader) requireFencingRelease(now time.Time, a *machines.Attempt) {
 	m := a.Machine
 	if a.ShouldRun() || m.IsReleaseRequired() {
@@ -157,7 +163,7 @@
 	m.Cordon(machines.CordonLateStart)
 	unneededSince := a.Job.EndedAt()
 	if unneededSince.IsZero() {
-		unneededSince = now // the task must not run, but its job has not ended
+		unneededSince = now // the job has not ended, but this attempt must not run
 	}
 	m.RequireRelease(unneededSince.Add(lateStartLimit(l.params.Workers)))
 }
@@ -169,7 +175,7 @@
 	switch t.ExitReason {
 	case wire.ExitDone:
 		if a.State() == machines.Running && a.HasRun() {
-			l.runTimes.Observe(j, a.RunTime(now).Seconds()+j.Progress(a.Index))
+			l.runTimeRatios.Observe(j, a.RunTime(now).Seconds()+j.Progress(a.Index))
 		}
 		l.recordTaskSuccess(j, m)
 		m.RecordImage(now, j.Image)
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -5,13 +5,13 @@
 	"switchshore.example/switchshore/internal/records"
 )
 
-// valueLimit returns the maximum size of a value in the key-value store, in bytes.
-func (l *Leader) valueLimit() int { return int(l.params.KVStore.ValueKB * 1024) }
+// maxStoredValueBytes returns the maximum size of a value in the key-value store, in bytes.
+func (l *Leader) maxStoredValueBytes() int { return int(l.params.KVStore.ValueKB * 1024) }
 
 // queueJobRecord queues the writes of a job's record. onDurable is called when all of them are
 // durable.
 func (l *Leader) queueJobRecord(j *jobs.Job, onDurable func()) {
-	items := records.EncodeJob(&j.Job, j.SubmittedAtMS(), l.term, l.valueLimit())
+	items := records.EncodeJob(&j.Job, j.SubmittedAtMS(), l.term, l.maxStoredValueBytes())
 	last := len(items) - 1
 	for _, piece := range items[:last] {
 		j.AddRecordKey(piece.Key)
@@ -21,10 +21,11 @@
 }
 
 // NextWriteBatch removes at most maxOps writes from the queues and returns them, or nil if there
-// are none. At most spareOps of them are writes that no user waits for. Batches must be committed
-// one after the other, and MarkBatchCommitted must be called after each commit.
+// are none. spareOps limits the writes that no user waits for, see records.WriteQueues.NextBatch.
+// Batches must be committed one after the other, and MarkBatchCommitted must be called after each
+// commit.
 func (l *Leader) NextWriteBatch(maxOps, spareOps int) *records.Batch {
-	return l.writes.NextBatch(maxOps, spareOps, l.admission.shedding())
+	return l.writes.NextBatch(maxOps, spareOps, l.admission.isShedding())
 }
 
 // MarkBatchCommitted records that the writes of a batch are durable, except for the keys that the
--- a/internal/leader/records_test.go
+++ b/internal/leader/records_test.go
@@ -139,7 +139,7 @@
 	urgent.DeadlineS = &deadline
 	successor.Submit(l.now, l.now, urgent, func(leader.JobResponse) {})
 	for range 5 {
-		successor.Tick(l.now, true /* authority */)
+		successor.Tick(l.now, true /* holdsLeaderLease */)
 	}
 	if n := successor.Summary().QueuedDependencyUpdates; n != 0 {
 		t.Errorf("%d dependency updates queued for jobs in a cycle, want 0", n)
@@ -150,7 +150,7 @@
 	successor.Cancel(l.now, "job-3", func(leader.JobResponse) {})
 	for b := successor.NextWriteBatch(10, 10); b != nil; b = successor.NextWriteBatch(10, 10) {
 		successor.MarkBatchCommitted(b, nil)
-		successor.Tick(l.now, true /* authority */)
+		successor.Tick(l.now, true /* holdsLeaderLease */)
 	}
 	if v := successor.Query("job-2"); v.State != wire.JobCancelled {
 		t.Errorf("job-2: got %+v, want state cancelled", v)
--- a/internal/leader/recovery_test.go
+++ b/internal/leader/recovery_test.go
@@ -29,7 +29,7 @@
 		t.Fatalf("got %s although the task may still run on m1, want no command", formatCommands(cs))
 	}
 	// A heartbeat with the fencing token of an earlier term does not show whether the task still runs.
-	response, outcome := successor.HandleHeartbeat(successor.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: 50, FencingToken: 5}, true /* authority */)
+	response, outcome := successor.HandleHeartbeat(successor.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: 50, FencingToken: 5}, true /* holdsLeaderLease */)
 	if outcome != leader.HeartbeatApplied || response.FencingToken != 6 || len(response.Commands) != 0 {
 		t.Fatalf("got %+v, want the fencing token 6 and no commands", response)
 	}
--- a/internal/leader/reports_test.go
+++ b/internal/leader/reports_test.go
@@ -144,7 +144,7 @@
 	sequence := uint64(100)
 	successor.checkPlacedOnlyAfterRelease(3*time.Second, func() {
 		sequence++
-		successor.HandleHeartbeat(successor.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: sequence, FencingToken: 5, Tasks: []wire.TaskStatus{task}}, true /* authority */)
+		successor.HandleHeartbeat(successor.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: sequence, FencingToken: 5, Tasks: []wire.TaskStatus{task}}, true /* holdsLeaderLease */)
 	})
 }
 
@@ -155,7 +155,7 @@
 	duplicate := &wire.Heartbeat{Machine: "m1", Addr: "m1:9", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.lastSequence, FencingToken: 5, Tasks: []wire.TaskStatus{task}}
 	for range 10 {
 		l.tickAfter(2 * time.Second)
-		if response, outcome := l.HandleHeartbeat(l.now, duplicate, true /* authority */); outcome != leader.HeartbeatRejected || len(response.Commands) != 0 {
+		if response, outcome := l.HandleHeartbeat(l.now, duplicate, true /* holdsLeaderLease */); outcome != leader.HeartbeatRejected || len(response.Commands) != 0 {
 			t.Fatalf("late duplicate: got outcome %v and response %+v, want HeartbeatRejected and no commands", outcome, response)
 		}
 		l.sendHeartbeat("m2", 1)
@@ -166,7 +166,7 @@
 		t.Fatalf("got %q after the lease has expired, want a start of job-1/0 on m2", formatCommands(cs))
 	}
 	duplicate.Sequence += 100 // no longer a duplicate, but of the expired session
-	if _, outcome := l.HandleHeartbeat(l.now, duplicate, true /* authority */); outcome != leader.HeartbeatRejected {
+	if _, outcome := l.HandleHeartbeat(l.now, duplicate, true /* holdsLeaderLease */); outcome != leader.HeartbeatRejected {
 		t.Fatal("a heartbeat of the expired session was not treated as stale")
 	}
 }
@@ -223,7 +223,7 @@
 	l.ApplyMachineList(l.now, l.now, []wire.ListedMachine{{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
 	for i := range 9 {
 		l.tickAfter(3 * time.Second)
-		_, outcome := l.HandleHeartbeat(l.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: uint64(i%2 + 1)}, true /* authority */)
+		_, outcome := l.HandleHeartbeat(l.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: uint64(i%2 + 1)}, true /* holdsLeaderLease */)
 		if outcome != leader.HeartbeatRejected {
 			t.Fatal("heartbeat of the new agent: want HeartbeatRejected")
 		}
@@ -242,13 +242,13 @@
 	l.lastSequence += 2
 	l.FinishDirectCall(l.now, call, leader.DirectCallReplied, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.lastSequence, FencingToken: 5, Tasks: []wire.TaskStatus{task}})
 	overtaken := &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: l.lastSequence - 1, FencingToken: 5}
-	if response, outcome := l.HandleHeartbeat(l.now, overtaken, true /* authority */); outcome != leader.HeartbeatApplied || len(response.Commands) != 0 {
+	if response, outcome := l.HandleHeartbeat(l.now, overtaken, true /* holdsLeaderLease */); outcome != leader.HeartbeatApplied || len(response.Commands) != 0 {
 		t.Fatalf("got outcome %v and response %+v, want HeartbeatApplied and no commands", outcome, response)
 	}
 	if v := l.Query("job-1"); v.RunningTasks != 1 {
 		t.Fatal("the overtaken heartbeat changed the task state, want one running task")
 	}
-	if _, outcome := l.HandleHeartbeat(l.now, overtaken, true /* authority */); outcome != leader.HeartbeatRejected {
+	if _, outcome := l.HandleHeartbeat(l.now, overtaken, true /* holdsLeaderLease */); outcome != leader.HeartbeatRejected {
 		t.Fatal("duplicate of the overtaken heartbeat: want HeartbeatRejected")
 	}
 }
--- a/internal/leader/requests.go
+++ b/internal/leader/requests.go
@@ -7,8 +7,8 @@
 	"switchshore.example/switchshore/internal/jobs"
 )
 
-// Query returns a job's state. The status is 503 while an acceptance or cancellation is not durable
-// yet, because the job's state must not be disclosed then.
+// Query returns a job's state. The status is 503 while the state must be withheld: the job's
+// acceptance, or its cancellation after that of a dependency, is not durable yet.
 func (l *Leader) Query(id string) JobResponse {
 	if j := l.jobs.Get(id); j != nil && j.MustWithholdState() {
 		return JobResponse{Status: http.StatusServiceUnavailable, Reason: "being accepted or cancelled"}
@@ -33,7 +33,7 @@
 		// The job has ended, but its final state is not durable yet.
 		j.AddWaiter(func(decided bool) { respond(l.decidedResponse(decided, id, http.StatusOK)) })
 	default:
-		// A submission that still waits for its response gets one at the same time, when the
+		// If the submission still waits for its response, both requests get one when the
 		// cancellation is durable.
 		j.AddWaiter(func(decided bool) { respond(l.decidedResponse(decided, id, http.StatusOK)) })
 		l.endJob(now, j, jobs.Cancelled, &l.writes.Interactive)
--- a/internal/leader/response.go
+++ b/internal/leader/response.go
@@ -10,11 +10,11 @@
 // JobResponse is the response to a user's request about a job: an HTTP status, and the job's state
 // or the reason for a rejection.
 type JobResponse struct {
-	Status         int
-	State          string
+	Status         int    // HTTP status
+	State          string // one of wire.Job…, or "" if the response describes no job
 	CompletedTasks int
 	RunningTasks   int
-	Reason         string
+	Reason         string // why the request was not executed, or ""
 	// RetryAfterS is the number of seconds after which a rejected request should be retried, or 0
 	// for the default delay.
 	RetryAfterS int
@@ -48,12 +48,11 @@
 	return r, true
 }
 
-// RejectedError says why a submission is rejected. The status is 422 if the job can never be
-// accepted, and 429 or 503 if the submission may be retried.
+// RejectedError says why a submission is rejected.
 type RejectedError struct {
-	Status      int
+	Status      int // HTTP status: 422 if the job can never be accepted, 429 or 503 if a retry may succeed
 	Reason      string
-	RetryAfterS int
+	RetryAfterS int // as in JobResponse
 }
 
 func (e *RejectedError) Error() string { return e.Reason }
@@ -62,9 +61,9 @@
 	return JobResponse{Status: e.Status, Reason: e.Reason, RetryAfterS: e.RetryAfterS}
 }
 
-// decidedResponse returns the response to a request that has waited until the job's acceptance or
-// end is durable, with the given status. If decided is false, the term ended before that, and the
-// status is 503.
+// decidedResponse returns the response to a request that waited for the job's acceptance or end to
+// become durable. The response has the given status, or 503 if decided is false: then the term ended
+// first.
 func (l *Leader) decidedResponse(decided bool, id string, status int) JobResponse {
 	if !decided {
 		return JobResponse{Status: http.StatusServiceUnavailable, Reason: "the term ended"}
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -45,16 +45,20 @@
 	plan := l.scaler.Plan(now)
 	calls := append(l.scaler.ScaleOut(now, plan.ScaleOut), l.drainer.ReplacementCalls(now)...)
 	if l.scaler.ReleaseInFlight() {
-		// Further releases follow later, in one batch.
+		// Only one release call is made at a time. The next one contains all machines that are to be
+		// released by then.
 		return calls
 	}
 	return append(calls, l.scaler.ScaleIn(l.machinesToRelease(now, plan.ScaleIn))...)
 }
 
-// machinesToRelease returns the machines to be released, the most urgent first: unreachable
-// machines with a deadline at risk, then those that the plan does not need, then those that can't
-// or shouldn't run tasks any more. While this node itself is isolated, no machine is released for a
-// deadline, because the machines may be reachable from other nodes.
+// machinesToRelease returns the machines to be released, the most urgent first:
+//  1. unreachable machines with a deadline at risk,
+//  2. unneeded machines, which the plan does not need,
+//  3. machines that can't or shouldn't run tasks any more.
+//
+// While this node itself is isolated, no machine is released because of a deadline: the machines may
+// be reachable from other nodes.
 func (l *Leader) machinesToRelease(now time.Time, unneeded []string) []string {
 	var names []string
 	for _, m := range l.machines.All() {
@@ -71,11 +75,12 @@
 	return names
 }
 
-// demand returns the ready tasks for which capacity is needed, within the limits of their teams.
+// demand returns the ready tasks for which capacity is needed, by descending priority and within the
+// limits of their teams.
 func (l *Leader) demand(now time.Time) []autoscale.Demand {
 	if l.term > 1 && now.Sub(l.timing.TermStart) < seconds.Duration(l.params.Cloud.ListLagS) {
-		// The machine list may still lack the machines that the predecessor provisioned last.
-		// Demand from now would provision them again.
+		// The machine list may still lack the machines that the predecessor provisioned last. If
+		// demand were reported now, the scaler would provision such machines again.
 		return nil
 	}
 	freeCPUs := l.ledger.FreeCPUsByTeam()
@@ -85,8 +90,8 @@
 	for _, r := range ready {
 		j := byID[r.JobID]
 		tasksWithinLimit := int(min(max(0, freeCPUs[j.Team])/max(j.CPUs, 1e-9), float64(r.ReadyTasks)))
-		// A failing job starts one task at a time, but needs a machine for that task. If the job
-		// were left out here, it could wait forever.
+		// A job with failures is included, with the one task that it may start at a time. Without a
+		// machine for that task it could wait forever.
 		demandedTasks := min(r.ReadyTasks, tasksWithinLimit)
 		freeCPUs[j.Team] -= float64(demandedTasks) * j.CPUs
 		if demandedTasks == 0 {
@@ -101,8 +106,8 @@
 	return demand
 }
 
-// FinishProvision applies the result of a provisioning call. names holds the new machines, and is
-// empty if the cloud rejected the call.
+// FinishProvision applies the result of a provisioning call. names holds the IDs of the new machines,
+// and is empty if the cloud rejected the call.
 func (l *Leader) FinishProvision(now time.Time, r wire.ProvisionRequest, names []string) {
 	call := l.scaler.FinishProvision(now, r, len(names))
 	if call == nil {
@@ -120,7 +125,7 @@
 	l.log.Debug().Str("request", r.RequestID).Str("zone", r.Zone).Bool("spot", r.Spot).Int("requested", r.Count).Int("received", len(names)).Msg("machines provisioned")
 }
 
-// FinishRelease records that a release call has succeeded, so that the named machines no longer
+// FinishRelease records that a release call has succeeded: the machines with the given IDs no longer
 // exist.
 func (l *Leader) FinishRelease(now time.Time, names []string) {
 	l.scaler.FinishRelease()
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -9,8 +9,8 @@
 	"switchshore.example/switchshore/internal/placement"
 )
 
-// snapshot returns the description of a machine for the placement algorithm. The cached one is
-// reused until the machine changes or a pass modifies it.
+// snapshot returns the description of a machine for the placement algorithm. It returns the cached
+// snapshot if neither the machine has changed nor a pass has modified the snapshot since.
 func (l *Leader) snapshot(now time.Time, m *machines.Machine) *placement.Machine {
 	if s := m.CachedSnapshot(); s != nil {
 		return s
@@ -22,7 +22,7 @@
 	for _, a := range m.Attempts() {
 		startS := nowS
 		if !m.HasImage(a.Job.Image) && t.FetchGBPerS > 0 {
-			// The task starts when the fetch of its image ends.
+			// The task begins to run when the fetch of its image ends.
 			startS = l.placementTimeS(a.CreatedAt()) + placement.FetchTimeS(a.Job.ImageGB, t.FetchGBPerS)
 			if startS > s.Images[a.Job.Image] {
 				s.Images[a.Job.Image] = startS
--- a/internal/leader/submission.go
+++ b/internal/leader/submission.go
@@ -18,12 +18,14 @@
 	l.SubmitWithClaim(now, wall, spec, nil, respond)
 }
 
-// SubmitWithClaim handles a valid submission. claim is what the node that received it reports for
-// admission control, or nil. respond is called at once, or later, when the job is durable or the
-// term has ended.
+// SubmitWithClaim handles a valid submission. claim is the report on the submission by the node that
+// received it, or nil without a report. respond is called at once if the job is rejected or already
+// known. Otherwise, or while the state of a known job must be withheld, it is called when the
+// decision about the job is durable or the term has ended.
 func (l *Leader) SubmitWithClaim(now time.Time, wall time.Time, spec *wire.Job, claim *admission.Claim, respond func(JobResponse)) {
-	// While the job's state is withheld, this request waits as well. No response may mention a job
-	// before its acceptance is durable, not even if its cancellation has been requested.
+	// While the state of a known job must be withheld, this request waits like the first one. No
+	// response may mention a job before its acceptance is durable, not even if its cancellation has
+	// been requested.
 	if j := l.jobs.Get(spec.ID); j != nil && j.MustWithholdState() {
 		j.AddWaiter(func(decided bool) { respond(l.decidedResponse(decided, spec.ID, http.StatusOK)) })
 		return
@@ -43,7 +45,8 @@
 	l.acceptJob(now, wall, spec, respond)
 }
 
-// checkSubmission returns why a new job can't be accepted, or nil.
+// checkSubmission returns why a new job can't be accepted, or nil if it can. Admission control
+// decides afterwards.
 func (l *Leader) checkSubmission(spec *wire.Job) *RejectedError {
 	if !l.MachineTypesKnown() {
 		return &RejectedError{Status: http.StatusServiceUnavailable, Reason: "machine types not known yet"}
@@ -54,7 +57,7 @@
 	if rejected := l.checkDependencies(spec); rejected != nil {
 		return rejected
 	}
-	if l.admission.unfinished+spec.Tasks > tuning.MaxActiveTasks || l.writes.Interactive.Len() >= l.maxInteractiveWrites() {
+	if l.admission.unfinishedTasks+spec.Tasks > tuning.MaxActiveTasks || l.writes.Interactive.Len() >= l.maxInteractiveWrites() {
 		// The first limit bounds the memory for unfinished tasks. The second one bounds the queued
 		// writes: the key-value store can't execute more within the time that users wait for a
 		// response, so further requests would only time out.
@@ -68,7 +71,7 @@
 func (l *Leader) acceptJob(now time.Time, wall time.Time, spec *wire.Job, respond func(JobResponse)) {
 	j := jobs.New(*spec, wall.UnixMilli(), now)
 	l.jobs.Add(j)
-	l.admission.addUnfinished(j.Team, j.Tasks)
+	l.admission.addUnfinishedTasks(j.Team, j.Tasks)
 	l.graph.Link(j)
 	l.graph.QueueCriticalPathUpdates(j)
 	j.AddWaiter(func(decided bool) { respond(l.decidedResponse(decided, j.ID, http.StatusCreated)) })
@@ -86,8 +89,8 @@
 	}
 }
 
-// maxInteractiveWrites returns the number of writes that the write budget allows within
-// tuning.SubmitTimeout, the longest time that a user waits.
+// maxInteractiveWrites returns the number of writes that the leader's share of the key-value store's
+// write limit allows within tuning.SubmitTimeout, the longest time that a user waits for a response.
 func (l *Leader) maxInteractiveWrites() int {
 	return max(1, int(l.params.KVStore.WriteRPS*tuning.StoreWriteShare*tuning.SubmitTimeout.Seconds()))
 }
@@ -98,7 +101,8 @@
 		return reason
 	}
 	request := placement.TaskRequest(spec)
-	// All jobs may use machines that are not spot, and only these are tried. So Spot has no effect.
+	// The probed machines are not spot machines, which every job may use. So AllowsSpot has no
+	// effect here.
 	probe := placement.PendingJob{MachineTypes: spec.MachineTypes, Zone: spec.Zone, AllowsSpot: true, Request: request, TotalTasks: spec.Tasks}
 	for machineType := range l.catalogue.AllTypes() {
 		for _, zone := range machineType.Zones {
--- a/internal/leader/summary.go
+++ b/internal/leader/summary.go
@@ -6,8 +6,8 @@
 
 // Summary holds the figures of the periodic summary in the log.
 type Summary struct {
-	// UpMachines is the number of machines that have joined and are not being released,
-	// SpotMachines the number of spot machines among them.
+	// The numbers of jobs, tasks, machines and queued writes. UpMachines counts the machines that
+	// have joined and are not being released, SpotMachines the spot machines among them.
 	Jobs, ReadyTasks, AllocatedTasks, Machines, UpMachines, SpotMachines, PendingWrites int
 	// QueuedDependencyUpdates is the number of jobs that are queued to be cancelled, to be
 	// unblocked or to get their critical path updated.
