--- a/internal/leader/admission.go
+++ b/internal/leader/admission.go
@@ -26,7 +26,7 @@
 type admissionControl struct {
 	settings  *admission.Settings
 	regulator *admission.Regulator // nil if admission control is off
-	// unfinished counts the unfinished tasks of all teams, unfinishedTasksByTeam those of each team.
+	// unfinishedTasks counts these tasks for all teams together, unfinishedTasksByTeam for each team.
 	unfinishedTasks       int
 	unfinishedTasksByTeam map[string]int
 }
@@ -62,7 +62,7 @@
 	return OverloadRejection(decision)
 }
 
-// shedding reports whether new jobs are rejected for overload.
+// isShedding reports whether load shedding is active: new jobs are rejected because of overload.
 func (c *admissionControl) isShedding() bool { return c.regulator != nil && c.regulator.Shedding() }
 
 // OverloadRejection returns the error for a job that admission control has rejected.
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -50,7 +50,7 @@
 	ledger         *allocation.Ledger     // quotas of the teams, and the CPUs allocated to their attempts
 	directCalls    directCalls            // commands sent to agents between their heartbeats
 	machineLists   machineLists           // state of the cloud's machine lists
-	taskListNumber uint64                 // number of task lists applied so far, also used as the number of the newest one
+	taskListNumber uint64                 // number of task lists applied so far, and ID of the newest one
 	reachability   *machines.Reachability // zones that are probably partitioned from this node
 
 	// Decisions.
--- a/internal/leader/ready_jobs.go
+++ b/internal/leader/ready_jobs.go
@@ -32,8 +32,8 @@
 	return entries
 }
 
-// readyJobs returns the jobs with tasks that may be placed now, oldest first, and the same jobs by
-// ID.
+// readyJobs returns the jobs with tasks that may be placed now, oldest first, as the placement
+// algorithm needs them. The map contains the same jobs by ID.
 func (l *Leader) readyJobs(now time.Time) ([]*placement.PendingJob, map[string]*jobs.Job) {
 	runnable := l.jobs.RunnableByAge()
 	guaranteed := l.ledger.JobsWithinGuarantee(runnable)
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -129,7 +129,7 @@
 }
 
 // releaseUnlisted releases attempts that the newest task list lacks, if this proves that they are not
-// on the machine. Attempts whose start may still arrive are kept.
+// on the machine.
 func (l *Leader) releaseUnlisted(now time.Time, m *machines.Machine, periodic bool) {
 	for i := len(m.Attempts()) - 1; i >= 0; i-- {
 		a := m.Attempts()[i]
@@ -137,8 +137,10 @@
 		case a.IsInTaskList(l.taskListNumber), a.State() == machines.RecordPending:
 			// The task is on the machine, or its start must not be sent yet.
 		case a.State() != machines.StartSent:
+			// The task was on the machine, or may have been there, and is not there any more.
 			l.releaseAttempt(now, a)
 		case a.StartSentDirectly():
+			// The start may still arrive late, so the attempt is kept.
 			l.requireFencingRelease(now, a)
 		case periodic || !a.StartSentInResponse():
 			// The start was not sent, or only in a response that the agent no longer waits for. So it
@@ -186,7 +188,7 @@
 		l.recordTaskFailure(j, m)
 	case wire.ExitNoCapacity, wire.ExitTaskBusy:
 		m.MarkFull(now.Add(tuning.FullMachineBackoff))
-	case wire.ExitUnknown:
+	case wire.ExitUnknown: // the job has not been uploaded yet
 		j.DelayUntil(now.Add(tuning.UnknownJobBackoff))
 	}
 	l.releaseAttempt(now, a)
--- a/internal/leader/summary.go
+++ b/internal/leader/summary.go
@@ -17,7 +17,7 @@
 	// DrainExaminations is the number of machines and attempts that drains have examined so far. A
 	// machine or attempt counts each time it is examined.
 	DrainExaminations int
-	// CPUs and UsedCPUs are the total and the allocated CPUs of the machines that are up.
+	// CPUs and UsedCPUs are the total and the allocated CPUs of the UpMachines machines.
 	// WantedCPUs is the number of CPUs that ready tasks request.
 	CPUs, UsedCPUs, WantedCPUs float64
 }
