--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -26,7 +26,7 @@
 		return nil, err
 	}
 	sent := time.Now()
-	lease, err := e.Store.Grant(ctx, tuning.LeaderLeaseTTL)
+	lease, err := e.Store.GrantLease(ctx, tuning.LeaderLeaseTTL)
 	if err != nil {
 		return nil, err
 	}
@@ -94,7 +94,7 @@
 	case errors.Is(err, kvstore.ErrConflict):
 		err = nil // another node acquired the key first
 	}
-	_ = e.Store.Revoke(ctx, lease) // on an error, the lease expires by itself
+	_ = e.Store.RevokeLease(ctx, lease) // on an error, the lease expires by itself
 	return 0, false, err
 }
 
--- a/internal/election/campaign_test.go
+++ b/internal/election/campaign_test.go
@@ -41,7 +41,7 @@
 	return wire.KeyValue{Key: key, Value: value, Version: keyVersion}, nil
 }
 
-func (s *fakeStore) Grant(context.Context, time.Duration) (uint64, error) { return grantedLease, nil }
+func (s *fakeStore) GrantLease(context.Context, time.Duration) (uint64, error) { return grantedLease, nil }
 
 func (s *fakeStore) Commit(_ context.Context, txn wire.Txn) (wire.TxnResult, error) {
 	s.txns = append(s.txns, txn)
@@ -53,12 +53,12 @@
 	return wire.TxnResult{Revision: wonRevision}, s.commitErr
 }
 
-func (s *fakeStore) Renew(context.Context, uint64) error {
+func (s *fakeStore) RenewLease(context.Context, uint64) error {
 	s.calls = append(s.calls, "renew")
 	return s.renewErr
 }
 
-func (s *fakeStore) Revoke(context.Context, uint64) error {
+func (s *fakeStore) RevokeLease(context.Context, uint64) error {
 	s.calls = append(s.calls, "revoke")
 	return nil
 }
--- a/internal/election/leadership.go
+++ b/internal/election/leadership.go
@@ -44,9 +44,9 @@
 	return !l.revoked.Load() && now.Before(*l.validUntil.Load())
 }
 
-// InGracePeriod reports whether this node may answer worker heartbeats in its term: it holds
+// MayAnswerHeartbeats reports whether this node may answer worker heartbeats in its term: it holds
 // the lease, or held it until less than the grace period ago and knows of no later leader.
-func (l *Leadership) InGracePeriod(now time.Time, grace time.Duration) bool {
+func (l *Leadership) MayAnswerHeartbeats(now time.Time, grace time.Duration) bool {
 	return !l.revoked.Load() && now.Before(l.validUntil.Load().Add(grace))
 }
 
--- a/internal/election/leadership_test.go
+++ b/internal/election/leadership_test.go
@@ -39,7 +39,7 @@
 			if got := l.HoldsLease(c.now); got != c.holds {
 				t.Errorf("holds the lease: %v", got)
 			}
-			if got := l.InGracePeriod(c.now, grace); got != c.inGrace {
+			if got := l.MayAnswerHeartbeats(c.now, grace); got != c.inGrace {
 				t.Errorf("in the grace period: %v", got)
 			}
 		})
--- a/internal/election/term.go
+++ b/internal/election/term.go
@@ -47,7 +47,7 @@
 func (e *Election) renewLease(ctx context.Context, l *Leadership) {
 	for ctx.Err() == nil {
 		sent := time.Now()
-		err := e.Store.Renew(ctx, l.lease)
+		err := e.Store.RenewLease(ctx, l.lease)
 		delay := tuning.LeaseRenewInterval
 		switch {
 		case err == nil:
@@ -69,5 +69,5 @@
 func (e *Election) releaseLease(ctx context.Context, l *Leadership) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), tuning.LeaseRenewTimeout)
 	defer cancel()
-	_ = e.Store.Revoke(ctx, l.lease) // on an error, the lease expires by itself
+	_ = e.Store.RevokeLease(ctx, l.lease) // on an error, the lease expires by itself
 }
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -39,13 +39,13 @@
 	c.budget.setShare(leading)
 }
 
-// MaxOps returns the largest number of changes that one transaction may have, given the
+// MaxTxnChanges returns the largest number of changes that one transaction may have, given the
 // store's limit and the burst of the write budget.
-func (c *Client) MaxOps() int { return c.budget.maxOps() }
+func (c *Client) MaxTxnChanges() int { return c.budget.maxOps() }
 
-// SpareWrites returns the number of changes that background work may make now. Half of the
+// BackgroundWriteAllowance returns the number of changes that background work may make now. Half of the
 // burst stays reserved for changes that users wait for.
-func (c *Client) SpareWrites() int { return c.budget.spareWrites() }
+func (c *Client) BackgroundWriteAllowance() int { return c.budget.spareWrites() }
 
 // Get reads one key. It returns ErrNotFound if the key does not exist.
 func (c *Client) Get(ctx context.Context, key string) (wire.KeyValue, error) {
--- a/internal/kvstore/fenced_writer.go
+++ b/internal/kvstore/fenced_writer.go
@@ -73,12 +73,12 @@
 	w.current, w.remaining, w.refused, w.writesFence = writes, nil, nil, false
 }
 
-// Refused returns the keys of the changes in the current group that the store refused and the
+// RefusedKeys returns the keys of the changes in the current group that the store refused and the
 // writer skipped.
-func (w *FencedWriter) Refused() []string { return w.refused }
+func (w *FencedWriter) RefusedKeys() []string { return w.refused }
 
-// Txn returns the next transaction to send.
-func (w *FencedWriter) Txn() wire.Txn {
+// NextTxn returns the next transaction to send.
+func (w *FencedWriter) NextTxn() wire.Txn {
 	txn := wire.Txn{If: []wire.Compare{w.leaderCondition, w.termCondition}, Then: w.current}
 	if w.writesFence {
 		record := TermRecord{Term: w.term, Fence: w.lastFence}
@@ -134,7 +134,7 @@
 		return Applied
 	}
 	w.current, w.remaining, w.writesFence = w.remaining[0], w.remaining[1:], false
-	return ContinueSplit
+	return SendNextPart
 }
 
 // splitCurrent halves a transaction that the store refused as invalid and did not apply, or skips
@@ -147,7 +147,7 @@
 	case half > 0:
 		w.remaining = append([][]wire.Mutation{w.current[half:]}, w.remaining...)
 		w.current = w.current[:half:half]
-		return ContinueSplit
+		return SendNextPart
 	case len(w.current) == 1:
 		w.refused = append(w.refused, w.current[0].Key())
 		return w.startNextPart()
@@ -165,14 +165,14 @@
 		if outcome == OutcomeUnknown {
 			outcome = w.ResolveUnknown(store.Get(ctx, KeyTerm))
 		} else {
-			outcome = w.HandleResult(store.Commit(ctx, w.Txn()))
+			outcome = w.HandleResult(store.Commit(ctx, w.NextTxn()))
 		}
 		switch outcome {
 		case Applied:
-			return w.Refused(), nil
+			return w.RefusedKeys(), nil
 		case Deposed:
 			return nil, ErrDeposed
-		case ContinueSplit:
+		case SendNextPart:
 			continue
 		}
 		if err := ctxtime.Sleep(ctx, tuning.StoreRetryDelay); err != nil {
--- a/internal/kvstore/fenced_writer_test.go
+++ b/internal/kvstore/fenced_writer_test.go
@@ -36,15 +36,15 @@
 func TestLateTransactionIsRejected(t *testing.T) {
 	s, w := newTerm(t)
 	w.Begin([]wire.Mutation{put("k", "old")})
-	late := w.Txn()
+	late := w.NextTxn()
 	if o := w.HandleResult(wire.TxnResult{}, httpclient.ErrNoResponse); o != kvstore.Retry {
 		t.Fatal("a lost response must lead to a retry, got", o)
 	}
-	if o := w.HandleResult(s.Commit(w.Txn())); o != kvstore.Applied {
+	if o := w.HandleResult(s.Commit(w.NextTxn())); o != kvstore.Applied {
 		t.Fatal("retry:", o)
 	}
 	w.Begin([]wire.Mutation{put("k", "new")})
-	if o := w.HandleResult(s.Commit(w.Txn())); o != kvstore.Applied {
+	if o := w.HandleResult(s.Commit(w.NextTxn())); o != kvstore.Applied {
 		t.Fatal("next transaction:", o)
 	}
 	if _, err := s.Commit(late); err == nil {
@@ -62,18 +62,18 @@
 	s, w := newTerm(t)
 	w.Begin([]wire.Mutation{put("k", "v")})
 	w.HandleResult(wire.TxnResult{}, httpclient.ErrNoResponse)
-	if _, err := s.Commit(w.Txn()); err != nil {
+	if _, err := s.Commit(w.NextTxn()); err != nil {
 		t.Fatal(err)
 	}
 	w.HandleResult(wire.TxnResult{}, httpclient.ErrNoResponse)
-	if o := w.HandleResult(s.Commit(w.Txn())); o != kvstore.OutcomeUnknown {
+	if o := w.HandleResult(s.Commit(w.NextTxn())); o != kvstore.OutcomeUnknown {
 		t.Fatal("third attempt:", o)
 	}
 	if o := w.ResolveUnknown(s.Get(kvstore.KeyTerm)); o != kvstore.Applied {
 		t.Fatal("resolved:", o)
 	}
 	w.Begin([]wire.Mutation{put("k", "w")})
-	if o := w.HandleResult(s.Commit(w.Txn())); o != kvstore.Applied {
+	if o := w.HandleResult(s.Commit(w.NextTxn())); o != kvstore.Applied {
 		t.Fatal("next transaction:", o)
 	}
 }
@@ -85,7 +85,7 @@
 		t.Fatal(err)
 	}
 	w.Begin([]wire.Mutation{put("k", "v")})
-	if o := w.HandleResult(s.Commit(w.Txn())); o != kvstore.Deposed {
+	if o := w.HandleResult(s.Commit(w.NextTxn())); o != kvstore.Deposed {
 		t.Fatal(o)
 	}
 }
@@ -172,7 +172,7 @@
 		}
 		outcome = f.nextOutcome(outcome)
 	}
-	refused := f.writer.Refused()
+	refused := f.writer.RefusedKeys()
 	if round >= 2 && slices.Contains(refused, oversized.Put) != withOversized || round >= 2 && len(refused) > 1 {
 		f.t.Fatalf("round %d: refused %v", round, refused)
 	}
@@ -184,7 +184,7 @@
 	if outcome == kvstore.OutcomeUnknown {
 		return f.writer.ResolveUnknown(f.store.Get(kvstore.KeyTerm))
 	}
-	txn := f.writer.Txn()
+	txn := f.writer.NextTxn()
 	switch f.rng.IntN(4) {
 	case 0:
 		f.lateCopies = append(f.lateCopies, txn) // applied late or never
@@ -258,12 +258,12 @@
 		{"one invalid change", 1, []step{invalid(kvstore.Applied)}, []string{"k0"}},
 		{
 			"the first of two invalid", 2,
-			[]step{invalid(kvstore.ContinueSplit), invalid(kvstore.ContinueSplit), applied},
+			[]step{invalid(kvstore.SendNextPart), invalid(kvstore.SendNextPart), applied},
 			[]string{"k0"},
 		},
 		{
 			"the second of two invalid", 2,
-			[]step{invalid(kvstore.ContinueSplit), {outcome: kvstore.ContinueSplit}, invalid(kvstore.Applied)},
+			[]step{invalid(kvstore.SendNextPart), {outcome: kvstore.SendNextPart}, invalid(kvstore.Applied)},
 			[]string{"k1"},
 		},
 		{"invalid without any change", 0, []step{invalid(kvstore.Deposed)}, nil},
@@ -276,7 +276,7 @@
 					t.Fatalf("step %d: %v, want %v", i, got, s.outcome)
 				}
 			}
-			if got := w.Refused(); !slices.Equal(got, c.refused) {
+			if got := w.RefusedKeys(); !slices.Equal(got, c.refused) {
 				t.Errorf("refused %v, want %v", got, c.refused)
 			}
 		})
@@ -310,7 +310,7 @@
 			if c.outcome != kvstore.Applied {
 				return
 			}
-			if txn := w.Txn(); txn.If[1] != (wire.Compare{Key: kvstore.KeyTerm, Version: 9}) {
+			if txn := w.NextTxn(); txn.If[1] != (wire.Compare{Key: kvstore.KeyTerm, Version: 9}) {
 				t.Errorf("conditions of the next transaction: %+v", txn.If)
 			}
 		})
--- a/internal/kvstore/lease.go
+++ b/internal/kvstore/lease.go
@@ -10,22 +10,22 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// Grant creates a lease with the given time to live and returns its ID.
-func (c *Client) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
+// GrantLease creates a lease with the given time to live and returns its ID.
+func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	request := wire.LeaseRequest{TTLMS: ttl.Milliseconds()}
 	var response wire.LeaseResponse
 	_, err := c.do(ctx, tuning.LeaseRenewTimeout, http.MethodPost, "/leases", request, &response)
 	return response.Lease, err
 }
 
-// Renew restarts a lease's time to live. ErrNotFound means that the lease has expired.
-func (c *Client) Renew(ctx context.Context, lease uint64) error {
+// RenewLease restarts a lease's time to live. ErrNotFound means that the lease has expired.
+func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
 	_, err := c.do(ctx, tuning.LeaseRenewTimeout, http.MethodPost, leaseURI(lease)+"/touch", struct{}{}, nil)
 	return err
 }
 
-// Revoke ends a lease and deletes its keys.
-func (c *Client) Revoke(ctx context.Context, lease uint64) error {
+// RevokeLease ends a lease and deletes its keys.
+func (c *Client) RevokeLease(ctx context.Context, lease uint64) error {
 	_, err := c.do(ctx, tuning.LeaseRenewTimeout, http.MethodDelete, leaseURI(lease), nil, nil)
 	return err
 }
--- a/internal/kvstore/outcome.go
+++ b/internal/kvstore/outcome.go
@@ -12,8 +12,8 @@
 	Applied Outcome = iota
 	// Retry: send Txn again after a delay.
 	Retry
-	// ContinueSplit: send Txn, which now returns the next part, without a delay.
-	ContinueSplit
+	// SendNextPart: send Txn, which now returns the next part, without a delay.
+	SendNextPart
 	// OutcomeUnknown: read KeyTerm and pass it to ResolveUnknown.
 	OutcomeUnknown
 	// Deposed: the changes were not applied and never will be, as the term has ended.
@@ -27,7 +27,7 @@
 		return "applied"
 	case Retry:
 		return "retry"
-	case ContinueSplit:
+	case SendNextPart:
 		return "continue split"
 	case OutcomeUnknown:
 		return "unknown"
--- a/internal/kvstore/store.go
+++ b/internal/kvstore/store.go
@@ -41,12 +41,12 @@
 	List(ctx context.Context, prefix string, visit func(wire.KeyValue) error) error
 	// Commit runs one compare-and-swap transaction.
 	Commit(ctx context.Context, txn wire.Txn) (wire.TxnResult, error)
-	// Grant creates a lease and returns its ID.
-	Grant(ctx context.Context, ttl time.Duration) (uint64, error)
-	// Renew restarts a lease's time to live.
-	Renew(ctx context.Context, lease uint64) error
-	// Revoke ends a lease and deletes its keys.
-	Revoke(ctx context.Context, lease uint64) error
+	// GrantLease creates a lease and returns its ID.
+	GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
+	// RenewLease restarts a lease's time to live.
+	RenewLease(ctx context.Context, lease uint64) error
+	// RevokeLease ends a lease and deletes its keys.
+	RevokeLease(ctx context.Context, lease uint64) error
 	// Watch blocks until a key with the prefix has changed after the given revision, for
 	// maxWait at most.
 	Watch(ctx context.Context, prefix string, after uint64, maxWait time.Duration) error
--- a/internal/node/commit.go
+++ b/internal/node/commit.go
@@ -35,7 +35,7 @@
 func (t *term) nextBatch() *records.Batch {
 	t.node.mu.Lock()
 	defer t.node.mu.Unlock()
-	return t.state.NextWriteBatch(t.node.store.MaxOps(), t.node.store.SpareWrites())
+	return t.state.NextWriteBatch(t.node.store.MaxTxnChanges(), t.node.store.BackgroundWriteAllowance())
 }
 
 // awaitChanges waits for changes, then for another interval in which more can join their
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -46,7 +46,7 @@
 // if the heartbeat carries a later term. The caller must hold mu.
 func (n *Node) applyHeartbeat(now time.Time, h *wire.Heartbeat) (response peer.Response, handled bool) {
 	holdsLease := n.leadership.HoldsLease(now)
-	if !n.leadership.InGracePeriod(now, n.gracePeriod) {
+	if !n.leadership.MayAnswerHeartbeats(now, n.gracePeriod) {
 		return peer.Response{}, false
 	}
 	heartbeatResponse, outcome := n.leader.HandleHeartbeat(now, h, holdsLease)
--- a/internal/node/local_test.go
+++ b/internal/node/local_test.go
@@ -74,7 +74,7 @@
 			if handled != c.handled || response.Status != c.status {
 				t.Errorf("handled: %v, %+v", handled, response)
 			}
-			if revoked := n.leadership != nil && !n.leadership.InGracePeriod(c.renewed, n.gracePeriod); revoked != c.revoked {
+			if revoked := n.leadership != nil && !n.leadership.MayAnswerHeartbeats(c.renewed, n.gracePeriod); revoked != c.revoked {
 				t.Errorf("revoked: %v", revoked)
 			}
 			if ticks := len(n.tickSignal) > 0; ticks != c.ticks {
--- a/internal/simulation/node_writes.go
+++ b/internal/simulation/node_writes.go
@@ -41,7 +41,7 @@
 		}
 		n.writer.Begin(writes)
 	}
-	n.commit(n.writer.Txn(), func(result wire.TxnResult, err error) {
+	n.commit(n.writer.NextTxn(), func(result wire.TxnResult, err error) {
 		if n.leader == l {
 			n.handleOutcome(l, n.writer.HandleResult(result, err))
 		}
@@ -72,10 +72,10 @@
 func (n *node) handleOutcome(l *leader.Leader, outcome kvstore.Outcome) {
 	switch outcome {
 	case kvstore.Applied:
-		l.MarkBatchCommitted(n.batch, n.writer.Refused())
+		l.MarkBatchCommitted(n.batch, n.writer.RefusedKeys())
 		n.batch = nil
 		n.commitLoop(l)
-	case kvstore.ContinueSplit:
+	case kvstore.SendNextPart:
 		n.commitLoop(l)
 	case kvstore.Retry:
 		n.after(tuning.StoreRetryDelay, func() { n.commitLoop(l) })
