--- a/internal/api/heartbeats_test.go
+++ b/internal/api/heartbeats_test.go
@@ -81,14 +81,14 @@
 func TestWorkerConnectionLimit(t *testing.T) {
 	srv := startServer(t, 50)
 	var workers []*fasthttp.HostClient
-	for range srv.workers.limit {
+	for range srv.workerConns.limit {
 		c := srv.newClient()
 		workers = append(workers, c)
 		if got, closed := srv.sendHeartbeat(c); got != 200 || closed {
 			t.Fatalf("worker %d: %d, closed: %v", len(workers), got, closed)
 		}
 	}
-	for range 2 * srv.http.Concurrency {
+	for range 2 * srv.httpServer.Concurrency {
 		if got, closed := srv.sendHeartbeat(srv.newClient()); got != 200 || !closed {
 			t.Fatalf("worker above the limit: %d, closed: %v", got, closed)
 		}
--- a/internal/api/respond.go
+++ b/internal/api/respond.go
@@ -11,7 +11,7 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// serveCall passes a call to the service and sends its response to the caller.
+// serveCall passes a call to the service and sends the service's response to the client.
 func (s *Server) serveCall(rc *fasthttp.RequestCtx, c peer.Call) {
 	response := s.service.Handle(s.ctx, c)
 	var body []byte
@@ -26,12 +26,12 @@
 	respond(rc, response.Status, max(response.RetryAfter, tuning.RetryAfterS), body)
 }
 
-// respondError sends an error status with the reason.
+// respondError sends an error status with the reason in the body.
 func respondError(rc *fasthttp.RequestCtx, status int, reason string) {
 	respond(rc, status, tuning.RetryAfterS, encode(wire.Error{Error: reason}))
 }
 
-// respond writes a response. A 503 or 429 also carries Retry-After.
+// respond writes a response. Retry-After is set only if the status is 503 or 429.
 func respond(rc *fasthttp.RequestCtx, status, retryAfterS int, body []byte) {
 	rc.SetStatusCode(status)
 	rc.SetContentType("application/json")
@@ -43,6 +43,6 @@
 
 // encode returns a message of package wire as a JSON body.
 func encode(message any) []byte {
-	body, _ := json.Marshal(message) // can't fail: strings, numbers and lists of them
+	body, _ := json.Marshal(message) // can't fail: the message contains only strings, numbers and lists of them
 	return body
 }
--- a/internal/api/routes.go
+++ b/internal/api/routes.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// routeJob passes a request about one job to its handler. The path, without the prefix, is a job
-// ID, or a job ID and an action.
+// routeJob passes a request about one job to its handler. path is the part after jobPrefix: a job
+// ID, optionally followed by a slash and an action.
 func (s *Server) routeJob(rc *fasthttp.RequestCtx, path string) {
 	id, action, hasAction := strings.Cut(path, "/")
 	switch {
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -14,7 +14,7 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// Minimum connection limits, used if the process's limits would allow fewer.
+// Minimum connection limits, used if the shares of the process's limit would be lower.
 const (
 	minConnections       = 16
 	minWorkerConnections = 8
@@ -22,7 +22,7 @@
 
 // Service handles requests on this node or at the leader.
 type Service interface {
-	// Handle carries out a call and returns the response for the caller.
+	// Handle executes a call and returns the response for the client.
 	Handle(ctx context.Context, c peer.Call) peer.Response
 	// Healthy reports whether this node can handle requests.
 	Healthy() bool
@@ -30,17 +30,17 @@
 
 // Server is the HTTP server of a node.
 type Server struct {
-	service Service
-	http    *fasthttp.Server
-	workers workerConnections
-	ctx     context.Context // context of Run, used for calls since fasthttp provides none
+	service     Service
+	httpServer  *fasthttp.Server
+	workerConns workerConnections
+	ctx         context.Context // the context of Run, for calls: fasthttp provides no context that ends with Run
 }
 
-// New returns a server that limits its connections according to the process's limits.
+// New returns a server that derives its connection limits from the process's limits.
 func New(log zerolog.Logger, service Service, limits config.ProcessLimits) *Server {
 	connections, workers := connectionLimits(limits)
-	s := &Server{service: service, workers: newWorkerConnections(workers)}
-	s.http = &fasthttp.Server{
+	s := &Server{service: service, workerConns: newWorkerConnections(workers)}
+	s.httpServer = &fasthttp.Server{
 		Name:                         "switchshore",
 		Handler:                      s.route,
 		Concurrency:                  connections,
@@ -51,14 +51,14 @@
 		NoDefaultDate:                true,
 		DisablePreParseMultipartForm: true,
 		CloseOnShutdown:              true,
-		ConnState:                    s.workers.onStateChange,
+		ConnState:                    s.workerConns.onStateChange,
 		Logger:                       &log,
 	}
 	return s
 }
 
 // connectionLimits returns how many connections may be open in total, and how many of them
-// workers may keep open.
+// workers may keep open, so that they can't use up those of users and health checks.
 func connectionLimits(limits config.ProcessLimits) (total, workers int) {
 	if limits.MaxConnections <= 0 {
 		return fasthttp.DefaultConcurrency, fasthttp.DefaultConcurrency
@@ -72,7 +72,7 @@
 // Run serves connections from ln until the context ends.
 func (s *Server) Run(ctx context.Context, ln net.Listener) error {
 	s.ctx = ctx
-	stop := context.AfterFunc(ctx, func() { _ = s.http.Shutdown() }) // Serve returns any error
+	stop := context.AfterFunc(ctx, func() { _ = s.httpServer.Shutdown() }) // errors are returned by Serve
 	defer stop()
-	return s.http.Serve(ln)
+	return s.httpServer.Serve(ln)
 }
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -13,12 +13,12 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// campaign tries once to acquire the leader key. It returns nil without an error if another node
-// acquires the key first, or holds it; in the latter case it returns after the key has changed
-// or a timeout.
+// campaign tries once to acquire the leader key, and returns the leadership if that succeeds. It
+// returns nil without an error if another node acquires the key first. If another node already
+// holds the key, campaign waits up to WatchTimeout for a change of the key, then returns nil.
 func (e *Election) campaign(ctx context.Context) (*Leadership, error) {
-	leaderVersion, free, err := e.checkLeaderKey(ctx)
-	if err != nil || !free {
+	leaderVersion, acquirable, err := e.checkLeaderKey(ctx)
+	if err != nil || !acquirable {
 		return nil, err
 	}
 	term, termVersion, err := e.readTerm(ctx)
@@ -44,10 +44,11 @@
 	return leadership, nil
 }
 
-// checkLeaderKey reports whether the leader key can be acquired, and returns its version. If the
-// key does not exist, it first sleeps for a random time, to spread simultaneous campaigns. If
-// another node holds the key, it first waits up to WatchTimeout for a change.
-func (e *Election) checkLeaderKey(ctx context.Context) (version uint64, free bool, err error) {
+// checkLeaderKey reports whether the leader key can be acquired, and returns the key's version. If
+// the key does not exist, checkLeaderKey sleeps for a random time before it returns, so that the
+// nodes don't all campaign at once. If the key is held, it waits up to WatchTimeout for a change
+// of the key.
+func (e *Election) checkLeaderKey(ctx context.Context) (version uint64, acquirable bool, err error) {
 	leader, err := e.Store.Get(ctx, kvstore.KeyLeader)
 	e.otherNodeLeads.Store(false)
 	if errors.Is(err, kvstore.ErrNotFound) {
@@ -60,8 +61,8 @@
 	if err != nil {
 		return 0, false, err
 	}
-	// A key held by this node's previous process can be acquired at once: a node runs one
-	// process at a time, so the previous one has ended.
+	// A key held by this node's previous process can be acquired before its lease expires: a
+	// node runs one process at a time, so the previous process has ended.
 	if holder.Node == e.Node && holder.Nonce != e.nonce {
 		return leader.Version, true, nil
 	}
@@ -69,7 +70,8 @@
 	return 0, false, e.Store.Watch(ctx, kvstore.KeyLeader, leader.Version, tuning.WatchTimeout)
 }
 
-// readTerm returns the last term, 0 if there was none, and the version of its key.
+// readTerm returns the number of the last term, or 0 if there was none, and the version of the
+// term key.
 func (e *Election) readTerm(ctx context.Context) (term, version uint64, err error) {
 	item, err := e.Store.Get(ctx, kvstore.KeyTerm)
 	if errors.Is(err, kvstore.ErrNotFound) {
@@ -82,8 +84,8 @@
 	return record.Term, item.Version, err
 }
 
-// commitCampaign commits the transaction of a campaign. If the campaign was won, it returns the
-// version of the leader key.
+// commitCampaign commits the transaction of a campaign and reports whether the campaign was won.
+// If so, it returns the version that the transaction gave to the leader and term keys.
 func (e *Election) commitCampaign(ctx context.Context, txn wire.Txn, lease uint64) (version uint64, won bool, err error) {
 	result, err := e.Store.Commit(ctx, txn)
 	switch {
@@ -98,9 +100,10 @@
 	return 0, false, err
 }
 
-// resolveCampaign reads the leader key after a campaign without a response. The campaign was
-// won if the key holds its nonce. If the transaction is applied after the read, nobody renews
-// its lease, so the key expires.
+// resolveCampaign finds out whether a campaign was won whose transaction got no response: it was
+// won if the leader key holds the campaign's nonce. If the store applies the transaction only
+// after this read, the campaign counts as lost. This node then does not renew the lease, so the
+// store deletes the leader key when the lease expires.
 func (e *Election) resolveCampaign(ctx context.Context) (version uint64, won bool, err error) {
 	leader, err := e.Store.Get(ctx, kvstore.KeyLeader)
 	if err != nil {
--- a/internal/election/campaign_test.go
+++ b/internal/election/campaign_test.go
@@ -29,7 +29,7 @@
 	commitErr     error
 	applyCommits  bool // also if commitErr is set
 	renewErr      error
-	txns          []wire.Txn
+	committed     []wire.Txn
 	calls         []string
 }
 
@@ -41,10 +41,12 @@
 	return wire.KeyValue{Key: key, Value: value, Version: keyVersion}, nil
 }
 
-func (s *fakeStore) GrantLease(context.Context, time.Duration) (uint64, error) { return grantedLease, nil }
+func (s *fakeStore) GrantLease(context.Context, time.Duration) (uint64, error) {
+	return grantedLease, nil
+}
 
 func (s *fakeStore) Commit(_ context.Context, txn wire.Txn) (wire.TxnResult, error) {
-	s.txns = append(s.txns, txn)
+	s.committed = append(s.committed, txn)
 	if s.applyCommits {
 		for _, change := range txn.Then {
 			s.values[change.Put] = change.Value
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -15,8 +15,8 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// nonceBits bounds the first nonce of a process, so that it and its increments stay exact for
-// readers that decode JSON numbers as float64.
+// nonceBits is the size of a process's first nonce. Below 53 bits, this nonce and the following
+// ones stay exact for readers that decode JSON numbers as float64.
 const nonceBits = 52
 
 // Election campaigns for the leadership on behalf of one node.
@@ -24,27 +24,28 @@
 	Store kvstore.Store
 	Node  string
 	Log   zerolog.Logger
-	// OnElected is called when the node has become the leader. Its context ends with the term,
-	// and the term ends when OnElected returns.
+	// OnElected is called when the node has become the leader. Its context is cancelled when the
+	// term ends, and the term also ends when OnElected returns.
 	OnElected func(context.Context, *Leadership) error
 
-	// nonce distinguishes the campaigns of this process from each other and from those of the
-	// node's previous process.
+	// nonce identifies a campaign. It differs between the campaigns of this process, and from
+	// those of the node's previous process.
 	nonce          uint64
 	otherNodeLeads atomic.Bool
 }
 
-// OtherNodeLeads reports whether another node held the leader key at the last read. A watch on
-// the key keeps this up to date.
+// OtherNodeLeads reports whether another node held the leader key when this node last read it.
+// A follower reads the key again when it changes, or after WatchTimeout.
 func (e *Election) OtherNodeLeads() bool { return e.otherNodeLeads.Load() }
 
-// Run campaigns and, when elected, leads for a term, and repeats this until the context ends.
+// Run campaigns until the node is elected, then serves the term. It repeats this until the context
+// ends.
 func (e *Election) Run(ctx context.Context) error {
 	e.nonce = rand.Uint64() >> (64 - nonceBits)
 	for ctx.Err() == nil {
 		leadership, err := e.campaign(ctx)
 		if err != nil {
-			e.Log.Debug().Err(err).Msg("leader campaign failed, retrying")
+			e.Log.Debug().Err(err).Msg("campaign for leadership failed, retrying")
 			if err := ctxtime.Sleep(ctx, tuning.CampaignRetryDelay); err != nil {
 				return err
 			}
--- a/internal/election/leadership.go
+++ b/internal/election/leadership.go
@@ -12,8 +12,8 @@
 	Term          uint64
 	LeaderVersion uint64
 	TermVersion   uint64
-	// WonAt is when this node learned that it had won. The leases of all earlier leaders had
-	// expired by then.
+	// WonAt is when this node learned that it had won the campaign. By then, no earlier leader
+	// held the leader key any more.
 	WonAt time.Time
 
 	lease      uint64
@@ -29,8 +29,8 @@
 	return l
 }
 
-// MarkRenewed records that a renewal sent at the given time succeeded, and extends the
-// validity accordingly.
+// MarkRenewed records that a lease renewal sent at the given time succeeded, and extends the
+// time in which HoldsLease returns true.
 func (l *Leadership) MarkRenewed(sent time.Time) {
 	validUntil := leaseValidUntil(sent)
 	l.validUntil.Store(&validUntil)
@@ -39,20 +39,21 @@
 // Revoke ends the leadership permanently.
 func (l *Leadership) Revoke() { l.revoked.Store(true) }
 
-// HoldsLease reports whether this node is certainly the leader at the given time.
+// HoldsLease reports whether this node is certainly the leader at the given time: its lease can't
+// have expired, and the leadership has not been revoked.
 func (l *Leadership) HoldsLease(now time.Time) bool {
 	return !l.revoked.Load() && now.Before(*l.validUntil.Load())
 }
 
-// MayAnswerHeartbeats reports whether this node may answer worker heartbeats in its term: it holds
-// the lease, or held it until less than the grace period ago and knows of no later leader.
+// MayAnswerHeartbeats reports whether this node may answer worker heartbeats: it holds the lease,
+// or its lease became invalid less than a grace period ago, and the leadership has not been revoked.
 func (l *Leadership) MayAnswerHeartbeats(now time.Time, grace time.Duration) bool {
 	return !l.revoked.Load() && now.Before(l.validUntil.Load().Add(grace))
 }
 
-// leaseValidUntil returns the end of the time for which a renewal sent at the given time makes
-// this node certainly the leader. By this node's clock, the lease can't expire before, even if
-// the clocks drift apart by ClockDrift.
+// leaseValidUntil returns until when this node is certainly the leader after a lease renewal sent
+// at the given time. By this node's clock, the lease can't expire earlier, even if the clocks of
+// node and store drift apart by ClockDrift.
 func leaseValidUntil(sent time.Time) time.Time {
 	ttl := time.Duration(float64(tuning.LeaderLeaseTTL) * (1 - tuning.ClockDrift))
 	return sent.Add(ttl - tuning.LeaseSafetyMargin)
--- a/internal/election/record.go
+++ b/internal/election/record.go
@@ -38,8 +38,8 @@
 	return record, nil
 }
 
-// NewCampaignTxn returns a transaction that puts the leader key on a lease and stores the term,
-// provided that both keys still have the given versions.
+// NewCampaignTxn returns the transaction of a campaign. It writes the leader key, attached to the
+// lease, and the term key, if both keys still have the given versions.
 func NewCampaignTxn(record LeaderRecord, term, lease, leaderVersion, termVersion uint64) wire.Txn {
 	return wire.Txn{
 		If: []wire.Compare{
--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -10,11 +10,11 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// minBurst is the smallest burst of either limiter, in requests or in changes.
+// minBurst is the smallest burst of the two rate limiters, in requests or in changes.
 const minBurst = 4
 
-// budget limits the rates of this node's requests and changes to its share of the store's
-// limits. The shares of one leader and all followers add up to no more than the limits.
+// budget limits the rates of this node's requests and changes to the node's share of the store's
+// limits. The shares of one leader and all followers add up to no more than these limits.
 type budget struct {
 	limits    config.KVStoreLimits
 	followers int
@@ -30,11 +30,11 @@
 		requests:  rate.NewLimiter(1, 1),
 		writes:    rate.NewLimiter(1, 1),
 	}
-	b.setShare(false)
+	b.setShare(false) // a follower's share
 	return b
 }
 
-// setShare gives the limiters the rates of a leader or of a follower.
+// setShare sets the rate limiters to the share of a leader or of a follower.
 func (b *budget) setShare(leading bool) {
 	requestShare := tuning.StoreFollowerShare / float64(b.followers)
 	writeShare := (1 - tuning.StoreWriteShare) / float64(b.followers)
@@ -45,38 +45,40 @@
 	setLimit(b.writes, b.limits.WriteRPS*writeShare, max(minBurst, b.limits.TxnOps/2))
 }
 
-// setLimit sets the rate, and a burst of half a second at that rate, but at least minimum.
+// setLimit sets the limiter's rate, and its burst to what the rate allows in half a second, but
+// at least to minimum.
 func setLimit(limiter *rate.Limiter, perSecond float64, minimum int) {
 	limiter.SetLimit(rate.Limit(perSecond))
 	limiter.SetBurst(max(int(perSecond/2), minimum))
 }
 
-// awaitRequest blocks until the budget allows one more request.
-func (b *budget) awaitRequest(ctx context.Context) error {
+// waitForRequest blocks until the budget allows one more request.
+func (b *budget) waitForRequest(ctx context.Context) error {
 	if err := b.requests.Wait(ctx); err != nil {
 		return budgetError(err)
 	}
 	return nil
 }
 
-// awaitWrites blocks until the budget allows the given number of changes.
-func (b *budget) awaitWrites(ctx context.Context, changes int) error {
+// waitForWrites blocks until the budget allows the given number of changes.
+func (b *budget) waitForWrites(ctx context.Context, changes int) error {
 	if err := b.writes.WaitN(ctx, changes); err != nil {
 		return budgetError(err)
 	}
 	return nil
 }
 
-// maxOps returns the largest number of changes that one transaction may have. It leaves room
-// for FencedWriter's write of the term key, in the transaction and in the burst.
-func (b *budget) maxOps() int { return max(1, min(b.limits.TxnOps, b.writes.Burst())-1) }
+// maxTxnChanges returns the largest number of changes that a caller may put into one transaction.
+// It is one less than the store's limit and the burst allow, because FencedWriter may add a write
+// of the term key.
+func (b *budget) maxTxnChanges() int { return max(1, min(b.limits.TxnOps, b.writes.Burst())-1) }
 
-// spareWrites returns the number of changes that the budget allows now beyond half of the
-// burst.
-func (b *budget) spareWrites() int {
+// backgroundWriteAllowance returns the number of changes that background work may make now.
+// Half of the burst stays reserved for changes that users wait for.
+func (b *budget) backgroundWriteAllowance() int {
 	return max(0, int(b.writes.Tokens())-b.writes.Burst()/2)
 }
 
-// budgetError wraps the error of a wait that the context ended, or would have ended, before
-// the budget allowed the request.
+// budgetError wraps the error of a rate limiter whose wait was cut short by the context's end, or
+// would have lasted beyond its deadline.
 func budgetError(err error) error { return fmt.Errorf("%w: %w", ErrUnavailable, err) }
--- a/internal/kvstore/budget_test.go
+++ b/internal/kvstore/budget_test.go
@@ -25,10 +25,10 @@
 		if b.requests.Limit() != rate.Limit(limits.RPS*tuning.StoreLeaderShare) {
 			t.Errorf("%d nodes: the leader's share is %v", nodes, b.requests.Limit())
 		}
-		if ops := b.maxOps(); ops < 1 || ops >= b.writes.Burst() {
+		if ops := b.maxTxnChanges(); ops < 1 || ops >= b.writes.Burst() {
 			t.Errorf("%d nodes: %d changes in a burst of %d", nodes, ops, b.writes.Burst())
 		}
-		if spare := b.spareWrites(); spare > b.writes.Burst()/2 {
+		if spare := b.backgroundWriteAllowance(); spare > b.writes.Burst()/2 {
 			t.Errorf("%d nodes: %d spare writes of %d", nodes, spare, b.writes.Burst())
 		}
 	}
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -24,7 +24,8 @@
 
 var _ Store = (*Client)(nil)
 
-// NewClient returns a client for addr with a follower's share of the limits.
+// NewClient returns a client for the store at addr, with the share of the limits that a follower
+// has in a cluster with the given number of nodes.
 func NewClient(addr string, limits config.KVStoreLimits, nodes int) *Client {
 	return &Client{
 		http:   httpclient.New(addr, maxConnections, tuning.ConnectionIdleTimeout),
@@ -39,13 +40,13 @@
 	c.budget.setShare(leading)
 }
 
-// MaxTxnChanges returns the largest number of changes that one transaction may have, given the
-// store's limit and the burst of the write budget.
-func (c *Client) MaxTxnChanges() int { return c.budget.maxOps() }
+// MaxTxnChanges returns the largest number of changes that a caller may put into one transaction,
+// given the store's limit and the burst of the write budget.
+func (c *Client) MaxTxnChanges() int { return c.budget.maxTxnChanges() }
 
 // BackgroundWriteAllowance returns the number of changes that background work may make now. Half of the
 // burst stays reserved for changes that users wait for.
-func (c *Client) BackgroundWriteAllowance() int { return c.budget.spareWrites() }
+func (c *Client) BackgroundWriteAllowance() int { return c.budget.backgroundWriteAllowance() }
 
 // Get reads one key. It returns ErrNotFound if the key does not exist.
 func (c *Client) Get(ctx context.Context, key string) (wire.KeyValue, error) {
@@ -54,8 +55,8 @@
 	return item, err
 }
 
-// Commit runs one compare-and-swap transaction. With ErrConflict, the result holds the keys
-// whose conditions failed.
+// Commit runs one compare-and-swap transaction. If it returns ErrConflict, the result contains the
+// keys whose conditions failed.
 func (c *Client) Commit(ctx context.Context, txn wire.Txn) (wire.TxnResult, error) {
 	var result wire.TxnResult
 	if txn.If == nil {
@@ -64,7 +65,7 @@
 	if txn.Then == nil {
 		txn.Then = []wire.Mutation{}
 	}
-	if err := c.budget.awaitWrites(ctx, len(txn.Then)); err != nil {
+	if err := c.budget.waitForWrites(ctx, len(txn.Then)); err != nil {
 		return result, err
 	}
 	timeout := c.txnTimeout.current()
@@ -77,24 +78,24 @@
 	return result, err
 }
 
-// do sends one request within the budget and returns the response's status, 0 if there was
-// no response.
+// do sends one request when the budget allows it, and decodes the response body into out. It
+// returns the response's status, or 0 if there was no response.
 func (c *Client) do(ctx context.Context, timeout time.Duration, method, uri string, body, out any) (int, error) {
-	if err := c.budget.awaitRequest(ctx); err != nil {
+	if err := c.budget.waitForRequest(ctx); err != nil {
 		return 0, err
 	}
 	status, err := c.http.Do(ctx, timeout, method, uri, body, out)
 	if err != nil {
 		return status, err
 	}
-	if cause := errorForStatus(status); cause != nil {
-		return status, &httpclient.StatusError{Method: method, URI: uri, Status: status, Err: cause}
+	if statusErr := errorForStatus(status); statusErr != nil {
+		return status, &httpclient.StatusError{Method: method, URI: uri, Status: status, Err: statusErr}
 	}
 	return status, nil
 }
 
-// errorForStatus returns the error that a response's status stands for. It returns nil for
-// 2xx, 409 (a condition failed) and 410.
+// errorForStatus returns the error for a response's status, and nil for 2xx, 409 and 410. Commit
+// handles 409, which means that a condition of a transaction failed.
 func errorForStatus(status int) error {
 	switch {
 	case status/100 == 2 || status == http.StatusConflict || status == http.StatusGone:
@@ -109,7 +110,7 @@
 	return httpclient.ErrNoResponse
 }
 
-// isTransient reports whether a retry of the same request may succeed.
+// isTransient reports whether a request that failed with this error may succeed on a retry.
 func isTransient(err error) bool {
 	return errors.Is(err, ErrUnavailable) || errors.Is(err, httpclient.ErrNoResponse)
 }
--- a/internal/kvstore/fenced_writer.go
+++ b/internal/kvstore/fenced_writer.go
@@ -15,8 +15,8 @@
 // ErrDeposed means that the writer's term has ended.
 var ErrDeposed = errors.New("no longer the leader")
 
-// TermRecord is the value of the term key. Fence increases within a term, whenever the outcome
-// of a transaction is unknown.
+// TermRecord is the value of the term key. Fence is a counter that the leader increments within
+// its term when a transaction gets no response.
 type TermRecord struct {
 	Term  uint64 `json:"term"`
 	Fence uint64 `json:"fence,omitempty"`
@@ -29,32 +29,32 @@
 }
 
 // FencedWriter writes a leader's changes, one transaction at a time. Each transaction has two
-// conditions. The condition on the leader key makes it fail once the leader has changed. The
-// condition on the term key prevents a delayed copy from overwriting newer values: when the
-// response to a transaction is lost, the transaction is retried, and the first copy may reach
-// the store later.
+// conditions. The condition on the leader key makes the transaction fail after the leader has
+// changed. The condition on the term key prevents a delayed copy of a transaction from overwriting
+// newer values: when a transaction gets no response, the writer retries it, and the first copy may
+// reach the store after the retry.
 //
 // The store may refuse a transaction as invalid when its limits have become stricter than the
 // settings. The writer then splits the transaction until the refused change is alone, and
-// skips that change. It does not end the term, because each next leader would send the same
-// change and be deposed in turn.
+// skips that change. It does not end the term, because every successor would send the same
+// change and lose its term for the same reason.
 //
-// Begin, Txn, HandleResult and ResolveUnknown do no I/O. Begin starts a group of changes. The
-// caller then sends Txn and passes its result to HandleResult until the Outcome is Applied or
-// Deposed. After OutcomeUnknown it reads the term key and passes that to ResolveUnknown
-// instead. Commit runs these steps against a Store.
+// Begin, NextTxn, HandleResult and ResolveUnknown do no I/O. Begin starts a group of changes. The
+// caller then commits the transaction that NextTxn returns and passes the result to HandleResult,
+// until the Outcome is Applied or Deposed. After OutcomeUnknown, it first reads the term key and
+// passes the result to ResolveUnknown. Commit runs these steps against a Store.
 type FencedWriter struct {
 	term            uint64
 	leaderCondition wire.Compare
 	termCondition   wire.Compare
 	lastFence       uint64
 
-	current   []wire.Mutation   // changes of the next transaction
-	remaining [][]wire.Mutation // parts split off, which are sent next in this order
-	refused   []string          // keys of the skipped changes
-	// writesFence is set when an attempt to write the current changes got no response. From
-	// then on each attempt also writes lastFence to the term key: once one of the attempts
-	// has been applied, the condition on the term key fails for all others.
+	currentPart    []wire.Mutation   // changes of the next transaction, without the fence
+	remainingParts [][]wire.Mutation // later parts of a split transaction, in the order of sending
+	refusedKeys    []string          // keys of the changes that the store refused
+	// writesFence is set when a transaction for currentPart got no response. Every retry then also
+	// writes lastFence to the term key. When one copy has been applied, the term key has a new
+	// version, so the condition on the term key fails for all other copies.
 	writesFence bool
 }
 
@@ -68,26 +68,26 @@
 	}
 }
 
-// Begin starts a group of changes. The previous group must have been applied.
+// Begin starts a group of changes. The outcome of the previous group must have been Applied.
 func (w *FencedWriter) Begin(writes []wire.Mutation) {
-	w.current, w.remaining, w.refused, w.writesFence = writes, nil, nil, false
+	w.currentPart, w.remainingParts, w.refusedKeys, w.writesFence = writes, nil, nil, false
 }
 
 // RefusedKeys returns the keys of the changes in the current group that the store refused and the
 // writer skipped.
-func (w *FencedWriter) RefusedKeys() []string { return w.refused }
+func (w *FencedWriter) RefusedKeys() []string { return w.refusedKeys }
 
 // NextTxn returns the next transaction to send.
 func (w *FencedWriter) NextTxn() wire.Txn {
-	txn := wire.Txn{If: []wire.Compare{w.leaderCondition, w.termCondition}, Then: w.current}
+	txn := wire.Txn{If: []wire.Compare{w.leaderCondition, w.termCondition}, Then: w.currentPart}
 	if w.writesFence {
 		record := TermRecord{Term: w.term, Fence: w.lastFence}
-		txn.Then = append(slices.Clip(w.current), wire.Mutation{Put: KeyTerm, Value: record.Encode()})
+		txn.Then = append(slices.Clip(w.currentPart), wire.Mutation{Put: KeyTerm, Value: record.Encode()})
 	}
 	return txn
 }
 
-// HandleResult processes the result of the transaction that Txn returned.
+// HandleResult processes the result of the transaction that NextTxn returned.
 func (w *FencedWriter) HandleResult(result wire.TxnResult, err error) Outcome {
 	switch {
 	case err == nil:
@@ -99,7 +99,7 @@
 		if !w.writesFence || slices.Contains(result.FailedKeys, KeyLeader) {
 			return Deposed
 		}
-		// An earlier attempt may have been applied and have changed the term key.
+		// A copy sent earlier may have been applied and have changed the term key.
 		return OutcomeUnknown
 	case errors.Is(err, ErrInvalidRequest):
 		return w.splitCurrent()
@@ -110,8 +110,8 @@
 	return Retry
 }
 
-// ResolveUnknown processes the result of reading KeyTerm. The transaction has been applied if
-// the key holds this writer's term and last fence.
+// ResolveUnknown processes the result of reading KeyTerm. The last transaction has been applied
+// if the key holds this writer's term and last fence.
 func (w *FencedWriter) ResolveUnknown(item wire.KeyValue, err error) Outcome {
 	var record TermRecord
 	switch {
@@ -130,34 +130,34 @@
 
 // startNextPart makes the next part of a split transaction current, if any remain.
 func (w *FencedWriter) startNextPart() Outcome {
-	if len(w.remaining) == 0 {
+	if len(w.remainingParts) == 0 {
 		return Applied
 	}
-	w.current, w.remaining, w.writesFence = w.remaining[0], w.remaining[1:], false
+	w.currentPart, w.remainingParts, w.writesFence = w.remainingParts[0], w.remainingParts[1:], false
 	return SendNextPart
 }
 
-// splitCurrent halves a transaction that the store refused as invalid and did not apply, or skips
-// it if it has a single change. An earlier attempt without a response may still be applied, so the
-// first half keeps writing the fence. If the first half is a single change that the store refuses,
-// the store refuses that earlier attempt too.
+// splitCurrent handles a transaction that the store refused as invalid. It halves currentPart, or
+// skips it if it is a single change. A copy of the transaction that got no response earlier may
+// still be applied, so the first half keeps writing the fence. That is not needed after a skipped
+// change: the store refuses the earlier copy too, because it contains that change.
 func (w *FencedWriter) splitCurrent() Outcome {
-	half := len(w.current) / 2
+	half := len(w.currentPart) / 2
 	switch {
 	case half > 0:
-		w.remaining = append([][]wire.Mutation{w.current[half:]}, w.remaining...)
-		w.current = w.current[:half:half]
+		w.remainingParts = append([][]wire.Mutation{w.currentPart[half:]}, w.remainingParts...)
+		w.currentPart = w.currentPart[:half:half]
 		return SendNextPart
-	case len(w.current) == 1:
-		w.refused = append(w.refused, w.current[0].Key())
+	case len(w.currentPart) == 1:
+		w.refusedKeys = append(w.refusedKeys, w.currentPart[0].Key())
 		return w.startNextPart()
 	}
 	return Deposed
 }
 
-// Commit writes the changes, with retries until the outcome is final. It returns the keys of
-// the skipped changes once all others are durable, ErrDeposed if the writer's term has ended,
-// or the context's error.
+// Commit writes the changes, and retries until they are durable. It returns the keys of the
+// changes that the store refused, ErrDeposed if the writer's term has ended, or the context's
+// error.
 func (w *FencedWriter) Commit(ctx context.Context, store Store, writes []wire.Mutation) ([]string, error) {
 	w.Begin(writes)
 	outcome := Retry
--- a/internal/kvstore/fenced_writer_test.go
+++ b/internal/kvstore/fenced_writer_test.go
@@ -219,8 +219,8 @@
 	return items
 }
 
-// step is a result passed to the writer, and the outcome that it must return.
-type step struct {
+// resultStep is a result passed to the writer, and the outcome that it must return.
+type resultStep struct {
 	err     error
 	failed  []string // keys of a conflict
 	outcome kvstore.Outcome
@@ -228,45 +228,45 @@
 
 // TestOutcomesOfResults checks the outcome of each result in a sequence.
 func TestOutcomesOfResults(t *testing.T) {
-	lost := step{err: httpclient.ErrNoResponse, outcome: kvstore.Retry}
-	invalid := func(o kvstore.Outcome) step { return step{err: kvstore.ErrInvalidRequest, outcome: o} }
-	applied := step{outcome: kvstore.Applied}
+	lost := resultStep{err: httpclient.ErrNoResponse, outcome: kvstore.Retry}
+	invalid := func(o kvstore.Outcome) resultStep { return resultStep{err: kvstore.ErrInvalidRequest, outcome: o} }
+	applied := resultStep{outcome: kvstore.Applied}
 	for _, c := range []struct {
 		name    string
 		changes int
-		steps   []step
+		steps   []resultStep
 		refused []string
 	}{
-		{"applied at once", 2, []step{applied}, nil},
-		{"unavailable, then applied", 1, []step{{err: kvstore.ErrUnavailable, outcome: kvstore.Retry}, applied}, nil},
-		{"responses lost, then applied", 1, []step{lost, lost, applied}, nil},
+		{"applied at once", 2, []resultStep{applied}, nil},
+		{"unavailable, then applied", 1, []resultStep{{err: kvstore.ErrUnavailable, outcome: kvstore.Retry}, applied}, nil},
+		{"responses lost, then applied", 1, []resultStep{lost, lost, applied}, nil},
 		{
 			"condition failed at the first attempt", 1,
-			[]step{{err: kvstore.ErrConflict, failed: []string{kvstore.KeyTerm}, outcome: kvstore.Deposed}},
+			[]resultStep{{err: kvstore.ErrConflict, failed: []string{kvstore.KeyTerm}, outcome: kvstore.Deposed}},
 			nil,
 		},
 		{
 			"another leader after a lost response", 1,
-			[]step{lost, {err: kvstore.ErrConflict, failed: []string{kvstore.KeyLeader}, outcome: kvstore.Deposed}},
+			[]resultStep{lost, {err: kvstore.ErrConflict, failed: []string{kvstore.KeyLeader}, outcome: kvstore.Deposed}},
 			nil,
 		},
 		{
 			"term key changed after a lost response", 1,
-			[]step{lost, {err: kvstore.ErrConflict, failed: []string{kvstore.KeyTerm}, outcome: kvstore.OutcomeUnknown}},
+			[]resultStep{lost, {err: kvstore.ErrConflict, failed: []string{kvstore.KeyTerm}, outcome: kvstore.OutcomeUnknown}},
 			nil,
 		},
-		{"one invalid change", 1, []step{invalid(kvstore.Applied)}, []string{"k0"}},
+		{"one invalid change", 1, []resultStep{invalid(kvstore.Applied)}, []string{"k0"}},
 		{
 			"the first of two invalid", 2,
-			[]step{invalid(kvstore.SendNextPart), invalid(kvstore.SendNextPart), applied},
+			[]resultStep{invalid(kvstore.SendNextPart), invalid(kvstore.SendNextPart), applied},
 			[]string{"k0"},
 		},
 		{
 			"the second of two invalid", 2,
-			[]step{invalid(kvstore.SendNextPart), {outcome: kvstore.SendNextPart}, invalid(kvstore.Applied)},
+			[]resultStep{invalid(kvstore.SendNextPart), {outcome: kvstore.SendNextPart}, invalid(kvstore.Applied)},
 			[]string{"k1"},
 		},
-		{"invalid without any change", 0, []step{invalid(kvstore.Deposed)}, nil},
+		{"invalid without any change", 0, []resultStep{invalid(kvstore.Deposed)}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := kvstore.NewFencedWriter(1, 1, 1)
--- a/internal/kvstore/lease.go
+++ b/internal/kvstore/lease.go
@@ -18,7 +18,7 @@
 	return response.Lease, err
 }
 
-// RenewLease restarts a lease's time to live. ErrNotFound means that the lease has expired.
+// RenewLease restarts a lease's time to live. It returns ErrNotFound if the lease has expired.
 func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
 	_, err := c.do(ctx, tuning.LeaseRenewTimeout, http.MethodPost, leaseURI(lease)+"/touch", struct{}{}, nil)
 	return err
--- a/internal/kvstore/list.go
+++ b/internal/kvstore/list.go
@@ -11,8 +11,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// List reads all keys with a prefix, page by page, and calls visit for each one. It stops at
-// the first error of visit.
+// List reads all keys with a prefix, page by page, and calls visit for each key in order. It
+// returns the first error of visit without reading further.
 func (c *Client) List(ctx context.Context, prefix string, visit func(wire.KeyValue) error) error {
 	after := ""
 	for {
@@ -32,9 +32,9 @@
 	}
 }
 
-// readPage reads one page of keys, from the first key after the given one, or from the start
-// for "". It retries a page after a transient error: a new leader that restarted the whole
-// list each time would never finish it while the store is slow.
+// readPage reads one page of the keys with a prefix. The page starts with the first key greater
+// than after, or with the first key if after is "". readPage retries after a transient error: if a
+// new leader restarted the whole list instead, it might never finish loading while the store is slow.
 func (c *Client) readPage(ctx context.Context, prefix, after string) (wire.KeyValuePage, error) {
 	query := url.Values{"starts": {prefix}, "limit": {strconv.Itoa(tuning.PageSize)}}
 	if after != "" {
--- a/internal/kvstore/list_test.go
+++ b/internal/kvstore/list_test.go
@@ -18,13 +18,13 @@
 // request for each page with 503.
 type pagedStore struct {
 	keys, perPage int
-	requests      map[string]int // by the key after which the page starts
+	requestCounts map[string]int // by the key after which the page starts
 }
 
 func (p *pagedStore) handle(rc *fasthttp.RequestCtx) {
 	since := string(rc.QueryArgs().Peek("since"))
-	p.requests[since]++
-	if p.requests[since] == 1 {
+	p.requestCounts[since]++
+	if p.requestCounts[since] == 1 {
 		rc.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
 	}
@@ -42,7 +42,7 @@
 // TestListRetriesUnavailablePages: the store answers the second request for each page only. The
 // list must hold each key once, and a page that has been read must not be read again.
 func TestListRetriesUnavailablePages(t *testing.T) {
-	p := &pagedStore{keys: 10, perPage: 3, requests: map[string]int{}}
+	p := &pagedStore{keys: 10, perPage: 3, requestCounts: map[string]int{}}
 	limits := config.KVStoreLimits{RPS: 1000, WriteRPS: 100, TxnOps: 10}
 	client := kvstore.NewClient(loopback.Serve(t, p.handle), limits, 1)
 	var got []string
@@ -55,7 +55,7 @@
 	if len(got) != p.keys || got[0] != "k/0" || got[p.keys-1] != "k/9" {
 		t.Errorf("%v", got)
 	}
-	for since, n := range p.requests {
+	for since, n := range p.requestCounts {
 		if n != 2 {
 			t.Errorf("%d requests since %q", n, since)
 		}
--- a/internal/kvstore/outcome.go
+++ b/internal/kvstore/outcome.go
@@ -2,21 +2,20 @@
 
 import "fmt"
 
-// Outcome is the state of a FencedWriter's current changes after a result, and tells the
-// caller how to proceed.
+// Outcome tells the caller of a FencedWriter how to proceed after a result.
 type Outcome int
 
-// The outcomes of a result.
+// The outcomes, and what the caller does next.
 const (
-	// Applied: all changes are durable, except those that the store refused.
+	// Applied: the group is finished. All changes are durable, except those that the store refused.
 	Applied Outcome = iota
-	// Retry: send Txn again after a delay.
+	// Retry: send NextTxn after a delay.
 	Retry
-	// SendNextPart: send Txn, which now returns the next part, without a delay.
+	// SendNextPart: send NextTxn, which returns a part of the split transaction, without a delay.
 	SendNextPart
 	// OutcomeUnknown: read KeyTerm and pass it to ResolveUnknown.
 	OutcomeUnknown
-	// Deposed: the changes were not applied and never will be, as the term has ended.
+	// Deposed: stop writing, because the term has ended. Changes not yet durable are never applied.
 	Deposed
 )
 
@@ -28,7 +27,7 @@
 	case Retry:
 		return "retry"
 	case SendNextPart:
-		return "continue split"
+		return "send next part"
 	case OutcomeUnknown:
 		return "unknown"
 	case Deposed:
--- a/internal/kvstore/store.go
+++ b/internal/kvstore/store.go
@@ -1,6 +1,6 @@
-// Package kvstore is the client of the consensus-backed key-value store. It provides reads,
-// compare-and-swap transactions, leases and watches within this node's share of the store's
-// rate limits, and FencedWriter, through which a leader writes its changes.
+// Package kvstore is the client of the consensus-backed key-value store. Client provides reads,
+// compare-and-swap transactions, leases and watches, and keeps this node within its share of the
+// store's rate limits. A leader writes its changes through FencedWriter.
 package kvstore
 
 import (
@@ -15,21 +15,21 @@
 const (
 	// KeyLeader holds the name of the current leader and is attached to the leader's lease.
 	KeyLeader = "leader"
-	// KeyTerm holds the TermRecord of the latest term and is attached to no lease.
+	// KeyTerm holds the TermRecord of the latest term. It is attached to no lease, so it persists.
 	KeyTerm = "term"
 )
 
-// Errors of the key-value store. After httpclient.ErrNoResponse, it is unknown whether the request
-// was executed.
+// Errors of the key-value store. Calls can also return httpclient.ErrNoResponse, after which it is
+// unknown whether the request was executed.
 var (
-	// ErrUnavailable: the store responded with 429 or 503, or the context ended before the budget
-	// allowed the request. The request was not executed.
+	// ErrUnavailable: the store responded with 429 or 503, or the context ended, or would have ended,
+	// before the budget allowed the request. The request was not executed.
 	ErrUnavailable = errors.New("key-value store unavailable")
 	// ErrNotFound: the key or lease does not exist.
 	ErrNotFound = errors.New("not found")
 	// ErrConflict: a condition of the transaction failed, so nothing was changed.
 	ErrConflict = errors.New("transaction condition failed")
-	// ErrInvalidRequest: the store rejected the request as invalid and did not execute it.
+	// ErrInvalidRequest: the store refused the request as invalid and did not execute it.
 	ErrInvalidRequest = errors.New("malformed request")
 )
 
--- a/internal/kvstore/timeout.go
+++ b/internal/kvstore/timeout.go
@@ -10,16 +10,17 @@
 )
 
 // transactionTimeout computes the timeout of transactions. A leader sends its transactions one
-// after the other, so a slow one delays every change behind it that users wait for; and it can
-// retry safely, as its transactions are fenced. A leader's timeout is therefore a multiple of
-// the smoothed latency.
+// after the other, so a slow one delays all following changes, including those that users wait
+// for. A leader's timeout is therefore short: a multiple of the smoothed latency. Retrying after
+// it is safe, because a leader's transactions are fenced. Other nodes always use StoreTimeout.
 type transactionTimeout struct {
 	mu      sync.Mutex
 	leading bool
-	latency time.Duration // smoothed; 0 before the first response of the term
+	latency time.Duration // smoothed; 0 before the first response after a reset
 }
 
-// reset discards the measured latency at the start or the end of a term.
+// reset discards the measured latency. It is called at the start of a term with leading set, and
+// at the end of the term with leading unset.
 func (t *transactionTimeout) reset(leading bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -36,8 +37,8 @@
 	return min(max(tuning.StoreTimeoutFactor*t.latency, tuning.StoreTimeoutMin), tuning.StoreTimeout)
 }
 
-// observe records the latency and the error of a transaction. A transaction without a response
-// doubles the next timeout. Other errors are ignored.
+// observe updates the smoothed latency with the result of a transaction. A transaction without a
+// response doubles the smoothed latency, and with it the next timeout. Other errors are ignored.
 func (t *transactionTimeout) observe(latency time.Duration, err error) {
 	latency = min(latency, tuning.StoreTimeout)
 	t.mu.Lock()
--- a/internal/node/admission.go
+++ b/internal/node/admission.go
@@ -11,13 +11,14 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// admit handles a user's submission when admission control is on. The leader decides on its
-// own, because it knows which jobs it has accepted already. Any other node applies the leader's
-// policy before it forwards the submission.
-func (n *Node) admit(ctx context.Context, c peer.Call) peer.Response {
+// submitWithAdmission handles a user's submission when admission control is on. If this node leads,
+// it passes the submission to the leader's state, which applies admission control itself because
+// it knows the accepted jobs. Any other node applies the leader's policy before it forwards the
+// submission.
+func (n *Node) submitWithAdmission(ctx context.Context, c peer.Call) peer.Response {
 	now := time.Now()
 	job := c.Submission()
-	request, isNew := n.gate.recordArrival(now, job)
+	request, decidable := n.gate.recordArrival(now, job)
 	c.Admission = &admission.Claim{WaitedMS: request.Waited.Milliseconds()}
 	if response, handled := n.handleLocally(ctx, c); handled {
 		return n.recordResponse(request, response)
@@ -25,21 +26,22 @@
 	if reason := leader.QuotaViolation(n.gate.teams, job); reason != "" {
 		return n.rejectUnsatisfiable(ctx, c, reason)
 	}
-	if isNew {
+	if decidable {
 		decision, revision := n.gate.decide(now, request)
 		if !decision.Admitted {
 			return n.recordResponse(request, n.rejectOverload(ctx, request, decision))
 		}
 		c.Admission.Revision = revision
 	}
-	// Recorded before the call: the leader may accept the job even if its response is lost.
+	// The job is recorded before the call, because the leader may accept it even if the response
+	// is lost.
 	n.gate.recordAdmitted(request)
 	return n.recordResponse(request, n.forward(ctx, c))
 }
 
-// rejectUnsatisfiable handles a submission that the settings rule out. It forwards the
-// submission, because the leader may have accepted the job under other settings, and rejects
-// it for the given reason if no leader responds.
+// rejectUnsatisfiable handles a submission for a job that this node's settings make impossible. It
+// still forwards the submission, because the leader may have accepted the job under other
+// settings. Only if no leader responds does it reject the submission, with the given reason.
 func (n *Node) rejectUnsatisfiable(ctx context.Context, c peer.Call, reason string) peer.Response {
 	if response := n.forward(ctx, c); response.Status != http.StatusServiceUnavailable {
 		return response
@@ -47,11 +49,11 @@
 	return peer.ErrorResponse(http.StatusUnprocessableEntity, reason)
 }
 
-// rejectOverload rejects a submission because of overload. A job that was rejected before may
-// have been accepted through another node since, so it first queries the leader about the job,
-// within the limit on such queries.
+// rejectOverload rejects a submission because of overload. The job may have been accepted through
+// another node after an earlier rejection. If the limit on such queries allows it, rejectOverload
+// therefore queries the leader about the job first, and returns the job's state if it was accepted.
 func (n *Node) rejectOverload(ctx context.Context, r *admission.Request, d admission.Decision) peer.Response {
-	if n.gate.mayQueryLeader(time.Now(), r) {
+	if n.gate.allowLeaderQuery(time.Now(), r) {
 		ctx, cancel := context.WithTimeout(ctx, tuning.AdmissionLeaderQueryTimeout)
 		defer cancel()
 		query := peer.Call{Op: peer.OpQuery, Job: r.ID}
@@ -63,8 +65,8 @@
 	return errorResponse(rejected.Status, rejected.Reason, rejected.RetryAfter)
 }
 
-// recordResponse records whether the submission was admitted or rejected, and returns the
-// response.
+// recordResponse records in the gate whether the submission was accepted or rejected with 429, and
+// returns the response unchanged.
 func (n *Node) recordResponse(r *admission.Request, response peer.Response) peer.Response {
 	switch {
 	case response.Status == http.StatusTooManyRequests:
--- a/internal/node/bad_input_test.go
+++ b/internal/node/bad_input_test.go
@@ -25,26 +25,26 @@
 func TestBadInput(t *testing.T) {
 	c := startCluster(t, 3)
 	done := fmt.Sprintf(submission, "job-000001")
-	c.await(c.addrs[0], "POST", wire.PathJobs, done, 201, "")
-	c.await(c.addrs[0], "GET", doneJobPath, "", 200, wire.JobDone)
+	c.waitForResponse(c.addrs[0], "POST", wire.PathJobs, done, 201, "")
+	c.waitForResponse(c.addrs[0], "GET", doneJobPath, "", 200, wire.JobDone)
 	requests := append(malformedRequests(t, done), leaderRequests(t, done)...)
 	for _, addr := range c.addrs {
-		c.await(addr, "GET", doneJobPath, "", 200, wire.JobDone)
+		c.waitForResponse(addr, "GET", doneJobPath, "", 200, wire.JobDone)
 	}
 	c.checkResponses("no fault", requests, c.addrs...)
 	c.services.SetStoreDown(true)
-	c.await(c.addrs[0], "GET", doneJobPath, "", 503, "")
+	c.waitForResponse(c.addrs[0], "GET", doneJobPath, "", 503, "")
 	c.checkResponses("outage", requests, c.addrs...)
 	c.services.SetStoreDown(false)
-	c.await(c.addrs[2], "GET", doneJobPath, "", 200, wire.JobDone)
+	c.waitForResponse(c.addrs[2], "GET", doneJobPath, "", 200, wire.JobDone)
 	for i := range 2 {
-		c.stop[i]()
+		c.stopNode[i]()
 		c.checkResponses("failover", requests, c.addrs[2])
-		<-c.stopped[i]
+		<-c.nodeStopped[i]
 		c.checkResponses("failover", requests, c.addrs[2])
 	}
-	c.await(c.addrs[2], "GET", doneJobPath, "", 200, wire.JobDone)
-	c.await(c.addrs[2], "GET", wire.PathJobs+"/job-999999", "", 404, "")
+	c.waitForResponse(c.addrs[2], "GET", doneJobPath, "", 200, wire.JobDone)
+	c.waitForResponse(c.addrs[2], "GET", wire.PathJobs+"/job-999999", "", 404, "")
 }
 
 // checkResponses sends requests to nodes and checks the responses. 503 with Retry-After is
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -15,8 +15,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// callCloud makes a call that provisions or releases machines, and retries it until it has a
-// result or the term ends.
+// callCloud makes a call that provisions or releases machines, retries it until it has a result,
+// and passes the result to the leader's state. It gives up when the term ends.
 func (t *term) callCloud(ctx context.Context, call scaling.CloudCall) {
 	for ctx.Err() == nil {
 		machines, err := t.sendToCloud(ctx, call)
@@ -31,8 +31,9 @@
 	}
 }
 
-// sendToCloud sends a call once. An error that rules out that machines were provisioned
-// counts as a result without machines.
+// sendToCloud sends a call once and returns the machines that it provisioned. If an error proves
+// that a provision call was not executed, sendToCloud returns no machines and no error, so that the
+// call isn't retried.
 func (t *term) sendToCloud(ctx context.Context, call scaling.CloudCall) (machines []string, err error) {
 	if call.Op != scaling.CloudProvision {
 		return nil, t.node.cloud.Release(ctx, call.Release)
@@ -68,8 +69,8 @@
 	signal(t.node.tickSignal)
 }
 
-// directOutcome returns whether the commands of a direct call were delivered, given the status
-// and error of the call.
+// directOutcome derives from the status and error of a direct call whether its commands were
+// delivered. 409 is also a reply of the worker's agent.
 func directOutcome(status int, err error) leader.DirectCallOutcome {
 	switch {
 	case errors.Is(err, httpclient.ErrNotSent):
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -24,11 +24,11 @@
 
 // cluster is a group of nodes on loopback, with simulated services and workers.
 type cluster struct {
-	t         *testing.T
-	addrs     []string
-	peerAddrs []string
-	stop      []context.CancelFunc
-	stopped   []chan struct{}
+	t           *testing.T
+	addrs       []string
+	peerAddrs   []string
+	stopNode    []context.CancelFunc
+	nodeStopped []chan struct{}
 	// services simulates the key-value store and the cloud.
 	services *simulation.Server
 }
@@ -103,7 +103,7 @@
 func (c *cluster) startNode(ctx context.Context, cfg *config.Config, operator *config.OperatorSettings) {
 	ctx, stop := context.WithCancel(ctx)
 	stopped := make(chan struct{})
-	c.stop, c.stopped = append(c.stop, stop), append(c.stopped, stopped)
+	c.stopNode, c.nodeStopped = append(c.stopNode, stop), append(c.nodeStopped, stopped)
 	go func() {
 		defer close(stopped)
 		if err := node.New(zerolog.Nop(), cfg, operator).Run(ctx); err != nil && !errors.Is(err, context.Canceled) {
@@ -161,8 +161,8 @@
 	return res.StatusCode(), string(res.Header.Peek(fasthttp.HeaderRetryAfter)), append([]byte(nil), res.Body()...)
 }
 
-// await repeats a request until the response has the status and, if given, the state.
-func (c *cluster) await(addr, method, path, body string, status int, state string) {
+// waitForResponse repeats a request until the response has the status and, if given, the state.
+func (c *cluster) waitForResponse(addr, method, path, body string, status int, state string) {
 	c.t.Helper()
 	var got int
 	var js wire.JobStatus
@@ -179,9 +179,9 @@
 	c.t.Fatalf("%s %s: %d %+v, want %d %s", method, path, got, js, status, state)
 }
 
-// awaitAccepted repeats a submission until it is accepted. The status may be that of a repeated
+// submitUntilAccepted repeats a submission until it is accepted. The status may be that of a repeated
 // submission, because the first acceptance may have got no response.
-func (c *cluster) awaitAccepted(addr, body string) {
+func (c *cluster) submitUntilAccepted(addr, body string) {
 	c.t.Helper()
 	var status int
 	for range 600 {
--- a/internal/node/commit.go
+++ b/internal/node/commit.go
@@ -9,13 +9,14 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// commitLoop commits the leader's changes in batches, one after the other.
+// commitLoop commits the leader's changes in batches, one after the other, until a commit fails for
+// good or the context ends.
 func (t *term) commitLoop(ctx context.Context) error {
 	writer := kvstore.NewFencedWriter(t.leadership.Term, t.leadership.LeaderVersion, t.leadership.TermVersion)
 	for {
 		batch := t.nextBatch()
 		if batch == nil {
-			if err := t.awaitChanges(ctx); err != nil {
+			if err := t.waitForChanges(ctx); err != nil {
 				return err
 			}
 			continue
@@ -38,9 +39,9 @@
 	return t.state.NextWriteBatch(t.node.store.MaxTxnChanges(), t.node.store.BackgroundWriteAllowance())
 }
 
-// awaitChanges waits for changes, then for another interval in which more can join their
-// batch.
-func (t *term) awaitChanges(ctx context.Context) error {
+// waitForChanges waits until there are changes to commit, then for WriteBatchInterval, so that
+// further changes can be part of the same batch.
+func (t *term) waitForChanges(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -47,8 +47,8 @@
 	ctx := context.Background()
 	operator := &config.OperatorSettings{Drains: &drain.Budgets{Window: time.Minute}}
 	c := startClusterWith(t, 3, operator, func(*config.Params) {})
-	c.await(c.addrs[0], "POST", wire.PathJobs, fmt.Sprintf(submission, "job-000001"), 201, "")
-	c.await(c.addrs[0], "GET", wire.PathJobs+"/job-000001", "", 200, wire.JobDone)
+	c.waitForResponse(c.addrs[0], "POST", wire.PathJobs, fmt.Sprintf(submission, "job-000001"), 201, "")
+	c.waitForResponse(c.addrs[0], "GET", wire.PathJobs+"/job-000001", "", 200, wire.JobDone)
 	var out bytes.Buffer
 	client := &operatorcli.Client{Addr: c.peerAddrs[1], Out: &out}
 	for range 2 {
@@ -67,8 +67,8 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	c.stop[0]()
-	<-c.stopped[0]
+	c.stopNode[0]()
+	<-c.nodeStopped[0]
 	deadline := time.Now().Add(2 * time.Minute)
 	for drainState(c.peerAddrs[2]) != drain.Done {
 		if time.Now().After(deadline) {
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -14,8 +14,8 @@
 	lastReached time.Time
 }
 
-// update records whether a leader is reachable now, and reports whether one was during the
-// last grace period.
+// update records whether a leader is reachable now. It reports whether a leader is reachable, or
+// was less than a grace period ago.
 func (h *health) update(now time.Time, reachesLeader bool, grace time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -25,9 +25,10 @@
 	return h.everReached && now.Sub(h.lastReached) < grace
 }
 
-// Healthy reports whether this node can handle requests: a leader is reachable, or was during
-// the last grace period. The grace period is shorter if another node leads and is unreachable
-// than during a failover, because other nodes can then serve the users.
+// Healthy reports whether this node can handle requests: a leader is reachable, or was less than a
+// grace period ago. The grace period covers a failover, during which no node reaches a leader. It
+// is shorter if another node leads but can't be reached from here, because other nodes can then
+// serve the users.
 func (n *Node) Healthy() bool {
 	now := time.Now()
 	reachesLeader := n.peerHeartbeat().IsLeader || n.hub.ReachesLeader()
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -13,8 +13,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// handleLocally handles a call with the leader's state of this node. handled is false if
-// this node isn't allowed to answer it.
+// handleLocally handles a call if this node leads. handled is false if the node doesn't lead or may
+// not answer this call, so that the caller must forward it.
 func (n *Node) handleLocally(ctx context.Context, c peer.Call) (response peer.Response, handled bool) {
 	if c.Op == peer.OpHeartbeat {
 		return n.handleHeartbeat(c.Heartbeat)
@@ -24,11 +24,11 @@
 		return peer.Response{}, false
 	}
 	signal(n.writeSignal)
-	return awaitResult(ctx, leadership, result), true
+	return waitForResult(ctx, leadership, result), true
 }
 
-// handleHeartbeat handles a worker's heartbeat if this node holds the lease or is in its
-// grace period.
+// handleHeartbeat handles a worker's heartbeat if this node leads and holds its lease, or is in
+// the grace period after the lease's validity.
 func (n *Node) handleHeartbeat(h *wire.Heartbeat) (response peer.Response, handled bool) {
 	now := time.Now()
 	n.mu.Lock()
@@ -43,7 +43,7 @@
 }
 
 // applyHeartbeat applies a worker's heartbeat to the leader's state. It revokes the leadership
-// if the heartbeat carries a later term. The caller must hold mu.
+// if the worker has already seen a later term. The caller must hold mu.
 func (n *Node) applyHeartbeat(now time.Time, h *wire.Heartbeat) (response peer.Response, handled bool) {
 	holdsLease := n.leadership.HoldsLease(now)
 	if !n.leadership.MayAnswerHeartbeats(now, n.gracePeriod) {
@@ -60,9 +60,9 @@
 	return peer.Response{Status: http.StatusOK, Heartbeat: &heartbeatResponse}, true
 }
 
-// startRequest passes a request to the leader's state and returns the channel that receives
-// its result. Without the lease it does nothing and returns nil, because only the node that
-// certainly leads may answer users.
+// startRequest passes a request to the leader's state. It returns the channel that receives the
+// result, and the leadership in which the request was started. If this node doesn't hold the lease,
+// it returns nil and does nothing, because only the node that certainly leads may answer users.
 func (n *Node) startRequest(c peer.Call) (<-chan peer.Response, *election.Leadership) {
 	now := time.Now()
 	n.mu.Lock()
@@ -87,16 +87,17 @@
 	return result, n.leadership
 }
 
-// awaitResult waits for the result of a request, which may require a commit. It returns 503
-// on a timeout, and for a result that can still change if the lease has expired meanwhile.
-func awaitResult(ctx context.Context, leadership *election.Leadership, result <-chan peer.Response) peer.Response {
+// waitForResult waits for the result of a request, which may need a commit first. It returns 503 on
+// a timeout. It also returns 503 if the lease is no longer valid and the result isn't terminal:
+// a later leader may have changed the job's state since.
+func waitForResult(ctx context.Context, leadership *election.Leadership, result <-chan peer.Response) peer.Response {
 	timer := time.NewTimer(tuning.SubmitTimeout)
 	defer timer.Stop()
 	select {
 	case response := <-result:
 		if !response.IsTerminal() && !leadership.HoldsLease(time.Now()) {
-			// The process may have been suspended, and a later leader may have sent the
-			// user a newer state.
+			// The process may have been suspended for longer than the lease's validity, and a
+			// later leader may already have sent the user a newer state.
 			return peer.ErrorResponse(http.StatusServiceUnavailable, "no longer the leader")
 		}
 		return response
@@ -116,9 +117,9 @@
 }
 
 // errorResponse returns a response with an error status, the reason and the number of
-// seconds after which the caller may retry.
-func errorResponse(status int, reason string, retryAfter int) peer.Response {
+// seconds after which the client may retry.
+func errorResponse(status int, reason string, retryAfterS int) peer.Response {
 	response := peer.ErrorResponse(status, reason)
-	response.RetryAfter = retryAfter
+	response.RetryAfter = retryAfterS
 	return response
 }
--- a/internal/node/local_test.go
+++ b/internal/node/local_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// makeLeader makes the node the leader of testTerm, with a lease renewed at the given time.
-func (n *Node) makeLeader(renewed time.Time) {
+// becomeLeader makes the node the leader of testTerm, with a lease renewed at the given time.
+func (n *Node) becomeLeader(renewed time.Time) {
 	params := config.Params{Workers: config.Workers{HeartbeatIntervalS: 3, LeaseS: 15, CancelDeadlineS: 45}}
 	n.leadership = election.NewLeadership(testTerm, renewed)
 	n.leader = leader.New(zerolog.Nop(), params, config.OperatorSettings{}, testTerm, renewed, n.gracePeriod)
@@ -68,7 +68,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			n := newTestNode()
 			if !c.renewed.IsZero() {
-				n.makeLeader(c.renewed)
+				n.becomeLeader(c.renewed)
 			}
 			response, handled := n.handleLocally(context.Background(), c.call)
 			if handled != c.handled || response.Status != c.status {
@@ -90,8 +90,8 @@
 	for term, leads := range map[uint64]bool{testTerm - 1: true, testTerm: true, testTerm + 1: false} {
 		n := newTestNode()
 		now := time.Now()
-		n.makeLeader(now)
-		n.revokeTermBefore(term)
+		n.becomeLeader(now)
+		n.revokeEarlierTerm(term)
 		if got := n.leadership.HoldsLease(now); got != leads {
 			t.Errorf("peer with term %d: still leads: %v", term, got)
 		}
@@ -127,7 +127,7 @@
 			} else {
 				ctx = ended
 			}
-			if got := awaitResult(ctx, c.leadership, result); got.Status != c.status {
+			if got := waitForResult(ctx, c.leadership, result); got.Status != c.status {
 				t.Errorf("%+v, want %d", got, c.status)
 			}
 		})
--- a/internal/node/machines.go
+++ b/internal/node/machines.go
@@ -9,7 +9,8 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// machineTypesLoop fetches the machine types that the cloud offers, at intervals.
+// machineTypesLoop fetches the machine types that the cloud offers, at intervals, and passes them
+// to the leader's state.
 func (t *term) machineTypesLoop(ctx context.Context) error {
 	for {
 		delay := tuning.CatalogueInterval
@@ -28,7 +29,7 @@
 	}
 }
 
-// machineListLoop fetches the cloud's list of machines at intervals.
+// machineListLoop fetches the cloud's list of machines at intervals, see updateMachineList.
 func (t *term) machineListLoop(ctx context.Context) error {
 	for {
 		if err := ctxtime.Sleep(ctx, t.updateMachineList(ctx)); err != nil {
@@ -37,8 +38,9 @@
 	}
 }
 
-// updateMachineList fetches the list once and returns the delay until the next fetch, which is
-// shorter while heartbeats are missing.
+// updateMachineList fetches the cloud's list of machines once, applies it to the leader's state and
+// returns the delay until the next fetch. While heartbeats are late the delay is shorter, because
+// the list shows whether the machines still exist.
 func (t *term) updateMachineList(ctx context.Context) time.Duration {
 	requestedAt := time.Now()
 	list, err := t.node.cloud.ListMachines(ctx)
@@ -48,16 +50,16 @@
 	now := time.Now()
 	t.node.mu.Lock()
 	t.state.ApplyMachineList(requestedAt, now, list)
-	urgent := t.state.HasLateHeartbeats(now)
+	heartbeatsLate := t.state.HasLateHeartbeats(now)
 	t.node.mu.Unlock()
 	signal(t.node.tickSignal)
-	if urgent {
+	if heartbeatsLate {
 		return t.listInterval(tuning.UrgentListIntervalFactor)
 	}
 	return t.listInterval(tuning.ListIntervalFactor)
 }
 
-// listInterval returns the maximum lag of the cloud's list times factor, at least
+// listInterval returns factor times the maximum lag of the cloud's list, but at least
 // ListIntervalMin.
 func (t *term) listInterval(factor float64) time.Duration {
 	interval := seconds.Duration(t.node.config.Params.Cloud.ListLagS * factor)
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -6,8 +6,9 @@
 	"switchshore.example/switchshore/internal/peer"
 )
 
-// peerHeartbeat returns the heartbeat for the peers: this node's leadership or its connection
-// to the leader, the load that its users offer, and the leader's admission policy.
+// peerHeartbeat returns the heartbeat that this node sends to its peers. It contains this node's
+// offered load and whether the node is linked to the leader. If the node leads, it also contains
+// the term and the admission policy.
 func (n *Node) peerHeartbeat() peer.Heartbeat {
 	heartbeat := peer.Heartbeat{Node: n.config.Name, ReachesLeader: n.hub.LinkedToLeader()}
 	if n.gate != nil {
@@ -28,10 +29,10 @@
 	return heartbeat
 }
 
-// revokeTermBefore revokes this node's leadership if its term is earlier than the given one.
-// Otherwise its workers would stay connected to it for the whole grace period, where the new
-// leader can't reach them.
-func (n *Node) revokeTermBefore(term uint64) {
+// revokeEarlierTerm revokes this node's leadership if its term is earlier than the given one.
+// Otherwise this node's workers would stay connected to it for the whole grace period, and the
+// successor could not reach them.
+func (n *Node) revokeEarlierTerm(term uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.leadership != nil && n.leadership.Term < term {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -33,7 +33,7 @@
 	hub           *peer.Hub
 	workerClients *httpclient.Pool
 	election      *election.Election
-	// gracePeriod is how long a leader that can't renew its lease still answers worker heartbeats.
+	// gracePeriod is how long a leader still answers worker heartbeats after its lease's validity.
 	gracePeriod time.Duration
 
 	// mu guards leader and leadership. It is never held during a network call or a wait.
@@ -41,8 +41,8 @@
 	leader     *leader.Leader       // nil unless this node leads
 	leadership *election.Leadership // nil unless this node leads
 
-	tickSignal  chan struct{} // wakes tickLoop
-	writeSignal chan struct{} // wakes commitLoop
+	tickSignal  chan struct{} // wakes tickLoop; see signal
+	writeSignal chan struct{} // wakes commitLoop; see signal
 
 	gate   *admissionGate // nil if admission control is off
 	health health
@@ -68,12 +68,12 @@
 		n.hub.OnPolicy = n.gate.applyPolicy
 	}
 	n.hub.LocalHeartbeat = n.peerHeartbeat
-	n.hub.OnLeaderTerm = n.revokeTermBefore
+	n.hub.OnLeaderTerm = n.revokeEarlierTerm
 	n.hub.Handle = n.Handle
 	return n
 }
 
-// Run serves until the context ends or a listener fails.
+// Run serves requests and campaigns for leadership until the context ends or a server fails.
 func (n *Node) Run(ctx context.Context) error {
 	userListener, err := net.Listen("tcp4", n.config.Listen)
 	if err != nil {
@@ -92,8 +92,8 @@
 	return g.Wait()
 }
 
-// signal wakes the loop that receives from ch. While the loop is busy, ch keeps one
-// signal for the next receive, and further signals are dropped.
+// signal wakes the loop that receives from ch, without blocking. While the loop is busy, ch
+// buffers one signal for the next receive, and further signals are dropped.
 func signal(ch chan<- struct{}) {
 	select {
 	case ch <- struct{}{}:
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -16,16 +16,16 @@
 	c := startCluster(t, 3)
 	for i, addr := range c.addrs {
 		id := fmt.Sprintf("job-%06d", i)
-		c.await(addr, "POST", wire.PathJobs, fmt.Sprintf(submission, id), 201, "")
-		c.await(addr, "POST", wire.PathJobs, fmt.Sprintf(submission, id), 200, "")
-		c.await(c.addrs[0], "GET", wire.PathJobs+"/"+id, "", 200, wire.JobDone)
-		c.await(addr, "POST", wire.PathJobs+"/"+id+"/"+wire.CancelSuffix, "", 200, wire.JobDone)
+		c.waitForResponse(addr, "POST", wire.PathJobs, fmt.Sprintf(submission, id), 201, "")
+		c.waitForResponse(addr, "POST", wire.PathJobs, fmt.Sprintf(submission, id), 200, "")
+		c.waitForResponse(c.addrs[0], "GET", wire.PathJobs+"/"+id, "", 200, wire.JobDone)
+		c.waitForResponse(addr, "POST", wire.PathJobs+"/"+id+"/"+wire.CancelSuffix, "", 200, wire.JobDone)
 	}
 	const dependencies = `"tideS":null,"awaits":["job-000000","job-000002"]}`
 	dependent := strings.Replace(fmt.Sprintf(submission, "job-000100"), `"tideS":null}`, dependencies, 1)
 	for _, addr := range c.addrs {
-		c.await(addr, "POST", wire.PathJobs, dependent, map[bool]int{true: 201, false: 200}[addr == c.addrs[0]], "")
-		c.await(addr, "GET", wire.PathJobs+"/job-000100", "", 200, wire.JobDone)
+		c.waitForResponse(addr, "POST", wire.PathJobs, dependent, map[bool]int{true: 201, false: 200}[addr == c.addrs[0]], "")
+		c.waitForResponse(addr, "GET", wire.PathJobs+"/job-000100", "", 200, wire.JobDone)
 	}
 	addr := c.addrs[1]
 	for _, r := range []struct {
@@ -49,12 +49,12 @@
 		}
 	}
 	for i := range 2 {
-		c.stop[i]()
-		<-c.stopped[i]
+		c.stopNode[i]()
+		<-c.nodeStopped[i]
 		last := c.addrs[2]
-		c.await(last, "GET", wire.PathJobs+"/job-000000", "", 200, wire.JobDone)
+		c.waitForResponse(last, "GET", wire.PathJobs+"/job-000000", "", 200, wire.JobDone)
 		id := fmt.Sprintf("job-00001%d", i)
-		c.await(last, "POST", wire.PathJobs, fmt.Sprintf(submission, id), 201, "")
-		c.await(last, "GET", wire.PathJobs+"/"+id, "", 200, wire.JobDone)
+		c.waitForResponse(last, "POST", wire.PathJobs, fmt.Sprintf(submission, id), 201, "")
+		c.waitForResponse(last, "GET", wire.PathJobs+"/"+id, "", 200, wire.JobDone)
 	}
 }
--- a/internal/node/overload_test.go
+++ b/internal/node/overload_test.go
@@ -33,7 +33,7 @@
 		p.Teams = append(p.Teams, config.Team{Name: "green", CPUs: 8, CPUsMax: 16})
 	})
 	first := fmt.Sprintf(submission, "job-000001")
-	c.await(c.addrs[0], "POST", wire.PathJobs, first, 201, "")
+	c.waitForResponse(c.addrs[0], "POST", wire.PathJobs, first, 201, "")
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	var users errgroup.Group
@@ -44,7 +44,7 @@
 		}
 	}
 	for i := range c.addrs {
-		c.awaitShedding(i, &shed[i])
+		c.waitForShedding(i, &shed[i])
 		c.checkDuringOverload(i, first)
 	}
 	stop()
@@ -52,7 +52,7 @@
 		t.Error(err)
 	}
 	c.checkWithoutLeader()
-	c.await(c.addrs[0], "GET", wire.PathJobs+"/job-000010", "", 200, wire.JobDone)
+	c.waitForResponse(c.addrs[0], "GET", wire.PathJobs+"/job-000010", "", 200, wire.JobDone)
 }
 
 // flood submits one job after the other, and counts those rejected with a Retry-After of one to
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// awaitShedding waits until a node has rejected a submission because of overload.
-func (c *cluster) awaitShedding(node int, shed *atomic.Int64) {
+// waitForShedding waits until a node has rejected a submission because of overload.
+func (c *cluster) waitForShedding(node int, shed *atomic.Int64) {
 	c.t.Helper()
 	for range 3000 {
 		if shed.Load() > 0 {
@@ -105,8 +105,8 @@
 	if status, body := send(addr, "POST", wire.PathJobs, other[1:]); status != 400 {
 		c.t.Errorf("malformed: %d %s", status, body)
 	}
-	c.await(addr, "POST", wire.PathJobs, known, 200, "")
-	c.awaitAccepted(addr, withTeam(fmt.Sprintf(submission, fmt.Sprintf("job-00001%d", node)), "green"))
+	c.waitForResponse(addr, "POST", wire.PathJobs, known, 200, "")
+	c.submitUntilAccepted(addr, withTeam(fmt.Sprintf(submission, fmt.Sprintf("job-00001%d", node)), "green"))
 }
 
 // checkWithoutLeader checks that a node still rejects what the settings rule out while no leader
@@ -115,7 +115,7 @@
 	c.t.Helper()
 	c.services.SetStoreDown(true)
 	defer c.services.SetStoreDown(false)
-	c.await(c.addrs[0], "POST", wire.PathJobs, fmt.Sprintf(submission, "job-000031"), 503, "")
+	c.waitForResponse(c.addrs[0], "POST", wire.PathJobs, fmt.Sprintf(submission, "job-000031"), 503, "")
 	for _, addr := range c.addrs {
 		if status, body := send(addr, "POST", wire.PathJobs, withTeam(fmt.Sprintf(submission, "job-000030"), "nobody")); status != 422 {
 			c.t.Errorf("an unknown team without a leader: %d %s", status, body)
--- a/internal/node/routing.go
+++ b/internal/node/routing.go
@@ -9,11 +9,11 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Handle carries out a call if this node leads, and forwards it to the leader otherwise. A
-// submission received from a user first passes admission control, if that is on.
+// Handle executes a call if this node leads, and forwards it to the leader otherwise. If admission
+// control is on, a submission that this node received directly from a user passes it first.
 func (n *Node) Handle(ctx context.Context, c peer.Call) peer.Response {
 	if n.gate != nil && c.Op == peer.OpSubmit && c.Hops == 0 {
-		return n.admit(ctx, c)
+		return n.submitWithAdmission(ctx, c)
 	}
 	if response, handled := n.handleLocally(ctx, c); handled {
 		return response
@@ -21,8 +21,8 @@
 	return n.forward(ctx, c)
 }
 
-// forward sends a call to the leader and returns its response, or 503 if it doesn't arrive
-// before the caller's timeout.
+// forward sends a call to the leader and returns the leader's response, or 503 if no response
+// arrives within forwardTimeout.
 func (n *Node) forward(ctx context.Context, c peer.Call) peer.Response {
 	timeout := forwardTimeout(c.Op)
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -33,13 +33,14 @@
 	case err != nil:
 		return peer.ErrorResponse(http.StatusServiceUnavailable, "no leader within reach")
 	case !response.IsTerminal() && time.Since(sent) > timeout:
-		// This process may have been suspended, and the response may be outdated.
+		// This process may have been suspended after the response was sent, so the response may be
+		// outdated.
 		return peer.ErrorResponse(http.StatusServiceUnavailable, "the leader's answer came late")
 	}
 	return response
 }
 
-// forwardTimeout returns how long a caller waits for the response to an operation.
+// forwardTimeout returns how long to wait for the leader's response to an operation.
 func forwardTimeout(op peer.Operation) time.Duration {
 	switch op {
 	case peer.OpSubmit, peer.OpCancel, peer.OpDrain:
--- a/internal/node/summary.go
+++ b/internal/node/summary.go
@@ -1,21 +1,21 @@
 package node
 
-// logSummary logs the main figures of the leader's state for operators, and those of admission
-// control while it sheds load.
+// logSummary logs the main figures of the leader's state for operators. While admission control
+// sheds load, it also logs how much.
 func (t *term) logSummary() {
 	t.node.mu.Lock()
-	counts := t.state.Summary()
-	shares, on := t.state.AdmissionSummary()
+	summary := t.state.Summary()
+	admission, enabled := t.state.AdmissionSummary()
 	t.node.mu.Unlock()
-	if on && shares.Shedding {
-		event := t.node.log.Info().Float64("pressure", shares.Pressure).Float64("budget", shares.Budget).Float64("offered", shares.OfferedRate)
-		for _, s := range shares.ReducedShares {
+	if enabled && admission.Shedding {
+		event := t.node.log.Info().Float64("pressure", admission.Pressure).Float64("budget", admission.Budget).Float64("offered", admission.OfferedRate)
+		for _, s := range admission.ReducedShares {
 			event = event.Float64(s.Team+"/"+s.Class, s.Admit)
 		}
 		event.Msg("admission control is shedding load")
 	}
-	t.node.log.Debug().Int("jobs", counts.Jobs).Int("ready", counts.ReadyTasks).Int("allocated", counts.AllocatedTasks).
-		Int("machines", counts.Machines).Int("up", counts.UpMachines).Int("spot", counts.SpotMachines).
-		Float64("cpus", counts.CPUs).Float64("used", counts.UsedCPUs).Float64("wanted", counts.WantedCPUs).
-		Int("writes", counts.PendingWrites).Int("dependency_steps", counts.QueuedDependencyUpdates).Int("scored_pairs", counts.ScoredPairs).Msg("leader state summary")
+	t.node.log.Debug().Int("jobs", summary.Jobs).Int("ready_tasks", summary.ReadyTasks).Int("allocated_tasks", summary.AllocatedTasks).
+		Int("machines", summary.Machines).Int("up_machines", summary.UpMachines).Int("spot_machines", summary.SpotMachines).
+		Float64("cpus", summary.CPUs).Float64("used_cpus", summary.UsedCPUs).Float64("wanted_cpus", summary.WantedCPUs).
+		Int("pending_writes", summary.PendingWrites).Int("dependency_updates", summary.QueuedDependencyUpdates).Int("scored_pairs", summary.ScoredPairs).Msg("leader state summary")
 }
--- a/internal/node/term.go
+++ b/internal/node/term.go
@@ -16,10 +16,10 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// term runs the loops of one term in which this node leads. The node's mu guards state.
+// term runs the loops of one term in which this node leads.
 type term struct {
 	node       *Node
-	state      *leader.Leader
+	state      *leader.Leader // guarded by node.mu
 	leadership *election.Leadership
 }
 
@@ -45,7 +45,8 @@
 	return g.Wait()
 }
 
-// startLeading makes the leader's state available to calls and notifies the peers.
+// startLeading makes the leader's state available to the handlers of calls and sends the peers a
+// heartbeat, so that they forward calls to this node.
 func (n *Node) startLeading(state *leader.Leader, leadership *election.Leadership) {
 	n.mu.Lock()
 	n.leader, n.leadership = state, leadership
@@ -53,8 +54,8 @@
 	n.hub.SendHeartbeats()
 }
 
-// stopLeading withdraws the leader's state from calls, ends the requests that wait in it and
-// notifies the peers.
+// stopLeading makes the leader's state unavailable to the handlers of calls, responds to the
+// requests that still wait for a result, and sends the peers a heartbeat.
 func (n *Node) stopLeading(state *leader.Leader) {
 	n.mu.Lock()
 	n.leader, n.leadership = nil, nil
@@ -63,8 +64,8 @@
 	n.hub.SendHeartbeats()
 }
 
-// loadRecords reads all records, and retries until that succeeds. The reads follow the
-// acquisition of the leader key, so no earlier leader can write after them.
+// loadRecords reads all records, and retries until it succeeds or the context ends. This node has
+// acquired the leader key before, so no earlier leader can still change the records.
 func (n *Node) loadRecords(ctx context.Context, leadership *election.Leadership) (*leader.Leader, error) {
 	for {
 		state, err := n.readRecords(ctx, leadership)
--- a/internal/node/tick.go
+++ b/internal/node/tick.go
@@ -16,12 +16,12 @@
 type actions struct {
 	cloudCalls  []scaling.CloudCall
 	directCalls []*leader.DirectCall
-	// hasWrites is set if changes wait to be committed.
+	// hasWrites is set if there are changes to commit.
 	hasWrites bool
 }
 
-// tickLoop ticks the leader's state at intervals and when signalled, and starts the actions
-// that are due. It returns after all calls that it started have ended.
+// tickLoop calls Tick on the leader's state at intervals and on each signal, and starts the actions
+// that are dueActions. It returns when the context has ended and all calls that it started have returned.
 func (t *term) tickLoop(ctx context.Context) error {
 	ticker := time.NewTicker(tuning.TickInterval)
 	defer ticker.Stop()
@@ -47,35 +47,35 @@
 	}
 }
 
-// nextActions ticks the leader's state and returns the actions that are due. Without the lease
-// it returns no calls.
+// nextActions calls Tick on the leader's state and returns the actions that are dueActions. If this
+// node doesn't hold the lease, these contain no calls, because another node may lead.
 func (t *term) nextActions(now time.Time) actions {
 	holdsLease := t.leadership.HoldsLease(now)
 	t.node.mu.Lock()
 	defer t.node.mu.Unlock()
-	var due actions
+	var dueActions actions
 	t.state.Tick(now, holdsLease)
 	if holdsLease {
 		t.state.AdvanceDrains(now, time.Now())
-		due.cloudCalls = t.state.PlanScaling(now)
-		due.directCalls = t.state.NextDirectCalls(now)
+		dueActions.cloudCalls = t.state.PlanScaling(now)
+		dueActions.directCalls = t.state.NextDirectCalls(now)
 	}
-	due.hasWrites = t.state.HasPendingWrites()
-	return due
+	dueActions.hasWrites = t.state.HasPendingWrites()
+	return dueActions
 }
 
-// startActions starts the calls that are due, and wakes commitLoop if there are changes.
-func (t *term) startActions(ctx context.Context, calls *errgroup.Group, due actions) {
-	for _, call := range due.directCalls {
+// startActions starts the calls that are due, and wakes commitLoop if there are changes to commit.
+func (t *term) startActions(ctx context.Context, calls *errgroup.Group, dueActions actions) {
+	for _, call := range dueActions.directCalls {
 		calls.Go(func() error {
 			t.callWorker(ctx, call)
 			return nil
 		})
 	}
-	if due.hasWrites {
+	if dueActions.hasWrites {
 		signal(t.node.writeSignal)
 	}
-	for _, call := range due.cloudCalls {
+	for _, call := range dueActions.cloudCalls {
 		calls.Go(func() error {
 			t.callCloud(ctx, call)
 			return nil
