--- a/internal/api/heartbeats_test.go
+++ b/internal/api/heartbeats_test.go
@@ -37,7 +37,7 @@
 	addr string
 }
 
-// startServer starts a server with a connection limit. It stops when the test ends.
+// startServer starts a server whose process may open maxConnections. It stops when the test ends.
 func startServer(t *testing.T, maxConnections int) *testServer {
 	t.Helper()
 	srv := New(zerolog.Nop(), fakeService{}, config.ProcessLimits{MaxConnections: maxConnections})
@@ -51,7 +51,7 @@
 	return &testServer{Server: srv, t: t, addr: ln.Addr().String()}
 }
 
-// newClient returns a client that keeps one connection.
+// newClient returns a client that opens one connection and keeps it open.
 func (s *testServer) newClient() *fasthttp.HostClient {
 	return &fasthttp.HostClient{Addr: s.addr, MaxConns: 1}
 }
@@ -75,9 +75,9 @@
 	return s.send(c, "POST", wire.PathHeartbeat, heartbeatBody)
 }
 
-// TestWorkerConnectionLimit checks that when workers keep as many connections as they may, further
-// workers get a response and their connections are closed, so that users and health checks are
-// still served.
+// TestWorkerConnectionLimit checks that when workers keep open as many connections as the limit
+// allows, further workers get a response and the server then closes their connections. Users and
+// health checks must still be served.
 func TestWorkerConnectionLimit(t *testing.T) {
 	srv := startServer(t, 50)
 	var workers []*fasthttp.HostClient
@@ -85,28 +85,29 @@
 		c := srv.newClient()
 		workers = append(workers, c)
 		if got, closed := srv.sendHeartbeat(c); got != 200 || closed {
-			t.Fatalf("worker %d: %d, closed: %v", len(workers), got, closed)
+			t.Fatalf("worker %d: status %d, closed: %v, want 200, false", len(workers), got, closed)
 		}
 	}
 	for range 2 * srv.httpServer.Concurrency {
 		if got, closed := srv.sendHeartbeat(srv.newClient()); got != 200 || !closed {
-			t.Fatalf("worker above the limit: %d, closed: %v", got, closed)
+			t.Fatalf("worker above the limit: status %d, closed: %v, want 200, true", got, closed)
 		}
 	}
 	if got, closed := srv.sendHeartbeat(workers[0]); got != 200 || closed {
-		t.Errorf("worker with a kept connection: %d, closed: %v", got, closed)
+		t.Errorf("worker with an open connection: status %d, closed: %v, want 200, false", got, closed)
 	}
 	for _, path := range []string{wire.PathHealth, wire.PathJobs + "/job-000001"} {
 		if got, _ := srv.send(srv.newClient(), "GET", path, ""); got != 200 {
-			t.Errorf("%s: %d", path, got)
+			t.Errorf("%s: status %d, want 200", path, got)
 		}
 	}
-	// Another worker may keep its connection after one has been closed.
+	// After a worker has closed its connection, another one may keep its own open. The server may
+	// notice the closed connection only some requests later.
 	workers[0].CloseIdleConnections()
 	for range 500 {
 		if _, closed := srv.sendHeartbeat(srv.newClient()); !closed {
 			return
 		}
 	}
-	t.Error("no connection is kept after a worker has closed its connection")
+	t.Error("no new connection is kept open after a worker has closed its connection")
 }
--- a/internal/api/routes_test.go
+++ b/internal/api/routes_test.go
@@ -27,7 +27,7 @@
 	return s.response
 }
 
-// serveRequest serves one request without a connection.
+// serveRequest passes one request to the server's router, without a connection.
 func serveRequest(s Service, method, path, body string) *fasthttp.RequestCtx {
 	rc := &fasthttp.RequestCtx{}
 	rc.Request.Header.SetMethod(method)
@@ -37,7 +37,8 @@
 	return rc
 }
 
-// TestRoutes checks which call each request makes, and which status a request gets that makes none.
+// TestRoutes checks which call, if any, each request passes to the service, and the status of its
+// response.
 func TestRoutes(t *testing.T) {
 	const job = wire.PathJobs + "/job-000001"
 	for _, c := range []struct {
@@ -93,6 +94,6 @@
 // TestUnhealthy checks that a node that reaches no leader fails the health check.
 func TestUnhealthy(t *testing.T) {
 	if got := serveRequest(&recordingService{}, "GET", wire.PathHealth, "").Response.StatusCode(); got != http.StatusServiceUnavailable {
-		t.Errorf("status %d", got)
+		t.Errorf("status %d, want 503", got)
 	}
 }
--- a/internal/election/campaign_test.go
+++ b/internal/election/campaign_test.go
@@ -22,12 +22,12 @@
 	wonRevision  = 41 // revision of a committed campaign
 )
 
-// fakeStore is a key-value store for one campaign.
+// fakeStore is a key-value store for one campaign or one term. It records the calls that it gets.
 type fakeStore struct {
-	kvstore.Store // nil: a campaign doesn't call its other methods
+	kvstore.Store // nil: the methods not overridden below aren't called
 	values        map[string]json.RawMessage
 	commitErr     error
-	applyCommits  bool // also if commitErr is set
+	applyCommits  bool // Commit applies the changes, even if it returns commitErr
 	renewErr      error
 	committed     []wire.Txn
 	calls         []string
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// TestCampaign checks in which states of the leader key a campaign tries to acquire it, and which
-// result follows from each response to the transaction.
+// TestCampaign checks in which states of the leader key a campaign tries to acquire the key, and how
+// each response to its transaction decides whether it was won.
 func TestCampaign(t *testing.T) {
 	heldBy := func(node string) map[string]json.RawMessage {
 		return map[string]json.RawMessage{
@@ -83,7 +83,7 @@
 		name       string
 		values     map[string]json.RawMessage
 		commitErr  error
-		applied    bool
+		applied    bool // the store applies the transaction
 		won        bool
 		term       uint64
 		version    uint64
@@ -105,27 +105,27 @@
 			e := &Election{Store: store, Node: "n1", Log: zerolog.Nop()}
 			l, err := e.campaign(context.Background())
 			if err != nil || (l != nil) != c.won {
-				t.Fatalf("won: %v, error: %v", l != nil, err)
+				t.Fatalf("won: %v, error: %v; want no error, and won as in the test case", l != nil, err)
 			}
 			if c.won && (l.Term != c.term || l.LeaderVersion != c.version || l.TermVersion != c.version || l.lease != grantedLease) {
-				t.Errorf("%+v", l)
+				t.Errorf("got leadership %+v, want the term and key versions of the test case, and the granted lease", l)
 			}
 			if !slices.Equal(store.calls, c.calls) || e.OtherNodeLeads() != c.otherLeads {
-				t.Errorf("calls %v, another node leads: %v", store.calls, e.OtherNodeLeads())
+				t.Errorf("calls %v, another node leads: %v; want both as in the test case", store.calls, e.OtherNodeLeads())
 			}
 		})
 	}
 }
 
-// TestTermEnds checks that a term ends when the lease expires, when OnElected returns or when a
-// later leader is known. Afterwards OnElected has returned, the leadership is revoked and the
-// lease is released.
+// TestTermEnds checks that a term ends when the lease expires, when OnElected returns or when the
+// leadership is revoked because of a later leader. When serveTerm returns, OnElected must have
+// returned, and the leadership and the lease must have been revoked.
 func TestTermEnds(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		renewErr error
-		elected  func(context.Context, *Leadership)
-		lasted   time.Duration
+		name       string
+		renewErr   error
+		onElected  func(context.Context, *Leadership)
+		wantLasted time.Duration
 	}{
 		{"lease expired", kvstore.ErrNotFound, func(ctx context.Context, _ *Leadership) { <-ctx.Done() }, 0},
 		{"OnElected returned", nil, func(context.Context, *Leadership) { time.Sleep(time.Minute) }, time.Minute},
@@ -143,18 +143,18 @@
 				store := &fakeStore{renewErr: c.renewErr}
 				returned := false
 				e := &Election{Store: store, Log: zerolog.Nop(), OnElected: func(ctx context.Context, l *Leadership) error {
-					c.elected(ctx, l)
+					c.onElected(ctx, l)
 					returned = true
 					return nil
 				}}
 				start := time.Now()
 				l := NewLeadership(3, start)
 				e.serveTerm(context.Background(), l)
-				if lasted := time.Since(start); lasted != c.lasted {
-					t.Errorf("lasted %v, want %v", lasted, c.lasted)
+				if lasted := time.Since(start); lasted != c.wantLasted {
+					t.Errorf("the term lasted %v, want %v", lasted, c.wantLasted)
 				}
 				if !returned || l.HoldsLease(start) || store.calls[len(store.calls)-1] != "revoke" {
-					t.Errorf("OnElected returned: %v, still leads: %v, calls %v", returned, l.HoldsLease(start), store.calls)
+					t.Errorf("OnElected returned: %v, holds the lease: %v, calls %v; want true, false, revoke as the last call", returned, l.HoldsLease(start), store.calls)
 				}
 			})
 		})
--- a/internal/election/leadership_test.go
+++ b/internal/election/leadership_test.go
@@ -7,19 +7,19 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// TestLeaseValidity checks that validity counts from when the renewal was sent and ends before the
-// lease can expire, that the grace period follows it, and that a revocation ends both.
+// TestLeaseValidity checks that a lease is valid from when its renewal was sent until shortly before
+// it can expire, that the grace period starts then, and that a revocation ends both at once.
 func TestLeaseValidity(t *testing.T) {
 	const grace = 17 * time.Second
 	sent := time.Unix(1_700_000_000, 0)
 	expiry := sent.Add(tuning.LeaderLeaseTTL)
 	renewed := func(l *Leadership) { l.MarkRenewed(sent.Add(time.Second)) }
 	for _, c := range []struct {
-		name    string
-		change  func(*Leadership)
-		now     time.Time
-		holds   bool
-		inGrace bool
+		name       string
+		change     func(*Leadership)
+		now        time.Time
+		holdsLease bool
+		mayAnswer  bool
 	}{
 		{"when the renewal was sent", nil, sent, true, true},
 		{"one second after the renewal", nil, sent.Add(time.Second), true, true},
@@ -36,11 +36,11 @@
 			if c.change != nil {
 				c.change(l)
 			}
-			if got := l.HoldsLease(c.now); got != c.holds {
-				t.Errorf("holds the lease: %v", got)
+			if got := l.HoldsLease(c.now); got != c.holdsLease {
+				t.Errorf("holds the lease: %v, want the opposite", got)
 			}
-			if got := l.MayAnswerHeartbeats(c.now, grace); got != c.inGrace {
-				t.Errorf("in the grace period: %v", got)
+			if got := l.MayAnswerHeartbeats(c.now, grace); got != c.mayAnswer {
+				t.Errorf("may answer heartbeats: %v, want the opposite", got)
 			}
 		})
 	}
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -8,8 +8,8 @@
 	"switchshore.example/switchshore/internal/httpclient"
 )
 
-// TestErrorForStatus checks that a request counts as not executed only if the status says so.
-// After any other status its outcome is unknown.
+// TestErrorForStatus checks that a request counts as not executed only after a status that says so.
+// After any other error status, the outcome of the request must be unknown.
 func TestErrorForStatus(t *testing.T) {
 	for status, want := range map[int]error{
 		http.StatusOK:                  nil,
@@ -23,7 +23,7 @@
 		http.StatusBadGateway:          httpclient.ErrNoResponse,
 	} {
 		if got := errorForStatus(status); !errors.Is(got, want) {
-			t.Errorf("%d: %v, want %v", status, got, want)
+			t.Errorf("status %d: error %v, want %v", status, got, want)
 		}
 	}
 }
--- a/internal/kvstore/fenced_writer_test.go
+++ b/internal/kvstore/fenced_writer_test.go
@@ -20,7 +20,7 @@
 	return wire.Mutation{Put: key, Value: []byte(`"` + value + `"`)}
 }
 
-// newTerm returns a key-value store with a leader in term 1, and that leader's writer.
+// newTerm returns a key-value store with a leader and term key, and the writer of that leader.
 func newTerm(t *testing.T) (*simulation.KeyValueStore, *kvstore.FencedWriter) {
 	t.Helper()
 	s := simulation.NewKeyValueStore()
@@ -31,33 +31,33 @@
 	return s, kvstore.NewFencedWriter(1, res.Revision, res.Revision)
 }
 
-// TestLateTransactionIsRejected: a transaction without a response is retried and followed by a
-// newer one. The first copy reaches the store after that and must not restore the old value.
+// TestLateTransactionIsRejected: a transaction gets no response, is retried and is followed by a
+// newer one. The first copy reaches the store only then, and must not restore the old value.
 func TestLateTransactionIsRejected(t *testing.T) {
 	s, w := newTerm(t)
 	w.Begin([]wire.Mutation{put("k", "old")})
 	late := w.NextTxn()
 	if o := w.HandleResult(wire.TxnResult{}, httpclient.ErrNoResponse); o != kvstore.Retry {
-		t.Fatal("a lost response must lead to a retry, got", o)
+		t.Fatal("after a lost response: want Retry, got", o)
 	}
 	if o := w.HandleResult(s.Commit(w.NextTxn())); o != kvstore.Applied {
-		t.Fatal("retry:", o)
+		t.Fatal("retry: want Applied, got", o)
 	}
 	w.Begin([]wire.Mutation{put("k", "new")})
 	if o := w.HandleResult(s.Commit(w.NextTxn())); o != kvstore.Applied {
-		t.Fatal("next transaction:", o)
+		t.Fatal("next transaction: want Applied, got", o)
 	}
 	if _, err := s.Commit(late); err == nil {
 		t.Fatal("the late copy was applied")
 	}
 	if item, _ := s.Get("k"); string(item.Value) != `"new"` {
-		t.Fatalf("k = %s", item.Value)
+		t.Fatalf("k = %s, want the new value", item.Value)
 	}
 }
 
-// TestUnknownOutcomeIsResolvedByReading: the second attempt is applied, but its response is lost
-// like the first one's. The third attempt fails on its condition; reading the term key then
-// shows that the changes were applied.
+// TestUnknownOutcomeIsResolvedByReading: a transaction is lost, and its retry is applied but gets no
+// response. The condition of the second retry then fails, and reading the term key must show that
+// the changes were applied.
 func TestUnknownOutcomeIsResolvedByReading(t *testing.T) {
 	s, w := newTerm(t)
 	w.Begin([]wire.Mutation{put("k", "v")})
@@ -67,18 +67,18 @@
 	}
 	w.HandleResult(wire.TxnResult{}, httpclient.ErrNoResponse)
 	if o := w.HandleResult(s.Commit(w.NextTxn())); o != kvstore.OutcomeUnknown {
-		t.Fatal("third attempt:", o)
+		t.Fatal("third transaction: want OutcomeUnknown, got", o)
 	}
 	if o := w.ResolveUnknown(s.Get(kvstore.KeyTerm)); o != kvstore.Applied {
-		t.Fatal("resolved:", o)
+		t.Fatal("after reading the term key: want Applied, got", o)
 	}
 	w.Begin([]wire.Mutation{put("k", "w")})
 	if o := w.HandleResult(s.Commit(w.NextTxn())); o != kvstore.Applied {
-		t.Fatal("next transaction:", o)
+		t.Fatal("next transaction: want Applied, got", o)
 	}
 }
 
-// TestWriterIsFencedBySuccessor checks that no write is applied once the leader key has changed.
+// TestWriterIsFencedBySuccessor checks that a writer is deposed after the leader key has changed.
 func TestWriterIsFencedBySuccessor(t *testing.T) {
 	s, w := newTerm(t)
 	if _, err := s.Commit(wire.Txn{Then: []wire.Mutation{put(kvstore.KeyLeader, "other")}}); err != nil {
@@ -86,12 +86,13 @@
 	}
 	w.Begin([]wire.Mutation{put("k", "v")})
 	if o := w.HandleResult(s.Commit(w.NextTxn())); o != kvstore.Deposed {
-		t.Fatal(o)
+		t.Fatal(o) // want Deposed
 	}
 }
 
 // TestExpiredLeaseDeletesItsKeys tests the simulated store, on which the simulations rely: a key
-// is deleted when its lease expires, and an outage of the store restarts the lease's time.
+// must be deleted when its lease expires, and an outage of the store must restart the lease's time
+// to live.
 func TestExpiredLeaseDeletesItsKeys(t *testing.T) {
 	s := simulation.NewKeyValueStore()
 	now := time.Unix(0, 0)
@@ -114,9 +115,9 @@
 	}
 }
 
-// TestRefusedChangeIsSkipped: the store's limits become stricter than the settings at any moment,
-// also between an attempt without a response and its retry. The writer must write every change
-// that the store accepts, and must report only those that it refuses.
+// TestRefusedChangeIsSkipped: the store's limits become stricter than the settings while requests
+// and responses are lost at random. The writer must write every change that the store accepts, and
+// must report exactly the changes that it refuses.
 func TestRefusedChangeIsSkipped(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
@@ -137,7 +138,7 @@
 	}
 }
 
-// oversized is a change that a store refuses if values are limited to 1 KB.
+// oversized is a change that the store refuses if its values are limited to 1 KB.
 var oversized = put("long", strings.Repeat("x", 2000))
 
 // faultyCommits writes changes through a writer and randomly loses requests and responses.
@@ -146,11 +147,11 @@
 	store      *simulation.KeyValueStore
 	writer     *kvstore.FencedWriter
 	rng        *rand.Rand
-	accepted   []string   // keys that must be stored at the end
-	lateCopies []wire.Txn // sent in this round without a response, and not applied yet
+	accepted   []string   // keys of all changes that the store must accept
+	lateCopies []wire.Txn // transactions of this round that are on the way to the store; sent by checkLateCopies
 }
 
-// commitRound writes a few changes, at random with an oversized one among them.
+// commitRound writes a few changes. In about half of the rounds, one more change is oversized.
 func (f *faultyCommits) commitRound(round int) {
 	f.t.Helper()
 	f.lateCopies = nil
@@ -179,7 +180,7 @@
 	f.checkLateCopies(round)
 }
 
-// nextOutcome performs the step that follows an outcome and returns the new outcome.
+// nextOutcome does what the outcome asks for and returns the next outcome.
 func (f *faultyCommits) nextOutcome(outcome kvstore.Outcome) kvstore.Outcome {
 	if outcome == kvstore.OutcomeUnknown {
 		return f.writer.ResolveUnknown(f.store.Get(kvstore.KeyTerm))
@@ -187,22 +188,22 @@
 	txn := f.writer.NextTxn()
 	switch f.rng.IntN(4) {
 	case 0:
-		f.lateCopies = append(f.lateCopies, txn) // applied late or never
+		f.lateCopies = append(f.lateCopies, txn) // delayed on the way to the store
 		return f.writer.HandleResult(wire.TxnResult{}, httpclient.ErrNoResponse)
 	case 1:
-		_, _ = f.store.Commit(txn) // its response is lost
+		_, _ = f.store.Commit(txn) // applied, but its response is lost
 		return f.writer.HandleResult(wire.TxnResult{}, httpclient.ErrNoResponse)
 	}
 	return f.writer.HandleResult(f.store.Commit(txn))
 }
 
-// checkLateCopies sends the transactions that got no response to the store, and checks that
-// they change nothing any more.
+// checkLateCopies commits the delayed copies of transactions after the writer has finished the
+// round, and checks that they change nothing.
 func (f *faultyCommits) checkLateCopies(round int) {
 	f.t.Helper()
 	before := f.storedItems()
 	for _, txn := range f.lateCopies {
-		_, _ = f.store.Commit(txn) // it may fail
+		_, _ = f.store.Commit(txn) // the store may refuse it
 	}
 	if !reflect.DeepEqual(before, f.storedItems()) {
 		f.t.Fatalf("round %d: a late copy was applied", round)
--- a/internal/kvstore/list_test.go
+++ b/internal/kvstore/list_test.go
@@ -18,7 +18,7 @@
 // request for each page with 503.
 type pagedStore struct {
 	keys, perPage int
-	requestCounts map[string]int // by the key after which the page starts
+	requestCounts map[string]int // number of requests for each page, by the key after which the page starts
 }
 
 func (p *pagedStore) handle(rc *fasthttp.RequestCtx) {
@@ -39,8 +39,8 @@
 	rc.SetBodyString(fmt.Sprintf(`{"rows":[%s],"hasNext":%v}`, strings.Join(rows, ","), first+p.perPage < p.keys))
 }
 
-// TestListRetriesUnavailablePages: the store answers the second request for each page only. The
-// list must hold each key once, and a page that has been read must not be read again.
+// TestListRetriesUnavailablePages: the store responds to the first request for each page with 503.
+// List must return each key once, and must not read a page again that it has read.
 func TestListRetriesUnavailablePages(t *testing.T) {
 	p := &pagedStore{keys: 10, perPage: 3, requestCounts: map[string]int{}}
 	limits := config.KVStoreLimits{RPS: 1000, WriteRPS: 100, TxnOps: 10}
@@ -53,11 +53,11 @@
 		t.Fatal(err)
 	}
 	if len(got) != p.keys || got[0] != "k/0" || got[p.keys-1] != "k/9" {
-		t.Errorf("%v", got)
+		t.Errorf("got keys %v, want k/0 to k/9", got)
 	}
 	for since, n := range p.requestCounts {
 		if n != 2 {
-			t.Errorf("%d requests since %q", n, since)
+			t.Errorf("%d requests for the page after %q, want 2", n, since)
 		}
 	}
 }
--- a/internal/kvstore/timeout_test.go
+++ b/internal/kvstore/timeout_test.go
@@ -10,28 +10,29 @@
 )
 
 // TestTransactionTimeout: a leader's transaction that takes far longer than usual must time out
-// early, and the next one gets more time. A candidate's transaction always gets StoreTimeout.
+// before StoreTimeout, and the next one must get more time. The transaction of a node that doesn't
+// lead must always get StoreTimeout.
 func TestTransactionTimeout(t *testing.T) {
-	const usual = 80 * time.Millisecond
+	const usualLatency = 80 * time.Millisecond
 	c := NewClient("127.0.0.1:1", config.KVStoreLimits{RPS: 1000, WriteRPS: 100, TxnOps: 10}, 1)
 	if got := c.txnTimeout.current(); got != tuning.StoreTimeout {
-		t.Errorf("candidate: %v", got)
+		t.Errorf("not leading: timeout %v, want StoreTimeout", got)
 	}
 	c.SetLeading(true)
 	for range 20 {
-		c.txnTimeout.observe(usual, nil)
+		c.txnTimeout.observe(usualLatency, nil)
 	}
-	if got := c.txnTimeout.current(); got != tuning.StoreTimeoutFactor*usual {
-		t.Errorf("leader: %v", got)
+	if got := c.txnTimeout.current(); got != tuning.StoreTimeoutFactor*usualLatency {
+		t.Errorf("leader: timeout %v, want StoreTimeoutFactor times the usual latency", got)
 	}
 	c.txnTimeout.observe(0, httpclient.ErrNoResponse)
-	if got := c.txnTimeout.current(); got != 2*tuning.StoreTimeoutFactor*usual {
-		t.Errorf("after one lost response: %v", got)
+	if got := c.txnTimeout.current(); got != 2*tuning.StoreTimeoutFactor*usualLatency {
+		t.Errorf("after one lost response: timeout %v, want twice the timeout before", got)
 	}
 	for range 9 {
 		c.txnTimeout.observe(0, httpclient.ErrNoResponse)
 	}
 	if got := c.txnTimeout.current(); got != tuning.StoreTimeout {
-		t.Errorf("after many lost responses: %v", got)
+		t.Errorf("after many lost responses: timeout %v, want StoreTimeout", got)
 	}
 }
--- a/internal/node/bad_input_test.go
+++ b/internal/node/bad_input_test.go
@@ -8,20 +8,21 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// doneJobPath is the path of the job that TestBadInput runs to its end first.
+// doneJobPath is the path of the job that TestBadInput first submits and waits for until it is done.
 const doneJobPath = wire.PathJobs + "/job-000001"
 
-// request is a request and the status expected from a node that can decide on it.
+// request is a request and the status expected from a node that can process it.
 type request struct {
 	method, path, body string
 	status             int
 }
 
 // TestBadInput checks the responses of every node to invalid requests: without faults, during
-// an outage of the key-value store and during failovers. A malformed submission gets 400, one
-// that can never run 422, an unknown job 404, and a job that is done 200 with that state, never
-// an older one. A node that can't decide responds with 503 and Retry-After. No invalid
-// submission is ever accepted.
+// an outage of the key-value store and during failovers. The expected status is 400 for a malformed
+// submission, 422 for a job that can never run, 404 for an unknown job, and 200 for a job that is
+// done. That response must contain the state done, never an older state. A node that can't process
+// a request for lack of a leader responds with 503 and Retry-After. No invalid submission may be
+// accepted.
 func TestBadInput(t *testing.T) {
 	c := startCluster(t, 3)
 	done := fmt.Sprintf(submission, "job-000001")
@@ -48,14 +49,14 @@
 }
 
 // checkResponses sends requests to nodes and checks the responses. 503 with Retry-After is
-// allowed for every request that isn't malformed, as only a leader can decide on it.
+// allowed for every request that isn't malformed, because only a leader can process it.
 func (c *cluster) checkResponses(when string, requests []request, addrs ...string) {
 	c.t.Helper()
 	for _, addr := range addrs {
 		for _, r := range requests {
 			status, retryAfter, body := exchange(addr, r.method, r.path, r.body)
-			undecided := status == 503 && retryAfter != "" && r.status != 400
-			if !undecided && status != r.status {
+			noLeader := status == 503 && retryAfter != "" && r.status != 400
+			if !noLeader && status != r.status {
 				c.t.Fatalf("%s: %s %s %s: %d %s, want %d", when, r.method, r.path, r.body, status, body, r.status)
 			}
 			if status == 200 && !strings.Contains(string(body), `"`+wire.JobDone+`"`) {
@@ -65,7 +66,8 @@
 	}
 }
 
-// modifiedRequest submits another job, with one part of the submission replaced.
+// modifiedRequest returns a request that submits another job, with one part of the submission
+// replaced.
 func modifiedRequest(t *testing.T, submission string, status int, from, to string) request {
 	t.Helper()
 	body := strings.Replace(strings.Replace(submission, "job-000001", "job-000002", 1), from, to, 1)
@@ -75,7 +77,8 @@
 	return request{"POST", wire.PathJobs, body, status}
 }
 
-// leaderRequests returns requests that only a leader can decide on.
+// leaderRequests returns requests that only a leader can process. done is the submission of the job
+// that is done.
 func leaderRequests(t *testing.T, done string) []request {
 	t.Helper()
 	requests := []request{
@@ -99,8 +102,8 @@
 	return requests
 }
 
-// malformedRequests returns submissions that every node rejects: bodies that aren't a JSON object,
-// an invalid job ID, and each field absent, null or of another type.
+// malformedRequests returns requests that every node rejects: bodies that aren't a JSON object, an
+// invalid job ID, and the submission done with each field absent, null or of another type.
 func malformedRequests(t *testing.T, done string) []request {
 	t.Helper()
 	var requests []request
--- a/internal/node/calls_test.go
+++ b/internal/node/calls_test.go
@@ -10,7 +10,7 @@
 	"switchshore.example/switchshore/internal/leader"
 )
 
-// TestDirectOutcome checks that commands count as not delivered only if no connection was made.
+// TestDirectOutcome checks that commands count as not delivered only if the call was not sent.
 func TestDirectOutcome(t *testing.T) {
 	for _, c := range []struct {
 		status int
@@ -26,7 +26,7 @@
 		{0, fmt.Errorf("call: %w", httpclient.ErrNotSent), leader.DirectCallNotDelivered},
 	} {
 		if got := directOutcome(c.status, c.err); got != c.want {
-			t.Errorf("%d, %v: %v, want %v", c.status, c.err, got, c.want)
+			t.Errorf("status %d, error %v: outcome %v, want %v", c.status, c.err, got, c.want)
 		}
 	}
 }
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -22,7 +22,8 @@
  "cores":2,"cards":0,"memoryGb":1,"hull":"img","imageGb":0.1,"builds":null,"berth":null,
  "together":false,"apart":false,"driftwood":true,"reckonS":0.1,"loglineS":0,"stowS":0,"tideS":null}`
 
-// cluster is a group of nodes on loopback, with simulated services and workers.
+// cluster is a group of nodes on loopback, with simulated services and workers. Nodes are indexed in
+// the order in which they were started.
 type cluster struct {
 	t           *testing.T
 	addrs       []string
@@ -52,8 +53,8 @@
 	return startClusterWith(t, size, &config.OperatorSettings{}, func(*config.Params) {})
 }
 
-// startClusterWith starts nodes with the given operator settings, and with the other settings
-// modified by change.
+// startClusterWith starts a cluster with the given operator settings. change modifies the other
+// settings of each node.
 func startClusterWith(t *testing.T, size int, operator *config.OperatorSettings, change func(*config.Params)) *cluster {
 	services := simulation.NewServer(wire.MachineType{
 		Name: "std-8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootTimeS: 0.1, Zones: []string{"a"},
@@ -79,7 +80,8 @@
 	return c
 }
 
-// nodeConfig returns the configuration of the peer with the index self.
+// nodeConfig returns the configuration of the node that is peers[self] and listens on addr for
+// users and workers.
 func nodeConfig(addr string, peers []config.Peer, self int, services string) *config.Config {
 	cfg := &config.Config{
 		Name: peers[self].Name, Zone: "a", Listen: addr, PeerListen: peers[self].Addr,
@@ -112,8 +114,8 @@
 	}()
 }
 
-// runWorker simulates a worker that finishes every task at once. It uses the next node when one
-// doesn't respond with 200.
+// runWorker simulates a worker that finishes every task as soon as it is started. When a node
+// doesn't respond with 200, the worker sends its next heartbeat to the next node.
 func runWorker(ctx context.Context, row wire.ListedMachine, nodes []string) {
 	r := wire.Heartbeat{Machine: row.Name, Type: row.Type, Zone: row.Zone, Spot: row.Spot, AgentEpoch: 1, Tasks: []wire.TaskStatus{}}
 	for current := 0; ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
@@ -147,7 +149,8 @@
 	return status, data
 }
 
-// exchange sends a request and returns the status, Retry-After and body of the response.
+// exchange sends a request and returns the status, Retry-After and body of the response. The status
+// is 0 if there was no response.
 func exchange(addr, method, path, body string) (int, string, []byte) {
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -179,8 +182,8 @@
 	c.t.Fatalf("%s %s: %d %+v, want %d %s", method, path, got, js, status, state)
 }
 
-// submitUntilAccepted repeats a submission until it is accepted. The status may be that of a repeated
-// submission, because the first acceptance may have got no response.
+// submitUntilAccepted repeats a submission until it is accepted. Any 2xx is allowed: if the response
+// to the first acceptance was lost, the retry gets the status of a repeated submission.
 func (c *cluster) submitUntilAccepted(addr, body string) {
 	c.t.Helper()
 	var status int
@@ -190,5 +193,5 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	c.t.Fatalf("submission not accepted: %d", status)
+	c.t.Fatalf("submission not accepted: status %d, want 2xx", status)
 }
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -20,7 +20,7 @@
 
 const drainFile = `<drain name="maintenance"><selector><zone>%s</zone></selector><batchSize>2</batchSize></drain>`
 
-// writeDrain writes the specification of a drain of a zone to a file and returns its path.
+// writeDrain writes a drain of the given zone to a file and returns the file's path.
 func writeDrain(t *testing.T, zone string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "drain.xml")
@@ -30,7 +30,8 @@
 	return path
 }
 
-// drainState returns a drain's state from a node, or "" if it has none to report.
+// drainState asks a node for the state of the drain, and returns "" if the node doesn't respond with
+// a state.
 func drainState(node string) drain.State {
 	var out bytes.Buffer
 	client := &operatorcli.Client{Addr: node, JSON: true, Out: &out}
@@ -42,7 +43,7 @@
 }
 
 // TestDrainCommands checks that an operator's commands reach the leader through any node, also
-// after one of the nodes has stopped, and that invalid commands get an error of one line.
+// after one of the nodes has stopped, and that invalid commands are refused with a one-line error.
 func TestDrainCommands(t *testing.T) {
 	ctx := context.Background()
 	operator := &config.OperatorSettings{Drains: &drain.Budgets{Window: time.Minute}}
@@ -57,14 +58,14 @@
 		}
 	}
 	if !strings.Contains(out.String(), "maintenance") || !strings.Contains(out.String(), "TEAM") {
-		t.Errorf("printed %q", out.String())
+		t.Errorf("printed %q, want the drain's name and the header TEAM", out.String())
 	}
 	for name, err := range map[string]error{
 		"an unknown zone":  client.Apply(ctx, writeDrain(t, "z")),
 		"an unknown drain": client.Do(ctx, drain.Show, "other"),
 	} {
 		if !errors.Is(err, operatorcli.ErrRefused) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want ErrRefused in one line", name, err)
 		}
 	}
 	c.stopNode[0]()
@@ -72,15 +73,15 @@
 	deadline := time.Now().Add(2 * time.Minute)
 	for drainState(c.peerAddrs[2]) != drain.Done {
 		if time.Now().After(deadline) {
-			t.Fatalf("the drain is %q", drainState(c.peerAddrs[2]))
+			t.Fatalf("the drain is %q, want done", drainState(c.peerAddrs[2]))
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
 	client.Addr = c.peerAddrs[2]
 	if err := client.Do(ctx, drain.Pause, "maintenance"); !errors.Is(err, operatorcli.ErrRefused) {
-		t.Errorf("pausing a drain that is done: %v", err)
+		t.Errorf("pausing a drain that is done: error %v, want ErrRefused", err)
 	}
 	if err := client.Do(ctx, drain.Cancel, "maintenance"); err != nil || drainState(c.peerAddrs[1]) != drain.Cancelled {
-		t.Errorf("cancelling a drain that is done: %v, state %s", err, drainState(c.peerAddrs[1]))
+		t.Errorf("cancelling a drain that is done: error %v, state %s; want no error, cancelled", err, drainState(c.peerAddrs[1]))
 	}
 }
--- a/internal/node/health_test.go
+++ b/internal/node/health_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// TestHealthGracePeriod checks that a node is healthy from when it first reaches a leader until
-// the grace period after it last reached one, so that a failover doesn't make it unhealthy.
+// TestHealthGracePeriod checks that a node becomes healthy when it first reaches a leader, and stays
+// healthy until a grace period after it last reached one, so that a failover doesn't make it
+// unhealthy.
 func TestHealthGracePeriod(t *testing.T) {
 	const grace = 10 * time.Second
 	start := time.Unix(1_700_000_000, 0)
@@ -24,7 +25,7 @@
 		{21 * time.Second, false, true},
 	} {
 		if got := h.update(start.Add(c.after), c.reaches, grace); got != c.healthy {
-			t.Errorf("after %v: healthy: %v", c.after, got)
+			t.Errorf("after %v: healthy: %v, want the opposite", c.after, got)
 		}
 	}
 }
--- a/internal/node/local_test.go
+++ b/internal/node/local_test.go
@@ -37,7 +37,8 @@
 }
 
 // TestHandleLocally checks that only the holder of the lease handles a user's request, and that
-// a leader in its grace period also handles worker heartbeats. Other nodes forward them.
+// a leader still handles worker heartbeats in the grace period after its lease. A heartbeat from a
+// later term must revoke the leadership.
 func TestHandleLocally(t *testing.T) {
 	heartbeat := func(token uint64) peer.Call {
 		return peer.Call{Op: peer.OpHeartbeat, Heartbeat: &wire.Heartbeat{
@@ -72,35 +73,35 @@
 			}
 			response, handled := n.handleLocally(context.Background(), c.call)
 			if handled != c.handled || response.Status != c.status {
-				t.Errorf("handled: %v, %+v", handled, response)
+				t.Errorf("handled: %v, %+v; want both as in the test case", handled, response)
 			}
 			if revoked := n.leadership != nil && !n.leadership.MayAnswerHeartbeats(c.renewed, n.gracePeriod); revoked != c.revoked {
-				t.Errorf("revoked: %v", revoked)
+				t.Errorf("revoked: %v, want the opposite", revoked)
 			}
 			if ticks := len(n.tickSignal) > 0; ticks != c.ticks {
-				t.Errorf("tick signalled: %v", ticks)
+				t.Errorf("tick signalled: %v, want the opposite", ticks)
 			}
 		})
 	}
 }
 
-// TestRevokeTermBefore checks that a later term of a peer revokes the leadership, and that an
+// TestRevokeEarlierTerm checks that a later term of a peer revokes the leadership, and that an
 // earlier or the same term doesn't.
-func TestRevokeTermBefore(t *testing.T) {
+func TestRevokeEarlierTerm(t *testing.T) {
 	for term, leads := range map[uint64]bool{testTerm - 1: true, testTerm: true, testTerm + 1: false} {
 		n := newTestNode()
 		now := time.Now()
 		n.becomeLeader(now)
 		n.revokeEarlierTerm(term)
 		if got := n.leadership.HoldsLease(now); got != leads {
-			t.Errorf("peer with term %d: still leads: %v", term, got)
+			t.Errorf("peer with term %d: holds the lease: %v, want the opposite", term, got)
 		}
 	}
 }
 
-// TestAwaitResult checks that after the lease has expired only a terminal result is returned, and
-// that waiting ends when the caller's context does.
-func TestAwaitResult(t *testing.T) {
+// TestWaitForResult checks that after the lease has expired only a terminal result is returned, and
+// that waiting ends with 503 when the caller's context ends.
+func TestWaitForResult(t *testing.T) {
 	now := time.Now()
 	valid, expired := election.NewLeadership(testTerm, now), election.NewLeadership(testTerm, now.Add(-time.Minute))
 	ended, cancel := context.WithCancel(context.Background())
@@ -114,10 +115,10 @@
 		result     *peer.Response
 		status     int
 	}{
-		{"in time", valid, job(wire.JobRunning), http.StatusOK},
+		{"valid lease", valid, job(wire.JobRunning), http.StatusOK},
 		{"lease expired", expired, job(wire.JobRunning), http.StatusServiceUnavailable},
 		{"lease expired, job done", expired, job(wire.JobDone), http.StatusOK},
-		{"none", valid, nil, http.StatusServiceUnavailable},
+		{"no result before the context ended", valid, nil, http.StatusServiceUnavailable},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			ctx := context.Background()
@@ -128,7 +129,7 @@
 				ctx = ended
 			}
 			if got := waitForResult(ctx, c.leadership, result); got.Status != c.status {
-				t.Errorf("%+v, want %d", got, c.status)
+				t.Errorf("got %+v, want status %d", got, c.status)
 			}
 		})
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -11,7 +11,7 @@
 // TestNodesOverLoopback sends a user's requests over real sockets: it submits jobs to each node,
 // repeats the submissions, waits until the jobs are done and cancels them, submits a job with
 // dependencies and sends invalid requests. Then it stops all nodes but the last, one after the
-// other, and checks after each that the last one still knows and runs jobs.
+// other. After each stop, the last node must still know the old jobs and run a new one.
 func TestNodesOverLoopback(t *testing.T) {
 	c := startCluster(t, 3)
 	for i, addr := range c.addrs {
@@ -45,7 +45,7 @@
 		{"POST", wire.PathJobs + "/job-999999/" + wire.CancelSuffix, "", 404},
 	} {
 		if got, body := send(addr, r.method, r.path, r.body); got != r.status {
-			t.Errorf("%s %s %.20s: %d %s, want %d", r.method, r.path, r.body, got, body, r.status)
+			t.Errorf("%s %s %.20s: status %d %s, want %d", r.method, r.path, r.body, got, body, r.status)
 		}
 	}
 	for i := range 2 {
