--- a/internal/election/leadership_test.go
+++ b/internal/election/leadership_test.go
@@ -19,7 +19,7 @@
 		change     func(*Leadership)
 		now        time.Time
 		holdsLease bool
-		mayAnswer  bool
+		mayRespond bool
 	}{
 		{"when the renewal was sent", nil, sent, true, true},
 		{"one second after the renewal", nil, sent.Add(time.Second), true, true},
@@ -39,8 +39,8 @@
 			if got := l.HoldsLease(c.now); got != c.holdsLease {
 				t.Errorf("holds the lease: %v, want the opposite", got)
 			}
-			if got := l.MayAnswerHeartbeats(c.now, grace); got != c.mayAnswer {
-				t.Errorf("may answer heartbeats: %v, want the opposite", got)
+			if got := l.MayRespondToHeartbeats(c.now, grace); got != c.mayRespond {
+				t.Errorf("may respond to heartbeats: %v, want the opposite", got)
 			}
 		})
 	}
--- a/internal/kvstore/fenced_writer_test.go
+++ b/internal/kvstore/fenced_writer_test.go
@@ -20,8 +20,8 @@
 	return wire.Mutation{Put: key, Value: []byte(`"` + value + `"`)}
 }
 
-// newTerm returns a key-value store with a leader and term key, and the writer of that leader.
-func newTerm(t *testing.T) (*simulation.KeyValueStore, *kvstore.FencedWriter) {
+// newStoreAndWriter returns a key-value store with a leader and term key, and the writer of that leader.
+func newStoreAndWriter(t *testing.T) (*simulation.KeyValueStore, *kvstore.FencedWriter) {
 	t.Helper()
 	s := simulation.NewKeyValueStore()
 	res, err := s.Commit(wire.Txn{Then: []wire.Mutation{put(kvstore.KeyLeader, "n"), put(kvstore.KeyTerm, "t")}})
@@ -34,9 +34,9 @@
 // TestLateTransactionIsRejected: a transaction gets no response, is retried and is followed by a
 // newer one. The first copy reaches the store only then, and must not restore the old value.
 func TestLateTransactionIsRejected(t *testing.T) {
-	s, w := newTerm(t)
+	s, w := newStoreAndWriter(t)
 	w.Begin([]wire.Mutation{put("k", "old")})
-	late := w.NextTxn()
+	lateCopy := w.NextTxn()
 	if o := w.HandleResult(wire.TxnResult{}, httpclient.ErrNoResponse); o != kvstore.Retry {
 		t.Fatal("after a lost response: want Retry, got", o)
 	}
@@ -47,7 +47,7 @@
 	if o := w.HandleResult(s.Commit(w.NextTxn())); o != kvstore.Applied {
 		t.Fatal("next transaction: want Applied, got", o)
 	}
-	if _, err := s.Commit(late); err == nil {
+	if _, err := s.Commit(lateCopy); err == nil {
 		t.Fatal("the late copy was applied")
 	}
 	if item, _ := s.Get("k"); string(item.Value) != `"new"` {
@@ -59,7 +59,7 @@
 // response. The condition of the second retry then fails, and reading the term key must show that
 // the changes were applied.
 func TestUnknownOutcomeIsResolvedByReading(t *testing.T) {
-	s, w := newTerm(t)
+	s, w := newStoreAndWriter(t)
 	w.Begin([]wire.Mutation{put("k", "v")})
 	w.HandleResult(wire.TxnResult{}, httpclient.ErrNoResponse)
 	if _, err := s.Commit(w.NextTxn()); err != nil {
@@ -80,7 +80,7 @@
 
 // TestWriterIsFencedBySuccessor checks that a writer is deposed after the leader key has changed.
 func TestWriterIsFencedBySuccessor(t *testing.T) {
-	s, w := newTerm(t)
+	s, w := newStoreAndWriter(t)
 	if _, err := s.Commit(wire.Txn{Then: []wire.Mutation{put(kvstore.KeyLeader, "other")}}); err != nil {
 		t.Fatal(err)
 	}
@@ -121,7 +121,7 @@
 func TestRefusedChangeIsSkipped(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
-			s, w := newTerm(t)
+			s, w := newStoreAndWriter(t)
 			f := &faultyCommits{t: t, store: s, writer: w, rng: rand.New(rand.NewPCG(seed, 0))}
 			for round := range 6 {
 				if round == 2 {
--- a/internal/kvstore/list_test.go
+++ b/internal/kvstore/list_test.go
@@ -14,8 +14,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// pagedStore serves the keys k/0, k/1 and so on in pages of perPage keys. It answers the first
-// request for each page with 503.
+// pagedStore serves the keys k/0, k/1 and so on in pages of perPage keys. It responds to the
+// first request for each page with 503.
 type pagedStore struct {
 	keys, perPage int
 	requestCounts map[string]int // number of requests for each page, by the key after which the page starts
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -116,26 +116,26 @@
 
 // runWorker simulates a worker that finishes every task as soon as it is started. When a node
 // doesn't respond with 200, the worker sends its next heartbeat to the next node.
-func runWorker(ctx context.Context, row wire.ListedMachine, nodes []string) {
-	r := wire.Heartbeat{Machine: row.Name, Type: row.Type, Zone: row.Zone, Spot: row.Spot, AgentEpoch: 1, Tasks: []wire.TaskStatus{}}
+func runWorker(ctx context.Context, machine wire.ListedMachine, nodes []string) {
+	heartbeat := wire.Heartbeat{Machine: machine.Name, Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, AgentEpoch: 1, Tasks: []wire.TaskStatus{}}
 	for current := 0; ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
-		r.Sequence++
-		data, _ := json.Marshal(r)
+		heartbeat.Sequence++
+		data, _ := json.Marshal(heartbeat)
 		status, body := send(nodes[current], fasthttp.MethodPost, wire.PathHeartbeat, string(data))
-		var a wire.HeartbeatResponse
-		if status != 200 || json.Unmarshal(body, &a) != nil {
+		var response wire.HeartbeatResponse
+		if status != 200 || json.Unmarshal(body, &response) != nil {
 			current = (current + 1) % len(nodes)
 			continue
 		}
-		r.FencingToken = a.FencingToken
-		for _, c := range a.Commands {
+		heartbeat.FencingToken = response.FencingToken
+		for _, c := range response.Commands {
 			switch c.Op {
 			case wire.OpStart:
-				r.Tasks = append(r.Tasks, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskExited, ExitReason: wire.ExitDone})
+				heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskExited, ExitReason: wire.ExitDone})
 			case wire.OpForget:
-				for i, t := range r.Tasks {
+				for i, t := range heartbeat.Tasks {
 					if t.Task == c.Task && t.Attempt == c.Attempt {
-						r.Tasks = append(r.Tasks[:i], r.Tasks[i+1:]...)
+						heartbeat.Tasks = append(heartbeat.Tasks[:i], heartbeat.Tasks[i+1:]...)
 						break
 					}
 				}
@@ -168,18 +168,18 @@
 func (c *cluster) waitForResponse(addr, method, path, body string, status int, state string) {
 	c.t.Helper()
 	var got int
-	var js wire.JobStatus
+	var job wire.JobStatus
 	for range 600 {
 		var data []byte
 		got, data = send(addr, method, path, body)
-		js = wire.JobStatus{}
-		_ = json.Unmarshal(data, &js)
-		if got == status && (state == "" || js.State == state) {
+		job = wire.JobStatus{}
+		_ = json.Unmarshal(data, &job)
+		if got == status && (state == "" || job.State == state) {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	c.t.Fatalf("%s %s: %d %+v, want %d %s", method, path, got, js, status, state)
+	c.t.Fatalf("%s %s: %d %+v, want %d %s", method, path, got, job, status, state)
 }
 
 // submitUntilAccepted repeats a submission until it is accepted. Any 2xx is allowed: if the response
--- a/internal/node/commit.go
+++ b/internal/node/commit.go
@@ -14,7 +14,7 @@
 func (t *term) commitLoop(ctx context.Context) error {
 	writer := kvstore.NewFencedWriter(t.leadership.Term, t.leadership.LeaderVersion, t.leadership.TermVersion)
 	for {
-		batch := t.nextBatch()
+		batch := t.nextWriteBatch()
 		if batch == nil {
 			if err := t.waitForChanges(ctx); err != nil {
 				return err
@@ -32,8 +32,8 @@
 	}
 }
 
-// nextBatch returns the next batch of changes to commit, or nil if there are none.
-func (t *term) nextBatch() *records.Batch {
+// nextWriteBatch returns the next batch of changes to commit, or nil if there are none.
+func (t *term) nextWriteBatch() *records.Batch {
 	t.node.mu.Lock()
 	defer t.node.mu.Unlock()
 	return t.state.NextWriteBatch(t.node.store.MaxTxnChanges(), t.node.store.BackgroundWriteAllowance())
--- a/internal/node/health_test.go
+++ b/internal/node/health_test.go
@@ -14,7 +14,7 @@
 	var h health
 	for _, c := range []struct {
 		after   time.Duration
-		reaches bool
+		reaches bool // a leader is reachable
 		healthy bool
 	}{
 		{0, false, false},
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -14,7 +14,7 @@
 )
 
 // handleLocally handles a call if this node leads. handled is false if the node doesn't lead or may
-// not answer this call, so that the caller must forward it.
+// not respond to this call, so that the caller must forward it.
 func (n *Node) handleLocally(ctx context.Context, c peer.Call) (response peer.Response, handled bool) {
 	if c.Op == peer.OpHeartbeat {
 		return n.handleHeartbeat(c.Heartbeat)
@@ -46,7 +46,7 @@
 // if the worker has already seen a later term. The caller must hold mu.
 func (n *Node) applyHeartbeat(now time.Time, h *wire.Heartbeat) (response peer.Response, handled bool) {
 	holdsLease := n.leadership.HoldsLease(now)
-	if !n.leadership.MayAnswerHeartbeats(now, n.gracePeriod) {
+	if !n.leadership.MayRespondToHeartbeats(now, n.gracePeriod) {
 		return peer.Response{}, false
 	}
 	heartbeatResponse, outcome := n.leader.HandleHeartbeat(now, h, holdsLease)
@@ -62,7 +62,7 @@
 
 // startRequest passes a request to the leader's state. It returns the channel that receives the
 // result, and the leadership in which the request was started. If this node doesn't hold the lease,
-// it returns nil and does nothing, because only the node that certainly leads may answer users.
+// it returns nil and does nothing, because only the node that certainly leads may respond to users.
 func (n *Node) startRequest(c peer.Call) (<-chan peer.Response, *election.Leadership) {
 	now := time.Now()
 	n.mu.Lock()
--- a/internal/node/local_test.go
+++ b/internal/node/local_test.go
@@ -47,15 +47,16 @@
 	}
 	query := peer.Call{Op: peer.OpQuery, Job: "job-000001"}
 	now := time.Now()
+	// Times of a last renewal: after the first, the grace period runs now, and after the second it is over.
 	inGrace, expired := now.Add(-tuning.LeaderLeaseTTL), now.Add(-time.Minute)
 	for _, c := range []struct {
 		name    string
-		renewed time.Time // zero: not the leader
+		renewed time.Time // time of the last lease renewal; zero if the node isn't the leader
 		call    peer.Call
 		handled bool
 		status  int
-		revoked bool
-		ticks   bool
+		revoked bool // the leadership is revoked
+		ticks   bool // tickLoop is signalled
 	}{
 		{name: "heartbeat, not the leader", call: heartbeat(testTerm)},
 		{name: "heartbeat, leader", renewed: now, call: heartbeat(testTerm), handled: true, status: http.StatusOK, ticks: true},
@@ -75,7 +76,7 @@
 			if handled != c.handled || response.Status != c.status {
 				t.Errorf("handled: %v, %+v; want both as in the test case", handled, response)
 			}
-			if revoked := n.leadership != nil && !n.leadership.MayAnswerHeartbeats(c.renewed, n.gracePeriod); revoked != c.revoked {
+			if revoked := n.leadership != nil && !n.leadership.MayRespondToHeartbeats(c.renewed, n.gracePeriod); revoked != c.revoked {
 				t.Errorf("revoked: %v, want the opposite", revoked)
 			}
 			if ticks := len(n.tickSignal) > 0; ticks != c.ticks {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -33,7 +33,7 @@
 	hub           *peer.Hub
 	workerClients *httpclient.Pool
 	election      *election.Election
-	// gracePeriod is how long a leader still answers worker heartbeats after its lease's validity.
+	// gracePeriod is how long a leader still responds to worker heartbeats after its lease's validity.
 	gracePeriod time.Duration
 
 	// mu guards leader and leadership. It is never held during a network call or a wait.
--- a/internal/node/overload_test.go
+++ b/internal/node/overload_test.go
@@ -99,11 +99,11 @@
 	if status, body := send(addr, "POST", wire.PathJobs, withTeam(known, "nobody")); status != 200 && status != 422 && status != 503 {
 		c.t.Errorf("accepted job, resubmitted for an unknown team: status %d %s, want 200, 422 or 503", status, body)
 	}
-	other := fmt.Sprintf(submission, fmt.Sprintf("job-00002%d", node))
-	if status, body := send(addr, "POST", wire.PathJobs, withTeam(other, "nobody")); status != 422 && status != 503 {
+	newJob := fmt.Sprintf(submission, fmt.Sprintf("job-00002%d", node))
+	if status, body := send(addr, "POST", wire.PathJobs, withTeam(newJob, "nobody")); status != 422 && status != 503 {
 		c.t.Errorf("new job of an unknown team: status %d %s, want 422 or 503", status, body)
 	}
-	if status, body := send(addr, "POST", wire.PathJobs, other[1:]); status != 400 {
+	if status, body := send(addr, "POST", wire.PathJobs, newJob[1:]); status != 400 {
 		c.t.Errorf("malformed submission: status %d %s, want 400", status, body)
 	}
 	c.waitForResponse(addr, "POST", wire.PathJobs, known, 200, "")
--- a/internal/node/membership.go
+++ b/internal/node/peers.go
@@ -22,7 +22,7 @@
 	}
 	heartbeat.Term = n.leadership.Term
 	heartbeat.IsLeader = n.leadership.HoldsLease(now)
-	heartbeat.InGracePeriod = n.leadership.MayAnswerHeartbeats(now, n.gracePeriod)
+	heartbeat.InGracePeriod = n.leadership.MayRespondToHeartbeats(now, n.gracePeriod)
 	if heartbeat.IsLeader {
 		heartbeat.Policy = n.leader.AdmissionPolicy()
 	}
--- a/internal/node/summary.go
+++ b/internal/node/summary.go
@@ -1,7 +1,7 @@
 package node
 
 // logSummary logs the main figures of the leader's state for operators. While admission control
-// sheds load, it also logs how much.
+// sheds load, it also logs the figures of admission control.
 func (t *term) logSummary() {
 	t.node.mu.Lock()
 	summary := t.state.Summary()
--- a/internal/node/tick.go
+++ b/internal/node/tick.go
@@ -21,7 +21,7 @@
 }
 
 // tickLoop calls Tick on the leader's state at intervals and on each signal, and starts the actions
-// that are dueActions. It returns when the context has ended and all calls that it started have returned.
+// that are due. It returns when the context has ended and all calls that it started have returned.
 func (t *term) tickLoop(ctx context.Context) error {
 	ticker := time.NewTicker(tuning.TickInterval)
 	defer ticker.Stop()
@@ -47,7 +47,7 @@
 	}
 }
 
-// nextActions calls Tick on the leader's state and returns the actions that are dueActions. If this
+// nextActions calls Tick on the leader's state and returns the actions that are due. If this
 // node doesn't hold the lease, these contain no calls, because another node may lead.
 func (t *term) nextActions(now time.Time) actions {
 	holdsLease := t.leadership.HoldsLease(now)
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -142,7 +142,7 @@
 // nil. It may be in its grace period.
 func (sim *Simulation) leaderForHeartbeat(target *node) *node {
 	grace := leader.GracePeriod(sim.Params.Workers)
-	return target.findLeader(func(n *node) bool { return n.leadership.MayAnswerHeartbeats(n.clock(), grace) })
+	return target.findLeader(func(n *node) bool { return n.leadership.MayRespondToHeartbeats(n.clock(), grace) })
 }
 
 // findLeader returns the node itself if it leads, else the leader of the highest term to which it
