--- a/internal/election/campaign_test.go
+++ b/internal/election/campaign_test.go
@@ -22,15 +22,15 @@
 	wonRevision  = 41 // revision of a committed campaign
 )
 
-// fakeStore is a key-value store for one campaign or one term. It records the calls that it gets.
+// fakeStore is a key-value store for one campaign or one term. It records what it is called with.
 type fakeStore struct {
 	kvstore.Store // nil: the methods not overridden below aren't called
 	values        map[string]json.RawMessage
-	commitErr     error
-	applyCommits  bool // Commit applies the changes, even if it returns commitErr
-	renewErr      error
-	committed     []wire.Txn
-	calls         []string
+	commitErr     error      // returned by Commit
+	applyCommits  bool       // Commit applies the changes, even if it returns commitErr
+	renewErr      error      // returned by RenewLease
+	committed     []wire.Txn // the transactions passed to Commit
+	calls         []string   // calls of RenewLease, RevokeLease and Watch, in order
 }
 
 func (s *fakeStore) Get(_ context.Context, key string) (wire.KeyValue, error) {
--- a/internal/kvstore/fenced_writer_test.go
+++ b/internal/kvstore/fenced_writer_test.go
@@ -20,7 +20,8 @@
 	return wire.Mutation{Put: key, Value: []byte(`"` + value + `"`)}
 }
 
-// newStoreAndWriter returns a key-value store with a leader and term key, and the writer of that leader.
+// newStoreAndWriter returns a key-value store that has a leader key and a term key, and the writer
+// of that leader.
 func newStoreAndWriter(t *testing.T) (*simulation.KeyValueStore, *kvstore.FencedWriter) {
 	t.Helper()
 	s := simulation.NewKeyValueStore()
@@ -169,13 +170,13 @@
 	outcome := kvstore.Retry
 	for outcome != kvstore.Applied {
 		if outcome == kvstore.Deposed {
-			f.t.Fatalf("round %d: deposed", round)
+			f.t.Fatalf("round %d: deposed, want all changes to be applied or refused", round)
 		}
 		outcome = f.nextOutcome(outcome)
 	}
 	refused := f.writer.RefusedKeys()
 	if round >= 2 && slices.Contains(refused, oversized.Put) != withOversized || round >= 2 && len(refused) > 1 {
-		f.t.Fatalf("round %d: refused %v", round, refused)
+		f.t.Fatalf("round %d: refused %v, want only the oversized change, if the round has one", round, refused)
 	}
 	f.checkLateCopies(round)
 }
@@ -191,7 +192,7 @@
 		f.lateCopies = append(f.lateCopies, txn) // delayed on the way to the store
 		return f.writer.HandleResult(wire.TxnResult{}, httpclient.ErrNoResponse)
 	case 1:
-		_, _ = f.store.Commit(txn) // applied, but its response is lost
+		_, _ = f.store.Commit(txn) // the response to it is lost
 		return f.writer.HandleResult(wire.TxnResult{}, httpclient.ErrNoResponse)
 	}
 	return f.writer.HandleResult(f.store.Commit(txn))
@@ -222,12 +223,13 @@
 
 // resultStep is a result passed to the writer, and the outcome that it must return.
 type resultStep struct {
-	err     error
-	failed  []string // keys of a conflict
-	outcome kvstore.Outcome
+	err        error
+	failedKeys []string // keys whose conditions failed, with ErrConflict
+	outcome    kvstore.Outcome
 }
 
-// TestOutcomesOfResults checks the outcome of each result in a sequence.
+// TestOutcomesOfResults checks the outcome of each result in a sequence of results for one group of
+// changes, and which changes the writer then reports as refused.
 func TestOutcomesOfResults(t *testing.T) {
 	lost := resultStep{err: httpclient.ErrNoResponse, outcome: kvstore.Retry}
 	invalid := func(o kvstore.Outcome) resultStep { return resultStep{err: kvstore.ErrInvalidRequest, outcome: o} }
@@ -243,17 +245,17 @@
 		{"responses lost, then applied", 1, []resultStep{lost, lost, applied}, nil},
 		{
 			"condition failed at the first attempt", 1,
-			[]resultStep{{err: kvstore.ErrConflict, failed: []string{kvstore.KeyTerm}, outcome: kvstore.Deposed}},
+			[]resultStep{{err: kvstore.ErrConflict, failedKeys: []string{kvstore.KeyTerm}, outcome: kvstore.Deposed}},
 			nil,
 		},
 		{
 			"another leader after a lost response", 1,
-			[]resultStep{lost, {err: kvstore.ErrConflict, failed: []string{kvstore.KeyLeader}, outcome: kvstore.Deposed}},
+			[]resultStep{lost, {err: kvstore.ErrConflict, failedKeys: []string{kvstore.KeyLeader}, outcome: kvstore.Deposed}},
 			nil,
 		},
 		{
 			"term key changed after a lost response", 1,
-			[]resultStep{lost, {err: kvstore.ErrConflict, failed: []string{kvstore.KeyTerm}, outcome: kvstore.OutcomeUnknown}},
+			[]resultStep{lost, {err: kvstore.ErrConflict, failedKeys: []string{kvstore.KeyTerm}, outcome: kvstore.OutcomeUnknown}},
 			nil,
 		},
 		{"one invalid change", 1, []resultStep{invalid(kvstore.Applied)}, []string{"k0"}},
@@ -273,8 +275,8 @@
 			w := kvstore.NewFencedWriter(1, 1, 1)
 			w.Begin(numberedWrites(c.changes))
 			for i, s := range c.steps {
-				if got := w.HandleResult(wire.TxnResult{Revision: 2, FailedKeys: s.failed}, s.err); got != s.outcome {
-					t.Fatalf("step %d: %v, want %v", i, got, s.outcome)
+				if got := w.HandleResult(wire.TxnResult{Revision: 2, FailedKeys: s.failedKeys}, s.err); got != s.outcome {
+					t.Fatalf("result %d: outcome %v, want %v", i, got, s.outcome)
 				}
 			}
 			if got := w.RefusedKeys(); !slices.Equal(got, c.refused) {
@@ -284,7 +286,7 @@
 	}
 }
 
-// TestUnknownOutcomes checks the outcome for each value of the term key after a lost response.
+// TestUnknownOutcomes checks which outcome each value of the term key has after a lost response.
 func TestUnknownOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -306,13 +308,13 @@
 			w.Begin(numberedWrites(1))
 			w.HandleResult(wire.TxnResult{}, httpclient.ErrNoResponse)
 			if got := w.ResolveUnknown(wire.KeyValue{Value: []byte(c.value), Version: 9}, c.err); got != c.outcome {
-				t.Errorf("%v, want %v", got, c.outcome)
+				t.Errorf("outcome %v, want %v", got, c.outcome)
 			}
 			if c.outcome != kvstore.Applied {
 				return
 			}
 			if txn := w.NextTxn(); txn.If[1] != (wire.Compare{Key: kvstore.KeyTerm, Version: 9}) {
-				t.Errorf("conditions of the next transaction: %+v", txn.If)
+				t.Errorf("conditions of the next transaction: %+v, want version 9 for the term key", txn.If)
 			}
 		})
 	}
