--- a/internal/election/term.go
+++ b/internal/election/term.go
@@ -43,7 +43,7 @@
 
 // renewLease renews the lease until the context ends, the lease has expired, or the leadership
 // is revoked because a later leader exists. A revoked leadership no longer allows this node to
-// respond to any requests, so continuing the term would be wasted work.
+// accept any requests, so continuing the term would be wasted work.
 func (e *Election) renewLease(ctx context.Context, l *Leadership) {
 	for ctx.Err() == nil {
 		sent := time.Now()
