--- a/internal/kvstore/fenced_writer_test.go
+++ b/internal/kvstore/fenced_writer_test.go
@@ -20,8 +20,9 @@
 	return wire.Mutation{Put: key, Value: []byte(`"` + value + `"`)}
 }
 
-// newTerm returns a key-value store with a leader in term 1, and that leader's writer.
-func newTerm(t *testing.T) (*simulation.KeyValueStore, *kvstore.FencedWriter) {
+// newStoreAndWriter returns a key-value store that has a leader key and a term key, and the writer
+// of that leader.
+func newStoreAndWriter(t *testing.T) (*simulation.KeyValueStore, *kvstore.FencedWriter) {
 	t.Helper()
 	s := simulation.NewKeyValueStore()
 	res, err := s.Commit(wire.Txn{Then: []wire.Mutation{put(kvstore.KeyLeader, "n"), put(kvstore.KeyTerm, "t")}})
@@ -31,67 +32,68 @@
 	return s, kvstore.NewFencedWriter(1, res.Revision, res.Revision)
 }
 
-// TestLateTransactionIsRejected: a transaction without a response is retried and followed by a
-// newer one. The first copy reaches the store after that and must not restore the old value.
+// TestLateTransactionIsRejected: a transaction gets no response, is retried and is followed by a
+// newer one. The first copy reaches the store only then, and must not restore the old value.
 func TestLateTransactionIsRejected(t *testing.T) {
-	s, w := newTerm(t)
+	s, w := newStoreAndWriter(t)
 	w.Begin([]wire.Mutation{put("k", "old")})
-	late := w.Txn()
+	lateCopy := w.NextTxn()
 	if o := w.HandleResult(wire.TxnResult{}, httpclient.ErrNoResponse); o != kvstore.Retry {
-		t.Fatal("a lost response must lead to a retry, got", o)
+		t.Fatal("after a lost response: want Retry, got", o)
 	}
-	if o := w.HandleResult(s.Commit(w.Txn())); o != kvstore.Applied {
-		t.Fatal("retry:", o)
+	if o := w.HandleResult(s.Commit(w.NextTxn())); o != kvstore.Applied {
+		t.Fatal("retry: want Applied, got", o)
 	}
 	w.Begin([]wire.Mutation{put("k", "new")})
-	if o := w.HandleResult(s.Commit(w.Txn())); o != kvstore.Applied {
-		t.Fatal("next transaction:", o)
+	if o := w.HandleResult(s.Commit(w.NextTxn())); o != kvstore.Applied {
+		t.Fatal("next transaction: want Applied, got", o)
 	}
-	if _, err := s.Commit(late); err == nil {
+	if _, err := s.Commit(lateCopy); err == nil {
 		t.Fatal("the late copy was applied")
 	}
 	if item, _ := s.Get("k"); string(item.Value) != `"new"` {
-		t.Fatalf("k = %s", item.Value)
+		t.Fatalf("k = %s, want the new value", item.Value)
 	}
 }
 
-// TestUnknownOutcomeIsResolvedByReading: the second attempt is applied, but its response is lost
-// like the first one's. The third attempt fails on its condition; reading the term key then
-// shows that the changes were applied.
+// TestUnknownOutcomeIsResolvedByReading: a transaction is lost, and its retry is applied but gets no
+// response. The condition of the second retry then fails, and reading the term key must show that
+// the changes were applied.
 func TestUnknownOutcomeIsResolvedByReading(t *testing.T) {
-	s, w := newTerm(t)
+	s, w := newStoreAndWriter(t)
 	w.Begin([]wire.Mutation{put("k", "v")})
 	w.HandleResult(wire.TxnResult{}, httpclient.ErrNoResponse)
-	if _, err := s.Commit(w.Txn()); err != nil {
+	if _, err := s.Commit(w.NextTxn()); err != nil {
 		t.Fatal(err)
 	}
 	w.HandleResult(wire.TxnResult{}, httpclient.ErrNoResponse)
-	if o := w.HandleResult(s.Commit(w.Txn())); o != kvstore.OutcomeUnknown {
-		t.Fatal("third attempt:", o)
+	if o := w.HandleResult(s.Commit(w.NextTxn())); o != kvstore.OutcomeUnknown {
+		t.Fatal("third transaction: want OutcomeUnknown, got", o)
 	}
 	if o := w.ResolveUnknown(s.Get(kvstore.KeyTerm)); o != kvstore.Applied {
-		t.Fatal("resolved:", o)
+		t.Fatal("after reading the term key: want Applied, got", o)
 	}
 	w.Begin([]wire.Mutation{put("k", "w")})
-	if o := w.HandleResult(s.Commit(w.Txn())); o != kvstore.Applied {
-		t.Fatal("next transaction:", o)
+	if o := w.HandleResult(s.Commit(w.NextTxn())); o != kvstore.Applied {
+		t.Fatal("next transaction: want Applied, got", o)
 	}
 }
 
-// TestWriterIsFencedBySuccessor checks that no write is applied once the leader key has changed.
+// TestWriterIsFencedBySuccessor checks that a writer is deposed after the leader key has changed.
 func TestWriterIsFencedBySuccessor(t *testing.T) {
-	s, w := newTerm(t)
+	s, w := newStoreAndWriter(t)
 	if _, err := s.Commit(wire.Txn{Then: []wire.Mutation{put(kvstore.KeyLeader, "other")}}); err != nil {
 		t.Fatal(err)
 	}
 	w.Begin([]wire.Mutation{put("k", "v")})
-	if o := w.HandleResult(s.Commit(w.Txn())); o != kvstore.Deposed {
-		t.Fatal(o)
+	if o := w.HandleResult(s.Commit(w.NextTxn())); o != kvstore.Deposed {
+		t.Fatal(o) // want Deposed
 	}
 }
 
 // TestExpiredLeaseDeletesItsKeys tests the simulated store, on which the simulations rely: a key
-// is deleted when its lease expires, and an outage of the store restarts the lease's time.
+// must be deleted when its lease expires, and an outage of the store must restart the lease's time
+// to live.
 func TestExpiredLeaseDeletesItsKeys(t *testing.T) {
 	s := simulation.NewKeyValueStore()
 	now := time.Unix(0, 0)
@@ -114,13 +116,13 @@
 	}
 }
 
-// TestRefusedChangeIsSkipped: the store's limits become stricter than the settings at any moment,
-// also between an attempt without a response and its retry. The writer must write every change
-// that the store accepts, and must report only those that it refuses.
+// TestRefusedChangeIsSkipped: the store's limits become stricter than the settings while requests
+// and responses are lost at random. The writer must write every change that the store accepts, and
+// must report exactly the changes that it refuses.
 func TestRefusedChangeIsSkipped(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
-			s, w := newTerm(t)
+			s, w := newStoreAndWriter(t)
 			f := &faultyCommits{t: t, store: s, writer: w, rng: rand.New(rand.NewPCG(seed, 0))}
 			for round := range 6 {
 				if round == 2 {
@@ -137,7 +139,7 @@
 	}
 }
 
-// oversized is a change that a store refuses if values are limited to 1 KB.
+// oversized is a change that the store refuses if its values are limited to 1 KB.
 var oversized = put("long", strings.Repeat("x", 2000))
 
 // faultyCommits writes changes through a writer and randomly loses requests and responses.
@@ -146,11 +148,11 @@
 	store      *simulation.KeyValueStore
 	writer     *kvstore.FencedWriter
 	rng        *rand.Rand
-	accepted   []string   // keys that must be stored at the end
-	lateCopies []wire.Txn // sent in this round without a response, and not applied yet
+	accepted   []string   // keys of all changes that the store must accept
+	lateCopies []wire.Txn // transactions of this round that are on the way to the store; sent by checkLateCopies
 }
 
-// commitRound writes a few changes, at random with an oversized one among them.
+// commitRound writes a few changes. In about half of the rounds, one more change is oversized.
 func (f *faultyCommits) commitRound(round int) {
 	f.t.Helper()
 	f.lateCopies = nil
@@ -168,41 +170,41 @@
 	outcome := kvstore.Retry
 	for outcome != kvstore.Applied {
 		if outcome == kvstore.Deposed {
-			f.t.Fatalf("round %d: deposed", round)
+			f.t.Fatalf("round %d: deposed, want all changes to be applied or refused", round)
 		}
 		outcome = f.nextOutcome(outcome)
 	}
-	refused := f.writer.Refused()
+	refused := f.writer.RefusedKeys()
 	if round >= 2 && slices.Contains(refused, oversized.Put) != withOversized || round >= 2 && len(refused) > 1 {
-		f.t.Fatalf("round %d: refused %v", round, refused)
+		f.t.Fatalf("round %d: refused %v, want only the oversized change, if the round has one", round, refused)
 	}
 	f.checkLateCopies(round)
 }
 
-// nextOutcome performs the step that follows an outcome and returns the new outcome.
+// nextOutcome does what the outcome asks for and returns the next outcome.
 func (f *faultyCommits) nextOutcome(outcome kvstore.Outcome) kvstore.Outcome {
 	if outcome == kvstore.OutcomeUnknown {
 		return f.writer.ResolveUnknown(f.store.Get(kvstore.KeyTerm))
 	}
-	txn := f.writer.Txn()
+	txn := f.writer.NextTxn()
 	switch f.rng.IntN(4) {
 	case 0:
-		f.lateCopies = append(f.lateCopies, txn) // applied late or never
+		f.lateCopies = append(f.lateCopies, txn) // delayed on the way to the store
 		return f.writer.HandleResult(wire.TxnResult{}, httpclient.ErrNoResponse)
 	case 1:
-		_, _ = f.store.Commit(txn) // its response is lost
+		_, _ = f.store.Commit(txn) // the response to it is lost
 		return f.writer.HandleResult(wire.TxnResult{}, httpclient.ErrNoResponse)
 	}
 	return f.writer.HandleResult(f.store.Commit(txn))
 }
 
-// checkLateCopies sends the transactions that got no response to the store, and checks that
-// they change nothing any more.
+// checkLateCopies commits the delayed copies of transactions after the writer has finished the
+// round, and checks that they change nothing.
 func (f *faultyCommits) checkLateCopies(round int) {
 	f.t.Helper()
 	before := f.storedItems()
 	for _, txn := range f.lateCopies {
-		_, _ = f.store.Commit(txn) // it may fail
+		_, _ = f.store.Commit(txn) // the store may refuse it
 	}
 	if !reflect.DeepEqual(before, f.storedItems()) {
 		f.t.Fatalf("round %d: a late copy was applied", round)
@@ -219,71 +221,72 @@
 	return items
 }
 
-// step is a result passed to the writer, and the outcome that it must return.
-type step struct {
-	err     error
-	failed  []string // keys of a conflict
-	outcome kvstore.Outcome
+// resultStep is a result passed to the writer, and the outcome that it must return.
+type resultStep struct {
+	err        error
+	failedKeys []string // keys whose conditions failed, with ErrConflict
+	outcome    kvstore.Outcome
 }
 
-// TestOutcomesOfResults checks the outcome of each result in a sequence.
+// TestOutcomesOfResults checks the outcome of each result in a sequence of results for one group of
+// changes, and which changes the writer then reports as refused.
 func TestOutcomesOfResults(t *testing.T) {
-	lost := step{err: httpclient.ErrNoResponse, outcome: kvstore.Retry}
-	invalid := func(o kvstore.Outcome) step { return step{err: kvstore.ErrInvalidRequest, outcome: o} }
-	applied := step{outcome: kvstore.Applied}
+	lost := resultStep{err: httpclient.ErrNoResponse, outcome: kvstore.Retry}
+	invalid := func(o kvstore.Outcome) resultStep { return resultStep{err: kvstore.ErrInvalidRequest, outcome: o} }
+	applied := resultStep{outcome: kvstore.Applied}
 	for _, c := range []struct {
 		name    string
 		changes int
-		steps   []step
+		steps   []resultStep
 		refused []string
 	}{
-		{"applied at once", 2, []step{applied}, nil},
-		{"unavailable, then applied", 1, []step{{err: kvstore.ErrUnavailable, outcome: kvstore.Retry}, applied}, nil},
-		{"responses lost, then applied", 1, []step{lost, lost, applied}, nil},
+		{"applied at once", 2, []resultStep{applied}, nil},
+		{"unavailable, then applied", 1, []resultStep{{err: kvstore.ErrUnavailable, outcome: kvstore.Retry}, applied}, nil},
+		{"responses lost, then applied", 1, []resultStep{lost, lost, applied}, nil},
 		{
 			"condition failed at the first attempt", 1,
-			[]step{{err: kvstore.ErrConflict, failed: []string{kvstore.KeyTerm}, outcome: kvstore.Deposed}},
+			[]resultStep{{err: kvstore.ErrConflict, failedKeys: []string{kvstore.KeyTerm}, outcome: kvstore.Deposed}},
 			nil,
 		},
 		{
 			"another leader after a lost response", 1,
-			[]step{lost, {err: kvstore.ErrConflict, failed: []string{kvstore.KeyLeader}, outcome: kvstore.Deposed}},
+			[]resultStep{lost, {err: kvstore.ErrConflict, failedKeys: []string{kvstore.KeyLeader}, outcome: kvstore.Deposed}},
 			nil,
 		},
 		{
 			"term key changed after a lost response", 1,
-			[]step{lost, {err: kvstore.ErrConflict, failed: []string{kvstore.KeyTerm}, outcome: kvstore.OutcomeUnknown}},
+			[]resultStep{lost, {err: kvstore.ErrConflict, failedKeys: []string{kvstore.KeyTerm}, outcome: kvstore.OutcomeUnknown}},
 			nil,
 		},
-		{"one invalid change", 1, []step{invalid(kvstore.Applied)}, []string{"k0"}},
+		{"one invalid change", 1, []resultStep{invalid(kvstore.Applied)}, []string{"k0"}},
 		{
 			"the first of two invalid", 2,
-			[]step{invalid(kvstore.ContinueSplit), invalid(kvstore.ContinueSplit), applied},
+			[]resultStep{invalid(kvstore.SendNextPart), invalid(kvstore.SendNextPart), applied},
 			[]string{"k0"},
 		},
 		{
 			"the second of two invalid", 2,
-			[]step{invalid(kvstore.ContinueSplit), {outcome: kvstore.ContinueSplit}, invalid(kvstore.Applied)},
+			[]resultStep{invalid(kvstore.SendNextPart), {outcome: kvstore.SendNextPart}, invalid(kvstore.Applied)},
 			[]string{"k1"},
 		},
-		{"invalid without any change", 0, []step{invalid(kvstore.Deposed)}, nil},
+		{"invalid without any change", 0, []resultStep{invalid(kvstore.Deposed)}, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := kvstore.NewFencedWriter(1, 1, 1)
 			w.Begin(numberedWrites(c.changes))
 			for i, s := range c.steps {
-				if got := w.HandleResult(wire.TxnResult{Revision: 2, FailedKeys: s.failed}, s.err); got != s.outcome {
-					t.Fatalf("step %d: %v, want %v", i, got, s.outcome)
+				if got := w.HandleResult(wire.TxnResult{Revision: 2, FailedKeys: s.failedKeys}, s.err); got != s.outcome {
+					t.Fatalf("result %d: outcome %v, want %v", i, got, s.outcome)
 				}
 			}
-			if got := w.Refused(); !slices.Equal(got, c.refused) {
+			if got := w.RefusedKeys(); !slices.Equal(got, c.refused) {
 				t.Errorf("refused %v, want %v", got, c.refused)
 			}
 		})
 	}
 }
 
-// TestUnknownOutcomes checks the outcome for each value of the term key after a lost response.
+// TestUnknownOutcomes checks which outcome each value of the term key has after a lost response.
 func TestUnknownOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -305,13 +308,13 @@
 			w.Begin(numberedWrites(1))
 			w.HandleResult(wire.TxnResult{}, httpclient.ErrNoResponse)
 			if got := w.ResolveUnknown(wire.KeyValue{Value: []byte(c.value), Version: 9}, c.err); got != c.outcome {
-				t.Errorf("%v, want %v", got, c.outcome)
+				t.Errorf("outcome %v, want %v", got, c.outcome)
 			}
 			if c.outcome != kvstore.Applied {
 				return
 			}
-			if txn := w.Txn(); txn.If[1] != (wire.Compare{Key: kvstore.KeyTerm, Version: 9}) {
-				t.Errorf("conditions of the next transaction: %+v", txn.If)
+			if txn := w.NextTxn(); txn.If[1] != (wire.Compare{Key: kvstore.KeyTerm, Version: 9}) {
+				t.Errorf("conditions of the next transaction: %+v, want version 9 for the term key", txn.If)
 			}
 		})
 	}
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -22,13 +22,14 @@
  "cores":2,"cards":0,"memoryGb":1,"hull":"img","imageGb":0.1,"builds":null,"berth":null,
  "together":false,"apart":false,"driftwood":true,"reckonS":0.1,"loglineS":0,"stowS":0,"tideS":null}`
 
-// cluster is a group of nodes on loopback, with simulated services and workers.
+// cluster is a group of nodes on loopback, with simulated services and workers. Nodes are indexed in
+// the order in which they were started.
 type cluster struct {
-	t         *testing.T
-	addrs     []string
-	peerAddrs []string
-	stop      []context.CancelFunc
-	stopped   []chan struct{}
+	t           *testing.T
+	addrs       []string
+	peerAddrs   []string
+	stopNode    []context.CancelFunc
+	nodeStopped []chan struct{}
 	// services simulates the key-value store and the cloud.
 	services *simulation.Server
 }
@@ -52,8 +53,8 @@
 	return startClusterWith(t, size, &config.OperatorSettings{}, func(*config.Params) {})
 }
 
-// startClusterWith starts nodes with the given operator settings, and with the other settings
-// modified by change.
+// startClusterWith starts a cluster with the given operator settings. change modifies the other
+// settings of each node.
 func startClusterWith(t *testing.T, size int, operator *config.OperatorSettings, change func(*config.Params)) *cluster {
 	services := simulation.NewServer(wire.MachineType{
 		Name: "std-8", CPUs: 8, MemoryGB: 32, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootTimeS: 0.1, Zones: []string{"a"},
@@ -79,7 +80,8 @@
 	return c
 }
 
-// nodeConfig returns the configuration of the peer with the index self.
+// nodeConfig returns the configuration of the node that is peers[self] and listens on addr for
+// users and workers.
 func nodeConfig(addr string, peers []config.Peer, self int, services string) *config.Config {
 	cfg := &config.Config{
 		Name: peers[self].Name, Zone: "a", Listen: addr, PeerListen: peers[self].Addr,
@@ -103,7 +105,7 @@
 func (c *cluster) startNode(ctx context.Context, cfg *config.Config, operator *config.OperatorSettings) {
 	ctx, stop := context.WithCancel(ctx)
 	stopped := make(chan struct{})
-	c.stop, c.stopped = append(c.stop, stop), append(c.stopped, stopped)
+	c.stopNode, c.nodeStopped = append(c.stopNode, stop), append(c.nodeStopped, stopped)
 	go func() {
 		defer close(stopped)
 		if err := node.New(zerolog.Nop(), cfg, operator).Run(ctx); err != nil && !errors.Is(err, context.Canceled) {
@@ -112,28 +114,28 @@
 	}()
 }
 
-// runWorker simulates a worker that finishes every task at once. It uses the next node when one
-// doesn't respond with 200.
-func runWorker(ctx context.Context, row wire.ListedMachine, nodes []string) {
-	r := wire.Heartbeat{Machine: row.Name, Type: row.Type, Zone: row.Zone, Spot: row.Spot, AgentEpoch: 1, Tasks: []wire.TaskStatus{}}
+// runWorker simulates a worker that finishes every task as soon as it is started. When a node
+// doesn't respond with 200, the worker sends its next heartbeat to the next node.
+func runWorker(ctx context.Context, machine wire.ListedMachine, nodes []string) {
+	heartbeat := wire.Heartbeat{Machine: machine.Name, Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, AgentEpoch: 1, Tasks: []wire.TaskStatus{}}
 	for current := 0; ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
-		r.Sequence++
-		data, _ := json.Marshal(r)
+		heartbeat.Sequence++
+		data, _ := json.Marshal(heartbeat)
 		status, body := send(nodes[current], fasthttp.MethodPost, wire.PathHeartbeat, string(data))
-		var a wire.HeartbeatResponse
-		if status != 200 || json.Unmarshal(body, &a) != nil {
+		var response wire.HeartbeatResponse
+		if status != 200 || json.Unmarshal(body, &response) != nil {
 			current = (current + 1) % len(nodes)
 			continue
 		}
-		r.FencingToken = a.FencingToken
-		for _, c := range a.Commands {
+		heartbeat.FencingToken = response.FencingToken
+		for _, c := range response.Commands {
 			switch c.Op {
 			case wire.OpStart:
-				r.Tasks = append(r.Tasks, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskExited, ExitReason: wire.ExitDone})
+				heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskExited, ExitReason: wire.ExitDone})
 			case wire.OpForget:
-				for i, t := range r.Tasks {
+				for i, t := range heartbeat.Tasks {
 					if t.Task == c.Task && t.Attempt == c.Attempt {
-						r.Tasks = append(r.Tasks[:i], r.Tasks[i+1:]...)
+						heartbeat.Tasks = append(heartbeat.Tasks[:i], heartbeat.Tasks[i+1:]...)
 						break
 					}
 				}
@@ -147,7 +149,8 @@
 	return status, data
 }
 
-// exchange sends a request and returns the status, Retry-After and body of the response.
+// exchange sends a request and returns the status, Retry-After and body of the response. The status
+// is 0 if there was no response.
 func exchange(addr, method, path, body string) (int, string, []byte) {
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -161,27 +164,27 @@
 	return res.StatusCode(), string(res.Header.Peek(fasthttp.HeaderRetryAfter)), append([]byte(nil), res.Body()...)
 }
 
-// await repeats a request until the response has the status and, if given, the state.
-func (c *cluster) await(addr, method, path, body string, status int, state string) {
+// waitForResponse repeats a request until the response has the status and, if given, the state.
+func (c *cluster) waitForResponse(addr, method, path, body string, status int, state string) {
 	c.t.Helper()
 	var got int
-	var js wire.JobStatus
+	var job wire.JobStatus
 	for range 600 {
 		var data []byte
 		got, data = send(addr, method, path, body)
-		js = wire.JobStatus{}
-		_ = json.Unmarshal(data, &js)
-		if got == status && (state == "" || js.State == state) {
+		job = wire.JobStatus{}
+		_ = json.Unmarshal(data, &job)
+		if got == status && (state == "" || job.State == state) {
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	c.t.Fatalf("%s %s: %d %+v, want %d %s", method, path, got, js, status, state)
+	c.t.Fatalf("%s %s: %d %+v, want %d %s", method, path, got, job, status, state)
 }
 
-// awaitAccepted repeats a submission until it is accepted. The status may be that of a repeated
-// submission, because the first acceptance may have got no response.
-func (c *cluster) awaitAccepted(addr, body string) {
+// submitUntilAccepted repeats a submission until it is accepted. Any 2xx is allowed: if the response
+// to the first acceptance was lost, the retry gets the status of a repeated submission.
+func (c *cluster) submitUntilAccepted(addr, body string) {
 	c.t.Helper()
 	var status int
 	for range 600 {
@@ -190,5 +193,5 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	c.t.Fatalf("submission not accepted: %d", status)
+	c.t.Fatalf("submission not accepted: status %d, want 2xx", status)
 }
--- a/internal/node/commit.go
+++ b/internal/node/commit.go
@@ -9,13 +9,14 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// commitLoop commits the leader's changes in batches, one after the other.
+// commitLoop commits the leader's changes in batches, one after the other, until a commit fails for
+// good or the context ends.
 func (t *term) commitLoop(ctx context.Context) error {
 	writer := kvstore.NewFencedWriter(t.leadership.Term, t.leadership.LeaderVersion, t.leadership.TermVersion)
 	for {
-		batch := t.nextBatch()
+		batch := t.nextWriteBatch()
 		if batch == nil {
-			if err := t.awaitChanges(ctx); err != nil {
+			if err := t.waitForChanges(ctx); err != nil {
 				return err
 			}
 			continue
@@ -31,16 +32,16 @@
 	}
 }
 
-// nextBatch returns the next batch of changes to commit, or nil if there are none.
-func (t *term) nextBatch() *records.Batch {
+// nextWriteBatch returns the next batch of changes to commit, or nil if there are none.
+func (t *term) nextWriteBatch() *records.Batch {
 	t.node.mu.Lock()
 	defer t.node.mu.Unlock()
-	return t.state.NextWriteBatch(t.node.store.MaxOps(), t.node.store.SpareWrites())
+	return t.state.NextWriteBatch(t.node.store.MaxTxnChanges(), t.node.store.BackgroundWriteAllowance())
 }
 
-// awaitChanges waits for changes, then for another interval in which more can join their
-// batch.
-func (t *term) awaitChanges(ctx context.Context) error {
+// waitForChanges waits until there are changes to commit, then for WriteBatchInterval, so that
+// further changes can be part of the same batch.
+func (t *term) waitForChanges(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
