--- a/cmd/loadtest/drain.go
+++ b/cmd/loadtest/drain.go
@@ -81,13 +81,13 @@
 
 // budget returns the disruption budget of each team.
 func (o *drainCommand) budget() drain.Budget {
-	return drain.Budget{MaxUnavailable: 8, Evictions: 30, LostS: o.Lost}
+	return drain.Budget{MaxUnavailable: 8, MaxEvictions: 30, MaxLostRunTimeS: o.Lost}
 }
 
 // operatorFile returns the operator settings with the budget.
 func (o *drainCommand) operatorFile() string {
 	b := o.budget()
-	return fmt.Sprintf(drainOperatorFormat, drainWindow.Seconds(), b.MaxUnavailable, b.Evictions, b.LostS)
+	return fmt.Sprintf(drainOperatorFormat, drainWindow.Seconds(), b.MaxUnavailable, b.MaxEvictions, b.MaxLostRunTimeS)
 }
 
 // runVariant runs a variant, saves its task history and packs its files.
--- a/internal/autoscale/bins.go
+++ b/internal/autoscale/bins.go
@@ -32,7 +32,7 @@
 // its CPUs can run within withinS seconds, whichever is more. The remaining boot time shortens withinS,
 // but by at most half. assignTasks returns the number of assigned tasks.
 func (b *bin) assignTasks(d *Demand, tasks int, withinS float64) int {
-	taskCPUSeconds := max(d.EstimateS, tuning.MinimumEstimateS) * d.Request.CPUs
+	taskCPUSeconds := max(d.EstimatedRunTimeS, tuning.MinimumEstimateS) * d.Request.CPUs
 	availableCPUSeconds := b.capacity.CPUs*usableShare(b.capacity, d.Request)*(withinS-min(b.bootRemainingS, withinS/2)) - b.remainingCPUSeconds
 	n := max(parallelTasks(b.free, d.Request), int(availableCPUSeconds/taskCPUSeconds))
 	n = max(0, min(n, tasks))
--- a/internal/autoscale/plan.go
+++ b/internal/autoscale/plan.go
@@ -12,15 +12,15 @@
 
 // Demand describes the tasks of one job that are waiting for capacity.
 type Demand struct {
-	Tasks     int
-	Request   placement.Resources // per task
-	EstimateS float64             // estimated run time of a task in seconds
+	Tasks             int
+	Request           placement.Resources // per task
+	EstimatedRunTimeS float64             // estimated run time of a task in seconds
 	// MachineTypes lists the allowed machine types; empty allows all.
 	MachineTypes []string
 	// Zone is the only allowed zone; empty allows all.
 	Zone string
-	// Spot also allows spot instances.
-	Spot bool
+	// SpotAllowed also allows spot instances.
+	SpotAllowed bool
 	// StartWithinS is the time in seconds within which the tasks should start.
 	StartWithinS float64
 	// AvoidMachines contains the IDs of the machines on which the job has failed. The
@@ -31,7 +31,7 @@
 
 // allows reports whether the tasks may run on machines of the offering.
 func (d *Demand) allows(o Offering) bool {
-	if o.Spot && !d.Spot || d.Zone != "" && d.Zone != o.Zone {
+	if o.Spot && !d.SpotAllowed || d.Zone != "" && d.Zone != o.Zone {
 		return false
 	}
 	return len(d.MachineTypes) == 0 || slices.Contains(d.MachineTypes, o.Type)
@@ -53,10 +53,10 @@
 	// Schedulable reports whether new tasks may be assigned to the machine, now or
 	// once it has booted.
 	Schedulable bool
-	// Idle reports whether the machine has no tasks and may be released.
-	Idle    bool
-	IdleFor time.Duration // how long the machine has had no tasks
-	Price   float64
+	// MayBeReleased reports whether the machine has no tasks and may be released.
+	MayBeReleased bool
+	IdleFor       time.Duration // how long the machine has had no tasks
+	Price         float64
 }
 
 // Input is the snapshot of the cluster that a plan is based on.
--- a/internal/autoscale/plan_test.go
+++ b/internal/autoscale/plan_test.go
@@ -15,11 +15,11 @@
 func TestScaleInWhileScalingOut(t *testing.T) {
 	capacity := placement.Resources{CPUs: 8, MemoryGB: 32}
 	idle := func(id, zone string) Machine {
-		return Machine{ID: id, Offering: Offering{Type: "t", Zone: zone}, Capacity: capacity, Free: capacity, Schedulable: true, Idle: true, IdleFor: time.Minute, Price: 1}
+		return Machine{ID: id, Offering: Offering{Type: "t", Zone: zone}, Capacity: capacity, Free: capacity, Schedulable: true, MayBeReleased: true, IdleFor: time.Minute, Price: 1}
 	}
 	plan := NewPlan(Input{
 		MachineTypes:    []wire.MachineType{{Name: "t", CPUs: 8, MemoryGB: 32, Price: 1, Zones: []string{"a", "b"}}},
-		Demand:          []Demand{{Tasks: 2, Request: capacity, EstimateS: 100, Zone: "a", StartWithinS: 20}},
+		Demand:          []Demand{{Tasks: 2, Request: capacity, EstimatedRunTimeS: 100, Zone: "a", StartWithinS: 20}},
 		Machines:        []Machine{idle("a1", "a"), idle("b1", "b"), idle("b2", "b")},
 		Unavailable:     func(Offering) bool { return false },
 		ScaleInIdleTime: time.Second,
@@ -44,7 +44,7 @@
 	}{{nil, 0}, {map[string]bool{"a1": true}, 1}} {
 		plan := NewPlan(Input{
 			MachineTypes: []wire.MachineType{{Name: "t", CPUs: 8, MemoryGB: 32, Price: 1, Zones: []string{"a"}}},
-			Demand:       []Demand{{Tasks: 1, Request: placement.Resources{CPUs: 1}, EstimateS: 10, StartWithinS: 20, AvoidMachines: c.avoid}},
+			Demand:       []Demand{{Tasks: 1, Request: placement.Resources{CPUs: 1}, EstimatedRunTimeS: 10, StartWithinS: 20, AvoidMachines: c.avoid}},
 			Machines:     []Machine{{ID: "a1", Offering: Offering{Type: "t", Zone: "a"}, Capacity: capacity, Free: capacity, Schedulable: true, Price: 1}},
 			Unavailable:  func(Offering) bool { return false },
 		})
@@ -63,7 +63,7 @@
 	scaleOut := func(inflow float64, tasks int, unavailable bool) map[Offering]int {
 		in := Input{
 			MachineTypes: []wire.MachineType{{Name: "t", CPUs: 8, MemoryGB: 32, Price: 3, SpotPrice: 1, Zones: []string{"a"}}},
-			Demand:       []Demand{{Tasks: tasks, Request: placement.Resources{CPUs: 1, MemoryGB: 1}, EstimateS: 1, Spot: true, StartWithinS: 100}},
+			Demand:       []Demand{{Tasks: tasks, Request: placement.Resources{CPUs: 1, MemoryGB: 1}, EstimatedRunTimeS: 1, SpotAllowed: true, StartWithinS: 100}},
 			Unavailable:  func(o Offering) bool { return o.Spot && unavailable },
 		}
 		for range 10 {
--- a/internal/autoscale/scale_in.go
+++ b/internal/autoscale/scale_in.go
@@ -15,7 +15,7 @@
 func chooseReleases(in *Input, bins []bin, schedulableCPUs float64) []string {
 	idle := make([]Machine, 0)
 	for i, m := range in.Machines {
-		if m.Idle && !bins[i].hasDemand && (m.IdleFor >= in.ScaleInIdleTime || !m.Schedulable) {
+		if m.MayBeReleased && !bins[i].hasDemand && (m.IdleFor >= in.ScaleInIdleTime || !m.Schedulable) {
 			idle = append(idle, m)
 		}
 	}
--- a/internal/config/drains.go
+++ b/internal/config/drains.go
@@ -87,7 +87,7 @@
 // elements name no team, the last one applies.
 func (e *drainsElement) parseDefaultBudget() (drain.Budget, error) {
 	defaults := drain.Budget{
-		MaxUnavailable: tuning.DrainMaxUnavailable, Evictions: tuning.DrainMaxEvictions, LostS: tuning.DrainMaxLostTime.Seconds(),
+		MaxUnavailable: tuning.DrainMaxUnavailable, MaxEvictions: tuning.DrainMaxEvictions, MaxLostRunTimeS: tuning.DrainMaxLostTime.Seconds(),
 	}
 	budget := defaults
 	for _, element := range e.Budgets {
@@ -128,7 +128,7 @@
 	if err := parseCount(field+"/maxUnavailable", e.MaxUnavailable, &budget.MaxUnavailable); err != nil {
 		return budget, err
 	}
-	if err := parseCount(field+"/evictions", e.Evictions, &budget.Evictions); err != nil {
+	if err := parseCount(field+"/evictions", e.Evictions, &budget.MaxEvictions); err != nil {
 		return budget, err
 	}
 	if e.LostSeconds != "" {
@@ -136,7 +136,7 @@
 		if err != nil || math.IsNaN(value) {
 			return budget, &FieldError{Field: field + "/lostSeconds", Reason: reasonNotNumber}
 		}
-		budget.LostS = value
+		budget.MaxLostRunTimeS = value
 	}
 	return budget, prefixField(field, budget.Validate())
 }
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -83,7 +83,7 @@
 		t.Fatal(err)
 	}
 	blue, green := o.Drains.For("blue"), o.Drains.For("green")
-	if o.Drains.Window != 2*time.Minute || blue.Evictions != 0 || blue.MaxUnavailable != 3 || green.LostS != 9.5 || green.Evictions == 0 {
+	if o.Drains.Window != 2*time.Minute || blue.MaxEvictions != 0 || blue.MaxUnavailable != 3 || green.MaxLostRunTimeS != 9.5 || green.MaxEvictions == 0 {
 		t.Errorf("got %+v, want the window and budgets of the file", o.Drains)
 	}
 	if o, err := parse(""); err != nil || o.Drains != nil {
--- a/internal/drain/budget.go
+++ b/internal/drain/budget.go
@@ -7,10 +7,10 @@
 	// MaxUnavailable is the maximum number of the team's tasks that were interrupted and don't run
 	// again yet. With 0, drains evict none of the team's tasks but wait until they end.
 	MaxUnavailable int `json:"maxUnavailable" xml:"maxUnavailable" validate:"min=0,max=1000000"`
-	// Evictions is the maximum number of interruptions within a window.
-	Evictions int `json:"evictions" xml:"evictions" validate:"min=0,max=1000000"`
-	// LostS is the maximum run time, in seconds, that interruptions may lose within a window.
-	LostS float64 `json:"lostS" xml:"lostSeconds" validate:"min=0,max=100000000"`
+	// MaxEvictions is the maximum number of interruptions within a window.
+	MaxEvictions int `json:"evictions" xml:"evictions" validate:"min=0,max=1000000"`
+	// MaxLostRunTimeS is the maximum run time, in seconds, that interruptions may lose within a window.
+	MaxLostRunTimeS float64 `json:"lostS" xml:"lostSeconds" validate:"min=0,max=100000000"`
 }
 
 // Validate checks that the fields are within their bounds. Its error is a FieldError.
--- a/internal/drain/charge.go
+++ b/internal/drain/charge.go
@@ -15,8 +15,8 @@
 
 // Usage is the used part of a budget within a window.
 type Usage struct {
-	Evictions int     `json:"evictions"`
-	LostS     float64 `json:"lostS"`
+	Evictions    int     `json:"evictions"`
+	LostRunTimeS float64 `json:"lostS"`
 }
 
 // Charge is the stored record of the evictions that a drain chose in one step and that count against
@@ -51,7 +51,7 @@
 	}
 	usage := c.Teams[candidate.Team]
 	usage.Evictions++
-	usage.LostS += candidate.LostS
+	usage.LostRunTimeS += candidate.LostRunTimeS
 	c.Teams[candidate.Team] = usage
 	c.Attempts = append(c.Attempts, candidate.Attempt)
 	return true
@@ -70,7 +70,7 @@
 		return nil, fmt.Errorf("%w: %w", ErrUnreadable, err)
 	}
 	for team, usage := range c.Teams {
-		if usage.Evictions < 0 || usage.LostS < 0 {
+		if usage.Evictions < 0 || usage.LostRunTimeS < 0 {
 			return nil, fmt.Errorf("%w: negative usage of team %s", ErrUnreadable, team)
 		}
 	}
--- a/internal/drain/eviction.go
+++ b/internal/drain/eviction.go
@@ -10,8 +10,8 @@
 type Candidate struct {
 	Team    string
 	Attempt Attempt
-	// LostS is the maximum run time, in seconds, that is lost if the task is stopped.
-	LostS float64
+	// LostRunTimeS is the maximum run time, in seconds, that is lost if the task is stopped.
+	LostRunTimeS float64
 	// EndsSoon is set if the task is expected to end before the batch stops waiting for it.
 	EndsSoon bool
 	// NoAlternative is set if the task can run on no machine that may be provisioned, so it might
@@ -36,7 +36,7 @@
 // first reason why a candidate may not be evicted; it returns WaitTaskEnd only if it found no other
 // reason. The reason is empty if every candidate considered may be evicted.
 func (e *Evictor) Choose(charge *Charge, candidates []Candidate) Reason {
-	slices.SortStableFunc(candidates, func(a, b Candidate) int { return cmp.Compare(a.LostS, b.LostS) })
+	slices.SortStableFunc(candidates, func(a, b Candidate) int { return cmp.Compare(a.LostRunTimeS, b.LostRunTimeS) })
 	var reason Reason
 	for _, candidate := range candidates {
 		cause := e.blockedBy(charge, candidate)
@@ -62,9 +62,9 @@
 		return WaitNoAlternative
 	case e.Ledger.UnavailableTasks(c.Team)+charged.Evictions+1 > budget.MaxUnavailable:
 		return WaitUnavailableBudget
-	case used.Evictions+charged.Evictions+1 > budget.Evictions:
+	case used.Evictions+charged.Evictions+1 > budget.MaxEvictions:
 		return WaitEvictionBudget
-	case used.LostS+charged.LostS+c.LostS > budget.LostS:
+	case used.LostRunTimeS+charged.LostRunTimeS+c.LostRunTimeS > budget.MaxLostRunTimeS:
 		return WaitLostTimeBudget
 	}
 	return ""
--- a/internal/drain/eviction_test.go
+++ b/internal/drain/eviction_test.go
@@ -7,14 +7,14 @@
 
 // candidate returns a candidate of job-1; number is both its task index and its attempt number.
 func candidate(team string, number uint64, lostS float64) Candidate {
-	return Candidate{Team: team, Attempt: Attempt{Job: "job-1", Index: int32(number), Number: number}, LostS: lostS}
+	return Candidate{Team: team, Attempt: Attempt{Job: "job-1", Index: int32(number), Number: number}, LostRunTimeS: lostS}
 }
 
 // TestEvictions checks that Choose evicts candidates in ascending order of lost run time until a limit
 // of the budget is reached, that it returns the cause that blocks the others, and that it keeps the
 // charge within the maximum size.
 func TestEvictions(t *testing.T) {
-	budgets := &Budgets{Window: time.Minute, Default: Budget{MaxUnavailable: 2, Evictions: 3, LostS: 100}}
+	budgets := &Budgets{Window: time.Minute, Default: Budget{MaxUnavailable: 2, MaxEvictions: 3, MaxLostRunTimeS: 100}}
 	candidates := []Candidate{candidate("blue", 1, 60), candidate("blue", 2, 30), candidate("blue", 3, 10)}
 	for name, c := range map[string]struct {
 		change        func(*Budgets, []Candidate)
@@ -22,9 +22,11 @@
 		wantEvictions int
 		wantCause     Cause
 	}{
-		"unavailable":       {func(*Budgets, []Candidate) {}, false, 2, WaitUnavailableBudget},
-		"evictions":         {func(b *Budgets, _ []Candidate) { b.Default.Evictions = 1 }, false, 1, WaitEvictionBudget},
-		"lost time":         {func(b *Budgets, _ []Candidate) { b.Default = Budget{MaxUnavailable: 9, Evictions: 9, LostS: 99} }, false, 2, WaitLostTimeBudget},
+		"unavailable": {func(*Budgets, []Candidate) {}, false, 2, WaitUnavailableBudget},
+		"evictions":   {func(b *Budgets, _ []Candidate) { b.Default.MaxEvictions = 1 }, false, 1, WaitEvictionBudget},
+		"lost time": {func(b *Budgets, _ []Candidate) {
+			b.Default = Budget{MaxUnavailable: 9, MaxEvictions: 9, MaxLostRunTimeS: 99}
+		}, false, 2, WaitLostTimeBudget},
 		"budget 0":          {func(b *Budgets, _ []Candidate) { b.Default.MaxUnavailable = 0 }, true, 0, WaitUnavailableBudget},
 		"team's own budget": {func(b *Budgets, _ []Candidate) { b.Teams = map[string]Budget{"blue": {}} }, false, 0, WaitUnavailableBudget},
 		"ends by itself":    {func(_ *Budgets, l []Candidate) { l[2].EndsSoon = true }, false, 2, WaitTaskEnd},
--- a/internal/drain/ledger.go
+++ b/internal/drain/ledger.go
@@ -58,7 +58,7 @@
 	}
 	last := &t.buckets[len(t.buckets)-1]
 	last.usage.Evictions += usage.Evictions
-	last.usage.LostS += usage.LostS
+	last.usage.LostRunTimeS += usage.LostRunTimeS
 }
 
 // Usage returns a team's usage within the window before now. It may include usage that is up to one
@@ -71,7 +71,7 @@
 	var sum Usage
 	for _, b := range t.buckets {
 		sum.Evictions += b.usage.Evictions
-		sum.LostS += b.usage.LostS
+		sum.LostRunTimeS += b.usage.LostRunTimeS
 	}
 	return sum
 }
@@ -85,7 +85,7 @@
 	if l.unavailableByJob[job][index] {
 		return
 	}
-	l.addUsage(team, at, Usage{Evictions: 1, LostS: lostS})
+	l.addUsage(team, at, Usage{Evictions: 1, LostRunTimeS: lostS})
 	l.addUnavailable(team, job, index)
 }
 
--- a/internal/drain/ledger_test.go
+++ b/internal/drain/ledger_test.go
@@ -37,7 +37,7 @@
 				ledger.RecordInterruption("blue", "job-1", index, at, 5)
 			case 1:
 				c := NewCharge("drain-1", at)
-				c.Add(Candidate{Team: "blue", Attempt: Attempt{"job-1", index, uint64(step + 1)}, LostS: 7}, 10_000)
+				c.Add(Candidate{Team: "blue", Attempt: Attempt{"job-1", index, uint64(step + 1)}, LostRunTimeS: 7}, 10_000)
 				events = append(events, event{at, 7})
 				unavailable[index] = true
 				ledger.RecordCharge(fmt.Sprint("b/", step), c, at, alwaysTeamBlue)
@@ -51,11 +51,11 @@
 			for _, e := range events {
 				if at.Sub(e.at) < time.Minute {
 					want.Evictions++
-					want.LostS += e.lostS
+					want.LostRunTimeS += e.lostS
 				}
 			}
 			used := ledger.Usage("blue", at)
-			if used.Evictions < want.Evictions || used.LostS < want.LostS || ledger.UnavailableTasks("blue") != len(unavailable) {
+			if used.Evictions < want.Evictions || used.LostRunTimeS < want.LostRunTimeS || ledger.UnavailableTasks("blue") != len(unavailable) {
 				t.Fatalf("seed %d step %d: used %+v, want at least %+v; %d tasks unavailable, want %d", seed, step, used, want, ledger.UnavailableTasks("blue"), len(unavailable))
 			}
 		}
--- a/internal/drain/lifecycle.go
+++ b/internal/drain/lifecycle.go
@@ -20,7 +20,7 @@
 // wall-clock time.
 func (r *Record) SetWaitReason(now time.Time, reason Reason) bool {
 	if r.pastDeadline(now) && !r.Spec.Force && !reason.Cause.endsByItself() {
-		reason.Deadline = true
+		reason.DeadlinePassed = true
 		return r.Pause(reason)
 	}
 	r.Reason = reason
--- a/internal/drain/reason.go
+++ b/internal/drain/reason.go
@@ -21,27 +21,27 @@
 // Causes of three kinds: with Wait…, a batch or the end of the drain has to wait; with BlockedBy…, no
 // batch may start; the last two pause the drain. Operators see the texts.
 const (
-	WaitTaskEnd           Cause = "waits for tasks to end"
-	WaitUnavailableBudget Cause = "budget of unavailable tasks is used up"
-	WaitEvictionBudget    Cause = "budget of evictions is used up"
-	WaitLostTimeBudget    Cause = "budget of lost run time is used up"
-	WaitNoAlternative     Cause = "tasks have no place outside the drained machines"
-	WaitReplacement       Cause = "waits for replacement machines"
-	WaitMachineRelease    Cause = "waits for machines to be gone"
-	BlockedByGuarantee    Cause = "the guarantee of a team with waiting work would not fit"
-	BlockedByOverload     Cause = "new jobs are being shed"
-	BlockedByPartition    Cause = "machines are cut off"
-	BlockedByNewLeader    Cause = "the leader is new"
-	ReplacementTimedOut   Cause = "no replacement machine came up in time"
-	PausedByOperator      Cause = "paused by an operator"
+	WaitTaskEnd            Cause = "waits for tasks to end"
+	WaitUnavailableBudget  Cause = "budget of unavailable tasks is used up"
+	WaitEvictionBudget     Cause = "budget of evictions is used up"
+	WaitLostTimeBudget     Cause = "budget of lost run time is used up"
+	WaitNoAlternative      Cause = "tasks have no place outside the drained machines"
+	WaitReplacement        Cause = "waits for replacement machines"
+	WaitMachineRelease     Cause = "waits for machines to be gone"
+	BlockedByGuarantee     Cause = "the guarantee of a team with waiting work would not fit"
+	BlockedByOverload      Cause = "new jobs are being shed"
+	BlockedByPartition     Cause = "machines are cut off"
+	BlockedByLeaderStartup Cause = "the leader is new"
+	ReplacementTimedOut    Cause = "no replacement machine came up in time"
+	PausedByOperator       Cause = "paused by an operator"
 )
 
 // Reason is a cause with its details.
 type Reason struct {
 	Cause Cause  `json:"cause,omitempty"`
 	Team  string `json:"team,omitempty"` // whose tasks or guarantee are the cause, "" if none
-	// Deadline is set if the drain was paused because its deadline had passed.
-	Deadline bool `json:"deadline,omitempty"`
+	// DeadlinePassed is set if the drain was paused because its deadline had passed.
+	DeadlinePassed bool `json:"deadline,omitempty"`
 }
 
 // String returns the reason as shown to operators.
@@ -50,7 +50,7 @@
 	if r.Team != "" {
 		text += " (team " + r.Team + ")"
 	}
-	if r.Deadline {
+	if r.DeadlinePassed {
 		text = "deadline passed: " + text
 	}
 	return text
--- a/internal/drain/request.go
+++ b/internal/drain/request.go
@@ -43,7 +43,7 @@
 
 // Response is the leader's response to a request.
 type Response struct {
-	Status int    // HTTP status code
-	Reason string // why the request was refused
-	Drains []Status
+	HTTPStatus int    // HTTP status code
+	Reason     string // why the request was refused
+	Drains     []Status
 }
--- a/internal/drainer/drainer.go
+++ b/internal/drainer/drainer.go
@@ -29,12 +29,12 @@
 	Teams   []config.Team
 	Zones   []string
 	// MaxMachines limits the number of machines; 0 means no limit.
-	MaxMachines int
-	ValueLimit  int // maximum size of a stored value in bytes
-	// LeaseExpiry is how long after the last response to an agent its lease has certainly expired.
-	LeaseExpiry time.Duration
-	// LeaseS is the duration of an agent's lease in seconds.
-	LeaseS float64
+	MaxMachines   int
+	MaxValueBytes int // maximum size of a stored value in bytes
+	// LeaseCertainlyExpiredAfter is how long after the last response to an agent its lease has certainly expired.
+	LeaseCertainlyExpiredAfter time.Duration
+	// LeaseDurationS is the duration of an agent's lease in seconds.
+	LeaseDurationS float64
 }
 
 // Cluster gives the drainer access to the state of the cluster.
@@ -53,8 +53,8 @@
 	IsSchedulable func(time.Time, *machines.Machine) bool
 	// RemainingS estimates the remaining run time of an attempt in seconds.
 	RemainingS func(time.Time, *machines.Attempt) float64
-	// MachinesKnown reports whether the machine types are known and a machine list has been applied.
-	MachinesKnown func() bool
+	// MachinesAndTypesKnown reports whether the machine types are known and a machine list has been applied.
+	MachinesAndTypesKnown func() bool
 	// HasCurrentMachineList reports whether a machine list shows the cloud's state after this term
 	// began. Then a machine in a record that is missing from the registry no longer exists.
 	HasCurrentMachineList func() bool
@@ -97,7 +97,7 @@
 	if c.Budgets != nil {
 		// A stop takes effect up to maxDelay after its charge. The window is longer by that time, so
 		// that the charge still counts for a whole window after the stop.
-		maxDelay := seconds.Duration(c.LeaseS * tuning.DrainDeliveryLeases)
+		maxDelay := seconds.Duration(c.LeaseDurationS * tuning.DrainDeliveryLeases)
 		d.ledger = drain.NewLedger(c.Budgets.Window + maxDelay)
 	}
 	return d
--- a/internal/drainer/drainer_test.go
+++ b/internal/drainer/drainer_test.go
@@ -30,14 +30,14 @@
 // blocked, and a team's budget allows one eviction.
 type fixture struct {
 	*drainer.Drainer
-	t              *testing.T
-	now            time.Time
-	registry       *machines.Registry
-	writes         *records.WriteQueues
-	scaler         *scaling.Scaler
-	jobs           map[string]*jobs.Job
-	blockedCause   drain.Cause // returned by BatchBlockedCause
-	scheduledCalls []string    // IDs of the machines to which direct calls were scheduled
+	t            *testing.T
+	now          time.Time
+	registry     *machines.Registry
+	writes       *records.WriteQueues
+	scaler       *scaling.Scaler
+	jobs         map[string]*jobs.Job
+	blockedCause drain.Cause // returned by BatchBlockedCause
+	queuedCalls  []string    // IDs of the machines to which direct calls were scheduled
 }
 
 func newFixture(t *testing.T) *fixture {
@@ -58,12 +58,12 @@
 		Partitioned:    func(time.Time, string) bool { return false },
 	})
 	f.Drainer = drainer.New(zerolog.Nop(), drainer.Config{
-		Term:        5,
-		Budgets:     &drain.Budgets{Window: 10 * time.Minute, Default: drain.Budget{MaxUnavailable: 1, Evictions: 1, LostS: 1000}},
-		Teams:       []config.Team{{Name: "blue", CPUs: 4}},
-		ValueLimit:  16 << 10,
-		LeaseExpiry: 15 * time.Second,
-		LeaseS:      15,
+		Term:                       5,
+		Budgets:                    &drain.Budgets{Window: 10 * time.Minute, Default: drain.Budget{MaxUnavailable: 1, MaxEvictions: 1, MaxLostRunTimeS: 1000}},
+		Teams:                      []config.Team{{Name: "blue", CPUs: 4}},
+		MaxValueBytes:              16 << 10,
+		LeaseCertainlyExpiredAfter: 15 * time.Second,
+		LeaseDurationS:             15,
 	}, drainer.Cluster{
 		Machines:              f.registry,
 		Catalogue:             catalogue,
@@ -74,10 +74,10 @@
 		TeamUsedCPUs:          func(string) float64 { return 0 },
 		IsSchedulable:         func(_ time.Time, m *machines.Machine) bool { return m.IsReconciled() && !m.IsCordoned() },
 		RemainingS:            func(time.Time, *machines.Attempt) float64 { return 3600 },
-		MachinesKnown:         func() bool { return true },
+		MachinesAndTypesKnown: func() bool { return true },
 		HasCurrentMachineList: func() bool { return true },
 		BatchBlockedCause:     func(time.Time) drain.Cause { return f.blockedCause },
-		QueueDirectCall:       func(m *machines.Machine) { f.scheduledCalls = append(f.scheduledCalls, m.ID) },
+		QueueDirectCall:       func(m *machines.Machine) { f.queuedCalls = append(f.queuedCalls, m.ID) },
 		RequestSchedulingPass: func() {},
 	})
 	return f
@@ -109,7 +109,7 @@
 	r := f.handleRequest(&drain.Request{Action: drain.Apply, Spec: &drain.Spec{
 		Name: "maintenance", BatchSize: 1, Replace: replace, Selector: drain.Selector{Machines: names},
 	}})
-	if r.Status != http.StatusCreated {
+	if r.HTTPStatus != http.StatusCreated {
 		f.t.Fatalf("response %+v, want status 201", r)
 	}
 }
@@ -136,10 +136,10 @@
 	return keys
 }
 
-// advance advances the time by d and then runs a step of the drain if one is due.
-func (f *fixture) advance(d time.Duration) {
+// advanceTime advances the time by d and then runs a step of the drain if one is due.
+func (f *fixture) advanceTime(d time.Duration) {
 	f.now = f.now.Add(d)
-	f.Advance(f.now, f.now)
+	f.RunStepIfDue(f.now, f.now)
 }
 
 // confirmRelease removes a machine as if the cloud had confirmed its release.
@@ -157,7 +157,7 @@
 	}
 	f.applyDrain(false, "m1", "m2")
 	for _, id := range []string{"m1", "m2"} {
-		f.advance(tuning.DrainBatchInterval)
+		f.advanceTime(tuning.DrainBatchInterval)
 		status := f.drainStatus()
 		if status.State != drain.Running || status.Batch == nil || !slices.Equal(status.Batch.Machines, []string{id}) {
 			t.Fatalf("got %+v with batch %+v, want a running drain with a batch of one machine", status, status.Batch)
@@ -168,9 +168,9 @@
 			}
 		}
 		f.confirmRelease(id)
-		f.advance(tuning.DrainStepInterval)
+		f.advanceTime(tuning.DrainStepInterval)
 	}
-	f.advance(tuning.DrainBatchInterval)
+	f.advanceTime(tuning.DrainBatchInterval)
 	if status := f.drainStatus(); status.State != drain.Done || status.Counts.Machines != 2 || status.Counts.Batches != 2 {
 		t.Errorf("got %+v, want a drain that is done with 2 machines in 2 batches", status)
 	}
@@ -182,12 +182,12 @@
 	m := f.addMachine("m1")
 	f.applyDrain(false, "m1")
 	f.blockedCause = drain.BlockedByOverload
-	f.advance(tuning.DrainBatchInterval)
+	f.advanceTime(tuning.DrainBatchInterval)
 	if status := f.drainStatus(); status.Batch != nil || m.IsCordoned() || status.Reason != string(drain.BlockedByOverload) {
 		t.Errorf("while blocked: got %+v, want no batch and the cause as the reason", status)
 	}
 	f.blockedCause = ""
-	f.advance(tuning.DrainBatchInterval)
+	f.advanceTime(tuning.DrainBatchInterval)
 	if status := f.drainStatus(); status.Batch == nil || !m.IsCordoned() {
 		t.Errorf("no longer blocked: got %+v, want a cordoned batch", status)
 	}
@@ -207,19 +207,19 @@
 		m.AddAttempt(a)
 	}
 	f.applyDrain(false, "m1")
-	f.advance(tuning.DrainBatchInterval)
-	f.advance(tuning.DrainCheckpointWait + time.Second)
-	if len(f.scheduledCalls) != 0 {
+	f.advanceTime(tuning.DrainBatchInterval)
+	f.advanceTime(tuning.DrainCheckpointWait + time.Second)
+	if len(f.queuedCalls) != 0 {
 		t.Fatal("an attempt was stopped before its charge was durable")
 	}
 	charged := slices.ContainsFunc(f.commitWrites(), func(key string) bool { return strings.HasPrefix(key, records.KindCharge.Prefix()) })
 	stopping := slices.DeleteFunc(slices.Clone(m.Attempts()), func(a *machines.Attempt) bool { return !a.IsStopping() })
-	if !charged || len(f.scheduledCalls) != 1 || len(stopping) != 1 || stopping[0].GracePeriodS() != 5 {
-		t.Fatalf("charge stored: %v, calls to %v, %d attempts stopping; want a stored charge, 1 call, and 1 attempt", charged, f.scheduledCalls, len(stopping))
+	if !charged || len(f.queuedCalls) != 1 || len(stopping) != 1 || stopping[0].GracePeriodS() != 5 {
+		t.Fatalf("charge stored: %v, calls to %v, %d attempts stopping; want a stored charge, 1 call, and 1 attempt", charged, f.queuedCalls, len(stopping))
 	}
-	f.advance(tuning.DrainCheckpointWait)
+	f.advanceTime(tuning.DrainCheckpointWait)
 	f.commitWrites()
-	if len(f.scheduledCalls) != 1 {
+	if len(f.queuedCalls) != 1 {
 		t.Error("a second attempt was stopped beyond the budget")
 	}
 }
@@ -230,7 +230,7 @@
 	f := newFixture(t)
 	m := f.addMachine("m1")
 	f.applyDrain(true, "m1")
-	f.advance(tuning.DrainBatchInterval)
+	f.advanceTime(tuning.DrainBatchInterval)
 	calls := f.ReplacementCalls(f.now)
 	if len(calls) != 1 || calls[0].Provision.Type != "std-8" || calls[0].Provision.Count != 1 {
 		t.Fatalf("got calls %+v, want one for one machine of type std-8", calls)
@@ -240,12 +240,12 @@
 	}
 	p := f.scaler.FinishProvision(f.now, calls[0].Provision, 1)
 	f.AddReplacements(p.ReplacementFor, []string{"m2"})
-	f.advance(tuning.DrainStepInterval)
+	f.advanceTime(tuning.DrainStepInterval)
 	if m.IsCordoned() || !f.IsReplacement("m2") {
 		t.Fatal("the batch is cordoned before its replacement is ready, or m2 is not a replacement")
 	}
 	f.addMachine("m2")
-	f.advance(tuning.DrainStepInterval)
+	f.advanceTime(tuning.DrainStepInterval)
 	if !m.IsCordonedFor(machines.CordonDrained) {
 		t.Error("the batch is not cordoned although its replacement is ready")
 	}
--- a/internal/drainer/evict.go
+++ b/internal/drainer/evict.go
@@ -19,7 +19,7 @@
 	charge := drain.NewCharge(s.record.Spec.Name, s.wall)
 	evictor := drain.Evictor{
 		Ledger: s.d.ledger, Budgets: s.d.config.Budgets, Force: s.record.IsForced(s.wall), Now: s.now,
-		MaxChargeBytes: int(float64(s.d.config.ValueLimit) * tuning.RecordValueShare),
+		MaxChargeBytes: int(float64(s.d.config.MaxValueBytes) * tuning.RecordValueShare),
 	}
 	reason := evictor.Choose(charge, candidates)
 	s.chargeAndStop(charge, attempts)
@@ -100,7 +100,7 @@
 	maxWait := tuning.DrainCheckpointWait
 	if j.CheckpointIntervalS <= 0 {
 		maxWait = tuning.DrainCompletionWait
-		c.LostS = s.maxLostS(a)
+		c.LostRunTimeS = s.maxLostS(a)
 	}
 	maxWait -= s.wall.Sub(time.UnixMilli(s.record.Batch.SinceMS))
 	c.EndsSoon = maxWait > 0 && s.d.cluster.RemainingS(s.now, a) <= maxWait.Seconds()
@@ -120,7 +120,7 @@
 			earliestStart = a.Machine.ProvisionedAt()
 		}
 	}
-	return (s.now.Sub(earliestStart) + s.d.config.LeaseExpiry).Seconds()
+	return (s.now.Sub(earliestStart) + s.d.config.LeaseCertainlyExpiredAfter).Seconds()
 }
 
 // hasAlternative reports whether a task of the job could run on a machine that drains allow to be
--- a/internal/drainer/requests.go
+++ b/internal/drainer/requests.go
@@ -16,9 +16,9 @@
 func (d *Drainer) Handle(now, wall time.Time, request *drain.Request, respond func(drain.Response)) {
 	switch {
 	case d.config.Budgets == nil:
-		respond(drain.Response{Status: http.StatusForbidden, Reason: "drains are off at the leader: its operators' file has no drains element"})
+		respond(drain.Response{HTTPStatus: http.StatusForbidden, Reason: "drains are off at the leader: its operators' file has no drains element"})
 	case request.Action == drain.List:
-		respond(drain.Response{Status: http.StatusOK, Drains: d.statuses(now, wall)})
+		respond(drain.Response{HTTPStatus: http.StatusOK, Drains: d.statuses(now, wall)})
 	case request.Action == drain.Apply:
 		d.apply(now, wall, request, respond)
 	default:
@@ -29,7 +29,7 @@
 // apply accepts a new drain. If a drain with an equal spec exists already, it changes nothing.
 func (d *Drainer) apply(now, wall time.Time, request *drain.Request, respond func(drain.Response)) {
 	if request.Spec == nil {
-		respond(drain.Response{Status: http.StatusBadRequest, Reason: "no drain is given"})
+		respond(drain.Response{HTTPStatus: http.StatusBadRequest, Reason: "no drain is given"})
 		return
 	}
 	name := request.Spec.Name
@@ -42,18 +42,18 @@
 		r, status = &storedDrain{Record: drain.NewRecord(*request.Spec, wall)}, http.StatusCreated
 		d.drains[name] = r
 	} else if !r.Spec.Equal(request.Spec) {
-		respond(drain.Response{Status: http.StatusConflict, Reason: fmt.Sprintf("name: a drain %q with other content is known", name)})
+		respond(drain.Response{HTTPStatus: http.StatusConflict, Reason: fmt.Sprintf("name: a drain %q with other content is known", name)})
 		return
 	}
 	d.storeDrain(r, func() {
-		respond(drain.Response{Status: status, Drains: []drain.Status{d.status(now, wall, r)}})
+		respond(drain.Response{HTTPStatus: status, Drains: []drain.Status{d.status(now, wall, r)}})
 	})
 }
 
 // checkNewDrain returns the response that rejects a new drain, or nil if the drain is acceptable.
 func (d *Drainer) checkNewDrain(wall time.Time, s *drain.Spec) *drain.Response {
-	if !d.cluster.MachinesKnown() {
-		return &drain.Response{Status: http.StatusServiceUnavailable, Reason: "the machines are not known yet"}
+	if !d.cluster.MachinesAndTypesKnown() {
+		return &drain.Response{HTTPStatus: http.StatusServiceUnavailable, Reason: "the machines are not known yet"}
 	}
 	err := s.Validate(wall)
 	if err == nil {
@@ -63,16 +63,16 @@
 			HasMachine: func(name string) bool { return d.cluster.Machines.Get(name) != nil },
 		})
 	}
-	if err == nil && maxRecordSize(s) > d.config.ValueLimit {
+	if err == nil && maxRecordSize(s) > d.config.MaxValueBytes {
 		err = &drain.FieldError{Field: "batchSize", Reason: "the drain's record would be larger than a value of the state service"}
 	}
 	switch {
 	case err != nil:
-		return &drain.Response{Status: http.StatusUnprocessableEntity, Reason: err.Error()}
+		return &drain.Response{HTTPStatus: http.StatusUnprocessableEntity, Reason: err.Error()}
 	case d.unreadableDrains[s.Name]:
-		return &drain.Response{Status: http.StatusConflict, Reason: fmt.Sprintf("name: a stored drain %q can't be read", s.Name)}
+		return &drain.Response{HTTPStatus: http.StatusConflict, Reason: fmt.Sprintf("name: a stored drain %q can't be read", s.Name)}
 	case !d.ensureRecordCapacity():
-		return &drain.Response{Status: http.StatusTooManyRequests, Reason: fmt.Sprintf("%d drains are not over yet", len(d.drains))}
+		return &drain.Response{HTTPStatus: http.StatusTooManyRequests, Reason: fmt.Sprintf("%d drains are not over yet", len(d.drains))}
 	}
 	return nil
 }
@@ -105,11 +105,11 @@
 func (d *Drainer) handleExisting(now, wall time.Time, request *drain.Request, respond func(drain.Response)) {
 	r := d.drains[request.Name]
 	if r == nil || !r.durable {
-		respond(drain.Response{Status: http.StatusNotFound, Reason: fmt.Sprintf("no drain is called %q", request.Name)})
+		respond(drain.Response{HTTPStatus: http.StatusNotFound, Reason: fmt.Sprintf("no drain is called %q", request.Name)})
 		return
 	}
 	respondStatus := func() {
-		respond(drain.Response{Status: http.StatusOK, Drains: []drain.Status{d.status(now, wall, r)}})
+		respond(drain.Response{HTTPStatus: http.StatusOK, Drains: []drain.Status{d.status(now, wall, r)}})
 	}
 	before := r.State
 	switch request.Action {
@@ -123,11 +123,11 @@
 	case drain.Cancel:
 		d.cancel(r)
 	default:
-		respond(drain.Response{Status: http.StatusBadRequest, Reason: fmt.Sprintf("unknown action %q", request.Action)})
+		respond(drain.Response{HTTPStatus: http.StatusBadRequest, Reason: fmt.Sprintf("unknown action %q", request.Action)})
 		return
 	}
 	if before.IsTerminal() && request.Action != drain.Cancel {
-		respond(drain.Response{Status: http.StatusConflict, Reason: fmt.Sprintf("%s is %s", request.Name, before)})
+		respond(drain.Response{HTTPStatus: http.StatusConflict, Reason: fmt.Sprintf("%s is %s", request.Name, before)})
 		return
 	}
 	d.log.Info().Str("drain", request.Name).Str("action", string(request.Action)).Str("state", string(r.State)).Msg("drain changed")
--- a/internal/drainer/step.go
+++ b/internal/drainer/step.go
@@ -18,10 +18,10 @@
 	hasAlternativeByJob map[*jobs.Job]bool
 }
 
-// Advance runs the next step of the running drain, at most once per DrainStepInterval, and starts a
+// RunStepIfDue runs the next step of the running drain, at most once per DrainStepInterval, and starts a
 // pending drain if none is running. It must be called only while the leader has authority. wall is the
 // wall-clock time.
-func (d *Drainer) Advance(now, wall time.Time) {
+func (d *Drainer) RunStepIfDue(now, wall time.Time) {
 	if d.config.Budgets == nil || now.Before(d.nextStepAt) {
 		return
 	}
@@ -39,12 +39,12 @@
 		d.log.Info().Str("drain", r.Spec.Name).Msg("drain started")
 		d.storeDrain(s.record, nil)
 	}
-	s.advance()
+	s.run()
 }
 
-// advance starts a batch if there is none, evicts tasks if the batch is cordoned, and otherwise cordons
+// run starts a batch if there is none, evicts tasks if the batch is cordoned, and otherwise cordons
 // the batch once its replacements are ready.
-func (s *drainStep) advance() {
+func (s *drainStep) run() {
 	if s.record.Batch == nil {
 		s.beginBatch()
 		return
--- a/internal/leader/drain_test.go
+++ b/internal/leader/drain_test.go
@@ -23,7 +23,7 @@
 }
 
 // ampleBudget allows every eviction of these tests.
-var ampleBudget = drain.Budget{MaxUnavailable: 10, Evictions: 10, LostS: 10_000}
+var ampleBudget = drain.Budget{MaxUnavailable: 10, MaxEvictions: 10, MaxLostRunTimeS: 10_000}
 
 // applyMachineList applies a machine list of the cloud that contains exactly the named machines.
 func (l *testLeader) applyMachineList(names ...string) {
@@ -93,7 +93,7 @@
 func TestChargeIsDurableBeforeTheStop(t *testing.T) {
 	l, task := leaderForDrain(t, drainSettings(ampleBudget))
 	attempt := task.Attempt
-	if r := l.sendDrainRequest(newApplyRequest("maintenance", "m1")); r.Status != http.StatusCreated {
+	if r := l.sendDrainRequest(newApplyRequest("maintenance", "m1")); r.HTTPStatus != http.StatusCreated {
 		t.Fatalf("got %+v, want status 201", r)
 	}
 	// The drain first waits for the task to end without a stop.
@@ -136,7 +136,7 @@
 func TestDrainRequests(t *testing.T) {
 	drainsOff := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	drainsOff.applyMachineList("m1")
-	if r := drainsOff.sendDrainRequest(newApplyRequest("maintenance", "m1")); r.Status != http.StatusForbidden {
+	if r := drainsOff.sendDrainRequest(newApplyRequest("maintenance", "m1")); r.HTTPStatus != http.StatusForbidden {
 		t.Errorf("with drains off: got %+v, want status 403", r)
 	}
 	l := newLeaderWithSettings(t, drainSettings(ampleBudget), 5, startTime, map[string]json.RawMessage{
@@ -163,7 +163,7 @@
 		"request without drain": {drain.Request{Action: drain.Apply}, http.StatusBadRequest, "no drain"},
 		"unknown drain":         {drain.Request{Action: drain.Pause, Name: "none"}, http.StatusNotFound, "none"},
 	} {
-		if r := l.sendDrainRequest(c.request); r.Status != c.wantStatus || !strings.Contains(r.Reason, c.wantReason) || strings.Contains(r.Reason, "\n") {
+		if r := l.sendDrainRequest(c.request); r.HTTPStatus != c.wantStatus || !strings.Contains(r.Reason, c.wantReason) || strings.Contains(r.Reason, "\n") {
 			t.Errorf("%s: got %+v, want the status and a one-line reason of the table", name, r)
 		}
 	}
@@ -188,7 +188,7 @@
 	}
 	for i, s := range requests {
 		r := l.sendDrainRequest(s.request)
-		if r.Status != s.wantStatus || s.wantState != "" && (len(r.Drains) != 1 || r.Drains[0].State != s.wantState) {
+		if r.HTTPStatus != s.wantStatus || s.wantState != "" && (len(r.Drains) != 1 || r.Drains[0].State != s.wantState) {
 			t.Errorf("request %d: got %+v, want the status and the drain state of the table", i, r)
 		}
 	}
--- a/internal/leader/drains.go
+++ b/internal/leader/drains.go
@@ -10,14 +10,14 @@
 // newDrainer returns the term's drainer.
 func (l *Leader) newDrainer() *drainer.Drainer {
 	c := drainer.Config{
-		Term:        l.term,
-		Budgets:     l.operatorSettings.Drains,
-		Teams:       l.params.Teams,
-		Zones:       l.params.Zones,
-		MaxMachines: l.operatorSettings.MaxMachines,
-		ValueLimit:  l.valueLimit(),
-		LeaseExpiry: l.timing.LeaseExpiry,
-		LeaseS:      l.params.Workers.LeaseS,
+		Term:                       l.term,
+		Budgets:                    l.operatorSettings.Drains,
+		Teams:                      l.params.Teams,
+		Zones:                      l.params.Zones,
+		MaxMachines:                l.operatorSettings.MaxMachines,
+		MaxValueBytes:              l.valueLimit(),
+		LeaseCertainlyExpiredAfter: l.timing.LeaseExpiry,
+		LeaseDurationS:             l.params.Workers.LeaseS,
 	}
 	return drainer.New(l.log, c, drainer.Cluster{
 		Machines:              l.machines,
@@ -29,7 +29,7 @@
 		TeamUsedCPUs:          l.ledger.UsedCPUs,
 		IsSchedulable:         l.isSchedulable,
 		RemainingS:            l.remainingS,
-		MachinesKnown:         l.machinesAndTypesKnown,
+		MachinesAndTypesKnown: l.machinesAndTypesKnown,
 		HasCurrentMachineList: func() bool { return l.machineLists.hasCurrent },
 		BatchBlockedCause:     l.drainsBlocked,
 		QueueDirectCall:       l.directCalls.enqueue,
@@ -45,13 +45,13 @@
 
 // AdvanceDrains executes the next step of the running drain. It must be called only while the
 // leader has authority. wall is the wall-clock time.
-func (l *Leader) AdvanceDrains(now, wall time.Time) { l.drainer.Advance(now, wall) }
+func (l *Leader) AdvanceDrains(now, wall time.Time) { l.drainer.RunStepIfDue(now, wall) }
 
 // drainsBlocked returns why no batch of any drain may begin now, or "" if one may.
 func (l *Leader) drainsBlocked(now time.Time) drain.Cause {
 	switch {
 	case !l.machineLists.hasCurrent || now.Before(l.timing.InheritedTasksEnd):
-		return drain.BlockedByNewLeader
+		return drain.BlockedByLeaderStartup
 	case l.admission.shedding():
 		return drain.BlockedByOverload
 	case l.reachability.IsIsolated() || l.reachability.AnyPartitioned(now):
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -41,7 +41,7 @@
 	switch {
 	case err == nil:
 		return nil
-	case kind.IsOptional():
+	case kind.MayBeSkippedIfCorrupt():
 		l.log.Error().Err(err).Str("key", item.Key).Msg("corrupt record skipped")
 		return nil
 	}
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -94,8 +94,8 @@
 		}
 		// A task occupies its resources during the start delay as well.
 		demand = append(demand, autoscale.Demand{
-			Tasks: demandedTasks, StartWithinS: l.startWithinS(now, j), Request: j.Request(), EstimateS: r.EstimatedRunTimeS + float64(l.startDelay),
-			MachineTypes: j.MachineTypes, Zone: j.Zone, Spot: j.Spot, AvoidMachines: j.FailedOn(),
+			Tasks: demandedTasks, StartWithinS: l.startWithinS(now, j), Request: j.Request(), EstimatedRunTimeS: r.EstimatedRunTimeS + float64(l.startDelay),
+			MachineTypes: j.MachineTypes, Zone: j.Zone, SpotAllowed: j.Spot, AvoidMachines: j.FailedOn(),
 		})
 	}
 	return demand
--- a/internal/loadtest/disruption.go
+++ b/internal/loadtest/disruption.go
@@ -89,9 +89,9 @@
 	var problems []string
 	for _, d := range disruptions {
 		b := budgets.For(d.Team)
-		if d.MaxUnavailable > b.MaxUnavailable || d.MaxEvictions > b.Evictions || d.MaxLostTime.Seconds() > b.LostS {
+		if d.MaxUnavailable > b.MaxUnavailable || d.MaxEvictions > b.MaxEvictions || d.MaxLostTime.Seconds() > b.MaxLostRunTimeS {
 			problems = append(problems, fmt.Sprintf("%s: %d unavailable of %d, %d evictions of %d, %v lost of %gs", d.Team,
-				d.MaxUnavailable, b.MaxUnavailable, d.MaxEvictions, b.Evictions, d.MaxLostTime, b.LostS))
+				d.MaxUnavailable, b.MaxUnavailable, d.MaxEvictions, b.MaxEvictions, d.MaxLostTime, b.MaxLostRunTimeS))
 		}
 	}
 	return problems
--- a/internal/loadtest/disruption_test.go
+++ b/internal/loadtest/disruption_test.go
@@ -31,11 +31,11 @@
 	if len(found) != 1 || found[0] != want {
 		t.Fatalf("%+v", found)
 	}
-	sufficient := drain.Budget{MaxUnavailable: 3, Evictions: 3, LostS: 15}
+	sufficient := drain.Budget{MaxUnavailable: 3, MaxEvictions: 3, MaxLostRunTimeS: 15}
 	if p := CheckBudgets(found, &drain.Budgets{Default: sufficient}); len(p) > 0 {
 		t.Error(p)
 	}
-	for _, b := range []drain.Budget{{MaxUnavailable: 2, Evictions: 3, LostS: 15}, {MaxUnavailable: 3, Evictions: 2, LostS: 15}, {MaxUnavailable: 3, Evictions: 3, LostS: 14}} {
+	for _, b := range []drain.Budget{{MaxUnavailable: 2, MaxEvictions: 3, MaxLostRunTimeS: 15}, {MaxUnavailable: 3, MaxEvictions: 2, MaxLostRunTimeS: 15}, {MaxUnavailable: 3, MaxEvictions: 3, MaxLostRunTimeS: 14}} {
 		if p := CheckBudgets(found, &drain.Budgets{Default: b}); len(p) != 1 || !strings.HasPrefix(p[0], "blue") {
 			t.Errorf("%+v: %v", b, p)
 		}
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -81,7 +81,7 @@
 		n.leader.SubmitWithClaim(now, time.Now(), c.Submission(), c.Admission, respond)
 	case peer.OpDrain:
 		n.leader.HandleDrainRequest(now, time.Now(), c.Drain, func(r drain.Response) {
-			result <- peer.Response{Status: r.Status, Reason: r.Reason, Drains: r.Drains}
+			result <- peer.Response{Status: r.HTTPStatus, Reason: r.Reason, Drains: r.Drains}
 		})
 	}
 	return result, n.leadership
--- a/internal/operatorcli/client.go
+++ b/internal/operatorcli/client.go
@@ -112,7 +112,7 @@
 	for _, team := range teams {
 		fmt.Fprintf(table, "%s\t%d of %d\t%d of %d\t%.0f of %g\n",
 			team.Team, team.Unavailable, team.Budget.MaxUnavailable,
-			team.Usage.Evictions, team.Budget.Evictions, team.Usage.LostS, team.Budget.LostS)
+			team.Usage.Evictions, team.Budget.MaxEvictions, team.Usage.LostRunTimeS, team.Budget.MaxLostRunTimeS)
 	}
 	return table.Flush()
 }
--- a/internal/operatorcli/client_test.go
+++ b/internal/operatorcli/client_test.go
@@ -28,8 +28,8 @@
 			Counts:       drain.Counts{Batches: 3, Machines: 6, Evicted: 5, Moved: 4, Replacements: 1},
 			MachinesLeft: 12,
 			Teams: []drain.TeamUsage{{
-				Team: "blue", Unavailable: 1, Usage: drain.Usage{Evictions: 2, LostS: 33.4},
-				Budget: drain.Budget{MaxUnavailable: 10, Evictions: 100, LostS: 1200},
+				Team: "blue", Unavailable: 1, Usage: drain.Usage{Evictions: 2, LostRunTimeS: 33.4},
+				Budget: drain.Budget{MaxUnavailable: 10, MaxEvictions: 100, MaxLostRunTimeS: 1200},
 			}},
 		},
 		{
--- a/internal/records/batch.go
+++ b/internal/records/batch.go
@@ -12,12 +12,12 @@
 
 // Batch is a group of changes to be committed in one transaction.
 type Batch struct {
-	Mutations  []wire.Mutation // the changes as sent to the key-value store
-	writes     []*Write        // the same changes with their callbacks
-	size       int             // sum of writeSize, in bytes
-	maxOps     int             // maximum number of changes
-	valueLimit int             // maximum bytes of a value
-	oversized  []*Write        // not sent, because the key-value store would refuse them
+	Mutations     []wire.Mutation // the changes as sent to the key-value store
+	writes        []*Write        // the same changes with their callbacks
+	size          int             // sum of writeSize, in bytes
+	maxOps        int             // maximum number of changes
+	maxValueBytes int             // maximum bytes of a value
+	oversized     []*Write        // not sent, because the key-value store would refuse them
 }
 
 // fits reports whether the batch has room for a change of the given size. An empty batch has room
@@ -29,7 +29,7 @@
 // add adds a change to the batch, or to oversized if the key-value store would refuse it. All
 // records are built to be within the limits; if one is not, it must not block the others.
 func (b *Batch) add(w *Write) {
-	if len(w.Key) > wire.MaxKeyBytes || len(w.Value) > b.valueLimit {
+	if len(w.Key) > wire.MaxKeyBytes || len(w.Value) > b.maxValueBytes {
 		b.oversized = append(b.oversized, w)
 		return
 	}
--- a/internal/records/completions.go
+++ b/internal/records/completions.go
@@ -13,9 +13,9 @@
 
 // CompletionChunkSize returns the number of tasks whose completions share a record. It is the
 // largest power of two, up to tuning.CompletionChunkTasks, for which a record with any subset of
-// the tasks fits into valueLimit bytes.
-func CompletionChunkSize(valueLimit int) int {
-	maxTasks := max(1, (valueLimit-len(`""`))/tuning.CompletionBytesPerTask)
+// the tasks fits into maxValueBytes bytes.
+func CompletionChunkSize(maxValueBytes int) int {
+	maxTasks := max(1, (maxValueBytes-len(`""`))/tuning.CompletionBytesPerTask)
 	return min(tuning.CompletionChunkTasks, 1<<(bits.Len(uint(maxTasks))-1))
 }
 
@@ -34,8 +34,8 @@
 // completions in the chunk that they know. A smaller chunk therefore has a key that contains its
 // first and last index: if one key stood for different chunks, one version could overwrite
 // completions that another has written.
-func NewCompletions(jobID string, completed *intervals.Set, number, valueLimit int) Completions {
-	size := CompletionChunkSize(valueLimit)
+func NewCompletions(jobID string, completed *intervals.Set, number, maxValueBytes int) Completions {
+	size := CompletionChunkSize(maxValueBytes)
 	from, to := number*size, (number+1)*size
 	key := KindCompletions.Prefix() + jobID + "/" + strconv.Itoa(number)
 	if size < tuning.CompletionChunkTasks {
--- a/internal/records/job.go
+++ b/internal/records/job.go
@@ -25,22 +25,22 @@
 }
 
 // EncodeJob returns the records of a job: its pieces, if it needs any, and last the job record. No
-// value is larger than valueLimit bytes. submittedAtMS is the wall-clock time of the submission in
+// value is larger than maxValueBytes bytes. submittedAtMS is the wall-clock time of the submission in
 // milliseconds; term is the leader's term, which is part of the keys of the pieces.
 //
 // The records must be committed in this order: if the leader fails in between, there are only pieces
 // without a job record, which a successor deletes.
-func EncodeJob(job *wire.Job, submittedAtMS int64, term uint64, valueLimit int) []Item {
+func EncodeJob(job *wire.Job, submittedAtMS int64, term uint64, maxValueBytes int) []Item {
 	rec := jobRecord{Job: *job, At: submittedAtMS}
 	value := encode(rec)
-	if len(job.DependsOn) > 0 || len(value) > valueLimit {
+	if len(job.DependsOn) > 0 || len(value) > maxValueBytes {
 		rec.Job, rec.Whole = placeholder(*job), job
 		value = encode(rec)
 	}
 	var items []Item
-	if len(value) > valueLimit {
+	if len(value) > maxValueBytes {
 		rec.Whole, rec.Term = nil, term
-		items = splitJob(job, term, valueLimit)
+		items = splitJob(job, term, maxValueBytes)
 		rec.Pieces = len(items)
 		value = encode(rec)
 	}
@@ -48,8 +48,8 @@
 }
 
 // splitJob returns the piece records of a job that is too large for one value.
-func splitJob(job *wire.Job, term uint64, valueLimit int) []Item {
-	size := (valueLimit - len(`""`)) / 4 * 3 // base64 encodes 3 bytes as 4
+func splitJob(job *wire.Job, term uint64, maxValueBytes int) []Item {
+	size := (maxValueBytes - len(`""`)) / 4 * 3 // base64 encodes 3 bytes as 4
 	var items []Item
 	for rest := []byte(encode(job)); len(rest) > 0; {
 		piece := rest[:min(size, len(rest))]
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -52,10 +52,10 @@
 // Prefix returns the prefix of the keys of all records of the kind.
 func (k Kind) Prefix() string { return string(k) + "/" }
 
-// IsOptional reports whether a leader can skip a corrupt record of the kind: the cloud reports the
+// MayBeSkippedIfCorrupt reports whether a leader can skip a corrupt record of the kind: the cloud reports the
 // machine types again, tasks without a completion run again, a piece may belong to no job, and drains
 // can wait.
-func (k Kind) IsOptional() bool {
+func (k Kind) MayBeSkippedIfCorrupt() bool {
 	switch k {
 	case KindMachineTypes, KindCompletions, KindJobPiece, KindDrain, KindCharge:
 		return true
--- a/internal/records/queues.go
+++ b/internal/records/queues.go
@@ -27,13 +27,13 @@
 	Background  Queue // completions, deletions and other changes that no user waits for
 	starts      []PendingStarts
 
-	log        zerolog.Logger
-	valueLimit int // maximum bytes of a value
+	log           zerolog.Logger
+	maxValueBytes int // maximum bytes of a value
 }
 
-// NewWriteQueues returns empty queues for a store whose values have at most valueLimit bytes.
-func NewWriteQueues(log zerolog.Logger, valueLimit int) *WriteQueues {
-	return &WriteQueues{log: log, valueLimit: valueLimit}
+// NewWriteQueues returns empty queues for a store whose values have at most maxValueBytes bytes.
+func NewWriteQueues(log zerolog.Logger, maxValueBytes int) *WriteQueues {
+	return &WriteQueues{log: log, maxValueBytes: maxValueBytes}
 }
 
 // PutStarts queues a start record.
@@ -57,7 +57,7 @@
 //
 // Batches must be committed one after the other. MarkCommitted must be called after each.
 func (q *WriteQueues) NextBatch(maxOps, spareOps int, shedding bool) *Batch {
-	b := &Batch{maxOps: maxOps, valueLimit: q.valueLimit}
+	b := &Batch{maxOps: maxOps, maxValueBytes: q.maxValueBytes}
 	q.Dependent.moveTo(b, max(1, maxOps/tuning.DependentWritesDivisor))
 	interactiveShare := max(1, maxOps/tuning.InteractiveWritesDivisor)
 	q.Interactive.moveTo(b, interactiveShare)
--- a/internal/records/queues_test.go
+++ b/internal/records/queues_test.go
@@ -49,7 +49,9 @@
 	return list
 }
 
-func newWriteQueues() *records.WriteQueues { return records.NewWriteQueues(zerolog.Nop(), valueLimit) }
+func newWriteQueues() *records.WriteQueues {
+	return records.NewWriteQueues(zerolog.Nop(), maxValueBytes)
+}
 
 // putChanges queues count changes whose keys are name followed by 0, 1 and so on.
 func putChanges(q *records.Queue, name string, count int) {
@@ -120,7 +122,7 @@
 func TestDeletionsWaitForQueuedStartRecords(t *testing.T) {
 	q := newWriteQueues()
 	q.Background.Delete("s/old")
-	large := strings.Repeat("x", valueLimit)
+	large := strings.Repeat("x", maxValueBytes)
 	for i := range 30 {
 		q.PutStarts(&pendingStarts{key: fmt.Sprint("s", i), content: `"` + large[2:] + `"`})
 	}
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -12,7 +12,7 @@
 	"switchshore.example/switchshore/wire"
 )
 
-const valueLimit = 2048 // bytes of a stored value
+const maxValueBytes = 2048 // bytes of a stored value
 
 // TestLoadOrderCoversEveryKind: records of each kind are loaded, pieces before jobs, and jobs before
 // the records that refer to them.
@@ -57,7 +57,7 @@
 	starts := &records.Starts{Machines: []records.MachineStarts{{ID: "m1", Type: "std-8", Zone: "a"}}}
 	starts.Machines[0].SetTasks("job-1", []int{0, 1, 5})
 	fullSizeChunk := records.NewCompletions("job-1", completed, 1, 16<<10)
-	smallChunk := records.NewCompletions("job-1", completed, 0, valueLimit)
+	smallChunk := records.NewCompletions("job-1", completed, 0, maxValueBytes)
 	for got, want := range map[string]string{
 		string(records.FinalState{Outcome: records.OutcomeDone, TasksDone: 14}.Encode()):     `"d14"`,
 		string(records.FinalState{Outcome: records.OutcomeCancelled, TasksDone: 3}.Encode()): `"c3"`,
@@ -96,12 +96,12 @@
 		"long":      {job: newJob("job-3", 400), pieces: true, placeholder: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			items := records.EncodeJob(test.job, 1700, 5, valueLimit)
+			items := records.EncodeJob(test.job, 1700, 5, maxValueBytes)
 			pieces, last := items[:len(items)-1], items[len(items)-1]
 			loaded := records.JobPieces{}
 			for _, piece := range pieces {
-				if len(piece.Value) > valueLimit {
-					t.Errorf("%s has %d bytes, want at most valueLimit", piece.Key, len(piece.Value))
+				if len(piece.Value) > maxValueBytes {
+					t.Errorf("%s has %d bytes, want at most maxValueBytes", piece.Key, len(piece.Value))
 				}
 				if err := loaded.Add(piece.Key, piece.Value); err != nil {
 					t.Fatal(err)
@@ -144,10 +144,10 @@
 
 // TestCorruptRecordsAreRejected: an invalid record is not decoded, and the error matches the reason.
 func TestCorruptRecordsAreRejected(t *testing.T) {
-	largeJob := records.EncodeJob(newJob("job-3", 400), 0, 5, valueLimit)
+	largeJob := records.EncodeJob(newJob("job-3", 400), 0, 5, maxValueBytes)
 	_, missingPiece := records.DecodeJob("job-3", largeJob[len(largeJob)-1].Value, records.JobPieces{})
 	_, otherJob := records.DecodeJob("job-2",
-		records.EncodeJob(newJob("job-1", 1), 0, 5, valueLimit)[0].Value, nil)
+		records.EncodeJob(newJob("job-1", 1), 0, 5, maxValueBytes)[0].Value, nil)
 	_, finalState := records.DecodeFinalState(json.RawMessage(`"x3"`))
 	for name, test := range map[string]struct{ err, want error }{
 		"missing piece": {missingPiece, records.ErrMissingPiece},
--- a/internal/scaling/plan_input.go
+++ b/internal/scaling/plan_input.go
@@ -60,7 +60,7 @@
 		Free:        m.Free(),
 		Price:       s.cluster.Catalogue.Price(m),
 		Schedulable: !m.IsCordoned() && (!m.HasJoined() || !s.cluster.HeartbeatOverdue(now, m)),
-		Idle: len(m.Attempts()) == 0 && m.HasJoined() && m.IsReconciled() &&
+		MayBeReleased: len(m.Attempts()) == 0 && m.HasJoined() && m.IsReconciled() &&
 			now.Sub(m.ProvisionedAt()) >= tuning.MinimumBillingTime && !s.cluster.IsReplacement(m.ID),
 		IdleFor: m.IdleFor(now),
 	}
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -120,7 +120,7 @@
 func TestPlanCountsRequestedMachines(t *testing.T) {
 	_, cluster := newScaler()
 	cluster.Demand = func(time.Time) []autoscale.Demand {
-		return []autoscale.Demand{{Tasks: 4, Request: placement.Resources{CPUs: 2, MemoryGB: 1}, EstimateS: 600, StartWithinS: 10}}
+		return []autoscale.Demand{{Tasks: 4, Request: placement.Resources{CPUs: 2, MemoryGB: 1}, EstimatedRunTimeS: 600, StartWithinS: 10}}
 	}
 	s := scaling.New(scaling.Config{Term: 5, CloudRPS: 5}, *cluster)
 	plan := s.Plan(testStart)
--- a/internal/simulation/drain_budgets.go
+++ b/internal/simulation/drain_budgets.go
@@ -60,10 +60,10 @@
 		switch {
 		case unavailable[team] > budget.MaxUnavailable:
 			return violated(WithinDrainBudget, "%d tasks of %s are unavailable, the budget allows %d", unavailable[team], team, budget.MaxUnavailable)
-		case usage.Evictions > budget.Evictions:
-			return violated(WithinDrainBudget, "%d evictions of %s in a window, the budget allows %d", usage.Evictions, team, budget.Evictions)
-		case usage.LostS > budget.LostS:
-			return violated(WithinDrainBudget, "%g s of %s lost in a window, the budget allows %g", usage.LostS, team, budget.LostS)
+		case usage.Evictions > budget.MaxEvictions:
+			return violated(WithinDrainBudget, "%d evictions of %s in a window, the budget allows %d", usage.Evictions, team, budget.MaxEvictions)
+		case usage.LostRunTimeS > budget.MaxLostRunTimeS:
+			return violated(WithinDrainBudget, "%g s of %s lost in a window, the budget allows %g", usage.LostRunTimeS, team, budget.MaxLostRunTimeS)
 		}
 	}
 	return nil
@@ -75,7 +75,7 @@
 	for _, e := range c.evictions {
 		if now.Sub(e.at) < c.Budgets.Window {
 			usage := usages[e.team]
-			usages[e.team] = drain.Usage{Evictions: usage.Evictions + 1, LostS: usage.LostS + e.lostS}
+			usages[e.team] = drain.Usage{Evictions: usage.Evictions + 1, LostRunTimeS: usage.LostRunTimeS + e.lostS}
 		}
 	}
 	return usages
--- a/internal/simulation/drain_test.go
+++ b/internal/simulation/drain_test.go
@@ -24,8 +24,8 @@
 // drainBudgets returns budgets small enough to delay a drain.
 func drainBudgets() *drain.Budgets {
 	return &drain.Budgets{
-		Window: time.Minute, Default: drain.Budget{MaxUnavailable: 3, Evictions: 8, LostS: 400},
-		Teams: map[string]drain.Budget{"green": {MaxUnavailable: 2, Evictions: 4, LostS: 250}},
+		Window: time.Minute, Default: drain.Budget{MaxUnavailable: 3, MaxEvictions: 8, MaxLostRunTimeS: 400},
+		Teams: map[string]drain.Budget{"green": {MaxUnavailable: 2, MaxEvictions: 4, MaxLostRunTimeS: 250}},
 	}
 }
 
@@ -201,7 +201,7 @@
 		sim.EnableDrains(drainBudgets())
 		submitRandomJobs(sim, seed, 40, 200*second, 0, makeMovable)
 		var statuses []int
-		recordStatus := func(r drain.Response) { statuses = append(statuses, r.Status) }
+		recordStatus := func(r drain.Response) { statuses = append(statuses, r.HTTPStatus) }
 		sim.RequestDrain(drainAppliedAt, applyRequest(maintenanceSpec()), recordStatus)
 		sim.RequestDrain(70*second, maintenanceRequest(drain.Pause), recordStatus)
 		sim.ScheduleAt(72*second, func() { sim.CrashLeader(second) })
@@ -239,9 +239,9 @@
 		lostS     float64
 		runsAgain bool // whether an evicted task runs again at once
 	}{
-		"budget: 2 tasks of blue are unavailable": {drain.Budget{MaxUnavailable: 1, Evictions: 9, LostS: 99}, 1, false},
-		"budget: 2 evictions of blue":             {drain.Budget{MaxUnavailable: 9, Evictions: 1, LostS: 99}, 1, true},
-		"budget: 20 s of blue lost":               {drain.Budget{MaxUnavailable: 9, Evictions: 9, LostS: 19}, 10, true},
+		"budget: 2 tasks of blue are unavailable": {drain.Budget{MaxUnavailable: 1, MaxEvictions: 9, MaxLostRunTimeS: 99}, 1, false},
+		"budget: 2 evictions of blue":             {drain.Budget{MaxUnavailable: 9, MaxEvictions: 1, MaxLostRunTimeS: 99}, 1, true},
+		"budget: 20 s of blue lost":               {drain.Budget{MaxUnavailable: 9, MaxEvictions: 9, MaxLostRunTimeS: 19}, 10, true},
 	} {
 		checker := simulation.NewDrainBudgetChecker(&drain.Budgets{Window: time.Minute, Default: c.budget})
 		agent := simulation.NewAgent(at, wire.ListedMachine{Name: "m2"}, machineType, time.Hour)
--- a/internal/simulation/operators.go
+++ b/internal/simulation/operators.go
@@ -23,7 +23,7 @@
 			return
 		}
 		finished = true
-		if drainsUnavailable(response.Status) || sim.chance(0.2) {
+		if drainsUnavailable(response.HTTPStatus) || sim.chance(0.2) {
 			// No leader with enabled drains was reached, or the response is lost.
 			sim.RequestDrain(sim.between(500, 3000), request, done)
 			return
@@ -32,7 +32,7 @@
 			done(response)
 		}
 	}
-	sim.after(operatorTimeout, func() { finish(drain.Response{Status: http.StatusServiceUnavailable}) })
+	sim.after(operatorTimeout, func() { finish(drain.Response{HTTPStatus: http.StatusServiceUnavailable}) })
 	n := sim.leaderFor(sim.drawNode())
 	if n == nil || n.previousVersion {
 		return
@@ -42,7 +42,7 @@
 			return
 		}
 		n.leader.HandleDrainRequest(n.clock(), sim.now, request, func(response drain.Response) {
-			sim.trace(boundaryOperatorResponse, n, request, response.Status, response.Reason, response.Drains)
+			sim.trace(boundaryOperatorResponse, n, request, response.HTTPStatus, response.Reason, response.Drains)
 			finish(response)
 		})
 	})
--- a/internal/startlog/startlog.go
+++ b/internal/startlog/startlog.go
@@ -21,24 +21,24 @@
 
 // Log holds the start records of a leadership term, including those loaded from earlier terms.
 type Log struct {
-	term       uint64
-	valueLimit int // maximum bytes of a stored value
-	writes     *records.WriteQueues
-	callbacks  Callbacks
-	lastNumber uint64    // number in the key of the last record
-	current    *Record   // accepts attempts until it is full or in a batch; nil at first
-	loaded     []*Record // records from earlier terms; nil after FinishLoading
+	term          uint64
+	maxValueBytes int // maximum bytes of a stored value
+	writes        *records.WriteQueues
+	callbacks     Callbacks
+	lastNumber    uint64    // number in the key of the last record
+	current       *Record   // accepts attempts until it is full or in a batch; nil at first
+	loaded        []*Record // records from earlier terms; nil after FinishLoading
 }
 
 // New returns a log without records.
-func New(term uint64, valueLimit int, writes *records.WriteQueues, callbacks Callbacks) *Log {
-	return &Log{term: term, valueLimit: valueLimit, writes: writes, callbacks: callbacks}
+func New(term uint64, maxValueBytes int, writes *records.WriteQueues, callbacks Callbacks) *Log {
+	return &Log{term: term, maxValueBytes: maxValueBytes, writes: writes, callbacks: callbacks}
 }
 
 // Add adds an attempt to the current record, or to a new one if that is full or in a batch.
 func (l *Log) Add(a *machines.Attempt) {
 	machine, jobID := a.Machine.NewStartsRecord(), a.Job.ID
-	limit := float64(l.valueLimit) * tuning.RecordValueShare
+	limit := float64(l.maxValueBytes) * tuning.RecordValueShare
 	if l.current == nil || l.current.closed || float64(l.current.size.BytesWith(machine, jobID)) > limit {
 		l.addRecord()
 	}
--- a/internal/startlog/startlog_test.go
+++ b/internal/startlog/startlog_test.go
@@ -26,13 +26,13 @@
 	durableStarts, refusedStarts int
 }
 
-func newFixture(valueLimit int) *fixture {
+func newFixture(maxValueBytes int) *fixture {
 	f := &fixture{
-		writes:  records.NewWriteQueues(zerolog.Nop(), valueLimit),
+		writes:  records.NewWriteQueues(zerolog.Nop(), maxValueBytes),
 		job:     jobs.New(wire.Job{ID: "job-1", Tasks: 1000}, 0, time.Time{}),
 		machine: machines.New(time.Time{}, "m1", "std-8", "a", "", true),
 	}
-	f.Log = startlog.New(5, valueLimit, f.writes, startlog.Callbacks{
+	f.Log = startlog.New(5, maxValueBytes, f.writes, startlog.Callbacks{
 		OnDurable: func(a *machines.Attempt) { a.MarkStartRecorded(); f.durableStarts++ },
 		OnRefused: func(a *machines.Attempt) { f.Remove(a); f.refusedStarts++ },
 	})
