--- a/internal/allocation/ledger.go
+++ b/internal/allocation/ledger.go
@@ -16,12 +16,12 @@
 // Ledger holds the quotas of the teams and their usage. An attempt uses resources from when its task
 // may be on the machine until the task is known to have left the machine.
 type Ledger struct {
-	teams map[string]*teamUsage
+	teams map[string]*teamUsage // by team name
 }
 
 // teamUsage is the quota of a team and its usage.
 type teamUsage struct {
-	quota config.Team
+	quota config.Team         // with the limits of resolveLimits
 	used  placement.Resources // of all attempts
 }
 
@@ -104,9 +104,9 @@
 	return teams
 }
 
-// JobsWithinGuarantee returns the jobs of a list that fit into the guarantee of their team. A job
-// fits if the remaining tasks of it and of the team's preceding jobs in the list need no more than
-// the guarantee. The list has to be sorted by age, oldest first.
+// JobsWithinGuarantee returns the jobs of a list that fit into the guarantee of their team. The list
+// must be sorted by age, oldest first. A job fits if its remaining tasks, together with those of the
+// team's older jobs in the list, need no more than the guarantee.
 func (l *Ledger) JobsWithinGuarantee(list []*jobs.Job) map[*jobs.Job]bool {
 	neededByTeam := map[string]placement.Resources{}
 	fits := map[*jobs.Job]bool{}
@@ -138,6 +138,7 @@
 
 const unknownTeam = "unknown team"
 
+// quotaViolation returns why a task of a job exceeds a quota even if the team uses nothing else, or "".
 func quotaViolation(quota *config.Team, spec *wire.Job) string {
 	limit := placement.Resources{CPUs: quota.CPUsMax, GPUs: quota.GPUsMax}
 	if !limit.Fits(placement.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs}) {
--- a/internal/autoscale/plan.go
+++ b/internal/autoscale/plan.go
@@ -14,12 +14,12 @@
 type Demand struct {
 	Tasks             int
 	Request           placement.Resources // per task
-	EstimatedRunTimeS float64             // estimated run time of a task in seconds
+	EstimatedRunTimeS float64             // of a task, in seconds
 	// MachineTypes lists the allowed machine types; empty allows all.
 	MachineTypes []string
 	// Zone is the only allowed zone; empty allows all.
 	Zone string
-	// SpotAllowed also allows spot instances.
+	// SpotAllowed is set if the tasks may run on spot instances too.
 	SpotAllowed bool
 	// StartWithinS is the time in seconds within which the tasks should start.
 	StartWithinS float64
@@ -53,10 +53,10 @@
 	// Schedulable reports whether new tasks may be assigned to the machine, now or
 	// once it has booted.
 	Schedulable bool
-	// MayBeReleased reports whether the machine has no tasks and may be released.
+	// MayBeReleased is set if the machine has no tasks and the caller allows its release.
 	MayBeReleased bool
 	IdleFor       time.Duration // how long the machine has had no tasks
-	Price         float64
+	Price         float64       // of the machine at the cloud; compared with that of other machines
 }
 
 // Input is the snapshot of the cluster that a plan is based on.
--- a/internal/drain/budget.go
+++ b/internal/drain/budget.go
@@ -4,8 +4,9 @@
 
 // Budget limits the disruption of a team's work by drains.
 type Budget struct {
-	// MaxUnavailable is the maximum number of the team's tasks that were interrupted and don't run
-	// again yet. With 0, drains evict none of the team's tasks but wait until they end.
+	// MaxUnavailable is the maximum number of the team's tasks that are unavailable at the same time:
+	// interrupted, and not running again yet. With 0, drains evict none of the team's tasks. They wait
+	// until the tasks end.
 	MaxUnavailable int `json:"maxUnavailable" xml:"maxUnavailable" validate:"min=0,max=1000000"`
 	// MaxEvictions is the maximum number of interruptions within a window.
 	MaxEvictions int `json:"evictions" xml:"evictions" validate:"min=0,max=1000000"`
@@ -23,7 +24,7 @@
 
 // Budgets holds the budgets of all teams.
 type Budgets struct {
-	Window  time.Duration     // over which interruptions and lost run time are counted
+	Window  time.Duration     // sliding window in which interruptions and lost run time count
 	Default Budget            // of teams that are not in Teams
 	Teams   map[string]Budget // by team name
 }
--- a/internal/drain/charge.go
+++ b/internal/drain/charge.go
@@ -23,9 +23,9 @@
 // the teams' budgets. It is durable before the first stop is sent. Otherwise a successor would not
 // know how much of the budgets is used, and would charge the same stops again.
 type Charge struct {
-	Drain    string           `json:"drain"`
-	AtMS     int64            `json:"at"` // Unix time in milliseconds
-	Teams    map[string]Usage `json:"teams"`
+	Drain    string           `json:"drain"` // name of the drain
+	AtMS     int64            `json:"at"`    // Unix time in milliseconds at which the drain chose them
+	Teams    map[string]Usage `json:"teams"` // usage that the evictions add, by team name
 	Attempts []Attempt        `json:"attempts"`
 }
 
@@ -59,7 +59,7 @@
 
 // Encode returns the charge as stored JSON.
 func (c *Charge) Encode() json.RawMessage {
-	value, _ := json.Marshal(c) // can't fail: the budgets keep all numbers finite
+	value, _ := json.Marshal(c) // can't fail: the budgets limit the sums, so all numbers are finite
 	return value
 }
 
--- a/internal/drain/eviction.go
+++ b/internal/drain/eviction.go
@@ -25,16 +25,16 @@
 	Budgets *Budgets
 	// Force allows the eviction of tasks without an alternative.
 	Force bool
-	// Now is the time on the ledger's clock.
+	// Now is the time on the monotonic clock, on which the ledger records usage.
 	Now time.Time
 	// MaxChargeBytes is the maximum size of an encoded charge.
 	MaxChargeBytes int
 }
 
 // Choose adds to the charge the candidates that may be evicted now, in ascending order of lost run
-// time, until the charge is full. The next charge can hold the remaining ones. Choose returns the
-// first reason why a candidate may not be evicted; it returns WaitTaskEnd only if it found no other
-// reason. The reason is empty if every candidate considered may be evicted.
+// time, until the charge is full. A later step adds the remaining ones to its own charge. Choose returns
+// the first reason why a candidate may not be evicted, but WaitTaskEnd only if there is no other reason.
+// The reason is empty if every candidate considered may be evicted.
 func (e *Evictor) Choose(charge *Charge, candidates []Candidate) Reason {
 	slices.SortStableFunc(candidates, func(a, b Candidate) int { return cmp.Compare(a.LostRunTimeS, b.LostRunTimeS) })
 	var reason Reason
--- a/internal/drain/file.go
+++ b/internal/drain/file.go
@@ -90,8 +90,8 @@
 }
 
 // checkElements returns an error if the file has unknown elements or attributes, or not exactly one
-// root element. The XML decoder ignores unknown ones. If it ignored a mistyped element of the
-// selector, the drain would select more machines than intended.
+// root element. The XML decoder alone would ignore unknown elements: with a mistyped element in the
+// selector, the drain would then select more machines than intended.
 func checkElements(data []byte) error {
 	decoder := xml.NewDecoder(bytes.NewReader(data))
 	var path []string
--- a/internal/drain/ledger.go
+++ b/internal/drain/ledger.go
@@ -6,8 +6,8 @@
 // failures and preemptions. Drains compare it with the teams' budgets. An unavailable task is one
 // that was interrupted, or whose stop was charged, and that does not run again yet.
 type Ledger struct {
-	window time.Duration
-	teams  map[string]*teamLedger
+	window time.Duration          // how long usage counts
+	teams  map[string]*teamLedger // by team name
 	// unavailableByJob holds the indexes of the unavailable tasks by job ID.
 	unavailableByJob map[string]map[int32]bool
 	teamByJob        map[string]string  // team of each job in unavailableByJob
@@ -17,8 +17,8 @@
 
 // teamLedger is the ledger of one team.
 type teamLedger struct {
-	unavailableTasks int
-	buckets          []usageBucket // oldest first
+	unavailableTasks int           // number of the team's unavailable tasks
+	buckets          []usageBucket // usage within the window, oldest first
 }
 
 // usageBucket is the usage of one part of the window.
@@ -89,8 +89,8 @@
 	l.addUnavailable(team, job, index)
 }
 
-// RecordUnavailable counts a task as unavailable without adding usage. It is for a task whose stop
-// has been charged, and for one that may not have run.
+// RecordUnavailable counts a task as unavailable without adding usage. It is for a task whose usage was
+// already added by a charge, and for one that may not have run.
 func (l *Ledger) RecordUnavailable(team, job string, index int32) { l.addUnavailable(team, job, index) }
 
 // addUnavailable counts a task as unavailable, at most once.
@@ -129,8 +129,8 @@
 }
 
 // RecordCharge adds the usage of a charge and counts its tasks as unavailable unless they have ended.
-// key is the key of the stored charge, at is when the charge was made. teamOf returns the team of an
-// attempt's task, or false if the task has ended.
+// key is the key of the stored charge. at is when the charge was made, on the monotonic clock. teamOf
+// returns the team of an attempt's task, or false if the task has ended.
 func (l *Ledger) RecordCharge(key string, c *Charge, at time.Time, teamOf func(Attempt) (team string, ok bool)) {
 	l.chargesByKey[key] = c
 	for team, usage := range c.Teams {
@@ -148,8 +148,9 @@
 func (l *Ledger) IsCharged(number uint64) bool { return l.chargedAttempts[number] }
 
 // RemoveOldCharges removes the charges that are no longer needed and returns their keys, so that the
-// caller can delete the stored ones. A charge is needed until its usage has left the window and none of its
-// tasks is unavailable. now is the wall-clock time.
+// caller can delete the stored ones. A charge is needed while its usage is in the window, and while any
+// of its tasks is unavailable: a successor learns both from the stored charge. now is the wall-clock
+// time.
 func (l *Ledger) RemoveOldCharges(now time.Time) []string {
 	var keys []string
 	for key, c := range l.chargesByKey {
--- a/internal/drain/record.go
+++ b/internal/drain/record.go
@@ -50,10 +50,10 @@
 type Record struct {
 	Version   int    `json:"version"`
 	Spec      Spec   `json:"spec"`
-	CreatedMS int64  `json:"created"` // Unix time in milliseconds
+	CreatedMS int64  `json:"created"` // Unix time in milliseconds at which the drain was accepted
 	State     State  `json:"state"`
 	Reason    Reason `json:"reason"`
-	Batch     *Batch `json:"batch,omitempty"`
+	Batch     *Batch `json:"batch,omitempty"` // the current batch, nil if there is none
 	Counts    Counts `json:"counts"`
 }
 
--- a/internal/drain/request.go
+++ b/internal/drain/request.go
@@ -13,18 +13,18 @@
 	Cancel Action = "cancel"
 )
 
-// Request is an operator's request to the leader. It can be repeated without another effect.
+// Request is an operator's request to the leader. Requests are idempotent.
 type Request struct {
 	Action Action `json:"action"`
-	Name   string `json:"name,omitempty"` // of the drain, unless the action is Apply or List
+	Name   string `json:"name,omitempty"` // of the drain; empty for Apply and List
 	Spec   *Spec  `json:"spec,omitempty"` // for Apply
 }
 
-// TeamUsage is a team's budget and the used part of it.
+// TeamUsage is a team's budget and how much of it is used.
 type TeamUsage struct {
 	Team        string `json:"team"`
 	Unavailable int    `json:"unavailable"` // number of unavailable tasks
-	Usage       Usage  `json:"used"`
+	Usage       Usage  `json:"used"`        // within the budget's window
 	Budget      Budget `json:"budget"`
 }
 
@@ -33,8 +33,8 @@
 	Spec   Spec   `json:"spec"`
 	State  State  `json:"state"`
 	Reason string `json:"reason,omitempty"`
-	Batch  *Batch `json:"batch,omitempty"`
-	Counts Counts `json:"counts"`
+	Batch  *Batch `json:"batch,omitempty"` // the current batch, nil if there is none
+	Counts Counts `json:"counts"`          // totals since the drain was accepted
 	// MachinesLeft is the number of selected machines that still exist, 0 once the drain has ended.
 	MachinesLeft int `json:"machinesLeft"`
 	// Teams holds the usage of every team. It is empty in the response to List.
@@ -43,7 +43,7 @@
 
 // Response is the leader's response to a request.
 type Response struct {
-	HTTPStatus int    // HTTP status code
-	Reason     string // why the request was refused
-	Drains     []Status
+	HTTPStatus int      // HTTP status code
+	Reason     string   // why the request was refused, "" if it was not
+	Drains     []Status // all drains for List, otherwise the one that the request names
 }
--- a/internal/drain/spec.go
+++ b/internal/drain/spec.go
@@ -18,7 +18,8 @@
 	// Deadline is optional. Without Force, a drain that still has to wait after its deadline is
 	// paused, unless it only waits for tasks to end or for machines to be released.
 	Deadline *time.Time `json:"deadline,omitempty" xml:"deadline"`
-	// Force allows the drain, after its deadline, to evict tasks that can run nowhere else.
+	// Force allows the drain to evict, after its deadline, tasks that might not run again because no
+	// machine on which they can run may be provisioned.
 	Force bool `json:"force,omitempty" xml:"force"`
 }
 
@@ -41,8 +42,8 @@
 
 // Deployment holds the zones, machine types and machines that a selector may name.
 type Deployment struct {
-	Zones, Types []string
-	HasMachine   func(name string) bool
+	Zones, Types []string               // names
+	HasMachine   func(name string) bool // whether the machine exists
 }
 
 // ValidateFor checks that the selector names only zones, machine types and machines of the
--- a/internal/drain/validation.go
+++ b/internal/drain/validation.go
@@ -19,8 +19,8 @@
 
 var validate = newValidator()
 
-// newValidator returns a validator whose errors give the fields the names of their XML elements, which
-// operators know.
+// newValidator returns a validator whose errors name a field by its XML element, because operators write
+// XML.
 func newValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
--- a/internal/drainer/batch.go
+++ b/internal/drainer/batch.go
@@ -12,8 +12,12 @@
 )
 
 // beginBatch starts a batch of the selected machines that have the fewest attempts. It starts none
-// while batches are blocked, or if the remaining machines could not meet the teams' guarantees. If no
-// selected machine can be drained any more, the drain is done or waits for the outstanding ones.
+//   - while the cluster blocks batches,
+//   - within DrainBatchInterval after its last try, unless a batch has ended since, or
+//   - if the machines outside the batch could not meet the teams' guarantees.
+//
+// If no selected machine can be drained now, the drain is done, or waits for the outstanding ones (see
+// selectedMachines).
 func (s *drainStep) beginBatch() {
 	if cause := s.d.cluster.BatchBlockedCause(s.now); cause != "" {
 		s.setWaitReason(cause, "")
@@ -53,9 +57,9 @@
 	}
 }
 
-// markDoneIfComplete marks a drain done that has no machine left to drain. It waits while outstanding
-// selected machines are being released or not listed yet, and while a provision call in flight may
-// add more.
+// markDoneIfComplete marks the drain done if no selected machine is left. outstanding is the number of
+// selected machines that exist but can't be drained now. While there are any, or while a provision call
+// in flight may add some, the drain waits instead.
 func (s *drainStep) markDoneIfComplete(outstanding int) {
 	if outstanding > 0 || s.selectsProvisionInFlight() {
 		s.setWaitReason(drain.WaitMachineRelease, "")
@@ -91,7 +95,8 @@
 }
 
 // isSelected reports whether a drain selects a machine. now and wall are the same moment on the
-// monotonic clock and as wall-clock time.
+// monotonic clock and as wall-clock time. With them, the machine's provisioning time, which is on the
+// monotonic clock, is converted to the wall-clock time that selectors compare.
 func isSelected(r *drain.Record, now, wall time.Time, m *machines.Machine) bool {
 	provisionedAt := wall.Add(m.ProvisionedAt().Sub(now))
 	return r.Spec.Selector.Selects(drain.Machine{Name: m.ID, Type: m.Type, Zone: m.Zone, ProvisionedAt: provisionedAt})
@@ -140,8 +145,8 @@
 	return cpus
 }
 
-// removeReleased removes the machines that no longer exist from the batch, and ends the batch if none
-// are left.
+// removeReleased removes from the batch the machines that no longer exist. If none are left, it ends the
+// batch, and the next one may start at once.
 func (s *drainStep) removeReleased() {
 	remaining := slices.DeleteFunc(slices.Clone(s.record.Batch.Machines), s.d.noLongerExists)
 	removed := len(s.record.Batch.Machines) - len(remaining)
--- a/internal/drainer/drainer.go
+++ b/internal/drainer/drainer.go
@@ -24,14 +24,15 @@
 
 // Config holds the settings of a drainer.
 type Config struct {
-	Term    uint64
+	Term    uint64         // of this leader; part of the keys of charges
 	Budgets *drain.Budgets // nil disables drains
 	Teams   []config.Team
-	Zones   []string
+	Zones   []string // configured zones; a drain may also select other zones that the cloud offers
 	// MaxMachines limits the number of machines; 0 means no limit.
 	MaxMachines   int
 	MaxValueBytes int // maximum size of a stored value in bytes
-	// LeaseCertainlyExpiredAfter is how long after the last response to an agent its lease has certainly expired.
+	// LeaseCertainlyExpiredAfter is the time after the last response to an agent at which its lease has
+	// certainly expired: the duration of the lease plus margins for clock errors and delays.
 	LeaseCertainlyExpiredAfter time.Duration
 	// LeaseDurationS is the duration of an agent's lease in seconds.
 	LeaseDurationS float64
@@ -53,15 +54,16 @@
 	IsSchedulable func(time.Time, *machines.Machine) bool
 	// RemainingS estimates the remaining run time of an attempt in seconds.
 	RemainingS func(time.Time, *machines.Attempt) float64
-	// MachinesAndTypesKnown reports whether the machine types are known and a machine list has been applied.
+	// MachinesAndTypesKnown reports whether the machine types are known and any machine list has been
+	// applied, even an outdated one.
 	MachinesAndTypesKnown func() bool
 	// HasCurrentMachineList reports whether a machine list shows the cloud's state after this term
 	// began. Then a machine in a record that is missing from the registry no longer exists.
 	HasCurrentMachineList func() bool
 	// BatchBlockedCause returns why no drain may start a batch now, or "" if one may.
 	BatchBlockedCause func(time.Time) drain.Cause
-	// QueueDirectCall schedules a direct call to a machine, which sends the stops of its attempts to
-	// its agent.
+	// QueueDirectCall queues a direct call to a machine's agent. The call sends the requested stops of
+	// the machine's attempts, without waiting for the agent's next heartbeat.
 	QueueDirectCall func(*machines.Machine)
 	// RequestSchedulingPass requests a scheduling pass after machines became schedulable again.
 	RequestSchedulingPass func()
@@ -75,17 +77,17 @@
 	cluster Cluster
 
 	ledger *drain.Ledger           // nil if drains are disabled
-	drains map[string]*storedDrain // by name
+	drains map[string]*storedDrain // by name, including ended drains whose records are kept
 	// unreadableDrains holds the names of stored drains that are corrupt or of a later version.
 	unreadableDrains map[string]bool
-	loadedCharges    []loadedCharge
-	lastChargeNumber uint64
-	nextStepAt       time.Time
-	nextBatchAt      time.Time
-	examinedCount    int
+	loadedCharges    []loadedCharge // of earlier leaders; nil after FinishLoading
+	lastChargeNumber uint64         // in the key of the last charge of this term
+	nextStepAt       time.Time      // when the next step is due
+	nextBatchAt      time.Time      // before this time, no drain tries to start a batch
+	examinedCount    int            // see ExaminedCount
 }
 
-// storedDrain is the record of a drain.
+// storedDrain is the record of a drain, which is stored or queued to be stored.
 type storedDrain struct {
 	*drain.Record
 	durable bool // whether the record has been persisted at least once
--- a/internal/drainer/drainer_test.go
+++ b/internal/drainer/drainer_test.go
@@ -23,7 +23,7 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// testStart is the time at which the tests start, on both clocks.
+// testStart is the start time of the tests, on the monotonic clock and as wall-clock time.
 var testStart = time.Unix(1_700_000_000, 0)
 
 // fixture holds a drainer in a cluster with one machine type in one zone. By default no batch is
@@ -37,7 +37,7 @@
 	scaler       *scaling.Scaler
 	jobs         map[string]*jobs.Job
 	blockedCause drain.Cause // returned by BatchBlockedCause
-	queuedCalls  []string    // IDs of the machines to which direct calls were scheduled
+	queuedCalls  []string    // IDs of the machines for which direct calls were queued
 }
 
 func newFixture(t *testing.T) *fixture {
@@ -94,7 +94,8 @@
 	return m
 }
 
-// handleRequest passes a request to the drainer, commits all writes and returns the response.
+// handleRequest passes a request to the drainer, commits all writes and returns the response. The
+// monotonic and the wall-clock time are the same in these tests.
 func (f *fixture) handleRequest(request *drain.Request) drain.Response {
 	f.t.Helper()
 	var got drain.Response
@@ -193,8 +194,9 @@
 	}
 }
 
-// TestEvictionsStayWithinBudget checks that no attempt is stopped before its charge is durable, and that
-// no second task is evicted once the first eviction has used up the budget.
+// TestEvictionsStayWithinBudget checks that no attempt is stopped before its charge, the record that its
+// eviction uses the team's budget, is durable. It also checks that no second task is evicted once the
+// first eviction has used up the budget.
 func TestEvictionsStayWithinBudget(t *testing.T) {
 	f := newFixture(t)
 	m := f.addMachine("m1")
@@ -208,14 +210,14 @@
 	}
 	f.applyDrain(false, "m1")
 	f.advanceTime(tuning.DrainBatchInterval)
-	f.advanceTime(tuning.DrainCheckpointWait + time.Second)
+	f.advanceTime(tuning.DrainCheckpointWait + time.Second) // the batch no longer waits for the tasks to end
 	if len(f.queuedCalls) != 0 {
 		t.Fatal("an attempt was stopped before its charge was durable")
 	}
 	charged := slices.ContainsFunc(f.commitWrites(), func(key string) bool { return strings.HasPrefix(key, records.KindCharge.Prefix()) })
 	stopping := slices.DeleteFunc(slices.Clone(m.Attempts()), func(a *machines.Attempt) bool { return !a.IsStopping() })
 	if !charged || len(f.queuedCalls) != 1 || len(stopping) != 1 || stopping[0].GracePeriodS() != 5 {
-		t.Fatalf("charge stored: %v, calls to %v, %d attempts stopping; want a stored charge, 1 call, and 1 attempt", charged, f.queuedCalls, len(stopping))
+		t.Fatalf("charge stored: %v, calls to %v, %d attempts stopping; want a stored charge, 1 call, and 1 stopping attempt with a grace period of 5 s", charged, f.queuedCalls, len(stopping))
 	}
 	f.advanceTime(tuning.DrainCheckpointWait)
 	f.commitWrites()
@@ -233,7 +235,7 @@
 	f.advanceTime(tuning.DrainBatchInterval)
 	calls := f.ReplacementCalls(f.now)
 	if len(calls) != 1 || calls[0].Provision.Type != "std-8" || calls[0].Provision.Count != 1 {
-		t.Fatalf("got calls %+v, want one for one machine of type std-8", calls)
+		t.Fatalf("got calls %+v, want a single call for 1 machine of type std-8", calls)
 	}
 	if again := f.ReplacementCalls(f.now); len(again) != 0 {
 		t.Fatalf("got further calls %+v, want none while one is in flight", again)
--- a/internal/drainer/evict.go
+++ b/internal/drainer/evict.go
@@ -12,8 +12,8 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// evict evicts tasks of the batch within the budgets. It sends no stop before the charge for it is
-// durable. Stops that an earlier leader charged already are sent at once.
+// evict evicts tasks of the batch within the budgets. It sends a stop only once the charge for the stop
+// is durable. Stops that an earlier leader has charged are sent at once.
 func (s *drainStep) evict() {
 	candidates, attempts := s.collectCandidates()
 	charge := drain.NewCharge(s.record.Spec.Name, s.wall)
@@ -29,9 +29,10 @@
 	s.setWaitReason(reason.Cause, reason.Team)
 }
 
-// collectCandidates returns the running attempts of the batch that are not being evicted, as
-// candidates and by attempt number. It stops attempts whose stops an earlier leader charged, and
-// leaves them out.
+// collectCandidates returns the attempts of the batch that agents have reported and that are not being
+// stopped or evicted, as candidates and by attempt number. It leaves out machines that are not
+// reconciled or not listed by the cloud yet. It stops, instead of returning them, the attempts whose
+// stops an earlier leader charged.
 func (s *drainStep) collectCandidates() (candidates []drain.Candidate, attempts map[uint64]*machines.Attempt) {
 	attempts = map[uint64]*machines.Attempt{}
 	for _, name := range s.record.Batch.Machines {
@@ -88,8 +89,9 @@
 	d.cluster.QueueDirectCall(a.Machine)
 }
 
-// candidate returns the candidate for a running attempt. A batch waits longer for the end of a task
-// without checkpoints, because the eviction of such a task loses all of its run time.
+// candidate returns the candidate for a running attempt. A task with checkpoints can save one before it
+// is stopped, so it counts as losing no run time. The eviction of a task without checkpoints loses all
+// of its run time, so a batch waits longer for its end.
 func (s *drainStep) candidate(a *machines.Attempt) drain.Candidate {
 	j := a.Job
 	c := drain.Candidate{
@@ -100,21 +102,22 @@
 	maxWait := tuning.DrainCheckpointWait
 	if j.CheckpointIntervalS <= 0 {
 		maxWait = tuning.DrainCompletionWait
-		c.LostRunTimeS = s.maxLostS(a)
+		c.LostRunTimeS = s.maxLostRunTimeS(a)
 	}
 	maxWait -= s.wall.Sub(time.UnixMilli(s.record.Batch.SinceMS))
 	c.EndsSoon = maxWait > 0 && s.d.cluster.RemainingS(s.now, a) <= maxWait.Seconds()
 	return c
 }
 
-// maxLostS returns the maximum run time, in seconds, that is lost if a task without checkpoints is
+// maxLostRunTimeS returns the maximum run time, in seconds, that is lost if a task without checkpoints is
 // stopped. It includes the lease, because the task runs on until the stop takes effect or the agent's
 // lease expires.
-func (s *drainStep) maxLostS(a *machines.Attempt) float64 {
+func (s *drainStep) maxLostRunTimeS(a *machines.Attempt) float64 {
 	earliestStart := a.CreatedAt()
 	if a.Number()>>32 != s.d.config.Term {
-		// An earlier leader started the attempt. The time of that is unknown, but it is later than
-		// the submission of the job and the provisioning of the machine.
+		// The upper 32 bits of the number are the term in which the attempt was created. An earlier
+		// leader created this one. When it did is unknown, but not before the submission of the job
+		// and the provisioning of the machine.
 		earliestStart = a.Job.SubmittedAt()
 		if a.Machine.ProvisionedAt().After(earliestStart) {
 			earliestStart = a.Machine.ProvisionedAt()
@@ -140,7 +143,7 @@
 	return has
 }
 
-// provisionableMachines returns a machine of each offering that no drain forbids to provision.
+// provisionableMachines returns an empty machine of each offering that no drain forbids to provision.
 func (s *drainStep) provisionableMachines() []*placement.Machine {
 	return s.d.cluster.Catalogue.Offerings(func(machineType, zone string) bool {
 		return !s.d.BlocksProvisioning(autoscale.Offering{Type: machineType, Zone: zone})
--- a/internal/drainer/interruptions.go
+++ b/internal/drainer/interruptions.go
@@ -7,10 +7,14 @@
 	"switchshore.example/switchshore/internal/machines"
 )
 
-// RecordInterruption records that the task of an attempt is interrupted. It is called before the
-// attempt is removed. It ignores a failed attempt, a task that is done or has another attempt, and an
-// attempt that has certainly not run. The interruption uses up the team's budget unless a drain has
-// charged it already or the attempt may not have started.
+// RecordInterruption records that the task of an attempt is interrupted. It must be called before the
+// attempt is removed. It ignores
+//   - failed attempts,
+//   - tasks that are done or have another attempt, and
+//   - attempts that have certainly not run.
+//
+// The interruption uses up the team's budget, with two exceptions: a drain has charged it already, or the
+// attempt may not have started.
 func (d *Drainer) RecordInterruption(now time.Time, a *machines.Attempt) {
 	j := a.Job
 	if d.ledger == nil || !j.NeedsTask(int(a.Index)) || j.AllocationsOf(a.Index) > 1 || a.HasFailed() {
--- a/internal/drainer/replacements.go
+++ b/internal/drainer/replacements.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// cordonBatch cordons the machines of the batch and stores the record.
+// cordonBatch cordons the machines of the batch, restarts its waiting times and stores the record.
 func (s *drainStep) cordonBatch() {
 	s.record.Batch.Cordoned, s.record.Batch.SinceMS = true, s.wall.UnixMilli()
 	s.applyBatchCordon()
@@ -91,7 +91,8 @@
 }
 
 // ReplacementCalls returns the cloud calls that provision the missing replacements for the batch of
-// the running drain. It returns none while such a call is in flight.
+// the running drain. It returns none while such a call is in flight, because the machines that the call
+// requests don't count as replacements before it returns.
 func (d *Drainer) ReplacementCalls(now time.Time) []scaling.CloudCall {
 	r := d.drainWaitingForReplacements()
 	if r == nil || !d.cluster.HasCurrentMachineList() {
--- a/internal/drainer/requests.go
+++ b/internal/drainer/requests.go
@@ -12,7 +12,8 @@
 )
 
 // Handle executes an operator's request and calls respond with the response. If the response reports a
-// change, it calls respond only once the change is durable. wall is the wall-clock time.
+// change, Handle calls respond only once the change is durable. now and wall are the same moment on the
+// monotonic clock and as wall-clock time.
 func (d *Drainer) Handle(now, wall time.Time, request *drain.Request, respond func(drain.Response)) {
 	switch {
 	case d.config.Budgets == nil:
@@ -77,8 +78,8 @@
 	return nil
 }
 
-// maxRecordSize estimates the maximum size, in bytes, of the record of a drain. The record is largest
-// while it names the machines of a full batch and a replacement for each of them.
+// maxRecordSize estimates the maximum size, in bytes, that the record of a drain can reach. The record
+// is largest while it names the machines of a full batch and a replacement for each of them.
 func maxRecordSize(s *drain.Spec) int {
 	const fixedBytes = 512 // counts, reason and state
 	return len(drain.NewRecord(*s, time.Time{}).Encode()) + fixedBytes + 2*s.BatchSize*tuning.DrainMachineNameBytes
--- a/internal/drainer/store.go
+++ b/internal/drainer/store.go
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// FinishLoading adds the loaded charges to the ledger, and cordons the machines of the loaded drains
+// FinishLoading adds the loaded charges to the ledger, and cordons the machines of the loaded batches
 // again. It must be called before the first placement, so that no task is placed on these machines.
 func (d *Drainer) FinishLoading() {
 	for _, loaded := range d.loadedCharges {
@@ -87,7 +87,7 @@
 	d.cluster.Writes.Interactive.Put(key, charge.Encode(), onDurable)
 }
 
-// deleteOldCharges deletes the stored charges that are no longer needed.
+// deleteOldCharges queues the deletion of the stored charges that are no longer needed.
 func (d *Drainer) deleteOldCharges(wall time.Time) {
 	keys := d.ledger.RemoveOldCharges(wall)
 	slices.Sort(keys)
--- a/internal/records/completions.go
+++ b/internal/records/completions.go
@@ -20,7 +20,7 @@
 }
 
 // Completions is the record of the completed tasks in one chunk of a job. A chunk is a range of
-// CompletionChunkSize consecutive task indexes.
+// consecutive task indexes, whose length is CompletionChunkSize.
 type Completions struct {
 	Key string
 	// Tasks are the indexes of the completed tasks in the format of package intervals.
@@ -29,11 +29,11 @@
 
 // NewCompletions returns the record of the completed tasks in the chunk with the given number.
 //
-// Earlier versions of the program know only chunks of the full size, with keys of the form
-// "d/JOB/NUMBER". They read records of any chunk size, but replace their own records by all
-// completions in the chunk that they know. A smaller chunk therefore has a key that contains its
-// first and last index: if one key stood for different chunks, one version could overwrite
-// completions that another has written.
+// Earlier versions of the program write only chunks of the full size, under keys of the form
+// "d/JOB/NUMBER", but read chunks of any size. Each write of a chunk replaces the earlier record
+// under its key. The key of a smaller chunk therefore contains the chunk's first and last index: if
+// one key stood for chunks of different sizes, one version could overwrite completions that another
+// has written.
 func NewCompletions(jobID string, completed *intervals.Set, number, maxValueBytes int) Completions {
 	size := CompletionChunkSize(maxValueBytes)
 	from, to := number*size, (number+1)*size
--- a/internal/records/job.go
+++ b/internal/records/job.go
@@ -28,8 +28,8 @@
 // value is larger than maxValueBytes bytes. submittedAtMS is the wall-clock time of the submission in
 // milliseconds; term is the leader's term, which is part of the keys of the pieces.
 //
-// The records must be committed in this order: if the leader fails in between, there are only pieces
-// without a job record, which a successor deletes.
+// The records must be committed in this order. If the leader fails in between, only pieces without a
+// job record are stored, and a successor deletes them.
 func EncodeJob(job *wire.Job, submittedAtMS int64, term uint64, maxValueBytes int) []Item {
 	rec := jobRecord{Job: *job, At: submittedAtMS}
 	value := encode(rec)
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -27,16 +27,18 @@
 	KindStarts        Kind = "s" // the starts of a scheduling pass
 	// Earlier versions ignore records of the following two kinds.
 	KindDrain  Kind = "e" // a drain with its state
-	KindCharge Kind = "b" // evictions charged to a drain
+	KindCharge Kind = "b" // evictions by a drain that count against the teams' budgets
 )
 
 // MachineTypesKey is the key of the cloud's machine types.
 const MachineTypesKey = "c/types"
 
 // LoadOrder lists the key prefixes of all records in the order in which a new leader must load them:
-// pieces of jobs before the jobs, then what refers to the jobs: completions, final states and starts,
-// oldest first. The machine types come first: a leader that waited for the cloud's response instead
-// would reject submissions until then.
+//   - The machine types come first, so that the leader need not reject submissions until the cloud has
+//     responded.
+//   - Pieces of jobs precede the jobs that are assembled from them.
+//   - Completions, final states and starts follow the jobs to which they refer. Older starts precede
+//     later ones.
 var LoadOrder = []string{
 	MachineTypesKey,
 	KindJobPiece.Prefix(),
@@ -52,9 +54,11 @@
 // Prefix returns the prefix of the keys of all records of the kind.
 func (k Kind) Prefix() string { return string(k) + "/" }
 
-// MayBeSkippedIfCorrupt reports whether a leader can skip a corrupt record of the kind: the cloud reports the
-// machine types again, tasks without a completion run again, a piece may belong to no job, and drains
-// can wait.
+// MayBeSkippedIfCorrupt reports whether a leader can skip a corrupt record of the kind:
+//   - The cloud reports the machine types again.
+//   - Tasks whose completions are skipped run again.
+//   - A piece may belong to no job. If it belongs to one, decoding that job fails.
+//   - Drains can wait, so the records of drains and their charges may be skipped.
 func (k Kind) MayBeSkippedIfCorrupt() bool {
 	switch k {
 	case KindMachineTypes, KindCompletions, KindJobPiece, KindDrain, KindCharge:
--- a/internal/records/queue.go
+++ b/internal/records/queue.go
@@ -19,7 +19,7 @@
 	writes   []*Write
 	byKey    map[string]*Write // the queued changes
 	head     int               // index of the first queued change in writes
-	dequeued int64
+	dequeued int64             // number of changes moved into batches so far
 }
 
 // Len returns the number of queued changes.
@@ -29,7 +29,8 @@
 func (q *Queue) Dequeued() int64 { return q.dequeued }
 
 // Put queues a new value of a key, or its deletion if value is nil. onCommit, if set, is called when
-// this change is durable, or a later one that has replaced it in the queue.
+// this change is durable. If a later change replaces this one in the queue, it is called when that
+// change is durable.
 func (q *Queue) Put(key string, value json.RawMessage, onCommit func()) {
 	if q.byKey == nil {
 		q.byKey = map[string]*Write{}
--- a/internal/records/queues.go
+++ b/internal/records/queues.go
@@ -45,7 +45,7 @@
 }
 
 // NextBatch moves at most maxOps queued changes into a new batch and returns it, or nil if no change
-// is queued. The queues share a batch as follows:
+// is queued. spareOps limits the changes that no user waits for. The queues share a batch as follows:
 //   - Dependent changes get a small share of every batch. Beyond it, they get at most spareOps.
 //   - Interactive changes get a limited share before the start records, and the remaining space
 //     after them. Without this limit, acceptances would fill every batch, and no accepted job would
@@ -114,8 +114,8 @@
 }
 
 // dropRefused logs a change that the key-value store refuses, and calls its OnRefused callback. The
-// change is never written. Only start records have the callback: their tasks are placed again. For
-// other changes, OnCommit is never called, so that requests which wait for it get no response.
+// change is never written. Only start records have the callback: their tasks are placed again. A
+// request that waits for another kind of change gets no response, because OnCommit is never called.
 func (q *WriteQueues) dropRefused(w *Write) {
 	q.log.Error().Str("key", w.Key).Int("bytes", len(w.Value)).Msg("record rejected by state store, skipped")
 	if w.OnRefused != nil {
--- a/internal/records/starts.go
+++ b/internal/records/starts.go
@@ -9,7 +9,7 @@
 // Starts is the stored form of a start record, which names the tasks that may have been sent to each
 // machine. It is written before the starts are sent, so that a successor knows which machine may
 // have which task, and deleted when all of its attempts have ended. One record covers the starts of
-// a scheduling pass, so that they need one change however many machines they go to.
+// a scheduling pass on all machines, because the number of changes in a transaction is limited.
 //
 // If several records name a task, only the one with the last key counts: a task is started again
 // only after it is proved to be on no other machine.
@@ -61,10 +61,10 @@
 // Upper bounds, in bytes, for the parts of an encoded start record, not counting IDs and names of
 // types and zones.
 const (
-	startsOverheadBytes  = 32
-	machineOverheadBytes = 72
-	jobOverheadBytes     = 8
-	taskIndexBytes       = 8
+	startsOverheadBytes  = 32 // the record without its machines
+	machineOverheadBytes = 72 // a machine without its jobs
+	jobOverheadBytes     = 8  // a job without its task indexes
+	taskIndexBytes       = 8  // a task index
 )
 
 // StartsSize is an upper bound for the encoded size of a start record to which attempts are added.
--- a/internal/scaling/plan_input.go
+++ b/internal/scaling/plan_input.go
@@ -51,7 +51,9 @@
 	return list
 }
 
-// toPlannerMachine returns the planner's snapshot of a machine.
+// toPlannerMachine returns the planner's snapshot of a machine. The planner may release a machine only
+// if it has no attempts, its agent's task list has been reconciled, its minimum billing time is over,
+// and it isn't a replacement that a drain waits for.
 func (s *Scaler) toPlannerMachine(now time.Time, m *machines.Machine) autoscale.Machine {
 	snapshot := autoscale.Machine{
 		ID:          m.ID,
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -66,8 +66,8 @@
 	unavailableUntil   map[autoscale.Offering]time.Time // when the offering may be requested again
 	lastRequestNumber  uint64                           // of a provision call in this term
 	provisionsInFlight map[string]*InFlightProvision    // by request ID
-	releasesInFlight   int
-	nextPlanAt         time.Time
+	releasesInFlight   int                              // number of release calls in flight
+	nextPlanAt         time.Time                        // when the next plan is due
 }
 
 // InFlightProvision is a provision call in flight.
@@ -89,8 +89,8 @@
 	}
 }
 
-// BeginPlanningIfDue reports whether a plan is due. If so, the caller must plan now, and the next plan is due
-// after tuning.ScalingInterval.
+// BeginPlanningIfDue reports whether a plan is due. If so, the caller must plan now, and the next plan
+// is due after tuning.ScalingInterval.
 func (s *Scaler) BeginPlanningIfDue(now time.Time) bool {
 	if now.Before(s.nextPlanAt) {
 		return false
@@ -99,8 +99,8 @@
 	return true
 }
 
-// Plan returns how many machines of each offering to provision in addition to existing and requested
-// ones, and which machines to release.
+// Plan returns how many machines of each offering to provision in addition to existing ones and those
+// that calls in flight request, and which machines to release.
 func (s *Scaler) Plan(now time.Time) autoscale.Plan {
 	return autoscale.NewPlan(s.planInput(now))
 }
--- a/internal/startlog/record.go
+++ b/internal/startlog/record.go
@@ -11,10 +11,10 @@
 type Record struct {
 	log          *Log
 	key          string
-	liveAttempts int  // number of linked attempts, which have not ended
-	written      bool // durable or in a batch
-	closed       bool // accepts no further attempts
-	size         records.StartsSize
+	liveAttempts int                // number of linked attempts; ended attempts are unlinked
+	written      bool               // durable or in a batch
+	closed       bool               // accepts no further attempts
+	size         records.StartsSize // upper bound of the encoded size with all added attempts
 	// attempts are the attempts that were added before the record was written. The list is cleared
 	// when the record is durable or refused.
 	attempts []*machines.Attempt
@@ -58,7 +58,7 @@
 }
 
 // notifyAttempts calls callback for each attempt whose start waits until the record is durable. It
-// then clears the fields that are not needed any more.
+// then clears attempts and size, which are needed only until the record is durable or refused.
 func (r *Record) notifyAttempts(callback func(*machines.Attempt)) {
 	for _, a := range r.attempts {
 		if a.State() == machines.RecordPending && a.StartRecord == r {
@@ -68,7 +68,8 @@
 	r.attempts, r.size = nil, records.StartsSize{}
 }
 
-// buildStarts returns the content of the record, which excludes attempts that have ended.
+// buildStarts returns the content of the record. It excludes attempts that have ended, which are no
+// longer linked to the record.
 func (r *Record) buildStarts() *records.Starts {
 	byMachine := map[*machines.Machine]map[string][]int{}
 	var order []*machines.Machine
--- a/internal/startlog/startlog.go
+++ b/internal/startlog/startlog.go
@@ -53,7 +53,8 @@
 }
 
 // Remove removes an ended attempt from its record. If it was the last one and the record is written,
-// Remove queues the deletion of the record.
+// Remove queues the deletion of the record. A record that is not written yet needs no deletion: without
+// attempts it is never written.
 func (l *Log) Remove(a *machines.Attempt) {
 	r, recorded := a.StartRecord.(*Record)
 	if !recorded {
