--- a/internal/allocation/ledger.go
+++ b/internal/allocation/ledger.go
@@ -133,13 +133,13 @@
 	if t == nil {
 		return unknownTeam
 	}
-	return quotaViolation(&t.quota, spec)
+	return limitViolation(&t.quota, spec)
 }
 
 const unknownTeam = "unknown team"
 
-// quotaViolation returns why a task of a job exceeds a quota even if the team uses nothing else, or "".
-func quotaViolation(quota *config.Team, spec *wire.Job) string {
+// limitViolation returns why a task of a job exceeds a quota even if the team uses nothing else, or "".
+func limitViolation(quota *config.Team, spec *wire.Job) string {
 	limit := placement.Resources{CPUs: quota.CPUsMax, GPUs: quota.GPUsMax}
 	if !limit.Fits(placement.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs}) {
 		return "a task needs more than the team's limit"
@@ -152,7 +152,7 @@
 	for _, t := range teams {
 		if t.Name == spec.Team {
 			quota := resolveLimits(t)
-			return quotaViolation(&quota, spec)
+			return limitViolation(&quota, spec)
 		}
 	}
 	return unknownTeam
--- a/internal/autoscale/plan.go
+++ b/internal/autoscale/plan.go
@@ -65,8 +65,8 @@
 	Demand       []Demand
 	Machines     []Machine
 	MachineTypes []wire.MachineType
-	// Unavailable reports whether an offering cannot be provisioned now.
-	Unavailable func(Offering) bool
+	// IsUnavailable reports whether an offering cannot be provisioned now.
+	IsUnavailable func(Offering) bool
 	// ReserveCPUs is the number of schedulable CPUs that scale-in must keep. It is the
 	// smoothed number of CPUs in use.
 	ReserveCPUs float64
@@ -168,7 +168,7 @@
 			tasks = p.assignToBins(d, tasks, d.StartWithinS*math.Sqrt(offering.pricePerCPU/lowest))
 			continue
 		}
-		tasks -= p.scaleOut(offering.Offering, d, tasks)
+		tasks -= p.addMachine(offering.Offering, d, tasks)
 	}
 }
 
@@ -184,10 +184,10 @@
 	return tasks
 }
 
-// scaleOut adds one machine of the offering to the plan, assigns tasks to it, and
+// addMachine adds one machine of the offering to the plan, assigns tasks to it, and
 // returns the number of assigned tasks. It returns 1 if the machine can run none in
 // time, so that the loop in planDemand ends.
-func (p *planner) scaleOut(o Offering, d *Demand, tasks int) int {
+func (p *planner) addMachine(o Offering, d *Demand, tasks int) int {
 	capacity := placement.MachineCapacity(p.typesByName[o.Type])
 	b := bin{offering: o, capacity: capacity, free: capacity, schedulable: true}
 	assigned := max(1, b.assignTasks(d, tasks, d.StartWithinS))
--- a/internal/autoscale/plan_test.go
+++ b/internal/autoscale/plan_test.go
@@ -21,7 +21,7 @@
 		MachineTypes:    []wire.MachineType{{Name: "t", CPUs: 8, MemoryGB: 32, Price: 1, Zones: []string{"a", "b"}}},
 		Demand:          []Demand{{Tasks: 2, Request: capacity, EstimatedRunTimeS: 100, Zone: "a", StartWithinS: 20}},
 		Machines:        []Machine{idle("a1", "a"), idle("b1", "b"), idle("b2", "b")},
-		Unavailable:     func(Offering) bool { return false },
+		IsUnavailable:   func(Offering) bool { return false },
 		ScaleInIdleTime: time.Second,
 	})
 	if n := plan.ScaleOut[Offering{Type: "t", Zone: "a"}]; n != 1 {
@@ -43,10 +43,10 @@
 		wantMachines int
 	}{{nil, 0}, {map[string]bool{"a1": true}, 1}} {
 		plan := NewPlan(Input{
-			MachineTypes: []wire.MachineType{{Name: "t", CPUs: 8, MemoryGB: 32, Price: 1, Zones: []string{"a"}}},
-			Demand:       []Demand{{Tasks: 1, Request: placement.Resources{CPUs: 1}, EstimatedRunTimeS: 10, StartWithinS: 20, AvoidMachines: c.avoid}},
-			Machines:     []Machine{{ID: "a1", Offering: Offering{Type: "t", Zone: "a"}, Capacity: capacity, Free: capacity, Schedulable: true, Price: 1}},
-			Unavailable:  func(Offering) bool { return false },
+			MachineTypes:  []wire.MachineType{{Name: "t", CPUs: 8, MemoryGB: 32, Price: 1, Zones: []string{"a"}}},
+			Demand:        []Demand{{Tasks: 1, Request: placement.Resources{CPUs: 1}, EstimatedRunTimeS: 10, StartWithinS: 20, AvoidMachines: c.avoid}},
+			Machines:      []Machine{{ID: "a1", Offering: Offering{Type: "t", Zone: "a"}, Capacity: capacity, Free: capacity, Schedulable: true, Price: 1}},
+			IsUnavailable: func(Offering) bool { return false },
 		})
 		if n := plan.ScaleOut[Offering{Type: "t", Zone: "a"}]; n != c.wantMachines {
 			t.Errorf("avoiding machines %v: got %d machines to provision, want 1 only if a1 is avoided", c.avoid, n)
@@ -60,31 +60,31 @@
 // and none at all if the tasks fit into the free CPUs.
 func TestScaleOutCoversArrivals(t *testing.T) {
 	capacity := placement.Resources{CPUs: 8, MemoryGB: 32}
-	scaleOut := func(inflow float64, tasks int, unavailable bool) map[Offering]int {
+	scaleOut := func(arrivalCPUs float64, tasks int, spotUnavailable bool) map[Offering]int {
 		in := Input{
-			MachineTypes: []wire.MachineType{{Name: "t", CPUs: 8, MemoryGB: 32, Price: 3, SpotPrice: 1, Zones: []string{"a"}}},
-			Demand:       []Demand{{Tasks: tasks, Request: placement.Resources{CPUs: 1, MemoryGB: 1}, EstimatedRunTimeS: 1, SpotAllowed: true, StartWithinS: 100}},
-			Unavailable:  func(o Offering) bool { return o.Spot && unavailable },
+			MachineTypes:  []wire.MachineType{{Name: "t", CPUs: 8, MemoryGB: 32, Price: 3, SpotPrice: 1, Zones: []string{"a"}}},
+			Demand:        []Demand{{Tasks: tasks, Request: placement.Resources{CPUs: 1, MemoryGB: 1}, EstimatedRunTimeS: 1, SpotAllowed: true, StartWithinS: 100}},
+			IsUnavailable: func(o Offering) bool { return o.Spot && spotUnavailable },
 		}
 		for range 10 {
 			in.Machines = append(in.Machines, Machine{Offering: Offering{Type: "t", Zone: "a"}, Capacity: capacity, Free: placement.Resources{CPUs: 1, MemoryGB: 9}, Schedulable: true, Price: 3})
 		}
-		in.ArrivalCPUs = inflow
+		in.ArrivalCPUs = arrivalCPUs
 		return NewPlan(in).ScaleOut
 	}
 	spot, onDemand := Offering{Type: "t", Zone: "a", Spot: true}, Offering{Type: "t", Zone: "a"}
 	for _, c := range []struct {
-		inflow           float64
+		arrivalCPUs      float64
 		tasks            int
-		unavailable      bool
+		spotUnavailable  bool
 		wantSpotMachines int
 	}{
-		{inflow: 70, tasks: 50},
-		{inflow: 104, tasks: 50, wantSpotMachines: 3},
-		{inflow: 104, tasks: 10},
-		{inflow: 104, tasks: 50, unavailable: true},
+		{arrivalCPUs: 70, tasks: 50},
+		{arrivalCPUs: 104, tasks: 50, wantSpotMachines: 3},
+		{arrivalCPUs: 104, tasks: 10},
+		{arrivalCPUs: 104, tasks: 50, spotUnavailable: true},
 	} {
-		if got := scaleOut(c.inflow, c.tasks, c.unavailable); got[spot] != c.wantSpotMachines || got[onDemand] != 0 {
+		if got := scaleOut(c.arrivalCPUs, c.tasks, c.spotUnavailable); got[spot] != c.wantSpotMachines || got[onDemand] != 0 {
 			t.Errorf("%+v: got machines %v to provision, want as many spot machines as the case says and no others", c, got)
 		}
 	}
--- a/internal/drain/eviction_test.go
+++ b/internal/drain/eviction_test.go
@@ -6,8 +6,8 @@
 )
 
 // candidate returns a candidate of job-1; number is both its task index and its attempt number.
-func candidate(team string, number uint64, lostS float64) Candidate {
-	return Candidate{Team: team, Attempt: Attempt{Job: "job-1", Index: int32(number), Number: number}, LostRunTimeS: lostS}
+func candidate(team string, number uint64, lostRunTimeS float64) Candidate {
+	return Candidate{Team: team, Attempt: Attempt{Job: "job-1", Index: int32(number), Number: number}, LostRunTimeS: lostRunTimeS}
 }
 
 // TestEvictions checks that Choose evicts candidates in ascending order of lost run time until a limit
--- a/internal/drain/ledger_test.go
+++ b/internal/drain/ledger_test.go
@@ -19,8 +19,8 @@
 		rng := rand.New(rand.NewPCG(seed, 3))
 		ledger := NewLedger(time.Minute)
 		type event struct {
-			at    time.Time
-			lostS float64
+			at           time.Time
+			lostRunTimeS float64
 		}
 		var events []event
 		unavailable := map[int32]bool{}
@@ -51,7 +51,7 @@
 			for _, e := range events {
 				if at.Sub(e.at) < time.Minute {
 					want.Evictions++
-					want.LostRunTimeS += e.lostS
+					want.LostRunTimeS += e.lostRunTimeS
 				}
 			}
 			used := ledger.Usage("blue", at)
--- a/internal/drainer/drainer_test.go
+++ b/internal/drainer/drainer_test.go
@@ -52,10 +52,10 @@
 	catalogue := machines.NewCatalogue()
 	catalogue.SetOfferedTypes([]wire.MachineType{{Name: "std-8", CPUs: 8, MemoryGB: 32, Price: 1, Zones: []string{"a"}}})
 	f.scaler = scaling.New(scaling.Config{Term: 5, CloudRPS: 5}, scaling.Cluster{
-		Machines:       f.registry,
-		Catalogue:      catalogue,
-		BlockedByDrain: func(o autoscale.Offering) bool { return f.BlocksProvisioning(o) },
-		Partitioned:    func(time.Time, string) bool { return false },
+		Machines:         f.registry,
+		Catalogue:        catalogue,
+		IsBlockedByDrain: func(o autoscale.Offering) bool { return f.BlocksProvisioning(o) },
+		IsPartitioned:    func(time.Time, string) bool { return false },
 	})
 	f.Drainer = drainer.New(zerolog.Nop(), drainer.Config{
 		Term:                       5,
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -24,14 +24,14 @@
 		c.ScaleInIdleTime = seconds.Duration(l.operatorSettings.ScaleInIdleS)
 	}
 	return scaling.New(c, scaling.Cluster{
-		Machines:         l.machines,
-		Catalogue:        l.catalogue,
-		Demand:           l.demand,
-		HeartbeatOverdue: func(now time.Time, m *machines.Machine) bool { return m.HeartbeatOverdue(now, &l.timing) },
-		RemainingS:       l.remainingS,
-		IsReplacement:    func(id string) bool { return l.drainer.IsReplacement(id) },
-		BlockedByDrain:   func(o autoscale.Offering) bool { return l.drainer.BlocksProvisioning(o) },
-		Partitioned:      l.reachability.IsPartitioned,
+		Machines:           l.machines,
+		Catalogue:          l.catalogue,
+		Demand:             l.demand,
+		IsHeartbeatOverdue: func(now time.Time, m *machines.Machine) bool { return m.HeartbeatOverdue(now, &l.timing) },
+		RemainingS:         l.remainingS,
+		IsReplacement:      func(id string) bool { return l.drainer.IsReplacement(id) },
+		IsBlockedByDrain:   func(o autoscale.Offering) bool { return l.drainer.BlocksProvisioning(o) },
+		IsPartitioned:      l.reachability.IsPartitioned,
 	})
 }
 
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -101,7 +101,7 @@
 			loaded := records.JobPieces{}
 			for _, piece := range pieces {
 				if len(piece.Value) > maxValueBytes {
-					t.Errorf("%s has %d bytes, want at most maxValueBytes", piece.Key, len(piece.Value))
+					t.Errorf("%s has %d bytes, want at most 2048", piece.Key, len(piece.Value))
 				}
 				if err := loaded.Add(piece.Key, piece.Value); err != nil {
 					t.Fatal(err)
--- a/internal/scaling/plan_input.go
+++ b/internal/scaling/plan_input.go
@@ -18,7 +18,7 @@
 		MachineTypes:    s.cluster.Catalogue.OfferedTypes(),
 		ScaleInIdleTime: s.config.ScaleInIdleTime,
 		MaxMachines:     s.config.MaxMachines,
-		Unavailable:     func(o autoscale.Offering) bool { return !s.CanProvision(now, o) },
+		IsUnavailable:   func(o autoscale.Offering) bool { return !s.CanProvision(now, o) },
 		Machines:        slices.Concat(s.existingMachines(now), s.requestedMachines()),
 		Demand:          s.cluster.Demand(now),
 		ReserveCPUs:     s.History.AddUsedCPUs(now, s.usedCPUs()),
@@ -61,13 +61,13 @@
 		Capacity:    m.Capacity(),
 		Free:        m.Free(),
 		Price:       s.cluster.Catalogue.Price(m),
-		Schedulable: !m.IsCordoned() && (!m.HasJoined() || !s.cluster.HeartbeatOverdue(now, m)),
+		Schedulable: !m.IsCordoned() && (!m.HasJoined() || !s.cluster.IsHeartbeatOverdue(now, m)),
 		MayBeReleased: len(m.Attempts()) == 0 && m.HasJoined() && m.IsReconciled() &&
 			now.Sub(m.ProvisionedAt()) >= tuning.MinimumBillingTime && !s.cluster.IsReplacement(m.ID),
 		IdleFor: m.IdleFor(now),
 	}
 	if !m.HasJoined() {
-		snapshot.Schedulable = snapshot.Schedulable && !s.cluster.Partitioned(now, m.Zone)
+		snapshot.Schedulable = snapshot.Schedulable && !s.cluster.IsPartitioned(now, m.Zone)
 		snapshot.BootRemainingS = max(0, s.cluster.Catalogue.Type(m.Type).BootTimeS-now.Sub(m.ProvisionedAt()).Seconds())
 	}
 	for _, a := range m.Attempts() {
--- a/internal/scaling/scale_out.go
+++ b/internal/scaling/scale_out.go
@@ -56,7 +56,7 @@
 // CanProvision reports whether machines of an offering may be provisioned now: the cloud has not
 // recently run out of capacity for the offering, its zone is not partitioned, and no drain forbids it.
 func (s *Scaler) CanProvision(now time.Time, o autoscale.Offering) bool {
-	return !now.Before(s.unavailableUntil[o]) && !s.cluster.Partitioned(now, o.Zone) && !s.cluster.BlockedByDrain(o)
+	return !now.Before(s.unavailableUntil[o]) && !s.cluster.IsPartitioned(now, o.Zone) && !s.cluster.IsBlockedByDrain(o)
 }
 
 // FinishProvision records that a provision call has returned, with the number of received machines. It
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -44,17 +44,17 @@
 	Catalogue *machines.Catalogue
 	// Demand returns the tasks that wait for capacity.
 	Demand func(now time.Time) []autoscale.Demand
-	// HeartbeatOverdue reports whether a machine's heartbeat is overdue.
-	HeartbeatOverdue func(now time.Time, m *machines.Machine) bool
+	// IsHeartbeatOverdue reports whether a machine's heartbeat is overdue.
+	IsHeartbeatOverdue func(now time.Time, m *machines.Machine) bool
 	// RemainingS returns the estimated remaining run time of an attempt, in seconds.
 	RemainingS func(now time.Time, a *machines.Attempt) float64
 	// IsReplacement reports whether a machine was provisioned as a replacement for the current batch
 	// of the running drain.
 	IsReplacement func(id string) bool
-	// BlockedByDrain reports whether a drain forbids provisioning machines of an offering.
-	BlockedByDrain func(autoscale.Offering) bool
-	// Partitioned reports whether a zone appears to be unreachable over the network.
-	Partitioned func(now time.Time, zone string) bool
+	// IsBlockedByDrain reports whether a drain forbids provisioning machines of an offering.
+	IsBlockedByDrain func(autoscale.Offering) bool
+	// IsPartitioned reports whether a zone appears to be unreachable over the network.
+	IsPartitioned func(now time.Time, zone string) bool
 }
 
 // Scaler plans scaling. It tracks the cloud calls in flight, and the offerings for which the cloud has
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -24,14 +24,14 @@
 // rate limit of 0 allows a single provision call and a single release call in flight.
 func newScaler() (*scaling.Scaler, *scaling.Cluster) {
 	cluster := scaling.Cluster{
-		Machines:         machines.NewRegistry(),
-		Catalogue:        machines.NewCatalogue(),
-		Demand:           func(time.Time) []autoscale.Demand { return nil },
-		HeartbeatOverdue: func(time.Time, *machines.Machine) bool { return false },
-		RemainingS:       func(time.Time, *machines.Attempt) float64 { return 0 },
-		IsReplacement:    func(string) bool { return false },
-		BlockedByDrain:   func(o autoscale.Offering) bool { return o.Zone == "drained" },
-		Partitioned:      func(_ time.Time, zone string) bool { return zone == "partitioned" },
+		Machines:           machines.NewRegistry(),
+		Catalogue:          machines.NewCatalogue(),
+		Demand:             func(time.Time) []autoscale.Demand { return nil },
+		IsHeartbeatOverdue: func(time.Time, *machines.Machine) bool { return false },
+		RemainingS:         func(time.Time, *machines.Attempt) float64 { return 0 },
+		IsReplacement:      func(string) bool { return false },
+		IsBlockedByDrain:   func(o autoscale.Offering) bool { return o.Zone == "drained" },
+		IsPartitioned:      func(_ time.Time, zone string) bool { return zone == "partitioned" },
 	}
 	cluster.Catalogue.SetOfferedTypes([]wire.MachineType{{Name: "std-8", CPUs: 8, MemoryGB: 32, Price: 1, SpotPrice: 0.4, BootTimeS: 10, Zones: []string{"a"}}})
 	return scaling.New(scaling.Config{Term: 5, ScaleInIdleTime: time.Minute}, cluster), &cluster
@@ -69,17 +69,17 @@
 	s.FinishProvision(testStart, call.Provision, 2)
 	backoffEnd := testStart.Add(tuning.UnavailableOfferingBackoff)
 	for name, test := range map[string]struct {
-		now   time.Time
-		offer autoscale.Offering
-		want  bool
+		now      time.Time
+		offering autoscale.Offering
+		want     bool
 	}{
 		"at once":          {testStart, spotOffering, false},
-		"other offer":      {testStart, onDemandOffering, true},
+		"other offering":   {testStart, onDemandOffering, true},
 		"afterwards":       {backoffEnd, spotOffering, true},
 		"drained zone":     {testStart, autoscale.Offering{Type: "std-8", Zone: "drained"}, false},
 		"partitioned zone": {testStart, autoscale.Offering{Type: "std-8", Zone: "partitioned"}, false},
 	} {
-		if got := s.CanProvision(test.now, test.offer); got != test.want {
+		if got := s.CanProvision(test.now, test.offering); got != test.want {
 			t.Errorf("%s: CanProvision returned %v, want the opposite", name, got)
 		}
 	}
--- a/internal/startlog/record.go
+++ b/internal/startlog/record.go
@@ -9,12 +9,12 @@
 
 // Record is a start record, either queued or stored.
 type Record struct {
-	log          *Log
-	key          string
-	liveAttempts int                // number of linked attempts; ended attempts are unlinked
-	written      bool               // durable or in a batch
-	closed       bool               // accepts no further attempts
-	size         records.StartsSize // upper bound of the encoded size with all added attempts
+	log              *Log
+	key              string
+	liveAttempts     int                // number of linked attempts; ended attempts are unlinked
+	inBatchOrDurable bool               // if not set, the record is queued without a final content
+	closed           bool               // accepts no further attempts
+	size             records.StartsSize // upper bound of the encoded size with all added attempts
 	// attempts are the attempts that were added before the record was written. The list is cleared
 	// when the record is durable or refused.
 	attempts []*machines.Attempt
@@ -48,7 +48,7 @@
 	if r.liveAttempts == 0 {
 		return nil
 	}
-	r.written = true
+	r.inBatchOrDurable = true
 	return &records.Write{
 		Key:       r.key,
 		Value:     r.buildStarts().Encode(),
--- a/internal/startlog/startlog.go
+++ b/internal/startlog/startlog.go
@@ -61,7 +61,7 @@
 		return
 	}
 	a.StartRecord = nil
-	if r.liveAttempts--; r.liveAttempts == 0 && r.written {
+	if r.liveAttempts--; r.liveAttempts == 0 && r.inBatchOrDurable {
 		l.writes.Background.Delete(r.key)
 	}
 }
@@ -69,7 +69,7 @@
 // AddLoadedRecord adds a stored record of an earlier term. The caller links its attempts to the
 // returned record.
 func (l *Log) AddLoadedRecord(key string) *Record {
-	r := &Record{log: l, key: key, written: true, closed: true}
+	r := &Record{log: l, key: key, inBatchOrDurable: true, closed: true}
 	l.loaded = append(l.loaded, r)
 	return r
 }
