--- a/internal/autoscale/scale_in.go
+++ b/internal/autoscale/scale_in.go
@@ -7,11 +7,12 @@
 // released.
 const negligibleCPUs = 1
 
-// chooseReleases returns the IDs of the idle machines to release, the most expensive
-// first. It keeps machines to which the plan has assigned tasks. It releases a
-// schedulable machine only if it has been idle for ScaleInIdleTime and the other
-// schedulable machines have at least ReserveCPUs. The first len(in.Machines) bins must
-// be those of in.Machines, in the same order.
+// chooseReleases returns the IDs of the machines to release, the most expensive first.
+// They are machines that may be released and to which the plan has assigned no tasks.
+// Unschedulable ones are released at once. A schedulable machine is released only if it
+// has been idle for ScaleInIdleTime and the schedulable machines that remain have at
+// least ReserveCPUs. The first len(in.Machines) bins must be those of in.Machines, in
+// the same order.
 func chooseReleases(in *Input, bins []bin, schedulableCPUs float64) []string {
 	idle := make([]Machine, 0)
 	for i, m := range in.Machines {
--- a/internal/drain/selector.go
+++ b/internal/drain/selector.go
@@ -18,7 +18,7 @@
 // Machine holds the properties of a machine that a selector compares.
 type Machine struct {
 	Name, Type, Zone string
-	ProvisionedAt    time.Time
+	ProvisionedAt    time.Time // wall-clock time
 }
 
 // Selects reports whether the selector selects a machine.
--- a/internal/drainer/interruptions.go
+++ b/internal/drainer/interruptions.go
@@ -29,7 +29,8 @@
 }
 
 // RecordTaskRunning records that an interrupted task runs again, as the given attempt. It ignores an
-// attempt that a drain is about to stop.
+// attempt that a drain is about to stop: one with a planned eviction, or one on a drained machine whose
+// stop an earlier leader charged.
 func (d *Drainer) RecordTaskRunning(a *machines.Attempt) {
 	if d.ledger == nil || a.IsEvicting() || d.ledger.IsCharged(a.Number()) && a.Machine.IsCordonedFor(machines.CordonDrained) {
 		return
--- a/internal/drainer/step.go
+++ b/internal/drainer/step.go
@@ -12,7 +12,7 @@
 // monotonic clock and as wall-clock time.
 type drainStep struct {
 	d         *Drainer
-	record    *storedDrain
+	record    *storedDrain // of the running drain
 	now, wall time.Time
 	// hasAlternativeByJob caches the results of hasAlternative.
 	hasAlternativeByJob map[*jobs.Job]bool
--- a/internal/drainer/store.go
+++ b/internal/drainer/store.go
@@ -31,7 +31,8 @@
 }
 
 // LoadCharge loads the charge stored under key. now and wall must be the same moment on the monotonic
-// clock and as wall-clock time: the charge's wall-clock time is converted by their difference.
+// clock and as wall-clock time: the charge's wall-clock time is converted by their difference. A charge
+// whose time lies after now counts as made now.
 // LoadCharge returns the errors of drain.DecodeCharge.
 func (d *Drainer) LoadCharge(now, wall time.Time, key string, value json.RawMessage) error {
 	if d.config.Budgets == nil {
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -54,7 +54,8 @@
 // Prefix returns the prefix of the keys of all records of the kind.
 func (k Kind) Prefix() string { return string(k) + "/" }
 
-// MayBeSkippedIfCorrupt reports whether a leader can skip a corrupt record of the kind:
+// MayBeSkippedIfCorrupt reports whether a leader can skip a corrupt record of the kind. It is true for
+// these reasons:
 //   - The cloud reports the machine types again.
 //   - Tasks whose completions are skipped run again.
 //   - A piece may belong to no job. If it belongs to one, decoding that job fails.
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -112,7 +112,7 @@
 				t.Fatal(err)
 			}
 			if stored.SubmittedAtMS != 1700 || len(stored.PieceKeys) != len(pieces) || len(loaded) != 0 {
-				t.Errorf("decoded %+v, %d pieces are not used", stored, len(loaded))
+				t.Errorf("decoded %+v with %d pieces left, want the submission time 1700, the keys of all pieces, and no piece left", stored, len(loaded))
 			}
 			if got, want := toJSON(t, stored.Job), toJSON(t, *test.job); got != want {
 				t.Errorf("decoded %s, want %s", got, want)
--- a/internal/scaling/history.go
+++ b/internal/scaling/history.go
@@ -44,7 +44,8 @@
 	return h.arrivalRate * decayFactor(now.Sub(h.arrivalRateAt), tuning.ArrivalRateDecay)
 }
 
-// decayFactor returns the weight, from 1 down to 0, that a sample of the given age still has.
+// decayFactor returns the weight that a sample of the given age still has. It is 1 at first and 1/e after
+// timeConstant.
 func decayFactor(age, timeConstant time.Duration) float64 {
 	return math.Exp(-max(0, age.Seconds()) / timeConstant.Seconds())
 }
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -73,8 +73,8 @@
 // InFlightProvision is a provision call in flight.
 type InFlightProvision struct {
 	Offering    autoscale.Offering
-	Count       int // number of requested machines
-	RequestedAt time.Time
+	Count       int       // number of requested machines
+	RequestedAt time.Time // when the call was created
 	// ReplacementFor is the name of the drain whose machines the requested ones replace, or "".
 	ReplacementFor string
 }
--- a/internal/startlog/startlog.go
+++ b/internal/startlog/startlog.go
@@ -25,7 +25,7 @@
 	maxValueBytes int // maximum bytes of a stored value
 	writes        *records.WriteQueues
 	callbacks     Callbacks
-	lastNumber    uint64    // number in the key of the last record
+	lastNumber    uint64    // number in the key of the last record of this term
 	current       *Record   // accepts attempts until it is full or in a batch; nil at first
 	loaded        []*Record // records from earlier terms; nil after FinishLoading
 }
