--- a/internal/autoscale/offerings.go
+++ b/internal/autoscale/offerings.go
@@ -44,7 +44,7 @@
 	var best *pricedOffering
 	for i := range p.offerings {
 		o := &p.offerings[i]
-		if !d.allows(o.Offering) || p.in.IsUnavailable(o.Offering) || !placement.MachineCapacity(p.typesByName[o.Type]).Fits(d.Request) {
+		if !d.allows(o.Offering) || p.input.IsUnavailable(o.Offering) || !placement.MachineCapacity(p.typesByName[o.Type]).Fits(d.Request) {
 			continue
 		}
 		if best == nil || o.pricePerCPU == best.pricePerCPU && p.plan.ScaleOut[o.Offering] < p.plan.ScaleOut[best.Offering] {
--- a/internal/autoscale/plan.go
+++ b/internal/autoscale/plan.go
@@ -43,7 +43,7 @@
 	ID       string // empty if the machine is only requested
 	Offering Offering
 	Capacity placement.Resources
-	Free     placement.Resources
+	Free     placement.Resources // the part of Capacity that no task uses
 	// RemainingCPUSeconds is the estimated remaining work of the machine's tasks: the
 	// sum of their remaining run times, each multiplied by its CPUs.
 	RemainingCPUSeconds float64
@@ -62,9 +62,10 @@
 // Input is the snapshot of the cluster that a plan is based on.
 type Input struct {
 	// Demand is the work that waits for capacity. NewPlan sorts it in place.
-	Demand       []Demand
+	Demand []Demand
+	// Machines holds the existing and the requested machines, without those that are being released.
 	Machines     []Machine
-	MachineTypes []wire.MachineType
+	MachineTypes []wire.MachineType // that the cloud offers
 	// IsUnavailable reports whether an offering cannot be provisioned now.
 	IsUnavailable func(Offering) bool
 	// ReserveCPUs is the number of schedulable CPUs that scale-in must keep. It is the
@@ -82,14 +83,14 @@
 // Plan is the number of machines to provision of each offering, and the IDs of the
 // machines to release.
 type Plan struct {
-	ScaleOut map[Offering]int
-	ScaleIn  []string
+	ScaleOut map[Offering]int // number of machines to provision
+	ScaleIn  []string         // IDs of the machines to release
 }
 
 // planner holds the state of one call of NewPlan. Its bins are in the order of
-// in.Machines, followed by the machines that the plan provisions.
+// input.Machines, followed by the machines that the plan provisions.
 type planner struct {
-	in          Input
+	input       Input
 	plan        Plan
 	typesByName map[string]wire.MachineType
 	offerings   []pricedOffering
@@ -119,7 +120,7 @@
 
 func newPlanner(in Input) *planner {
 	p := &planner{
-		in: in, plan: Plan{ScaleOut: map[Offering]int{}}, typesByName: map[string]wire.MachineType{},
+		input: in, plan: Plan{ScaleOut: map[Offering]int{}}, typesByName: map[string]wire.MachineType{},
 		offerings: offeringsByPrice(in.MachineTypes), bins: make([]bin, 0, len(in.Machines)), machineCount: len(in.Machines),
 	}
 	for _, t := range in.MachineTypes {
@@ -134,7 +135,7 @@
 // schedulableCPUs returns the total CPUs of the schedulable machines, and the free
 // CPUs of the schedulable machines that have booted.
 func (p *planner) schedulableCPUs() (total, free float64) {
-	for _, m := range p.in.Machines {
+	for _, m := range p.input.Machines {
 		if !m.Schedulable {
 			continue
 		}
@@ -148,7 +149,7 @@
 
 // belowMaxMachines reports whether MaxMachines allows another machine.
 func (p *planner) belowMaxMachines() bool {
-	return p.in.MaxMachines == 0 || p.machineCount < p.in.MaxMachines
+	return p.input.MaxMachines == 0 || p.machineCount < p.input.MaxMachines
 }
 
 // planDemand assigns tasks of the demand to the bins that can start them in time, and
@@ -207,11 +208,11 @@
 	for o, n := range p.plan.ScaleOut {
 		schedulableCPUs += float64(n) * p.typesByName[o.Type].CPUs
 	}
-	for i := range p.in.Demand {
-		d := &p.in.Demand[i]
+	for i := range p.input.Demand {
+		d := &p.input.Demand[i]
 		waitingCPUs := float64(d.Tasks)*d.Request.CPUs - freeCPUs
 		freeCPUs = max(0, -waitingCPUs)
-		for waitingCPUs > 0 && schedulableCPUs < p.in.ArrivalCPUs && p.belowMaxMachines() {
+		for waitingCPUs > 0 && schedulableCPUs < p.input.ArrivalCPUs && p.belowMaxMachines() {
 			offering, ok := p.cheapestOffering(d)
 			if !ok || offering.pricePerCPU > p.offerings[0].pricePerCPU {
 				break
--- a/internal/drainer/batch.go
+++ b/internal/drainer/batch.go
@@ -19,14 +19,14 @@
 // If no selected machine can be drained now, the drain is done, or waits for the outstanding ones (see
 // selectedMachines).
 func (s *drainStep) beginBatch() {
-	if cause := s.d.cluster.BatchBlockedCause(s.now); cause != "" {
+	if cause := s.drainer.cluster.BatchBlockedCause(s.now); cause != "" {
 		s.setWaitReason(cause, "")
 		return
 	}
-	if s.now.Before(s.d.nextBatchAt) {
+	if s.now.Before(s.drainer.nextBatchAt) {
 		return
 	}
-	s.d.nextBatchAt = s.now.Add(tuning.DrainBatchInterval)
+	s.drainer.nextBatchAt = s.now.Add(tuning.DrainBatchInterval)
 	selected, outstanding := s.selectedMachines()
 	if len(selected) == 0 {
 		s.markDoneIfComplete(outstanding)
@@ -44,15 +44,15 @@
 	}
 	s.applyBatchCordon()
 	s.record.Reason = drain.Reason{}
-	s.d.log.Info().Str("drain", s.record.Spec.Name).Strs("machines", s.record.Batch.Machines).Int("left", len(selected)).Msg("drain batch started")
-	s.d.storeDrain(s.record, nil)
+	s.drainer.log.Info().Str("drain", s.record.Spec.Name).Strs("machines", s.record.Batch.Machines).Int("left", len(selected)).Msg("drain batch started")
+	s.drainer.storeDrain(s.record, nil)
 }
 
 // applyBatchCordon cordons the machines of the batch if the record marks the batch as cordoned.
 func (s *drainStep) applyBatchCordon() {
 	for _, name := range s.record.Batch.Machines {
-		if m := s.d.cluster.Machines.Get(name); m != nil {
-			s.d.ApplyCordon(m)
+		if m := s.drainer.cluster.Machines.Get(name); m != nil {
+			s.drainer.ApplyCordon(m)
 		}
 	}
 }
@@ -66,14 +66,14 @@
 		return
 	}
 	s.record.State, s.record.Reason = drain.Done, drain.Reason{}
-	s.d.log.Info().Str("drain", s.record.Spec.Name).Int("machines", s.record.Counts.Machines).Int("evicted", s.record.Counts.Evicted).Msg("drain done")
-	s.d.storeDrain(s.record, nil)
+	s.drainer.log.Info().Str("drain", s.record.Spec.Name).Int("machines", s.record.Counts.Machines).Int("evicted", s.record.Counts.Evicted).Msg("drain done")
+	s.drainer.storeDrain(s.record, nil)
 }
 
 // selectsProvisionInFlight reports whether a provision call in flight may add machines that the drain
 // selects.
 func (s *drainStep) selectsProvisionInFlight() bool {
-	return s.d.cluster.Scaler.AnyProvisionInFlight(func(p *scaling.InFlightProvision) bool {
+	return s.drainer.cluster.Scaler.AnyProvisionInFlight(func(p *scaling.InFlightProvision) bool {
 		return s.record.Spec.Selector.SelectsAllOf(p.Offering.Type, p.Offering.Zone)
 	})
 }
@@ -81,8 +81,8 @@
 // selectedMachines returns the selected machines that can be drained now. outstanding is the number of
 // the other selected machines: those that are being released or that the cloud does not list yet.
 func (s *drainStep) selectedMachines() (selected []*machines.Machine, outstanding int) {
-	for _, m := range s.d.cluster.Machines.All() {
-		s.d.examinedCount++
+	for _, m := range s.drainer.cluster.Machines.All() {
+		s.drainer.examinedCount++
 		switch {
 		case !isSelected(s.record.Record, s.now, s.wall, m):
 		case m.IsBeingReleased() || !m.WasListedByCloud():
@@ -108,15 +108,15 @@
 // exceed the CPUs of the schedulable machines that remain.
 func (s *drainStep) teamWithUnmetGuarantee(batch []*machines.Machine) string {
 	waiting := map[string]float64{}
-	for j := range s.d.cluster.RunnableJobs() {
+	for j := range s.drainer.cluster.RunnableJobs() {
 		waiting[j.Team] += float64(j.ReadyTasks()) * j.CPUs
 	}
 	capacity := s.schedulableCPUsWithout(batch)
-	for _, t := range s.d.config.Teams {
+	for _, t := range s.drainer.config.Teams {
 		if waiting[t.Name] == 0 {
 			continue
 		}
-		capacity -= min(t.CPUs, s.d.cluster.TeamUsedCPUs(t.Name)+waiting[t.Name])
+		capacity -= min(t.CPUs, s.drainer.cluster.TeamUsedCPUs(t.Name)+waiting[t.Name])
 		if capacity < 0 {
 			return t.Name
 		}
@@ -128,9 +128,9 @@
 // the drain replaces its machines, their replacements add as many CPUs, so the batch is included.
 func (s *drainStep) schedulableCPUsWithout(batch []*machines.Machine) float64 {
 	cpus := 0.0
-	for _, m := range s.d.cluster.Machines.All() {
-		s.d.examinedCount++
-		if s.d.cluster.IsSchedulable(s.now, m) {
+	for _, m := range s.drainer.cluster.Machines.All() {
+		s.drainer.examinedCount++
+		if s.drainer.cluster.IsSchedulable(s.now, m) {
 			cpus += m.Capacity().CPUs
 		}
 	}
@@ -138,7 +138,7 @@
 		return cpus
 	}
 	for _, m := range batch {
-		if s.d.cluster.IsSchedulable(s.now, m) {
+		if s.drainer.cluster.IsSchedulable(s.now, m) {
 			cpus -= m.Capacity().CPUs
 		}
 	}
@@ -148,7 +148,7 @@
 // removeReleased removes from the batch the machines that no longer exist. If none are left, it ends the
 // batch, and the next one may start at once.
 func (s *drainStep) removeReleased() {
-	remaining := slices.DeleteFunc(slices.Clone(s.record.Batch.Machines), s.d.noLongerExists)
+	remaining := slices.DeleteFunc(slices.Clone(s.record.Batch.Machines), s.drainer.noLongerExists)
 	removed := len(s.record.Batch.Machines) - len(remaining)
 	if removed == 0 {
 		return
@@ -158,8 +158,8 @@
 	if len(remaining) == 0 {
 		s.record.Batch = nil
 		s.record.Counts.Batches++
-		s.d.nextBatchAt = time.Time{}
-		s.d.log.Info().Str("drain", s.record.Spec.Name).Int("batches", s.record.Counts.Batches).Msg("drain batch finished")
+		s.drainer.nextBatchAt = time.Time{}
+		s.drainer.log.Info().Str("drain", s.record.Spec.Name).Int("batches", s.record.Counts.Batches).Msg("drain batch finished")
 	}
-	s.d.storeDrain(s.record, nil)
+	s.drainer.storeDrain(s.record, nil)
 }
--- a/internal/drainer/evict.go
+++ b/internal/drainer/evict.go
@@ -18,8 +18,8 @@
 	candidates, attempts := s.collectCandidates()
 	charge := drain.NewCharge(s.record.Spec.Name, s.wall)
 	evictor := drain.Evictor{
-		Ledger: s.d.ledger, Budgets: s.d.config.Budgets, Force: s.record.IsForced(s.wall), Now: s.now,
-		MaxChargeBytes: int(float64(s.d.config.MaxValueBytes) * tuning.RecordValueShare),
+		Ledger: s.drainer.ledger, Budgets: s.drainer.config.Budgets, Force: s.record.IsForced(s.wall), Now: s.now,
+		MaxChargeBytes: int(float64(s.drainer.config.MaxValueBytes) * tuning.RecordValueShare),
 	}
 	reason := evictor.Choose(charge, candidates)
 	s.chargeAndStop(charge, attempts)
@@ -36,16 +36,16 @@
 func (s *drainStep) collectCandidates() (candidates []drain.Candidate, attempts map[uint64]*machines.Attempt) {
 	attempts = map[uint64]*machines.Attempt{}
 	for _, name := range s.record.Batch.Machines {
-		m := s.d.cluster.Machines.Get(name)
+		m := s.drainer.cluster.Machines.Get(name)
 		if m == nil || !m.IsReconciled() || !m.WasListedByCloud() {
 			continue
 		}
 		for _, a := range m.Attempts() {
-			s.d.examinedCount++
+			s.drainer.examinedCount++
 			switch {
 			case !a.State().IsReported() || a.IsEvicting() || !a.ShouldRun():
-			case s.d.ledger.IsCharged(a.Number()):
-				s.d.stopEvicted(a)
+			case s.drainer.ledger.IsCharged(a.Number()):
+				s.drainer.stopEvicted(a)
 			default:
 				candidates = append(candidates, s.candidate(a))
 				attempts[a.Number()] = a
@@ -70,7 +70,7 @@
 			s.record.Counts.Moved++
 		}
 	}
-	d := s.d
+	d := s.drainer
 	d.storeCharge(s.now, charge, func() {
 		for _, a := range evicted {
 			if a.IsEvicting() && a.IsAllocated() {
@@ -105,7 +105,7 @@
 		c.LostRunTimeS = s.maxLostRunTimeS(a)
 	}
 	maxWait -= s.wall.Sub(time.UnixMilli(s.record.Batch.SinceMS))
-	c.EndsSoon = maxWait > 0 && s.d.cluster.RemainingS(s.now, a) <= maxWait.Seconds()
+	c.EndsSoon = maxWait > 0 && s.drainer.cluster.RemainingS(s.now, a) <= maxWait.Seconds()
 	return c
 }
 
@@ -114,7 +114,7 @@
 // lease expires.
 func (s *drainStep) maxLostRunTimeS(a *machines.Attempt) float64 {
 	earliestStart := a.CreatedAt()
-	if a.Number()>>32 != s.d.config.Term {
+	if a.Number()>>32 != s.drainer.config.Term {
 		// The upper 32 bits of the number are the term in which the attempt was created. An earlier
 		// leader created this one. When it did is unknown, but not before the submission of the job
 		// and the provisioning of the machine.
@@ -123,7 +123,7 @@
 			earliestStart = a.Machine.ProvisionedAt()
 		}
 	}
-	return (s.now.Sub(earliestStart) + s.d.config.LeaseCertainlyExpiredAfter).Seconds()
+	return (s.now.Sub(earliestStart) + s.drainer.config.LeaseCertainlyExpiredAfter).Seconds()
 }
 
 // hasAlternative reports whether a task of the job could run on a machine that drains allow to be
@@ -145,8 +145,8 @@
 
 // provisionableMachines returns an empty machine of each offering that no drain forbids to provision.
 func (s *drainStep) provisionableMachines() []*placement.Machine {
-	return s.d.cluster.Catalogue.Offerings(func(machineType, zone string) bool {
-		return !s.d.BlocksProvisioning(autoscale.Offering{Type: machineType, Zone: zone})
+	return s.drainer.cluster.Catalogue.Offerings(func(machineType, zone string) bool {
+		return !s.drainer.BlocksProvisioning(autoscale.Offering{Type: machineType, Zone: zone})
 	})
 }
 
--- a/internal/drainer/replacements.go
+++ b/internal/drainer/replacements.go
@@ -59,7 +59,7 @@
 // cordonOnceReplaced cordons the batch if all of its replacements are ready, and otherwise records that
 // the drain waits for them. After tuning.ReplacementTimeout it pauses the drain.
 func (s *drainStep) cordonOnceReplaced() {
-	n := s.d.countReplacements(s.now, s.record.Batch)
+	n := s.drainer.countReplacements(s.now, s.record.Batch)
 	switch {
 	case n.allReady():
 		s.cordonBatch()
@@ -76,7 +76,7 @@
 func (s *drainStep) cordonBatch() {
 	s.record.Batch.Cordoned, s.record.Batch.SinceMS = true, s.wall.UnixMilli()
 	s.applyBatchCordon()
-	s.d.storeDrain(s.record, nil)
+	s.drainer.storeDrain(s.record, nil)
 }
 
 // drainWaitingForReplacements returns the drain whose batch waits for replacements, or nil if there is
--- a/internal/drainer/step.go
+++ b/internal/drainer/step.go
@@ -11,7 +11,7 @@
 // drainStep is the state of one step of the running drain. now and wall are the same moment on the
 // monotonic clock and as wall-clock time.
 type drainStep struct {
-	d         *Drainer
+	drainer   *Drainer
 	record    *storedDrain // of the running drain
 	now, wall time.Time
 	// hasAlternativeByJob caches the results of hasAlternative.
@@ -31,7 +31,7 @@
 	if r == nil {
 		return
 	}
-	s := &drainStep{d: d, record: d.drains[r.Spec.Name], now: now, wall: wall, hasAlternativeByJob: map[*jobs.Job]bool{}}
+	s := &drainStep{drainer: d, record: d.drains[r.Spec.Name], now: now, wall: wall, hasAlternativeByJob: map[*jobs.Job]bool{}}
 	if !s.record.durable {
 		return
 	}
@@ -69,6 +69,6 @@
 
 // logAndStorePaused logs that the drain was paused and stores its record.
 func (s *drainStep) logAndStorePaused() {
-	s.d.log.Info().Str("drain", s.record.Spec.Name).Stringer("reason", s.record.Reason).Msg("drain paused")
-	s.d.storeDrain(s.record, nil)
+	s.drainer.log.Info().Str("drain", s.record.Spec.Name).Stringer("reason", s.record.Reason).Msg("drain paused")
+	s.drainer.storeDrain(s.record, nil)
 }
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -62,7 +62,7 @@
 type Scaler struct {
 	config             Config
 	cluster            Cluster
-	History            DemandHistory
+	History            DemandHistory                    // the caller adds arrivals, planInput adds the CPUs in use
 	unavailableUntil   map[autoscale.Offering]time.Time // when the offering may be requested again
 	lastRequestNumber  uint64                           // of a provision call in this term
 	provisionsInFlight map[string]*InFlightProvision    // by request ID
