--- a/internal/autoscale/plan.go
+++ b/internal/autoscale/plan.go
@@ -12,15 +12,15 @@
 
 // Demand describes the tasks of one job that are waiting for capacity.
 type Demand struct {
-	Tasks     int
-	Request   placement.Resources // per task
-	EstimateS float64             // estimated run time of a task in seconds
+	Tasks             int
+	Request           placement.Resources // per task
+	EstimatedRunTimeS float64             // of a task, in seconds
 	// MachineTypes lists the allowed machine types; empty allows all.
 	MachineTypes []string
 	// Zone is the only allowed zone; empty allows all.
 	Zone string
-	// Spot also allows spot instances.
-	Spot bool
+	// SpotAllowed is set if the tasks may run on spot instances too.
+	SpotAllowed bool
 	// StartWithinS is the time in seconds within which the tasks should start.
 	StartWithinS float64
 	// AvoidMachines contains the IDs of the machines on which the job has failed. The
@@ -31,7 +31,7 @@
 
 // allows reports whether the tasks may run on machines of the offering.
 func (d *Demand) allows(o Offering) bool {
-	if o.Spot && !d.Spot || d.Zone != "" && d.Zone != o.Zone {
+	if o.Spot && !d.SpotAllowed || d.Zone != "" && d.Zone != o.Zone {
 		return false
 	}
 	return len(d.MachineTypes) == 0 || slices.Contains(d.MachineTypes, o.Type)
@@ -43,7 +43,7 @@
 	ID       string // empty if the machine is only requested
 	Offering Offering
 	Capacity placement.Resources
-	Free     placement.Resources
+	Free     placement.Resources // the part of Capacity that no task uses
 	// RemainingCPUSeconds is the estimated remaining work of the machine's tasks: the
 	// sum of their remaining run times, each multiplied by its CPUs.
 	RemainingCPUSeconds float64
@@ -53,20 +53,21 @@
 	// Schedulable reports whether new tasks may be assigned to the machine, now or
 	// once it has booted.
 	Schedulable bool
-	// Idle reports whether the machine has no tasks and may be released.
-	Idle    bool
-	IdleFor time.Duration // how long the machine has had no tasks
-	Price   float64
+	// MayBeReleased is set if the machine has no tasks and the caller allows its release.
+	MayBeReleased bool
+	IdleFor       time.Duration // how long the machine has had no tasks
+	Price         float64       // of the machine at the cloud; compared with that of other machines
 }
 
 // Input is the snapshot of the cluster that a plan is based on.
 type Input struct {
 	// Demand is the work that waits for capacity. NewPlan sorts it in place.
-	Demand       []Demand
+	Demand []Demand
+	// Machines holds the existing and the requested machines, without those that are being released.
 	Machines     []Machine
-	MachineTypes []wire.MachineType
-	// Unavailable reports whether an offering cannot be provisioned now.
-	Unavailable func(Offering) bool
+	MachineTypes []wire.MachineType // that the cloud offers
+	// IsUnavailable reports whether an offering cannot be provisioned now.
+	IsUnavailable func(Offering) bool
 	// ReserveCPUs is the number of schedulable CPUs that scale-in must keep. It is the
 	// smoothed number of CPUs in use.
 	ReserveCPUs float64
@@ -82,14 +83,14 @@
 // Plan is the number of machines to provision of each offering, and the IDs of the
 // machines to release.
 type Plan struct {
-	ScaleOut map[Offering]int
-	ScaleIn  []string
+	ScaleOut map[Offering]int // number of machines to provision
+	ScaleIn  []string         // IDs of the machines to release
 }
 
 // planner holds the state of one call of NewPlan. Its bins are in the order of
-// in.Machines, followed by the machines that the plan provisions.
+// input.Machines, followed by the machines that the plan provisions.
 type planner struct {
-	in          Input
+	input       Input
 	plan        Plan
 	typesByName map[string]wire.MachineType
 	offerings   []pricedOffering
@@ -119,7 +120,7 @@
 
 func newPlanner(in Input) *planner {
 	p := &planner{
-		in: in, plan: Plan{ScaleOut: map[Offering]int{}}, typesByName: map[string]wire.MachineType{},
+		input: in, plan: Plan{ScaleOut: map[Offering]int{}}, typesByName: map[string]wire.MachineType{},
 		offerings: offeringsByPrice(in.MachineTypes), bins: make([]bin, 0, len(in.Machines)), machineCount: len(in.Machines),
 	}
 	for _, t := range in.MachineTypes {
@@ -134,7 +135,7 @@
 // schedulableCPUs returns the total CPUs of the schedulable machines, and the free
 // CPUs of the schedulable machines that have booted.
 func (p *planner) schedulableCPUs() (total, free float64) {
-	for _, m := range p.in.Machines {
+	for _, m := range p.input.Machines {
 		if !m.Schedulable {
 			continue
 		}
@@ -148,7 +149,7 @@
 
 // belowMaxMachines reports whether MaxMachines allows another machine.
 func (p *planner) belowMaxMachines() bool {
-	return p.in.MaxMachines == 0 || p.machineCount < p.in.MaxMachines
+	return p.input.MaxMachines == 0 || p.machineCount < p.input.MaxMachines
 }
 
 // planDemand assigns tasks of the demand to the bins that can start them in time, and
@@ -168,7 +169,7 @@
 			tasks = p.assignToBins(d, tasks, d.StartWithinS*math.Sqrt(offering.pricePerCPU/lowest))
 			continue
 		}
-		tasks -= p.scaleOut(offering.Offering, d, tasks)
+		tasks -= p.addMachine(offering.Offering, d, tasks)
 	}
 }
 
@@ -184,10 +185,10 @@
 	return tasks
 }
 
-// scaleOut adds one machine of the offering to the plan, assigns tasks to it, and
+// addMachine adds one machine of the offering to the plan, assigns tasks to it, and
 // returns the number of assigned tasks. It returns 1 if the machine can run none in
 // time, so that the loop in planDemand ends.
-func (p *planner) scaleOut(o Offering, d *Demand, tasks int) int {
+func (p *planner) addMachine(o Offering, d *Demand, tasks int) int {
 	capacity := placement.MachineCapacity(p.typesByName[o.Type])
 	b := bin{offering: o, capacity: capacity, free: capacity, schedulable: true}
 	assigned := max(1, b.assignTasks(d, tasks, d.StartWithinS))
@@ -207,11 +208,11 @@
 	for o, n := range p.plan.ScaleOut {
 		schedulableCPUs += float64(n) * p.typesByName[o.Type].CPUs
 	}
-	for i := range p.in.Demand {
-		d := &p.in.Demand[i]
+	for i := range p.input.Demand {
+		d := &p.input.Demand[i]
 		waitingCPUs := float64(d.Tasks)*d.Request.CPUs - freeCPUs
 		freeCPUs = max(0, -waitingCPUs)
-		for waitingCPUs > 0 && schedulableCPUs < p.in.ArrivalCPUs && p.belowMaxMachines() {
+		for waitingCPUs > 0 && schedulableCPUs < p.input.ArrivalCPUs && p.belowMaxMachines() {
 			offering, ok := p.cheapestOffering(d)
 			if !ok || offering.pricePerCPU > p.offerings[0].pricePerCPU {
 				break
--- a/internal/drain/charge.go
+++ b/internal/drain/charge.go
@@ -15,17 +15,17 @@
 
 // Usage is the used part of a budget within a window.
 type Usage struct {
-	Evictions int     `json:"evictions"`
-	LostS     float64 `json:"lostS"`
+	Evictions    int     `json:"evictions"`
+	LostRunTimeS float64 `json:"lostS"`
 }
 
 // Charge is the stored record of the evictions that a drain chose in one step and that count against
 // the teams' budgets. It is durable before the first stop is sent. Otherwise a successor would not
 // know how much of the budgets is used, and would charge the same stops again.
 type Charge struct {
-	Drain    string           `json:"drain"`
-	AtMS     int64            `json:"at"` // Unix time in milliseconds
-	Teams    map[string]Usage `json:"teams"`
+	Drain    string           `json:"drain"` // name of the drain
+	AtMS     int64            `json:"at"`    // Unix time in milliseconds at which the drain chose them
+	Teams    map[string]Usage `json:"teams"` // usage that the evictions add, by team name
 	Attempts []Attempt        `json:"attempts"`
 }
 
@@ -51,7 +51,7 @@
 	}
 	usage := c.Teams[candidate.Team]
 	usage.Evictions++
-	usage.LostS += candidate.LostS
+	usage.LostRunTimeS += candidate.LostRunTimeS
 	c.Teams[candidate.Team] = usage
 	c.Attempts = append(c.Attempts, candidate.Attempt)
 	return true
@@ -59,7 +59,7 @@
 
 // Encode returns the charge as stored JSON.
 func (c *Charge) Encode() json.RawMessage {
-	value, _ := json.Marshal(c) // can't fail: the budgets keep all numbers finite
+	value, _ := json.Marshal(c) // can't fail: the budgets limit the sums, so all numbers are finite
 	return value
 }
 
@@ -70,7 +70,7 @@
 		return nil, fmt.Errorf("%w: %w", ErrUnreadable, err)
 	}
 	for team, usage := range c.Teams {
-		if usage.Evictions < 0 || usage.LostS < 0 {
+		if usage.Evictions < 0 || usage.LostRunTimeS < 0 {
 			return nil, fmt.Errorf("%w: negative usage of team %s", ErrUnreadable, team)
 		}
 	}
--- a/internal/drainer/drainer_test.go
+++ b/internal/drainer/drainer_test.go
@@ -23,21 +23,21 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// testStart is the time at which the tests start, on both clocks.
+// testStart is the start time of the tests, on the monotonic clock and as wall-clock time.
 var testStart = time.Unix(1_700_000_000, 0)
 
 // fixture holds a drainer in a cluster with one machine type in one zone. By default no batch is
 // blocked, and a team's budget allows one eviction.
 type fixture struct {
 	*drainer.Drainer
-	t              *testing.T
-	now            time.Time
-	registry       *machines.Registry
-	writes         *records.WriteQueues
-	scaler         *scaling.Scaler
-	jobs           map[string]*jobs.Job
-	blockedCause   drain.Cause // returned by BatchBlockedCause
-	scheduledCalls []string    // IDs of the machines to which direct calls were scheduled
+	t            *testing.T
+	now          time.Time
+	registry     *machines.Registry
+	writes       *records.WriteQueues
+	scaler       *scaling.Scaler
+	jobs         map[string]*jobs.Job
+	blockedCause drain.Cause // returned by BatchBlockedCause
+	queuedCalls  []string    // IDs of the machines for which direct calls were queued
 }
 
 func newFixture(t *testing.T) *fixture {
@@ -52,18 +52,18 @@
 	catalogue := machines.NewCatalogue()
 	catalogue.SetOfferedTypes([]wire.MachineType{{Name: "std-8", CPUs: 8, MemoryGB: 32, Price: 1, Zones: []string{"a"}}})
 	f.scaler = scaling.New(scaling.Config{Term: 5, CloudRPS: 5}, scaling.Cluster{
-		Machines:       f.registry,
-		Catalogue:      catalogue,
-		BlockedByDrain: func(o autoscale.Offering) bool { return f.BlocksProvisioning(o) },
-		Partitioned:    func(time.Time, string) bool { return false },
+		Machines:         f.registry,
+		Catalogue:        catalogue,
+		IsBlockedByDrain: func(o autoscale.Offering) bool { return f.BlocksProvisioning(o) },
+		IsPartitioned:    func(time.Time, string) bool { return false },
 	})
 	f.Drainer = drainer.New(zerolog.Nop(), drainer.Config{
-		Term:        5,
-		Budgets:     &drain.Budgets{Window: 10 * time.Minute, Default: drain.Budget{MaxUnavailable: 1, Evictions: 1, LostS: 1000}},
-		Teams:       []config.Team{{Name: "blue", CPUs: 4}},
-		ValueLimit:  16 << 10,
-		LeaseExpiry: 15 * time.Second,
-		LeaseS:      15,
+		Term:                       5,
+		Budgets:                    &drain.Budgets{Window: 10 * time.Minute, Default: drain.Budget{MaxUnavailable: 1, MaxEvictions: 1, MaxLostRunTimeS: 1000}},
+		Teams:                      []config.Team{{Name: "blue", CPUs: 4}},
+		MaxValueBytes:              16 << 10,
+		LeaseCertainlyExpiredAfter: 15 * time.Second,
+		LeaseDurationS:             15,
 	}, drainer.Cluster{
 		Machines:              f.registry,
 		Catalogue:             catalogue,
@@ -74,10 +74,10 @@
 		TeamUsedCPUs:          func(string) float64 { return 0 },
 		IsSchedulable:         func(_ time.Time, m *machines.Machine) bool { return m.IsReconciled() && !m.IsCordoned() },
 		RemainingS:            func(time.Time, *machines.Attempt) float64 { return 3600 },
-		MachinesKnown:         func() bool { return true },
+		MachinesAndTypesKnown: func() bool { return true },
 		HasCurrentMachineList: func() bool { return true },
 		BatchBlockedCause:     func(time.Time) drain.Cause { return f.blockedCause },
-		QueueDirectCall:       func(m *machines.Machine) { f.scheduledCalls = append(f.scheduledCalls, m.ID) },
+		QueueDirectCall:       func(m *machines.Machine) { f.queuedCalls = append(f.queuedCalls, m.ID) },
 		RequestSchedulingPass: func() {},
 	})
 	return f
@@ -94,7 +94,8 @@
 	return m
 }
 
-// handleRequest passes a request to the drainer, commits all writes and returns the response.
+// handleRequest passes a request to the drainer, commits all writes and returns the response. The
+// monotonic and the wall-clock time are the same in these tests.
 func (f *fixture) handleRequest(request *drain.Request) drain.Response {
 	f.t.Helper()
 	var got drain.Response
@@ -109,7 +110,7 @@
 	r := f.handleRequest(&drain.Request{Action: drain.Apply, Spec: &drain.Spec{
 		Name: "maintenance", BatchSize: 1, Replace: replace, Selector: drain.Selector{Machines: names},
 	}})
-	if r.Status != http.StatusCreated {
+	if r.HTTPStatus != http.StatusCreated {
 		f.t.Fatalf("response %+v, want status 201", r)
 	}
 }
@@ -136,10 +137,10 @@
 	return keys
 }
 
-// advance advances the time by d and then runs a step of the drain if one is due.
-func (f *fixture) advance(d time.Duration) {
+// advanceTime advances the time by d and then runs a step of the drain if one is due.
+func (f *fixture) advanceTime(d time.Duration) {
 	f.now = f.now.Add(d)
-	f.Advance(f.now, f.now)
+	f.RunStepIfDue(f.now, f.now)
 }
 
 // confirmRelease removes a machine as if the cloud had confirmed its release.
@@ -157,7 +158,7 @@
 	}
 	f.applyDrain(false, "m1", "m2")
 	for _, id := range []string{"m1", "m2"} {
-		f.advance(tuning.DrainBatchInterval)
+		f.advanceTime(tuning.DrainBatchInterval)
 		status := f.drainStatus()
 		if status.State != drain.Running || status.Batch == nil || !slices.Equal(status.Batch.Machines, []string{id}) {
 			t.Fatalf("got %+v with batch %+v, want a running drain with a batch of one machine", status, status.Batch)
@@ -168,9 +169,9 @@
 			}
 		}
 		f.confirmRelease(id)
-		f.advance(tuning.DrainStepInterval)
+		f.advanceTime(tuning.DrainStepInterval)
 	}
-	f.advance(tuning.DrainBatchInterval)
+	f.advanceTime(tuning.DrainBatchInterval)
 	if status := f.drainStatus(); status.State != drain.Done || status.Counts.Machines != 2 || status.Counts.Batches != 2 {
 		t.Errorf("got %+v, want a drain that is done with 2 machines in 2 batches", status)
 	}
@@ -182,19 +183,20 @@
 	m := f.addMachine("m1")
 	f.applyDrain(false, "m1")
 	f.blockedCause = drain.BlockedByOverload
-	f.advance(tuning.DrainBatchInterval)
+	f.advanceTime(tuning.DrainBatchInterval)
 	if status := f.drainStatus(); status.Batch != nil || m.IsCordoned() || status.Reason != string(drain.BlockedByOverload) {
 		t.Errorf("while blocked: got %+v, want no batch and the cause as the reason", status)
 	}
 	f.blockedCause = ""
-	f.advance(tuning.DrainBatchInterval)
+	f.advanceTime(tuning.DrainBatchInterval)
 	if status := f.drainStatus(); status.Batch == nil || !m.IsCordoned() {
 		t.Errorf("no longer blocked: got %+v, want a cordoned batch", status)
 	}
 }
 
-// TestEvictionsStayWithinBudget checks that no attempt is stopped before its charge is durable, and that
-// no second task is evicted once the first eviction has used up the budget.
+// TestEvictionsStayWithinBudget checks that no attempt is stopped before its charge, the record that its
+// eviction uses the team's budget, is durable. It also checks that no second task is evicted once the
+// first eviction has used up the budget.
 func TestEvictionsStayWithinBudget(t *testing.T) {
 	f := newFixture(t)
 	m := f.addMachine("m1")
@@ -207,19 +209,19 @@
 		m.AddAttempt(a)
 	}
 	f.applyDrain(false, "m1")
-	f.advance(tuning.DrainBatchInterval)
-	f.advance(tuning.DrainCheckpointWait + time.Second)
-	if len(f.scheduledCalls) != 0 {
+	f.advanceTime(tuning.DrainBatchInterval)
+	f.advanceTime(tuning.DrainCheckpointWait + time.Second) // the batch no longer waits for the tasks to end
+	if len(f.queuedCalls) != 0 {
 		t.Fatal("an attempt was stopped before its charge was durable")
 	}
 	charged := slices.ContainsFunc(f.commitWrites(), func(key string) bool { return strings.HasPrefix(key, records.KindCharge.Prefix()) })
 	stopping := slices.DeleteFunc(slices.Clone(m.Attempts()), func(a *machines.Attempt) bool { return !a.IsStopping() })
-	if !charged || len(f.scheduledCalls) != 1 || len(stopping) != 1 || stopping[0].GracePeriodS() != 5 {
-		t.Fatalf("charge stored: %v, calls to %v, %d attempts stopping; want a stored charge, 1 call, and 1 attempt", charged, f.scheduledCalls, len(stopping))
+	if !charged || len(f.queuedCalls) != 1 || len(stopping) != 1 || stopping[0].GracePeriodS() != 5 {
+		t.Fatalf("charge stored: %v, calls to %v, %d attempts stopping; want a stored charge, 1 call, and 1 stopping attempt with a grace period of 5 s", charged, f.queuedCalls, len(stopping))
 	}
-	f.advance(tuning.DrainCheckpointWait)
+	f.advanceTime(tuning.DrainCheckpointWait)
 	f.commitWrites()
-	if len(f.scheduledCalls) != 1 {
+	if len(f.queuedCalls) != 1 {
 		t.Error("a second attempt was stopped beyond the budget")
 	}
 }
@@ -230,22 +232,22 @@
 	f := newFixture(t)
 	m := f.addMachine("m1")
 	f.applyDrain(true, "m1")
-	f.advance(tuning.DrainBatchInterval)
+	f.advanceTime(tuning.DrainBatchInterval)
 	calls := f.ReplacementCalls(f.now)
 	if len(calls) != 1 || calls[0].Provision.Type != "std-8" || calls[0].Provision.Count != 1 {
-		t.Fatalf("got calls %+v, want one for one machine of type std-8", calls)
+		t.Fatalf("got calls %+v, want a single call for 1 machine of type std-8", calls)
 	}
 	if again := f.ReplacementCalls(f.now); len(again) != 0 {
 		t.Fatalf("got further calls %+v, want none while one is in flight", again)
 	}
 	p := f.scaler.FinishProvision(f.now, calls[0].Provision, 1)
 	f.AddReplacements(p.ReplacementFor, []string{"m2"})
-	f.advance(tuning.DrainStepInterval)
+	f.advanceTime(tuning.DrainStepInterval)
 	if m.IsCordoned() || !f.IsReplacement("m2") {
 		t.Fatal("the batch is cordoned before its replacement is ready, or m2 is not a replacement")
 	}
 	f.addMachine("m2")
-	f.advance(tuning.DrainStepInterval)
+	f.advanceTime(tuning.DrainStepInterval)
 	if !m.IsCordonedFor(machines.CordonDrained) {
 		t.Error("the batch is not cordoned although its replacement is ready")
 	}
--- a/internal/drainer/evict.go
+++ b/internal/drainer/evict.go
@@ -12,14 +12,14 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// evict evicts tasks of the batch within the budgets. It sends no stop before the charge for it is
-// durable. Stops that an earlier leader charged already are sent at once.
+// evict evicts tasks of the batch within the budgets. It sends a stop only once the charge for the stop
+// is durable. Stops that an earlier leader has charged are sent at once.
 func (s *drainStep) evict() {
 	candidates, attempts := s.collectCandidates()
 	charge := drain.NewCharge(s.record.Spec.Name, s.wall)
 	evictor := drain.Evictor{
-		Ledger: s.d.ledger, Budgets: s.d.config.Budgets, Force: s.record.IsForced(s.wall), Now: s.now,
-		MaxChargeBytes: int(float64(s.d.config.ValueLimit) * tuning.RecordValueShare),
+		Ledger: s.drainer.ledger, Budgets: s.drainer.config.Budgets, Force: s.record.IsForced(s.wall), Now: s.now,
+		MaxChargeBytes: int(float64(s.drainer.config.MaxValueBytes) * tuning.RecordValueShare),
 	}
 	reason := evictor.Choose(charge, candidates)
 	s.chargeAndStop(charge, attempts)
@@ -29,22 +29,23 @@
 	s.setWaitReason(reason.Cause, reason.Team)
 }
 
-// collectCandidates returns the running attempts of the batch that are not being evicted, as
-// candidates and by attempt number. It stops attempts whose stops an earlier leader charged, and
-// leaves them out.
+// collectCandidates returns the attempts of the batch that agents have reported and that are not being
+// stopped or evicted, as candidates and by attempt number. It leaves out machines that are not
+// reconciled or not listed by the cloud yet. It stops, instead of returning them, the attempts whose
+// stops an earlier leader charged.
 func (s *drainStep) collectCandidates() (candidates []drain.Candidate, attempts map[uint64]*machines.Attempt) {
 	attempts = map[uint64]*machines.Attempt{}
 	for _, name := range s.record.Batch.Machines {
-		m := s.d.cluster.Machines.Get(name)
+		m := s.drainer.cluster.Machines.Get(name)
 		if m == nil || !m.IsReconciled() || !m.WasListedByCloud() {
 			continue
 		}
 		for _, a := range m.Attempts() {
-			s.d.examinedCount++
+			s.drainer.examinedCount++
 			switch {
 			case !a.State().IsReported() || a.IsEvicting() || !a.ShouldRun():
-			case s.d.ledger.IsCharged(a.Number()):
-				s.d.stopEvicted(a)
+			case s.drainer.ledger.IsCharged(a.Number()):
+				s.drainer.stopEvicted(a)
 			default:
 				candidates = append(candidates, s.candidate(a))
 				attempts[a.Number()] = a
@@ -69,7 +70,7 @@
 			s.record.Counts.Moved++
 		}
 	}
-	d := s.d
+	d := s.drainer
 	d.storeCharge(s.now, charge, func() {
 		for _, a := range evicted {
 			if a.IsEvicting() && a.IsAllocated() {
@@ -88,8 +89,9 @@
 	d.cluster.QueueDirectCall(a.Machine)
 }
 
-// candidate returns the candidate for a running attempt. A batch waits longer for the end of a task
-// without checkpoints, because the eviction of such a task loses all of its run time.
+// candidate returns the candidate for a running attempt. A task with checkpoints can save one before it
+// is stopped, so it counts as losing no run time. The eviction of a task without checkpoints loses all
+// of its run time, so a batch waits longer for its end.
 func (s *drainStep) candidate(a *machines.Attempt) drain.Candidate {
 	j := a.Job
 	c := drain.Candidate{
@@ -100,27 +102,28 @@
 	maxWait := tuning.DrainCheckpointWait
 	if j.CheckpointIntervalS <= 0 {
 		maxWait = tuning.DrainCompletionWait
-		c.LostS = s.maxLostS(a)
+		c.LostRunTimeS = s.maxLostRunTimeS(a)
 	}
 	maxWait -= s.wall.Sub(time.UnixMilli(s.record.Batch.SinceMS))
-	c.EndsSoon = maxWait > 0 && s.d.cluster.RemainingS(s.now, a) <= maxWait.Seconds()
+	c.EndsSoon = maxWait > 0 && s.drainer.cluster.RemainingS(s.now, a) <= maxWait.Seconds()
 	return c
 }
 
-// maxLostS returns the maximum run time, in seconds, that is lost if a task without checkpoints is
+// maxLostRunTimeS returns the maximum run time, in seconds, that is lost if a task without checkpoints is
 // stopped. It includes the lease, because the task runs on until the stop takes effect or the agent's
 // lease expires.
-func (s *drainStep) maxLostS(a *machines.Attempt) float64 {
+func (s *drainStep) maxLostRunTimeS(a *machines.Attempt) float64 {
 	earliestStart := a.CreatedAt()
-	if a.Number()>>32 != s.d.config.Term {
-		// An earlier leader started the attempt. The time of that is unknown, but it is later than
-		// the submission of the job and the provisioning of the machine.
+	if a.Number()>>32 != s.drainer.config.Term {
+		// The upper 32 bits of the number are the term in which the attempt was created. An earlier
+		// leader created this one. When it did is unknown, but not before the submission of the job
+		// and the provisioning of the machine.
 		earliestStart = a.Job.SubmittedAt()
 		if a.Machine.ProvisionedAt().After(earliestStart) {
 			earliestStart = a.Machine.ProvisionedAt()
 		}
 	}
-	return (s.now.Sub(earliestStart) + s.d.config.LeaseExpiry).Seconds()
+	return (s.now.Sub(earliestStart) + s.drainer.config.LeaseCertainlyExpiredAfter).Seconds()
 }
 
 // hasAlternative reports whether a task of the job could run on a machine that drains allow to be
@@ -140,10 +143,10 @@
 	return has
 }
 
-// provisionableMachines returns a machine of each offering that no drain forbids to provision.
+// provisionableMachines returns an empty machine of each offering that no drain forbids to provision.
 func (s *drainStep) provisionableMachines() []*placement.Machine {
-	return s.d.cluster.Catalogue.Offerings(func(machineType, zone string) bool {
-		return !s.d.BlocksProvisioning(autoscale.Offering{Type: machineType, Zone: zone})
+	return s.drainer.cluster.Catalogue.Offerings(func(machineType, zone string) bool {
+		return !s.drainer.BlocksProvisioning(autoscale.Offering{Type: machineType, Zone: zone})
 	})
 }
 
--- a/internal/drainer/interruptions.go
+++ b/internal/drainer/interruptions.go
@@ -7,10 +7,14 @@
 	"switchshore.example/switchshore/internal/machines"
 )
 
-// RecordInterruption records that the task of an attempt is interrupted. It is called before the
-// attempt is removed. It ignores a failed attempt, a task that is done or has another attempt, and an
-// attempt that has certainly not run. The interruption uses up the team's budget unless a drain has
-// charged it already or the attempt may not have started.
+// RecordInterruption records that the task of an attempt is interrupted. It must be called before the
+// attempt is removed. It ignores
+//   - failed attempts,
+//   - tasks that are done or have another attempt, and
+//   - attempts that have certainly not run.
+//
+// The interruption uses up the team's budget, with two exceptions: a drain has charged it already, or the
+// attempt may not have started.
 func (d *Drainer) RecordInterruption(now time.Time, a *machines.Attempt) {
 	j := a.Job
 	if d.ledger == nil || !j.NeedsTask(int(a.Index)) || j.AllocationsOf(a.Index) > 1 || a.HasFailed() {
@@ -25,7 +29,8 @@
 }
 
 // RecordTaskRunning records that an interrupted task runs again, as the given attempt. It ignores an
-// attempt that a drain is about to stop.
+// attempt that a drain is about to stop: one with a planned eviction, or one on a drained machine whose
+// stop an earlier leader charged.
 func (d *Drainer) RecordTaskRunning(a *machines.Attempt) {
 	if d.ledger == nil || a.IsEvicting() || d.ledger.IsCharged(a.Number()) && a.Machine.IsCordonedFor(machines.CordonDrained) {
 		return
--- a/internal/drainer/step.go
+++ b/internal/drainer/step.go
@@ -11,17 +11,17 @@
 // drainStep is the state of one step of the running drain. now and wall are the same moment on the
 // monotonic clock and as wall-clock time.
 type drainStep struct {
-	d         *Drainer
-	record    *storedDrain
+	drainer   *Drainer
+	record    *storedDrain // of the running drain
 	now, wall time.Time
 	// hasAlternativeByJob caches the results of hasAlternative.
 	hasAlternativeByJob map[*jobs.Job]bool
 }
 
-// Advance runs the next step of the running drain, at most once per DrainStepInterval, and starts a
-// pending drain if none is running. It must be called only while the leader has authority. wall is the
-// wall-clock time.
-func (d *Drainer) Advance(now, wall time.Time) {
+// RunStepIfDue runs the next step of the running drain, at most once per DrainStepInterval, and starts a
+// pending drain if none is running. It must be called only while the leader has authority. now and wall
+// are the same moment on the monotonic clock and as wall-clock time.
+func (d *Drainer) RunStepIfDue(now, wall time.Time) {
 	if d.config.Budgets == nil || now.Before(d.nextStepAt) {
 		return
 	}
@@ -31,7 +31,7 @@
 	if r == nil {
 		return
 	}
-	s := &drainStep{d: d, record: d.drains[r.Spec.Name], now: now, wall: wall, hasAlternativeByJob: map[*jobs.Job]bool{}}
+	s := &drainStep{drainer: d, record: d.drains[r.Spec.Name], now: now, wall: wall, hasAlternativeByJob: map[*jobs.Job]bool{}}
 	if !s.record.durable {
 		return
 	}
@@ -39,12 +39,12 @@
 		d.log.Info().Str("drain", r.Spec.Name).Msg("drain started")
 		d.storeDrain(s.record, nil)
 	}
-	s.advance()
+	s.run()
 }
 
-// advance starts a batch if there is none, evicts tasks if the batch is cordoned, and otherwise cordons
-// the batch once its replacements are ready.
-func (s *drainStep) advance() {
+// run runs the step: it starts a batch if there is none, evicts tasks if the batch is cordoned, and
+// otherwise cordons the batch once its replacements are ready.
+func (s *drainStep) run() {
 	if s.record.Batch == nil {
 		s.beginBatch()
 		return
@@ -69,6 +69,6 @@
 
 // logAndStorePaused logs that the drain was paused and stores its record.
 func (s *drainStep) logAndStorePaused() {
-	s.d.log.Info().Str("drain", s.record.Spec.Name).Stringer("reason", s.record.Reason).Msg("drain paused")
-	s.d.storeDrain(s.record, nil)
+	s.drainer.log.Info().Str("drain", s.record.Spec.Name).Stringer("reason", s.record.Reason).Msg("drain paused")
+	s.drainer.storeDrain(s.record, nil)
 }
--- a/internal/leader/drains.go
+++ b/internal/leader/drains.go
@@ -10,14 +10,14 @@
 // newDrainer returns the term's drainer.
 func (l *Leader) newDrainer() *drainer.Drainer {
 	c := drainer.Config{
-		Term:        l.term,
-		Budgets:     l.operatorSettings.Drains,
-		Teams:       l.params.Teams,
-		Zones:       l.params.Zones,
-		MaxMachines: l.operatorSettings.MaxMachines,
-		ValueLimit:  l.maxStoredValueBytes(),
-		LeaseExpiry: l.timing.LeaseExpiry,
-		LeaseS:      l.params.Workers.LeaseS,
+		Term:                       l.term,
+		Budgets:                    l.operatorSettings.Drains,
+		Teams:                      l.params.Teams,
+		Zones:                      l.params.Zones,
+		MaxMachines:                l.operatorSettings.MaxMachines,
+		MaxValueBytes:              l.maxStoredValueBytes(),
+		LeaseCertainlyExpiredAfter: l.timing.LeaseExpiry,
+		LeaseDurationS:             l.params.Workers.LeaseS,
 	}
 	return drainer.New(l.log, c, drainer.Cluster{
 		Machines:              l.machines,
@@ -29,7 +29,7 @@
 		TeamUsedCPUs:          l.ledger.UsedCPUs,
 		IsSchedulable:         l.isSchedulable,
 		RemainingS:            l.remainingS,
-		MachinesKnown:         l.machinesAndTypesKnown,
+		MachinesAndTypesKnown: l.machinesAndTypesKnown,
 		HasCurrentMachineList: func() bool { return l.machineLists.hasCurrent },
 		BatchBlockedCause:     l.batchBlockedCause,
 		QueueDirectCall:       l.directCalls.enqueue,
@@ -45,13 +45,13 @@
 
 // AdvanceDrains executes the next step of the running drain. It must be called only while the
 // leader holds the leader lease. wall is the wall-clock time of now.
-func (l *Leader) AdvanceDrains(now, wall time.Time) { l.drainer.Advance(now, wall) }
+func (l *Leader) AdvanceDrains(now, wall time.Time) { l.drainer.RunStepIfDue(now, wall) }
 
 // batchBlockedCause returns why no batch of any drain may begin now, or "" if a batch may begin.
 func (l *Leader) batchBlockedCause(now time.Time) drain.Cause {
 	switch {
 	case !l.machineLists.hasCurrent || now.Before(l.timing.InheritedTasksEnd):
-		return drain.BlockedByNewLeader
+		return drain.BlockedByLeaderStartup
 	case l.admission.isShedding():
 		return drain.BlockedByOverload
 	case l.reachability.IsIsolated() || l.reachability.AnyPartitioned(now):
--- a/internal/records/completions.go
+++ b/internal/records/completions.go
@@ -13,14 +13,14 @@
 
 // CompletionChunkSize returns the number of tasks whose completions share a record. It is the
 // largest power of two, up to tuning.CompletionChunkTasks, for which a record with any subset of
-// the tasks fits into valueLimit bytes.
-func CompletionChunkSize(valueLimit int) int {
-	maxTasks := max(1, (valueLimit-len(`""`))/tuning.CompletionBytesPerTask)
+// the tasks fits into maxValueBytes bytes.
+func CompletionChunkSize(maxValueBytes int) int {
+	maxTasks := max(1, (maxValueBytes-len(`""`))/tuning.CompletionBytesPerTask)
 	return min(tuning.CompletionChunkTasks, 1<<(bits.Len(uint(maxTasks))-1))
 }
 
 // Completions is the record of the completed tasks in one chunk of a job. A chunk is a range of
-// CompletionChunkSize consecutive task indexes.
+// consecutive task indexes, whose length is CompletionChunkSize.
 type Completions struct {
 	Key string
 	// Tasks are the indexes of the completed tasks in the format of package intervals.
@@ -29,13 +29,13 @@
 
 // NewCompletions returns the record of the completed tasks in the chunk with the given number.
 //
-// Earlier versions of the program know only chunks of the full size, with keys of the form
-// "d/JOB/NUMBER". They read records of any chunk size, but replace their own records by all
-// completions in the chunk that they know. A smaller chunk therefore has a key that contains its
-// first and last index: if one key stood for different chunks, one version could overwrite
-// completions that another has written.
-func NewCompletions(jobID string, completed *intervals.Set, number, valueLimit int) Completions {
-	size := CompletionChunkSize(valueLimit)
+// Earlier versions of the program write only chunks of the full size, under keys of the form
+// "d/JOB/NUMBER", but read chunks of any size. Each write of a chunk replaces the earlier record
+// under its key. The key of a smaller chunk therefore contains the chunk's first and last index: if
+// one key stood for chunks of different sizes, one version could overwrite completions that another
+// has written.
+func NewCompletions(jobID string, completed *intervals.Set, number, maxValueBytes int) Completions {
+	size := CompletionChunkSize(maxValueBytes)
 	from, to := number*size, (number+1)*size
 	key := KindCompletions.Prefix() + jobID + "/" + strconv.Itoa(number)
 	if size < tuning.CompletionChunkTasks {
--- a/internal/scaling/plan_input.go
+++ b/internal/scaling/plan_input.go
@@ -18,7 +18,7 @@
 		MachineTypes:    s.cluster.Catalogue.OfferedTypes(),
 		ScaleInIdleTime: s.config.ScaleInIdleTime,
 		MaxMachines:     s.config.MaxMachines,
-		Unavailable:     func(o autoscale.Offering) bool { return !s.CanProvision(now, o) },
+		IsUnavailable:   func(o autoscale.Offering) bool { return !s.CanProvision(now, o) },
 		Machines:        slices.Concat(s.existingMachines(now), s.requestedMachines()),
 		Demand:          s.cluster.Demand(now),
 		ReserveCPUs:     s.History.AddUsedCPUs(now, s.usedCPUs()),
@@ -51,7 +51,9 @@
 	return list
 }
 
-// toPlannerMachine returns the planner's snapshot of a machine.
+// toPlannerMachine returns the planner's snapshot of a machine. The planner may release a machine only
+// if it has no attempts, its agent's task list has been reconciled, its minimum billing time is over,
+// and it isn't a replacement that a drain waits for.
 func (s *Scaler) toPlannerMachine(now time.Time, m *machines.Machine) autoscale.Machine {
 	snapshot := autoscale.Machine{
 		ID:          m.ID,
@@ -59,13 +61,13 @@
 		Capacity:    m.Capacity(),
 		Free:        m.Free(),
 		Price:       s.cluster.Catalogue.Price(m),
-		Schedulable: !m.IsCordoned() && (!m.HasJoined() || !s.cluster.HeartbeatOverdue(now, m)),
-		Idle: len(m.Attempts()) == 0 && m.HasJoined() && m.IsReconciled() &&
+		Schedulable: !m.IsCordoned() && (!m.HasJoined() || !s.cluster.IsHeartbeatOverdue(now, m)),
+		MayBeReleased: len(m.Attempts()) == 0 && m.HasJoined() && m.IsReconciled() &&
 			now.Sub(m.ProvisionedAt()) >= tuning.MinimumBillingTime && !s.cluster.IsReplacement(m.ID),
 		IdleFor: m.IdleFor(now),
 	}
 	if !m.HasJoined() {
-		snapshot.Schedulable = snapshot.Schedulable && !s.cluster.Partitioned(now, m.Zone)
+		snapshot.Schedulable = snapshot.Schedulable && !s.cluster.IsPartitioned(now, m.Zone)
 		snapshot.BootRemainingS = max(0, s.cluster.Catalogue.Type(m.Type).BootTimeS-now.Sub(m.ProvisionedAt()).Seconds())
 	}
 	for _, a := range m.Attempts() {
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -44,17 +44,17 @@
 	Catalogue *machines.Catalogue
 	// Demand returns the tasks that wait for capacity.
 	Demand func(now time.Time) []autoscale.Demand
-	// HeartbeatOverdue reports whether a machine's heartbeat is overdue.
-	HeartbeatOverdue func(now time.Time, m *machines.Machine) bool
+	// IsHeartbeatOverdue reports whether a machine's heartbeat is overdue.
+	IsHeartbeatOverdue func(now time.Time, m *machines.Machine) bool
 	// RemainingS returns the estimated remaining run time of an attempt, in seconds.
 	RemainingS func(now time.Time, a *machines.Attempt) float64
 	// IsReplacement reports whether a machine was provisioned as a replacement for the current batch
 	// of the running drain.
 	IsReplacement func(id string) bool
-	// BlockedByDrain reports whether a drain forbids provisioning machines of an offering.
-	BlockedByDrain func(autoscale.Offering) bool
-	// Partitioned reports whether a zone appears to be unreachable over the network.
-	Partitioned func(now time.Time, zone string) bool
+	// IsBlockedByDrain reports whether a drain forbids provisioning machines of an offering.
+	IsBlockedByDrain func(autoscale.Offering) bool
+	// IsPartitioned reports whether a zone appears to be unreachable over the network.
+	IsPartitioned func(now time.Time, zone string) bool
 }
 
 // Scaler plans scaling. It tracks the cloud calls in flight, and the offerings for which the cloud has
@@ -62,19 +62,19 @@
 type Scaler struct {
 	config             Config
 	cluster            Cluster
-	History            DemandHistory
+	History            DemandHistory                    // the caller adds arrivals, planInput adds the CPUs in use
 	unavailableUntil   map[autoscale.Offering]time.Time // when the offering may be requested again
 	lastRequestNumber  uint64                           // of a provision call in this term
 	provisionsInFlight map[string]*InFlightProvision    // by request ID
-	releasesInFlight   int
-	nextPlanAt         time.Time
+	releasesInFlight   int                              // number of release calls in flight
+	nextPlanAt         time.Time                        // when the next plan is due
 }
 
 // InFlightProvision is a provision call in flight.
 type InFlightProvision struct {
 	Offering    autoscale.Offering
-	Count       int // number of requested machines
-	RequestedAt time.Time
+	Count       int       // number of requested machines
+	RequestedAt time.Time // when the call was created
 	// ReplacementFor is the name of the drain whose machines the requested ones replace, or "".
 	ReplacementFor string
 }
@@ -89,8 +89,8 @@
 	}
 }
 
-// BeginPlanningIfDue reports whether a plan is due. If so, the caller must plan now, and the next plan is due
-// after tuning.ScalingInterval.
+// BeginPlanningIfDue reports whether a plan is due. If so, the caller must plan now, and the next plan
+// is due after tuning.ScalingInterval.
 func (s *Scaler) BeginPlanningIfDue(now time.Time) bool {
 	if now.Before(s.nextPlanAt) {
 		return false
@@ -99,8 +99,8 @@
 	return true
 }
 
-// Plan returns how many machines of each offering to provision in addition to existing and requested
-// ones, and which machines to release.
+// Plan returns how many machines of each offering to provision in addition to existing ones and those
+// that calls in flight request, and which machines to release.
 func (s *Scaler) Plan(now time.Time) autoscale.Plan {
 	return autoscale.NewPlan(s.planInput(now))
 }
