--- a/internal/consolidation/consolidation.go
+++ b/internal/consolidation/consolidation.go
@@ -189,6 +189,6 @@
 func (p *pass) firstFit(j *jobs.Job, targets []*machines.Machine) int {
 	constraints := j.PlacementConstraints()
 	return slices.IndexFunc(targets, func(m *machines.Machine) bool {
-		return p.unallocated[m].Fits(j.Request()) && !m.AvoidsJob(j.ID) && constraints.CanRunOn(m.PlacementView())
+		return p.unallocated[m].Fits(j.Request()) && !m.ExcludesJob(j.ID) && constraints.CanRunOn(m.PlacementView())
 	})
 }
--- a/internal/jobs/estimates.go
+++ b/internal/jobs/estimates.go
@@ -22,9 +22,9 @@
 	r[j.Class] = old + (ratio-old)*tuning.EstimateWeight
 }
 
-// Estimate returns the expected run time in seconds of a task that starts without progress: the
+// ExpectedRunTimeS returns the expected run time in seconds of a task that starts without progress: the
 // user's estimate, corrected by the ratio of the job's class.
-func (r RunTimeRatios) Estimate(j *Job) float64 {
+func (r RunTimeRatios) ExpectedRunTimeS(j *Job) float64 {
 	estimate := max(j.EstimateS, tuning.MinimumEstimateS)
 	if ratio, ok := r[j.Class]; ok {
 		estimate *= ratio
@@ -32,17 +32,17 @@
 	return estimate
 }
 
-// EstimateReadyTask returns the expected remaining run time in seconds of the ready task with the
+// ExpectedReadyTaskRunTimeS returns the expected remaining run time in seconds of the ready task with the
 // least progress, or Estimate if no task is ready.
-func (r RunTimeRatios) EstimateReadyTask(j *Job) float64 {
-	fullS := r.Estimate(j)
-	if len(j.progress) == 0 || len(j.ready) == 0 || len(j.ready) > len(j.progress) {
+func (r RunTimeRatios) ExpectedReadyTaskRunTimeS(j *Job) float64 {
+	fullS := r.ExpectedRunTimeS(j)
+	if len(j.checkpointedRunTimeS) == 0 || len(j.ready) == 0 || len(j.ready) > len(j.checkpointedRunTimeS) {
 		// No task is ready, or at least one ready task has no progress.
 		return fullS
 	}
 	leastProgressS := fullS
 	for _, index := range j.ready {
-		leastProgressS = min(leastProgressS, j.progress[index])
+		leastProgressS = min(leastProgressS, j.checkpointedRunTimeS[index])
 	}
 	return max(tuning.MinimumEstimateS, fullS-leastProgressS)
 }
@@ -51,7 +51,7 @@
 // nearest due time that it can still meet. Due times follow from the deadline on the job's
 // critical path and from the objectives. The second result is false if it can meet none.
 func (r RunTimeRatios) DeadlineSlack(now time.Time, j *Job, objectives []config.Objective) (float64, bool) {
-	remainingS := r.EstimateReadyTask(j)
+	remainingS := r.ExpectedReadyTaskRunTimeS(j)
 	slackS, found := 0.0, false
 	considerDueTime := func(since time.Time, withinS float64) {
 		if s := withinS - now.Sub(since).Seconds() - remainingS; s >= 0 && (!found || s < slackS) {
@@ -79,7 +79,7 @@
 // small jobs start first. The key of a job that can meet no deadline or objective
 // begins at tuning.NoDeadlineSlackS and falls while the job waits.
 func (r RunTimeRatios) Urgency(now time.Time, j *Job, objectives []config.Objective, cpus float64) float64 {
-	workS := float64(j.RemainingTasks()) * j.CPUs * r.Estimate(j) / max(cpus, 1)
+	workS := float64(j.RemainingTasks()) * j.CPUs * r.ExpectedRunTimeS(j) / max(cpus, 1)
 	if slack, ok := r.DeadlineSlack(now, j, objectives); ok {
 		return slack + tuning.SizeWeight*workS
 	}
--- a/internal/jobs/estimates_test.go
+++ b/internal/jobs/estimates_test.go
@@ -10,13 +10,13 @@
 
 func TestEstimatesFollowObservedRunTimes(t *testing.T) {
 	j, runTimes := newActiveJob("job-1", 1), jobs.RunTimeRatios{}
-	if got := runTimes.Estimate(j); got != j.EstimateS {
+	if got := runTimes.ExpectedRunTimeS(j); got != j.EstimateS {
 		t.Errorf("before any run: got %v, want the user's estimate", got)
 	}
 	for range 200 {
 		runTimes.Observe(j, 2*j.EstimateS)
 	}
-	if got := runTimes.Estimate(j); got < 1.99*j.EstimateS || got > 2*j.EstimateS {
+	if got := runTimes.ExpectedRunTimeS(j); got < 1.99*j.EstimateS || got > 2*j.EstimateS {
 		t.Errorf("after runs of twice the estimate: got %v, want about twice the estimate", got)
 	}
 }
@@ -26,7 +26,7 @@
 	j.RebuildReadyTasks()
 	j.PopReadyTask(testStart)
 	j.RecordProgress(1, 20, true) // with a checkpoint of all 20 s
-	if got := runTimes.EstimateReadyTask(j); got != j.EstimateS-20 {
+	if got := runTimes.ExpectedReadyTaskRunTimeS(j); got != j.EstimateS-20 {
 		t.Errorf("got %v, want 20 seconds less than the estimate", got)
 	}
 }
--- a/internal/jobs/failures.go
+++ b/internal/jobs/failures.go
@@ -58,8 +58,8 @@
 // Callers must not modify the map, which is the job's own.
 func (h *failureHistory) FailedOn() map[string]bool { return h.failedOn }
 
-// FailsEverywhere reports whether the job itself, rather than a machine, is taken to be at fault:
+// IsFaulty reports whether the job itself, rather than a machine, is taken to be at fault:
 // no task is done, and tasks have failed on at least tuning.FailsEverywhereMachines machines.
-func (j *Job) FailsEverywhere() bool {
+func (j *Job) IsFaulty() bool {
 	return len(j.failedOn) >= tuning.FaultyJobMachines && j.CompletedTasks() == 0
 }
--- a/internal/jobs/registry_test.go
+++ b/internal/jobs/registry_test.go
@@ -59,7 +59,7 @@
 }
 
 func TestPendingCompletionsAreDueAfterTheFlushDelay(t *testing.T) {
-	pending := jobs.PendingCompletions{}
+	pending := jobs.UnqueuedCompletions{}
 	b, a, c := newActiveJob("b", 2), newActiveJob("a", 2), newActiveJob("c", 2)
 	for _, j := range []*jobs.Job{b, a, c} {
 		pending.Add(testStart, j)
--- a/internal/jobs/tasks.go
+++ b/internal/jobs/tasks.go
@@ -19,9 +19,9 @@
 	allocations        map[int32]int8 // number of machines that may have each task
 	allocationsByZone  map[string]int // the same machines, counted by zone
 	runningAttempts    int
-	// progress is the checkpointed run time, in seconds, of tasks that have to run again. It
+	// checkpointedRunTimeS is the checkpointed run time, in seconds, of tasks that have to run again. It
 	// includes only attempts that ended in this term.
-	progress map[int32]float64
+	checkpointedRunTimeS map[int32]float64
 	// waitingForPlacementSince is when a task of the job was last placed, or if none was, when the
 	// job could first be placed.
 	waitingForPlacementSince time.Time
@@ -171,12 +171,12 @@
 // RemoveRunningAttempt decrements the number of running attempts.
 func (t *taskSet) RemoveRunningAttempt() { t.runningAttempts-- }
 
-// Progress returns the checkpointed run time of a task in seconds. Its next attempt needs that much
+// CheckpointedRunTimeS returns the checkpointed run time of a task in seconds. Its next attempt needs that much
 // less time.
-func (t *taskSet) Progress(index int32) float64 { return t.progress[index] }
+func (t *taskSet) CheckpointedRunTimeS(index int32) float64 { return t.checkpointedRunTimeS[index] }
 
 // TasksWithProgress returns the number of tasks with checkpointed progress.
-func (t *taskSet) TasksWithProgress() int { return len(t.progress) }
+func (t *taskSet) TasksWithProgress() int { return len(t.checkpointedRunTimeS) }
 
 // RecordProgress adds the progress of an attempt that ended after running for ranS seconds. If the
 // attempt saved a checkpoint when it was stopped, all of that time counts, otherwise the time
@@ -189,9 +189,9 @@
 		ranS = math.Floor(ranS/j.CheckpointIntervalS) * j.CheckpointIntervalS
 	}
 	if ranS > 0 {
-		if j.progress == nil {
-			j.progress = map[int32]float64{}
+		if j.checkpointedRunTimeS == nil {
+			j.checkpointedRunTimeS = map[int32]float64{}
 		}
-		j.progress[index] += ranS
+		j.checkpointedRunTimeS[index] += ranS
 	}
 }
--- a/internal/jobs/tasks_test.go
+++ b/internal/jobs/tasks_test.go
@@ -94,7 +94,7 @@
 	} {
 		j := newActiveJob("job-1", 2)
 		j.RecordProgress(1, c.ranS, c.checkpointSaved)
-		if got := j.Progress(1); got != c.want {
+		if got := j.CheckpointedRunTimeS(1); got != c.want {
 			t.Errorf("%s: progress %v s, want that of the case", name, got)
 		}
 		if got, want := j.TasksWithProgress() == 1, c.want > 0; got != want {
@@ -126,16 +126,16 @@
 func TestJobFailsEverywhereUntilATaskIsDone(t *testing.T) {
 	j := newActiveJob("job-1", 2)
 	for i := range tuning.FaultyJobMachines {
-		if j.FailsEverywhere() {
+		if j.IsFaulty() {
 			t.Fatalf("FailsEverywhere is true after failures on %d machines, want false", i)
 		}
 		j.RecordFailureOn(string(rune('a' + i)))
 	}
-	if !j.FailsEverywhere() {
+	if !j.IsFaulty() {
 		t.Error("FailsEverywhere is false after failures on FailsEverywhereMachines machines")
 	}
 	j.MarkCompleted(0)
-	if j.FailsEverywhere() {
+	if j.IsFaulty() {
 		t.Error("FailsEverywhere is true although a task is done")
 	}
 }
--- a/internal/leader/completion.go
+++ b/internal/leader/completion.go
@@ -74,7 +74,7 @@
 		Float64("deadline_s", *j.DeadlineS).Float64("done_s", now.Sub(j.SubmittedAt()).Seconds()).
 		Float64("first_start_s", firstStart.Sub(j.SubmittedAt()).Seconds()).
 		Float64("last_start_s", lastStart.Sub(j.SubmittedAt()).Seconds()).
-		Float64("estimate_s", j.EstimateS).Float64("corrected_estimate_s", l.runTimes.Estimate(j)).
+		Float64("estimate_s", j.EstimateS).Float64("corrected_estimate_s", l.runTimes.ExpectedRunTimeS(j)).
 		Int("interrupted", j.TasksWithProgress()).Int("failures", j.Failures()).Msg("deadline missed")
 }
 
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -56,7 +56,7 @@
 	case !j.IsBlocked():
 		l.jobs.MarkRunnable(j)
 		j.RebuildReadyTasks()
-		l.scaler.History.AddArrival(now, j.WaitingSince(), float64(j.Tasks)*j.CPUs*l.runTimes.Estimate(j))
+		l.scaler.History.AddArrival(now, j.WaitingSince(), float64(j.Tasks)*j.CPUs*l.runTimes.ExpectedRunTimeS(j))
 		l.schedulingPassRequested = true
 	}
 }
@@ -69,7 +69,7 @@
 	for _, t := range l.catalogue.OfferedTypes() {
 		fetchGBPerS = max(fetchGBPerS, t.FetchGBPerS)
 	}
-	durationS := l.runTimes.Estimate(j)
+	durationS := l.runTimes.ExpectedRunTimeS(j)
 	if fetchGBPerS > 0 {
 		durationS += placement.FetchTimeS(j.ImageGB, fetchGBPerS)
 	}
--- a/internal/leader/direct_calls.go
+++ b/internal/leader/direct_calls.go
@@ -77,14 +77,14 @@
 	}
 	schedulable := m.IsSchedulable(now, &l.timing)
 	for _, a := range m.Attempts() {
-		if a.MarkDirectStopIfNeeded() {
+		if a.TryMarkDirectStopSent() {
 			call.Request.Commands = append(call.Request.Commands, a.StopCommand())
 			continue
 		}
-		if !schedulable || !a.NeedsStart() || a.StartSentDirectly() || a.StartSentInResponse() || len(call.startedAttempts) >= tuning.MaxCommandsPerResponse {
+		if !schedulable || !a.NeedsStart() || a.DirectStartMayArrive() || a.ResponseStartMayTakeEffect() || len(call.startedAttempts) >= tuning.MaxCommandsPerResponse {
 			continue
 		}
-		a.MarkStartSentDirectly()
+		a.MarkDirectStartSent()
 		call.startedAttempts = append(call.startedAttempts, a)
 		call.Request.Commands = append(call.Request.Commands, a.StartCommand())
 	}
@@ -115,7 +115,7 @@
 func (l *Leader) FinishDirectCall(now time.Time, call *DirectCall, outcome DirectCallOutcome, h *wire.Heartbeat) {
 	if outcome != DirectCallUncertain {
 		for _, a := range call.startedAttempts {
-			a.ClearStartSentDirectly()
+			a.RuleOutDirectStart()
 		}
 	}
 	l.directCalls.inFlight--
--- a/internal/leader/drains.go
+++ b/internal/leader/drains.go
@@ -16,7 +16,7 @@
 		Zones:       l.params.Zones,
 		MaxMachines: l.operatorSettings.MaxMachines,
 		ValueLimit:  l.valueLimit(),
-		LeaseExpiry: l.timing.LeaseExpiry,
+		LeaseExpiry: l.timing.LeaseCertainlyExpiredAfter,
 		LeaseS:      l.params.Workers.LeaseS,
 	}
 	return drainer.New(l.log, c, drainer.Cluster{
--- a/internal/leader/estimates.go
+++ b/internal/leader/estimates.go
@@ -10,11 +10,11 @@
 
 // remainingS returns the estimated remaining run time of an attempt in seconds, at least 0.
 func (l *Leader) remainingS(now time.Time, a *machines.Attempt) float64 {
-	ranS := a.Job.Progress(a.Index)
+	ranS := a.Job.CheckpointedRunTimeS(a.Index)
 	if a.HasRun() {
 		ranS += a.RunTime(now).Seconds()
 	}
-	return max(0, l.runTimes.Estimate(a.Job)-ranS)
+	return max(0, l.runTimes.ExpectedRunTimeS(a.Job)-ranS)
 }
 
 // startWithinS returns the time in seconds within which a job's tasks should start: the operators'
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -14,8 +14,8 @@
 // recordTaskFailure records that a task of the job has failed on the machine.
 func (l *Leader) recordTaskFailure(j *jobs.Job, m *machines.Machine) {
 	j.RecordFailureOn(m.ID)
-	m.AvoidJob(j.ID)
-	if !j.FailsEverywhere() {
+	m.ExcludeJob(j.ID)
+	if !j.IsFaulty() {
 		l.countFailedJob(m, j)
 		return
 	}
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -87,7 +87,7 @@
 func (l *Leader) mayReceiveLateStart(now time.Time, m *machines.Machine) bool {
 	limit := lateStartLimit(l.params.Workers)
 	return slices.ContainsFunc(m.Attempts(), func(a *machines.Attempt) bool {
-		return a.MayStartLate() && !a.Job.IsActive() && now.Sub(a.Job.EndedAt()) > limit
+		return a.MayBeginByLateStart() && !a.Job.IsActive() && now.Sub(a.Job.EndedAt()) > limit
 	})
 }
 
@@ -95,7 +95,7 @@
 // cloud is about to reclaim. It does so when the remaining time is only just enough to save the
 // checkpoint.
 func (l *Leader) checkpointBeforeReclaim(now time.Time, m *machines.Machine) {
-	remaining, reclaimed := m.ReclaimIn(now)
+	remaining, reclaimed := m.TimeUntilReclaim(now)
 	if !reclaimed {
 		return
 	}
--- a/internal/leader/heartbeat_commands.go
+++ b/internal/leader/heartbeat_commands.go
@@ -32,10 +32,10 @@
 // starts in a direct call that is in flight. sequence is the sequence number of the heartbeat.
 func appendStarts(commands []wire.Command, m *machines.Machine, sequence uint64) []wire.Command {
 	for _, a := range m.Attempts() {
-		if !a.NeedsStart() || a.StartSentDirectly() && m.IsBeingCalled() || len(commands) >= tuning.MaxCommandsPerResponse {
+		if !a.NeedsStart() || a.DirectStartMayArrive() && m.IsBeingCalled() || len(commands) >= tuning.MaxCommandsPerResponse {
 			continue
 		}
-		a.MarkStartSentInResponse(sequence)
+		a.MarkResponseStartSent(sequence)
 		commands = append(commands, a.StartCommand())
 	}
 	return commands
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -40,7 +40,7 @@
 	jobs               *jobs.Registry
 	graph              *jobs.DependencyGraph
 	admission          *admissionControl
-	pendingCompletions jobs.PendingCompletions
+	pendingCompletions jobs.UnqueuedCompletions
 	runTimes           jobs.RunTimeRatios // correct the estimates of jobs
 	startDelay         jobs.StartDelay    // usual time between the placement of a task and its start
 
@@ -51,7 +51,7 @@
 	directCalls    directCalls
 	machineLists   machineLists
 	taskListNumber uint64 // number of task lists applied so far, which numbers the newest one
-	reachability   *machines.Reachability
+	reachability   *machines.PartitionDetector
 
 	// Decisions.
 	passTimes               passTimes
@@ -80,14 +80,14 @@
 		term:               term,
 		jobs:               jobs.NewRegistry(),
 		admission:          newAdmissionControl(&params, &operator, term, now),
-		pendingCompletions: jobs.PendingCompletions{},
+		pendingCompletions: jobs.UnqueuedCompletions{},
 		ledger:             allocation.NewLedger(params.Teams),
 		runTimes:           jobs.RunTimeRatios{},
 		machines:           machines.NewRegistry(),
 		catalogue:          machines.NewCatalogue(),
 		timing:             newTiming(params.Workers, now, grace),
 		loading:            loadState{pieces: records.JobPieces{}, attempts: map[taskKey]*machines.Attempt{}},
-		reachability:       machines.NewReachability(),
+		reachability:       machines.NewPartitionDetector(),
 	}
 	l.graph = jobs.NewDependencyGraph(l.jobs, l.chainedJobDuration)
 	l.writes = records.NewWriteQueues(log, l.valueLimit())
--- a/internal/leader/leases.go
+++ b/internal/leader/leases.go
@@ -28,7 +28,7 @@
 // tuning.FencingDelay.
 func (l *Leader) releaseAttemptsAfterExpiry(now time.Time, m *machines.Machine) {
 	for i := len(m.Attempts()) - 1; i >= 0; i-- {
-		if a := m.Attempts()[i]; !a.MayStartLate() {
+		if a := m.Attempts()[i]; !a.MayBeginByLateStart() {
 			l.releaseAttempt(now, a)
 		}
 	}
--- a/internal/leader/machine_list.go
+++ b/internal/leader/machine_list.go
@@ -55,7 +55,7 @@
 	var nonexistent []string
 	longestLag := l.longestListLag()
 	for _, m := range l.machines.All() {
-		if !listed[m.ID] && m.CountMissingFromCloudList(requestedAt, longestLag) {
+		if !listed[m.ID] && m.DetectDeletion(requestedAt, longestLag) {
 			nonexistent = append(nonexistent, m.ID)
 		}
 	}
--- a/internal/leader/ready_jobs.go
+++ b/internal/leader/ready_jobs.go
@@ -17,7 +17,7 @@
 	entries := ready
 	for _, r := range ready {
 		j := byID[r.JobID]
-		if j.PlacementWait(now) < tuning.AgingThreshold || j.FailsEverywhere() {
+		if j.PlacementWait(now) < tuning.AgingThreshold || j.IsFaulty() {
 			continue
 		}
 		aged := *r
@@ -49,7 +49,7 @@
 		r := j.PlacementConstraints()
 		r.JobID, r.Team, r.PriorityRank, r.WithinGuarantee = j.ID, j.Team, j.PriorityRank(), guaranteed[j]
 		r.Urgency, r.ReadyTasks = l.runTimes.Urgency(now, j, l.params.Objectives, totalCPUs), j.ReadyTasks()
-		r.EstimatedRunTimeS, r.Image, r.ImageGB = l.runTimes.Estimate(j), j.Image, j.ImageGB
+		r.EstimatedRunTimeS, r.Image, r.ImageGB = l.runTimes.ExpectedRunTimeS(j), j.Image, j.ImageGB
 		if j.Failures() > 0 {
 			// A job whose tasks fail starts one task at a time.
 			r.ReadyTasks = 1
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -64,7 +64,7 @@
 		if a.State() == machines.StartSent {
 			m.RecordStartExecuted()
 		}
-		if a.StartSentDirectly() {
+		if a.DirectStartMayArrive() {
 			// The start may still arrive. An agent that had forgotten the attempt would run it again.
 			m.RetainExit(machines.ExitKey{Task: t.Task, Attempt: t.Attempt})
 		}
@@ -118,7 +118,7 @@
 // its starts.
 func (l *Leader) recordIgnoredStarts(now time.Time, m *machines.Machine) {
 	if slices.ContainsFunc(m.Attempts(), func(a *machines.Attempt) bool {
-		return !a.IsInTaskList(l.taskListNumber) && a.State() == machines.StartSent && a.StartSentInResponse()
+		return !a.IsInTaskList(l.taskListNumber) && a.State() == machines.StartSent && a.ResponseStartMayTakeEffect()
 	}) {
 		m.RecordIneffectiveResponse(now)
 	}
@@ -134,12 +134,12 @@
 			// The task is on the machine, or its start must not be sent yet.
 		case a.State() != machines.StartSent:
 			l.releaseAttempt(now, a)
-		case a.StartSentDirectly():
+		case a.DirectStartMayArrive():
 			l.requireFencingRelease(now, a)
-		case periodic || !a.StartSentInResponse():
+		case periodic || !a.ResponseStartMayTakeEffect():
 			// The start was not sent, or only in a response that the agent no longer waits for. So
 			// it has not been executed and never will be.
-			a.MarkStartResponseIneffective()
+			a.MarkResponseStartIneffective()
 			if !a.ShouldRun() || !l.isSchedulable(now, m) {
 				l.releaseAttempt(now, a)
 			}
@@ -169,7 +169,7 @@
 	switch t.ExitReason {
 	case wire.ExitDone:
 		if a.State() == machines.Running && a.HasRun() {
-			l.runTimes.Observe(j, a.RunTime(now).Seconds()+j.Progress(a.Index))
+			l.runTimes.Observe(j, a.RunTime(now).Seconds()+j.CheckpointedRunTimeS(a.Index))
 		}
 		l.recordTaskSuccess(j, m)
 		m.RecordImage(now, j.Image)
--- a/internal/leader/timing.go
+++ b/internal/leader/timing.go
@@ -30,7 +30,7 @@
 	return machines.Timing{
 		HeartbeatTimeout: seconds.Duration(w.HeartbeatIntervalS * tuning.HeartbeatTimeoutIntervals),
 		LeaseDuration:    seconds.Duration(w.LeaseS),
-		LeaseExpiry:      leaseExpiry,
+		LeaseCertainlyExpiredAfter:      leaseExpiry,
 		TermStart:        now,
 		// The predecessor lost its authority before now, and responds to heartbeats for at most the
 		// grace period after that. A lease that it renews counts from the time at which the agent
--- a/internal/machines/attempt_commands.go
+++ b/internal/machines/attempt_commands.go
@@ -11,29 +11,29 @@
 	return wire.Command{Op: wire.OpStart, Task: a.TaskName(), Attempt: a.number}
 }
 
-// MarkStartSentInResponse records that the start was sent in the response to the given heartbeat.
-func (d *startDelivery) MarkStartSentInResponse(sequence uint64) { d.responseSequence = sequence }
+// MarkResponseStartSent records that the start was sent in the response to the given heartbeat.
+func (d *startDelivery) MarkResponseStartSent(sequence uint64) { d.responseSequence = sequence }
 
-// StartSentInResponse reports whether the start was sent in a response that may still have an
+// ResponseStartMayTakeEffect reports whether the start was sent in a response that may still have an
 // effect.
-func (d *startDelivery) StartSentInResponse() bool { return d.responseSequence != 0 }
+func (d *startDelivery) ResponseStartMayTakeEffect() bool { return d.responseSequence != 0 }
 
-// MarkStartResponseIneffective records that the start sent in a response had no effect and never
+// MarkResponseStartIneffective records that the start sent in a response had no effect and never
 // will.
-func (d *startDelivery) MarkStartResponseIneffective() { d.responseSequence = 0 }
+func (d *startDelivery) MarkResponseStartIneffective() { d.responseSequence = 0 }
 
-// MarkStartSentDirectly records that the start was sent by a direct call.
-func (d *startDelivery) MarkStartSentDirectly() { d.sentDirectly = true }
+// MarkDirectStartSent records that the start was sent by a direct call.
+func (d *startDelivery) MarkDirectStartSent() { d.sentDirectly = true }
 
-// ClearStartSentDirectly records that a start sent by a direct call can no longer arrive late.
-func (d *startDelivery) ClearStartSentDirectly() { d.sentDirectly = false }
+// RuleOutDirectStart records that a start sent by a direct call can no longer arrive late.
+func (d *startDelivery) RuleOutDirectStart() { d.sentDirectly = false }
 
-// StartSentDirectly reports whether a start sent by a direct call may still arrive late.
-func (d *startDelivery) StartSentDirectly() bool { return d.sentDirectly }
+// DirectStartMayArrive reports whether a start sent by a direct call may still arrive late.
+func (d *startDelivery) DirectStartMayArrive() bool { return d.sentDirectly }
 
-// MayStartLate reports whether a start sent by a direct call may still arrive, and the machine
+// MayBeginByLateStart reports whether a start sent by a direct call may still arrive, and the machine
 // has not reported the attempt yet.
-func (a *Attempt) MayStartLate() bool { return a.state == StartSent && a.sentDirectly }
+func (a *Attempt) MayBeginByLateStart() bool { return a.state == StartSent && a.sentDirectly }
 
 // RequestStop requests that the attempt is stopped without a grace period.
 func (a *Attempt) RequestStop() { a.stopping, a.gracePeriodS = true, 0 }
@@ -76,10 +76,10 @@
 	return a.stopping && a.IsNeeded() && a.state.IsReported() && !isSaving
 }
 
-// MarkDirectStopIfNeeded reports whether the stop has to be sent by a direct call. If so, it marks the
+// TryMarkDirectStopSent reports whether the stop has to be sent by a direct call. If so, it marks the
 // stop as sent, so that only one direct call contains it. A stop that arrives late does no harm:
 // it names the attempt by its number, which is never reused.
-func (a *Attempt) MarkDirectStopIfNeeded() bool {
+func (a *Attempt) TryMarkDirectStopSent() bool {
 	needed := a.stopping && a.state.IsReported() && !a.directStopSent
 	a.directStopSent = a.directStopSent || needed
 	return needed
--- a/internal/machines/attempt_test.go
+++ b/internal/machines/attempt_test.go
@@ -110,7 +110,7 @@
 		if a.NeedsStop() != c.needed || a.GracePeriodS() != c.graceS || a.ShouldRun() == a.IsStopping() {
 			t.Errorf("%s: got stop needed %v, grace period %v s, want the values of the case", name, a.NeedsStop(), a.GracePeriodS())
 		}
-		if first, second := a.MarkDirectStopIfNeeded(), a.MarkDirectStopIfNeeded(); first != a.IsStopping() || second {
+		if first, second := a.TryMarkDirectStopSent(), a.TryMarkDirectStopSent(); first != a.IsStopping() || second {
 			t.Errorf("%s: direct stop claimed: %v, then %v; want it claimed once if a stop is requested", name, first, second)
 		}
 	}
@@ -132,7 +132,7 @@
 		a.ApplyReport(termStart, machines.Running)
 		a.MarkExited(c.saved, false)
 		a.RecordProgress(end)
-		if lost, saved := a.LostProgressS(end), a.Job.Progress(0); lost != c.lost || saved != c.saves {
+		if lost, saved := a.LostProgressS(end), a.Job.CheckpointedRunTimeS(0); lost != c.lost || saved != c.saves {
 			t.Errorf("%s: got %v s lost, %v s saved, want the values of the case", name, lost, saved)
 		}
 	}
--- a/internal/machines/capacity.go
+++ b/internal/machines/capacity.go
@@ -96,7 +96,7 @@
 func (m *Machine) ResetSnapshot() *placement.Machine {
 	s := m.snapshot
 	if s == nil {
-		s = &placement.Machine{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, AvoidedJobs: m.avoidedJobs, Images: map[string]float64{}}
+		s = &placement.Machine{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, ExcludedJobs: m.excludedJobs, Images: map[string]float64{}}
 		m.snapshot = s
 	}
 	m.snapshotOutdated = false
--- a/internal/machines/delivery.go
+++ b/internal/machines/delivery.go
@@ -42,9 +42,9 @@
 		}
 		m.sessionSince = now
 	}
-	if now.Sub(m.sessionSince) > t.LeaseExpiry {
+	if now.Sub(m.sessionSince) > t.LeaseCertainlyExpiredAfter {
 		m.responsesLostSince = time.Time{}
-		if now.Sub(m.lastIneffectiveAt) > t.LeaseExpiry {
+		if now.Sub(m.lastIneffectiveAt) > t.LeaseCertainlyExpiredAfter {
 			m.ineffectiveResponses = 0
 		}
 	}
--- a/internal/machines/delivery_test.go
+++ b/internal/machines/delivery_test.go
@@ -24,16 +24,16 @@
 	if c := a.StartCommand(); c.Op != wire.OpStart || c.Task != "job-1/1" || c.Attempt != 7 {
 		t.Errorf("command %+v, want the start of attempt 7 of job-1/1", c)
 	}
-	a.MarkStartSentDirectly()
-	if !a.StartSentDirectly() || !a.MayStartLate() || !a.NeedsStart() {
+	a.MarkDirectStartSent()
+	if !a.DirectStartMayArrive() || !a.MayBeginByLateStart() || !a.NeedsStart() {
 		t.Error("start counts as delivered, want one that may arrive late and is still needed")
 	}
 	m.AdvanceSession(m.Epoch(), m.Sequence()+1)
-	if !a.MayStartLate() {
+	if !a.MayBeginByLateStart() {
 		t.Error("MayStartLate is false in the same session, want true")
 	}
 	m.AdvanceSession(m.Epoch()+1, 1)
-	if a.MayStartLate() || a.StartSentDirectly() || !a.NeedsStart() {
+	if a.MayBeginByLateStart() || a.DirectStartMayArrive() || !a.NeedsStart() {
 		t.Error("in a new session: want a start that can't arrive late and is still needed")
 	}
 }
@@ -41,12 +41,12 @@
 func TestStartSentInResponse(t *testing.T) {
 	m := newReportingMachine(termStart)
 	a := newRecordedAttempt(m)
-	a.MarkStartSentInResponse(3)
-	if !a.StartSentInResponse() || a.MayStartLate() {
+	a.MarkResponseStartSent(3)
+	if !a.ResponseStartMayTakeEffect() || a.MayBeginByLateStart() {
 		t.Error("want a start that counts as sent in a response and can't arrive late")
 	}
-	a.MarkStartResponseIneffective()
-	if a.StartSentInResponse() || !a.NeedsStart() {
+	a.MarkResponseStartIneffective()
+	if a.ResponseStartMayTakeEffect() || !a.NeedsStart() {
 		t.Error("after a response without effect: want a start that has to be sent again")
 	}
 	a.MarkInTaskList(5, 8)
@@ -105,7 +105,7 @@
 		now = now.Add(3 * time.Second)
 		m.RecordStaleHeartbeat(now)
 	}
-	expired := termStart.Add(timing.LeaseExpiry + 1)
+	expired := termStart.Add(timing.LeaseCertainlyExpiredAfter + 1)
 	if m.ShouldBeReleased(expired.Add(-2), timing, 0) {
 		t.Error("should be released before its lease has expired, want only after that")
 	}
@@ -147,7 +147,7 @@
 
 func TestReclaimNotice(t *testing.T) {
 	m := newReportingMachine(termStart)
-	if _, reclaimed := m.ReclaimIn(termStart); reclaimed {
+	if _, reclaimed := m.TimeUntilReclaim(termStart); reclaimed {
 		t.Error("got a reclaim time without a notice, want none")
 	}
 	first, second := 30.0, 60.0
@@ -157,7 +157,7 @@
 			t.Errorf("notice of %v s counts as the first: %v, want this for 30 s only", *notice, reclaimed)
 		}
 	}
-	if left, reclaimed := m.ReclaimIn(termStart.Add(10 * time.Second)); left != 20*time.Second || !reclaimed {
+	if left, reclaimed := m.TimeUntilReclaim(termStart.Add(10 * time.Second)); left != 20*time.Second || !reclaimed {
 		t.Errorf("%v left until the reclaim, want 20s", left)
 	}
 }
--- a/internal/machines/failures.go
+++ b/internal/machines/failures.go
@@ -4,20 +4,20 @@
 
 // failures holds the jobs whose tasks have failed on a machine.
 type failures struct {
-	avoidedJobs       map[string]bool // IDs of all jobs with a failed task
+	excludedJobs       map[string]bool // IDs of all jobs with a failed task
 	countedFailedJobs map[string]bool // IDs of jobs whose failures count against the machine
 }
 
-// AvoidJob records that a task of the job has failed on the machine. No further tasks of the job
+// ExcludeJob records that a task of the job has failed on the machine. No further tasks of the job
 // are placed there.
-func (f *failures) AvoidJob(id string) { f.avoidedJobs[id] = true }
+func (f *failures) ExcludeJob(id string) { f.excludedJobs[id] = true }
 
-// AvoidsJob reports whether a task of the job has failed on the machine.
-func (f *failures) AvoidsJob(id string) bool { return f.avoidedJobs[id] }
+// ExcludesJob reports whether a task of the job has failed on the machine.
+func (f *failures) ExcludesJob(id string) bool { return f.excludedJobs[id] }
 
-// AvoidedJobs returns the IDs of the jobs with a failed task on the machine. The caller must not
+// ExcludedJobs returns the IDs of the jobs with a failed task on the machine. The caller must not
 // modify the map.
-func (f *failures) AvoidedJobs() map[string]bool { return f.avoidedJobs }
+func (f *failures) ExcludedJobs() map[string]bool { return f.excludedJobs }
 
 // CountFailedJob counts a failed job against the machine. It returns true if the machine is
 // quarantined as a result, which means that it is cordoned as faulty.
--- a/internal/machines/heartbeat.go
+++ b/internal/machines/heartbeat.go
@@ -74,8 +74,8 @@
 	return joined, reclaimed
 }
 
-// ReclaimIn returns the time until the cloud reclaims the machine, and false if it gave no notice.
-func (m *Machine) ReclaimIn(now time.Time) (time.Duration, bool) {
+// TimeUntilReclaim returns the time until the cloud reclaims the machine, and false if it gave no notice.
+func (m *Machine) TimeUntilReclaim(now time.Time) (time.Duration, bool) {
 	return m.reclaimAt.Sub(now), !m.reclaimAt.IsZero()
 }
 
@@ -91,7 +91,7 @@
 			m.releaseBy = time.Time{}
 		}
 		for _, a := range m.attempts {
-			a.ClearStartSentDirectly()
+			a.RuleOutDirectStart()
 		}
 	}
 	m.epoch, m.sequence = epoch, sequence
--- a/internal/machines/lease.go
+++ b/internal/machines/lease.go
@@ -15,9 +15,9 @@
 	// LeaseDuration is how long an agent keeps running its tasks without a response to its
 	// heartbeats.
 	LeaseDuration time.Duration
-	// LeaseExpiry is the time after a heartbeat at which the agent's lease has expired for
+	// LeaseCertainlyExpiredAfter is the time after a heartbeat at which the agent's lease has expired for
 	// certain: the duration of the lease plus margins for clock errors and delays.
-	LeaseExpiry time.Duration
+	LeaseCertainlyExpiredAfter time.Duration
 	// TermStart is when the leader's term began.
 	TermStart time.Time
 	// InheritedTasksEnd is the time at which all tasks of earlier leaders have ended on machines
@@ -44,7 +44,7 @@
 	if m.IsCordonedFor(CordonAgentReplaced) || !m.reconciled && now.Before(t.InheritedTasksEnd) {
 		return false
 	}
-	return m.leaseRenewedAt.IsZero() || now.Sub(m.leaseRenewedAt) > t.LeaseExpiry
+	return m.leaseRenewedAt.IsZero() || now.Sub(m.leaseRenewedAt) > t.LeaseCertainlyExpiredAfter
 }
 
 // LeaseExpiresAt returns the time at which the lease has expired for certain if no heartbeat
@@ -53,7 +53,7 @@
 	if !m.reconciled {
 		return t.InheritedTasksEnd
 	}
-	return m.leaseRenewedAt.Add(t.LeaseExpiry)
+	return m.leaseRenewedAt.Add(t.LeaseCertainlyExpiredAfter)
 }
 
 // ExpireSession marks the agent's current session as expired. Its messages are stale from now on.
@@ -87,7 +87,7 @@
 		return bootTimeS > 0 && now.Sub(m.provisionedAt).Seconds() > bootTimeS*tuning.BootTimeoutFactor
 	case m.HeartbeatOverdue(now, t) && m.missingFromCloudLists >= minMissingFromCloudLists:
 		return true
-	case !m.responsesLostSince.IsZero() && now.Sub(m.responsesLostSince) > t.LeaseExpiry*3/2:
+	case !m.responsesLostSince.IsZero() && now.Sub(m.responsesLostSince) > t.LeaseCertainlyExpiredAfter*3/2:
 		// No commands can reach the machine, and its tasks ended when its lease expired.
 		return true
 	case m.neverReconciled(now, t):
@@ -106,12 +106,12 @@
 	if newest.IsZero() {
 		newest = t.TermStart
 	}
-	return now.Sub(newest) > t.LeaseExpiry+tuning.UnreachableReleaseDelay
+	return now.Sub(newest) > t.LeaseCertainlyExpiredAfter+tuning.UnreachableReleaseDelay
 }
 
 // neverReconciled reports whether the machine has sent heartbeats in this term for longer than the
 // sum of the lease expiry and the release delay, but none of them with the term's token.
 func (m *Machine) neverReconciled(now time.Time, t *Timing) bool {
 	return !m.reconciled && !m.firstHeartbeatAt.IsZero() && now.After(t.InheritedTasksEnd) &&
-		now.Sub(m.firstHeartbeatAt) > t.LeaseExpiry+tuning.UnreachableReleaseDelay
+		now.Sub(m.firstHeartbeatAt) > t.LeaseCertainlyExpiredAfter+tuning.UnreachableReleaseDelay
 }
--- a/internal/machines/lifecycle.go
+++ b/internal/machines/lifecycle.go
@@ -84,11 +84,11 @@
 	}
 }
 
-// CountMissingFromCloudList counts a cloud list that lacks the machine. It returns true if the list
+// DetectDeletion counts a cloud list that lacks the machine. It returns true if the list
 // proves that the machine was deleted. Once listed, a machine stays listed as long as it exists,
 // and a list shows a state that is at most longestLag older than the request. So a list that was
 // requested more than longestLag after the first listing lacks the machine only if it was deleted.
-func (l *lifecycle) CountMissingFromCloudList(requestedAt time.Time, longestLag time.Duration) (deleted bool) {
+func (l *lifecycle) DetectDeletion(requestedAt time.Time, longestLag time.Duration) (deleted bool) {
 	if !l.WasListedByCloud() && !l.inStartRecord {
 		return false
 	}
--- a/internal/machines/machine.go
+++ b/internal/machines/machine.go
@@ -40,7 +40,7 @@
 		Spot:          spot,
 		lifecycle:     lifecycle{provisionedAt: provisionedAt, idleSince: provisionedAt},
 		capacity:      capacity{snapshotOutdated: true},
-		failures:      failures{avoidedJobs: map[string]bool{}, countedFailedJobs: map[string]bool{}},
+		failures:      failures{excludedJobs: map[string]bool{}, countedFailedJobs: map[string]bool{}},
 		retainedExits: map[ExitKey]bool{},
 		imageSeenAt:   map[string]time.Time{},
 	}
--- a/internal/machines/machine_test.go
+++ b/internal/machines/machine_test.go
@@ -15,7 +15,7 @@
 var timing = &machines.Timing{
 	HeartbeatTimeout:  9 * time.Second,
 	LeaseDuration:     15 * time.Second,
-	LeaseExpiry:       20 * time.Second,
+	LeaseCertainlyExpiredAfter:       20 * time.Second,
 	TermStart:         termStart,
 	InheritedTasksEnd: termStart.Add(30 * time.Second),
 }
@@ -91,7 +91,7 @@
 	m := newReportingMachine(termStart)
 	for i := range tuning.FaultyMachineJobs {
 		id := fmt.Sprintf("job-%d", i)
-		m.AvoidJob(id)
+		m.ExcludeJob(id)
 		if quarantined := m.CountFailedJob(id); quarantined != (i == tuning.FaultyMachineJobs-1) {
 			t.Errorf("after %d failed jobs: quarantined: %v, want the opposite", i+1, quarantined)
 		}
@@ -102,7 +102,7 @@
 	}
 	m.UncountFailedJob("another")
 	m.UncountFailedJob("job-0")
-	if m.IsCordonedFor(machines.CordonFaulty) || !m.AvoidsJob("job-0") {
+	if m.IsCordonedFor(machines.CordonFaulty) || !m.ExcludesJob("job-0") {
 		t.Error("want a machine that isn't quarantined any more, but still avoids the job")
 	}
 	m.RecordTaskSuccess()
@@ -119,10 +119,10 @@
 		after   time.Duration
 		want    bool
 	}{
-		"renewed":                     {machine: newReportingMachine(termStart), after: timing.LeaseExpiry},
-		"expired":                     {machine: newReportingMachine(termStart), after: timing.LeaseExpiry + 1, want: true},
+		"renewed":                     {machine: newReportingMachine(termStart), after: timing.LeaseCertainlyExpiredAfter},
+		"expired":                     {machine: newReportingMachine(termStart), after: timing.LeaseCertainlyExpiredAfter + 1, want: true},
 		"agent replaced":              {machine: replaced, after: time.Hour},
-		"inherited, tasks may run":    {machine: newInheritedMachine(termStart), after: timing.LeaseExpiry + 1},
+		"inherited, tasks may run":    {machine: newInheritedMachine(termStart), after: timing.LeaseCertainlyExpiredAfter + 1},
 		"inherited, tasks have ended": {machine: newInheritedMachine(termStart), after: 30 * time.Second, want: true},
 	} {
 		if got := c.machine.HasLeaseExpired(termStart.Add(c.after), timing); got != c.want {
@@ -174,7 +174,7 @@
 	if !sendHeartbeats(2, 3*time.Second) || !m.IsCordonedFor(machines.CordonUnresponsive) || m.CanBeCalled(now, timing) {
 		t.Error("want lost responses after a new session without a heartbeat gap, and no direct calls")
 	}
-	if sendHeartbeats(2, timing.LeaseExpiry+3*time.Second) || m.IsCordonedFor(machines.CordonUnresponsive) || !m.CanBeCalled(now, timing) {
+	if sendHeartbeats(2, timing.LeaseCertainlyExpiredAfter+3*time.Second) || m.IsCordonedFor(machines.CordonUnresponsive) || !m.CanBeCalled(now, timing) {
 		t.Error("want no lost responses in a session that is longer than the lease, and direct calls again")
 	}
 	now = now.Add(time.Minute) // heartbeat gap
@@ -187,8 +187,8 @@
 	const bootTimeS = 10
 	listOnceThenMissTwice := func(m *machines.Machine) {
 		m.ApplyCloudListing(termStart, termStart, &wire.ListedMachine{})
-		m.CountMissingFromCloudList(termStart, time.Minute)
-		m.CountMissingFromCloudList(termStart, time.Minute)
+		m.DetectDeletion(termStart, time.Minute)
+		m.DetectDeletion(termStart, time.Minute)
 	}
 	for name, c := range map[string]struct {
 		change func(*machines.Machine)
@@ -205,7 +205,7 @@
 		"empty and drained":       {change: func(m *machines.Machine) { m.Cordon(machines.CordonDrained) }, want: true},
 		"not listed, reachable":   {change: listOnceThenMissTwice},
 		"not listed, unreachable": {change: listOnceThenMissTwice, after: 10 * time.Second, want: true},
-		"unreachable for long":    {change: func(*machines.Machine) {}, after: timing.LeaseExpiry + tuning.UnreachableReleaseDelay + 1, want: true},
+		"unreachable for long":    {change: func(*machines.Machine) {}, after: timing.LeaseCertainlyExpiredAfter + tuning.UnreachableReleaseDelay + 1, want: true},
 	} {
 		m := newReportingMachine(termStart)
 		c.change(m)
@@ -221,17 +221,17 @@
 func TestCountMissingFromList(t *testing.T) {
 	const lag = 8 * time.Second
 	m := newMachine()
-	if m.CountMissingFromCloudList(termStart.Add(time.Hour), lag) {
+	if m.DetectDeletion(termStart.Add(time.Hour), lag) {
 		t.Error("machine counts as deleted although it was never listed")
 	}
 	m.ApplyCloudListing(termStart, termStart, &wire.ListedMachine{AgeS: 60, Addr: "other:9"})
 	if !m.WasListedByCloud() || !m.ProvisionedAt().Equal(termStart.Add(-time.Minute)) || m.Addr != "m1:9" {
 		t.Errorf("listed: %v, provisioned at %v, address %s, want true, one minute before the term, m1:9", m.WasListedByCloud(), m.ProvisionedAt(), m.Addr)
 	}
-	if m.CountMissingFromCloudList(termStart.Add(lag), lag) {
+	if m.DetectDeletion(termStart.Add(lag), lag) {
 		t.Error("machine counts as deleted although the list may show a state before its first listing")
 	}
-	if !m.CountMissingFromCloudList(termStart.Add(lag+1), lag) {
+	if !m.DetectDeletion(termStart.Add(lag+1), lag) {
 		t.Error("machine doesn't count as deleted although the list shows a state after its first listing")
 	}
 }
--- a/internal/machines/reachability.go
+++ b/internal/machines/reachability.go
@@ -6,9 +6,9 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Reachability tracks which zones are probably partitioned from this node. It concludes that from
+// PartitionDetector tracks which zones are probably partitioned from this node. It concludes that from
 // the machines whose heartbeats are missing.
-type Reachability struct {
+type PartitionDetector struct {
 	// partitionedZones contains the zones that are probably partitioned, with the time until which
 	// they count as partitioned.
 	partitionedZones map[string]time.Time
@@ -16,19 +16,19 @@
 	isolated bool
 }
 
-// NewReachability returns a Reachability without partitions.
-func NewReachability() *Reachability {
-	return &Reachability{partitionedZones: map[string]time.Time{}}
+// NewPartitionDetector returns a Reachability without partitions.
+func NewPartitionDetector() *PartitionDetector {
+	return &PartitionDetector{partitionedZones: map[string]time.Time{}}
 }
 
 // IsPartitioned reports whether the zone is probably partitioned. Heartbeats of machines that are
 // provisioned there would not arrive.
-func (r *Reachability) IsPartitioned(now time.Time, zone string) bool {
+func (r *PartitionDetector) IsPartitioned(now time.Time, zone string) bool {
 	return now.Before(r.partitionedZones[zone])
 }
 
 // AnyPartitioned reports whether any zone is probably partitioned.
-func (r *Reachability) AnyPartitioned(now time.Time) bool {
+func (r *PartitionDetector) AnyPartitioned(now time.Time) bool {
 	for zone := range r.partitionedZones {
 		if r.IsPartitioned(now, zone) {
 			return true
@@ -40,13 +40,13 @@
 // IsIsolated reports whether too few machines outside the partitioned zones are reachable. This
 // node has then probably lost contact with them, or has not yet applied their heartbeats after a
 // failover.
-func (r *Reachability) IsIsolated() bool { return r.isolated }
+func (r *PartitionDetector) IsIsolated() bool { return r.isolated }
 
 // Update determines the partitioned zones and whether this node is isolated. list contains all
 // provisioned machines. A zone counts as partitioned if most of its machines are unreachable and
 // most machines in other zones are reachable. This node counts as isolated if a smaller share than
 // tuning.ReachableShare of the machines outside the partitioned zones is reachable.
-func (r *Reachability) Update(now time.Time, list []*Machine, t *Timing) {
+func (r *PartitionDetector) Update(now time.Time, list []*Machine, t *Timing) {
 	zones := map[string]*reachabilityCount{}
 	all := &reachabilityCount{}
 	for _, m := range list {
@@ -65,7 +65,7 @@
 		switch {
 		case z.isPartitioned(all):
 			// After the lease expiry, the zone's unreachable machines may have been released.
-			r.partitionedZones[zone] = now.Add(t.LeaseExpiry)
+			r.partitionedZones[zone] = now.Add(t.LeaseCertainlyExpiredAfter)
 			outsidePartitions.joined -= z.joined
 			outsidePartitions.unreachable -= z.unreachable
 		case z.joined > z.unreachable:
--- a/internal/machines/reachability_test.go
+++ b/internal/machines/reachability_test.go
@@ -33,7 +33,7 @@
 		"one zone unreachable": {heartbeatA: late, heartbeatB: now, partitioned: true},
 		"all unreachable":      {heartbeatA: late, heartbeatB: late, isolated: true},
 	} {
-		r := machines.NewReachability()
+		r := machines.NewPartitionDetector()
 		r.Update(now, newMachinesInTwoZones(10, c.heartbeatA, c.heartbeatB), timing)
 		if r.IsPartitioned(now, "a") != c.partitioned || r.AnyPartitioned(now) != c.partitioned || r.IsPartitioned(now, "b") || r.IsIsolated() != c.isolated {
 			t.Errorf("%s: got zone a partitioned %v, isolated %v, want the values of the case, and zone b not partitioned", name, r.IsPartitioned(now, "a"), r.IsIsolated())
@@ -43,9 +43,9 @@
 			t.Errorf("%s: still partitioned or isolated after all machines have reported", name)
 		}
 	}
-	r := machines.NewReachability()
+	r := machines.NewPartitionDetector()
 	r.Update(now, newMachinesInTwoZones(10, late, now), timing)
-	if after := now.Add(timing.LeaseExpiry); r.AnyPartitioned(after) {
+	if after := now.Add(timing.LeaseCertainlyExpiredAfter); r.AnyPartitioned(after) {
 		t.Error("zone still partitioned although its machines may have been released")
 	}
 }
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -33,8 +33,8 @@
 	// Images maps each image to the time at which its fetch ends, or to zero if it is
 	// cached.
 	Images map[string]float64
-	// AvoidedJobs holds the IDs of jobs whose tasks failed on the machine.
-	AvoidedJobs map[string]bool
+	// ExcludedJobs holds the IDs of jobs whose tasks failed on the machine.
+	ExcludedJobs map[string]bool
 	// HasReservation: the machine is reserved for jobs of ReservedRank or a higher
 	// priority.
 	HasReservation bool
--- a/internal/preemption/pass.go
+++ b/internal/preemption/pass.go
@@ -198,7 +198,7 @@
 	leastCost := math.Inf(1)
 	for _, m := range p.Machines.All() {
 		free, ok := p.expectedFree[m]
-		if !ok || m.AvoidsJob(pending.JobID) || !pending.CanRunOn(m.PlacementView()) {
+		if !ok || m.ExcludesJob(pending.JobID) || !pending.CanRunOn(m.PlacementView()) {
 			continue
 		}
 		if free.Fits(pending.Request) {
