--- a/internal/jobs/estimates_test.go
+++ b/internal/jobs/estimates_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestEstimateReadyTaskSubtractsProgress(t *testing.T) {
+func TestExpectedReadyTaskRunTimeSubtractsProgress(t *testing.T) {
 	j, runTimes := newActiveJob("job-1", 2), jobs.RunTimeRatios{}
 	j.RebuildReadyTasks()
 	j.PopReadyTask(testStart)
--- a/internal/jobs/tasks.go
+++ b/internal/jobs/tasks.go
@@ -50,16 +50,16 @@
 
 // MarkCompletionPending records that the completion of a task has to be written. valueLimit, the
 // maximum size of a stored value, determines the chunk that contains the task.
-func (t *taskSet) MarkCompletionPending(index int32, valueLimit int) {
-	t.pendingChunks[int(index)/records.CompletionChunkSize(valueLimit)] = true
+func (t *taskSet) MarkCompletionPending(index int32, maxStoredValueBytes int) {
+	t.pendingChunks[int(index)/records.CompletionChunkSize(maxStoredValueBytes)] = true
 }
 
 // PopPendingCompletions returns the records of all chunks with completions to be written. The
 // caller has to write them: the next call does not return them again.
-func (j *Job) PopPendingCompletions(valueLimit int) []records.Completions {
+func (j *Job) PopPendingCompletions(maxStoredValueBytes int) []records.Completions {
 	list := make([]records.Completions, 0, len(j.pendingChunks))
 	for _, chunk := range slices.Sorted(maps.Keys(j.pendingChunks)) {
-		r := records.NewCompletions(j.ID, j.completed, chunk, valueLimit)
+		r := records.NewCompletions(j.ID, j.completed, chunk, maxStoredValueBytes)
 		j.AddRecordKey(r.Key)
 		list = append(list, r)
 	}
--- a/internal/jobs/tasks_test.go
+++ b/internal/jobs/tasks_test.go
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestJobFailsEverywhereUntilATaskIsDone(t *testing.T) {
+func TestJobIsFaultyUntilATaskIsDone(t *testing.T) {
 	j := newActiveJob("job-1", 2)
 	for i := range tuning.FaultyJobMachines {
 		if j.IsFaulty() {
--- a/internal/leader/timing.go
+++ b/internal/leader/timing.go
@@ -28,10 +28,10 @@
 func newTiming(w config.Workers, now time.Time, grace time.Duration) machines.Timing {
 	leaseExpiry := seconds.Duration(w.LeaseS*(1+tuning.ClockDrift)) + tuning.LeaseExpiryMargin
 	return machines.Timing{
-		HeartbeatTimeout: seconds.Duration(w.HeartbeatIntervalS * tuning.HeartbeatTimeoutIntervals),
-		LeaseDuration:    seconds.Duration(w.LeaseS),
-		LeaseCertainlyExpiredAfter:      leaseExpiry,
-		TermStart:        now,
+		HeartbeatTimeout:           seconds.Duration(w.HeartbeatIntervalS * tuning.HeartbeatTimeoutIntervals),
+		LeaseDuration:              seconds.Duration(w.LeaseS),
+		LeaseCertainlyExpiredAfter: leaseExpiry,
+		TermStart:                  now,
 		// The predecessor lost its authority before now, and responds to heartbeats for at most the
 		// grace period after that. A lease that it renews counts from the time at which the agent
 		// sent the heartbeat.
--- a/internal/machines/attempt.go
+++ b/internal/machines/attempt.go
@@ -36,14 +36,14 @@
 
 // startDelivery records how the start of an attempt was sent.
 type startDelivery struct {
-	// responseSequence is the sequence number of the heartbeat in whose response the start was
+	// startResponseSequence is the sequence number of the heartbeat in whose response the start was
 	// last sent. It is 0 if the start was sent in no response, or the response had no effect.
-	responseSequence uint64
-	// sentDirectly is set while a direct call with the start has had no reply. The agent may
+	startResponseSequence uint64
+	// directStartMayArrive is set while a direct call with the start has had no reply. The agent may
 	// execute that start at any later time in the session. So the attempt keeps its
 	// resources, the start is sent again in responses to heartbeats, and the agent isn't told to
 	// forget the attempt after its exit.
-	sentDirectly bool
+	directStartMayArrive bool
 }
 
 // stopRequest records whether and how an attempt is to be stopped.
--- a/internal/machines/attempt_commands.go
+++ b/internal/machines/attempt_commands.go
@@ -12,28 +12,28 @@
 }
 
 // MarkResponseStartSent records that the start was sent in the response to the given heartbeat.
-func (d *startDelivery) MarkResponseStartSent(sequence uint64) { d.responseSequence = sequence }
+func (d *startDelivery) MarkResponseStartSent(sequence uint64) { d.startResponseSequence = sequence }
 
 // ResponseStartMayTakeEffect reports whether the start was sent in a response that may still have an
 // effect.
-func (d *startDelivery) ResponseStartMayTakeEffect() bool { return d.responseSequence != 0 }
+func (d *startDelivery) ResponseStartMayTakeEffect() bool { return d.startResponseSequence != 0 }
 
 // MarkResponseStartIneffective records that the start sent in a response had no effect and never
 // will.
-func (d *startDelivery) MarkResponseStartIneffective() { d.responseSequence = 0 }
+func (d *startDelivery) MarkResponseStartIneffective() { d.startResponseSequence = 0 }
 
 // MarkDirectStartSent records that the start was sent by a direct call.
-func (d *startDelivery) MarkDirectStartSent() { d.sentDirectly = true }
+func (d *startDelivery) MarkDirectStartSent() { d.directStartMayArrive = true }
 
 // RuleOutDirectStart records that a start sent by a direct call can no longer arrive late.
-func (d *startDelivery) RuleOutDirectStart() { d.sentDirectly = false }
+func (d *startDelivery) RuleOutDirectStart() { d.directStartMayArrive = false }
 
 // DirectStartMayArrive reports whether a start sent by a direct call may still arrive late.
-func (d *startDelivery) DirectStartMayArrive() bool { return d.sentDirectly }
+func (d *startDelivery) DirectStartMayArrive() bool { return d.directStartMayArrive }
 
 // MayBeginByLateStart reports whether a start sent by a direct call may still arrive, and the machine
 // has not reported the attempt yet.
-func (a *Attempt) MayBeginByLateStart() bool { return a.state == StartSent && a.sentDirectly }
+func (a *Attempt) MayBeginByLateStart() bool { return a.state == StartSent && a.directStartMayArrive }
 
 // RequestStop requests that the attempt is stopped without a grace period.
 func (a *Attempt) RequestStop() { a.stopping, a.gracePeriodS = true, 0 }
--- a/internal/machines/direct.go
+++ b/internal/machines/direct.go
@@ -4,15 +4,15 @@
 
 // directCalls holds the state of direct calls to a machine.
 type directCalls struct {
-	calling   bool      // a direct call to the machine is in progress
-	callAfter time.Time // earliest time of the next call; set after a call without a reply
-	queued    bool      // the machine is in the queue of machines to call
+	callInProgress bool      // a direct call to the machine is in progress
+	callAfter      time.Time // earliest time of the next call; set after a call without a reply
+	queued         bool      // the machine is in the queue of machines to call
 }
 
 // CanBeCalled reports whether a direct call to the machine may begin now and is likely to succeed.
 // Otherwise its commands are sent in the response to the next heartbeat.
 func (m *Machine) CanBeCalled(now time.Time, t *Timing) bool {
-	return !m.calling && m.Addr != "" && !now.Before(m.callAfter) && m.reconciled &&
+	return !m.callInProgress && m.Addr != "" && !now.Before(m.callAfter) && m.reconciled &&
 		!m.IsCordonedFor(CordonUnresponsive) && !m.HeartbeatOverdue(now, t)
 }
 
@@ -29,13 +29,13 @@
 func (d *directCalls) DequeueCall() { d.queued = false }
 
 // BeginCall records that a call has begun.
-func (d *directCalls) BeginCall() { d.calling = true }
+func (d *directCalls) BeginCall() { d.callInProgress = true }
 
 // EndCall records that the call in progress has ended.
-func (d *directCalls) EndCall() { d.calling = false }
+func (d *directCalls) EndCall() { d.callInProgress = false }
 
 // DelayCalls prevents calls before the given time.
 func (d *directCalls) DelayCalls(until time.Time) { d.callAfter = until }
 
 // IsBeingCalled reports whether a call is in progress.
-func (d *directCalls) IsBeingCalled() bool { return d.calling }
+func (d *directCalls) IsBeingCalled() bool { return d.callInProgress }
--- a/internal/machines/failures.go
+++ b/internal/machines/failures.go
@@ -4,7 +4,7 @@
 
 // failures holds the jobs whose tasks have failed on a machine.
 type failures struct {
-	excludedJobs       map[string]bool // IDs of all jobs with a failed task
+	excludedJobs      map[string]bool // IDs of all jobs with a failed task
 	countedFailedJobs map[string]bool // IDs of jobs whose failures count against the machine
 }
 
--- a/internal/machines/heartbeat.go
+++ b/internal/machines/heartbeat.go
@@ -62,16 +62,16 @@
 // RecordHeartbeat renews the lease and applies the address and the reclaim notice of a heartbeat;
 // the task list is applied elsewhere. joined is true for the machine's first heartbeat, reclaimed
 // for the first one with a notice that the cloud reclaims the machine.
-func (m *Machine) RecordHeartbeat(now time.Time, r *wire.Heartbeat) (joined, reclaimed bool) {
+func (m *Machine) RecordHeartbeat(now time.Time, r *wire.Heartbeat) (joined, reclaimAnnounced bool) {
 	m.RenewLease(now, r.Sequence)
 	m.Addr = r.Addr
 	joined = !m.joined
 	m.joined = true
 	if m.reclaimAt.IsZero() && r.ReclaimNoticeS != nil {
 		m.reclaimAt = now.Add(seconds.Duration(*r.ReclaimNoticeS))
-		reclaimed = true
+		reclaimAnnounced = true
 	}
-	return joined, reclaimed
+	return joined, reclaimAnnounced
 }
 
 // TimeUntilReclaim returns the time until the cloud reclaims the machine, and false if it gave no notice.
--- a/internal/machines/lifecycle.go
+++ b/internal/machines/lifecycle.go
@@ -12,7 +12,7 @@
 	provisionedAt         time.Time
 	joined                bool      // has sent a heartbeat, in this term or under an earlier leader
 	reconciled            bool      // a task list of the machine was applied in this term
-	releasing             bool      // its release has begun
+	releaseBegun          bool      // its release has begun
 	failed                bool      // the cloud has listed it as failed
 	inStartRecord         bool      // a stored start record names the machine
 	missingFromCloudLists int       // number of successive cloud lists that lack the machine
@@ -53,10 +53,10 @@
 func (l *lifecycle) MarkInStartRecord() { l.inStartRecord, l.joined = true, true }
 
 // IsBeingReleased reports whether the release of the machine has begun.
-func (l *lifecycle) IsBeingReleased() bool { return l.releasing }
+func (l *lifecycle) IsBeingReleased() bool { return l.releaseBegun }
 
 // BeginRelease records that the release of the machine has begun.
-func (l *lifecycle) BeginRelease() { l.releasing = true }
+func (l *lifecycle) BeginRelease() { l.releaseBegun = true }
 
 // IdleFor returns the time since the machine lost its last attempt or was reconciled, whichever
 // is later.
--- a/internal/machines/machine_test.go
+++ b/internal/machines/machine_test.go
@@ -13,11 +13,11 @@
 
 // timing contains the timeouts of a term that began at termStart.
 var timing = &machines.Timing{
-	HeartbeatTimeout:  9 * time.Second,
-	LeaseDuration:     15 * time.Second,
-	LeaseCertainlyExpiredAfter:       20 * time.Second,
-	TermStart:         termStart,
-	InheritedTasksEnd: termStart.Add(30 * time.Second),
+	HeartbeatTimeout:           9 * time.Second,
+	LeaseDuration:              15 * time.Second,
+	LeaseCertainlyExpiredAfter: 20 * time.Second,
+	TermStart:                  termStart,
+	InheritedTasksEnd:          termStart.Add(30 * time.Second),
 }
 
 // newReportingMachine returns a reconciled machine with 8 CPUs: it has sent one heartbeat at now, with
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -69,9 +69,9 @@
 // lowestPreemptibleRank returns the rank of the lowest priority among the jobs with running tasks
 // that save checkpoints. Only tasks that save checkpoints may be preempted. Ranks grow with lower
 // priority, so jobs of this rank or a larger one have no tasks to preempt.
-func lowestPreemptibleRank(unfinished iter.Seq[*jobs.Job]) int {
+func lowestPreemptibleRank(runnable iter.Seq[*jobs.Job]) int {
 	lowest := 0
-	for j := range unfinished {
+	for j := range runnable {
 		if j.RunningAttempts() > 0 && j.CheckpointIntervalS > 0 {
 			lowest = max(lowest, j.PriorityRank())
 		}
