--- a/internal/consolidation/consolidation.go
+++ b/internal/consolidation/consolidation.go
@@ -165,9 +165,11 @@
 }
 
 // isMovable reports whether all tasks of the machine may be moved, and moving them saves enough
-// machine time. Each task must save checkpoints and have run for tuning.ConsolidateMinRunTime. At most
-// half of the machine's CPUs may be in use, its minimum billing time must be over, and its longest task
-// must be expected to run for at least another tuning.ConsolidateMinLifetime.
+// machine time:
+//   - the machine has tasks, and at most half of its CPUs are in use
+//   - its minimum billing time is over
+//   - each task saves checkpoints and has run for tuning.ConsolidateMinRunTime
+//   - the longest task is expected to run for at least another tuning.ConsolidateMinLifetime
 func (p *pass) isMovable(m *machines.Machine) bool {
 	if len(m.Attempts()) == 0 || m.Free().CPUs < m.Capacity().CPUs/2 || p.now.Sub(m.ProvisionedAt()) < tuning.MinimumBillingTime {
 		return false
--- a/internal/jobs/dependencies.go
+++ b/internal/jobs/dependencies.go
@@ -23,8 +23,7 @@
 	DownstreamTime time.Duration // estimated time for the jobs after the first, including Last
 }
 
-// dependencyState is the part of a job's state that follows from its dependencies and its
-// dependents.
+// dependencyState is the part of a job's state that follows from its dependencies and dependents.
 type dependencyState struct {
 	// unfinishedDependencies is the number of dependencies that have not ended, or whose end the
 	// graph has not processed yet.
@@ -35,8 +34,8 @@
 	// dependents; rank 0 is the highest.
 	priorityRank     int
 	criticalPath     CriticalPath
-	cyclic           bool // in a dependency cycle or a dependency of such a job, see LinkAll
-	pathUpdateQueued bool // in withOutdatedPath of the graph
+	cyclic           bool // in a dependency cycle, or a dependency of a job in one; see LinkAll
+	pathUpdateQueued bool // the job is in the graph's queue withOutdatedPath
 }
 
 // PriorityRank returns the rank of the highest priority among the job and its direct and indirect
@@ -46,7 +45,8 @@
 // CriticalPath returns the critical path of the job.
 func (s *dependencyState) CriticalPath() CriticalPath { return s.criticalPath }
 
-// IsBlocked reports whether the job has unfinished dependencies, so that its tasks must not start.
+// IsBlocked reports whether the job has unfinished dependencies. The tasks of a blocked job must not
+// start.
 func (s *dependencyState) IsBlocked() bool { return s.unfinishedDependencies > 0 }
 
 // DependencyCancelled reports whether a dependency of the job was cancelled.
@@ -79,8 +79,8 @@
 	withOutdatedPath   []*Job // the critical path of each may have changed
 }
 
-// NewDependencyGraph returns a graph without jobs. estimateDuration estimates the time from the end of
-// a job's last dependency to its own end.
+// NewDependencyGraph returns a graph without jobs. estimateDuration estimates the time from the end
+// of a job's last dependency to its own end.
 func NewDependencyGraph(registry *Registry, estimateDuration func(*Job) time.Duration) *DependencyGraph {
 	return &DependencyGraph{registry: registry, estimateDuration: estimateDuration, dependents: map[string][]*Job{}}
 }
@@ -157,8 +157,9 @@
 	return j
 }
 
-// QueueCriticalPathUpdates queues the dependencies of j for an update of their critical paths. Callers
-// call it after j was added or cancelled, and after the critical path of j has changed.
+// QueueCriticalPathUpdates queues the dependencies of j for an update of their critical paths, which
+// are derived from that of j. Callers call it after j was added or cancelled, and after the critical
+// path of j has changed.
 func (g *DependencyGraph) QueueCriticalPathUpdates(j *Job) {
 	for _, id := range j.DependsOn {
 		d := g.registry.Get(id)
--- a/internal/jobs/estimates.go
+++ b/internal/jobs/estimates.go
@@ -22,8 +22,8 @@
 	r[j.Class] = old + (ratio-old)*tuning.EstimateWeight
 }
 
-// ExpectedRunTimeS returns the expected run time in seconds of a task that starts without progress: the
-// user's estimate, corrected by the ratio of the job's class.
+// ExpectedRunTimeS returns the expected run time in seconds of a task that starts without progress:
+// the user's estimate, multiplied by the ratio of the job's class.
 func (r RunTimeRatios) ExpectedRunTimeS(j *Job) float64 {
 	estimate := max(j.EstimateS, tuning.MinimumEstimateS)
 	if ratio, ok := r[j.Class]; ok {
@@ -32,8 +32,8 @@
 	return estimate
 }
 
-// ExpectedReadyTaskRunTimeS returns the expected remaining run time in seconds of the ready task with the
-// least progress, or Estimate if no task is ready.
+// ExpectedReadyTaskRunTimeS returns the expected remaining run time in seconds of the ready task with
+// the least progress, or ExpectedRunTimeS if no task is ready.
 func (r RunTimeRatios) ExpectedReadyTaskRunTimeS(j *Job) float64 {
 	fullS := r.ExpectedRunTimeS(j)
 	if len(j.checkpointedRunTimeS) == 0 || len(j.ready) == 0 || len(j.ready) > len(j.checkpointedRunTimeS) {
@@ -49,7 +49,7 @@
 
 // DeadlineSlack returns by how many seconds the start of a job may be delayed before it misses the
 // nearest due time that it can still meet. Due times follow from the deadline on the job's
-// critical path and from the objectives. The second result is false if it can meet none.
+// critical path and from the objectives. The second result is false if the job can meet none of them.
 func (r RunTimeRatios) DeadlineSlack(now time.Time, j *Job, objectives []config.Objective) (float64, bool) {
 	remainingS := r.ExpectedReadyTaskRunTimeS(j)
 	slackS, found := 0.0, false
@@ -75,9 +75,9 @@
 
 // Urgency returns a sort key for jobs of one priority; the job with the lowest key is placed first.
 // The key is the slack of the job in seconds, plus the weighted time that the cluster's CPUs, given
-// as cpus, need for the rest of the job: under a backlog, more jobs meet their deadlines when
-// small jobs start first. The key of a job that can meet no deadline or objective
-// begins at tuning.NoDeadlineSlackS and falls while the job waits.
+// as cpus, need for the rest of the job: under a backlog, more jobs meet their deadlines when small
+// jobs start first. The key of a job that can meet no deadline or objective begins at
+// tuning.NoDeadlineSlackS and falls while the job waits.
 func (r RunTimeRatios) Urgency(now time.Time, j *Job, objectives []config.Objective, cpus float64) float64 {
 	workS := float64(j.RemainingTasks()) * j.CPUs * r.ExpectedRunTimeS(j) / max(cpus, 1)
 	if slack, ok := r.DeadlineSlack(now, j, objectives); ok {
--- a/internal/jobs/failures.go
+++ b/internal/jobs/failures.go
@@ -6,11 +6,11 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// failureHistory tracks the failures of a job's tasks since one was last done, and until when the
+// failureHistory tracks the failures of a job's tasks since a task was last done, and until when the
 // placement of further tasks is delayed.
 type failureHistory struct {
-	failures     int             // number of failures
-	failedOn     map[string]bool // IDs of the machines on which tasks have failed
+	failures     int             // since a task was last done
+	failedOn     map[string]bool // IDs of the machines on which these failures occurred
 	backOffUntil time.Time       // no task is placed before this time
 }
 
@@ -33,8 +33,8 @@
 	h.failedOn[machine] = true
 }
 
-// RecordSuccess forgets the failures after a task is done, which shows that the job itself was not
-// at fault.
+// RecordSuccess resets the failures after a task is done. The success shows that the job itself did
+// not cause them.
 func (h *failureHistory) RecordSuccess() {
 	h.failures = 0
 	clear(h.failedOn)
@@ -58,8 +58,8 @@
 // Callers must not modify the map, which is the job's own.
 func (h *failureHistory) FailedOn() map[string]bool { return h.failedOn }
 
-// IsFaulty reports whether the job itself, rather than a machine, is taken to be at fault:
-// no task is done, and tasks have failed on at least tuning.FailsEverywhereMachines machines.
+// IsFaulty reports whether the job itself, rather than a machine, is considered the cause of the
+// failures: no task is done, and tasks have failed on at least tuning.FaultyJobMachines machines.
 func (j *Job) IsFaulty() bool {
 	return len(j.failedOn) >= tuning.FaultyJobMachines && j.CompletedTasks() == 0
 }
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -29,7 +29,8 @@
 	taskSet
 	failureHistory
 	dependencyState
-	// recordKeys are the keys of the job's stored records other than its job record.
+	// recordKeys are the keys of the job's stored records other than its job record, such as
+	// those of its completions.
 	recordKeys map[string]bool
 	waiters    []func(decided bool) // see AddWaiter
 }
@@ -82,8 +83,8 @@
 // BeginWaiting records that the job can be placed from now on, which restarts its waiting time.
 func (j *Job) BeginWaiting(now time.Time) { j.waitingSince, j.waitingForPlacementSince = now, now }
 
-// PlacementConstraints returns a pending job with only the fields that decide where a task of the job
-// may be placed. Callers must not modify TasksInZone, which is the job's own map.
+// PlacementConstraints returns a pending job with only the fields that decide where a task of the
+// job may be placed. Callers must not modify TasksByZone, which is the job's own map.
 func (j *Job) PlacementConstraints() *placement.PendingJob {
 	return &placement.PendingJob{
 		MachineTypes: j.MachineTypes, Zone: j.Zone, OneZone: j.OneZone, SpreadZones: j.SpreadZones,
@@ -91,8 +92,8 @@
 	}
 }
 
-// AddRecordKey adds the key of a stored record of the job other than its job record. The two records
-// are deleted together.
+// AddRecordKey adds the key of a stored record of the job other than its job record. The record is
+// deleted together with the job record.
 func (j *Job) AddRecordKey(key string) { j.recordKeys[key] = true }
 
 // RecordKeys returns the sorted keys of the job's stored records other than its job record.
--- a/internal/jobs/tasks.go
+++ b/internal/jobs/tasks.go
@@ -10,7 +10,8 @@
 	"switchshore.example/switchshore/internal/records"
 )
 
-// taskSet is the state of a job's tasks, which are identified by their indexes.
+// taskSet is the state of a job's tasks, which are identified by their indexes. A chunk is a range
+// of task indexes whose completions are stored in one record.
 type taskSet struct {
 	completed          *intervals.Set
 	durableCompletions *intervals.Set // tasks whose completions are durable; nil if none
@@ -48,8 +49,8 @@
 // MarkCompleted marks a task as completed. It reports whether the task was not completed before.
 func (t *taskSet) MarkCompleted(index int32) bool { return t.completed.Add(int(index)) }
 
-// MarkCompletionPending records that the completion of a task has to be written. valueLimit, the
-// maximum size of a stored value, determines the chunk that contains the task.
+// MarkCompletionPending records that the completion of a task has to be written. The size of the
+// chunks, and so the chunk that contains the task, follows from maxStoredValueBytes.
 func (t *taskSet) MarkCompletionPending(index int32, maxStoredValueBytes int) {
 	t.pendingChunks[int(index)/records.CompletionChunkSize(maxStoredValueBytes)] = true
 }
@@ -73,8 +74,8 @@
 	j.markCompletionDurable(index)
 }
 
-// MarkCompletionsDurable records that the completions in c are durable. After that the workers may
-// forget these attempts.
+// MarkCompletionsDurable records that the completions in c are durable. Until then, the agents have
+// to remember the exited attempts.
 func (j *Job) MarkCompletionsDurable(c records.Completions) {
 	// NewCompletions has formatted the text, so parsing can't fail.
 	_ = intervals.ParseEach(c.Tasks, j.Tasks, j.markCompletionDurable)
@@ -171,8 +172,8 @@
 // RemoveRunningAttempt decrements the number of running attempts.
 func (t *taskSet) RemoveRunningAttempt() { t.runningAttempts-- }
 
-// CheckpointedRunTimeS returns the checkpointed run time of a task in seconds. Its next attempt needs that much
-// less time.
+// CheckpointedRunTimeS returns the checkpointed run time of a task in seconds. The task's next
+// attempt needs that much less time.
 func (t *taskSet) CheckpointedRunTimeS(index int32) float64 { return t.checkpointedRunTimeS[index] }
 
 // TasksWithProgress returns the number of tasks with checkpointed progress.
--- a/internal/machines/attempt.go
+++ b/internal/machines/attempt.go
@@ -26,23 +26,25 @@
 	// and defines its type.
 	StartRecord any
 
-	number         uint64 // identifies the attempt to the agent; later attempts have larger numbers
-	taskListNumber uint64 // number of the last task list that contained the attempt
-	createdAt      time.Time
+	number uint64 // identifies the attempt to the agent; later attempts have larger numbers
+	// taskListNumber is the number of the last task list that contained the attempt. The leader
+	// numbers the task lists of all machines in the order in which it applies them.
+	taskListNumber uint64
+	createdAt      time.Time // see CreatedAt
 	runningAt      time.Time // when the machine first reported it as running, or zero
 	startDelivery
 	stopRequest
 }
 
-// startDelivery records how the start of an attempt was sent.
+// startDelivery records in which ways the start of an attempt was sent and may still be executed.
 type startDelivery struct {
 	// startResponseSequence is the sequence number of the heartbeat in whose response the start was
-	// last sent. It is 0 if the start was sent in no response, or the response had no effect.
+	// last sent. It is 0 if the start was sent in no response, or the agent never executes it.
 	startResponseSequence uint64
 	// directStartMayArrive is set while a direct call with the start has had no reply. The agent may
-	// execute that start at any later time in the session. So the attempt keeps its
-	// resources, the start is sent again in responses to heartbeats, and the agent isn't told to
-	// forget the attempt after its exit.
+	// execute that start at any later time in the session. So the attempt keeps its resources, and
+	// the agent isn't told to forget the attempt after its exit. As the start may also be lost, it
+	// is sent again in responses to heartbeats.
 	directStartMayArrive bool
 }
 
@@ -111,9 +113,9 @@
 // MarkStartRecorded records that the start record is durable, so that the start may be sent.
 func (a *Attempt) MarkStartRecorded() { a.changeState(StartSent) }
 
-// MarkInTaskList records that a task list contains the task with the given attempt number. That
-// number replaces the attempt's own if they differ: the agent refuses a newer attempt while it
-// has another one of the same task.
+// MarkInTaskList records that a task list contains the task with the given attempt number. If
+// the attempt's own number differs, it is replaced: the agent refuses a newer attempt while it has
+// another one of the same task, so only the listed attempt can be on the machine.
 func (a *Attempt) MarkInTaskList(listNumber, number uint64) {
 	a.taskListNumber, a.number = listNumber, number
 }
--- a/internal/machines/attempt_commands.go
+++ b/internal/machines/attempt_commands.go
@@ -11,18 +11,20 @@
 	return wire.Command{Op: wire.OpStart, Task: a.TaskName(), Attempt: a.number}
 }
 
-// MarkResponseStartSent records that the start was sent in the response to the given heartbeat.
+// MarkResponseStartSent records that the start was sent in the response to the heartbeat with the
+// given sequence number.
 func (d *startDelivery) MarkResponseStartSent(sequence uint64) { d.startResponseSequence = sequence }
 
-// ResponseStartMayTakeEffect reports whether the start was sent in a response that may still have an
-// effect.
+// ResponseStartMayTakeEffect reports whether the start was sent in a response and the agent may still
+// execute it.
 func (d *startDelivery) ResponseStartMayTakeEffect() bool { return d.startResponseSequence != 0 }
 
-// MarkResponseStartIneffective records that the start sent in a response had no effect and never
-// will.
+// MarkResponseStartIneffective records that the agent has not executed the start sent in a response
+// and never will.
 func (d *startDelivery) MarkResponseStartIneffective() { d.startResponseSequence = 0 }
 
-// MarkDirectStartSent records that the start was sent by a direct call.
+// MarkDirectStartSent records that a direct call with the start is made. The start may arrive late
+// until RuleOutDirectStart is called.
 func (d *startDelivery) MarkDirectStartSent() { d.directStartMayArrive = true }
 
 // RuleOutDirectStart records that a start sent by a direct call can no longer arrive late.
@@ -31,8 +33,8 @@
 // DirectStartMayArrive reports whether a start sent by a direct call may still arrive late.
 func (d *startDelivery) DirectStartMayArrive() bool { return d.directStartMayArrive }
 
-// MayBeginByLateStart reports whether a start sent by a direct call may still arrive, and the machine
-// has not reported the attempt yet.
+// MayBeginByLateStart reports whether the attempt may still begin because a start sent by a direct
+// call arrives late. It is false once the machine has reported the attempt.
 func (a *Attempt) MayBeginByLateStart() bool { return a.state == StartSent && a.directStartMayArrive }
 
 // RequestStop requests that the attempt is stopped without a grace period.
@@ -53,7 +55,8 @@
 // IsStopping reports whether a stop of the attempt was requested.
 func (a *Attempt) IsStopping() bool { return a.stopping }
 
-// PlanEviction records that a drain stops the attempt once the charge for the eviction is durable.
+// PlanEviction records that a drain will stop the attempt, as soon as the charge for the eviction is
+// durable.
 func (a *Attempt) PlanEviction() { a.evicting = true }
 
 // RevertEviction cancels a planned eviction.
@@ -76,9 +79,9 @@
 	return a.stopping && a.IsNeeded() && a.state.IsReported() && !isSaving
 }
 
-// TryMarkDirectStopSent reports whether the stop has to be sent by a direct call. If so, it marks the
-// stop as sent, so that only one direct call contains it. A stop that arrives late does no harm:
-// it names the attempt by its number, which is never reused.
+// TryMarkDirectStopSent marks the stop as sent by a direct call, if it has to be sent and no direct
+// call has contained it. It returns true if it has marked the stop; the caller then sends it. A stop
+// that arrives late does no harm: it names the attempt by its number, which is never reused.
 func (a *Attempt) TryMarkDirectStopSent() bool {
 	needed := a.stopping && a.state.IsReported() && !a.directStopSent
 	a.directStopSent = a.directStopSent || needed
--- a/internal/machines/capacity.go
+++ b/internal/machines/capacity.go
@@ -16,7 +16,8 @@
 	// priority.
 	reservedUntil time.Time
 	reservedRank  int
-	// snapshot is the machine as placement passes see it. It is rebuilt when it is outdated.
+	// snapshot is the machine as placement passes see it, nil before the first pass. It is rebuilt
+	// when it is outdated.
 	snapshot         *placement.Machine
 	snapshotOutdated bool
 }
--- a/internal/machines/failures.go
+++ b/internal/machines/failures.go
@@ -28,7 +28,7 @@
 }
 
 // UncountFailedJob removes a job from those that count against the machine. It is called for a job
-// that fails on other machines as well.
+// that fails on other machines as well, which shows that the job itself causes the failures.
 func (f *failures) UncountFailedJob(id string) { delete(f.countedFailedJobs, id) }
 
 // RecordTaskSuccess records that a task has completed on the machine. This shows that the machine
--- a/internal/machines/heartbeat.go
+++ b/internal/machines/heartbeat.go
@@ -52,7 +52,8 @@
 	s.heartbeatAt, s.leaseRenewedAt = now, now
 }
 
-// RecordStaleHeartbeat counts a stale heartbeat, and records when the first one arrived.
+// RecordStaleHeartbeat counts a stale heartbeat. For the first one after the newest heartbeat, it
+// also records the time.
 func (s *agentSession) RecordStaleHeartbeat(now time.Time) {
 	if s.staleHeartbeats++; s.staleHeartbeats == 1 {
 		s.firstStaleAt = now
@@ -60,8 +61,8 @@
 }
 
 // RecordHeartbeat renews the lease and applies the address and the reclaim notice of a heartbeat;
-// the task list is applied elsewhere. joined is true for the machine's first heartbeat, reclaimed
-// for the first one with a notice that the cloud reclaims the machine.
+// the task list is applied elsewhere. joined is true for the machine's first heartbeat.
+// reclaimAnnounced is true for the first heartbeat with a notice that the cloud reclaims the machine.
 func (m *Machine) RecordHeartbeat(now time.Time, r *wire.Heartbeat) (joined, reclaimAnnounced bool) {
 	m.RenewLease(now, r.Sequence)
 	m.Addr = r.Addr
@@ -74,15 +75,18 @@
 	return joined, reclaimAnnounced
 }
 
-// TimeUntilReclaim returns the time until the cloud reclaims the machine, and false if it gave no notice.
+// TimeUntilReclaim returns the time until the cloud reclaims the machine. The second result is false
+// if the cloud gave no notice.
 func (m *Machine) TimeUntilReclaim(now time.Time) (time.Duration, bool) {
 	return m.reclaimAt.Sub(now), !m.reclaimAt.IsZero()
 }
 
 // AdvanceSession records the epoch and sequence number of a message. The agent executes no starts
-// of earlier sessions. So at the beginning of a session, starts sent directly no longer count as
-// late starts, exits are no longer retained, and a required release is cancelled unless the
-// machine is cordoned for consolidation or a late start.
+// of earlier sessions. So when a message begins a new session:
+//   - starts sent by direct calls can no longer arrive late
+//   - exits are no longer retained
+//   - a required release is cancelled, unless the machine is cordoned for consolidation or a late
+//     start
 func (m *Machine) AdvanceSession(epoch, sequence uint64) {
 	if epoch > m.epoch {
 		clear(m.retainedExits)
--- a/internal/machines/lease.go
+++ b/internal/machines/lease.go
@@ -15,8 +15,8 @@
 	// LeaseDuration is how long an agent keeps running its tasks without a response to its
 	// heartbeats.
 	LeaseDuration time.Duration
-	// LeaseCertainlyExpiredAfter is the time after a heartbeat at which the agent's lease has expired for
-	// certain: the duration of the lease plus margins for clock errors and delays.
+	// LeaseCertainlyExpiredAfter is the time after a heartbeat at which the agent's lease has
+	// expired for certain: LeaseDuration plus margins for clock errors and delays.
 	LeaseCertainlyExpiredAfter time.Duration
 	// TermStart is when the leader's term began.
 	TermStart time.Time
@@ -38,8 +38,8 @@
 }
 
 // HasLeaseExpired reports whether the lease has expired for certain, and thus all tasks of the
-// machine have ended. It is false if a new agent has replaced the earlier one, as then only the
-// release of the machine proves that the tasks have ended.
+// machine have ended. It is false if a new agent has replaced the earlier one: then only the release
+// of the machine proves that the tasks of the earlier agent have ended.
 func (m *Machine) HasLeaseExpired(now time.Time, t *Timing) bool {
 	if m.IsCordonedFor(CordonAgentReplaced) || !m.reconciled && now.Before(t.InheritedTasksEnd) {
 		return false
@@ -75,10 +75,15 @@
 // machine before it is released.
 const minMissingFromCloudLists = 2
 
-// ShouldBeReleased reports whether the machine can't or shouldn't run tasks any more: it has
-// failed, has not booted in time, is unreachable, no longer gets responses, has a new agent, was
-// required to be released, or has no attempts and is cordoned for release. bootTimeS is the usual
-// boot time of its type, 0 if unknown.
+// ShouldBeReleased reports whether the machine can't or shouldn't run tasks any more:
+//   - the cloud lists it as failed, or it has not booted in time
+//   - it has been unreachable for too long, or it is unreachable and missing from cloud lists
+//   - it doesn't get responses, or its latest heartbeats are all stale
+//   - a new agent has replaced the earlier one
+//   - the time set by RequireRelease has passed
+//   - it has no attempts and is cordoned for one of ReleaseWhenEmptyReasons
+//
+// bootTimeS is the usual boot time of the machine's type, 0 if unknown.
 func (m *Machine) ShouldBeReleased(now time.Time, t *Timing, bootTimeS float64) bool {
 	switch {
 	case m.failed, m.IsCordonedFor(CordonAgentReplaced), m.IsReleaseRequired() && now.After(m.releaseBy):
--- a/internal/machines/lifecycle.go
+++ b/internal/machines/lifecycle.go
@@ -17,7 +17,7 @@
 	inStartRecord         bool      // a stored start record names the machine
 	missingFromCloudLists int       // number of successive cloud lists that lack the machine
 	firstListedAt         time.Time // when a cloud list first contained it in this term, or zero
-	idleSince             time.Time // when it lost its last attempt or was reconciled
+	idleSince             time.Time // when its last attempt was removed or it was reconciled
 	// releaseBy is the time by which the machine has to be released because the start of an ended
 	// job may still arrive late. It is zero if there is no such start.
 	releaseBy time.Time
@@ -48,8 +48,8 @@
 	return true
 }
 
-// MarkInStartRecord records that a stored start record names the machine. The machine thus had
-// joined under an earlier leader.
+// MarkInStartRecord records that a stored start record names the machine. Tasks are assigned only to
+// machines that have joined, so the machine had joined under an earlier leader.
 func (l *lifecycle) MarkInStartRecord() { l.inStartRecord, l.joined = true, true }
 
 // IsBeingReleased reports whether the release of the machine has begun.
@@ -58,8 +58,8 @@
 // BeginRelease records that the release of the machine has begun.
 func (l *lifecycle) BeginRelease() { l.releaseBegun = true }
 
-// IdleFor returns the time since the machine lost its last attempt or was reconciled, whichever
-// is later.
+// IdleFor returns the time since the machine's last attempt was removed or the machine was
+// reconciled, whichever is later. It is meaningful only while the machine has no attempts.
 func (l *lifecycle) IdleFor(now time.Time) time.Duration { return now.Sub(l.idleSince) }
 
 // WasListedByCloud reports whether a cloud list of this term has contained the machine.
@@ -84,10 +84,11 @@
 	}
 }
 
-// DetectDeletion counts a cloud list that lacks the machine. It returns true if the list
-// proves that the machine was deleted. Once listed, a machine stays listed as long as it exists,
-// and a list shows a state that is at most longestLag older than the request. So a list that was
-// requested more than longestLag after the first listing lacks the machine only if it was deleted.
+// DetectDeletion counts a cloud list that lacks the machine, and reports whether the list proves that
+// the machine was deleted. Once listed, a machine stays listed as long as it exists, and a list shows
+// a state that is at most longestLag older than the request. So a list that was requested more than
+// longestLag after the first listing lacks the machine only if it was deleted. A machine that was
+// never listed and that no start record names may be new, so the list is not counted for it.
 func (l *lifecycle) DetectDeletion(requestedAt time.Time, longestLag time.Duration) (deleted bool) {
 	if !l.WasListedByCloud() && !l.inStartRecord {
 		return false
--- a/internal/machines/partition_detector.go
+++ b/internal/machines/partition_detector.go
@@ -16,7 +16,7 @@
 	isolated bool
 }
 
-// NewPartitionDetector returns a Reachability without partitions.
+// NewPartitionDetector returns a detector that has detected no partitions.
 func NewPartitionDetector() *PartitionDetector {
 	return &PartitionDetector{partitionedZones: map[string]time.Time{}}
 }
@@ -43,8 +43,8 @@
 func (r *PartitionDetector) IsIsolated() bool { return r.isolated }
 
 // Update determines the partitioned zones and whether this node is isolated. list contains all
-// provisioned machines. A zone counts as partitioned if most of its machines are unreachable and
-// most machines in other zones are reachable. This node counts as isolated if a smaller share than
+// provisioned machines. A zone counts as partitioned if most of its machines are unreachable, and
+// most machines in other zones are reachable: otherwise this node may be the one cut off. This node counts as isolated if a smaller share than
 // tuning.ReachableShare of the machines outside the partitioned zones is reachable.
 func (r *PartitionDetector) Update(now time.Time, list []*Machine, t *Timing) {
 	zones := map[string]*reachabilityCount{}
@@ -64,7 +64,9 @@
 	for zone, z := range zones {
 		switch {
 		case z.isPartitioned(all):
-			// After the lease expiry, the zone's unreachable machines may have been released.
+			// The partition ends at this time unless it is detected again: the zone's
+			// unreachable machines may then have been released, and no machine is left to
+			// show that the zone is reachable again.
 			r.partitionedZones[zone] = now.Add(t.LeaseCertainlyExpiredAfter)
 			outsidePartitions.joined -= z.joined
 			outsidePartitions.unreachable -= z.unreachable
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -14,7 +14,7 @@
 	// ScoredPairs is the number of scored pairs of job and machine. The checks of
 	// anyJobFitsNow count as well, at their share of the cost of a score.
 	ScoredPairs int
-	// Truncated: the pass reached a limit before it had tried all jobs.
+	// Truncated: the pass reached its limit of starts or scores before it had tried all jobs.
 	Truncated bool
 }
 
@@ -172,9 +172,10 @@
 			continue
 		}
 		if !j.scored && p.stats.ScoredPairs > tuning.PassMaxScoredPairs {
-			// Only the jobs that are scored already are placed. A pass that scored
-			// pairs up to its final limit before it started a task would start
-			// none, and neither would any later pass.
+			// From here on, only jobs that are scored already are placed. The pairs
+			// up to the final limit, which is twice as high, are left for scoring
+			// these jobs again. Otherwise a pass could reach that limit before it
+			// started a task, and every later pass would do the same.
 			p.stats.Truncated = true
 			continue
 		}
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -144,7 +144,7 @@
 	return false
 }
 
-// Team contains the resources that a team's tasks use and the team's limit.
+// Team contains the resources that a team's tasks use, and the limit of this usage.
 type Team struct {
 	Used, Limit Resources
 }
--- a/internal/preemption/pass.go
+++ b/internal/preemption/pass.go
@@ -18,8 +18,8 @@
 	// expectedFree contains the free capacity that each schedulable machine will have after the
 	// attempts that are stopping or about to end have ended.
 	expectedFree map[*machines.Machine]placement.Resources
-	// teamFreedCPUs contains, by team, the CPUs that the end of these attempts frees, minus those
-	// that the pass has allocated to waiting tasks.
+	// teamFreedCPUs contains, by team, the CPUs that these attempts free when they end, minus the
+	// CPUs that the pass has allocated to waiting tasks.
 	teamFreedCPUs map[string]float64
 	// candidates contains the attempts that may be stopped on each machine, in ascending order
 	// of cost.
@@ -92,7 +92,7 @@
 	p.teamFreedCPUs[a.Job.Team] += a.Job.CPUs * sign
 }
 
-// requestStop requests the stop of a candidate and counts on the resources that it will free.
+// requestStop requests the stop of a candidate and adds its resources to the expected free capacity.
 func (p *pass) requestStop(c candidate) {
 	c.RequestStop()
 	p.adjustExpectedFree(c.Attempt, 1)
@@ -124,9 +124,10 @@
 	}
 }
 
-// makeCapacityForTask requests stops of attempts so that one more task of the job can start: first
-// stops until the team's limit allows the task, then stops on the machine where they cost the least.
-// If the task can't start even then, it reverts the stops and returns false.
+// makeCapacityForTask requests stops of attempts so that one more task of the job can start. It first
+// stops attempts of the job's team until the team's limit allows the task. Then it stops attempts on
+// the machine where this costs the least, until the task fits. If the task fits on no machine even
+// then, it reverts all stops and returns false.
 func (p *pass) makeCapacityForTask(pending *placement.PendingJob, teamFreeCPUs float64) bool {
 	stopped, ok := p.stopWithinTeam(pending, teamFreeCPUs)
 	if !ok {
