--- a/internal/jobs/dependencies_test.go
+++ b/internal/jobs/dependencies_test.go
@@ -34,7 +34,7 @@
 		registry.SetFinalState(id, f)
 		g.QueueDependents(id, f)
 		if g.QueuedJobs() != 1 || g.PopJobWithDoneDependency() != c {
-			t.Fatalf("%s is done: the queues don't contain exactly the dependent with a done dependency", id)
+			t.Fatalf("%s is done: want only c in the queues, as a job with a done dependency", id)
 		}
 		// After a is done, b still blocks c.
 		if blocked := i == 0; c.IsBlocked() != blocked {
@@ -55,13 +55,13 @@
 	registry.SetFinalState("a", f)
 	g.QueueDependents("a", f)
 	if !g.HasJobsToCancel() || g.PopJobToCancel() != b || g.HasJobsToCancel() {
-		t.Error("the dependent is not queued exactly once for cancellation")
+		t.Error("want the dependent queued once for cancellation")
 	}
 	late := newActiveJob("late", 1, "a")
 	registry.Add(late)
 	g.Link(late)
 	if !late.DependencyCancelled() || late.IsBlocked() {
-		t.Error("a job submitted after the cancellation of its dependency must be marked and not blocked")
+		t.Error("a job submitted after the cancellation of its dependency: want DependencyCancelled true, IsBlocked false")
 	}
 }
 
@@ -117,7 +117,7 @@
 		t.Errorf("cyclic jobs %v, want a and b", cyclic)
 	}
 	if g.UpdateCriticalPath(a) || !a.IsBlocked() || !dependent.IsBlocked() {
-		t.Error("the path of a cyclic job has changed, or a job with corrupt dependencies is not blocked")
+		t.Error("want an unchanged path of a cyclic job, and blocked jobs with corrupt dependencies")
 	}
 }
 
@@ -153,7 +153,7 @@
 			runnable = slices.Delete(runnable, i, i+1)
 			for _, id := range j.DependsOn {
 				if _, ended := registry.FinalState(id); !ended {
-					t.Fatalf("seed %d: %s is unblocked before its dependency %s has ended", seed, j.ID, id)
+					t.Fatalf("seed %d: %s is unblocked before its dependency %s has ended, want it blocked", seed, j.ID, id)
 				}
 			}
 			f := j.End(testStart, jobs.Done)
--- a/internal/jobs/registry_test.go
+++ b/internal/jobs/registry_test.go
@@ -47,7 +47,7 @@
 	j := newActiveJob("a", 1)
 	r.Add(j)
 	if _, ended := r.FinalState("a"); ended || r.Len() != 1 {
-		t.Error("the job has a final state before its end, or the registry has not exactly one job")
+		t.Error("want no final state before the end of the job, and one job in the registry")
 	}
 	f := records.FinalState{Outcome: records.OutcomeDone, TasksDone: 1}
 	r.SetFinalState("a", f)
@@ -58,22 +58,22 @@
 	}
 }
 
-func TestPendingCompletionsAreDueAfterTheFlushDelay(t *testing.T) {
-	pending := jobs.UnqueuedCompletions{}
+func TestUnqueuedCompletionsAreDueAfterTheFlushDelay(t *testing.T) {
+	unqueued := jobs.UnqueuedCompletions{}
 	b, a, c := newActiveJob("b", 2), newActiveJob("a", 2), newActiveJob("c", 2)
 	for _, j := range []*jobs.Job{b, a, c} {
-		pending.Add(testStart, j)
+		unqueued.Add(testStart, j)
 	}
 	later := testStart.Add(tuning.CompletionFlushDelay)
-	pending.Add(later, b) // does not delay the first completion of b
-	pending.Remove(c)
-	if got := pending.PopDue(later.Add(-1)); got != nil {
+	unqueued.Add(later, b) // does not delay the first completion of b
+	unqueued.Remove(c)
+	if got := unqueued.PopDue(later.Add(-1)); got != nil {
 		t.Errorf("before the delay has passed: got %v, want none", jobIDs(got))
 	}
-	if got := jobIDs(pending.PopDue(later)); !slices.Equal(got, []string{"a", "b"}) {
+	if got := jobIDs(unqueued.PopDue(later)); !slices.Equal(got, []string{"a", "b"}) {
 		t.Errorf("after the delay: got %v, want a, b", got)
 	}
-	if got := pending.PopDue(later); got != nil {
+	if got := unqueued.PopDue(later); got != nil {
 		t.Errorf("second call: got %v, want none", jobIDs(got))
 	}
 }
--- a/internal/jobs/state_test.go
+++ b/internal/jobs/state_test.go
@@ -50,7 +50,7 @@
 func TestAcceptanceAfterCancellationLeavesTheJobCancelled(t *testing.T) {
 	j := newJob("job-1", 2)
 	if !j.MustWithholdState() {
-		t.Error("the state is not withheld before the acceptance is durable")
+		t.Error("the state is not withheld before the acceptance is durable, want it withheld")
 	}
 	f := j.End(testStart, jobs.Cancelled)
 	if f.Outcome != records.OutcomeCancelled || f.TasksDone != 0 {
@@ -66,7 +66,7 @@
 	j.End(testStart, jobs.Done)
 	defer func() {
 		if recover() == nil {
-			t.Error("no panic when a done job was cancelled")
+			t.Error("no panic when a done job was cancelled, want one")
 		}
 	}()
 	j.End(testStart, jobs.Cancelled)
--- a/internal/jobs/tasks.go
+++ b/internal/jobs/tasks.go
@@ -19,7 +19,7 @@
 	ready              []int32        // tasks to be placed, the next one at the end
 	allocations        map[int32]int8 // number of machines that may have each task
 	allocationsByZone  map[string]int // the same machines, counted by zone
-	runningAttempts    int
+	runningAttempts    int            // attempts that were reported as running and have not ended
 	// checkpointedRunTimeS is the checkpointed run time, in seconds, of tasks that have to run again. It
 	// includes only attempts that ended in this term.
 	checkpointedRunTimeS map[int32]float64
@@ -163,7 +163,7 @@
 // AllocationsOf returns the number of machines that may have the task.
 func (t *taskSet) AllocationsOf(index int32) int { return int(t.allocations[index]) }
 
-// RunningAttempts returns the number of attempts that were reported as running.
+// RunningAttempts returns the number of attempts that were reported as running and have not ended.
 func (t *taskSet) RunningAttempts() int { return t.runningAttempts }
 
 // AddRunningAttempt increments the number of running attempts.
--- a/internal/jobs/tasks_test.go
+++ b/internal/jobs/tasks_test.go
@@ -8,7 +8,7 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-const valueLimit = 16 << 10 // bytes of a stored value
+const maxStoredValueBytes = 16 << 10 // bytes of a stored value
 
 // popAllReadyTasks pops all ready tasks and returns their indexes in this order.
 func popAllReadyTasks(j *jobs.Job, now time.Time) []int32 {
@@ -33,17 +33,17 @@
 			j.AllocatedTasks(), j.AllocationsOf(0))
 	}
 	if j.Release(0, "a") || j.ReadyTasks() != 0 {
-		t.Error("the task is ready although another machine may have it")
+		t.Error("the task is ready although another machine may have it, want not")
 	}
 	if !j.Release(0, "b") || j.ReadyTasks() != 1 || j.AllocatedTasks() != 0 {
-		t.Error("the task is not ready although no machine may have it")
+		t.Error("the task is not ready although no machine may have it, want it ready")
 	}
 	if zones := j.PlacementConstraints().TasksByZone; len(zones) != 0 {
 		t.Errorf("tasks by zone %v, want none", zones)
 	}
 	j.RemoveReadyTask(0)
 	if j.ReadyTasks() != 0 {
-		t.Error("the removed task is still ready")
+		t.Error("the removed task is still ready, want no ready task")
 	}
 }
 
@@ -53,10 +53,10 @@
 	j.Allocate(j.PopReadyTask(testStart), "a")
 	if !j.MarkCompleted(0) || j.MarkCompleted(0) || !j.AllCompleted() || j.NeedsTask(0) ||
 		j.RemainingTasks() != 0 {
-		t.Error("the completion is not counted exactly once")
+		t.Error("want a completion that is counted once and leaves no task to run")
 	}
 	if !j.Release(0, "a") || j.ReadyTasks() != 0 {
-		t.Error("a completed task is ready")
+		t.Error("a completed task is ready after its release, want not")
 	}
 }
 
@@ -64,20 +64,20 @@
 	j := newActiveJob("job-1", 3)
 	for _, index := range []int32{0, 2} {
 		j.MarkCompleted(index)
-		j.MarkCompletionPending(index, valueLimit)
+		j.MarkCompletionPending(index, maxStoredValueBytes)
 	}
-	list := j.PopPendingCompletions(valueLimit)
+	list := j.PopPendingCompletions(maxStoredValueBytes)
 	if len(list) != 1 || len(j.RecordKeys()) != 1 || j.RecordKeys()[0] != list[0].Key {
 		t.Fatalf("records %+v, keys %v, want one record and its key", list, j.RecordKeys())
 	}
 	if j.IsCompletionDurable(0) {
-		t.Error("a completion counts as durable before its record is")
+		t.Error("a completion counts as durable before its record is, want not")
 	}
 	j.MarkCompletionsDurable(list[0])
 	if !j.IsCompletionDurable(0) || j.IsCompletionDurable(1) || !j.IsCompletionDurable(2) {
-		t.Error("the durable completions are not those of tasks 0 and 2")
+		t.Error("want durable completions of tasks 0 and 2 only")
 	}
-	if rest := j.PopPendingCompletions(valueLimit); len(rest) != 0 {
+	if rest := j.PopPendingCompletions(maxStoredValueBytes); len(rest) != 0 {
 		t.Errorf("records to be written a second time: %+v, want none", rest)
 	}
 }
@@ -95,7 +95,7 @@
 		j := newActiveJob("job-1", 2)
 		j.RecordProgress(1, c.ranS, c.checkpointSaved)
 		if got := j.CheckpointedRunTimeS(1); got != c.want {
-			t.Errorf("%s: progress %v s, want that of the case", name, got)
+			t.Errorf("%s: checkpointed run time %v s, want that of the case", name, got)
 		}
 		if got, want := j.TasksWithProgress() == 1, c.want > 0; got != want {
 			t.Errorf("%s: counted as a task with progress: %v, want the opposite", name, got)
@@ -110,16 +110,16 @@
 	}
 	if !j.IsBackingOff(testStart.Add(tuning.FailureBackoffMax-1)) ||
 		j.IsBackingOff(testStart.Add(tuning.FailureBackoffMax)) {
-		t.Error("the delay is not FailureBackoffMax")
+		t.Error("want a delay of FailureBackoffMax after 40 failures")
 	}
 	j.DelayUntil(testStart)
 	if !j.IsBackingOff(testStart) {
-		t.Error("DelayUntil with an earlier time has shortened the delay")
+		t.Error("DelayUntil with an earlier time has shortened the delay, want it unchanged")
 	}
 	j.RecordFailureOn("m1")
 	j.RecordSuccess()
 	if j.Failures() != 0 || len(j.FailedOn()) != 0 {
-		t.Error("failures are not reset after a success")
+		t.Error("failures are left after a success, want none")
 	}
 }
 
@@ -127,15 +127,15 @@
 	j := newActiveJob("job-1", 2)
 	for i := range tuning.FaultyJobMachines {
 		if j.IsFaulty() {
-			t.Fatalf("FailsEverywhere is true after failures on %d machines, want false", i)
+			t.Fatalf("IsFaulty is true after failures on %d machines, want false", i)
 		}
 		j.RecordFailureOn(string(rune('a' + i)))
 	}
 	if !j.IsFaulty() {
-		t.Error("FailsEverywhere is false after failures on FailsEverywhereMachines machines")
+		t.Error("IsFaulty is false after failures on FaultyJobMachines machines, want true")
 	}
 	j.MarkCompleted(0)
 	if j.IsFaulty() {
-		t.Error("FailsEverywhere is true although a task is done")
+		t.Error("IsFaulty is true although a task is done, want false")
 	}
 }
--- a/internal/leader/direct_calls.go
+++ b/internal/leader/direct_calls.go
@@ -49,7 +49,7 @@
 	handled := 0
 	for ; handled < len(l.directCalls.queue) && l.directCalls.inFlight < l.maxDirectCalls(); handled++ {
 		m := l.directCalls.queue[handled]
-		m.DequeueCall()
+		m.MarkCallDequeued()
 		if !m.CanBeCalled(now, &l.timing) || l.machines.Get(m.ID) != m {
 			// The response to the next heartbeat carries the commands.
 			continue
@@ -93,7 +93,7 @@
 
 // enqueue adds a machine to the queue for direct calls, unless it is in the queue already.
 func (d *directCalls) enqueue(m *machines.Machine) {
-	if m.QueueCall() {
+	if m.TryQueueCall() {
 		d.queue = append(d.queue, m)
 	}
 }
--- a/internal/machines/attempt_test.go
+++ b/internal/machines/attempt_test.go
@@ -48,15 +48,15 @@
 func TestStartIsSentOnlyAfterItsRecord(t *testing.T) {
 	a := machines.NewPendingAttempt(newMachine(), newActiveJob(0), 0, termStart, 1, false)
 	if a.NeedsStart() {
-		t.Error("start needed before the record is durable")
+		t.Error("start may be sent before its record is durable, want not")
 	}
 	a.MarkStartRecorded()
 	if !a.NeedsStart() {
-		t.Error("start not needed although the record is durable")
+		t.Error("start need not be sent although its record is durable, want it sent")
 	}
 	defer func() {
 		if recover() == nil {
-			t.Error("no panic when marked as recorded twice")
+			t.Error("no panic when the start is marked as recorded twice, want one")
 		}
 	}()
 	a.MarkStartRecorded()
@@ -111,7 +111,7 @@
 			t.Errorf("%s: got stop needed %v, grace period %v s, want the values of the case", name, a.NeedsStop(), a.GracePeriodS())
 		}
 		if first, second := a.TryMarkDirectStopSent(), a.TryMarkDirectStopSent(); first != a.IsStopping() || second {
-			t.Errorf("%s: direct stop claimed: %v, then %v; want it claimed once if a stop is requested", name, first, second)
+			t.Errorf("%s: TryMarkDirectStopSent returns %v, then %v; want true once, if a stop is requested", name, first, second)
 		}
 	}
 }
--- a/internal/machines/catalogue_test.go
+++ b/internal/machines/catalogue_test.go
@@ -15,7 +15,7 @@
 func TestCatalogueKeepsTypesNoLongerOffered(t *testing.T) {
 	c := machines.NewCatalogue()
 	if c.HasAnyType() {
-		t.Error("new catalogue has types")
+		t.Error("new catalogue has types, want none")
 	}
 	c.SetOfferedTypes([]wire.MachineType{{Name: "std-8", CPUs: 8, Price: 1, SpotPrice: 0.4, Zones: []string{"a", "b"}}})
 	c.SetOfferedTypes([]wire.MachineType{{Name: "big-32", CPUs: 32, Price: 3, Zones: []string{"b"}}})
@@ -36,9 +36,9 @@
 	}
 }
 
-// TestSetStoredReportsChanges: the leader requests the types from the cloud periodically, and
+// TestSetStoredTypesReportsChanges: the leader requests the types from the cloud periodically, and
 // must not write them to the key-value store if they haven't changed.
-func TestSetStoredReportsChanges(t *testing.T) {
+func TestSetStoredTypesReportsChanges(t *testing.T) {
 	c := machines.NewCatalogue()
 	for i, want := range []bool{true, false} {
 		if got := c.SetStoredTypes(json.RawMessage(`[]`)); got != want {
--- a/internal/machines/delivery_test.go
+++ b/internal/machines/delivery_test.go
@@ -26,24 +26,24 @@
 	}
 	a.MarkDirectStartSent()
 	if !a.DirectStartMayArrive() || !a.MayBeginByLateStart() || !a.NeedsStart() {
-		t.Error("start counts as delivered, want one that may arrive late and is still needed")
+		t.Error("want a start that may arrive late and still has to be sent in a response")
 	}
 	m.AdvanceSession(m.Epoch(), m.Sequence()+1)
 	if !a.MayBeginByLateStart() {
-		t.Error("MayStartLate is false in the same session, want true")
+		t.Error("MayBeginByLateStart is false in the same session, want true")
 	}
 	m.AdvanceSession(m.Epoch()+1, 1)
 	if a.MayBeginByLateStart() || a.DirectStartMayArrive() || !a.NeedsStart() {
-		t.Error("in a new session: want a start that can't arrive late and is still needed")
+		t.Error("in a new session: want a start that can't arrive late and has to be sent again")
 	}
 }
 
-func TestStartSentInResponse(t *testing.T) {
+func TestResponseStartWithoutEffectIsSentAgain(t *testing.T) {
 	m := newReportingMachine(termStart)
 	a := newRecordedAttempt(m)
 	a.MarkResponseStartSent(3)
 	if !a.ResponseStartMayTakeEffect() || a.MayBeginByLateStart() {
-		t.Error("want a start that counts as sent in a response and can't arrive late")
+		t.Error("want a start in a response that may take effect, and no direct start that may arrive late")
 	}
 	a.MarkResponseStartIneffective()
 	if a.ResponseStartMayTakeEffect() || !a.NeedsStart() {
@@ -55,7 +55,7 @@
 	}
 	a.ApplyReport(termStart, machines.Fetching)
 	if a.NeedsStart() {
-		t.Error("start needed although the machine has reported the attempt")
+		t.Error("start needed although the machine has reported the attempt, want no further start")
 	}
 	a.RequestGracefulStop()
 	if c := a.StopCommand(); c.Op != wire.OpStop || c.Attempt != 8 || c.GracePeriodS == nil || *c.GracePeriodS != 7 {
@@ -77,12 +77,12 @@
 
 func TestDirectCallsDoNotOverlap(t *testing.T) {
 	m := newReportingMachine(termStart)
-	if !m.QueueCall() || m.QueueCall() {
-		t.Error("want QueueCall to return true for the first call only")
+	if !m.TryQueueCall() || m.TryQueueCall() {
+		t.Error("want TryQueueCall to return true for the first call only")
 	}
-	m.DequeueCall()
-	if !m.QueueCall() {
-		t.Error("machine not queued again after DequeueCall")
+	m.MarkCallDequeued()
+	if !m.TryQueueCall() {
+		t.Error("TryQueueCall returns false after MarkCallDequeued, want true")
 	}
 	m.BeginCall()
 	if m.CanBeCalled(termStart, timing) || !m.IsBeingCalled() {
@@ -110,7 +110,7 @@
 		t.Error("should be released before its lease has expired, want only after that")
 	}
 	if late := expired.Add(timing.HeartbeatTimeout); !m.ShouldBeReleased(late, timing, 0) {
-		t.Error("should not be released although its lease has expired and all later heartbeats were stale")
+		t.Error("not to be released although its lease has expired and all later heartbeats were stale, want a release")
 	}
 	applyHeartbeat(m, expired, 1, 9)
 	if m.ShouldBeReleased(expired.Add(timing.HeartbeatTimeout), timing, 0) {
@@ -130,35 +130,35 @@
 	}
 	a := newRecordedAttempt(m)
 	if m.CachedSnapshot() != nil {
-		t.Error("cached snapshot still valid after an attempt was added")
+		t.Error("cached snapshot still valid after an attempt was added, want none")
 	}
 	if s = m.ResetSnapshot(); s.Free != m.Free() || m.CachedSnapshot() != s {
 		t.Errorf("cached snapshot has %+v free, want the free resources of the machine", s.Free)
 	}
 	a.ApplyReport(termStart, machines.Running)
 	if m.CachedSnapshot() != nil {
-		t.Error("cached snapshot still valid after an attempt has begun to run")
+		t.Error("cached snapshot still valid after an attempt has begun to run, want none")
 	}
 	m.ResetSnapshot().Modified = true
 	if m.CachedSnapshot() != nil {
-		t.Error("cached snapshot still valid after a pass has modified it")
+		t.Error("cached snapshot still valid after a pass has modified it, want none")
 	}
 }
 
 func TestReclaimNotice(t *testing.T) {
 	m := newReportingMachine(termStart)
-	if _, reclaimed := m.TimeUntilReclaim(termStart); reclaimed {
+	if _, announced := m.TimeUntilReclaim(termStart); announced {
 		t.Error("got a reclaim time without a notice, want none")
 	}
 	first, second := 30.0, 60.0
 	for _, notice := range []*float64{&first, &second} {
-		_, reclaimed := m.RecordHeartbeat(termStart, &wire.Heartbeat{ReclaimNoticeS: notice})
-		if reclaimed != (notice == &first) {
-			t.Errorf("notice of %v s counts as the first: %v, want this for 30 s only", *notice, reclaimed)
+		_, announced := m.RecordHeartbeat(termStart, &wire.Heartbeat{ReclaimNoticeS: notice})
+		if announced != (notice == &first) {
+			t.Errorf("notice of %v s counts as the first: %v, want this for 30 s only", *notice, announced)
 		}
 	}
-	if left, reclaimed := m.TimeUntilReclaim(termStart.Add(10 * time.Second)); left != 20*time.Second || !reclaimed {
-		t.Errorf("%v left until the reclaim, want 20s", left)
+	if left, announced := m.TimeUntilReclaim(termStart.Add(10 * time.Second)); left != 20*time.Second || !announced {
+		t.Errorf("%v left until the reclaim, want an announced reclaim in 20s", left)
 	}
 }
 
@@ -170,6 +170,6 @@
 	}
 	m.BeginRelease()
 	if m.IsSchedulable(termStart.Add(time.Second), timing) || !m.IsBeingReleased() {
-		t.Error("machine is schedulable while it is being released")
+		t.Error("machine is schedulable while it is being released, want not")
 	}
 }
--- a/internal/machines/direct.go
+++ b/internal/machines/direct.go
@@ -16,8 +16,9 @@
 		!m.IsCordonedFor(CordonUnresponsive) && !m.HeartbeatOverdue(now, t)
 }
 
-// QueueCall marks the machine as queued for a call. It returns false if it was queued already.
-func (d *directCalls) QueueCall() bool {
+// TryQueueCall marks the machine as queued for a call. It returns false if the
+// machine was queued already.
+func (d *directCalls) TryQueueCall() bool {
 	if d.queued {
 		return false
 	}
@@ -25,8 +26,8 @@
 	return true
 }
 
-// DequeueCall marks the machine as no longer queued for a call.
-func (d *directCalls) DequeueCall() { d.queued = false }
+// MarkCallDequeued marks the machine as no longer queued for a call.
+func (d *directCalls) MarkCallDequeued() { d.queued = false }
 
 // BeginCall records that a call has begun.
 func (d *directCalls) BeginCall() { d.callInProgress = true }
--- a/internal/machines/heartbeat.go
+++ b/internal/machines/heartbeat.go
@@ -9,7 +9,7 @@
 
 // agentSession holds the state of the agent's session and its heartbeats.
 type agentSession struct {
-	epoch, sequence      uint64
+	epoch, sequence      uint64 // of the current session, and of its newest message
 	lastPeriodicSequence uint64 // sequence of the newest heartbeat that was not a reply to a direct call
 	// expiredEpoch is the epoch of the last session known to have expired. Messages of that
 	// session and of earlier ones are stale.
--- a/internal/machines/machine.go
+++ b/internal/machines/machine.go
@@ -11,6 +11,7 @@
 
 // Machine is a provisioned machine with all attempts that may be running on it.
 type Machine struct {
+	// Addr is where the agent accepts direct calls, empty if unknown.
 	ID, Type, Zone, Addr string
 	Spot                 bool
 	lifecycle
--- a/internal/machines/machine_test.go
+++ b/internal/machines/machine_test.go
@@ -103,7 +103,7 @@
 	m.UncountFailedJob("another")
 	m.UncountFailedJob("job-0")
 	if m.IsCordonedFor(machines.CordonFaulty) || !m.ExcludesJob("job-0") {
-		t.Error("want a machine that isn't quarantined any more, but still avoids the job")
+		t.Error("want a machine that isn't quarantined any more, but still excludes the job")
 	}
 	m.RecordTaskSuccess()
 	if m.CountFailedJob("job-0") {
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestLeaseExpiry(t *testing.T) {
+func TestLeaseHasExpired(t *testing.T) {
 	replaced := newReportingMachine(termStart)
 	replaced.Cordon(machines.CordonAgentReplaced)
 	for name, c := range map[string]struct {
@@ -150,7 +150,7 @@
 	}
 	m.AdvanceSession(2, 8) // the reply to a direct call
 	if r := (&wire.Heartbeat{AgentEpoch: 2, Sequence: 7}); !m.IsOvertakenByDirectReply(r) {
-		t.Error("heartbeat doesn't count as overtaken by the direct reply")
+		t.Error("heartbeat doesn't count as overtaken by the direct reply, want it overtaken")
 	}
 	m.ExpireSession()
 	if r := (&wire.Heartbeat{AgentEpoch: 2, Sequence: 9}); !m.IsStale(r) || m.IsOvertakenByDirectReply(r) {
@@ -218,21 +218,21 @@
 	}
 }
 
-func TestCountMissingFromList(t *testing.T) {
+func TestDetectDeletion(t *testing.T) {
 	const lag = 8 * time.Second
 	m := newMachine()
 	if m.DetectDeletion(termStart.Add(time.Hour), lag) {
-		t.Error("machine counts as deleted although it was never listed")
+		t.Error("machine counts as deleted although it was never listed, want not")
 	}
 	m.ApplyCloudListing(termStart, termStart, &wire.ListedMachine{AgeS: 60, Addr: "other:9"})
 	if !m.WasListedByCloud() || !m.ProvisionedAt().Equal(termStart.Add(-time.Minute)) || m.Addr != "m1:9" {
 		t.Errorf("listed: %v, provisioned at %v, address %s, want true, one minute before the term, m1:9", m.WasListedByCloud(), m.ProvisionedAt(), m.Addr)
 	}
 	if m.DetectDeletion(termStart.Add(lag), lag) {
-		t.Error("machine counts as deleted although the list may show a state before its first listing")
+		t.Error("machine counts as deleted although the list may show a state before its first listing, want not")
 	}
 	if !m.DetectDeletion(termStart.Add(lag+1), lag) {
-		t.Error("machine doesn't count as deleted although the list shows a state after its first listing")
+		t.Error("machine doesn't count as deleted although the list shows a state after its first listing, want it deleted")
 	}
 }
 
--- a/internal/machines/partition_detector_test.go
+++ b/internal/machines/partition_detector_test.go
@@ -22,7 +22,7 @@
 	return list
 }
 
-func TestReachability(t *testing.T) {
+func TestPartitionDetection(t *testing.T) {
 	now := termStart.Add(time.Minute)
 	late := now.Add(-timing.HeartbeatTimeout - 1)
 	for name, c := range map[string]struct {
@@ -40,12 +40,12 @@
 		}
 		r.Update(now, newMachinesInTwoZones(10, now, now), timing)
 		if r.AnyPartitioned(now) || r.IsIsolated() {
-			t.Errorf("%s: still partitioned or isolated after all machines have reported", name)
+			t.Errorf("%s: still partitioned or isolated after all machines have reported, want neither", name)
 		}
 	}
 	r := machines.NewPartitionDetector()
 	r.Update(now, newMachinesInTwoZones(10, late, now), timing)
 	if after := now.Add(timing.LeaseCertainlyExpiredAfter); r.AnyPartitioned(after) {
-		t.Error("zone still partitioned although its machines may have been released")
+		t.Error("zone still partitioned although its machines may have been released, want not")
 	}
 }
--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -9,8 +9,8 @@
 // candidate is a machine with its score for a job.
 type candidate struct {
 	machine *Machine
-	version int // the machine's version when the score was computed
-	score   int64
+	version int     // the machine's version when the score was computed
+	score   int64   // speedup in microseconds, see pass.score
 	waitS   float64 // seconds until the task could start
 }
 
@@ -85,9 +85,10 @@
 // now. In the second case the tasks are queued, so that smaller tasks don't use the
 // resources that these tasks need.
 //
-// It returns none if the pass has queued its maximum of tasks or scored half of its
-// maximum of pairs. Otherwise, with 2,000 full machines, each aged job would score
-// all of them without a start, and no scores would be left for the jobs that fit.
+// It returns none if the pass only starts tasks, has queued its maximum of tasks, or
+// has scored half of its maximum of pairs. Without the last two limits and with 2,000
+// full machines, each aged job would score all of them without a start, and no scores
+// would be left for the jobs that fit.
 func (p *pass) busyMachinesToScore(j *PendingJob, imageCached bool) []*Machine {
 	if p.startOnly || p.queuedTasks >= tuning.PassMaxQueuedTasks || p.stats.ScoredPairs >= tuning.PassMaxScoredPairs/2 {
 		return nil
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -30,10 +30,10 @@
 	// machinesByImage caches the results of machinesWithImage. Machines that begin to
 	// fetch the image later in the pass are not added.
 	machinesByImage map[string][]*Machine
-	teams           map[string]*Team
-	maxStarts       int
-	starts          []Assignment
-	queuedTasks     int // number of tasks that this pass has queued
+	teams           map[string]*Team // by name
+	maxStarts       int              // maximum number of starts in this pass
+	starts          []Assignment     // decided so far
+	queuedTasks     int              // number of tasks that this pass has queued
 	// blockedRank is the priority whose remaining jobs fit on no machine now, or
 	// noRank. The pass skips these jobs.
 	blockedRank int
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -22,9 +22,9 @@
 	Type        string
 	Zone        string
 	Spot        bool
-	Capacity    Resources
-	Free        Resources
-	FetchGBPerS float64 // bandwidth of image fetches, zero if unknown
+	Capacity    Resources // in total
+	Free        Resources // not used by placed tasks
+	FetchGBPerS float64   // bandwidth of image fetches, zero if unknown
 	// Price decides between machines with the same speedup. Cheaper ones are
 	// preferred, so that expensive ones become idle and can be released.
 	Price float64
@@ -86,7 +86,7 @@
 	// are rounded down to multiples of tuning.UrgencyResolutionS; if these are equal,
 	// the speedup decides.
 	Urgency           float64
-	ReadyTasks        int
+	ReadyTasks        int       // number of tasks to be placed
 	Request           Resources // of one task
 	EstimatedRunTimeS float64   // of one task, without the image fetch
 	Image             string
