--- a/internal/consolidation/consolidation.go
+++ b/internal/consolidation/consolidation.go
@@ -84,8 +84,10 @@
 	}
 }
 
-// consolidate cordons machines whose tasks fit on others, the most expensive machines first, and
-// among equally expensive ones those with the largest share of free CPUs. It returns their number.
+// consolidate cordons machines whose tasks fit on others, and requests stops of the tasks. It tries
+// the most expensive machines first, and among equally expensive ones those with the largest share of
+// free CPUs. It returns the number of cordoned machines, which is limited, as the images and
+// checkpoints of the moved tasks load the other machines.
 func (p *pass) consolidate() int {
 	slices.SortStableFunc(p.movable, func(a, b *machines.Machine) int {
 		return cmp.Or(-cmp.Compare(p.Price(a), p.Price(b)), -cmp.Compare(a.Free().CPUs/a.Capacity().CPUs, b.Free().CPUs/b.Capacity().CPUs))
--- a/internal/jobs/failures.go
+++ b/internal/jobs/failures.go
@@ -17,16 +17,16 @@
 // maxBackoffDoublings is the maximum number of times that the delay after a failure doubles.
 const maxBackoffDoublings = 10
 
-// RecordFailure counts a failure and delays the placement of further tasks. The delay doubles with
+// CountFailure counts a failure of a task and delays the placement of further tasks. The delay doubles with
 // each failure, up to FailureBackoffMax.
-func (h *failureHistory) RecordFailure(now time.Time) {
+func (h *failureHistory) CountFailure(now time.Time) {
 	h.failures++
 	delay := tuning.FailureBackoffMin << min(h.failures-1, maxBackoffDoublings)
 	h.backOffUntil = now.Add(min(delay, tuning.FailureBackoffMax))
 }
 
-// RecordFailureOn records the ID of a machine on which a task has failed.
-func (h *failureHistory) RecordFailureOn(machine string) {
+// AddFailedOn adds the ID of a machine on which a task has failed to those that FailedOn returns.
+func (h *failureHistory) AddFailedOn(machine string) {
 	if h.failedOn == nil {
 		h.failedOn = map[string]bool{}
 	}
--- a/internal/jobs/tasks_test.go
+++ b/internal/jobs/tasks_test.go
@@ -106,7 +106,7 @@
 func TestDelayAfterFailuresIsLimited(t *testing.T) {
 	j := newActiveJob("job-1", 2)
 	for range 40 {
-		j.RecordFailure(testStart)
+		j.CountFailure(testStart)
 	}
 	if !j.IsBackingOff(testStart.Add(tuning.FailureBackoffMax-1)) ||
 		j.IsBackingOff(testStart.Add(tuning.FailureBackoffMax)) {
@@ -116,7 +116,7 @@
 	if !j.IsBackingOff(testStart) {
 		t.Error("DelayUntil with an earlier time has shortened the delay, want it unchanged")
 	}
-	j.RecordFailureOn("m1")
+	j.AddFailedOn("m1")
 	j.RecordSuccess()
 	if j.Failures() != 0 || len(j.FailedOn()) != 0 {
 		t.Error("failures are left after a success, want none")
@@ -129,7 +129,7 @@
 		if j.IsFaulty() {
 			t.Fatalf("IsFaulty is true after failures on %d machines, want false", i)
 		}
-		j.RecordFailureOn(string(rune('a' + i)))
+		j.AddFailedOn(string(rune('a' + i)))
 	}
 	if !j.IsFaulty() {
 		t.Error("IsFaulty is false after failures on FaultyJobMachines machines, want true")
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -13,7 +13,7 @@
 
 // recordTaskFailure records that a task of the job has failed on the machine.
 func (l *Leader) recordTaskFailure(j *jobs.Job, m *machines.Machine) {
-	j.RecordFailureOn(m.ID)
+	j.AddFailedOn(m.ID)
 	m.ExcludeJob(j.ID)
 	if !j.IsFaulty() {
 		l.countFailedJob(m, j)
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -176,7 +176,7 @@
 		l.recordCompletion(now, j, a.Index)
 	case wire.ExitError:
 		l.log.Debug().Str("machine", m.ID).Str("task", t.Task).Msg("task failed")
-		j.RecordFailure(now)
+		j.CountFailure(now)
 		l.recordTaskFailure(j, m)
 	case wire.ExitNoCapacity, wire.ExitTaskBusy:
 		m.MarkFull(now.Add(tuning.FullMachineBackoff))
--- a/internal/machines/capacity.go
+++ b/internal/machines/capacity.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// MarkFull makes the machine unschedulable until the given time, after it has refused a task for
-// lack of capacity.
+// MarkFull makes the machine unschedulable until the given time. It is called after the machine has
+// refused a task, for lack of capacity or because it has another attempt of the task.
 func (c *capacity) MarkFull(until time.Time) { c.fullUntil = until }
 
 // Reserve reserves the machine's free resources for tasks of the priority rank or a higher one,
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -40,7 +40,8 @@
 	HasReservation bool
 	ReservedRank   int
 	// Modified is set when a pass changes the snapshot. The snapshot then has to be
-	// rebuilt before the next pass.
+	// rebuilt before the next pass, because the tasks that the pass has queued on the
+	// machine are not on it.
 	Modified bool
 
 	// queuedRank is the highest priority that has a queued task or a reservation on
@@ -68,7 +69,9 @@
 	m.Images[image] = readyAt
 }
 
-// PendingJob is a job with ready tasks, all with the same request.
+// PendingJob is a job with ready tasks, all with the same request. A pass gets an aged
+// job as two of them: one with AgedS set and a few of the ready tasks, the other with
+// the rest. The two share TasksByZone.
 type PendingJob struct {
 	JobID string
 	Team  string
@@ -77,9 +80,10 @@
 	// WithinGuarantee: the job's tasks fit into its team's guaranteed quota.
 	WithinGuarantee bool
 	// AgedS is the time in seconds that an aged job has waited since its last start,
-	// or zero if the job doesn't count as aged. Aged jobs precede all others, whatever
-	// their priority, and the longest waiting one comes first. If priority ordered
-	// them, jobs of the lowest one would starve again once many jobs have aged.
+	// or zero if the job doesn't count as aged. A job is aged once it has waited for
+	// tuning.AgingThreshold. Aged jobs precede all others, whatever their priority,
+	// and the longest waiting one comes first. If priority ordered them, jobs of the
+	// lowest one would starve again once many jobs have aged.
 	AgedS float64
 	// Urgency orders jobs of one priority. The most urgent job has the lowest value:
 	// it is about the time in seconds that may pass before the job is late. Values
--- a/internal/preemption/pass.go
+++ b/internal/preemption/pass.go
@@ -24,8 +24,8 @@
 	// candidates contains the attempts that may be stopped on each machine, in ascending order
 	// of cost.
 	candidates  map[*machines.Machine][]candidate
-	stopCount   int // attempts whose stop this pass has requested
-	searchCount int // waiting tasks for which this pass has searched machines
+	stopCount   int // number of attempts whose stop this pass has requested
+	searchCount int // number of waiting tasks for which this pass has tried to make capacity
 }
 
 // newPass returns a pass that has collected the candidates on all schedulable machines.
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -67,8 +67,8 @@
 }
 
 // lowestPreemptibleRank returns the rank of the lowest priority among the jobs with running tasks
-// that save checkpoints. Only tasks that save checkpoints may be preempted. Ranks grow with lower
-// priority, so jobs of this rank or a larger one have no tasks to preempt.
+// that save checkpoints, as only such tasks may be preempted. Ranks grow with lower priority. So for
+// jobs of this rank or a larger one, there are no tasks to preempt.
 func lowestPreemptibleRank(runnable iter.Seq[*jobs.Job]) int {
 	lowest := 0
 	for j := range runnable {
@@ -79,7 +79,8 @@
 	return lowest
 }
 
-// waitingByPriority returns the jobs with ready tasks and no failures, the highest priority first.
+// waitingByPriority returns the jobs with ready tasks, without those that have failures. The highest
+// priority comes first.
 func waitingByPriority(ready []*placement.PendingJob, jobsByID map[string]*jobs.Job) []*placement.PendingJob {
 	var waiting []*placement.PendingJob
 	for _, pending := range ready {
