--- a/internal/consolidation/consolidation.go
+++ b/internal/consolidation/consolidation.go
@@ -84,8 +84,10 @@
 	}
 }
 
-// consolidate cordons machines whose tasks fit on others, the most expensive machines first, and
-// among equally expensive ones those with the largest share of free CPUs. It returns their number.
+// consolidate cordons machines whose tasks fit on others, and requests stops of the tasks. It tries
+// the most expensive machines first, and among equally expensive ones those with the largest share of
+// free CPUs. It returns the number of cordoned machines, which is limited, as the images and
+// checkpoints of the moved tasks load the other machines.
 func (p *pass) consolidate() int {
 	slices.SortStableFunc(p.movable, func(a, b *machines.Machine) int {
 		return cmp.Or(-cmp.Compare(p.Price(a), p.Price(b)), -cmp.Compare(a.Free().CPUs/a.Capacity().CPUs, b.Free().CPUs/b.Capacity().CPUs))
@@ -165,9 +167,11 @@
 }
 
 // isMovable reports whether all tasks of the machine may be moved, and moving them saves enough
-// machine time. Each task must save checkpoints and have run for tuning.ConsolidateMinRunTime. At most
-// half of the machine's CPUs may be in use, its minimum billing time must be over, and its longest task
-// must be expected to run for at least another tuning.ConsolidateMinLifetime.
+// machine time:
+//   - the machine has tasks, and at most half of its CPUs are in use
+//   - its minimum billing time is over
+//   - each task saves checkpoints and has run for tuning.ConsolidateMinRunTime
+//   - the longest task is expected to run for at least another tuning.ConsolidateMinLifetime
 func (p *pass) isMovable(m *machines.Machine) bool {
 	if len(m.Attempts()) == 0 || m.Free().CPUs < m.Capacity().CPUs/2 || p.now.Sub(m.ProvisionedAt()) < tuning.MinimumBillingTime {
 		return false
@@ -189,6 +193,6 @@
 func (p *pass) firstFit(j *jobs.Job, targets []*machines.Machine) int {
 	constraints := j.PlacementConstraints()
 	return slices.IndexFunc(targets, func(m *machines.Machine) bool {
-		return p.unallocated[m].Fits(j.Request()) && !m.AvoidsJob(j.ID) && constraints.CanRunOn(m.PlacementView())
+		return p.unallocated[m].Fits(j.Request()) && !m.ExcludesJob(j.ID) && constraints.CanRunOn(m.PlacementView())
 	})
 }
--- a/internal/jobs/tasks.go
+++ b/internal/jobs/tasks.go
@@ -10,7 +10,8 @@
 	"switchshore.example/switchshore/internal/records"
 )
 
-// taskSet is the state of a job's tasks, which are identified by their indexes.
+// taskSet is the state of a job's tasks, which are identified by their indexes. A chunk is a range
+// of task indexes whose completions are stored in one record.
 type taskSet struct {
 	completed          *intervals.Set
 	durableCompletions *intervals.Set // tasks whose completions are durable; nil if none
@@ -18,10 +19,10 @@
 	ready              []int32        // tasks to be placed, the next one at the end
 	allocations        map[int32]int8 // number of machines that may have each task
 	allocationsByZone  map[string]int // the same machines, counted by zone
-	runningAttempts    int
-	// progress is the checkpointed run time, in seconds, of tasks that have to run again. It
+	runningAttempts    int            // attempts that were reported as running and have not ended
+	// checkpointedRunTimeS is the checkpointed run time, in seconds, of tasks that have to run again. It
 	// includes only attempts that ended in this term.
-	progress map[int32]float64
+	checkpointedRunTimeS map[int32]float64
 	// waitingForPlacementSince is when a task of the job was last placed, or if none was, when the
 	// job could first be placed.
 	waitingForPlacementSince time.Time
@@ -48,18 +49,18 @@
 // MarkCompleted marks a task as completed. It reports whether the task was not completed before.
 func (t *taskSet) MarkCompleted(index int32) bool { return t.completed.Add(int(index)) }
 
-// MarkCompletionPending records that the completion of a task has to be written. valueLimit, the
-// maximum size of a stored value, determines the chunk that contains the task.
-func (t *taskSet) MarkCompletionPending(index int32, valueLimit int) {
-	t.pendingChunks[int(index)/records.CompletionChunkSize(valueLimit)] = true
+// MarkCompletionPending records that the completion of a task has to be written. The size of the
+// chunks, and so the chunk that contains the task, follows from maxStoredValueBytes.
+func (t *taskSet) MarkCompletionPending(index int32, maxStoredValueBytes int) {
+	t.pendingChunks[int(index)/records.CompletionChunkSize(maxStoredValueBytes)] = true
 }
 
 // PopPendingCompletions returns the records of all chunks with completions to be written. The
 // caller has to write them: the next call does not return them again.
-func (j *Job) PopPendingCompletions(valueLimit int) []records.Completions {
+func (j *Job) PopPendingCompletions(maxStoredValueBytes int) []records.Completions {
 	list := make([]records.Completions, 0, len(j.pendingChunks))
 	for _, chunk := range slices.Sorted(maps.Keys(j.pendingChunks)) {
-		r := records.NewCompletions(j.ID, j.completed, chunk, valueLimit)
+		r := records.NewCompletions(j.ID, j.completed, chunk, maxStoredValueBytes)
 		j.AddRecordKey(r.Key)
 		list = append(list, r)
 	}
@@ -73,8 +74,8 @@
 	j.markCompletionDurable(index)
 }
 
-// MarkCompletionsDurable records that the completions in c are durable. After that the workers may
-// forget these attempts.
+// MarkCompletionsDurable records that the completions in c are durable. Until then, the agents have
+// to remember the exited attempts.
 func (j *Job) MarkCompletionsDurable(c records.Completions) {
 	// NewCompletions has formatted the text, so parsing can't fail.
 	_ = intervals.ParseEach(c.Tasks, j.Tasks, j.markCompletionDurable)
@@ -162,7 +163,7 @@
 // AllocationsOf returns the number of machines that may have the task.
 func (t *taskSet) AllocationsOf(index int32) int { return int(t.allocations[index]) }
 
-// RunningAttempts returns the number of attempts that were reported as running.
+// RunningAttempts returns the number of attempts that were reported as running and have not ended.
 func (t *taskSet) RunningAttempts() int { return t.runningAttempts }
 
 // AddRunningAttempt increments the number of running attempts.
@@ -171,12 +172,12 @@
 // RemoveRunningAttempt decrements the number of running attempts.
 func (t *taskSet) RemoveRunningAttempt() { t.runningAttempts-- }
 
-// Progress returns the checkpointed run time of a task in seconds. Its next attempt needs that much
-// less time.
-func (t *taskSet) Progress(index int32) float64 { return t.progress[index] }
+// CheckpointedRunTimeS returns the checkpointed run time of a task in seconds. The task's next
+// attempt needs that much less time.
+func (t *taskSet) CheckpointedRunTimeS(index int32) float64 { return t.checkpointedRunTimeS[index] }
 
 // TasksWithProgress returns the number of tasks with checkpointed progress.
-func (t *taskSet) TasksWithProgress() int { return len(t.progress) }
+func (t *taskSet) TasksWithProgress() int { return len(t.checkpointedRunTimeS) }
 
 // RecordProgress adds the progress of an attempt that ended after running for ranS seconds. If the
 // attempt saved a checkpoint when it was stopped, all of that time counts, otherwise the time
@@ -189,9 +190,9 @@
 		ranS = math.Floor(ranS/j.CheckpointIntervalS) * j.CheckpointIntervalS
 	}
 	if ranS > 0 {
-		if j.progress == nil {
-			j.progress = map[int32]float64{}
+		if j.checkpointedRunTimeS == nil {
+			j.checkpointedRunTimeS = map[int32]float64{}
 		}
-		j.progress[index] += ranS
+		j.checkpointedRunTimeS[index] += ranS
 	}
 }
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -57,7 +57,7 @@
 	case !j.IsBlocked():
 		l.jobs.MarkRunnable(j)
 		j.RebuildReadyTasks()
-		l.scaler.History.AddArrival(now, j.WaitingSince(), float64(j.Tasks)*j.CPUs*l.runTimeRatios.Estimate(j))
+		l.scaler.History.AddArrival(now, j.WaitingSince(), float64(j.Tasks)*j.CPUs*l.runTimeRatios.ExpectedRunTimeS(j))
 		l.schedulingPassRequested = true
 	}
 }
@@ -70,7 +70,7 @@
 	for _, t := range l.catalogue.OfferedTypes() {
 		fetchGBPerS = max(fetchGBPerS, t.FetchGBPerS)
 	}
-	durationS := l.runTimeRatios.Estimate(j)
+	durationS := l.runTimeRatios.ExpectedRunTimeS(j)
 	if fetchGBPerS > 0 {
 		durationS += placement.FetchTimeS(j.ImageGB, fetchGBPerS)
 	}
--- a/internal/leader/direct_calls.go
+++ b/internal/leader/direct_calls.go
@@ -49,7 +49,7 @@
 	handled := 0
 	for ; handled < len(l.directCalls.queue) && l.directCalls.inFlight < l.maxCallsInFlight(); handled++ {
 		m := l.directCalls.queue[handled]
-		m.DequeueCall()
+		m.MarkCallDequeued()
 		if !m.CanBeCalled(now, &l.timing) || l.machines.Get(m.ID) != m {
 			// If the machine still exists, the response to its next heartbeat contains the commands.
 			continue
@@ -78,14 +78,14 @@
 	}
 	schedulable := m.IsSchedulable(now, &l.timing)
 	for _, a := range m.Attempts() {
-		if a.MarkDirectStopIfNeeded() {
+		if a.TryMarkDirectStopSent() {
 			call.Request.Commands = append(call.Request.Commands, a.StopCommand())
 			continue
 		}
-		if !schedulable || !a.NeedsStart() || a.StartSentDirectly() || a.StartSentInResponse() || len(call.startedAttempts) >= tuning.MaxCommandsPerResponse {
+		if !schedulable || !a.NeedsStart() || a.DirectStartMayArrive() || a.ResponseStartMayTakeEffect() || len(call.startedAttempts) >= tuning.MaxCommandsPerResponse {
 			continue
 		}
-		a.MarkStartSentDirectly()
+		a.MarkDirectStartSent()
 		call.startedAttempts = append(call.startedAttempts, a)
 		call.Request.Commands = append(call.Request.Commands, a.StartCommand())
 	}
@@ -94,7 +94,7 @@
 
 // enqueue adds a machine to the queue for direct calls, unless it is in the queue already.
 func (d *directCalls) enqueue(m *machines.Machine) {
-	if m.QueueCall() {
+	if m.TryQueueCall() {
 		d.queue = append(d.queue, m)
 	}
 }
@@ -117,7 +117,7 @@
 	if outcome != DirectCallUncertain {
 		// The starts were executed, refused or not delivered, so they can no longer arrive late.
 		for _, a := range call.startedAttempts {
-			a.ClearStartSentDirectly()
+			a.RuleOutDirectStart()
 		}
 	}
 	l.directCalls.inFlight--
--- a/internal/leader/drains.go
+++ b/internal/leader/drains.go
@@ -16,7 +16,7 @@
 		Zones:                      l.params.Zones,
 		MaxMachines:                l.operatorSettings.MaxMachines,
 		MaxValueBytes:              l.maxStoredValueBytes(),
-		LeaseCertainlyExpiredAfter: l.timing.LeaseExpiry,
+		LeaseCertainlyExpiredAfter: l.timing.LeaseCertainlyExpiredAfter,
 		LeaseDurationS:             l.params.Workers.LeaseS,
 	}
 	return drainer.New(l.log, c, drainer.Cluster{
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -91,7 +91,7 @@
 func (l *Leader) mayReceiveLateStart(now time.Time, m *machines.Machine) bool {
 	limit := lateStartLimit(l.params.Workers)
 	return slices.ContainsFunc(m.Attempts(), func(a *machines.Attempt) bool {
-		return a.MayStartLate() && !a.Job.IsActive() && now.Sub(a.Job.EndedAt()) > limit
+		return a.MayBeginByLateStart() && !a.Job.IsActive() && now.Sub(a.Job.EndedAt()) > limit
 	})
 }
 
@@ -99,7 +99,7 @@
 // so that they save a checkpoint. It stops a task when the remaining time is only just enough for
 // that. Tasks without checkpoints run on.
 func (l *Leader) checkpointBeforeReclaim(now time.Time, m *machines.Machine) {
-	remaining, reclaimAnnounced := m.ReclaimIn(now)
+	remaining, reclaimAnnounced := m.TimeUntilReclaim(now)
 	if !reclaimAnnounced {
 		return
 	}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -40,18 +40,18 @@
 	jobs                *jobs.Registry
 	graph               *jobs.DependencyGraph
 	admission           *admissionControl
-	unqueuedCompletions jobs.PendingCompletions // jobs with completions whose write is not queued yet
-	runTimeRatios       jobs.RunTimeRatios      // ratio of observed to estimated run time, by job class
-	startDelay          jobs.StartDelay         // usual time between the placement of a task and its start
+	unqueuedCompletions jobs.UnqueuedCompletions // jobs with completions whose write is not queued yet
+	runTimeRatios       jobs.RunTimeRatios       // ratio of observed to estimated run time, by job class
+	startDelay          jobs.StartDelay          // usual time between the placement of a task and its start
 
 	// Machines.
 	machines       *machines.Registry
-	catalogue      *machines.Catalogue    // machine types, including those no longer offered
-	ledger         *allocation.Ledger     // quotas of the teams, and the CPUs allocated to their attempts
-	directCalls    directCalls            // commands sent to agents between their heartbeats
-	machineLists   machineLists           // state of the cloud's machine lists
-	taskListNumber uint64                 // number of task lists applied so far, and ID of the newest one
-	reachability   *machines.Reachability // zones that are probably partitioned from this node
+	catalogue      *machines.Catalogue         // machine types, including those no longer offered
+	ledger         *allocation.Ledger          // quotas of the teams, and the CPUs allocated to their attempts
+	directCalls    directCalls                 // commands sent to agents between their heartbeats
+	machineLists   machineLists                // state of the cloud's machine lists
+	taskListNumber uint64                      // number of task lists applied so far, and ID of the newest one
+	reachability   *machines.PartitionDetector // zones that are probably partitioned from this node
 
 	// Decisions.
 	passTimes               passTimes
@@ -80,14 +80,14 @@
 		term:                term,
 		jobs:                jobs.NewRegistry(),
 		admission:           newAdmissionControl(&params, &operator, term, now),
-		unqueuedCompletions: jobs.PendingCompletions{},
+		unqueuedCompletions: jobs.UnqueuedCompletions{},
 		ledger:              allocation.NewLedger(params.Teams),
 		runTimeRatios:       jobs.RunTimeRatios{},
 		machines:            machines.NewRegistry(),
 		catalogue:           machines.NewCatalogue(),
 		timing:              newTiming(params.Workers, now, gracePeriod),
 		loading:             loadState{jobPieces: records.JobPieces{}, newestAttempts: map[taskKey]*machines.Attempt{}},
-		reachability:        machines.NewReachability(),
+		reachability:        machines.NewPartitionDetector(),
 	}
 	l.graph = jobs.NewDependencyGraph(l.jobs, l.dependentJobDuration)
 	l.writes = records.NewWriteQueues(log, l.maxStoredValueBytes())
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -65,7 +65,7 @@
 		if a.State() == machines.StartSent {
 			m.RecordStartExecuted()
 		}
-		if a.StartSentDirectly() {
+		if a.DirectStartMayArrive() {
 			// The start may still arrive late. An agent that had forgotten the attempt would run the
 			// task again.
 			m.RetainExit(machines.ExitKey{Task: t.Task, Attempt: t.Attempt})
@@ -122,7 +122,7 @@
 // task whose start was in that response.
 func (l *Leader) recordIneffectiveResponse(now time.Time, m *machines.Machine) {
 	if slices.ContainsFunc(m.Attempts(), func(a *machines.Attempt) bool {
-		return !a.IsInTaskList(l.taskListNumber) && a.State() == machines.StartSent && a.StartSentInResponse()
+		return !a.IsInTaskList(l.taskListNumber) && a.State() == machines.StartSent && a.ResponseStartMayTakeEffect()
 	}) {
 		m.RecordIneffectiveResponse(now)
 	}
@@ -139,14 +139,14 @@
 		case a.State() != machines.StartSent:
 			// The task was on the machine, or may have been there, and is not there any more.
 			l.releaseAttempt(now, a)
-		case a.StartSentDirectly():
+		case a.DirectStartMayArrive():
 			// The start may still arrive late, so the attempt is kept.
 			l.requireFencingRelease(now, a)
-		case periodic || !a.StartSentInResponse():
+		case periodic || !a.ResponseStartMayTakeEffect():
 			// The start was not sent, or only in a response that the agent no longer waits for. So it
 			// was not executed and never will be. It is sent again if the task should still run on
 			// this machine.
-			a.MarkStartResponseIneffective()
+			a.MarkResponseStartIneffective()
 			if !a.ShouldRun() || !l.isSchedulable(now, m) {
 				l.releaseAttempt(now, a)
 			}
@@ -177,14 +177,14 @@
 	switch t.ExitReason {
 	case wire.ExitDone:
 		if a.State() == machines.Running && a.HasRun() {
-			l.runTimeRatios.Observe(j, a.RunTime(now).Seconds()+j.Progress(a.Index))
+			l.runTimeRatios.Observe(j, a.RunTime(now).Seconds()+j.CheckpointedRunTimeS(a.Index))
 		}
 		l.recordTaskSuccess(j, m)
 		m.RecordImage(now, j.Image)
 		l.recordCompletion(now, j, a.Index)
 	case wire.ExitError:
 		l.log.Debug().Str("machine", m.ID).Str("task", t.Task).Msg("task failed")
-		j.RecordFailure(now)
+		j.CountFailure(now)
 		l.recordTaskFailure(j, m)
 	case wire.ExitNoCapacity, wire.ExitTaskBusy:
 		m.MarkFull(now.Add(tuning.FullMachineBackoff))
--- a/internal/leader/timing.go
+++ b/internal/leader/timing.go
@@ -30,10 +30,10 @@
 	// The leader waits longer than the lease, because the clocks of leader and agent may drift apart.
 	leaseExpiry := seconds.Duration(w.LeaseS*(1+tuning.ClockDrift)) + tuning.LeaseExpiryMargin
 	return machines.Timing{
-		HeartbeatTimeout: seconds.Duration(w.HeartbeatIntervalS * tuning.HeartbeatTimeoutIntervals),
-		LeaseDuration:    seconds.Duration(w.LeaseS),
-		LeaseExpiry:      leaseExpiry,
-		TermStart:        now,
+		HeartbeatTimeout:           seconds.Duration(w.HeartbeatIntervalS * tuning.HeartbeatTimeoutIntervals),
+		LeaseDuration:              seconds.Duration(w.LeaseS),
+		LeaseCertainlyExpiredAfter: leaseExpiry,
+		TermStart:                  now,
 		// The predecessor lost its leader lease before now, and responds to heartbeats for at most the
 		// grace period after that. A machine lease that it renews counts from the time at which the
 		// agent sent the heartbeat, so it expires within leaseExpiry after the grace period.
--- a/internal/machines/capacity.go
+++ b/internal/machines/capacity.go
@@ -16,7 +16,8 @@
 	// priority.
 	reservedUntil time.Time
 	reservedRank  int
-	// snapshot is the machine as placement passes see it. It is rebuilt when it is outdated.
+	// snapshot is the machine as placement passes see it, nil before the first pass. It is rebuilt
+	// when it is outdated.
 	snapshot         *placement.Machine
 	snapshotOutdated bool
 }
@@ -35,8 +36,8 @@
 	}
 }
 
-// MarkFull makes the machine unschedulable until the given time, after it has refused a task for
-// lack of capacity.
+// MarkFull makes the machine unschedulable until the given time. It is called after the machine has
+// refused a task, for lack of capacity or because it has another attempt of the task.
 func (c *capacity) MarkFull(until time.Time) { c.fullUntil = until }
 
 // Reserve reserves the machine's free resources for tasks of the priority rank or a higher one,
@@ -96,7 +97,7 @@
 func (m *Machine) ResetSnapshot() *placement.Machine {
 	s := m.snapshot
 	if s == nil {
-		s = &placement.Machine{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, AvoidedJobs: m.avoidedJobs, Images: map[string]float64{}}
+		s = &placement.Machine{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, ExcludedJobs: m.excludedJobs, Images: map[string]float64{}}
 		m.snapshot = s
 	}
 	m.snapshotOutdated = false
--- a/internal/machines/heartbeat.go
+++ b/internal/machines/heartbeat.go
@@ -9,7 +9,7 @@
 
 // agentSession holds the state of the agent's session and its heartbeats.
 type agentSession struct {
-	epoch, sequence      uint64
+	epoch, sequence      uint64 // of the current session, and of its newest message
 	lastPeriodicSequence uint64 // sequence of the newest heartbeat that was not a reply to a direct call
 	// expiredEpoch is the epoch of the last session known to have expired. Messages of that
 	// session and of earlier ones are stale.
@@ -52,7 +52,8 @@
 	s.heartbeatAt, s.leaseRenewedAt = now, now
 }
 
-// RecordStaleHeartbeat counts a stale heartbeat, and records when the first one arrived.
+// RecordStaleHeartbeat counts a stale heartbeat. For the first one after the newest heartbeat, it
+// also records the time.
 func (s *agentSession) RecordStaleHeartbeat(now time.Time) {
 	if s.staleHeartbeats++; s.staleHeartbeats == 1 {
 		s.firstStaleAt = now
@@ -60,29 +61,32 @@
 }
 
 // RecordHeartbeat renews the lease and applies the address and the reclaim notice of a heartbeat;
-// the task list is applied elsewhere. joined is true for the machine's first heartbeat, reclaimed
-// for the first one with a notice that the cloud reclaims the machine.
-func (m *Machine) RecordHeartbeat(now time.Time, r *wire.Heartbeat) (joined, reclaimed bool) {
+// the task list is applied elsewhere. joined is true for the machine's first heartbeat.
+// reclaimAnnounced is true for the first heartbeat with a notice that the cloud reclaims the machine.
+func (m *Machine) RecordHeartbeat(now time.Time, r *wire.Heartbeat) (joined, reclaimAnnounced bool) {
 	m.RenewLease(now, r.Sequence)
 	m.Addr = r.Addr
 	joined = !m.joined
 	m.joined = true
 	if m.reclaimAt.IsZero() && r.ReclaimNoticeS != nil {
 		m.reclaimAt = now.Add(seconds.Duration(*r.ReclaimNoticeS))
-		reclaimed = true
+		reclaimAnnounced = true
 	}
-	return joined, reclaimed
+	return joined, reclaimAnnounced
 }
 
-// ReclaimIn returns the time until the cloud reclaims the machine, and false if it gave no notice.
-func (m *Machine) ReclaimIn(now time.Time) (time.Duration, bool) {
+// TimeUntilReclaim returns the time until the cloud reclaims the machine. The second result is false
+// if the cloud gave no notice.
+func (m *Machine) TimeUntilReclaim(now time.Time) (time.Duration, bool) {
 	return m.reclaimAt.Sub(now), !m.reclaimAt.IsZero()
 }
 
 // AdvanceSession records the epoch and sequence number of a message. The agent executes no starts
-// of earlier sessions. So at the beginning of a session, starts sent directly no longer count as
-// late starts, exits are no longer retained, and a required release is cancelled unless the
-// machine is cordoned for consolidation or a late start.
+// of earlier sessions. So when a message begins a new session:
+//   - starts sent by direct calls can no longer arrive late
+//   - exits are no longer retained
+//   - a required release is cancelled, unless the machine is cordoned for consolidation or a late
+//     start
 func (m *Machine) AdvanceSession(epoch, sequence uint64) {
 	if epoch > m.epoch {
 		clear(m.retainedExits)
@@ -91,7 +95,7 @@
 			m.releaseBy = time.Time{}
 		}
 		for _, a := range m.attempts {
-			a.ClearStartSentDirectly()
+			a.RuleOutDirectStart()
 		}
 	}
 	m.epoch, m.sequence = epoch, sequence
--- a/internal/machines/lease.go
+++ b/internal/machines/lease.go
@@ -15,9 +15,9 @@
 	// LeaseDuration is how long an agent keeps running its tasks without a response to its
 	// heartbeats.
 	LeaseDuration time.Duration
-	// LeaseExpiry is the time after a heartbeat at which the agent's lease has expired for
-	// certain: the duration of the lease plus margins for clock errors and delays.
-	LeaseExpiry time.Duration
+	// LeaseCertainlyExpiredAfter is the time after a heartbeat at which the agent's lease has
+	// expired for certain: LeaseDuration plus margins for clock errors and delays.
+	LeaseCertainlyExpiredAfter time.Duration
 	// TermStart is when the leader's term began.
 	TermStart time.Time
 	// InheritedTasksEnd is the time at which all tasks of earlier leaders have ended on machines
@@ -38,13 +38,13 @@
 }
 
 // HasLeaseExpired reports whether the lease has expired for certain, and thus all tasks of the
-// machine have ended. It is false if a new agent has replaced the earlier one, as then only the
-// release of the machine proves that the tasks have ended.
+// machine have ended. It is false if a new agent has replaced the earlier one: then only the release
+// of the machine proves that the tasks of the earlier agent have ended.
 func (m *Machine) HasLeaseExpired(now time.Time, t *Timing) bool {
 	if m.IsCordonedFor(CordonAgentReplaced) || !m.reconciled && now.Before(t.InheritedTasksEnd) {
 		return false
 	}
-	return m.leaseRenewedAt.IsZero() || now.Sub(m.leaseRenewedAt) > t.LeaseExpiry
+	return m.leaseRenewedAt.IsZero() || now.Sub(m.leaseRenewedAt) > t.LeaseCertainlyExpiredAfter
 }
 
 // LeaseExpiresAt returns the time at which the lease has expired for certain if no heartbeat
@@ -53,7 +53,7 @@
 	if !m.reconciled {
 		return t.InheritedTasksEnd
 	}
-	return m.leaseRenewedAt.Add(t.LeaseExpiry)
+	return m.leaseRenewedAt.Add(t.LeaseCertainlyExpiredAfter)
 }
 
 // ExpireSession marks the agent's current session as expired. Its messages are stale from now on.
@@ -61,7 +61,7 @@
 
 // IsSchedulable reports whether new tasks may be assigned to the machine.
 func (m *Machine) IsSchedulable(now time.Time, t *Timing) bool {
-	return m.joined && m.reconciled && !m.releasing && !m.IsCordoned() &&
+	return m.joined && m.reconciled && !m.releaseBegun && !m.IsCordoned() &&
 		m.total.CPUs > 0 && !now.Before(m.fullUntil) && !m.HeartbeatOverdue(now, t)
 }
 
@@ -75,10 +75,15 @@
 // machine before it is released.
 const minMissingFromCloudLists = 2
 
-// ShouldBeReleased reports whether the machine can't or shouldn't run tasks any more: it has
-// failed, has not booted in time, is unreachable, no longer gets responses, has a new agent, was
-// required to be released, or has no attempts and is cordoned for release. bootTimeS is the usual
-// boot time of its type, 0 if unknown.
+// ShouldBeReleased reports whether the machine can't or shouldn't run tasks any more:
+//   - the cloud lists it as failed, or it has not booted in time
+//   - it has been unreachable for too long, or it is unreachable and missing from cloud lists
+//   - it doesn't get responses, or its latest heartbeats are all stale
+//   - a new agent has replaced the earlier one
+//   - the time set by RequireRelease has passed
+//   - it has no attempts and is cordoned for one of ReleaseWhenEmptyReasons
+//
+// bootTimeS is the usual boot time of the machine's type, 0 if unknown.
 func (m *Machine) ShouldBeReleased(now time.Time, t *Timing, bootTimeS float64) bool {
 	switch {
 	case m.failed, m.IsCordonedFor(CordonAgentReplaced), m.IsReleaseRequired() && now.After(m.releaseBy):
@@ -87,7 +92,7 @@
 		return bootTimeS > 0 && now.Sub(m.provisionedAt).Seconds() > bootTimeS*tuning.BootTimeoutFactor
 	case m.HeartbeatOverdue(now, t) && m.missingFromCloudLists >= minMissingFromCloudLists:
 		return true
-	case !m.responsesLostSince.IsZero() && now.Sub(m.responsesLostSince) > t.LeaseExpiry*3/2:
+	case !m.responsesLostSince.IsZero() && now.Sub(m.responsesLostSince) > t.LeaseCertainlyExpiredAfter*3/2:
 		// No commands can reach the machine, and its tasks ended when its lease expired.
 		return true
 	case m.neverReconciled(now, t):
@@ -106,12 +111,12 @@
 	if newest.IsZero() {
 		newest = t.TermStart
 	}
-	return now.Sub(newest) > t.LeaseExpiry+tuning.UnreachableReleaseDelay
+	return now.Sub(newest) > t.LeaseCertainlyExpiredAfter+tuning.UnreachableReleaseDelay
 }
 
 // neverReconciled reports whether the machine has sent heartbeats in this term for longer than the
 // sum of the lease expiry and the release delay, but none of them with the term's token.
 func (m *Machine) neverReconciled(now time.Time, t *Timing) bool {
 	return !m.reconciled && !m.firstHeartbeatAt.IsZero() && now.After(t.InheritedTasksEnd) &&
-		now.Sub(m.firstHeartbeatAt) > t.LeaseExpiry+tuning.UnreachableReleaseDelay
+		now.Sub(m.firstHeartbeatAt) > t.LeaseCertainlyExpiredAfter+tuning.UnreachableReleaseDelay
 }
--- a/internal/machines/machine.go
+++ b/internal/machines/machine.go
@@ -11,6 +11,7 @@
 
 // Machine is a provisioned machine with all attempts that may be running on it.
 type Machine struct {
+	// Addr is where the agent accepts direct calls, empty if unknown.
 	ID, Type, Zone, Addr string
 	Spot                 bool
 	lifecycle
@@ -40,7 +41,7 @@
 		Spot:          spot,
 		lifecycle:     lifecycle{provisionedAt: provisionedAt, idleSince: provisionedAt},
 		capacity:      capacity{snapshotOutdated: true},
-		failures:      failures{avoidedJobs: map[string]bool{}, countedFailedJobs: map[string]bool{}},
+		failures:      failures{excludedJobs: map[string]bool{}, countedFailedJobs: map[string]bool{}},
 		retainedExits: map[ExitKey]bool{},
 		imageSeenAt:   map[string]time.Time{},
 	}
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -14,7 +14,7 @@
 	// ScoredPairs is the number of scored pairs of job and machine. The checks of
 	// anyJobFitsNow count as well, at their share of the cost of a score.
 	ScoredPairs int
-	// Truncated: the pass reached a limit before it had tried all jobs.
+	// Truncated: the pass reached its limit of starts or scores before it had tried all jobs.
 	Truncated bool
 }
 
@@ -30,10 +30,10 @@
 	// machinesByImage caches the results of machinesWithImage. Machines that begin to
 	// fetch the image later in the pass are not added.
 	machinesByImage map[string][]*Machine
-	teams           map[string]*Team
-	maxStarts       int
-	starts          []Assignment
-	queuedTasks     int // number of tasks that this pass has queued
+	teams           map[string]*Team // by name
+	maxStarts       int              // maximum number of starts in this pass
+	starts          []Assignment     // decided so far
+	queuedTasks     int              // number of tasks that this pass has queued
 	// blockedRank is the priority whose remaining jobs fit on no machine now, or
 	// noRank. The pass skips these jobs.
 	blockedRank int
@@ -172,9 +172,10 @@
 			continue
 		}
 		if !j.scored && p.stats.ScoredPairs > tuning.PlacementMaxScoredPairs {
-			// Only the jobs that are scored already are placed. A pass that scored
-			// pairs up to its final limit before it started a task would start
-			// none, and neither would any later pass.
+			// From here on, only jobs that are scored already are placed. The pairs
+			// up to the final limit, which is twice as high, are left for scoring
+			// these jobs again. Otherwise a pass could reach that limit before it
+			// started a task, and every later pass would do the same.
 			p.stats.Truncated = true
 			continue
 		}
@@ -299,7 +300,7 @@
 func (p *pass) fitsNow(j *PendingJob) bool {
 	found := false
 	p.forEachAvailableMachine(func(m *Machine) bool {
-		found = m.Free.Fits(j.Request) && j.CanRunOn(m) && !m.AvoidedJobs[j.JobID] && !m.isReservedForHigherPriority(j)
+		found = m.Free.Fits(j.Request) && j.CanRunOn(m) && !m.ExcludedJobs[j.JobID] && !m.isReservedForHigherPriority(j)
 		return !found
 	})
 	return found
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -22,9 +22,9 @@
 	Type        string
 	Zone        string
 	Spot        bool
-	Capacity    Resources
-	Free        Resources
-	FetchGBPerS float64 // bandwidth of image fetches, zero if unknown
+	Capacity    Resources // in total
+	Free        Resources // not used by placed tasks
+	FetchGBPerS float64   // bandwidth of image fetches, zero if unknown
 	// Price decides between machines with the same speedup. Cheaper ones are
 	// preferred, so that expensive ones become idle and can be released.
 	Price float64
@@ -33,14 +33,15 @@
 	// Images maps each image to the time at which its fetch ends, or to zero if it is
 	// cached.
 	Images map[string]float64
-	// AvoidedJobs holds the IDs of jobs whose tasks failed on the machine.
-	AvoidedJobs map[string]bool
+	// ExcludedJobs holds the IDs of jobs whose tasks failed on the machine.
+	ExcludedJobs map[string]bool
 	// HasReservation: the machine is reserved for jobs of ReservedRank or a higher
 	// priority.
 	HasReservation bool
 	ReservedRank   int
 	// Modified is set when a pass changes the snapshot. The snapshot then has to be
-	// rebuilt before the next pass.
+	// rebuilt before the next pass, because the tasks that the pass has queued on the
+	// machine are not on it.
 	Modified bool
 
 	// queuedRank is the highest priority that has a queued task or a reservation on
@@ -68,7 +69,9 @@
 	m.Images[image] = readyAt
 }
 
-// PendingJob is a job with ready tasks, all with the same request.
+// PendingJob is a job with ready tasks, all with the same request. A pass gets an aged
+// job as two of them: one with AgedS set and a few of the ready tasks, the other with
+// the rest. The two share TasksByZone.
 type PendingJob struct {
 	JobID string
 	Team  string
@@ -77,16 +80,17 @@
 	// WithinGuarantee: the job's tasks fit into its team's guaranteed quota.
 	WithinGuarantee bool
 	// AgedS is the time in seconds that an aged job has waited since its last start,
-	// or zero if the job doesn't count as aged. Aged jobs precede all others, whatever
-	// their priority, and the longest waiting one comes first. If priority ordered
-	// them, jobs of the lowest one would starve again once many jobs have aged.
+	// or zero if the job doesn't count as aged. A job is aged once it has waited for
+	// tuning.AgingThreshold. Aged jobs precede all others, whatever their priority,
+	// and the longest waiting one comes first. If priority ordered them, jobs of the
+	// lowest one would starve again once many jobs have aged.
 	AgedS float64
 	// Urgency orders jobs of one priority. The most urgent job has the lowest value:
 	// it is about the time in seconds that may pass before the job is late. Values
 	// are rounded down to multiples of tuning.UrgencyResolutionS; if these are equal,
 	// the speedup decides.
 	Urgency           float64
-	ReadyTasks        int
+	ReadyTasks        int       // number of tasks to be placed
 	Request           Resources // of one task
 	EstimatedRunTimeS float64   // of one task, without the image fetch
 	Image             string
@@ -144,7 +148,7 @@
 	return false
 }
 
-// Team contains the resources that a team's tasks use and the team's limit.
+// Team contains the resources that a team's tasks use, and the limit of this usage.
 type Team struct {
 	Used, Limit Resources
 }
