--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -63,9 +63,9 @@
 	if limits.MaxConnections <= 0 {
 		return fasthttp.DefaultConcurrency, fasthttp.DefaultConcurrency
 	}
-	sockets := float64(limits.MaxConnections)
-	total = max(minConnections, int(sockets*tuning.SocketShare))
-	workers = max(minWorkerConnections, int(sockets*tuning.WorkerSocketShare))
+	maxConnections := float64(limits.MaxConnections)
+	total = max(minConnections, int(maxConnections*tuning.ConnectionShare))
+	workers = max(minWorkerConnections, int(maxConnections*tuning.WorkerConnectionShare))
 	return total, workers
 }
 
--- a/internal/drainer/step.go
+++ b/internal/drainer/step.go
@@ -19,8 +19,8 @@
 }
 
 // RunStepIfDue runs the next step of the running drain, at most once per DrainStepInterval, and starts a
-// pending drain if none is running. It must be called only while the leader has authority. now and wall
-// are the same moment on the monotonic clock and as wall-clock time.
+// pending drain if none is running. It must be called only while the leader holds its lease. now and
+// wall are the same moment on the monotonic clock and as wall-clock time.
 func (d *Drainer) RunStepIfDue(now, wall time.Time) {
 	if d.config.Budgets == nil || now.Before(d.nextStepAt) {
 		return
--- a/internal/jobs/tasks.go
+++ b/internal/jobs/tasks.go
@@ -50,17 +50,17 @@
 func (t *taskSet) MarkCompleted(index int32) bool { return t.completed.Add(int(index)) }
 
 // MarkCompletionPending records that the completion of a task has to be written. The size of the
-// chunks, and so the chunk that contains the task, follows from maxStoredValueBytes.
-func (t *taskSet) MarkCompletionPending(index int32, maxStoredValueBytes int) {
-	t.pendingChunks[int(index)/records.CompletionChunkSize(maxStoredValueBytes)] = true
+// chunks, and so the chunk that contains the task, follows from maxValueBytes.
+func (t *taskSet) MarkCompletionPending(index int32, maxValueBytes int) {
+	t.pendingChunks[int(index)/records.CompletionChunkSize(maxValueBytes)] = true
 }
 
 // PopPendingCompletions returns the records of all chunks with completions to be written. The
 // caller has to write them: the next call does not return them again.
-func (j *Job) PopPendingCompletions(maxStoredValueBytes int) []records.Completions {
+func (j *Job) PopPendingCompletions(maxValueBytes int) []records.Completions {
 	list := make([]records.Completions, 0, len(j.pendingChunks))
 	for _, chunk := range slices.Sorted(maps.Keys(j.pendingChunks)) {
-		r := records.NewCompletions(j.ID, j.completed, chunk, maxStoredValueBytes)
+		r := records.NewCompletions(j.ID, j.completed, chunk, maxValueBytes)
 		j.AddRecordKey(r.Key)
 		list = append(list, r)
 	}
--- a/internal/jobs/tasks_test.go
+++ b/internal/jobs/tasks_test.go
@@ -8,7 +8,7 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-const maxStoredValueBytes = 16 << 10 // bytes of a stored value
+const maxValueBytes = 16 << 10 // bytes of a stored value
 
 // popAllReadyTasks pops all ready tasks and returns their indexes in this order.
 func popAllReadyTasks(j *jobs.Job, now time.Time) []int32 {
@@ -64,9 +64,9 @@
 	j := newActiveJob("job-1", 3)
 	for _, index := range []int32{0, 2} {
 		j.MarkCompleted(index)
-		j.MarkCompletionPending(index, maxStoredValueBytes)
+		j.MarkCompletionPending(index, maxValueBytes)
 	}
-	list := j.PopPendingCompletions(maxStoredValueBytes)
+	list := j.PopPendingCompletions(maxValueBytes)
 	if len(list) != 1 || len(j.RecordKeys()) != 1 || j.RecordKeys()[0] != list[0].Key {
 		t.Fatalf("records %+v, keys %v, want one record and its key", list, j.RecordKeys())
 	}
@@ -77,7 +77,7 @@
 	if !j.IsCompletionDurable(0) || j.IsCompletionDurable(1) || !j.IsCompletionDurable(2) {
 		t.Error("want durable completions of tasks 0 and 2 only")
 	}
-	if rest := j.PopPendingCompletions(maxStoredValueBytes); len(rest) != 0 {
+	if rest := j.PopPendingCompletions(maxValueBytes); len(rest) != 0 {
 		t.Errorf("records to be written a second time: %+v, want none", rest)
 	}
 }
--- a/internal/leader/completion.go
+++ b/internal/leader/completion.go
@@ -59,7 +59,7 @@
 		l.endJob(now, j, jobs.Done, &l.writes.Interactive)
 		return
 	}
-	j.MarkCompletionPending(index, l.maxStoredValueBytes())
+	j.MarkCompletionPending(index, l.maxValueBytes())
 	l.unqueuedCompletions.Add(now, j)
 }
 
@@ -81,7 +81,7 @@
 // flushCompletions queues the writes of the completions whose delay has passed.
 func (l *Leader) flushCompletions(now time.Time) {
 	for _, j := range l.unqueuedCompletions.PopDue(now) {
-		for _, completions := range j.PopPendingCompletions(l.maxStoredValueBytes()) {
+		for _, completions := range j.PopPendingCompletions(l.maxValueBytes()) {
 			l.writes.Background.Put(completions.Key, completions.Encode(), func() { j.MarkCompletionsDurable(completions) })
 		}
 	}
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -64,7 +64,7 @@
 
 // dependentJobDuration estimates the time from the end of a job's last dependency to the job's own
 // end. It consists of the run time, the fetch of the image at the fastest rate that any machine type
-// offers, and tuning.ChainedJobDelay for the heartbeats, the placement and the start record.
+// offers, and tuning.DependentStartDelay for the heartbeats, the placement and the start record.
 func (l *Leader) dependentJobDuration(j *jobs.Job) time.Duration {
 	fetchGBPerS := 0.0
 	for _, t := range l.catalogue.OfferedTypes() {
@@ -74,7 +74,7 @@
 	if fetchGBPerS > 0 {
 		durationS += placement.FetchTimeS(j.ImageGB, fetchGBPerS)
 	}
-	return seconds.Duration(durationS) + tuning.ChainedJobDelay
+	return seconds.Duration(durationS) + tuning.DependentStartDelay
 }
 
 // processDependencyChanges handles the consequences of ended jobs: it cancels dependents of cancelled
--- a/internal/leader/direct_calls.go
+++ b/internal/leader/direct_calls.go
@@ -82,7 +82,7 @@
 			call.Request.Commands = append(call.Request.Commands, a.StopCommand())
 			continue
 		}
-		if !schedulable || !a.NeedsStart() || a.DirectStartMayArrive() || a.ResponseStartMayTakeEffect() || len(call.startedAttempts) >= tuning.MaxCommandsPerResponse {
+		if !schedulable || !a.NeedsStart() || a.DirectStartMayArrive() || a.ResponseStartMayTakeEffect() || len(call.startedAttempts) >= tuning.MaxCommandsPerMessage {
 			continue
 		}
 		a.MarkDirectStartSent()
@@ -103,12 +103,12 @@
 func (l *Leader) maxCallsInFlight() int { return DirectCallLimit(l.params.Limits) }
 
 // DirectCallLimit returns the maximum number of direct calls in flight of a process with the given
-// limits: a share of the connection limit, or tuning.DirectMaxCalls if there is no such limit.
+// limits: a share of the connection limit, or tuning.MaxDirectCalls if there is no such limit.
 func DirectCallLimit(limits config.ProcessLimits) int {
 	if limits.MaxConnections <= 0 {
 		return tuning.MaxDirectCalls
 	}
-	return max(1, int(float64(limits.MaxConnections)*tuning.DirectCallSocketShare))
+	return max(1, int(float64(limits.MaxConnections)*tuning.DirectCallConnectionShare))
 }
 
 // FinishDirectCall applies the outcome of a direct call. h is the heartbeat in the agent's reply,
--- a/internal/leader/drains.go
+++ b/internal/leader/drains.go
@@ -15,7 +15,7 @@
 		Teams:                      l.params.Teams,
 		Zones:                      l.params.Zones,
 		MaxMachines:                l.operatorSettings.MaxMachines,
-		MaxValueBytes:              l.maxStoredValueBytes(),
+		MaxValueBytes:              l.maxValueBytes(),
 		LeaseCertainlyExpiredAfter: l.timing.LeaseCertainlyExpiredAfter,
 		LeaseDurationS:             l.params.Workers.LeaseS,
 	}
@@ -54,7 +54,7 @@
 		return drain.BlockedByLeaderStartup
 	case l.admission.isShedding():
 		return drain.BlockedByOverload
-	case l.reachability.IsIsolated() || l.reachability.AnyPartitioned(now):
+	case l.partitionDetector.IsIsolated() || l.partitionDetector.AnyPartitioned(now):
 		return drain.BlockedByPartition
 	}
 	return ""
--- a/internal/leader/heartbeat_commands.go
+++ b/internal/leader/heartbeat_commands.go
@@ -13,12 +13,12 @@
 	commands := l.stopCommands(h)
 	for _, a := range m.Attempts() {
 		// stopCommands has already added the stops of tasks that their jobs no longer need.
-		if a.NeedsStop() && len(commands) < tuning.MaxCommandsPerResponse {
+		if a.NeedsStop() && len(commands) < tuning.MaxCommandsPerMessage {
 			commands = append(commands, a.StopCommand())
 		}
 	}
 	for _, e := range m.Exited() {
-		if e.Forget && len(commands) < tuning.MaxCommandsPerResponse {
+		if e.Forget && len(commands) < tuning.MaxCommandsPerMessage {
 			commands = append(commands, wire.Command{Op: wire.OpForget, Task: e.Task, Attempt: e.Attempt})
 		}
 	}
@@ -33,7 +33,7 @@
 // does. sequence is the sequence number of the heartbeat.
 func appendStarts(commands []wire.Command, m *machines.Machine, sequence uint64) []wire.Command {
 	for _, a := range m.Attempts() {
-		if !a.NeedsStart() || a.DirectStartMayArrive() && m.IsBeingCalled() || len(commands) >= tuning.MaxCommandsPerResponse {
+		if !a.NeedsStart() || a.DirectStartMayArrive() && m.IsBeingCalled() || len(commands) >= tuning.MaxCommandsPerMessage {
 			continue
 		}
 		a.MarkResponseStartSent(sequence)
@@ -52,7 +52,7 @@
 	for i := range h.Tasks {
 		t := &h.Tasks[i]
 		id, index, ok := wire.SplitTask(t.Task)
-		if j := l.jobs.Get(id); t.State != wire.TaskExited && (!ok || j == nil || !j.NeedsTask(index)) && len(stops) < tuning.MaxCommandsPerResponse {
+		if j := l.jobs.Get(id); t.State != wire.TaskExited && (!ok || j == nil || !j.NeedsTask(index)) && len(stops) < tuning.MaxCommandsPerMessage {
 			stops = append(stops, wire.Command{Op: wire.OpStop, Task: t.Task, Attempt: t.Attempt, GracePeriodS: &noGracePeriod})
 		}
 	}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -45,13 +45,13 @@
 	startDelay          jobs.StartDelay          // usual time between the placement of a task and its start
 
 	// Machines.
-	machines       *machines.Registry
-	catalogue      *machines.Catalogue         // machine types, including those no longer offered
-	ledger         *allocation.Ledger          // quotas of the teams, and the CPUs allocated to their attempts
-	directCalls    directCalls                 // commands sent to agents between their heartbeats
-	machineLists   machineLists                // state of the cloud's machine lists
-	taskListNumber uint64                      // number of task lists applied so far, and ID of the newest one
-	reachability   *machines.PartitionDetector // zones that are probably partitioned from this node
+	machines          *machines.Registry
+	catalogue         *machines.Catalogue         // machine types, including those no longer offered
+	ledger            *allocation.Ledger          // quotas of the teams, and the CPUs allocated to their attempts
+	directCalls       directCalls                 // commands sent to agents between their heartbeats
+	machineLists      machineLists                // state of the cloud's machine lists
+	taskListNumber    uint64                      // number of task lists applied so far, and ID of the newest one
+	partitionDetector *machines.PartitionDetector // zones that are probably partitioned from this node
 
 	// Decisions.
 	passTimes               passTimes
@@ -87,11 +87,11 @@
 		catalogue:           machines.NewCatalogue(),
 		timing:              newTiming(params.Workers, now, gracePeriod),
 		loading:             loadState{jobPieces: records.JobPieces{}, newestAttempts: map[taskKey]*machines.Attempt{}},
-		reachability:        machines.NewPartitionDetector(),
+		partitionDetector:   machines.NewPartitionDetector(),
 	}
 	l.graph = jobs.NewDependencyGraph(l.jobs, l.dependentJobDuration)
-	l.writes = records.NewWriteQueues(log, l.maxStoredValueBytes())
-	l.startLog = startlog.New(term, l.maxStoredValueBytes(), l.writes, startlog.Callbacks{OnDurable: l.allowStart, OnRefused: l.abandonStart})
+	l.writes = records.NewWriteQueues(log, l.maxValueBytes())
+	l.startLog = startlog.New(term, l.maxValueBytes(), l.writes, startlog.Callbacks{OnDurable: l.allowStart, OnRefused: l.abandonStart})
 	l.scaler = l.newScaler()
 	l.drainer = l.newDrainer()
 	l.preemptor, l.consolidator = l.newPreemptor(), l.newConsolidator()
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -38,7 +38,7 @@
 	if len(types) == 0 {
 		return
 	}
-	if value := records.EncodeMachineTypes(types); len(value) <= l.maxStoredValueBytes() && l.catalogue.SetStoredTypes(value) {
+	if value := records.EncodeMachineTypes(types); len(value) <= l.maxValueBytes() && l.catalogue.SetStoredTypes(value) {
 		l.writes.Background.Put(records.MachineTypesKey, value, nil)
 	}
 	l.catalogue.SetOfferedTypes(types)
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -5,13 +5,13 @@
 	"switchshore.example/switchshore/internal/records"
 )
 
-// maxStoredValueBytes returns the maximum size of a value in the key-value store, in bytes.
-func (l *Leader) maxStoredValueBytes() int { return int(l.params.KVStore.ValueKB * 1024) }
+// maxValueBytes returns the maximum size of a value in the key-value store, in bytes.
+func (l *Leader) maxValueBytes() int { return int(l.params.KVStore.ValueKB * 1024) }
 
 // queueJobRecord queues the writes of a job's record. onDurable is called when all of them are
 // durable.
 func (l *Leader) queueJobRecord(j *jobs.Job, onDurable func()) {
-	items := records.EncodeJob(&j.Job, j.SubmittedAtMS(), l.term, l.maxStoredValueBytes())
+	items := records.EncodeJob(&j.Job, j.SubmittedAtMS(), l.term, l.maxValueBytes())
 	last := len(items) - 1
 	for _, piece := range items[:last] {
 		j.AddRecordKey(piece.Key)
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -37,9 +37,9 @@
 	if f.acceptedJobs < 175 || f.startedTasks < 5500 {
 		t.Fatalf("accepted %d jobs and started %d tasks, want at least 175 and 5500", f.acceptedJobs, f.startedTasks)
 	}
-	// A pass that reaches tuning.PassMaxScoredPairs still completes the current group of jobs.
+	// A pass that reaches tuning.PlacementMaxScoredPairs still completes the current group of jobs.
 	if f.maxPairsPerPass > 2*tuning.PlacementMaxScoredPairs {
-		t.Fatalf("one placement pass scored %d pairs of job and machine, want at most twice tuning.PassMaxScoredPairs", f.maxPairsPerPass)
+		t.Fatalf("one placement pass scored %d pairs of job and machine, want at most twice tuning.PlacementMaxScoredPairs", f.maxPairsPerPass)
 	}
 	lateStarts := 0
 	for _, delay := range f.startDelays {
@@ -152,7 +152,7 @@
 	f.t.Logf("%d accepted, %d starts, %.2f changes and %d bytes per start, at most %d pairs per pass, %d cloud calls, %+v",
 		f.acceptedJobs, f.startedTasks, float64(f.committedMutations)/float64(f.startedTasks), f.committedBytes/f.startedTasks, f.maxPairsPerPass, f.cloudCalls, counts)
 	if f.maxPairsPerPass > 2*tuning.PlacementMaxScoredPairs {
-		f.t.Errorf("one placement pass scored %d pairs of job and machine, want at most twice tuning.PassMaxScoredPairs", f.maxPairsPerPass)
+		f.t.Errorf("one placement pass scored %d pairs of job and machine, want at most twice tuning.PlacementMaxScoredPairs", f.maxPairsPerPass)
 	}
 	if f.committedMutations > f.startedTasks {
 		f.t.Errorf("%d changes written for %d starts, want at most one per start", f.committedMutations, f.startedTasks)
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -31,7 +31,7 @@
 		RemainingS:         l.remainingS,
 		IsReplacement:      func(id string) bool { return l.drainer.IsReplacement(id) },
 		IsBlockedByDrain:   func(o autoscale.Offering) bool { return l.drainer.BlocksProvisioning(o) },
-		IsPartitioned:      l.reachability.IsPartitioned,
+		IsPartitioned:      l.partitionDetector.IsPartitioned,
 	})
 }
 
@@ -41,7 +41,7 @@
 	if !l.machinesAndTypesKnown() || !l.scaler.BeginPlanningIfDue(now) {
 		return nil
 	}
-	l.reachability.Update(now, l.machines.All(), &l.timing)
+	l.partitionDetector.Update(now, l.machines.All(), &l.timing)
 	plan := l.scaler.Plan(now)
 	calls := append(l.scaler.ScaleOut(now, plan.ScaleOut), l.drainer.ReplacementCalls(now)...)
 	if l.scaler.ReleaseInFlight() {
@@ -62,7 +62,7 @@
 func (l *Leader) machinesToRelease(now time.Time, unneeded []string) []string {
 	var names []string
 	for _, m := range l.machines.All() {
-		if !l.reachability.IsIsolated() && l.hasDeadlineAtRisk(now, m) {
+		if !l.partitionDetector.IsIsolated() && l.hasDeadlineAtRisk(now, m) {
 			names = append(names, m.ID)
 		}
 	}
--- a/internal/loadtest/check.go
+++ b/internal/loadtest/check.go
@@ -20,7 +20,7 @@
 }
 
 // Check returns the problems of a history: jobs whose responses contradict each other, jobs that were
-// neither accepted nor given up, accepted jobs that don't end, classes without progress, and classes
+// neither accepted nor abandoned, accepted jobs that don't end, classes without progress, and classes
 // that miss their objective.
 func Check(history []Exchange, options CheckOptions) []string {
 	problems := checkJobs(history)
--- a/internal/loadtest/load.go
+++ b/internal/loadtest/load.go
@@ -83,7 +83,7 @@
 }
 
 // RunLoad submits the load to the cluster, kills the leader at the given times, and returns the
-// history after all users have ended. A user ends when the job ends, when the user gives up, or with
+// history after all users have ended. A user ends when the job ends, when the user abandons it, or with
 // the context; Check reports accepted jobs that have not ended by then.
 func RunLoad(ctx context.Context, c *Cluster, options LoadOptions) ([]Exchange, error) {
 	g := &loadGenerator{
--- a/internal/machines/partition_detector.go
+++ b/internal/machines/partition_detector.go
@@ -45,8 +45,8 @@
 // Update determines the partitioned zones and whether this node is isolated. list contains all
 // provisioned machines. A zone counts as partitioned if most of its machines are unreachable, and
 // most machines in other zones are reachable; otherwise the fault is attributed to this node. This
-// node counts as isolated if a smaller share than tuning.ReachableShare of the machines outside the
-// partitioned zones is reachable.
+// node counts as isolated if a smaller share than tuning.OtherZonesMinReachableShare of the machines
+// outside the partitioned zones is reachable.
 func (r *PartitionDetector) Update(now time.Time, list []*Machine, t *Timing) {
 	zones := map[string]*reachabilityCount{}
 	all := &reachabilityCount{}
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -16,7 +16,7 @@
 )
 
 // callCloud makes a call that provisions or releases machines, retries it until it has a result,
-// and passes the result to the leader's state. It gives up when the term ends.
+// and passes the result to the leader's state. It abandons the call when the term ends.
 func (t *term) callCloud(ctx context.Context, call scaling.CloudCall) {
 	for ctx.Err() == nil {
 		machines, err := t.sendToCloud(ctx, call)
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -256,9 +256,9 @@
 	}
 }
 
-// rescoreForFetchedImage is called when the machine has begun to fetch the image of a
-// started task. It scores the machine again for the other jobs of the group that need
-// the image, as the fetch increases their scores there. All other changes only decrease
+// rescoreForFetchedImage scores the machine again after it has begun to fetch the image
+// of a started task, for the other jobs of the group that need the image: the fetch
+// increases their scores there. All other changes only decrease
 // scores; for these, bestMachine scores the top of the heap again.
 func (p *pass) rescoreForFetchedImage(started *PendingJob, m *Machine, jobs []*PendingJob) {
 	for _, other := range jobs {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -32,7 +32,7 @@
 	return map[string]*placement.Team{"blue": {Limit: placement.Resources{CPUs: 1e9, GPUs: 1e9, MemoryGB: 1e9}}}
 }
 
-// TestTaskWaitsForMachineWithImage is the paper's example: a task waits for a busy
+// TestTaskWaitsForMachineWithImage checks that a task waits for a busy
 // machine with its image if the wait is shorter than a fetch on an idle machine.
 func TestTaskWaitsForMachineWithImage(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/simulation/agent_heartbeats.go
+++ b/internal/simulation/agent_heartbeats.go
@@ -107,10 +107,10 @@
 		}
 		return
 	}
-	authority := n.leadership.HoldsLease(n.clock())
-	response, outcome := n.leader.HandleHeartbeat(n.clock(), h.message, authority)
+	holdsLeaderLease := n.leadership.HoldsLease(n.clock())
+	response, outcome := n.leader.HandleHeartbeat(n.clock(), h.message, holdsLeaderLease)
 	sim.trace(boundaryAgentResponse, n, h.agent.ID, response, outcome, copied)
-	h.observe(outcome, authority, copied)
+	h.observe(outcome, holdsLeaderLease, copied)
 	sim.fail(sim.Invariants.CheckCommands(sim.now, response.Commands))
 	switch {
 	case copied:
@@ -124,13 +124,13 @@
 }
 
 // observe counts the observations that a heartbeat's outcome makes.
-func (h *agentHeartbeat) observe(outcome leader.HeartbeatOutcome, authority, copied bool) {
+func (h *agentHeartbeat) observe(outcome leader.HeartbeatOutcome, holdsLeaderLease, copied bool) {
 	switch {
 	case copied && outcome == leader.HeartbeatRejected:
 		h.sim.Observed[StaleHeartbeatIgnored]++
 	case copied:
 		h.sim.Observed[DuplicateHeartbeatApplied]++
-	case !authority && outcome == leader.HeartbeatApplied:
+	case !holdsLeaderLease && outcome == leader.HeartbeatApplied:
 		h.sim.Observed[HeartbeatInGracePeriod]++
 	}
 }
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -114,7 +114,7 @@
 	Job         *wire.Job
 	SubmittedAt time.Duration // since the start of the run
 	Accepted    bool
-	// FinishedAt is when the job was accepted or the user gave up, since the start of the run.
+	// FinishedAt is when the job was accepted or abandoned by the user, since the start of the run.
 	FinishedAt time.Duration
 	Tries      int
 }
--- a/internal/simulation/node_leader.go
+++ b/internal/simulation/node_leader.go
@@ -78,10 +78,10 @@
 		return
 	}
 	now := n.clock()
-	authority := n.leadership.HoldsLease(now)
+	holdsLeaderLease := n.leadership.HoldsLease(now)
 	n.updateAdmission(l)
-	l.Tick(now, authority)
-	if authority {
+	l.Tick(now, holdsLeaderLease)
+	if holdsLeaderLease {
 		l.AdvanceDrains(now, n.sim.now)
 		for _, call := range l.PlanScaling(now) {
 			n.callCloud(l, call)
--- a/internal/tuning/peers.go
+++ b/internal/tuning/peers.go
@@ -14,7 +14,7 @@
 	PeerDialTimeout = 1 * time.Second
 	// PeerMaxCalls bounds the calls in flight on a link. Each worker has one heartbeat
 	// in flight, and right after a failover some thousand workers may all send their
-	// heartbeats through one follower. In practice the socket limit of that follower is
+	// heartbeats through one follower. In practice the connection limit of that follower is
 	// reached first.
 	PeerMaxCalls = 8192
 	// PeerMaxLineBytes bounds a line of the protocol between nodes, which is a request or
--- a/internal/tuning/placement.go
+++ b/internal/tuning/placement.go
@@ -55,10 +55,10 @@
 	// can't meet it. It places them after most jobs that can meet their deadline. The
 	// slack decreases while a job waits, and thus no job waits forever.
 	NoDeadlineSlackS = 400.0
-	// ChainedJobDelay is the estimated delay between the end of a job and the start
+	// DependentStartDelay is the estimated delay between the end of a job and the start
 	// of its dependent, apart from the image fetch: the heartbeat that reports the end, the
 	// write of its record, the placement, and the heartbeat that starts the dependent.
-	ChainedJobDelay = 3 * time.Second
+	DependentStartDelay = 3 * time.Second
 )
 
 // Estimates of run times.
--- a/internal/tuning/requests.go
+++ b/internal/tuning/requests.go
@@ -24,12 +24,12 @@
 
 // Connections of users and workers.
 const (
-	// SocketShare is the share of the process's socket limit for connections from users
+	// ConnectionShare is the share of the process's connection limit for connections from users
 	// and workers together. WorkerSocketShare is the largest share of the limit for
 	// workers. The difference is left for users and health checks when all machines
 	// connect to this node.
-	SocketShare       = 0.6
-	WorkerSocketShare = 0.42
+	ConnectionShare       = 0.6
+	WorkerConnectionShare = 0.42
 	// ConnectionIdleTimeout is how long an unused connection stays open. It is long
 	// compared with the few seconds between the requests of a worker or user.
 	ConnectionIdleTimeout = 90 * time.Second
--- a/internal/tuning/workers.go
+++ b/internal/tuning/workers.go
@@ -15,10 +15,10 @@
 	// the calls to a worker are sequential.
 	DirectCallConnections = 1
 	// MaxDirectCalls bounds the direct calls in flight to all workers if the settings
-	// have no socket limit.
+	// have no connection limit.
 	MaxDirectCalls = 64
-	// DirectCallSocketShare is the share of the process's socket limit for direct calls.
-	DirectCallSocketShare = 0.25
+	// DirectCallConnectionShare is the share of the process's connection limit for direct calls.
+	DirectCallConnectionShare = 0.25
 	// DirectCallIdleTimeout is how long an unused connection for direct calls stays open:
 	// about two heartbeat intervals. The HTTP client keeps a goroutine for that long, even
 	// after a connection was evicted from the pool: with a timeout of 90 s, there are
@@ -33,9 +33,9 @@
 	// The delay is shorter if the worker lease and GracePeriodReserve would not fit into
 	// the rest of cancel_s.
 	LateStartFencingDivisor = 3
-	// MaxCommandsPerResponse bounds the commands in a response to a heartbeat and in a
+	// MaxCommandsPerMessage bounds the commands in a response to a heartbeat and in a
 	// direct call. The response must fit into a line of 64 KiB.
-	MaxCommandsPerResponse = 300
+	MaxCommandsPerMessage = 300
 )
 
 // Failure detection of machines.
