--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -1,6 +1,6 @@
 // Package election elects one node at a time as the leader. The leader holds a key that is
 // attached to a lease of the key-value store. The transaction that acquires the key also
-// increments a persistent term, which is the fencing token for the workers.
+// increments a persistent term, which is the fencing token for the agents.
 package election
 
 import (
--- a/internal/election/leadership.go
+++ b/internal/election/leadership.go
@@ -45,7 +45,7 @@
 	return !l.revoked.Load() && now.Before(*l.validUntil.Load())
 }
 
-// MayRespondToHeartbeats reports whether this node may respond to worker heartbeats: it holds the lease,
+// MayRespondToHeartbeats reports whether this node may respond to agent heartbeats: it holds the lease,
 // or its lease became invalid less than a grace period ago, and the leadership has not been revoked.
 func (l *Leadership) MayRespondToHeartbeats(now time.Time, grace time.Duration) bool {
 	return !l.revoked.Load() && now.Before(l.validUntil.Load().Add(grace))
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -58,10 +58,10 @@
 	signal(t.node.tickSignal)
 }
 
-// callWorker makes a direct call to a worker and passes its outcome to the leader's state.
-func (t *term) callWorker(ctx context.Context, call *leader.DirectCall) {
+// callAgent makes a direct call to an agent and passes its outcome to the leader's state.
+func (t *term) callAgent(ctx context.Context, call *leader.DirectCall) {
 	var heartbeat wire.Heartbeat
-	status, err := t.node.workerClients.Do(ctx, call.Addr, tuning.DirectCallTimeout, http.MethodPost, wire.PathCommands, call.Request, &heartbeat)
+	status, err := t.node.agentClients.Do(ctx, call.Addr, tuning.DirectCallTimeout, http.MethodPost, wire.PathCommands, call.Request, &heartbeat)
 	outcome := directOutcome(status, err)
 	t.node.mu.Lock()
 	t.state.FinishDirectCall(time.Now(), call, outcome, &heartbeat)
@@ -70,7 +70,7 @@
 }
 
 // directOutcome derives from the status and error of a direct call whether its commands were
-// delivered. 409 is also a reply of the worker's agent.
+// delivered. 409 is also a reply of the agent.
 func directOutcome(status int, err error) leader.DirectCallOutcome {
 	switch {
 	case errors.Is(err, httpclient.ErrNotSent):
--- a/internal/node/local.go
+++ b/internal/node/local.go
@@ -27,7 +27,7 @@
 	return waitForResult(ctx, leadership, result), true
 }
 
-// handleHeartbeat handles a worker's heartbeat if this node leads and holds its lease, or is in
+// handleHeartbeat handles an agent's heartbeat if this node leads and holds its lease, or is in
 // the grace period after the lease's validity.
 func (n *Node) handleHeartbeat(h *wire.Heartbeat) (response peer.Response, handled bool) {
 	now := time.Now()
@@ -42,8 +42,8 @@
 	return response, handled
 }
 
-// applyHeartbeat applies a worker's heartbeat to the leader's state. It revokes the leadership
-// if the worker has already seen a later term. The caller must hold mu.
+// applyHeartbeat applies an agent's heartbeat to the leader's state. It revokes the leadership
+// if the agent has already seen a later term. The caller must hold mu.
 func (n *Node) applyHeartbeat(now time.Time, h *wire.Heartbeat) (response peer.Response, handled bool) {
 	holdsLease := n.leadership.HoldsLease(now)
 	if !n.leadership.MayRespondToHeartbeats(now, n.gracePeriod) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
 // Package node combines the parts of the scheduler into one process. A node campaigns for
 // leadership and forwards calls to the leader. While it leads, it handles calls itself and
-// applies the leader's decisions to the key-value store, the cloud and the workers.
+// applies the leader's decisions to the key-value store, the cloud and the agents.
 package node
 
 import (
@@ -31,9 +31,9 @@
 	store         *kvstore.Client
 	cloud         *cloud.Client
 	hub           *peer.Hub
-	workerClients *httpclient.Pool
+	agentClients *httpclient.Pool
 	election      *election.Election
-	// gracePeriod is how long a leader still responds to worker heartbeats after its lease's validity.
+	// gracePeriod is how long a leader still responds to agent heartbeats after its lease's validity.
 	gracePeriod time.Duration
 
 	// mu guards leader and leadership. It is never held during a network call or a wait.
@@ -57,7 +57,7 @@
 		store:         kvstore.NewClient(c.Services.KVStore, c.Params.KVStore, len(c.Peers)+1),
 		cloud:         cloud.NewClient(c.Services.Cloud, c.Params.Cloud),
 		hub:           peer.NewHub(log, c.Peers),
-		workerClients: httpclient.NewPool(tuning.DirectCallConnections, leader.DirectCallLimit(c.Params.Limits)),
+		agentClients: httpclient.NewPool(tuning.DirectCallConnections, leader.DirectCallLimit(c.Params.Limits)),
 		gracePeriod:   leader.GracePeriod(c.Params.Workers),
 		tickSignal:    make(chan struct{}, 1),
 		writeSignal:   make(chan struct{}, 1),
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -30,7 +30,7 @@
 }
 
 // revokeEarlierTerm revokes this node's leadership if its term is earlier than the given one.
-// Otherwise this node's workers would stay connected to it for the whole grace period, and the
+// Otherwise this node's agents would stay connected to it for the whole grace period, and the
 // successor could not reach them.
 func (n *Node) revokeEarlierTerm(term uint64) {
 	n.mu.Lock()
--- a/internal/node/tick.go
+++ b/internal/node/tick.go
@@ -68,7 +68,7 @@
 func (t *term) startActions(ctx context.Context, calls *errgroup.Group, dueActions actions) {
 	for _, call := range dueActions.directCalls {
 		calls.Go(func() error {
-			t.callWorker(ctx, call)
+			t.callAgent(ctx, call)
 			return nil
 		})
 	}
--- a/internal/peer/heartbeats.go
+++ b/internal/peer/heartbeats.go
@@ -71,7 +71,7 @@
 
 // route returns the link on which to send a call, or nil if there is none. It considers only links to
 // peers with a recent heartbeat, and chooses the leader of the highest term that holds the lease. For
-// a worker's heartbeat, a leader in its grace period also qualifies. If no leader qualifies and the
+// an agent's heartbeat, a leader in its grace period also qualifies. If no leader qualifies and the
 // call may be relayed, route chooses a peer that is linked to a leader.
 func (h *Hub) route(isHeartbeat, mayRelay bool) *link {
 	now := time.Now()
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -9,7 +9,7 @@
 // Operation is what a call asks the leader to do.
 type Operation string
 
-// Operations. OpHeartbeat delivers a worker's heartbeat.
+// Operations. OpHeartbeat delivers an agent's heartbeat.
 const (
 	OpSubmit    Operation = "submit"
 	OpQuery     Operation = "query"
@@ -18,7 +18,7 @@
 	OpDrain     Operation = "drain"
 )
 
-// Call is a request to the leader, from a user, a worker or an operator. A node that is not the
+// Call is a request to the leader, from a user, an agent or an operator. A node that is not the
 // leader forwards it.
 type Call struct {
 	ID uint64    `json:"id"`
@@ -108,7 +108,7 @@
 	Term uint64 `json:"term,omitempty"`
 	// IsLeader means that the node holds the leader's lease.
 	IsLeader bool `json:"leads,omitempty"`
-	// InGracePeriod means that the node may respond to workers' heartbeats. If IsLeader is not set,
+	// InGracePeriod means that the node may respond to agents' heartbeats. If IsLeader is not set,
 	// it may not execute other calls.
 	InGracePeriod bool `json:"grace,omitempty"`
 	// LinkedToLeader means that the node has a link to a leader that holds the lease.
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -26,7 +26,7 @@
 }
 
 // Submit makes a user submit a job after a time, once its dependencies are accepted. The user
-// repeats the submission until it succeeds, polls the job's state, and cancels it later if
+// retries the submission until it succeeds, polls the job's state, and cancels it later if
 // cancelAfter is set.
 func (c *clients) Submit(after time.Duration, job *wire.Job, cancelAfter time.Duration) {
 	c.sim.after(after, func() {
@@ -45,7 +45,7 @@
 	})
 }
 
-// submitUntilAccepted repeats a submission until it succeeds, and sometimes once more after that.
+// submitUntilAccepted retries a submission until it succeeds, and sometimes once more after that.
 func (c *clients) submitUntilAccepted(job *wire.Job) {
 	c.send(c.sim.drawNode(), c.submission(job, func(response leader.JobResponse) {
 		if !succeeded(response.Status) || c.sim.chance(0.05) {
@@ -66,7 +66,7 @@
 	}))
 }
 
-// requestCancellation makes a user cancel a job and repeat the request until it succeeds.
+// requestCancellation makes a user cancel a job and retry the request until it succeeds.
 func (c *clients) requestCancellation(job *wire.Job) {
 	c.sim.Invariants.RecordCancellationRequest(job.ID)
 	c.cancelUntilConfirmed(job)
--- a/internal/simulation/cloud_calls.go
+++ b/internal/simulation/cloud_calls.go
@@ -18,7 +18,7 @@
 	provisioned []string
 }
 
-// callCloud sends a leader's call to the cloud and repeats it until it gets a response.
+// callCloud sends a leader's call to the cloud and retries it until it gets a response.
 func (n *node) callCloud(l *leader.Leader, call scaling.CloudCall) {
 	sim := n.sim
 	sim.trace(boundaryCloudCall, n, call.Op, call.Provision, call.Release)
--- a/internal/tuning/kvstore.go
+++ b/internal/tuning/kvstore.go
@@ -67,6 +67,6 @@
 	DependencyStepsPerTick = 500
 	// CompletionFlushDelay is how long completions of a job accumulate before they are
 	// written. Many jobs with short tasks end within this time, and need no such write.
-	// No completion is lost, because workers keep completions until they are durable.
+	// No completion is lost, because agents keep completions until they are durable.
 	CompletionFlushDelay = 1 * time.Second
 )
--- a/internal/tuning/leadership.go
+++ b/internal/tuning/leadership.go
@@ -38,7 +38,7 @@
 	// is lost, the follower notices a change of the key after at most this time.
 	WatchTimeout = 3 * time.Second
 	// GracePeriodReserve limits two times: how long a leader that can't reach the
-	// key-value store responds to worker heartbeats, and how long any leader responds to a
+	// key-value store responds to agent heartbeats, and how long any leader responds to a
 	// machine that may still get a late start of an ended job. A lease renewed at the end
 	// of either time expires at least this long before cancel_s, the deadline by which the
 	// tasks of a cancelled job must end.
--- a/internal/tuning/peers.go
+++ b/internal/tuning/peers.go
@@ -12,8 +12,8 @@
 	PeerRedialDelay = 300 * time.Millisecond
 	// PeerDialTimeout bounds one attempt to connect to a peer.
 	PeerDialTimeout = 1 * time.Second
-	// PeerMaxCalls bounds the calls in flight on a link. Each worker has one heartbeat
-	// in flight, and right after a failover some thousand workers may all send their
+	// PeerMaxCalls bounds the calls in flight on a link. Each agent has one heartbeat
+	// in flight, and right after a failover some thousand agents may all send their
 	// heartbeats through one follower. In practice the connection limit of that follower is
 	// reached first.
 	PeerMaxCalls = 8192
--- a/internal/tuning/preemption.go
+++ b/internal/tuning/preemption.go
@@ -26,7 +26,7 @@
 	PreemptMaxStops    = 16
 	PreemptMaxSearches = 48
 	// PreemptReservationTime is how long tasks of lower priority get no capacity on a
-	// machine after one of its tasks was preempted. The worker reports the exit of the
+	// machine after one of its tasks was preempted. The agent reports the exit of the
 	// preempted task within half a second, or with the next heartbeat if the direct call
 	// failed.
 	PreemptReservationTime = 4 * time.Second
--- a/internal/tuning/requests.go
+++ b/internal/tuning/requests.go
@@ -5,14 +5,14 @@
 // Requests from users and heartbeats from workers.
 const (
 	// SubmitTimeout bounds how long a submission or cancellation waits until it is
-	// durable in the key-value store. After that, the response is 503 (users give up
-	// after 5 s).
+	// durable in the key-value store. After that, the response is 503 (users abandon
+	// the request after 5 s).
 	SubmitTimeout = 2500 * time.Millisecond
 	// QueryTimeout bounds a query for a job that a follower forwards to the leader (users
-	// give up after 2 s).
+	// abandon it after 2 s).
 	QueryTimeout = 1500 * time.Millisecond
-	// HeartbeatForwardTimeout bounds a worker's heartbeat that a follower forwards to the
-	// leader (workers give up after 4 s).
+	// HeartbeatForwardTimeout bounds an agent's heartbeat that a follower forwards to the
+	// leader (agents abandon it after 4 s).
 	HeartbeatForwardTimeout = 2500 * time.Millisecond
 	// MinRetryAfterS is the shortest Retry-After of rejected requests, in seconds.
 	MinRetryAfterS = 1
@@ -25,7 +25,7 @@
 // Connections of users and workers.
 const (
 	// ConnectionShare is the share of the process's connection limit for connections from users
-	// and workers together. WorkerSocketShare is the largest share of the limit for
+	// and workers together. WorkerConnectionShare is the largest share of the limit for
 	// workers. The difference is left for users and health checks when all machines
 	// connect to this node.
 	ConnectionShare       = 0.6
--- a/internal/tuning/workers.go
+++ b/internal/tuning/workers.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Direct calls: commands that the leader sends to a worker at once, instead of in the
-// response to the worker's next heartbeat.
+// Direct calls: commands that the leader sends to an agent at once, instead of in the
+// response to the agent's next heartbeat.
 const (
-	// DirectCallTimeout bounds a direct call. A worker normally replies at once.
+	// DirectCallTimeout bounds a direct call. An agent normally replies at once.
 	DirectCallTimeout = 1 * time.Second
 	// DirectCallBackoff is how long the leader makes no direct calls to a machine after one
 	// got no reply. During this time the machine gets its commands in responses to
 	// heartbeats.
 	DirectCallBackoff = 10 * time.Second
-	// DirectCallConnections bounds the connections to one worker. One is enough, because
-	// the calls to a worker are sequential.
+	// DirectCallConnections bounds the connections to one agent. One is enough, because
+	// the calls to an agent are sequential.
 	DirectCallConnections = 1
-	// MaxDirectCalls bounds the direct calls in flight to all workers if the settings
+	// MaxDirectCalls bounds the direct calls in flight to all agents if the settings
 	// have no connection limit.
 	MaxDirectCalls = 64
 	// DirectCallConnectionShare is the share of the process's connection limit for direct calls.
