--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -1,5 +1,5 @@
 // Package httpclient is the HTTP client that the clients of the key-value store, the cloud and the
-// workers use. It sends and receives JSON, and never retries a request.
+// agents use. It sends and receives JSON, and never retries a request.
 package httpclient
 
 import (
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -22,7 +22,7 @@
  "cores":2,"cards":0,"memoryGb":1,"hull":"img","imageGb":0.1,"builds":null,"berth":null,
  "together":false,"apart":false,"driftwood":true,"reckonS":0.1,"loglineS":0,"stowS":0,"tideS":null}`
 
-// cluster is a group of nodes on loopback, with simulated services and workers. Nodes are indexed in
+// cluster is a group of nodes on loopback, with simulated services and agents. Nodes are indexed in
 // the order in which they were started.
 type cluster struct {
 	t           *testing.T
@@ -71,7 +71,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	services.OnBoot = func(row wire.ListedMachine) { runWorker(ctx, row, c.addrs) }
+	services.OnBoot = func(row wire.ListedMachine) { runAgent(ctx, row, c.addrs) }
 	for i := range size {
 		cfg := nodeConfig(c.addrs[i], peers, i, ln.Addr().String())
 		change(&cfg.Params)
@@ -81,7 +81,7 @@
 }
 
 // nodeConfig returns the configuration of the node that is peers[self] and listens on addr for
-// users and workers.
+// users and agents.
 func nodeConfig(addr string, peers []config.Peer, self int, services string) *config.Config {
 	cfg := &config.Config{
 		Name: peers[self].Name, Zone: "a", Listen: addr, PeerListen: peers[self].Addr,
@@ -114,9 +114,9 @@
 	}()
 }
 
-// runWorker simulates a worker that finishes every task as soon as it is started. When a node
-// doesn't respond with 200, the worker sends its next heartbeat to the next node.
-func runWorker(ctx context.Context, machine wire.ListedMachine, nodes []string) {
+// runAgent simulates an agent that finishes every task as soon as it is started. When a node
+// doesn't respond with 200, the agent sends its next heartbeat to the next node.
+func runAgent(ctx context.Context, machine wire.ListedMachine, nodes []string) {
 	heartbeat := wire.Heartbeat{Machine: machine.Name, Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, AgentEpoch: 1, Tasks: []wire.TaskStatus{}}
 	for current := 0; ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
 		heartbeat.Sequence++
--- a/internal/node/local_test.go
+++ b/internal/node/local_test.go
@@ -37,7 +37,7 @@
 }
 
 // TestHandleLocally checks that only the holder of the lease handles a user's request, and that
-// a leader still handles worker heartbeats in the grace period after its lease. A heartbeat from a
+// a leader still handles agent heartbeats in the grace period after its lease. A heartbeat from a
 // later term must revoke the leadership.
 func TestHandleLocally(t *testing.T) {
 	heartbeat := func(token uint64) peer.Call {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -25,14 +25,14 @@
 
 // Node is one scheduler process.
 type Node struct {
-	log           zerolog.Logger
-	config        *config.Config
-	operator      *config.OperatorSettings
-	store         *kvstore.Client
-	cloud         *cloud.Client
-	hub           *peer.Hub
+	log          zerolog.Logger
+	config       *config.Config
+	operator     *config.OperatorSettings
+	store        *kvstore.Client
+	cloud        *cloud.Client
+	hub          *peer.Hub
 	agentClients *httpclient.Pool
-	election      *election.Election
+	election     *election.Election
 	// gracePeriod is how long a leader still responds to agent heartbeats after its lease's validity.
 	gracePeriod time.Duration
 
@@ -51,16 +51,16 @@
 // New returns a node with the given settings, which must have been validated.
 func New(log zerolog.Logger, c *config.Config, o *config.OperatorSettings) *Node {
 	n := &Node{
-		log:           log,
-		config:        c,
-		operator:      o,
-		store:         kvstore.NewClient(c.Services.KVStore, c.Params.KVStore, len(c.Peers)+1),
-		cloud:         cloud.NewClient(c.Services.Cloud, c.Params.Cloud),
-		hub:           peer.NewHub(log, c.Peers),
+		log:          log,
+		config:       c,
+		operator:     o,
+		store:        kvstore.NewClient(c.Services.KVStore, c.Params.KVStore, len(c.Peers)+1),
+		cloud:        cloud.NewClient(c.Services.Cloud, c.Params.Cloud),
+		hub:          peer.NewHub(log, c.Peers),
 		agentClients: httpclient.NewPool(tuning.DirectCallConnections, leader.DirectCallLimit(c.Params.Limits)),
-		gracePeriod:   leader.GracePeriod(c.Params.Workers),
-		tickSignal:    make(chan struct{}, 1),
-		writeSignal:   make(chan struct{}, 1),
+		gracePeriod:  leader.GracePeriod(c.Params.Workers),
+		tickSignal:   make(chan struct{}, 1),
+		writeSignal:  make(chan struct{}, 1),
 	}
 	n.election = &election.Election{Store: n.store, Node: c.Name, Log: log, OnElected: n.leadTerm}
 	if settings := o.AdmissionSettings(&c.Params); settings != nil {
--- a/internal/peer/heartbeats_test.go
+++ b/internal/peer/heartbeats_test.go
@@ -43,7 +43,7 @@
 }
 
 // TestRoute checks that a call goes to a linked leader with a recent heartbeat, and to the one of the
-// highest term if there are several. A worker's heartbeat may also go to a leader in its grace
+// highest term if there are several. An agent's heartbeat may also go to a leader in its grace
 // period. A call that was not relayed yet may go to a peer that is linked to a leader.
 func TestRoute(t *testing.T) {
 	now := time.Now()
