--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
 // Package node combines the parts of the scheduler into one process. A node campaigns for
 // leadership and forwards calls to the leader. While it leads, it handles calls itself and
-// applies the leader's decisions to the key-value store, the cloud and the workers.
+// applies the leader's decisions to the key-value store, the cloud and the agents.
 package node
 
 import (
@@ -25,15 +25,15 @@
 
 // Node is one scheduler process.
 type Node struct {
-	log           zerolog.Logger
-	config        *config.Config
-	operator      *config.OperatorSettings
-	store         *kvstore.Client
-	cloud         *cloud.Client
-	hub           *peer.Hub
-	workerClients *httpclient.Pool
-	election      *election.Election
-	// gracePeriod is how long a leader still responds to worker heartbeats after its lease's validity.
+	log          zerolog.Logger
+	config       *config.Config
+	operator     *config.OperatorSettings
+	store        *kvstore.Client
+	cloud        *cloud.Client
+	hub          *peer.Hub
+	agentClients *httpclient.Pool
+	election     *election.Election
+	// gracePeriod is how long a leader still responds to agent heartbeats after its lease's validity.
 	gracePeriod time.Duration
 
 	// mu guards leader and leadership. It is never held during a network call or a wait.
@@ -51,16 +51,16 @@
 // New returns a node with the given settings, which must have been validated.
 func New(log zerolog.Logger, c *config.Config, o *config.OperatorSettings) *Node {
 	n := &Node{
-		log:           log,
-		config:        c,
-		operator:      o,
-		store:         kvstore.NewClient(c.Services.KVStore, c.Params.KVStore, len(c.Peers)+1),
-		cloud:         cloud.NewClient(c.Services.Cloud, c.Params.Cloud),
-		hub:           peer.NewHub(log, c.Peers),
-		workerClients: httpclient.NewPool(tuning.DirectCallConnections, leader.DirectCallLimit(c.Params.Limits)),
-		gracePeriod:   leader.GracePeriod(c.Params.Workers),
-		tickSignal:    make(chan struct{}, 1),
-		writeSignal:   make(chan struct{}, 1),
+		log:          log,
+		config:       c,
+		operator:     o,
+		store:        kvstore.NewClient(c.Services.KVStore, c.Params.KVStore, len(c.Peers)+1),
+		cloud:        cloud.NewClient(c.Services.Cloud, c.Params.Cloud),
+		hub:          peer.NewHub(log, c.Peers),
+		agentClients: httpclient.NewPool(tuning.DirectCallConnections, leader.DirectCallLimit(c.Params.Limits)),
+		gracePeriod:  leader.GracePeriod(c.Params.Workers),
+		tickSignal:   make(chan struct{}, 1),
+		writeSignal:  make(chan struct{}, 1),
 	}
 	n.election = &election.Election{Store: n.store, Node: c.Name, Log: log, OnElected: n.leadTerm}
 	if settings := o.AdmissionSettings(&c.Params); settings != nil {
--- a/internal/tuning/peers.go
+++ b/internal/tuning/peers.go
@@ -12,9 +12,9 @@
 	PeerRedialDelay = 300 * time.Millisecond
 	// PeerDialTimeout bounds one attempt to connect to a peer.
 	PeerDialTimeout = 1 * time.Second
-	// PeerMaxCalls bounds the calls in flight on a link. Each worker has one heartbeat
-	// in flight, and right after a failover some thousand workers may all send their
-	// heartbeats through one follower. In practice the socket limit of that follower is
+	// PeerMaxCalls bounds the calls in flight on a link. Each agent has one heartbeat
+	// in flight, and right after a failover some thousand agents may all send their
+	// heartbeats through one follower. In practice the connection limit of that follower is
 	// reached first.
 	PeerMaxCalls = 8192
 	// PeerMaxLineBytes bounds a line of the protocol between nodes, which is a request or
--- a/internal/tuning/workers.go
+++ b/internal/tuning/workers.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Direct calls: commands that the leader sends to a worker at once, instead of in the
-// response to the worker's next heartbeat.
+// Direct calls: commands that the leader sends to an agent at once, instead of in the
+// response to the agent's next heartbeat.
 const (
-	// DirectCallTimeout bounds a direct call. A worker normally replies at once.
+	// DirectCallTimeout bounds a direct call. An agent normally replies at once.
 	DirectCallTimeout = 1 * time.Second
 	// DirectCallBackoff is how long the leader makes no direct calls to a machine after one
 	// got no reply. During this time the machine gets its commands in responses to
 	// heartbeats.
 	DirectCallBackoff = 10 * time.Second
-	// DirectCallConnections bounds the connections to one worker. One is enough, because
-	// the calls to a worker are sequential.
+	// DirectCallConnections bounds the connections to one agent. One is enough, because
+	// the calls to an agent are sequential.
 	DirectCallConnections = 1
-	// MaxDirectCalls bounds the direct calls in flight to all workers if the settings
-	// have no socket limit.
+	// MaxDirectCalls bounds the direct calls in flight to all agents if the settings
+	// have no connection limit.
 	MaxDirectCalls = 64
-	// DirectCallSocketShare is the share of the process's socket limit for direct calls.
-	DirectCallSocketShare = 0.25
+	// DirectCallConnectionShare is the share of the process's connection limit for direct calls.
+	DirectCallConnectionShare = 0.25
 	// DirectCallIdleTimeout is how long an unused connection for direct calls stays open:
 	// about two heartbeat intervals. The HTTP client keeps a goroutine for that long, even
 	// after a connection was evicted from the pool: with a timeout of 90 s, there are
@@ -33,9 +33,9 @@
 	// The delay is shorter if the worker lease and GracePeriodReserve would not fit into
 	// the rest of cancel_s.
 	LateStartFencingDivisor = 3
-	// MaxCommandsPerResponse bounds the commands in a response to a heartbeat and in a
+	// MaxCommandsPerMessage bounds the commands in a response to a heartbeat and in a
 	// direct call. The response must fit into a line of 64 KiB.
-	MaxCommandsPerResponse = 300
+	MaxCommandsPerMessage = 300
 )
 
 // Failure detection of machines.
