--- a/internal/config/admission.go
+++ b/internal/config/admission.go
@@ -147,7 +147,7 @@
 	if o.Admission == nil {
 		return nil
 	}
-	s := &admission.Settings{Classes: p.ClassNames(), WritesPerSecond: p.KVStore.WriteRPS * tuning.StoreWriteShare}
+	s := &admission.Settings{Classes: p.ClassNames(), WritesPerSecond: p.KVStore.WriteRPS * tuning.StoreLeaderWriteShare}
 	for _, t := range p.Teams {
 		team := admission.Team{Name: t.Name, GuaranteedCPUs: t.CPUs}
 		for _, share := range o.Admission.Teams {
--- a/internal/drain/lifecycle.go
+++ b/internal/drain/lifecycle.go
@@ -44,7 +44,7 @@
 	}
 	r.State, r.Reason = Pending, Reason{}
 	if r.Batch != nil {
-		r.Batch.SinceMS = now.UnixMilli()
+		r.Batch.WaitingSinceMS = now.UnixMilli()
 	}
 }
 
--- a/internal/drain/record.go
+++ b/internal/drain/record.go
@@ -39,9 +39,9 @@
 	Machines []string `json:"machines"` // names of the machines that still exist
 	// Cordoned is set once the machines are cordoned. Until then the batch waits for replacements.
 	Cordoned bool `json:"cordoned,omitempty"`
-	// SinceMS is the Unix time in milliseconds at which the batch was started, cordoned or resumed,
+	// WaitingSinceMS is the Unix time in milliseconds at which the batch was started, cordoned or resumed,
 	// whichever was last. The batch measures its waiting times from then.
-	SinceMS int64 `json:"since"`
+	WaitingSinceMS int64 `json:"since"`
 	// Replacements are the names of the machines provisioned to replace those of this batch.
 	Replacements []string `json:"replacements,omitempty"`
 }
--- a/internal/drainer/batch.go
+++ b/internal/drainer/batch.go
@@ -38,7 +38,7 @@
 		s.setWaitReason(drain.BlockedByGuarantee, team)
 		return
 	}
-	s.record.Batch = &drain.Batch{SinceMS: s.wall.UnixMilli(), Cordoned: !s.record.Spec.Replace}
+	s.record.Batch = &drain.Batch{WaitingSinceMS: s.wall.UnixMilli(), Cordoned: !s.record.Spec.Replace}
 	for _, m := range batch {
 		s.record.Batch.Machines = append(s.record.Batch.Machines, m.ID)
 	}
--- a/internal/drainer/evict.go
+++ b/internal/drainer/evict.go
@@ -104,7 +104,7 @@
 		maxWait = tuning.DrainCompletionWait
 		c.LostRunTimeS = s.maxLostRunTimeS(a)
 	}
-	maxWait -= s.wall.Sub(time.UnixMilli(s.record.Batch.SinceMS))
+	maxWait -= s.wall.Sub(time.UnixMilli(s.record.Batch.WaitingSinceMS))
 	c.EndsSoon = maxWait > 0 && s.drainer.cluster.RemainingS(s.now, a) <= maxWait.Seconds()
 	return c
 }
--- a/internal/drainer/replacements.go
+++ b/internal/drainer/replacements.go
@@ -63,7 +63,7 @@
 	switch {
 	case n.allReady():
 		s.cordonBatch()
-	case s.wall.Sub(time.UnixMilli(s.record.Batch.SinceMS)) > tuning.ReplacementTimeout:
+	case s.wall.Sub(time.UnixMilli(s.record.Batch.WaitingSinceMS)) > tuning.ReplacementTimeout:
 		if s.record.Pause(drain.Reason{Cause: drain.ReplacementTimedOut}) {
 			s.logAndStorePaused()
 		}
@@ -74,7 +74,7 @@
 
 // cordonBatch cordons the machines of the batch, restarts its waiting times and stores the record.
 func (s *drainStep) cordonBatch() {
-	s.record.Batch.Cordoned, s.record.Batch.SinceMS = true, s.wall.UnixMilli()
+	s.record.Batch.Cordoned, s.record.Batch.WaitingSinceMS = true, s.wall.UnixMilli()
 	s.applyBatchCordon()
 	s.drainer.storeDrain(s.record, nil)
 }
--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -37,9 +37,9 @@
 // setShare sets the rate limiters to the share of a leader or of a follower.
 func (b *budget) setShare(leading bool) {
 	requestShare := tuning.StoreFollowerShare / float64(b.followers)
-	writeShare := (1 - tuning.StoreWriteShare) / float64(b.followers)
+	writeShare := (1 - tuning.StoreLeaderWriteShare) / float64(b.followers)
 	if leading {
-		requestShare, writeShare = tuning.StoreLeaderShare, tuning.StoreWriteShare
+		requestShare, writeShare = tuning.StoreLeaderShare, tuning.StoreLeaderWriteShare
 	}
 	setLimit(b.requests, b.limits.RPS*requestShare, minBurst)
 	setLimit(b.writes, b.limits.WriteRPS*writeShare, max(minBurst, b.limits.TxnOps/2))
--- a/internal/leader/completion.go
+++ b/internal/leader/completion.go
@@ -23,14 +23,14 @@
 		j.MarkEndDurable()
 		l.graph.QueueDependents(j.ID, f)
 		j.NotifyWaiters(true) // the end is durable
-		l.removeIfFinished(j)
+		l.removeIfUnreferenced(j)
 	})
 }
 
-// removeIfFinished removes an ended job and deletes its records. It does so only if the job's final
+// removeIfUnreferenced removes an ended job and deletes its records. It does so only if the job's final
 // state is durable and none of its tasks can be on a machine. While a task can be on a machine, the
 // counts of allocated resources need the job's team, zone and size.
-func (l *Leader) removeIfFinished(j *jobs.Job) {
+func (l *Leader) removeIfUnreferenced(j *jobs.Job) {
 	if !j.EndDurable() || j.AllocatedTasks() > 0 || l.jobs.Get(j.ID) != j {
 		return
 	}
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -111,9 +111,9 @@
 	}
 }
 
-// linkLoadedJobs builds the dependency graph of the loaded jobs. It logs an error for each missing
+// buildDependencyGraph builds the dependency graph of the loaded jobs. It logs an error for each missing
 // dependency, and for each job that has no critical path because of a dependency cycle.
-func (l *Leader) linkLoadedJobs(loadedJobs []*jobs.Job) {
+func (l *Leader) buildDependencyGraph(loadedJobs []*jobs.Job) {
 	missing, cyclic := l.graph.LinkAll(loadedJobs)
 	for _, m := range missing {
 		l.log.Error().Str("key", records.JobKey(m.Job.ID)).Str("dependency", m.Dependency).Msg("corrupt job record: a dependency has no record")
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -25,7 +25,7 @@
 
 	committedMutations, committedBytes, startedTasks int
 	acceptedJobs                                     int
-	scoredPairs, maxPairsPerPass                     int                  // pairs of job and machine scored, in total and at most in one step
+	scoredPairs, maxScoredPairsPerStep               int                  // pairs of job and machine scored, in total and at most in one step
 	cloudCalls                                       int                  // number of calls to the cloud
 	submittedAt                                      map[string]time.Time // by job
 	startedJobs                                      map[string]bool      // jobs of which a task has started
@@ -146,7 +146,7 @@
 	scoredBefore := f.scoredPairs
 	f.Tick(f.now, true /* holdsLeaderLease */)
 	f.scoredPairs = f.Summary().ScoredPairs
-	f.maxPairsPerPass = max(f.maxPairsPerPass, f.scoredPairs-scoredBefore)
+	f.maxScoredPairsPerStep = max(f.maxScoredPairsPerStep, f.scoredPairs-scoredBefore)
 	f.commitWithinBudget()
 	f.executeCloudCalls()
 	f.executeDirectCalls()
@@ -209,7 +209,7 @@
 func (f *fleet) commitWithinBudget() {
 	f.t.Helper()
 	limits := testParams.KVStore
-	writesPerSecond := limits.WriteRPS * tuning.StoreWriteShare
+	writesPerSecond := limits.WriteRPS * tuning.StoreLeaderWriteShare
 	f.writeTokens = min(f.writeTokens+writesPerSecond/10, writesPerSecond/2)
 	for f.writeTokens >= 1 {
 		b := f.NextWriteBatch(min(limits.TxnOps, int(f.writeTokens)), max(0, int(f.writeTokens-writesPerSecond/4)))
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -113,9 +113,9 @@
 	return response.Commands
 }
 
-// plannedRelease plans the calls to the cloud. If one of them releases the given machine, it returns
+// planReleaseOf plans the calls to the cloud. If one of them releases the given machine, it returns
 // all machines that this call releases, otherwise nil.
-func (l *testLeader) plannedRelease(machine string) []string {
+func (l *testLeader) planReleaseOf(machine string) []string {
 	for _, c := range l.PlanScaling(l.now) {
 		if c.Op == scaling.CloudRelease && slices.Contains(c.Release, machine) {
 			return c.Release
@@ -137,7 +137,7 @@
 		if cs := l.sendHeartbeat("m2", 1); len(cs) != 0 {
 			l.t.Fatalf("m2 got %s before the release of m1, want no command", formatCommands(cs))
 		}
-		if release := l.plannedRelease("m1"); release != nil {
+		if release := l.planReleaseOf("m1"); release != nil {
 			l.FinishRelease(l.now, release)
 			l.tickAfter(time.Second)
 			l.commit()
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -186,7 +186,7 @@
 		l.writes.Background.Delete(key)
 	}
 	loadedJobs := l.jobs.Sorted()
-	l.linkLoadedJobs(loadedJobs)
+	l.buildDependencyGraph(loadedJobs)
 	for _, j := range loadedJobs {
 		if len(j.DependsOn) > 0 {
 			// The job's record does not contain the time at which its last dependency was done, so
@@ -197,7 +197,7 @@
 			l.endJob(now, j, jobs.Done, &l.writes.Interactive)
 		}
 		l.makeReadyIfUnblocked(now, j)
-		l.removeIfFinished(j)
+		l.removeIfUnreferenced(j)
 	}
 	for l.graph.HasJobsToCancel() {
 		// All dependents of cancelled jobs are cancelled before any request gets a response, because
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -60,7 +60,7 @@
 	l.startLog.Remove(a)
 	if lastOfTask {
 		l.schedulingPassRequested = true
-		l.removeIfFinished(a.Job)
+		l.removeIfUnreferenced(a.Job)
 	}
 }
 
--- a/internal/leader/pass.go
+++ b/internal/leader/pass.go
@@ -54,7 +54,7 @@
 	if len(ready) == 0 {
 		return
 	}
-	candidates := l.schedulableMachines(now, highestPriorityRank(ready))
+	candidates := l.schedulableMachines(now, topPriorityRank(ready))
 	if len(candidates) == 0 {
 		return
 	}
@@ -63,11 +63,11 @@
 	for _, j := range byID {
 		agedJobs[j] = j.PlacementWait(now) >= tuning.AgingThreshold
 	}
-	assignments, stats := placement.Run(l.placementTimeS(now), l.withAgedEntries(now, ready, byID), candidates, l.ledger.PlacementTeams(), tuning.PlacementMaxStarts)
+	assignments, stats := placement.Run(l.secondsInTerm(now), l.withAgedEntries(now, ready, byID), candidates, l.ledger.PlacementTeams(), tuning.PlacementMaxStarts)
 	l.scoredPairs += stats.ScoredPairs
 	for _, s := range assignments {
 		j := byID[s.JobID]
-		l.startTask(now, j, l.machines.Get(s.MachineID), agedJobs[j])
+		l.assignTask(now, j, l.machines.Get(s.MachineID), agedJobs[j])
 	}
 	if stats.Truncated {
 		l.schedulingPassRequested = true
@@ -76,16 +76,16 @@
 	l.preempt(now, ready, byID)
 }
 
-// highestPriorityRank returns the rank of the highest priority among the jobs, which is the lowest
+// topPriorityRank returns the rank of the highest priority among the jobs, which is the lowest
 // number.
-func highestPriorityRank(ready []*placement.PendingJob) int {
+func topPriorityRank(ready []*placement.PendingJob) int {
 	return slices.MinFunc(ready, func(a, b *placement.PendingJob) int { return cmp.Compare(a.PriorityRank, b.PriorityRank) }).PriorityRank
 }
 
-// schedulableMachines returns snapshots of the schedulable machines for the placement. highestRank is
+// schedulableMachines returns snapshots of the schedulable machines for the placement. topRank is
 // the rank of the highest priority among the ready jobs. If a machine is reserved for a priority,
 // the reservation applies only while a job of that priority or a higher one is ready.
-func (l *Leader) schedulableMachines(now time.Time, highestRank int) []*placement.Machine {
+func (l *Leader) schedulableMachines(now time.Time, topRank int) []*placement.Machine {
 	var candidates []*placement.Machine
 	for _, m := range l.machines.All() {
 		if !l.isSchedulable(now, m) {
@@ -93,16 +93,16 @@
 		}
 		candidate := l.snapshot(now, m)
 		rank, reserved := m.Reservation(now)
-		candidate.HasReservation, candidate.ReservedRank = reserved && highestRank <= rank, rank
+		candidate.HasReservation, candidate.ReservedRank = reserved && topRank <= rank, rank
 		candidates = append(candidates, candidate)
 	}
 	return candidates
 }
 
-// startTask assigns the next ready task of a job to a machine and queues the start record. The
+// assignTask assigns the next ready task of a job to a machine and queues the start record. The
 // start may be sent only when the record is durable: from the record a successor learns that the
 // task may be on the machine.
-func (l *Leader) startTask(now time.Time, j *jobs.Job, m *machines.Machine, jobIsAged bool) {
+func (l *Leader) assignTask(now time.Time, j *jobs.Job, m *machines.Machine, jobIsAged bool) {
 	index := j.PopReadyTask(now)
 	a := machines.NewPendingAttempt(m, j, index, now, l.nextAttemptNumber(), jobIsAged)
 	l.ledger.Allocate(a)
@@ -119,5 +119,5 @@
 // never sent, so the task can be placed again.
 func (l *Leader) abandonStart(a *machines.Attempt) { l.releaseAttempt(a.CreatedAt(), a) }
 
-// placementTimeS converts a time to that of the placement algorithm: seconds since the term began.
-func (l *Leader) placementTimeS(now time.Time) float64 { return now.Sub(l.timing.TermStart).Seconds() }
+// secondsInTerm converts a time to that of the placement algorithm: seconds since the term began.
+func (l *Leader) secondsInTerm(now time.Time) float64 { return now.Sub(l.timing.TermStart).Seconds() }
--- a/internal/leader/placement_test.go
+++ b/internal/leader/placement_test.go
@@ -14,9 +14,9 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// TestNoStartsWithoutAuthority checks that, while the key-value store can't be reached, heartbeats still
+// TestNoStartsWithoutLeaderLease checks that, while the key-value store can't be reached, heartbeats still
 // get a response, but the response starts no task.
-func TestNoStartsWithoutAuthority(t *testing.T) {
+func TestNoStartsWithoutLeaderLease(t *testing.T) {
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	l.submit("job-1")
 	l.sendHeartbeat("m1", 1)
@@ -176,11 +176,11 @@
 	}
 }
 
-// TestAgedStartIsProtectedFromPreemption checks that a task that was placed because its job had waited
+// TestTaskOfAgedJobIsNotPreemptedEarly checks that a task that was placed because its job had waited
 // for tuning.AgingThreshold is not preempted in its first 30 s: a start only counts for the user once
 // the task has run for that long. Later the task is preempted. A task of a job that has not waited is
 // preempted within 30 s.
-func TestAgedStartIsProtectedFromPreemption(t *testing.T) {
+func TestTaskOfAgedJobIsNotPreemptedEarly(t *testing.T) {
 	for _, jobWait := range []time.Duration{time.Second, tuning.AgingThreshold} {
 		l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 		idle := newJob("job-1")
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -68,7 +68,7 @@
 		if a.DirectStartMayArrive() {
 			// The start may still arrive late. An agent that had forgotten the attempt would run the
 			// task again.
-			m.RetainExit(machines.ExitKey{Task: t.Task, Attempt: t.Attempt})
+			m.SuppressForget(machines.ExitKey{Task: t.Task, Attempt: t.Attempt})
 		}
 		l.applyExit(now, a, t)
 	case t.ExitReason == wire.ExitDone:
--- a/internal/leader/reports_test.go
+++ b/internal/leader/reports_test.go
@@ -108,7 +108,7 @@
 		l.tickAfter(3 * time.Second)
 		l.sendHeartbeat("m2", 1)
 		l.sendHeartbeat("m1", uint64(2+i/5)) // a new session whenever a lease has expired
-		if l.plannedRelease("m1") != nil {
+		if l.planReleaseOf("m1") != nil {
 			return
 		}
 	}
@@ -199,7 +199,7 @@
 		} else if len(cs) != 0 {
 			return
 		}
-		if planned := l.plannedRelease("m1"); planned != nil {
+		if planned := l.planReleaseOf("m1"); planned != nil {
 			machinesToRelease = planned
 		}
 	}
@@ -227,7 +227,7 @@
 		if outcome != leader.HeartbeatRejected {
 			t.Fatal("heartbeat of the new agent: want HeartbeatRejected")
 		}
-		if l.plannedRelease("m1") != nil {
+		if l.planReleaseOf("m1") != nil {
 			return
 		}
 	}
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -38,8 +38,8 @@
 		t.Fatalf("accepted %d jobs and started %d tasks, want at least 175 and 5500", f.acceptedJobs, f.startedTasks)
 	}
 	// A pass that reaches tuning.PassMaxScoredPairs still completes the current group of jobs.
-	if f.maxPairsPerPass > 2*tuning.PlacementMaxScoredPairs {
-		t.Fatalf("one placement pass scored %d pairs of job and machine, want at most twice tuning.PassMaxScoredPairs", f.maxPairsPerPass)
+	if f.maxScoredPairsPerStep > 2*tuning.PlacementMaxScoredPairs {
+		t.Fatalf("one placement pass scored %d pairs of job and machine, want at most twice tuning.PassMaxScoredPairs", f.maxScoredPairsPerStep)
 	}
 	lateStarts := 0
 	for _, delay := range f.startDelays {
@@ -150,9 +150,9 @@
 	}
 	counts := f.Summary()
 	f.t.Logf("%d accepted, %d starts, %.2f changes and %d bytes per start, at most %d pairs per pass, %d cloud calls, %+v",
-		f.acceptedJobs, f.startedTasks, float64(f.committedMutations)/float64(f.startedTasks), f.committedBytes/f.startedTasks, f.maxPairsPerPass, f.cloudCalls, counts)
-	if f.maxPairsPerPass > 2*tuning.PlacementMaxScoredPairs {
-		f.t.Errorf("one placement pass scored %d pairs of job and machine, want at most twice tuning.PassMaxScoredPairs", f.maxPairsPerPass)
+		f.acceptedJobs, f.startedTasks, float64(f.committedMutations)/float64(f.startedTasks), f.committedBytes/f.startedTasks, f.maxScoredPairsPerStep, f.cloudCalls, counts)
+	if f.maxScoredPairsPerStep > 2*tuning.PlacementMaxScoredPairs {
+		f.t.Errorf("one placement pass scored %d pairs of job and machine, want at most twice tuning.PassMaxScoredPairs", f.maxScoredPairsPerStep)
 	}
 	if f.committedMutations > f.startedTasks {
 		f.t.Errorf("%d changes written for %d starts, want at most one per start", f.committedMutations, f.startedTasks)
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -18,12 +18,12 @@
 	s := m.ResetSnapshot()
 	t := l.catalogue.Type(m.Type)
 	s.FetchGBPerS, s.Price = t.FetchGBPerS, l.catalogue.Price(m)
-	nowS := l.placementTimeS(now)
+	nowS := l.secondsInTerm(now)
 	for _, a := range m.Attempts() {
 		startS := nowS
 		if !m.HasImage(a.Job.Image) && t.FetchGBPerS > 0 {
 			// The task begins to run when the fetch of its image ends.
-			startS = l.placementTimeS(a.CreatedAt()) + placement.FetchTimeS(a.Job.ImageGB, t.FetchGBPerS)
+			startS = l.secondsInTerm(a.CreatedAt()) + placement.FetchTimeS(a.Job.ImageGB, t.FetchGBPerS)
 			if startS > s.Images[a.Job.Image] {
 				s.Images[a.Job.Image] = startS
 			}
--- a/internal/leader/submission.go
+++ b/internal/leader/submission.go
@@ -92,7 +92,7 @@
 // maxInteractiveWrites returns the number of writes that the leader's share of the key-value store's
 // write limit allows within tuning.SubmitTimeout, the longest time that a user waits for a response.
 func (l *Leader) maxInteractiveWrites() int {
-	return max(1, int(l.params.KVStore.WriteRPS*tuning.StoreWriteShare*tuning.SubmitTimeout.Seconds()))
+	return max(1, int(l.params.KVStore.WriteRPS*tuning.StoreLeaderWriteShare*tuning.SubmitTimeout.Seconds()))
 }
 
 // neverRunnableReason returns why a job can never run, or "" if it can.
--- a/internal/machines/exit.go
+++ b/internal/machines/exit.go
@@ -17,15 +17,15 @@
 
 // AddExited adds an exited attempt of the task list. unneeded is true if the leader doesn't need the
 // exit in later task lists. The agent is told to forget the attempt if unneeded is true and
-// RetainExit was not called for the attempt in this session.
+// SuppressForget was not called for the attempt in this session.
 func (m *Machine) AddExited(key ExitKey, unneeded bool) {
-	m.exited = append(m.exited, Exit{ExitKey: key, Forget: unneeded && !m.retainedExits[key]})
+	m.exited = append(m.exited, Exit{ExitKey: key, Forget: unneeded && !m.forgetSuppressed[key]})
 }
 
 // Exited returns the exited attempts of the last task list. The caller must not modify the slice.
 func (m *Machine) Exited() []Exit { return m.exited }
 
-// RetainExit keeps the agent from being told to forget the exited attempt in this session. The
+// SuppressForget keeps the agent from being told to forget the exited attempt in this session. The
 // attempt's start may still arrive late, and an agent that had forgotten the attempt would run it
 // again.
-func (m *Machine) RetainExit(key ExitKey) { m.retainedExits[key] = true }
+func (m *Machine) SuppressForget(key ExitKey) { m.forgetSuppressed[key] = true }
--- a/internal/machines/heartbeat.go
+++ b/internal/machines/heartbeat.go
@@ -89,7 +89,7 @@
 //     start
 func (m *Machine) AdvanceSession(epoch, sequence uint64) {
 	if epoch > m.epoch {
-		clear(m.retainedExits)
+		clear(m.forgetSuppressed)
 		m.lastPeriodicSequence = 0
 		if !m.IsCordonedFor(CordonConsolidated | CordonLateStart) {
 			m.releaseBy = time.Time{}
--- a/internal/machines/machine_test.go
+++ b/internal/machines/machine_test.go
@@ -236,10 +236,10 @@
 	}
 }
 
-func TestRetainExit(t *testing.T) {
+func TestSuppressForget(t *testing.T) {
 	m := newReportingMachine(termStart)
 	key := machines.ExitKey{Task: "job-1/0", Attempt: 1}
-	m.RetainExit(key)
+	m.SuppressForget(key)
 	m.AddExited(key, true)
 	m.AddExited(machines.ExitKey{Task: "job-1/0", Attempt: 2}, true)
 	m.AddExited(machines.ExitKey{Task: "job-1/1", Attempt: 3}, false)
--- a/internal/operatorcli/client_test.go
+++ b/internal/operatorcli/client_test.go
@@ -24,7 +24,7 @@
 			Spec:         drain.Spec{Name: "zone-a", BatchSize: 2, Selector: drain.Selector{Zone: "a"}},
 			State:        drain.Running,
 			Reason:       "waits for tasks to end",
-			Batch:        &drain.Batch{Machines: []string{"i-1", "i-2"}, Cordoned: true, SinceMS: 7},
+			Batch:        &drain.Batch{Machines: []string{"i-1", "i-2"}, Cordoned: true, WaitingSinceMS: 7},
 			Counts:       drain.Counts{Batches: 3, Machines: 6, Evicted: 5, Moved: 4, Replacements: 1},
 			MachinesLeft: 12,
 			Teams: []drain.TeamUsage{{
--- a/internal/simulation/node_writes.go
+++ b/internal/simulation/node_writes.go
@@ -55,7 +55,7 @@
 	if !n.sim.LimitWriteRate {
 		return l.NextWriteBatch(maxOps, spare)
 	}
-	perSecond := limits.WriteRPS * tuning.StoreWriteShare
+	perSecond := limits.WriteRPS * tuning.StoreLeaderWriteShare
 	n.budget.refill(n.sim.now, perSecond)
 	tokens := n.budget.tokens
 	if tokens < 1 {
--- a/internal/tuning/kvstore.go
+++ b/internal/tuning/kvstore.go
@@ -27,9 +27,9 @@
 	// watch the leader key, while the leader writes.
 	StoreLeaderShare   = 0.70
 	StoreFollowerShare = 0.20
-	// StoreWriteShare is the share of the store's write limit that the leader uses. The
+	// StoreLeaderWriteShare is the share of the store's write limit that the leader uses. The
 	// rest is left for the followers' campaigns and a predecessor's last writes.
-	StoreWriteShare = 0.85
+	StoreLeaderWriteShare = 0.85
 	// StorePageSize is the number of keys in a page of a list (protocol: at most 1,000).
 	StorePageSize = 1000
 )
