--- a/internal/drain/ledger.go
+++ b/internal/drain/ledger.go
@@ -2,9 +2,11 @@
 
 import "time"
 
-// Ledger records how much each team's work is disrupted: by drains, through their charges, and by
-// failures and preemptions. Drains compare it with the teams' budgets. An unavailable task is one
-// that was interrupted, or whose stop was charged, and that does not run again yet.
+// Ledger records how much drains, failures and preemptions disrupt each team's work: as usage (evictions
+// and lost run time) and as the number of unavailable tasks. Drains compare both with the teams'
+// budgets. The evictions of a drain are recorded as charges, before the tasks are stopped (see Charge).
+// A task counts as unavailable from its interruption, or from the charge for its stop, until it runs
+// again.
 type Ledger struct {
 	window time.Duration          // how long usage counts
 	teams  map[string]*teamLedger // by team name
@@ -49,8 +51,8 @@
 	return t
 }
 
-// addUsage adds usage of a team at the given time. Usage that is older than the latest bucket is
-// added to the latest bucket as well, so it counts for too long rather than too briefly.
+// addUsage adds usage of a team at the given time. Usage that is older than the latest bucket is also
+// put there and not in an older bucket, so it may count for too long, but never too briefly.
 func (l *Ledger) addUsage(team string, at time.Time, usage Usage) {
 	t := l.ensureTeam(team)
 	if n := len(t.buckets); n == 0 || at.Sub(t.buckets[n-1].start) >= l.window/bucketsPerWindow {
@@ -80,7 +82,7 @@
 func (l *Ledger) UnavailableTasks(team string) int { return l.ensureTeam(team).unavailableTasks }
 
 // RecordInterruption records that a running task was interrupted by something other than a drain. A
-// task that is unavailable already doesn't run, so it is not counted again.
+// task that is already unavailable is not running, so it is not counted again.
 func (l *Ledger) RecordInterruption(team, job string, index int32, at time.Time, lostS float64) {
 	if l.unavailableByJob[job][index] {
 		return
@@ -89,8 +91,8 @@
 	l.addUnavailable(team, job, index)
 }
 
-// RecordUnavailable counts a task as unavailable without adding usage. It is for a task whose usage was
-// already added by a charge, and for one that may not have run.
+// RecordUnavailable counts a task as unavailable without adding usage. It is used if a charge has already
+// added the usage, or if it is unknown whether the task ran.
 func (l *Ledger) RecordUnavailable(team, job string, index int32) { l.addUnavailable(team, job, index) }
 
 // addUnavailable counts a task as unavailable, at most once.
@@ -149,8 +151,8 @@
 
 // RemoveOldCharges removes the charges that are no longer needed and returns their keys, so that the
 // caller can delete the stored ones. A charge is needed while its usage is in the window, and while any
-// of its tasks is unavailable: a successor learns both from the stored charge. now is the wall-clock
-// time.
+// of its tasks is unavailable, because a successor restores the usage and the unavailable tasks from the
+// stored charges. now is the wall-clock time.
 func (l *Ledger) RemoveOldCharges(now time.Time) []string {
 	var keys []string
 	for key, c := range l.chargesByKey {
--- a/internal/drainer/replacements.go
+++ b/internal/drainer/replacements.go
@@ -19,8 +19,9 @@
 }
 
 // countReplacements counts the replacements of a batch. Each machine of the batch needs one of its
-// type. A replacement is ready once it is schedulable. Replacements that are being released, or that
-// will be, don't count.
+// type. A replacement is ready once it is schedulable. Replacements that are being released don't
+// count, nor do those that are cordoned for a reason that leads to their release. One such reason is
+// CordonAgentReplaced: a new agent runs on the machine in place of the earlier one.
 func (d *Drainer) countReplacements(now time.Time, b *drain.Batch) replacementCount {
 	n := replacementCount{map[string]int{}, map[string]int{}, map[string]int{}}
 	for _, name := range b.Machines {
@@ -72,7 +73,8 @@
 	}
 }
 
-// cordonBatch cordons the machines of the batch, restarts its waiting times and stores the record.
+// cordonBatch cordons the machines of the batch, measures the batch's waiting times from now on and
+// stores the record.
 func (s *drainStep) cordonBatch() {
 	s.record.Batch.Cordoned, s.record.Batch.WaitingSinceMS = true, s.wall.UnixMilli()
 	s.applyBatchCordon()
@@ -117,9 +119,10 @@
 	return calls
 }
 
-// replacementOffering returns the offering of which to provision a replacement of a type, and false if
-// none can be provisioned now. It prefers the zone of the replaced machine to other zones. For a spot
-// machine it tries the spot offerings of all zones before the on-demand ones.
+// replacementOffering returns the offering (type, zone, spot or on-demand) to use for a replacement of
+// the given machine type, and false if none can be provisioned now. It prefers the zone of the first
+// machine of that type in the batch to other zones. If that is a spot machine, it tries the spot
+// offerings of all zones before the on-demand ones.
 func (d *Drainer) replacementOffering(now time.Time, b *drain.Batch, machineType string) (autoscale.Offering, bool) {
 	i := slices.IndexFunc(b.Machines, func(name string) bool {
 		m := d.cluster.Machines.Get(name)
--- a/internal/drainer/store.go
+++ b/internal/drainer/store.go
@@ -9,14 +9,16 @@
 	"switchshore.example/switchshore/internal/records"
 )
 
-// loadedCharge is a charge that an earlier leader stored.
+// loadedCharge is a charge (evictions of a drain that count against the teams' budgets) that an earlier
+// leader stored.
 type loadedCharge struct {
 	key       string
 	charge    *drain.Charge
 	chargedAt time.Time // on the monotonic clock
 }
 
-// LoadDrain loads the stored drain with the given name. It returns the errors of drain.DecodeRecord.
+// LoadDrain loads the stored drain with the given name. It ignores the drain if no budgets are
+// configured. It returns the errors of drain.DecodeRecord.
 func (d *Drainer) LoadDrain(name string, value json.RawMessage) error {
 	if d.config.Budgets == nil {
 		return nil
@@ -30,10 +32,10 @@
 	return nil
 }
 
-// LoadCharge loads the charge stored under key. now and wall must be the same moment on the monotonic
-// clock and as wall-clock time: the charge's wall-clock time is converted by their difference. A charge
-// whose time lies after now counts as made now.
-// LoadCharge returns the errors of drain.DecodeCharge.
+// LoadCharge loads the charge stored under key. now and wall must be the same instant, on the monotonic
+// clock and in wall-clock time. They are used to convert the charge's wall-clock time to the monotonic
+// clock. A charge whose time lies after now counts as made now. LoadCharge ignores the charge if no
+// budgets are configured. It returns the errors of drain.DecodeCharge.
 func (d *Drainer) LoadCharge(now, wall time.Time, key string, value json.RawMessage) error {
 	if d.config.Budgets == nil {
 		return nil
--- a/internal/leader/fleet_test.go
+++ b/internal/leader/fleet_test.go
@@ -21,15 +21,15 @@
 	agents      []*fleetAgent
 	byName      map[string]*fleetAgent
 	rng         *rand.Rand
-	writeTokens float64 // number of changes that may be committed now
+	writeTokens float64 // number of writes that may be committed now
 
 	committedMutations, committedBytes, startedTasks int
 	acceptedJobs                                     int
-	scoredPairs, maxScoredPairsPerStep               int                  // pairs of job and machine scored, in total and at most in one step
+	scoredPairs, maxScoredPairsPerStep               int                  // pairs of job and machine scored: so far, and the most in any one step
 	cloudCalls                                       int                  // number of calls to the cloud
 	submittedAt                                      map[string]time.Time // by job
 	startedJobs                                      map[string]bool      // jobs of which a task has started
-	startDelays                                      []time.Duration      // of each start, the time since the submission of its job
+	startDelays                                      []time.Duration      // time from the submission of each started task's job to the task's start
 }
 
 // fleetAgent is the agent of one machine. endTimes[i] is when tasks[i] completes.
@@ -61,7 +61,7 @@
 	return f
 }
 
-// submitJob submits a job without committing it and counts it once it is accepted.
+// submitJob submits a job. A later step commits it, and acceptedJobs then counts it.
 func (f *fleet) submitJob(j *wire.Job) {
 	f.submittedAt[j.ID] = f.now
 	f.Submit(f.now, f.now, j, func(v leader.JobResponse) {
@@ -203,9 +203,9 @@
 	}
 }
 
-// commitWithinBudget commits as many changes as the write budget allows. The budget is a token bucket
-// that holds at most the writes of half a second. Changes that no user waits for leave the writes of
-// a quarter second for the others.
+// commitWithinBudget commits as many writes as the write budget allows. The budget is a token bucket
+// that holds at most the writes of half a second. Writes that no user waits for are limited to the
+// tokens beyond those of a quarter second, which are kept for the other writes.
 func (f *fleet) commitWithinBudget() {
 	f.t.Helper()
 	limits := testParams.KVStore
@@ -220,7 +220,7 @@
 		batchBytes := 0
 		for _, w := range b.Mutations {
 			f.committedMutations++
-			batchBytes += len(w.Key()) + len(w.Value) + 40 // an overhead of 40 bytes per change
+			batchBytes += len(w.Key()) + len(w.Value) + 40 // an overhead of 40 bytes per write
 			if float64(len(w.Value)) > limits.ValueKB*1024 {
 				f.t.Fatalf("value of %s has %d bytes, want at most the value limit", w.Put, len(w.Value))
 			}
--- a/internal/leader/helpers_test.go
+++ b/internal/leader/helpers_test.go
@@ -59,22 +59,22 @@
 // newLeaderWithSettings is newLeader with operator settings.
 func newLeaderWithSettings(t *testing.T, settings config.OperatorSettings, term uint64, now time.Time, store map[string]json.RawMessage) *testLeader {
 	t.Helper()
-	c := leader.New(zerolog.Nop(), testParams, settings, term, now, leader.GracePeriod(testParams.Workers))
+	l := leader.New(zerolog.Nop(), testParams, settings, term, now, leader.GracePeriod(testParams.Workers))
 	for _, prefix := range records.LoadOrder {
 		for _, k := range slices.Sorted(maps.Keys(store)) {
 			if strings.HasPrefix(k, prefix) {
-				if err := c.LoadRecord(now, now, wire.KeyValue{Key: k, Value: store[k]}); err != nil {
+				if err := l.LoadRecord(now, now, wire.KeyValue{Key: k, Value: store[k]}); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
 	}
-	c.FinishLoading(now)
-	c.SetMachineTypes([]wire.MachineType{std8Type})
-	return &testLeader{Leader: c, t: t, now: now, store: store}
+	l.FinishLoading(now)
+	l.SetMachineTypes([]wire.MachineType{std8Type})
+	return &testLeader{Leader: l, t: t, now: now, store: store}
 }
 
-// apply applies changes to the store.
+// apply applies writes to the store.
 func (l *testLeader) apply(writes []wire.Mutation) {
 	for _, w := range writes {
 		if w.Delete != "" {
@@ -85,7 +85,7 @@
 	}
 }
 
-// commit commits all queued changes, in batches of at most 10.
+// commit commits all queued writes, in batches of at most 10.
 func (l *testLeader) commit() {
 	for b := l.NextWriteBatch(10, 10); b != nil; b = l.NextWriteBatch(10, 10) {
 		l.apply(b.Mutations)
@@ -202,8 +202,9 @@
 	return slices.ContainsFunc(calls, func(c scaling.CloudCall) bool { return c.Op == scaling.CloudProvision })
 }
 
-// leaderWithDirectCallInFlight returns a leader with a direct call to m1 in flight that starts
-// job-1/0, the call, and the status of the task that m1 lists after it has executed the call.
+// leaderWithDirectCallInFlight submits job-1 and makes a direct call to m1 that starts job-1/0. It
+// returns the leader, the call, which is still in flight, and the task status that m1 reports once it has
+// executed the call.
 func leaderWithDirectCallInFlight(t *testing.T) (*testLeader, *leader.DirectCall, wire.TaskStatus) {
 	t.Helper()
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -17,8 +17,8 @@
 // loadState holds the data that is needed only while stored records are loaded.
 type loadState struct {
 	jobPieces records.JobPieces // pieces of job records that are too large for one value, by key
-	// newestAttempts maps each task to its attempt from the newest start record, of those loaded so
-	// far, that lists the task.
+	// newestAttempts maps each task to the attempt that was loaded for it last. Start records are loaded
+	// oldest first.
 	newestAttempts map[taskKey]*machines.Attempt
 }
 
@@ -31,7 +31,7 @@
 // LoadRecord loads one stored record, and ignores keys that belong to no kind of record. Records
 // must be loaded in records.LoadOrder. now and wall are the same instant: now on the monotonic
 // clock, wall in wall-clock time, which the records use. For a corrupt record, LoadRecord returns a
-// records.CorruptError. If records of this kind are optional, it logs the error and returns nil
+// records.CorruptError. If records of its kind may be skipped, it logs the error and returns nil
 // instead.
 func (l *Leader) LoadRecord(now, wall time.Time, item wire.KeyValue) error {
 	kind, id, ok := records.ParseKey(item.Key)
@@ -77,7 +77,7 @@
 		return l.loadStarts(now, item.Key, starts)
 	case records.KindDrain:
 		return l.drainer.LoadDrain(id, item.Value)
-	case records.KindCharge: // evictions charged to a drain
+	case records.KindCharge: // evictions of a drain, charged to the teams' budgets
 		return l.drainer.LoadCharge(now, wall, item.Key, item.Value)
 	}
 	return nil
@@ -143,7 +143,7 @@
 		if m == nil {
 			m = l.addMachine(now, machine.ID, machine.Type, machine.Zone, "", machine.Spot)
 		}
-		m.MarkInStartRecord()
+		m.MarkInStartRecord() // the machine has joined under an earlier leader
 		for _, id := range slices.Sorted(maps.Keys(machine.Tasks)) {
 			j := l.jobs.Get(id)
 			if j == nil {
@@ -172,13 +172,15 @@
 	l.ledger.Allocate(a)
 	l.loading.newestAttempts[task] = a
 	if earlierAttempt != nil {
-		// The later start on m was decided only after the task had left the earlier machine.
+		// Start records are loaded oldest first, and the start on m was decided only after the task had
+		// left the earlier machine.
 		l.releaseAttempt(now, earlierAttempt)
 	}
 }
 
-// FinishLoading ends the loading of records. It links the loaded jobs, ends those whose tasks are all
-// completed, and makes the tasks ready that can't be on a machine.
+// FinishLoading ends the loading of records. It builds the dependency graph of the loaded jobs, ends
+// the jobs whose tasks are all completed, and marks as ready those tasks of unblocked jobs that can't be
+// on any machine.
 func (l *Leader) FinishLoading(now time.Time) {
 	l.startLog.FinishLoading()
 	for _, key := range slices.Sorted(maps.Keys(l.loading.jobPieces)) {
--- a/internal/leader/pass.go
+++ b/internal/leader/pass.go
@@ -58,7 +58,9 @@
 	if len(candidates) == 0 {
 		return
 	}
-	// The aged jobs are determined here, because each start resets the job's PlacementWait.
+	// A job is aged if its last placement of a task is at least tuning.AgingThreshold ago (see
+	// withAgedEntries). This is determined before the tasks are assigned, because each assignment resets
+	// the job's PlacementWait.
 	agedJobs := map[*jobs.Job]bool{}
 	for _, j := range byID {
 		agedJobs[j] = j.PlacementWait(now) >= tuning.AgingThreshold
@@ -76,8 +78,8 @@
 	l.preempt(now, ready, byID)
 }
 
-// topPriorityRank returns the rank of the highest priority among the jobs, which is the lowest
-// number.
+// topPriorityRank returns the rank of the highest priority among the jobs. A lower rank is a higher
+// priority.
 func topPriorityRank(ready []*placement.PendingJob) int {
 	return slices.MinFunc(ready, func(a, b *placement.PendingJob) int { return cmp.Compare(a.PriorityRank, b.PriorityRank) }).PriorityRank
 }
@@ -99,9 +101,9 @@
 	return candidates
 }
 
-// assignTask assigns the next ready task of a job to a machine and queues the start record. The
-// start may be sent only when the record is durable: from the record a successor learns that the
-// task may be on the machine.
+// assignTask assigns the next ready task of a job to a machine, counts its resources as allocated and
+// queues the start record. The start may be sent only when the record is durable, because a successor
+// learns from the record that the task may be on the machine.
 func (l *Leader) assignTask(now time.Time, j *jobs.Job, m *machines.Machine, jobIsAged bool) {
 	index := j.PopReadyTask(now)
 	a := machines.NewPendingAttempt(m, j, index, now, l.nextAttemptNumber(), jobIsAged)
@@ -119,5 +121,6 @@
 // never sent, so the task can be placed again.
 func (l *Leader) abandonStart(a *machines.Attempt) { l.releaseAttempt(a.CreatedAt(), a) }
 
-// secondsInTerm converts a time to that of the placement algorithm: seconds since the term began.
+// secondsInTerm returns the time since the term began, in seconds. The placement algorithm uses
+// this time scale.
 func (l *Leader) secondsInTerm(now time.Time) float64 { return now.Sub(l.timing.TermStart).Seconds() }
--- a/internal/leader/placement_test.go
+++ b/internal/leader/placement_test.go
@@ -14,8 +14,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// TestNoStartsWithoutLeaderLease checks that, while the key-value store can't be reached, heartbeats still
-// get a response, but the response starts no task.
+// TestNoStartsWithoutLeaderLease checks that heartbeats still get a response while the leader does not
+// hold its lease, because the key-value store can't be reached, but that the response starts no task.
 func TestNoStartsWithoutLeaderLease(t *testing.T) {
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	l.submit("job-1")
@@ -29,9 +29,9 @@
 	}
 }
 
-// TestTeamAtLimitPreemptsOwnTasks checks a team that is at its CPU limit because of its less urgent
-// tasks. One of them is stopped for an urgent job of the team: free machines do not help while the
-// team is at its limit.
+// TestTeamAtLimitPreemptsOwnTasks checks that a team at its CPU limit preempts one of its own less urgent
+// tasks for an urgent job. This is necessary even if machines are free, because the limit prevents the
+// start.
 func TestTeamAtLimitPreemptsOwnTasks(t *testing.T) {
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	normal := newJob("job-1")
@@ -76,10 +76,11 @@
 	}
 }
 
-// TestNoPreemptionWithoutEnoughRoom checks a team at its CPU limit that submits a large job of high
-// priority. If stopping all preemptible tasks of the team would not make enough room for the job, none
-// is stopped. Otherwise they would be stopped in every pass and never complete, and the large job would
-// not start either. If they make enough room, as many are stopped as needed.
+// TestNoPreemptionWithoutEnoughRoom checks that a team at its CPU limit preempts tasks for a large job of
+// high priority only if that makes enough room for the job. If stopping all preemptible tasks would not
+// suffice, none is stopped. If they were stopped nevertheless, they would be stopped again in every pass
+// and never complete, and the large job would not start either. If they make enough room, as many are
+// stopped as needed.
 func TestNoPreemptionWithoutEnoughRoom(t *testing.T) {
 	for _, c := range []struct {
 		nonPreemptibleCPUs float64 // CPUs of each of two tasks that can't be preempted; the limit is 16
@@ -87,7 +88,7 @@
 		wantStops          int
 	}{{6.5, 1, 0}, {6, 2, 2}} {
 		l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
-		nonPreemptible := newJob("job-1")
+		nonPreemptible := newJob("job-1") // saves no checkpoints, so its tasks are not preempted
 		nonPreemptible.Tasks, nonPreemptible.CPUs, nonPreemptible.EstimateS = 2, c.nonPreemptibleCPUs, 600
 		low := newJob("job-2")
 		low.Priority, low.Tasks, low.CPUs, low.CheckpointIntervalS, low.EstimateS = wire.PriorityIdle, c.preemptibleTasks, 1, 5, 300
@@ -128,9 +129,10 @@
 	}
 }
 
-// TestPreemptedCapacityIsReserved checks two tasks that are preempted for a larger one of a higher
-// priority and exit one after the other. The capacity that the first exit frees is reserved for the
-// larger task and does not go to tasks of lower priority.
+// TestPreemptedCapacityIsReserved checks that capacity freed by preemption is reserved for the preempting
+// task and does not go to tasks of lower priority. Two tasks are preempted for a larger task of higher
+// priority, and exit one after the other. The capacity freed by the first exit must stay free until the
+// second exit.
 func TestPreemptedCapacityIsReserved(t *testing.T) {
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	low := newJob("job-1")
@@ -177,9 +179,9 @@
 }
 
 // TestTaskOfAgedJobIsNotPreemptedEarly checks that a task that was placed because its job had waited
-// for tuning.AgingThreshold is not preempted in its first 30 s: a start only counts for the user once
-// the task has run for that long. Later the task is preempted. A task of a job that has not waited is
-// preempted within 30 s.
+// for tuning.AgingThreshold is not preempted in its first 30 s, because a start counts for the user
+// only if the task runs for at least that long. Later the task is preempted. A task of a job that has
+// not waited is preempted within 30 s.
 func TestTaskOfAgedJobIsNotPreemptedEarly(t *testing.T) {
 	for _, jobWait := range []time.Duration{time.Second, tuning.AgingThreshold} {
 		l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
@@ -208,7 +210,7 @@
 			}
 		}
 		if runTime := l.now.Sub(startedAt); runTime > 30*time.Second != (jobWait == tuning.AgingThreshold) {
-			t.Errorf("job waited %v: task stopped after %v, want more than 30s only if the job waited for tuning.AgingThreshold", jobWait, runTime)
+			t.Errorf("job waited %v: task stopped after %v, want more than 30s after a wait of tuning.AgingThreshold and at most 30s after a shorter one", jobWait, runTime)
 		}
 	}
 }
@@ -217,7 +219,7 @@
 // large job of low priority starts within four minutes, and that more of its tasks start later.
 func TestLargeJobIsNotStarved(t *testing.T) {
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
-	large := newJob("job-999999")
+	large := newJob("job-999999") // no small job has this ID
 	large.Priority, large.Tasks, large.CPUs, large.EstimateS = wire.PriorityIdle, 40, 8, 20
 	const submitAfterS = 100 // after this time there is a backlog of small jobs
 	tasksByMachine := map[string][]wire.TaskStatus{"m1": nil, "m2": nil}
@@ -265,9 +267,9 @@
 	}
 }
 
-// TestUnderusedMachineIsConsolidated checks two machines that run one long task each. If the tasks save
-// checkpoints, one of them is moved to the other machine, and the machine that it leaves is released.
-// Tasks that save no checkpoints are not moved.
+// TestUnderusedMachineIsConsolidated checks that, if two machines run one long task each and the tasks save
+// checkpoints, one task is moved to the other machine and the machine without tasks is released. Tasks
+// that save no checkpoints are not moved.
 func TestUnderusedMachineIsConsolidated(t *testing.T) {
 	for _, checkpointIntervalS := range []float64{20, 0} {
 		l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
@@ -290,6 +292,7 @@
 			l.tickAfter(time.Second)
 			l.commit()
 			for _, m := range []string{"m1", "m2"} {
+				// m2 sends heartbeats only from second 5 on, so that job-0 and job-1 are placed on m1.
 				if released == m || second < 5 && m == "m2" {
 					continue
 				}
--- a/internal/leader/ready_jobs.go
+++ b/internal/leader/ready_jobs.go
@@ -10,10 +10,11 @@
 )
 
 // withAgedEntries adds a second entry for each aged job and moves some of the job's ready tasks to
-// it. A job is aged if none of its tasks has been placed for tuning.AgingThreshold. The placement
-// handles the aged entries before all others. Without them, a long backlog of smaller or more urgent
-// jobs could starve a large job, because priority, urgency and size decide the order. A job that is
-// at fault itself gets no aged entry.
+// it. A job is aged if at least tuning.AgingThreshold has passed since one of its tasks was last placed,
+// or since the job could first be placed. The placement handles the aged entries before all others. It
+// orders the others by priority, urgency and size, so a long backlog of smaller or more urgent jobs
+// could starve a large job. A job that is itself the cause of its tasks' failures (Job.IsFaulty) gets no
+// aged entry.
 func (l *Leader) withAgedEntries(now time.Time, ready []*placement.PendingJob, byID map[string]*jobs.Job) []*placement.PendingJob {
 	entries := ready
 	for _, r := range ready {
@@ -32,8 +33,8 @@
 	return entries
 }
 
-// readyJobs returns the jobs with tasks that may be placed now, oldest first, as the placement
-// algorithm needs them. The map contains the same jobs by ID.
+// readyJobs returns, as input of the placement algorithm, the jobs with tasks that may be placed now. The
+// job that has waited longest comes first. The map contains the same jobs by ID.
 func (l *Leader) readyJobs(now time.Time) ([]*placement.PendingJob, map[string]*jobs.Job) {
 	runnable := l.jobs.RunnableByAge()
 	guaranteed := l.ledger.JobsWithinGuarantee(runnable)
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -10,10 +10,11 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// reconcileTasks compares the machine's complete task list with its attempts. periodic is false for
-// the heartbeat in the reply to a direct call. If the list in a periodic heartbeat lacks a task whose
-// start was in an earlier response, the start was not executed. The list in a reply does not prove
-// that: the agent may have replied before it received the response.
+// reconcileTasks compares the machine's complete task list with its attempts. periodic is false if
+// the heartbeat is the agent's reply to a direct call. If the list in a periodic heartbeat lacks a task
+// whose start the leader sent in its response to an earlier heartbeat, the start was not executed. The
+// list in a reply does not prove that, because the agent may have sent the reply before the leader's
+// response arrived.
 func (l *Leader) reconcileTasks(now time.Time, m *machines.Machine, h *wire.Heartbeat, periodic bool) {
 	l.taskListNumber++
 	m.ClearExited()
@@ -36,9 +37,10 @@
 	j := l.jobs.Get(id)
 	switch {
 	case !ok || j == nil || index >= j.Tasks:
-		// The job has ended or is unknown; stopCommands stops the task if it has not exited.
+		// The job has ended or is unknown. If the task has not exited, the response contains a stop for
+		// it (see stopCommands).
 		if t.State == wire.TaskExited {
-			recordExited(m, t, true) // unneeded
+			recordExited(m, t, true /* mayForget */)
 		}
 	case t.State == wire.TaskExited:
 		l.applyExitedTask(now, m, j, int32(index), t)
@@ -47,11 +49,11 @@
 	}
 }
 
-// recordExited records an exited task. If unneeded is true, the agent is told to forget the task,
+// recordExited records an exited task. If mayForget is true, the agent is told to forget the task,
 // unless its start may still arrive.
-func recordExited(m *machines.Machine, t *wire.TaskStatus, unneeded bool) {
+func recordExited(m *machines.Machine, t *wire.TaskStatus, mayForget bool) {
 	key := machines.ExitKey{Task: t.Task, Attempt: t.Attempt}
-	m.AddExited(key, unneeded)
+	m.AddExited(key, mayForget)
 }
 
 // applyExitedTask applies the entry of a task that has exited.
@@ -66,8 +68,8 @@
 			m.RecordStartExecuted()
 		}
 		if a.DirectStartMayArrive() {
-			// The start may still arrive late. An agent that had forgotten the attempt would run the
-			// task again.
+			// The direct call's start may still arrive late. An agent that had forgotten the attempt
+			// would run the task again.
 			m.SuppressForget(machines.ExitKey{Task: t.Task, Attempt: t.Attempt})
 		}
 		l.applyExit(now, a, t)
@@ -85,8 +87,8 @@
 	if a == nil {
 		a = machines.NewPossiblyStartedAttempt(m, j, index, now)
 		l.ledger.Allocate(a)
-		// A successor has to find the attempt in a start record, but no record contains it, or none
-		// contains it any more.
+		// A successor must find the attempt in a start record. No record contains it now, so it is
+		// added to one.
 		l.startLog.Add(a)
 		if j.IsActive() {
 			j.RemoveReadyTask(index)
@@ -118,8 +120,8 @@
 	l.drainer.RecordTaskRunning(a)
 }
 
-// recordIneffectiveResponse records that an earlier response had no effect, if the task list lacks a
-// task whose start was in that response.
+// recordIneffectiveResponse records that the agent has not executed the starts of an earlier response,
+// if the task list lacks a task whose start was in that response.
 func (l *Leader) recordIneffectiveResponse(now time.Time, m *machines.Machine) {
 	if slices.ContainsFunc(m.Attempts(), func(a *machines.Attempt) bool {
 		return !a.IsInTaskList(l.taskListNumber) && a.State() == machines.StartSent && a.ResponseStartMayTakeEffect()
@@ -143,9 +145,10 @@
 			// The start may still arrive late, so the attempt is kept.
 			l.requireFencingRelease(now, a)
 		case periodic || !a.ResponseStartMayTakeEffect():
-			// The start was not sent, or only in a response that the agent no longer waits for. So it
-			// was not executed and never will be. It is sent again if the task should still run on
-			// this machine.
+			// The start was not sent, or only in the response to an earlier heartbeat. Once the agent
+			// has sent the next periodic heartbeat, it no longer waits for that response. So the
+			// start was not executed and never will be. It is sent again if the task should still
+			// run on this machine.
 			a.MarkResponseStartIneffective()
 			if !a.ShouldRun() || !l.isSchedulable(now, m) {
 				l.releaseAttempt(now, a)
@@ -154,9 +157,9 @@
 	}
 }
 
-// requireFencingRelease requires the release of the attempt's machine if the task must no longer run.
-// The machine may still receive the task's start, and only its release proves that the task can't
-// run there.
+// requireFencingRelease cordons the attempt's machine and sets the time after which it is released, if the
+// task must no longer run. The machine may still receive the task's start, and only the machine's release
+// proves that the task can't run there.
 func (l *Leader) requireFencingRelease(now time.Time, a *machines.Attempt) {
 	m := a.Machine
 	if a.ShouldRun() || m.IsReleaseRequired() {
@@ -186,9 +189,9 @@
 		l.log.Debug().Str("machine", m.ID).Str("task", t.Task).Msg("task failed")
 		j.CountFailure(now)
 		l.recordTaskFailure(j, m)
-	case wire.ExitNoCapacity, wire.ExitTaskBusy:
+	case wire.ExitNoCapacity, wire.ExitTaskBusy: // busy: another attempt of the task is on the machine
 		m.MarkFull(now.Add(tuning.FullMachineBackoff))
-	case wire.ExitUnknown: // the job has not been uploaded yet
+	case wire.ExitUnknown: // the agent finds no such job, which has not been uploaded yet
 		j.DelayUntil(now.Add(tuning.UnknownJobBackoff))
 	}
 	l.releaseAttempt(now, a)
--- a/internal/machines/exit.go
+++ b/internal/machines/exit.go
@@ -15,11 +15,11 @@
 // ClearExited removes all exited attempts. It is called before the next task list is applied.
 func (m *Machine) ClearExited() { m.exited = m.exited[:0] }
 
-// AddExited adds an exited attempt of the task list. unneeded is true if the leader doesn't need the
-// exit in later task lists. The agent is told to forget the attempt if unneeded is true and
+// AddExited adds an exited attempt of the task list. mayForget is true if the leader doesn't need the
+// exit in later task lists. The agent is told to forget the attempt if mayForget is true and
 // SuppressForget was not called for the attempt in this session.
-func (m *Machine) AddExited(key ExitKey, unneeded bool) {
-	m.exited = append(m.exited, Exit{ExitKey: key, Forget: unneeded && !m.forgetSuppressed[key]})
+func (m *Machine) AddExited(key ExitKey, mayForget bool) {
+	m.exited = append(m.exited, Exit{ExitKey: key, Forget: mayForget && !m.forgetSuppressed[key]})
 }
 
 // Exited returns the exited attempts of the last task list. The caller must not modify the slice.
