--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -169,7 +169,7 @@
 	earlierAttempt := l.loading.newestAttempts[task]
 	a := machines.NewPossiblyStartedAttempt(m, j, index, now)
 	record.LinkAttempt(a)
-	l.ledger.Allocate(a)
+	l.ledger.Allocate(a) // counts its resources as allocated
 	l.loading.newestAttempts[task] = a
 	if earlierAttempt != nil {
 		// Start records are loaded oldest first, and the start on m was decided only after the task had
--- a/internal/leader/reconcile.go
+++ b/internal/leader/reconcile.go
@@ -190,7 +190,7 @@
 		j.CountFailure(now)
 		l.recordTaskFailure(j, m)
 	case wire.ExitNoCapacity, wire.ExitTaskBusy: // busy: another attempt of the task is on the machine
-		m.MarkFull(now.Add(tuning.FullMachineBackoff))
+		m.MarkTaskRefused(now.Add(tuning.RefusedTaskBackoff))
 	case wire.ExitUnknown: // the agent finds no such job, which has not been uploaded yet
 		j.DelayUntil(now.Add(tuning.UnknownJobBackoff))
 	}
--- a/internal/machines/capacity.go
+++ b/internal/machines/capacity.go
@@ -10,8 +10,8 @@
 
 // capacity holds a machine's total, free and reserved resources.
 type capacity struct {
-	total, free placement.Resources
-	fullUntil   time.Time // the machine gets no new tasks before this time
+	total, free  placement.Resources
+	backoffUntil time.Time // the machine gets no new tasks before this time
 	// Until reservedUntil, free resources are reserved for tasks of reservedRank or a higher
 	// priority.
 	reservedUntil time.Time
@@ -36,9 +36,9 @@
 	}
 }
 
-// MarkFull makes the machine unschedulable until the given time. It is called after the machine has
+// MarkTaskRefused makes the machine unschedulable until the given time. It is called after the machine has
 // refused a task, for lack of capacity or because it has another attempt of the task.
-func (c *capacity) MarkFull(until time.Time) { c.fullUntil = until }
+func (c *capacity) MarkTaskRefused(until time.Time) { c.backoffUntil = until }
 
 // Reserve reserves the machine's free resources for tasks of the priority rank or a higher one,
 // for tuning.PreemptReservationTime. A reservation for a higher priority that still holds keeps its
--- a/internal/machines/delivery_test.go
+++ b/internal/machines/delivery_test.go
@@ -164,7 +164,7 @@
 
 func TestFullMachineIsUnschedulable(t *testing.T) {
 	m := newReportingMachine(termStart)
-	m.MarkFull(termStart.Add(time.Second))
+	m.MarkTaskRefused(termStart.Add(time.Second))
 	if m.IsSchedulable(termStart, timing) || !m.IsSchedulable(termStart.Add(time.Second), timing) {
 		t.Error("want a full machine to be schedulable from the given time on, and not before")
 	}
--- a/internal/machines/lease.go
+++ b/internal/machines/lease.go
@@ -62,7 +62,7 @@
 // IsSchedulable reports whether new tasks may be assigned to the machine.
 func (m *Machine) IsSchedulable(now time.Time, t *Timing) bool {
 	return m.joined && m.reconciled && !m.releaseBegun && !m.IsCordoned() &&
-		m.total.CPUs > 0 && !now.Before(m.fullUntil) && !m.HeartbeatOverdue(now, t)
+		m.total.CPUs > 0 && !now.Before(m.backoffUntil) && !m.HeartbeatOverdue(now, t)
 }
 
 // RequireRelease sets the time after which ShouldBeReleased returns true.
--- a/internal/tuning/placement.go
+++ b/internal/tuning/placement.go
@@ -86,9 +86,9 @@
 	// UnknownJobBackoff is the delay before a job is started again after a worker
 	// reported that the job is not uploaded yet.
 	UnknownJobBackoff = 3 * time.Second
-	// FullMachineBackoff is how long a machine gets no new starts after it refused one
+	// RefusedTaskBackoff is how long a machine gets no new starts after it refused one
 	// for lack of capacity.
-	FullMachineBackoff = 3 * time.Second
+	RefusedTaskBackoff = 3 * time.Second
 	// FaultyMachineJobs is the number of different jobs whose tasks must fail in
 	// succession on a machine before it is quarantined as faulty.
 	FaultyMachineJobs = 2
