--- a/internal/allocation/ledger_test.go
+++ b/internal/allocation/ledger_test.go
@@ -50,7 +50,7 @@
 	}
 	end := testStart.Add(time.Minute)
 	if last := l.Release(end, a); !last {
-		t.Error("Release returned false for the only machine with the task")
+		t.Error("Release returned false for the only machine with the task, want true")
 	}
 	if m.Free() != capacity || l.UsedCPUs("blue") != 0 || j.RunningAttempts() != 0 ||
 		j.ReadyTasks() != 1 || a.IsAllocated() || m.IdleFor(end) != 0 {
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestUsageMatchesRandomAllocations allocates and releases attempts in random order. After each step,
-// the usage must equal the resources of the allocated attempts; it must be zero at the end.
+// TestUsageMatchesRandomAllocations: the usage equals the resources of the allocated attempts after each
+// step of a random sequence of allocations and releases, and is zero at the end.
 func TestUsageMatchesRandomAllocations(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, seed))
@@ -121,7 +121,7 @@
 		t.Errorf("team without a limit: %v CPUs free, known %v, want infinitely many, true", cpus, known)
 	}
 	if _, known := l.FreeCPUs("nobody"); known {
-		t.Error("known is true for a team without settings")
+		t.Error("known is true for a team without settings, want false")
 	}
 	if free := l.FreeCPUsByTeam(); len(free) != 2 || free["blue"] != 16 {
 		t.Errorf("free CPUs by team %v, want 16 of blue and those of guest", free)
--- a/internal/drain/charge.go
+++ b/internal/drain/charge.go
@@ -19,12 +19,12 @@
 	LostRunTimeS float64 `json:"lostS"`
 }
 
-// Charge is the stored record of the evictions that a drain chose in one step and that count against
-// the teams' budgets. It is durable before the first stop is sent. Otherwise a successor would not
-// know how much of the budgets is used, and would charge the same stops again.
+// Charge is the stored record of the evictions that a drain chose in one step and that count
+// against the teams' budgets. It is durable before the first stop is sent. Without the charge,
+// a successor would not know how much of the budgets is used, and would charge the same stops again.
 type Charge struct {
 	Drain    string           `json:"drain"` // name of the drain
-	AtMS     int64            `json:"at"`    // Unix time in milliseconds at which the drain chose them
+	AtMS     int64            `json:"at"`    // Unix time in milliseconds at which the drain chose the evictions
 	Teams    map[string]Usage `json:"teams"` // usage that the evictions add, by team name
 	Attempts []Attempt        `json:"attempts"`
 }
--- a/internal/drain/eviction.go
+++ b/internal/drain/eviction.go
@@ -32,9 +32,10 @@
 }
 
 // Choose adds to the charge the candidates that may be evicted now, in ascending order of lost run
-// time, until the charge is full. A later step adds the remaining ones to its own charge. Choose returns
-// the first reason why a candidate may not be evicted, but WaitTaskEnd only if there is no other reason.
-// The reason is empty if every candidate considered may be evicted.
+// time, until the charge is full. A later step adds the remaining candidates to its own charge.
+// Choose returns why the first blocked candidate may not be evicted. It returns WaitTaskEnd only if
+// no candidate is blocked for another reason. The reason is empty if every candidate considered may
+// be evicted.
 func (e *Evictor) Choose(charge *Charge, candidates []Candidate) Reason {
 	slices.SortStableFunc(candidates, func(a, b Candidate) int { return cmp.Compare(a.LostRunTimeS, b.LostRunTimeS) })
 	var reason Reason
--- a/internal/drain/ledger_test.go
+++ b/internal/drain/ledger_test.go
@@ -10,10 +10,10 @@
 // alwaysTeamBlue is a teamOf function by which no task has ended and every task is of team blue.
 func alwaysTeamBlue(Attempt) (string, bool) { return "blue", true }
 
-// TestLedgerAgainstEventList compares the ledger with a list of all events, after each of a random
-// sequence of interruptions, charges, removals of old charges, and tasks that become available again.
-// The ledger's usage must be at least that of the events within the window, and it must count the same
-// tasks as unavailable.
+// TestLedgerAgainstEventList checks that the ledger's usage is at least that of the events within the
+// window, and that the ledger counts as many tasks as unavailable as a list of all events does. It
+// compares them after each of a random sequence of interruptions, charges, removals of old charges, and
+// tasks that become available again.
 func TestLedgerAgainstEventList(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 3))
--- a/internal/drain/lifecycle.go
+++ b/internal/drain/lifecycle.go
@@ -15,9 +15,9 @@
 // deadline has passed.
 func (r *Record) IsForced(now time.Time) bool { return r.Spec.Force && r.pastDeadline(now) }
 
-// SetWaitReason records why the drain waits. If its deadline has passed, it pauses the drain, unless
-// Force is set or the wait ends by itself. It reports whether it paused the drain. now is the
-// wall-clock time.
+// SetWaitReason records why the drain waits. If the drain's deadline has passed, it also pauses the
+// drain, unless Force is set or the wait ends by itself (see endsByItself). It reports whether it
+// paused the drain. now is the wall-clock time.
 func (r *Record) SetWaitReason(now time.Time, reason Reason) bool {
 	if r.pastDeadline(now) && !r.Spec.Force && !reason.Cause.endsByItself() {
 		reason.DeadlinePassed = true
@@ -27,7 +27,8 @@
 	return false
 }
 
-// Pause pauses the drain unless it is paused already or has ended. It reports whether it paused it.
+// Pause pauses the drain unless it is paused already or has ended. It reports whether it changed
+// the state.
 func (r *Record) Pause(reason Reason) bool {
 	if r.State == Paused || r.State.IsTerminal() {
 		return false
@@ -62,8 +63,8 @@
 }
 
 // EnsureRunning returns the running drain. If there is none, it starts the oldest pending drain,
-// returns that one, and sets started. It returns nil if no drain is pending either. It sorts the
-// records in place.
+// returns that one, and sets started. It returns nil if no drain is running or pending. It sorts
+// the records in place.
 func EnsureRunning(records []*Record) (r *Record, started bool) {
 	slices.SortFunc(records, (*Record).Compare)
 	for _, r := range records {
--- a/internal/drain/lifecycle_test.go
+++ b/internal/drain/lifecycle_test.go
@@ -47,11 +47,11 @@
 		reason := Reason{Cause: WaitNoAlternative, Team: "blue"}
 		r.SetWaitReason(testNow, reason)
 		if r.State != Running {
-			t.Fatal("the drain is paused before its deadline")
+			t.Fatal("the drain is paused before its deadline, want it not paused")
 		}
 		r.SetWaitReason(testNow.Add(2*time.Minute), Reason{Cause: WaitMachineRelease})
 		if r.State != Running {
-			t.Fatal("the drain is paused while it waits for its machines to be released")
+			t.Fatal("the drain is paused while it waits for its machines to be released, want it not paused")
 		}
 		r.SetWaitReason(testNow.Add(2*time.Minute), reason)
 		if (r.State == Paused) == force || r.IsForced(testNow.Add(2*time.Minute)) != force || !strings.Contains(r.Reason.String(), "(team blue)") {
--- a/internal/drain/record.go
+++ b/internal/drain/record.go
@@ -119,7 +119,8 @@
 }
 
 // BlocksProvisioning reports whether the drain forbids provisioning machines of a type in a zone
-// because it would select them. A drain that is done still forbids it until it is cancelled.
+// because it would select them. A drain that is done still forbids this until an operator cancels
+// the drain.
 func (r *Record) BlocksProvisioning(machineType, zone string) bool {
 	return (r.State == Running || r.State == Paused || r.State == Done) && r.Spec.Selector.SelectsAllOf(machineType, zone)
 }
--- a/internal/drain/selector.go
+++ b/internal/drain/selector.go
@@ -10,7 +10,7 @@
 	Zone     string   `json:"zone,omitempty" xml:"zone"`
 	Type     string   `json:"type,omitempty" xml:"type"`
 	Machines []string `json:"machines,omitempty" xml:"machine" validate:"dive,min=1,max=64"`
-	// ProvisionedBefore is the time before which a selected machine was provisioned. Operators say
+	// ProvisionedBefore selects the machines that were provisioned before this time. Operators say
 	// rented for provisioned.
 	ProvisionedBefore *time.Time `json:"rentedBefore,omitempty" xml:"rentedBefore"`
 }
--- a/internal/drainer/batch.go
+++ b/internal/drainer/batch.go
@@ -124,8 +124,9 @@
 	return ""
 }
 
-// schedulableCPUsWithout returns the CPUs of the schedulable machines without those of the batch. If
-// the drain replaces its machines, their replacements add as many CPUs, so the batch is included.
+// schedulableCPUsWithout returns the total CPUs of the schedulable machines outside the batch. If
+// the drain replaces its machines, the total includes the batch, because the replacements add as
+// many CPUs.
 func (s *drainStep) schedulableCPUsWithout(batch []*machines.Machine) float64 {
 	cpus := 0.0
 	for _, m := range s.drainer.cluster.Machines.All() {
--- a/internal/drainer/drainer.go
+++ b/internal/drainer/drainer.go
@@ -58,7 +58,7 @@
 	// applied, even an outdated one.
 	MachinesAndTypesKnown func() bool
 	// HasCurrentMachineList reports whether a machine list shows the cloud's state after this term
-	// began. Then a machine in a record that is missing from the registry no longer exists.
+	// began. If so, a machine that a record names but the registry lacks no longer exists.
 	HasCurrentMachineList func() bool
 	// BatchBlockedCause returns why no drain may start a batch now, or "" if one may.
 	BatchBlockedCause func(time.Time) drain.Cause
@@ -70,7 +70,7 @@
 }
 
 // Drainer owns the drains, and the ledger of how much the teams' work is disrupted. If drains are
-// disabled (Config.Budgets is nil), it has neither.
+// disabled (Config.Budgets is nil), it has no drains and no ledger.
 type Drainer struct {
 	log     zerolog.Logger
 	config  Config
--- a/internal/drainer/drainer_test.go
+++ b/internal/drainer/drainer_test.go
@@ -194,9 +194,9 @@
 	}
 }
 
-// TestEvictionsStayWithinBudget checks that no attempt is stopped before its charge, the record that its
-// eviction uses the team's budget, is durable. It also checks that no second task is evicted once the
-// first eviction has used up the budget.
+// TestEvictionsStayWithinBudget checks that no attempt is stopped before its charge is durable, and that
+// no second task is evicted once the first eviction has used up the budget. A charge is the stored
+// record that an eviction uses the team's budget.
 func TestEvictionsStayWithinBudget(t *testing.T) {
 	f := newFixture(t)
 	m := f.addMachine("m1")
--- a/internal/drainer/evict.go
+++ b/internal/drainer/evict.go
@@ -29,10 +29,10 @@
 	s.setWaitReason(reason.Cause, reason.Team)
 }
 
-// collectCandidates returns the attempts of the batch that agents have reported and that are not being
-// stopped or evicted, as candidates and by attempt number. It leaves out machines that are not
-// reconciled or not listed by the cloud yet. It stops, instead of returning them, the attempts whose
-// stops an earlier leader charged.
+// collectCandidates returns the attempts of the batch that agents have reported and that are not
+// being stopped or evicted, as candidates and by attempt number. It leaves out machines that are
+// not reconciled or not listed by the cloud yet. It does not return the attempts whose stops an
+// earlier leader charged, but stops them at once.
 func (s *drainStep) collectCandidates() (candidates []drain.Candidate, attempts map[uint64]*machines.Attempt) {
 	attempts = map[uint64]*machines.Attempt{}
 	for _, name := range s.record.Batch.Machines {
@@ -89,9 +89,9 @@
 	d.cluster.QueueDirectCall(a.Machine)
 }
 
-// candidate returns the candidate for a running attempt. A task with checkpoints can save one before it
-// is stopped, so it counts as losing no run time. The eviction of a task without checkpoints loses all
-// of its run time, so a batch waits longer for its end.
+// candidate returns the candidate for a running attempt. A task with checkpoints can save one
+// before it is stopped, so it counts as losing no run time. The eviction of a task without
+// checkpoints loses all of its run time, so a batch waits longer for the task to end.
 func (s *drainStep) candidate(a *machines.Attempt) drain.Candidate {
 	j := a.Job
 	c := drain.Candidate{
@@ -116,8 +116,8 @@
 	earliestStart := a.CreatedAt()
 	if a.Number()>>32 != s.drainer.config.Term {
 		// The upper 32 bits of the number are the term in which the attempt was created. An earlier
-		// leader created this one. When it did is unknown, but not before the submission of the job
-		// and the provisioning of the machine.
+		// leader created this attempt, at an unknown time after the submission of the job and the
+		// provisioning of the machine.
 		earliestStart = a.Job.SubmittedAt()
 		if a.Machine.ProvisionedAt().After(earliestStart) {
 			earliestStart = a.Machine.ProvisionedAt()
--- a/internal/drainer/interruptions.go
+++ b/internal/drainer/interruptions.go
@@ -13,8 +13,8 @@
 //   - tasks that are done or have another attempt, and
 //   - attempts that have certainly not run.
 //
-// The interruption uses up the team's budget, with two exceptions: a drain has charged it already, or the
-// attempt may not have started.
+// The task then counts as unavailable. The interruption also adds usage to the team's budget, unless
+// a drain has charged it already or the attempt may not have started.
 func (d *Drainer) RecordInterruption(now time.Time, a *machines.Attempt) {
 	j := a.Job
 	if d.ledger == nil || !j.NeedsTask(int(a.Index)) || j.AllocationsOf(a.Index) > 1 || a.HasFailed() {
--- a/internal/drainer/requests.go
+++ b/internal/drainer/requests.go
@@ -135,8 +135,8 @@
 	d.storeDrain(r, respondStatus)
 }
 
-// cancel cancels a drain. It removes the drain's cordon from the machines of the batch, and attempts
-// whose stops have not been sent yet are no longer evicted.
+// cancel cancels a drain. It removes the drain's cordon from the machines of the batch, and
+// withdraws the evictions whose stops have not been sent yet.
 func (d *Drainer) cancel(r *storedDrain) {
 	var drained []string
 	if r.Batch != nil {
--- a/internal/records/errors.go
+++ b/internal/records/errors.go
@@ -15,8 +15,8 @@
 	ErrUnknownFinalState = errors.New("unknown final state")
 )
 
-// CorruptError reports an invalid stored record that the leader must not skip, because its state
-// would then be wrong. Records of other kinds may be skipped, see Kind.MayBeSkippedIfCorrupt.
+// CorruptError reports an invalid stored record that the leader must not skip, because the
+// leader's state would then be wrong. Records of other kinds may be skipped, see Kind.MayBeSkippedIfCorrupt.
 type CorruptError struct {
 	Key string
 	Err error
--- a/internal/records/job.go
+++ b/internal/records/job.go
@@ -62,10 +62,10 @@
 // unknownMachineType is the machine type of placeholders. No cloud offers it.
 const unknownMachineType = "(known to later versions)"
 
-// placeholder returns a job that takes the place of the given one for versions of the program
-// without support for dependent jobs, which would handle that one incorrectly. These versions queue
-// the placeholder and can cancel it, but never start it, because it fits no machine. Placeholders
-// are needed as long as such a version may run.
+// placeholder returns a job to be stored in place of the given job, which versions of the program
+// without support for dependent jobs would handle incorrectly. These versions queue the placeholder
+// and can cancel it, but never start it, because it fits no machine. Placeholders are needed as
+// long as such a version may run.
 func placeholder(job wire.Job) wire.Job {
 	job.Class, job.Image, job.Zone = "-", "-", ""
 	job.MachineTypes = []string{unknownMachineType}
--- a/internal/records/keys.go
+++ b/internal/records/keys.go
@@ -82,7 +82,7 @@
 func FinalStateKey(id string) string { return KindFinalState.Prefix() + id }
 
 // JobPieceKey returns the key of a piece of a job. The term distinguishes the piece from those that
-// remain of an earlier attempt to store the same job.
+// remain if an earlier leader failed while it stored the same job.
 func JobPieceKey(id string, term uint64, number int) string {
 	return fmt.Sprintf("%s%s/%d-%d", KindJobPiece.Prefix(), id, term, number)
 }
--- a/internal/records/queue.go
+++ b/internal/records/queue.go
@@ -28,9 +28,9 @@
 // Dequeued returns the number of changes moved into batches so far.
 func (q *Queue) Dequeued() int64 { return q.dequeued }
 
-// Put queues a new value of a key, or its deletion if value is nil. onCommit, if set, is called when
-// this change is durable. If a later change replaces this one in the queue, it is called when that
-// change is durable.
+// Put queues a new value of a key, or its deletion if value is nil. onCommit, if set, is called
+// when this change is durable. If a later change replaces this one in the queue, onCommit is called
+// when the later change is durable.
 func (q *Queue) Put(key string, value json.RawMessage, onCommit func()) {
 	if q.byKey == nil {
 		q.byKey = map[string]*Write{}
--- a/internal/records/queues.go
+++ b/internal/records/queues.go
@@ -23,7 +23,7 @@
 // a batch, see NextBatch.
 type WriteQueues struct {
 	Interactive Queue // changes that users wait for
-	Dependent   Queue // final states of jobs that were cancelled because a dependency was
+	Dependent   Queue // final states of jobs that were cancelled because a dependency was cancelled
 	Background  Queue // completions, deletions and other changes that no user waits for
 	starts      []PendingStarts
 
@@ -45,13 +45,15 @@
 }
 
 // NextBatch moves at most maxOps queued changes into a new batch and returns it, or nil if no change
-// is queued. spareOps limits the changes that no user waits for. The queues share a batch as follows:
-//   - Dependent changes get a small share of every batch. Beyond it, they get at most spareOps.
+// is queued. spareOps is the maximum number of background changes, and of dependent
+// changes beyond their share. The queues share a batch as follows:
+//   - Dependent changes get a small share of every batch. Beyond this share, they get at most
+//     spareOps.
 //   - Interactive changes get a limited share before the start records, and the remaining space
-//     after them. Without this limit, acceptances would fill every batch, and no accepted job would
-//     start or end.
-//   - Background changes get at most spareOps: no user waits for them, and they must not use up the
-//     operations that the key-value store allows for the other changes.
+//     after them. Without this limit, records of new jobs would fill every batch, and no accepted
+//     job would start or end.
+//   - Background changes get at most spareOps, because no user waits for them and they must not use
+//     up the operations that the key-value store allows for the other changes.
 //   - If shedding is true, because new jobs are being rejected, spareOps is raised to a minimum, and
 //     dependent and background changes precede the interactive ones beyond their limited share.
 //
@@ -69,8 +71,8 @@
 	}
 	q.Dependent.moveTo(b, spareOps)
 	if len(q.starts) == 0 {
-		// Among the background changes are deletions of start records. The attempts of such
-		// a record may have moved to a queued one, which must be durable before the deletion.
+		// Background changes include deletions of start records. The attempts of a deleted record
+		// may have moved to a queued record, which must be durable before the deletion.
 		q.Background.moveTo(b, spareOps)
 	}
 	q.Interactive.moveTo(b, maxOps)
--- a/internal/records/queues_test.go
+++ b/internal/records/queues_test.go
@@ -116,9 +116,9 @@
 	}
 }
 
-// TestDeletionsWaitForQueuedStartRecords: the attempts of a start record that is to be deleted may
-// have moved to a queued start record. No deletion may be written before all queued start records
-// are, or a successor could find these attempts in no record.
+// TestDeletionsWaitForQueuedStartRecords: no deletion of a start record is written before all queued
+// start records are. The attempts of the deleted record may have moved to a queued one, so a
+// successor could otherwise find them in no record.
 func TestDeletionsWaitForQueuedStartRecords(t *testing.T) {
 	q := newWriteQueues()
 	q.Background.Delete("s/old")
--- a/internal/scaling/history.go
+++ b/internal/scaling/history.go
@@ -44,8 +44,8 @@
 	return h.arrivalRate * decayFactor(now.Sub(h.arrivalRateAt), tuning.ArrivalRateDecay)
 }
 
-// decayFactor returns the weight that a sample of the given age still has. It is 1 at first and 1/e after
-// timeConstant.
+// decayFactor returns the weight that a sample of the given age still has. It is 1 at age 0 and 1/e
+// at age timeConstant.
 func decayFactor(age, timeConstant time.Duration) float64 {
 	return math.Exp(-max(0, age.Seconds()) / timeConstant.Seconds())
 }
--- a/internal/scaling/scale_in.go
+++ b/internal/scaling/scale_in.go
@@ -6,9 +6,9 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// ReleaseInFlight reports whether a release call is in flight. The caller makes no further release calls
-// until it returns. The machines to be released meanwhile then share a call, which leaves more of the
-// cloud's rate limit for provision calls.
+// ReleaseInFlight reports whether a release call is in flight. The caller makes no further release
+// calls until that call returns. The machines to be released meanwhile then share a call, which
+// leaves more of the cloud's rate limit for provision calls.
 func (s *Scaler) ReleaseInFlight() bool { return s.releasesInFlight > 0 }
 
 // ScaleIn marks the named machines as being released and returns the release calls for them. names
--- a/internal/scaling/scaling.go
+++ b/internal/scaling/scaling.go
@@ -99,8 +99,8 @@
 	return true
 }
 
-// Plan returns how many machines of each offering to provision in addition to existing ones and those
-// that calls in flight request, and which machines to release.
+// Plan returns how many machines of each offering to provision, and which machines to release. The
+// machines to provision are in addition to those that provision calls in flight request.
 func (s *Scaler) Plan(now time.Time) autoscale.Plan {
 	return autoscale.NewPlan(s.planInput(now))
 }
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -116,7 +116,7 @@
 }
 
 // TestPlanCountsRequestedMachines: a plan counts the machines that provision calls in flight request.
-// Otherwise it would provision for the same demand again.
+// If it did not, it would provision machines for the same demand again.
 func TestPlanCountsRequestedMachines(t *testing.T) {
 	_, cluster := newScaler()
 	cluster.Demand = func(time.Time) []autoscale.Demand {
--- a/internal/startlog/startlog_test.go
+++ b/internal/startlog/startlog_test.go
@@ -80,7 +80,7 @@
 }
 
 // TestStartsAfterABatchGetANewRecord: an attempt is added to a new record if the current one is in a
-// batch or would exceed the value limit.
+// batch or would become larger than maxValueBytes.
 func TestStartsAfterABatchGetANewRecord(t *testing.T) {
 	f := newFixture(256)
 	for i := range int32(100) {
@@ -118,8 +118,8 @@
 	}
 }
 
-// TestLoadedRecordsWithoutAttemptsAreDeleted: a loaded record is deleted after loading if it has no
-// attempts, otherwise when all of them have ended.
+// TestLoadedRecordsWithoutAttemptsAreDeleted: a loaded record without attempts is deleted after loading.
+// One with attempts is deleted when all of them have ended.
 func TestLoadedRecordsWithoutAttemptsAreDeleted(t *testing.T) {
 	f := newFixture(2048)
 	f.AddLoadedRecord("s/old")
