--- a/internal/allocation/ledger.go
+++ b/internal/allocation/ledger.go
@@ -34,7 +34,7 @@
 	return l
 }
 
-// resolveLimits returns a team whose limits are infinite if the settings contain none.
+// resolveLimits returns the team, with infinite limits if the settings contain none.
 func resolveLimits(t config.Team) config.Team {
 	if t.CPUsMax == 0 && t.GPUsMax == 0 {
 		// Limits of 0 stand for a team without limits, such as guests without a guarantee,
@@ -138,7 +138,8 @@
 
 const unknownTeam = "unknown team"
 
-// limitViolation returns why a task of a job exceeds a quota even if the team uses nothing else, or "".
+// limitViolation returns why a task of a job exceeds a quota even if the team uses nothing else, or ""
+// if it exceeds none.
 func limitViolation(quota *config.Team, spec *wire.Job) string {
 	limit := placement.Resources{CPUs: quota.CPUsMax, GPUs: quota.GPUsMax}
 	if !limit.Fits(placement.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs}) {
--- a/internal/autoscale/bins.go
+++ b/internal/autoscale/bins.go
@@ -8,8 +8,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// bin is a machine to which the planner assigns demand: an existing or requested one, or one that the
-// plan provisions.
+// bin is a machine to which the planner assigns waiting tasks: an existing machine, a requested one, or
+// one that the plan provisions.
 type bin struct {
 	machineID           string // empty unless the machine exists
 	offering            Offering
--- a/internal/drain/budget.go
+++ b/internal/drain/budget.go
@@ -5,7 +5,7 @@
 // Budget limits the disruption of a team's work by drains.
 type Budget struct {
 	// MaxUnavailable is the maximum number of the team's tasks that are unavailable at the same time:
-	// interrupted, and not running again yet. With 0, drains evict none of the team's tasks. They wait
+	// interrupted, and not running again yet. With 0, drains evict none of the team's tasks, but wait
 	// until the tasks end.
 	MaxUnavailable int `json:"maxUnavailable" xml:"maxUnavailable" validate:"min=0,max=1000000"`
 	// MaxEvictions is the maximum number of interruptions within a window.
--- a/internal/drain/reason.go
+++ b/internal/drain/reason.go
@@ -19,7 +19,8 @@
 type Cause string
 
 // Operators see the texts of the causes. With a cause Wait…, the current batch or the end of the drain
-// waits. With a cause BlockedBy…, no new batch may start. With one of the last two, the drain is paused.
+// waits. With a cause BlockedBy…, no new batch may start. With ReplacementTimedOut or PausedByOperator,
+// the drain is paused.
 const (
 	WaitTaskEnd           Cause = "waits for tasks to end"
 	WaitUnavailableBudget Cause = "budget of unavailable tasks is used up"
--- a/internal/drainer/batch.go
+++ b/internal/drainer/batch.go
@@ -13,7 +13,8 @@
 
 // beginBatch starts a batch of the selected machines that have the fewest attempts. It starts none
 //   - while the cluster blocks batches,
-//   - within DrainBatchInterval after its last try, unless a batch has ended since, or
+//   - within DrainBatchInterval after machines were last selected for a batch, unless a batch has ended
+//     since, or
 //   - if the machines outside the batch could not meet the teams' guarantees.
 //
 // If no selected machine can be drained now, the drain is done, or waits for the outstanding ones (see
--- a/internal/records/queues.go
+++ b/internal/records/queues.go
@@ -45,8 +45,8 @@
 }
 
 // NextBatch moves at most maxOps queued changes into a new batch and returns it, or nil if no change
-// is queued. spareOps is the maximum number of background changes, and of dependent
-// changes beyond their share. The queues share a batch as follows:
+// is queued. spareOps is the maximum number of background changes, and of dependent changes beyond
+// their share. The queues share a batch as follows:
 //   - Dependent changes get a small share of every batch. Beyond this share, they get at most
 //     spareOps.
 //   - Interactive changes get a limited share before the start records, and the remaining space
--- a/internal/startlog/record.go
+++ b/internal/startlog/record.go
@@ -11,24 +11,24 @@
 type Record struct {
 	log              *Log
 	key              string
-	liveAttempts     int                // number of linked attempts; ended attempts are unlinked
-	inBatchOrDurable bool               // if not set, the record is queued without a final content
+	liveAttempts     int                // number of linked attempts (see LinkAttempt); ended attempts are unlinked
+	inBatchOrDurable bool               // set once the content is final; until then the record is only queued
 	closed           bool               // accepts no further attempts
 	size             records.StartsSize // upper bound of the encoded size with all added attempts
-	// attempts are the attempts that were added before the record was written. The list is cleared
-	// when the record is durable or refused.
+	// attempts are the attempts that were added while the record was queued. The list is cleared when
+	// the record is durable or refused.
 	attempts []*machines.Attempt
 }
 
-// add adds an attempt to a record that is not written yet.
+// add adds an attempt to a record that is still queued.
 func (r *Record) add(machine records.MachineStarts, a *machines.Attempt) {
 	r.size.Add(machine, a.Job.ID)
 	r.attempts = append(r.attempts, a)
 	r.LinkAttempt(a)
 }
 
-// LinkAttempt links an attempt to the record, which names it. The record is not deleted while it has
-// linked attempts.
+// LinkAttempt links an attempt to the record that names the attempt's task. The record is not deleted
+// while any attempt is linked to it.
 func (r *Record) LinkAttempt(a *machines.Attempt) {
 	r.liveAttempts++
 	a.StartRecord = r
--- a/internal/startlog/startlog.go
+++ b/internal/startlog/startlog.go
@@ -52,9 +52,9 @@
 	l.writes.PutStarts(l.current)
 }
 
-// Remove removes an ended attempt from its record. If it was the last one and the record is written,
-// Remove queues the deletion of the record. A record that is not written yet needs no deletion: without
-// attempts it is never written.
+// Remove removes an ended attempt from its record. If it was the record's last attempt and the
+// record is in a batch or durable, Remove queues the deletion of the record. A record that is still
+// queued needs no deletion, because it is never written without attempts.
 func (l *Log) Remove(a *machines.Attempt) {
 	r, recorded := a.StartRecord.(*Record)
 	if !recorded {
