--- a/internal/drainer/batch.go
+++ b/internal/drainer/batch.go
@@ -13,7 +13,8 @@
 
 // beginBatch starts a batch of the selected machines that have the fewest attempts. It starts none
 //   - while the cluster blocks batches,
-//   - within DrainBatchInterval after its last try, unless a batch has ended since, or
+//   - within DrainBatchInterval after machines were last selected for a batch, unless a batch has ended
+//     since, or
 //   - if the machines outside the batch could not meet the teams' guarantees.
 //
 // If no selected machine can be drained now, the drain is done, or waits for the outstanding ones (see
@@ -124,8 +125,9 @@
 	return ""
 }
 
-// schedulableCPUsWithout returns the CPUs of the schedulable machines without those of the batch. If
-// the drain replaces its machines, their replacements add as many CPUs, so the batch is included.
+// schedulableCPUsWithout returns the total CPUs of the schedulable machines outside the batch. If
+// the drain replaces its machines, the total includes the batch, because the replacements add as
+// many CPUs.
 func (s *drainStep) schedulableCPUsWithout(batch []*machines.Machine) float64 {
 	cpus := 0.0
 	for _, m := range s.drainer.cluster.Machines.All() {
