--- a/internal/leader/admission.go
+++ b/internal/leader/admission.go
@@ -21,12 +21,13 @@
 	}
 }
 
-// admissionControl decides whether to admit new jobs under overload. It also counts the tasks of
-// all jobs whose end is not durable yet.
+// admissionControl decides whether to admit new jobs under overload. It also counts the unfinished
+// tasks: all tasks of the jobs whose end is not durable yet.
 type admissionControl struct {
 	settings  *admission.Settings
 	regulator *admission.Regulator // nil if admission control is off
-	// unfinishedTasks counts these tasks for all teams together, unfinishedTasksByTeam for each team.
+	// unfinishedTasks is the number of unfinished tasks of all teams, unfinishedTasksByTeam that of
+	// each team.
 	unfinishedTasks       int
 	unfinishedTasksByTeam map[string]int
 }
--- a/internal/leader/completion.go
+++ b/internal/leader/completion.go
@@ -27,9 +27,10 @@
 	})
 }
 
-// removeIfUnreferenced removes an ended job and deletes its records. It does so only if the job's final
-// state is durable and none of its tasks can be on a machine. While a task can be on a machine, the
-// counts of allocated resources need the job's team, zone and size.
+// removeIfUnreferenced removes an ended job and deletes its records. It does so only if the job's
+// final state is durable and none of its tasks can still be on a machine. As long as a task can be
+// on a machine, its resources count as allocated, and these counts need the job's team, zone and
+// size.
 func (l *Leader) removeIfUnreferenced(j *jobs.Job) {
 	if !j.EndDurable() || j.AllocatedTasks() > 0 || l.jobs.Get(j.ID) != j {
 		return
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -31,9 +31,9 @@
 }
 
 // cancelDependent cancels a job that depends on a cancelled one. It queues the cancellation of the
-// job's own dependents at once, and does not wait until the write of this cancellation is durable.
-// The cancellation of the first job in the chain is durable already, so a successor would cancel
-// all jobs that depend on it directly or indirectly.
+// job's own dependents at once, without waiting until the job's cancellation is durable. This is
+// safe because the cancellation of the first job in the chain is durable already: if the term ended
+// now, the successor would cancel all jobs that depend on the first one directly or indirectly.
 func (l *Leader) cancelDependent(now time.Time, j *jobs.Job) {
 	if j.State().IsTerminal() {
 		return
@@ -41,7 +41,7 @@
 	j.MarkDependencyCancelled()
 	queue := &l.writes.Dependent
 	if !j.AcceptanceDurable() {
-		queue = &l.writes.Interactive // written after the acceptance, with one response for both
+		queue = &l.writes.Interactive // written after the acceptance; one response reports both
 	}
 	l.endJob(now, j, jobs.Cancelled, queue)
 	l.graph.QueueDependents(j.ID, records.FinalState{Outcome: records.OutcomeCancelled})
@@ -111,8 +111,8 @@
 	}
 }
 
-// buildDependencyGraph builds the dependency graph of the loaded jobs. It logs an error for each missing
-// dependency, and for each job that has no critical path because of a dependency cycle.
+// buildDependencyGraph builds the dependency graph of the loaded jobs. It logs an error for each
+// missing dependency, and for each job that has no critical path because of a dependency cycle.
 func (l *Leader) buildDependencyGraph(loadedJobs []*jobs.Job) {
 	missing, cyclic := l.graph.LinkAll(loadedJobs)
 	for _, m := range missing {
--- a/internal/leader/direct_calls.go
+++ b/internal/leader/direct_calls.go
@@ -42,8 +42,8 @@
 }
 
 // NextDirectCalls returns the direct calls to be made now, so that commands need not wait for the
-// next heartbeat. It calls only machines whose heartbeats arrive on time. A call contains the stops
-// that are due and the starts whose start record is durable.
+// next heartbeat. It returns calls only to machines whose heartbeats arrive on time. A call
+// contains the stops that are due and the starts whose start record is durable.
 func (l *Leader) NextDirectCalls(now time.Time) []*DirectCall {
 	var calls []*DirectCall
 	handled := 0
@@ -112,7 +112,8 @@
 }
 
 // FinishDirectCall applies the outcome of a direct call. h is the heartbeat in the agent's reply,
-// or nil without a reply. Only a periodic heartbeat renews the agent's lease, a reply does not.
+// or nil without a reply. The reply does not renew the machine's lease, only a periodic heartbeat
+// does.
 func (l *Leader) FinishDirectCall(now time.Time, call *DirectCall, outcome DirectCallOutcome, h *wire.Heartbeat) {
 	if outcome != DirectCallUncertain {
 		// The starts were executed, refused or not delivered, so they can no longer arrive late.
@@ -136,9 +137,9 @@
 		return
 	}
 	if h.AgentEpoch < call.Request.AgentEpoch || h.AgentEpoch == call.Request.AgentEpoch && h.Sequence <= call.newestSequence {
-		// A reply of the known agent would be newer than its messages before the call. So this reply
-		// comes from a new agent that has replaced it and counts its epochs from the start again.
-		// Only the release of the machine proves that the tasks of the earlier agent have ended.
+		// The reply is not newer than all messages of the known agent before the call. So it comes
+		// from a new agent, which has replaced the known one and counts its epochs from the start
+		// again. Only the release of the machine proves that the tasks of the known agent have ended.
 		l.log.Info().Str("machine", m.ID).Msg("worker replaced, releasing machine")
 		m.Cordon(machines.CordonAgentReplaced)
 		return
--- a/internal/leader/drains.go
+++ b/internal/leader/drains.go
@@ -38,7 +38,7 @@
 }
 
 // HandleDrainRequest executes an operator's request about drains. It calls respond when the state
-// that the response reports is durable. wall is the wall-clock time of now.
+// in the response is durable. wall is the wall-clock time of now.
 func (l *Leader) HandleDrainRequest(now, wall time.Time, request *drain.Request, respond func(drain.Response)) {
 	l.drainer.Handle(now, wall, request, respond)
 }
--- a/internal/leader/estimates.go
+++ b/internal/leader/estimates.go
@@ -19,8 +19,8 @@
 
 // startWithinS returns the time in seconds within which a job's tasks should start. It is the
 // operators' setting if there is one, otherwise a share of the job's slack. The scaler provisions
-// machines if the existing ones can't start the tasks within this time. So urgent jobs, whose time
-// is short, get new machines, and other jobs wait for existing ones.
+// machines if the existing ones can't start the tasks within this time. So urgent jobs get new
+// machines, and other jobs wait for existing ones.
 func (l *Leader) startWithinS(now time.Time, j *jobs.Job) float64 {
 	if l.operatorSettings.StartWithinS > 0 {
 		return l.operatorSettings.StartWithinS
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -30,8 +30,8 @@
 // recordTaskSuccess records that a task of the job has completed on the machine.
 func (l *Leader) recordTaskSuccess(j *jobs.Job, m *machines.Machine) {
 	m.RecordTaskSuccess()
-	// The job is not at fault, so its failures count against the machines on which they occurred,
-	// except m, which has just completed a task.
+	// The job is not at fault, so its failures count against the machines on which they occurred.
+	// They don't count against m, which has just completed a task.
 	for id := range j.FailedOn() {
 		if other := l.machines.Get(id); other != nil && other != m {
 			l.countFailedJob(other, j)
--- a/internal/leader/heartbeat.go
+++ b/internal/leader/heartbeat.go
@@ -43,8 +43,8 @@
 	}
 	if m.IsOvertakenByDirectReply(h) {
 		// The agent sent this heartbeat before its reply to a direct call, but the reply arrived
-		// first. The reply is newer, so this task list is not applied. The agent still waits for the
-		// response, without which it would switch to another node.
+		// first. The reply is newer, so the task list of this heartbeat is not applied. The agent
+		// gets a response nevertheless, because without one it would switch to another node.
 		m.RenewLease(now, h.Sequence)
 		response.Commands = l.stopCommands(h)
 		return response, HeartbeatApplied
@@ -64,8 +64,9 @@
 	}
 	l.recordHeartbeat(now, m, h)
 	if h.FencingToken < l.term {
-		// The agent had not seen this term yet, so it may still execute starts of an earlier term
-		// that its task list lacks. Its lists are complete only after it has seen this term.
+		// The agent had not seen this term when it sent the heartbeat. It may still execute starts of
+		// an earlier term, whose tasks are not in its task list yet. Its task lists are complete only
+		// after it has seen this term.
 		response.Commands = l.stopCommands(h)
 		return response, HeartbeatApplied
 	}
@@ -95,9 +96,9 @@
 	})
 }
 
-// checkpointBeforeReclaim stops running tasks on a machine that the cloud has announced to reclaim,
-// so that they save a checkpoint. It stops a task when the remaining time is only just enough for
-// that. Tasks without checkpoints run on.
+// checkpointBeforeReclaim stops the running tasks on a machine whose reclaim the cloud has announced,
+// so that the tasks save a checkpoint. It stops a task when the time until the reclaim is only just
+// enough for the checkpoint. It does not stop tasks that save no checkpoints.
 func (l *Leader) checkpointBeforeReclaim(now time.Time, m *machines.Machine) {
 	remaining, reclaimAnnounced := m.TimeUntilReclaim(now)
 	if !reclaimAnnounced {
--- a/internal/leader/heartbeat_commands.go
+++ b/internal/leader/heartbeat_commands.go
@@ -28,9 +28,9 @@
 	return commands
 }
 
-// appendStarts appends the starts of attempts that no task list has contained yet. It omits starts
-// in a direct call that is in flight. If no task list contains them after the call, a later response
-// does. sequence is the sequence number of the heartbeat.
+// appendStarts appends the starts of attempts that no task list has contained yet. It omits the
+// starts that are part of a direct call in flight. If an attempt is still in no task list after the
+// call, a later response contains its start. sequence is the sequence number of the heartbeat.
 func appendStarts(commands []wire.Command, m *machines.Machine, sequence uint64) []wire.Command {
 	for _, a := range m.Attempts() {
 		if !a.NeedsStart() || a.DirectStartMayArrive() && m.IsBeingCalled() || len(commands) >= tuning.MaxCommandsPerMessage {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,8 +1,8 @@
 // Package leader holds the scheduling state of one leader term and decides what to start, stop,
 // provision and release. It combines the packages for jobs, machines, placement, preemption,
 // consolidation, scaling, drains and stored records. It does no I/O and reads no clock: callers
-// pass in the time, requests, heartbeats and the results of calls, and execute the writes, cloud
-// calls and commands that the package returns. Callers must serialize access.
+// pass in the time, requests, heartbeats and the results of calls. They execute the writes and cloud
+// calls, and send the commands, that the package returns. Callers must serialize access.
 package leader
 
 import (
@@ -112,7 +112,7 @@
 	return l.term<<32 | l.attemptCount
 }
 
-// EndTerm ends the term: all requests that wait for a durable write get a response with status 503.
+// EndTerm ends the term. All requests that wait for a durable write get a response with status 503.
 func (l *Leader) EndTerm() {
 	for _, j := range l.jobs.Sorted() { // sorted, so that simulated runs are reproducible
 		j.NotifyWaiters(false) // false: the decision did not become durable in this term
--- a/internal/leader/machine_list.go
+++ b/internal/leader/machine_list.go
@@ -12,8 +12,8 @@
 type machineLists struct {
 	appliedCount uint64 // number of lists applied
 	// hasCurrent is true once a list that shows the state after the beginning of this term has been
-	// applied. From then on, a machine that a stored record mentions but the leader does not know
-	// no longer exists.
+	// applied. From then on, if a stored record mentions a machine that is not in Leader.machines,
+	// this machine no longer exists.
 	hasCurrent bool
 }
 
@@ -44,14 +44,14 @@
 	m.ApplyCloudListing(requestedAt, now, row)
 }
 
-// longestListLag returns how far the state in a machine list may lie before the request for the
-// list: twice the cloud's list lag, increased by the clock drift.
+// longestListLag returns the maximum age of the state in a machine list at the time of the request
+// for the list: twice the cloud's list lag, increased by the clock drift.
 func (l *Leader) longestListLag() time.Duration {
 	return seconds.Duration(l.params.Cloud.ListLagS * (1 + tuning.ClockDrift) * 2)
 }
 
-// recordMissingMachines records for each machine outside the list that this list lacks it. It
-// returns the machines that no longer exist, as the list proves.
+// recordMissingMachines records for each known machine that is not in the list that it is missing. It
+// returns the machines that, as the list proves, no longer exist.
 func (l *Leader) recordMissingMachines(requestedAt time.Time, listed map[string]bool) []string {
 	var nonexistent []string
 	longestLag := l.longestListLag()
@@ -64,8 +64,8 @@
 }
 
 // removeMachines removes machines that no longer exist and releases all attempts on them.
-func (l *Leader) removeMachines(now time.Time, names []string) {
-	for _, id := range names {
+func (l *Leader) removeMachines(now time.Time, ids []string) {
+	for _, id := range ids {
 		l.machines.MarkReleased(id)
 		m := l.machines.Get(id)
 		if m == nil {
@@ -74,12 +74,12 @@
 		l.releaseAllAttempts(now, m)
 		l.machines.Remove(m)
 	}
-	l.log.Debug().Strs("machines", names).Msg("machines removed")
+	l.log.Debug().Strs("machines", ids).Msg("machines removed")
 	l.schedulingPassRequested = true
 }
 
 // HasLateHeartbeats reports whether the heartbeat of any machine with attempts is late. The next
-// machine list is then urgent: it may show that the machine no longer exists, and that its tasks can
+// machine list is then urgent: it may show that the machine no longer exists, so that its tasks can
 // be placed again.
 func (l *Leader) HasLateHeartbeats(now time.Time) bool {
 	for _, m := range l.machines.All() {
--- a/internal/leader/response.go
+++ b/internal/leader/response.go
@@ -62,8 +62,8 @@
 }
 
 // decidedResponse returns the response to a request that waited for the job's acceptance or end to
-// become durable. The response has the given status, or 503 if decided is false: then the term ended
-// first.
+// become durable. The response has the given status, or 503 if decided is false, which means that the
+// term ended before the decision was durable.
 func (l *Leader) decidedResponse(decided bool, id string, status int) JobResponse {
 	if !decided {
 		return JobResponse{Status: http.StatusServiceUnavailable, Reason: "the term ended"}
--- a/internal/leader/scaling.go
+++ b/internal/leader/scaling.go
@@ -54,33 +54,33 @@
 
 // machinesToRelease returns the machines to be released, the most urgent first:
 //  1. unreachable machines with a deadline at risk,
-//  2. unneeded machines, which the plan does not need,
+//  2. the unneeded machines, which the scaling plan no longer needs,
 //  3. machines that can't or shouldn't run tasks any more.
 //
-// While this node itself is isolated, no machine is released because of a deadline: the machines may
-// be reachable from other nodes.
+// While this node itself is isolated, unreachable machines may be reachable from other nodes, so none
+// is released because of a deadline.
 func (l *Leader) machinesToRelease(now time.Time, unneeded []string) []string {
-	var names []string
+	var ids []string
 	for _, m := range l.machines.All() {
 		if !l.partitionDetector.IsIsolated() && l.hasDeadlineAtRisk(now, m) {
-			names = append(names, m.ID)
+			ids = append(ids, m.ID)
 		}
 	}
-	names = append(names, unneeded...)
+	ids = append(ids, unneeded...)
 	for _, m := range l.machines.All() {
 		if !m.IsBeingReleased() && m.ShouldBeReleased(now, &l.timing, l.catalogue.Type(m.Type).BootTimeS) {
-			names = append(names, m.ID)
+			ids = append(ids, m.ID)
 		}
 	}
-	return names
+	return ids
 }
 
 // demand returns the ready tasks for which capacity is needed, by descending priority and within the
-// limits of their teams.
+// quotas of their teams.
 func (l *Leader) demand(now time.Time) []autoscale.Demand {
 	if l.term > 1 && now.Sub(l.timing.TermStart) < seconds.Duration(l.params.Cloud.ListLagS) {
 		// The machine list may still lack the machines that the predecessor provisioned last. If
-		// demand were reported now, the scaler would provision such machines again.
+		// demand were reported now, the scaler would provision machines for the same tasks again.
 		return nil
 	}
 	freeCPUs := l.ledger.FreeCPUsByTeam()
@@ -106,28 +106,28 @@
 	return demand
 }
 
-// FinishProvision applies the result of a provisioning call. names holds the IDs of the new machines,
+// FinishProvision applies the result of a provisioning call. ids holds the IDs of the new machines,
 // and is empty if the cloud rejected the call.
-func (l *Leader) FinishProvision(now time.Time, r wire.ProvisionRequest, names []string) {
-	call := l.scaler.FinishProvision(now, r, len(names))
+func (l *Leader) FinishProvision(now time.Time, r wire.ProvisionRequest, ids []string) {
+	call := l.scaler.FinishProvision(now, r, len(ids))
 	if call == nil {
-		// No such call is in flight.
+		// The scaler knows no such call in flight.
 		return
 	}
-	for _, id := range names {
+	for _, id := range ids {
 		if l.machines.WasReleased(id) || l.machines.Get(id) != nil {
 			continue
 		}
 		m := l.addMachine(now, id, r.Type, r.Zone, "", r.Spot)
 		m.SetProvisionedAt(call.RequestedAt)
 	}
-	l.drainer.AddReplacements(call.ReplacementFor, names)
-	l.log.Debug().Str("request", r.RequestID).Str("zone", r.Zone).Bool("spot", r.Spot).Int("requested", r.Count).Int("received", len(names)).Msg("machines provisioned")
+	l.drainer.AddReplacements(call.ReplacementFor, ids)
+	l.log.Debug().Str("request", r.RequestID).Str("zone", r.Zone).Bool("spot", r.Spot).Int("requested", r.Count).Int("received", len(ids)).Msg("machines provisioned")
 }
 
 // FinishRelease records that a release call has succeeded: the machines with the given IDs no longer
 // exist.
-func (l *Leader) FinishRelease(now time.Time, names []string) {
+func (l *Leader) FinishRelease(now time.Time, ids []string) {
 	l.scaler.FinishRelease()
-	l.removeMachines(now, names)
+	l.removeMachines(now, ids)
 }
--- a/internal/leader/snapshot.go
+++ b/internal/leader/snapshot.go
@@ -10,7 +10,7 @@
 )
 
 // snapshot returns the description of a machine for the placement algorithm. It returns the cached
-// snapshot if neither the machine has changed nor a pass has modified the snapshot since.
+// snapshot unless the machine has changed, or a pass has modified the snapshot, since it was built.
 func (l *Leader) snapshot(now time.Time, m *machines.Machine) *placement.Machine {
 	if s := m.CachedSnapshot(); s != nil {
 		return s
--- a/internal/leader/submission.go
+++ b/internal/leader/submission.go
@@ -19,13 +19,13 @@
 }
 
 // SubmitWithClaim handles a valid submission. claim is the report on the submission by the node that
-// received it, or nil without a report. respond is called at once if the job is rejected or already
-// known. Otherwise, or while the state of a known job must be withheld, it is called when the
+// received it, or nil without a report. respond is called at once if the job is rejected, or if it is
+// already known and its state need not be withheld. In all other cases, respond is called when the
 // decision about the job is durable or the term has ended.
 func (l *Leader) SubmitWithClaim(now time.Time, wall time.Time, spec *wire.Job, claim *admission.Claim, respond func(JobResponse)) {
-	// While the state of a known job must be withheld, this request waits like the first one. No
-	// response may mention a job before its acceptance is durable, not even if its cancellation has
-	// been requested.
+	// No response may mention a job before its acceptance is durable, not even if its cancellation
+	// has been requested. So while the state of a known job must be withheld, this submission waits
+	// like the job's first one.
 	if j := l.jobs.Get(spec.ID); j != nil && j.MustWithholdState() {
 		j.AddWaiter(func(decided bool) { respond(l.decidedResponse(decided, spec.ID, http.StatusOK)) })
 		return
@@ -45,8 +45,8 @@
 	l.acceptJob(now, wall, spec, respond)
 }
 
-// checkSubmission returns why a new job can't be accepted, or nil if it can. Admission control
-// decides afterwards.
+// checkSubmission returns why a new job must be rejected for a reason other than admission control,
+// or nil if there is none.
 func (l *Leader) checkSubmission(spec *wire.Job) *RejectedError {
 	if !l.MachineTypesKnown() {
 		return &RejectedError{Status: http.StatusServiceUnavailable, Reason: "machine types not known yet"}
@@ -59,8 +59,8 @@
 	}
 	if l.admission.unfinishedTasks+spec.Tasks > tuning.MaxUnfinishedTasks || l.writes.Interactive.Len() >= l.maxInteractiveWrites() {
 		// The first limit bounds the memory for unfinished tasks. The second one bounds the queued
-		// writes: the key-value store can't execute more within the time that users wait for a
-		// response, so further requests would only time out.
+		// writes: the key-value store can't execute more writes within the time that users wait
+		// for a response, so further submissions would only time out.
 		return &RejectedError{Status: http.StatusServiceUnavailable, Reason: "too much work queued"}
 	}
 	return nil
@@ -101,8 +101,7 @@
 		return reason
 	}
 	request := placement.TaskRequest(spec)
-	// The probed machines are not spot machines, which every job may use. So AllowsSpot has no
-	// effect here.
+	// This check uses on-demand machines, which every job may use. So AllowsSpot has no effect here.
 	probe := placement.PendingJob{MachineTypes: spec.MachineTypes, Zone: spec.Zone, AllowsSpot: true, Request: request, TotalTasks: spec.Tasks}
 	for machineType := range l.catalogue.AllTypes() {
 		for _, zone := range machineType.Zones {
--- a/internal/leader/summary.go
+++ b/internal/leader/summary.go
@@ -9,8 +9,8 @@
 	// The numbers of jobs, tasks, machines and queued writes. UpMachines counts the machines that
 	// have joined and are not being released, SpotMachines the spot machines among them.
 	Jobs, ReadyTasks, AllocatedTasks, Machines, UpMachines, SpotMachines, PendingWrites int
-	// QueuedDependencyUpdates is the number of jobs that are queued to be cancelled, to be
-	// unblocked or to get their critical path updated.
+	// QueuedDependencyUpdates is the number of jobs in the queues for cancellation, for unblocking
+	// and for the update of critical paths.
 	QueuedDependencyUpdates int
 	// ScoredPairs is the number of pairs of job and machine scored so far.
 	ScoredPairs int
--- a/internal/leader/timing.go
+++ b/internal/leader/timing.go
@@ -27,16 +27,18 @@
 
 // newTiming returns the timeouts that apply to machines in a term that begins now.
 func newTiming(w config.Workers, now time.Time, gracePeriod time.Duration) machines.Timing {
-	// The leader waits longer than the lease, because the clocks of leader and agent may drift apart.
+	// The leader waits longer than the duration of the lease, because the clocks of leader and
+	// agent may drift apart.
 	leaseExpiry := seconds.Duration(w.LeaseS*(1+tuning.ClockDrift)) + tuning.LeaseExpiryMargin
 	return machines.Timing{
 		HeartbeatTimeout:           seconds.Duration(w.HeartbeatIntervalS * tuning.HeartbeatTimeoutIntervals),
 		LeaseDuration:              seconds.Duration(w.LeaseS),
 		LeaseCertainlyExpiredAfter: leaseExpiry,
 		TermStart:                  now,
-		// The predecessor lost its leader lease before now, and responds to heartbeats for at most the
-		// grace period after that. A machine lease that it renews counts from the time at which the
-		// agent sent the heartbeat, so it expires within leaseExpiry after the grace period.
+		// The predecessor lost its leader lease before now, and responds to heartbeats for at most
+		// the grace period after that. A machine lease that the predecessor renews counts from the
+		// time at which the agent sent the heartbeat, so it expires at most leaseExpiry after the
+		// grace period.
 		InheritedTasksEnd: now.Add(gracePeriod + leaseExpiry),
 	}
 }
