--- a/internal/leader/completion.go
+++ b/internal/leader/completion.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// recordCompletion records that a task is done. If it was the job's last task, the job ends, and
-// the write of its final state is queued at once. Otherwise the write of the completion is queued
+// recordCompletion records that a task has completed. If it was the job's last task, the job ends,
+// and the write of its final state is queued at once. Otherwise the write of the completion is queued
 // after a delay, so that one write covers several completions.
 func (l *Leader) recordCompletion(now time.Time, j *jobs.Job, index int32) {
 	if !j.MarkCompleted(index) {
@@ -64,8 +64,8 @@
 	l.unqueuedCompletions.Add(now, j)
 }
 
-// logIfDeadlineMissed logs the start times and the estimates of a job that was done after its
-// deadline. The logged times are seconds since the submission.
+// logIfDeadlineMissed logs the start times and the estimates of a job whose last task has completed
+// after the job's deadline. The logged times are seconds since the submission.
 func (l *Leader) logIfDeadlineMissed(now time.Time, j *jobs.Job) {
 	if j.DeadlineS == nil || now.Sub(j.SubmittedAt()).Seconds() <= *j.DeadlineS {
 		return
--- a/internal/leader/consolidation.go
+++ b/internal/leader/consolidation.go
@@ -18,8 +18,8 @@
 	})
 }
 
-// consolidate cordons machines whose tasks fit on others and stops these tasks, so that the
-// machines can be released.
+// consolidate cordons machines whose tasks fit on other machines, and stops these tasks, so that the
+// cordoned machines can be released.
 func (l *Leader) consolidate(now time.Time) {
 	if n := l.consolidator.Run(now); n > 0 {
 		l.log.Debug().Int("machines", n).Msg("consolidating machines")
--- a/internal/leader/direct_calls.go
+++ b/internal/leader/direct_calls.go
@@ -51,7 +51,7 @@
 		m := l.directCalls.queue[handled]
 		m.MarkCallDequeued()
 		if !m.CanBeCalled(now, &l.timing) || l.machines.Get(m.ID) != m {
-			// If the machine still exists, the response to its next heartbeat contains the commands.
+			// If the machine still exists, the commands are sent in the response to its next heartbeat.
 			continue
 		}
 		if call := l.newDirectCall(now, m); len(call.Request.Commands) > 0 {
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -33,7 +33,7 @@
 }
 
 // SetMachineTypes applies the machine types that the cloud offers, and queues the write of their
-// record if they have changed. An empty list is ignored.
+// record if they have changed and the record fits into one value. It ignores an empty list.
 func (l *Leader) SetMachineTypes(types []wire.MachineType) {
 	if len(types) == 0 {
 		return
@@ -49,7 +49,7 @@
 }
 
 // releaseAttempt releases the allocation of an attempt. It may be called only when the task is
-// certainly not on the machine, because the task can then start elsewhere.
+// certainly not on the machine, because the released task can start elsewhere.
 func (l *Leader) releaseAttempt(now time.Time, a *machines.Attempt) {
 	if !a.IsAllocated() {
 		return
