--- a/internal/leader/completion.go
+++ b/internal/leader/completion.go
@@ -27,9 +27,10 @@
 	})
 }
 
-// removeIfUnreferenced removes an ended job and deletes its records. It does so only if the job's final
-// state is durable and none of its tasks can be on a machine. While a task can be on a machine, the
-// counts of allocated resources need the job's team, zone and size.
+// removeIfUnreferenced removes an ended job and deletes its records. It does so only if the job's
+// final state is durable and none of its tasks can still be on a machine. As long as a task can be
+// on a machine, its resources count as allocated, and these counts need the job's team, zone and
+// size.
 func (l *Leader) removeIfUnreferenced(j *jobs.Job) {
 	if !j.EndDurable() || j.AllocatedTasks() > 0 || l.jobs.Get(j.ID) != j {
 		return
@@ -42,8 +43,8 @@
 	}
 }
 
-// recordCompletion records that a task is done. If it was the job's last task, the job ends, and
-// the write of its final state is queued at once. Otherwise the write of the completion is queued
+// recordCompletion records that a task has completed. If it was the job's last task, the job ends,
+// and the write of its final state is queued at once. Otherwise the write of the completion is queued
 // after a delay, so that one write covers several completions.
 func (l *Leader) recordCompletion(now time.Time, j *jobs.Job, index int32) {
 	if !j.MarkCompleted(index) {
@@ -63,8 +64,8 @@
 	l.unqueuedCompletions.Add(now, j)
 }
 
-// logIfDeadlineMissed logs the start times and the estimates of a job that was done after its
-// deadline. The logged times are seconds since the submission.
+// logIfDeadlineMissed logs the start times and the estimates of a job whose last task has completed
+// after the job's deadline. The logged times are seconds since the submission.
 func (l *Leader) logIfDeadlineMissed(now time.Time, j *jobs.Job) {
 	if j.DeadlineS == nil || now.Sub(j.SubmittedAt()).Seconds() <= *j.DeadlineS {
 		return
