--- a/internal/consolidation/consolidation.go
+++ b/internal/consolidation/consolidation.go
@@ -66,8 +66,8 @@
 	// movable contains the schedulable machines whose tasks may be moved, targetsOnly the other
 	// schedulable ones. Tasks may be moved to machines of both lists.
 	movable, targetsOnly []*machines.Machine
-	// unallocated contains the free capacity of each machine that this pass has not allocated to
-	// waiting or moved tasks.
+	// unallocated contains, for each machine, the free capacity that this pass has not allocated
+	// to waiting or moved tasks.
 	unallocated map[*machines.Machine]placement.Resources
 }
 
@@ -86,8 +86,8 @@
 
 // consolidate cordons machines whose tasks fit on others, and requests stops of the tasks. It tries
 // the most expensive machines first, and among equally expensive ones those with the largest share of
-// free CPUs. It returns the number of cordoned machines, which is limited, as the images and
-// checkpoints of the moved tasks load the other machines.
+// free CPUs. It returns the number of cordoned machines. This number is limited, because the other
+// machines have to load the images and checkpoints of the moved tasks.
 func (p *pass) consolidate() int {
 	slices.SortStableFunc(p.movable, func(a, b *machines.Machine) int {
 		return cmp.Or(-cmp.Compare(p.Price(a), p.Price(b)), -cmp.Compare(a.Free().CPUs/a.Capacity().CPUs, b.Free().CPUs/b.Capacity().CPUs))
--- a/internal/jobs/dependencies.go
+++ b/internal/jobs/dependencies.go
@@ -158,7 +158,7 @@
 }
 
 // QueueCriticalPathUpdates queues the dependencies of j for an update of their critical paths, which
-// are derived from that of j. Callers call it after j was added or cancelled, and after the critical
+// are derived from j's critical path. Callers call it after j was added or cancelled, and after the critical
 // path of j has changed.
 func (g *DependencyGraph) QueueCriticalPathUpdates(j *Job) {
 	for _, id := range j.DependsOn {
@@ -171,7 +171,7 @@
 }
 
 // UpdateCriticalPath derives the priority rank and the critical path of a job from its dependents,
-// and reports whether one of the two has changed.
+// and reports whether the rank or the path has changed.
 func (g *DependencyGraph) UpdateCriticalPath(j *Job) bool {
 	if j.cyclic {
 		return false
--- a/internal/jobs/failures.go
+++ b/internal/jobs/failures.go
@@ -6,10 +6,10 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// failureHistory tracks the failures of a job's tasks since a task was last done, and until when the
-// placement of further tasks is delayed.
+// failureHistory holds the failures of a job's tasks since a task last completed, and the time until
+// which the placement of further tasks is delayed.
 type failureHistory struct {
-	failures     int             // since a task was last done
+	failures     int             // since a task last completed
 	failedOn     map[string]bool // IDs of the machines on which these failures occurred
 	backOffUntil time.Time       // no task is placed before this time
 }
@@ -33,7 +33,7 @@
 	h.failedOn[machine] = true
 }
 
-// RecordSuccess resets the failures after a task is done. The success shows that the job itself did
+// RecordSuccess resets the failures after a task has completed. The success shows that the job itself did
 // not cause them.
 func (h *failureHistory) RecordSuccess() {
 	h.failures = 0
@@ -51,15 +51,15 @@
 // IsBackingOff reports whether no task of the job may be placed now.
 func (h *failureHistory) IsBackingOff(now time.Time) bool { return now.Before(h.backOffUntil) }
 
-// Failures returns the number of failures since a task was last done.
+// Failures returns the number of failures since a task last completed.
 func (h *failureHistory) Failures() int { return h.failures }
 
-// FailedOn returns the IDs of the machines on which tasks have failed since one was last done.
+// FailedOn returns the IDs of the machines on which tasks have failed since a task last completed.
 // Callers must not modify the map, which is the job's own.
 func (h *failureHistory) FailedOn() map[string]bool { return h.failedOn }
 
 // IsFaulty reports whether the job itself, rather than a machine, is considered the cause of the
-// failures: no task is done, and tasks have failed on at least tuning.FaultyJobMachines machines.
+// failures: no task has completed, and tasks have failed on at least tuning.FaultyJobMachines machines.
 func (j *Job) IsFaulty() bool {
 	return len(j.failedOn) >= tuning.FaultyJobMachines && j.CompletedTasks() == 0
 }
--- a/internal/jobs/registry.go
+++ b/internal/jobs/registry.go
@@ -28,7 +28,7 @@
 }
 
 // Get returns the job with the ID, or nil if the registry has none. An ended job stays in the
-// registry until none of its tasks may be on a machine.
+// registry as long as one of its tasks may be on a machine.
 func (r *Registry) Get(id string) *Job { return r.byID[id] }
 
 // Add adds a job under its ID.
--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -16,8 +16,8 @@
 	Accepting State = iota
 	// Active: the job is accepted and neither done nor cancelled.
 	Active
-	// Cancelled: no further task starts. The record of the job stays until none of its tasks may be
-	// on a machine.
+	// Cancelled: no further task starts. The record of the job is kept as long as one of its tasks
+	// may be on a machine.
 	Cancelled
 	// Done: all tasks have completed.
 	Done
@@ -57,8 +57,8 @@
 	return fmt.Sprintf("State(%d)", int(s))
 }
 
-// lifecycle is the state of a job. A change of state applies at once in memory; the flags tell
-// whether it is durable.
+// lifecycle is the state of a job. A change of state applies at once in memory; acceptanceDurable
+// and endDurable are set when it is durable.
 type lifecycle struct {
 	state             State
 	endedAt           time.Time // when the job was done or cancelled in this term, or zero
--- a/internal/jobs/tasks.go
+++ b/internal/jobs/tasks.go
@@ -68,7 +68,7 @@
 	return list
 }
 
-// RestoreCompletion marks a task as completed whose stored completion was loaded.
+// RestoreCompletion marks a task as completed after its stored completion was loaded.
 func (j *Job) RestoreCompletion(index int) {
 	j.completed.Add(index)
 	j.markCompletionDurable(index)
@@ -93,7 +93,7 @@
 	return j.endDurable || j.durableCompletions != nil && j.durableCompletions.Has(int(index))
 }
 
-// RebuildReadyTasks makes every task ready that has not completed and that no machine may have.
+// RebuildReadyTasks marks as ready all tasks that have not completed and can't be on any machine.
 func (j *Job) RebuildReadyTasks() {
 	j.ready = j.ready[:0]
 	for i := int32(j.Tasks) - 1; i >= 0; i-- {
@@ -141,8 +141,8 @@
 	t.allocations[index]++
 }
 
-// Release counts one machine less, in the given zone, that may have the task. It reports whether
-// that was the last one; the task then becomes ready again if it still has to run.
+// Release undoes one call of Allocate. It reports whether no machine may have the task any more; the
+// task then becomes ready again if it still has to run.
 func (j *Job) Release(index int32, zone string) (last bool) {
 	if j.allocationsByZone[zone]--; j.allocationsByZone[zone] == 0 {
 		delete(j.allocationsByZone, zone)
--- a/internal/machines/attempt.go
+++ b/internal/machines/attempt.go
@@ -39,7 +39,8 @@
 // startDelivery records in which ways the start of an attempt was sent and may still be executed.
 type startDelivery struct {
 	// startResponseSequence is the sequence number of the heartbeat in whose response the start was
-	// last sent. It is 0 if the start was sent in no response, or the agent never executes it.
+	// last sent. It is 0 if no response has contained the start, or once it is certain that the
+	// agent will never execute it.
 	startResponseSequence uint64
 	// directStartMayArrive is set while a direct call with the start has had no reply. The agent may
 	// execute that start at any later time in the session. So the attempt keeps its resources, and
--- a/internal/machines/attempt_commands.go
+++ b/internal/machines/attempt_commands.go
@@ -75,7 +75,7 @@
 // reported the attempt, and the attempt isn't already saving a checkpoint in a grace period. It
 // is false for a task that the job no longer needs; the caller stops such tasks itself.
 func (a *Attempt) NeedsStop() bool {
-	isSaving := a.state == Saving && a.gracePeriodS > 0 // a stop without a grace period is sent nevertheless
+	isSaving := a.state == Saving && a.gracePeriodS > 0 // a stop without a grace period is sent even then
 	return a.stopping && a.IsNeeded() && a.state.IsReported() && !isSaving
 }
 
--- a/internal/machines/capacity.go
+++ b/internal/machines/capacity.go
@@ -41,8 +41,8 @@
 func (c *capacity) MarkTaskRefused(until time.Time) { c.backoffUntil = until }
 
 // Reserve reserves the machine's free resources for tasks of the priority rank or a higher one,
-// for tuning.PreemptReservationTime. A reservation for a higher priority that still holds keeps its
-// priority and is extended.
+// for tuning.PreemptReservationTime. If the machine is still reserved for a higher priority, that
+// reservation keeps its priority and is extended.
 //
 // Preempted tasks end one by one. Without the reservation, they would be placed again in the
 // resources that become free first and would have to be preempted again. The task that needs all
--- a/internal/machines/catalogue.go
+++ b/internal/machines/catalogue.go
@@ -14,7 +14,7 @@
 // Catalogue holds the machine types that the cloud has offered in this term.
 type Catalogue struct {
 	types   map[string]wire.MachineType
-	offered []wire.MachineType // those of the cloud's last response, in its order
+	offered []wire.MachineType // the types of the cloud's last response, in its order
 	stored  json.RawMessage    // the encoded types as last written to the key-value store
 }
 
@@ -77,8 +77,8 @@
 	return zones
 }
 
-// Offerings returns a machine without an ID and without tasks for each offered type and zone for
-// which include returns true.
+// Offerings returns the offered pairs of type and zone for which include returns true. Each pair is
+// returned as a machine without an ID and without tasks.
 func (c *Catalogue) Offerings(include func(machineType, zone string) bool) []*placement.Machine {
 	var offerings []*placement.Machine
 	for _, t := range c.offered {
--- a/internal/machines/direct.go
+++ b/internal/machines/direct.go
@@ -10,7 +10,7 @@
 }
 
 // CanBeCalled reports whether a direct call to the machine may begin now and is likely to succeed.
-// Otherwise its commands are sent in the response to the next heartbeat.
+// If not, the machine's commands are sent in the response to its next heartbeat.
 func (m *Machine) CanBeCalled(now time.Time, t *Timing) bool {
 	return !m.callInProgress && m.Addr != "" && !now.Before(m.callAfter) && m.reconciled &&
 		!m.IsCordonedFor(CordonUnresponsive) && !m.HeartbeatOverdue(now, t)
--- a/internal/machines/heartbeat.go
+++ b/internal/machines/heartbeat.go
@@ -9,7 +9,7 @@
 
 // agentSession holds the state of the agent's session and its heartbeats.
 type agentSession struct {
-	epoch, sequence      uint64 // of the current session, and of its newest message
+	epoch, sequence      uint64 // epoch of the current session, and sequence number of its newest message
 	lastPeriodicSequence uint64 // sequence of the newest heartbeat that was not a reply to a direct call
 	// expiredEpoch is the epoch of the last session known to have expired. Messages of that
 	// session and of earlier ones are stale.
@@ -84,7 +84,7 @@
 // AdvanceSession records the epoch and sequence number of a message. The agent executes no starts
 // of earlier sessions. So when a message begins a new session:
 //   - starts sent by direct calls can no longer arrive late
-//   - exits are no longer retained
+//   - the agent may be told to forget exited attempts for which SuppressForget was called
 //   - a required release is cancelled, unless the machine is cordoned for consolidation or a late
 //     start
 func (m *Machine) AdvanceSession(epoch, sequence uint64) {
--- a/internal/machines/lease.go
+++ b/internal/machines/lease.go
@@ -6,8 +6,8 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// Timing holds the timeouts and points in time from which the state of a machine follows, such as
-// unreachable or expired.
+// Timing holds the timeouts and times that decide, for example, whether a machine counts as
+// unreachable and whether its lease has expired.
 type Timing struct {
 	// HeartbeatTimeout is the time without a heartbeat after which a machine counts as
 	// unreachable.
--- a/internal/machines/lifecycle.go
+++ b/internal/machines/lifecycle.go
@@ -17,7 +17,7 @@
 	inStartRecord         bool      // a stored start record names the machine
 	missingFromCloudLists int       // number of successive cloud lists that lack the machine
 	firstListedAt         time.Time // when a cloud list first contained it in this term, or zero
-	idleSince             time.Time // when its last attempt was removed or it was reconciled
+	idleSince             time.Time // when its last attempt was removed or it was reconciled, whichever is later
 	// releaseBy is the time by which the machine has to be released because the start of an ended
 	// job may still arrive late. It is zero if there is no such start.
 	releaseBy time.Time
--- a/internal/machines/partition_detector.go
+++ b/internal/machines/partition_detector.go
@@ -43,8 +43,9 @@
 func (r *PartitionDetector) IsIsolated() bool { return r.isolated }
 
 // Update determines the partitioned zones and whether this node is isolated. list contains all
-// provisioned machines. A zone counts as partitioned if most of its machines are unreachable, and
-// most machines in other zones are reachable; otherwise the fault is attributed to this node. This
+// provisioned machines. A zone counts as partitioned if most of its machines are unreachable, but
+// most machines in other zones are reachable. If most of those are unreachable too, the fault is
+// attributed to this node. This
 // node counts as isolated if a smaller share than tuning.OtherZonesMinReachableShare of the machines
 // outside the partitioned zones is reachable.
 func (r *PartitionDetector) Update(now time.Time, list []*Machine, t *Timing) {
@@ -65,9 +66,9 @@
 	for zone, z := range zones {
 		switch {
 		case z.isPartitioned(all):
-			// The partition ends at this time unless it is detected again: the zone's
-			// unreachable machines may then have been released, and no machine is left to
-			// show that the zone is reachable again.
+			// The partition ends at this time unless it is detected again. By then the
+			// zone's unreachable machines may have been released, so that no machine is
+			// left to show that the zone is reachable again.
 			r.partitionedZones[zone] = now.Add(t.LeaseCertainlyExpiredAfter)
 			outsidePartitions.joined -= z.joined
 			outsidePartitions.unreachable -= z.unreachable
--- a/internal/placement/candidates.go
+++ b/internal/placement/candidates.go
@@ -79,10 +79,10 @@
 }
 
 // busyMachinesToScore returns the busy machines to score, in addition to the machines
-// on which the job's tasks fit now. imageCached says whether one of the latter has the
-// image. A busy machine can have the best score in two cases: it has the image and none
-// of the machines on which the tasks fit now has it, or the tasks fit on no machine
-// now. In the second case the tasks are queued, so that smaller tasks don't use the
+// on which the job's tasks fit now. imageCached is true if one of the machines on which
+// they fit now has the image. A busy machine can have the best score in two cases: it
+// has the image and none of the machines on which the tasks fit now has it, or the
+// tasks fit on no machine now. In the second case the tasks are queued, so that smaller tasks don't use the
 // resources that these tasks need.
 //
 // It returns none if the pass only starts tasks, has queued its maximum of tasks, or
@@ -138,8 +138,8 @@
 
 // bestMachine returns the best candidate of the job, or nil if there is none. The
 // best candidate is the top of the job's heap. If its machine has changed since it
-// was scored, bestMachine scores it again. For jobs with zone constraints it checks
-// these again as well, as starts of other tasks may have made a zone unavailable.
+// was scored, bestMachine scores it again. It also checks the job's zone constraints
+// again, as starts of other tasks may have made a zone unavailable.
 func (p *pass) bestMachine(j *PendingJob) *candidate {
 	if !j.scored {
 		p.buildCandidates(j)
--- a/internal/placement/pass.go
+++ b/internal/placement/pass.go
@@ -11,8 +11,8 @@
 
 // PassStats counts the work of a pass.
 type PassStats struct {
-	// ScoredPairs is the number of scored pairs of job and machine. The checks of
-	// anyJobFitsNow count as well, at their share of the cost of a score.
+	// ScoredPairs is the number of scored pairs of job and machine. It includes the
+	// checks of anyJobFitsNow: fitChecksPerScore of them count as one pair.
 	ScoredPairs int
 	// Truncated: the pass reached its limit of starts or scores before it had tried all jobs.
 	Truncated bool
@@ -105,8 +105,9 @@
 }
 
 // startAgedJobs starts the tasks of aged jobs that fit now, before placeGroup
-// reserves resources for aged jobs that don't fit. Otherwise the reservation of the
-// first aged job would block the other aged jobs until a machine has capacity for it.
+// reserves resources for aged jobs that don't fit. If placeGroup came first, its
+// reservation for the first aged job would block the other aged jobs until a machine
+// has capacity for the first.
 // The caller passes only a few ready tasks of each aged job, so the first aged jobs
 // still get their reservations before the jobs that have not aged.
 func (p *pass) startAgedJobs(jobs []*PendingJob) {
@@ -258,8 +259,8 @@
 
 // rescoreForFetchedImage scores the machine again after it has begun to fetch the image
 // of a started task, for the other jobs of the group that need the image: the fetch
-// increases their scores there. All other changes only decrease
-// scores; for these, bestMachine scores the top of the heap again.
+// increases their scores there. All other changes only decrease scores, so it is enough
+// that bestMachine scores the top of the heap again.
 func (p *pass) rescoreForFetchedImage(started *PendingJob, m *Machine, jobs []*PendingJob) {
 	for _, other := range jobs {
 		if other == started || !other.scored || other.unplaceable || other.Image != started.Image {
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -16,7 +16,7 @@
 }
 
 // fetchDelayS returns the time in seconds until the machine has the image. It is zero
-// if the image is cached, and the rest of the fetch if one is in progress. Otherwise
+// if the image is cached, and the remaining fetch time if it is being fetched. Otherwise
 // it is FetchTimeS plus the remaining times of the other images' fetches, which share
 // the bandwidth.
 func (m *Machine) fetchDelayS(now float64, image string, sizeGB float64) float64 {
@@ -40,8 +40,8 @@
 // timeUntilFits returns the time in seconds until the request fits on the machine, as
 // its running and queued tasks end. It is zero only if the request fits now. A task
 // that has exceeded its estimate counts as running for another tuning.MinRemainingS;
-// if its resources counted as free, tasks would be started for which the machine has
-// no capacity yet, and it would refuse them.
+// if its resources counted as free, the pass would start tasks for which the machine
+// has no capacity yet, and the machine would refuse them.
 func (m *Machine) timeUntilFits(now float64, request Resources) float64 {
 	if m.Free.Fits(request) {
 		return 0
--- a/internal/placement/snapshot.go
+++ b/internal/placement/snapshot.go
@@ -40,8 +40,8 @@
 	HasReservation bool
 	ReservedRank   int
 	// Modified is set when a pass changes the snapshot. The snapshot then has to be
-	// rebuilt before the next pass, because the tasks that the pass has queued on the
-	// machine are not on it.
+	// rebuilt before the next pass, because it contains tasks that the pass has only
+	// queued on the machine.
 	Modified bool
 
 	// queuedRank is the highest priority that has a queued task or a reservation on
@@ -69,9 +69,9 @@
 	m.Images[image] = readyAt
 }
 
-// PendingJob is a job with ready tasks, all with the same request. A pass gets an aged
-// job as two of them: one with AgedS set and a few of the ready tasks, the other with
-// the rest. The two share TasksByZone.
+// PendingJob is a job with ready tasks, all with the same request. An aged job is
+// passed to Run as two PendingJobs: one with AgedS set and a few of the ready tasks,
+// the other with the rest. The two share TasksByZone.
 type PendingJob struct {
 	JobID string
 	Team  string
@@ -82,13 +82,13 @@
 	// AgedS is the time in seconds that an aged job has waited since its last start,
 	// or zero if the job doesn't count as aged. A job is aged once it has waited for
 	// tuning.AgingThreshold. Aged jobs precede all others, whatever their priority,
-	// and the longest waiting one comes first. If priority ordered them, jobs of the
-	// lowest one would starve again once many jobs have aged.
+	// and the longest waiting one comes first. If they were ordered by priority, jobs
+	// of the lowest priority would starve again once many jobs have aged.
 	AgedS float64
 	// Urgency orders jobs of one priority. The most urgent job has the lowest value:
 	// it is about the time in seconds that may pass before the job is late. Values
-	// are rounded down to multiples of tuning.UrgencyResolutionS; if these are equal,
-	// the speedup decides.
+	// are rounded down to multiples of tuning.UrgencyResolutionS; if the rounded values
+	// are equal, the speedup decides.
 	Urgency           float64
 	ReadyTasks        int       // number of tasks to be placed
 	Request           Resources // of one task
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -79,8 +79,8 @@
 	return lowest
 }
 
-// waitingByPriority returns the jobs with ready tasks, without those that have failures. The highest
-// priority comes first.
+// waitingByPriority returns the jobs that have ready tasks and no failures, the highest priority
+// first.
 func waitingByPriority(ready []*placement.PendingJob, jobsByID map[string]*jobs.Job) []*placement.PendingJob {
 	var waiting []*placement.PendingJob
 	for _, pending := range ready {
