--- a/internal/jobs/dependencies_test.go
+++ b/internal/jobs/dependencies_test.go
@@ -121,9 +121,8 @@
 	}
 }
 
-// TestJobsAreUnblockedAfterAllDependencies ends the jobs of random graphs in a random order of the
-// unblocked jobs. A job must be unblocked only after all its dependencies have ended, and all jobs
-// must be unblocked in the end.
+// TestJobsAreUnblockedAfterAllDependencies: a job is unblocked only after all its dependencies have
+// ended, and no job stays blocked. The test repeatedly ends a random unblocked job of a random graph.
 func TestJobsAreUnblockedAfterAllDependencies(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, seed))
--- a/internal/jobs/estimates_test.go
+++ b/internal/jobs/estimates_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestObservedStartDelayIsCapped checks that a delay of more than two heartbeat intervals, here of 3 s,
-// counts as two intervals.
+// TestObservedStartDelayIsCapped: a start delay of more than two heartbeat intervals counts as two
+// intervals. The interval is 3 s here.
 func TestObservedStartDelayIsCapped(t *testing.T) {
 	var capped, normal jobs.StartDelay
 	capped.Observe(1000, 3)
--- a/internal/jobs/state_test.go
+++ b/internal/jobs/state_test.go
@@ -54,7 +54,7 @@
 	}
 	f := j.End(testStart, jobs.Cancelled)
 	if f.Outcome != records.OutcomeCancelled || f.TasksDone != 0 {
-		t.Errorf("final state %+v, want cancelled and no task done", f)
+		t.Errorf("final state %+v, want cancelled and no completed task", f)
 	}
 	if j.MarkAccepted() || j.IsActive() || !j.AcceptanceDurable() {
 		t.Errorf("state %v after the acceptance became durable, want cancelled", j.State())
--- a/internal/jobs/tasks_test.go
+++ b/internal/jobs/tasks_test.go
@@ -71,7 +71,7 @@
 		t.Fatalf("records %+v, keys %v, want one record and its key", list, j.RecordKeys())
 	}
 	if j.IsCompletionDurable(0) {
-		t.Error("a completion counts as durable before its record is, want not")
+		t.Error("a completion counts as durable before its record is durable, want not")
 	}
 	j.MarkCompletionsDurable(list[0])
 	if !j.IsCompletionDurable(0) || j.IsCompletionDurable(1) || !j.IsCompletionDurable(2) {
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestJobIsFaultyUntilATaskIsDone(t *testing.T) {
+func TestJobIsFaultyUntilATaskHasCompleted(t *testing.T) {
 	j := newActiveJob("job-1", 2)
 	for i := range tuning.FaultyJobMachines {
 		if j.IsFaulty() {
@@ -136,6 +136,6 @@
 	}
 	j.MarkCompleted(0)
 	if j.IsFaulty() {
-		t.Error("IsFaulty is true although a task is done, want false")
+		t.Error("IsFaulty is true although a task has completed, want false")
 	}
 }
--- a/internal/machines/delivery_test.go
+++ b/internal/machines/delivery_test.go
@@ -26,7 +26,7 @@
 	}
 	a.MarkDirectStartSent()
 	if !a.DirectStartMayArrive() || !a.MayBeginByLateStart() || !a.NeedsStart() {
-		t.Error("want a start that may arrive late and still has to be sent in a response")
+		t.Error("after a direct call: want a start that may arrive late and still has to be sent in a response")
 	}
 	m.AdvanceSession(m.Epoch(), m.Sequence()+1)
 	if !a.MayBeginByLateStart() {
--- a/internal/machines/machine_test.go
+++ b/internal/machines/machine_test.go
@@ -252,7 +252,7 @@
 	m.AdvanceSession(2, 1)
 	m.AddExited(key, true)
 	if !m.Exited()[0].Forget {
-		t.Error("exit still retained in a new session, want the agent to be told to forget it")
+		t.Error("the agent is not told to forget the attempt in a new session, want it told")
 	}
 }
 
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -32,8 +32,8 @@
 	return map[string]*placement.Team{"blue": {Limit: placement.Resources{CPUs: 1e9, GPUs: 1e9, MemoryGB: 1e9}}}
 }
 
-// TestTaskWaitsForMachineWithImage checks that a task waits for a busy
-// machine with its image if the wait is shorter than a fetch on an idle machine.
+// TestTaskWaitsForMachineWithImage: a task waits for a busy machine with its image if
+// the wait is shorter than a fetch on an idle machine.
 func TestTaskWaitsForMachineWithImage(t *testing.T) {
 	for _, c := range []struct {
 		remainingS float64
@@ -87,7 +87,7 @@
 			t.Errorf("aged jobs of %d tasks: started %v, want two tasks of job small", tasks, got)
 		}
 		if stats.ScoredPairs > tuning.PlacementMaxScoredPairs {
-			t.Errorf("aged jobs of %d tasks: %d pairs scored, want at most tuning.PassMaxScoredPairs", tasks, stats.ScoredPairs)
+			t.Errorf("aged jobs of %d tasks: %d pairs scored, want at most tuning.PlacementMaxScoredPairs", tasks, stats.ScoredPairs)
 		}
 	}
 }
