--- a/internal/jobs/dependencies_test.go
+++ b/internal/jobs/dependencies_test.go
@@ -65,6 +65,9 @@
 	}
 }
 
+// TestCriticalPathHasTheEarliestDueTime: of the paths through its dependents, a job gets the one with
+// the earliest due time. Its rank is that of the highest priority among itself and its dependents.
+// Cancelled dependents don't count.
 func TestCriticalPathHasTheEarliestDueTime(t *testing.T) {
 	// withDeadline returns an accepted job, without a deadline if deadlineS is 0.
 	withDeadline := func(id string, deadlineS float64, priority string, dependsOn ...string) *jobs.Job {
--- a/internal/jobs/tasks.go
+++ b/internal/jobs/tasks.go
@@ -180,8 +180,8 @@
 func (t *taskSet) TasksWithProgress() int { return len(t.checkpointedRunTimeS) }
 
 // RecordProgress adds the progress of an attempt that ended after running for ranS seconds. If the
-// attempt saved a checkpoint when it was stopped, all of that time counts, otherwise the time
-// until its last periodic checkpoint.
+// attempt saved a checkpoint when it was stopped, all of that time counts. If not, only the time
+// until its last periodic checkpoint counts.
 func (j *Job) RecordProgress(index int32, ranS float64, checkpointSaved bool) {
 	if j.CheckpointIntervalS <= 0 || j.IsCompleted(index) {
 		return
--- a/internal/machines/attempt.go
+++ b/internal/machines/attempt.go
@@ -18,7 +18,7 @@
 
 	state           AttemptState
 	allocated       bool // its resources are counted as used on its machine
-	placedWhileAged bool // placed while its job counted as aged
+	placedWhileAged bool // placed while its job counted as aged, see placement.PendingJob.AgedS
 	checkpointSaved bool // the task saved a checkpoint when it was stopped
 	failed          bool // the task itself ended with an error
 
--- a/internal/machines/capacity.go
+++ b/internal/machines/capacity.go
@@ -13,7 +13,7 @@
 	total, free  placement.Resources
 	backoffUntil time.Time // the machine gets no new tasks before this time
 	// Until reservedUntil, free resources are reserved for tasks of reservedRank or a higher
-	// priority.
+	// priority. Rank 0 is the highest priority.
 	reservedUntil time.Time
 	reservedRank  int
 	// snapshot is the machine as placement passes see it, nil before the first pass. It is rebuilt
--- a/internal/machines/delivery_test.go
+++ b/internal/machines/delivery_test.go
@@ -18,6 +18,9 @@
 	return a
 }
 
+// TestDirectStartMayArriveLateWithinSession: a start sent by a direct call may arrive late until the
+// agent begins a new session. Until the machine reports the attempt, the start is also sent in
+// responses.
 func TestDirectStartMayArriveLateWithinSession(t *testing.T) {
 	m := newReportingMachine(termStart)
 	a := newRecordedAttempt(m)
@@ -38,6 +41,8 @@
 	}
 }
 
+// TestResponseStartWithoutEffectIsSentAgain: a start whose response had no effect is sent again until
+// the machine reports the attempt. The attempt then has the reported number, also in its stop.
 func TestResponseStartWithoutEffectIsSentAgain(t *testing.T) {
 	m := newReportingMachine(termStart)
 	a := newRecordedAttempt(m)
--- a/internal/machines/lease.go
+++ b/internal/machines/lease.go
@@ -39,7 +39,8 @@
 
 // HasLeaseExpired reports whether the lease has expired for certain, and thus all tasks of the
 // machine have ended. It is false if a new agent has replaced the earlier one: then only the release
-// of the machine proves that the tasks of the earlier agent have ended.
+// of the machine proves that the tasks of the earlier agent have ended. It is also false before
+// t.InheritedTasksEnd for a machine that is not reconciled, as tasks of earlier leaders may run there.
 func (m *Machine) HasLeaseExpired(now time.Time, t *Timing) bool {
 	if m.IsCordonedFor(CordonAgentReplaced) || !m.reconciled && now.Before(t.InheritedTasksEnd) {
 		return false
--- a/internal/machines/lifecycle.go
+++ b/internal/machines/lifecycle.go
@@ -18,8 +18,8 @@
 	missingFromCloudLists int       // number of successive cloud lists that lack the machine
 	firstListedAt         time.Time // when a cloud list first contained it in this term, or zero
 	idleSince             time.Time // when its last attempt was removed or it was reconciled, whichever is later
-	// releaseBy is the time by which the machine has to be released because the start of an ended
-	// job may still arrive late. It is zero if there is no such start.
+	// releaseBy is the time after which the machine has to be released because a start may still
+	// arrive late. It is zero if no release is required. See RequireRelease.
 	releaseBy time.Time
 }
 
--- a/internal/machines/machine_test.go
+++ b/internal/machines/machine_test.go
@@ -158,6 +158,8 @@
 	}
 }
 
+// TestDetectLostResponses: responses count as lost from the start of a new session that follows a
+// series of heartbeats without a gap, until a session lasts longer than the lease.
 func TestDetectLostResponses(t *testing.T) {
 	m := newReportingMachine(termStart)
 	now, sequence := termStart, uint64(1)
@@ -218,6 +220,8 @@
 	}
 }
 
+// TestDetectDeletion: a cloud list without the machine proves its deletion only if the machine was
+// listed before, and the list can't show a state from before that listing.
 func TestDetectDeletion(t *testing.T) {
 	const lag = 8 * time.Second
 	m := newMachine()
@@ -236,6 +240,8 @@
 	}
 }
 
+// TestSuppressForget: the agent is not told to forget an exited attempt in the session in which
+// SuppressForget was called for it.
 func TestSuppressForget(t *testing.T) {
 	m := newReportingMachine(termStart)
 	key := machines.ExitKey{Task: "job-1/0", Attempt: 1}
@@ -256,6 +262,8 @@
 	}
 }
 
+// TestReserveKeepsHighestPriority: a reservation for a lower priority doesn't replace one for a higher
+// priority that has not ended.
 func TestReserveKeepsHighestPriority(t *testing.T) {
 	m := newReportingMachine(termStart)
 	if _, reserved := m.Reservation(termStart); reserved {
--- a/internal/machines/partition_detector_test.go
+++ b/internal/machines/partition_detector_test.go
@@ -22,6 +22,8 @@
 	return list
 }
 
+// TestPartitionDetection: a zone without reachable machines counts as partitioned if the other zone
+// is reachable. If no zone is reachable, this node counts as isolated instead.
 func TestPartitionDetection(t *testing.T) {
 	now := termStart.Add(time.Minute)
 	late := now.Add(-timing.HeartbeatTimeout - 1)
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -50,6 +50,8 @@
 	}
 }
 
+// TestPriorityAndLimits: tasks of a higher priority start first, but only as many as their team's
+// limit allows. Tasks of a lower priority use the rest of the machine.
 func TestPriorityAndLimits(t *testing.T) {
 	teams := unlimitedTeams()
 	teams["red"] = &placement.Team{Limit: placement.Resources{CPUs: 1, MemoryGB: 100}}
