--- a/internal/jobs/dependencies_test.go
+++ b/internal/jobs/dependencies_test.go
@@ -65,6 +65,9 @@
 	}
 }
 
+// TestCriticalPathHasTheEarliestDueTime: of the paths through its dependents, a job gets the one with
+// the earliest due time. Its rank is that of the highest priority among itself and its dependents.
+// Cancelled dependents don't count.
 func TestCriticalPathHasTheEarliestDueTime(t *testing.T) {
 	// withDeadline returns an accepted job, without a deadline if deadlineS is 0.
 	withDeadline := func(id string, deadlineS float64, priority string, dependsOn ...string) *jobs.Job {
@@ -121,9 +124,8 @@
 	}
 }
 
-// TestJobsAreUnblockedAfterAllDependencies ends the jobs of random graphs in a random order of the
-// unblocked jobs. A job must be unblocked only after all its dependencies have ended, and all jobs
-// must be unblocked in the end.
+// TestJobsAreUnblockedAfterAllDependencies: a job is unblocked only after all its dependencies have
+// ended, and no job stays blocked. The test repeatedly ends a random unblocked job of a random graph.
 func TestJobsAreUnblockedAfterAllDependencies(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, seed))
--- a/internal/machines/capacity.go
+++ b/internal/machines/capacity.go
@@ -13,7 +13,7 @@
 	total, free  placement.Resources
 	backoffUntil time.Time // the machine gets no new tasks before this time
 	// Until reservedUntil, free resources are reserved for tasks of reservedRank or a higher
-	// priority.
+	// priority. Rank 0 is the highest priority.
 	reservedUntil time.Time
 	reservedRank  int
 	// snapshot is the machine as placement passes see it, nil before the first pass. It is rebuilt
@@ -41,8 +41,8 @@
 func (c *capacity) MarkTaskRefused(until time.Time) { c.backoffUntil = until }
 
 // Reserve reserves the machine's free resources for tasks of the priority rank or a higher one,
-// for tuning.PreemptReservationTime. A reservation for a higher priority that still holds keeps its
-// priority and is extended.
+// for tuning.PreemptReservationTime. If the machine is still reserved for a higher priority, that
+// reservation keeps its priority and is extended.
 //
 // Preempted tasks end one by one. Without the reservation, they would be placed again in the
 // resources that become free first and would have to be preempted again. The task that needs all
