--- a/internal/leader/admission_test.go
+++ b/internal/leader/admission_test.go
@@ -42,7 +42,7 @@
 }
 
 // submitWithAdmissionClaim submits a job with the admission claim of the node that received it. It
-// returns the response, which has status 0 if there is none yet.
+// returns the response; its status is 0 if the leader has not responded yet.
 func (l *testLeader) submitWithAdmissionClaim(j *wire.Job, claim *admission.Claim) (got leader.JobResponse) {
 	l.SubmitWithClaim(l.now, l.now, j, claim, func(v leader.JobResponse) { got = v })
 	return got
@@ -84,8 +84,8 @@
 }
 
 // TestAcceptedJobsStartUnderOverload checks, with admission control on and off, that a transaction
-// also contains a start record while more acceptances are queued than it can hold. Otherwise no
-// accepted job would start.
+// contains a start record even if the queued acceptances alone would fill it. Without the start
+// record, no accepted job would start.
 func TestAcceptedJobsStartUnderOverload(t *testing.T) {
 	withoutAdmission := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	withoutAdmission.submit("job-1")
@@ -110,8 +110,8 @@
 	}
 }
 
-// TestLimitViolationAgreesWithLeader checks that LimitViolation, which any node calls, even
-// while no leader is known, rejects the same jobs as a leader, for the same reasons.
+// TestLimitViolationAgreesWithLeader checks that LimitViolation rejects the same jobs as a leader, for
+// the same reasons. Any node calls LimitViolation, even while no leader is known.
 func TestLimitViolationAgreesWithLeader(t *testing.T) {
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	for i, change := range []func(*wire.Job){
--- a/internal/leader/benchmark_test.go
+++ b/internal/leader/benchmark_test.go
@@ -17,8 +17,8 @@
 	benchmarkMachines = 4000
 	tasksPerMachine   = 4 // tasks have 2 CPUs each, machines 8
 	// benchmarkEstimateS is the estimated run time of all tasks. It is longer than any benchmark
-	// runs: with a shorter one the placement algorithm would let tasks wait for machines whose
-	// tasks seem to end soon.
+	// runs: with a shorter estimate, the placement algorithm would let tasks wait for machines whose
+	// tasks are expected to end soon.
 	benchmarkEstimateS = 1e6
 )
 
@@ -40,7 +40,7 @@
 func newBenchmarkCluster(b *testing.B) *benchmarkCluster {
 	b.Helper()
 	unlimitedParams := testParams
-	unlimitedParams.Teams = []config.Team{{Name: "blue"}} // without a limit
+	unlimitedParams.Teams = []config.Team{{Name: "blue"}} // no limit on the team's CPUs
 	l := leader.New(zerolog.Nop(), unlimitedParams, config.OperatorSettings{}, 1, startTime, leader.GracePeriod(unlimitedParams.Workers))
 	l.FinishLoading(startTime)
 	l.SetMachineTypes([]wire.MachineType{std8Type})
@@ -139,8 +139,8 @@
 		for b.Loop() {
 			b.StopTimer()
 			c.now = c.now.Add(time.Second)
-			// Another class than that of the long jobs: the short run times lower the estimates of
-			// their whole class.
+			// The class differs from that of the long jobs, because the short run times lower the
+			// estimates of all jobs of the same class.
 			c.submit("short", 100)
 			b.StartTimer()
 			c.Tick(c.now, true /* holdsLeaderLease */)
--- a/internal/leader/cancellation_test.go
+++ b/internal/leader/cancellation_test.go
@@ -95,10 +95,11 @@
 	t.Fatal("m1 was not released within 30 s")
 }
 
-// TestLateStartOfEndedJobExpiresSession checks a machine that may still receive a start of a
-// cancelled job and can't be released, because the key-value store can't be reached. The leader stops
-// responding to its heartbeats in time for its lease to expire before the cancellation deadline. It
-// responds again once the agent has begun a new session, in which the start is void.
+// TestLateStartOfEndedJobExpiresSession checks that the leader lets the lease of a machine expire before
+// the cancellation deadline if the machine may still receive a start of a cancelled job and can't be
+// released, because the key-value store can't be reached. For this, the leader stops responding to the
+// machine's heartbeats. It responds again once the agent has begun a new session, in which the start has
+// no effect.
 func TestLateStartOfEndedJobExpiresSession(t *testing.T) {
 	l, call, _ := leaderWithDirectCallInFlight(t)
 	l.FinishDirectCall(l.now, call, leader.DirectCallUncertain, nil)
@@ -119,17 +120,17 @@
 	}
 	leaseEndS := lastResponse.Sub(cancelledAt).Seconds() + testParams.Workers.LeaseS
 	if leaseEndS >= testParams.Workers.CancelDeadlineS || lastResponse.Sub(cancelledAt) < 5*time.Second {
-		t.Fatalf("last response %v after the cancellation, want at least 5s; its lease expires after %v s, want less than the cancellation deadline", lastResponse.Sub(cancelledAt), leaseEndS)
+		t.Fatalf("last response %v after the cancellation, want at least 5s; the lease of m1 expires %v s after the cancellation, want less than the cancellation deadline", lastResponse.Sub(cancelledAt), leaseEndS)
 	}
 	if sendHeartbeat(2) != leader.HeartbeatApplied {
-		t.Fatal("no response to a heartbeat of a new session")
+		t.Fatal("no response to a heartbeat of a new session, want one")
 	}
 }
 
 // TestEveryResponseCarriesStops checks that every response to a heartbeat stops the tasks of cancelled
-// and unknown jobs. Otherwise it would only renew the lease under which these tasks run. The test
-// covers the response to an agent that has not seen the leader's term, and the response to a heartbeat
-// that is older than a reply to a direct call.
+// and unknown jobs. A response without the stops would renew the lease under which these tasks
+// run. The test covers the response to an agent that has not seen the leader's term, and the response
+// to a heartbeat that is older than a reply to a direct call.
 func TestEveryResponseCarriesStops(t *testing.T) {
 	l, task := leaderWithRunningTask(t)
 	l.Cancel(l.now, "job-1", func(leader.JobResponse) {})
--- a/internal/leader/dependencies_test.go
+++ b/internal/leader/dependencies_test.go
@@ -12,8 +12,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// useSmallStoreLimits sets the smallest limits that the operators of the key-value store have
-// announced, until the end of the test.
+// useSmallStoreLimits sets, until the end of the test, the smallest limits that the operators of the
+// key-value store have announced.
 func useSmallStoreLimits(t *testing.T) {
 	t.Helper()
 	oldParams := testParams
@@ -48,10 +48,10 @@
 	}
 }
 
-// commitBatch commits a batch of at most maxOps changes and returns their number. At most spare of
-// them are changes that no user waits for.
-func (l *testLeader) commitBatch(maxOps, spare int) int {
-	b := l.NextWriteBatch(maxOps, spare)
+// commitBatch commits a batch of at most maxOps changes and returns their number. At most
+// maxBackgroundOps of them are changes that no user waits for.
+func (l *testLeader) commitBatch(maxOps, maxBackgroundOps int) int {
+	b := l.NextWriteBatch(maxOps, maxBackgroundOps)
 	if b == nil {
 		return 0
 	}
@@ -60,7 +60,8 @@
 	return len(b.Mutations)
 }
 
-// queryState returns the job state in the response to a query, or its status if that is not 200.
+// queryState queries a job and returns the job state in the response, or the HTTP status if that is not
+// 200.
 func (l *testLeader) queryState(id string) string {
 	response := l.Query(id)
 	if response.Status == 200 {
@@ -96,7 +97,7 @@
 		t.Fatalf("%d tasks allocated before the end of job-1 is durable, want only that of job-3", n.AllocatedTasks)
 	}
 	if successor := newLeader(t, 6, l.now, l.store); successor.queryState("job-2") != wire.JobQueued || successor.Summary().ReadyTasks != 0 {
-		t.Fatal("a successor does not report job-2 as queued and blocked, although job-1 is not done in the store")
+		t.Fatal("a successor does not report job-2 as queued and blocked, want this while the end of job-1 is not durable")
 	}
 	l.commit()
 	l.tickAfter(time.Second)
@@ -144,7 +145,8 @@
 	}
 	l.commit()
 	// A job that depends on a cancelled one is accepted and cancelled at once. The user gets one
-	// response, after both are durable, because the state "queued" would be wrong.
+	// response, once the acceptance and the cancellation are durable: an earlier response would report
+	// the state "queued", which is wrong.
 	v := l.submitWithoutCommit(dependentJob("job-6", "job-1", "job-2"))
 	if v.Status != 0 {
 		t.Fatalf("got the response %+v before the acceptance is durable, want none", *v)
@@ -159,10 +161,10 @@
 	}
 }
 
-// TestCancellationReachesDependents cancels job-0, which has 1,000 direct dependents, one dependent of
-// each of these, and a chain of 1,000 further dependents. It checks that the cancellations of the
-// dependents do not delay other submissions, that a successor cancels the dependents that its
-// predecessor has not, and that it never reports them as queued.
+// TestCancellationReachesDependents checks that the cancellation of a job also cancels its direct and
+// indirect dependents without delaying other submissions. A successor cancels the dependents that its
+// predecessor has not cancelled, and never reports one as queued. job-0 has 1,000 direct dependents, each
+// with one dependent, and a chain of 1,000 further dependents.
 func TestCancellationReachesDependents(t *testing.T) {
 	useSmallStoreLimits(t)
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
@@ -188,12 +190,12 @@
 	}
 	l.tickAfter(time.Second)
 	if l.commitBatch(7, 0) == 0 {
-		t.Fatal("no cancellation of a dependent was written in a batch for writes that users wait for")
+		t.Fatal("a batch without background changes contains no cancellation of a dependent, want at least one")
 	}
 	rounds, maxTransactions := 0, 0
 	for cancelledCount := 0; cancelledCount < len(dependents); rounds++ {
 		if rounds == 40 {
-			// A change of leader while most dependents are not cancelled yet.
+			// The leader changes while most dependents are not cancelled yet.
 			l = newLeader(t, 6, l.now, l.store)
 		}
 		if rounds > 700 {
@@ -236,8 +238,8 @@
 	}
 }
 
-// TestCancelOfDoneJobKeepsDependents checks that the cancellation of a job that is done already does
-// not cancel its dependents.
+// TestCancelOfDoneJobKeepsDependents checks that the cancellation of a done job does not cancel its
+// dependents.
 func TestCancelOfDoneJobKeepsDependents(t *testing.T) {
 	l, task := leaderWithRunningTask(t)
 	l.submitAll(dependentJob("job-2", "job-1"))
@@ -283,9 +285,9 @@
 	}
 }
 
-// TestCriticalPathRaisesPriority checks a chain of jobs whose last job is urgent. The first job of the
-// chain is placed before a job of higher priority, unless the last job has been cancelled. A
-// successor decides the same.
+// TestCriticalPathRaisesPriority checks that the first job of a chain whose last job is urgent is placed
+// before a job of higher priority, unless the last job has been cancelled. A successor places the same
+// job first.
 func TestCriticalPathRaisesPriority(t *testing.T) {
 	for _, cancelled := range []bool{false, true} {
 		for _, changeLeader := range []bool{false, true} {
@@ -321,8 +323,8 @@
 	}
 }
 
-// TestEarlierDeadlineOfChainGoesFirst checks two chains of equal priority whose last jobs have
-// deadlines. The first job of the chain with the earlier deadline is placed first.
+// TestEarlierDeadlineOfChainGoesFirst checks that, of two chains of equal priority whose last jobs have
+// deadlines, the first job of the chain with the earlier deadline is placed first.
 func TestEarlierDeadlineOfChainGoesFirst(t *testing.T) {
 	oldParams := testParams
 	defer func() { testParams = oldParams }()
@@ -343,7 +345,7 @@
 	}
 }
 
-// TestCancelledAndBlockedJobsHoldNoGuarantee checks that cancelled and blocked jobs use nothing of their
+// TestCancelledAndBlockedJobsHoldNoGuarantee checks that cancelled and blocked jobs use none of their
 // team's guaranteed CPUs: the team's next job is placed before a job of another team.
 func TestCancelledAndBlockedJobsHoldNoGuarantee(t *testing.T) {
 	oldParams := testParams
@@ -378,7 +380,7 @@
 		l.tickAfter(time.Second)
 		l.commit()
 		if got := formatCommands(l.sendHeartbeat("m1", 1)); got != "run job-2/0" {
-			t.Errorf("first job blocked (otherwise cancelled): %v: got %q, want a start of job-2/0", blocked, got)
+			t.Errorf("first job blocked (true) or cancelled (false): %v: got %q, want a start of job-2/0", blocked, got)
 		}
 	}
 }
--- a/internal/leader/drain_test.go
+++ b/internal/leader/drain_test.go
@@ -16,8 +16,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// drainSettings returns operator settings that turn drains on. The disruption budget applies to every
-// team.
+// drainSettings returns operator settings that turn drains on and give every team the disruption
+// budget.
 func drainSettings(budget drain.Budget) config.OperatorSettings {
 	return config.OperatorSettings{Drains: &drain.Budgets{Window: 10 * time.Minute, Default: budget}}
 }
@@ -194,8 +194,8 @@
 	}
 }
 
-// TestDrainStepExaminesItsBatchOnly checks a drain of 4,000 machines in batches of 5: each step examines
-// only the machines of the current batch and the attempts on them.
+// TestDrainStepExaminesItsBatchOnly checks that each step of a drain examines only the machines of the
+// current batch and the attempts on them. The drain has 4,000 machines, in batches of 5.
 func TestDrainStepExaminesItsBatchOnly(t *testing.T) {
 	l := newLeaderWithSettings(t, drainSettings(drain.Budget{}), 1, startTime, map[string]json.RawMessage{})
 	names := make([]string, 4000)
@@ -251,8 +251,8 @@
 	}
 }
 
-// TestZoneBoundWorkBlocksADrain checks a drain of the only zone that the cloud offers: a task in it can
-// run in no other zone and is not stopped before the deadline of the drain. After the deadline, a drain
+// TestZoneBoundWorkBlocksADrain checks that a drain of the only zone that the cloud offers stops no task
+// before the drain's deadline, because the tasks can run in no other zone. After the deadline, a drain
 // with force stops the task. A drain without force is paused, and its reason names the team.
 func TestZoneBoundWorkBlocksADrain(t *testing.T) {
 	for _, force := range []bool{false, true} {
@@ -276,9 +276,9 @@
 	}
 }
 
-// TestReplacementTimeout checks a drain that needs replacement machines while the cloud has none. Its
-// batch is not cordoned, the drain is paused after the timeout, and it calls the cloud again once it
-// is resumed.
+// TestReplacementTimeout checks that a drain is paused after a timeout if it needs replacement machines
+// and the cloud has none. Its batch is not cordoned meanwhile. Once resumed, the drain calls the cloud
+// again.
 func TestReplacementTimeout(t *testing.T) {
 	l, task := leaderForDrain(t, drainSettings(ampleBudget))
 	provisionCalls := 0
@@ -313,7 +313,7 @@
 	l.sendDrainRequest(drain.Request{Action: drain.Resume, Name: "maintenance"})
 	l.runDrains(time.Minute, step)
 	if provisionCalls == callsWhenPaused {
-		t.Error("no provision call after the drain was resumed")
+		t.Error("no provision call after the drain was resumed, want one")
 	}
 }
 
--- a/internal/leader/failures_test.go
+++ b/internal/leader/failures_test.go
@@ -36,9 +36,9 @@
 }
 
 // TestJobFailingEverywhereQuarantinesNoMachine checks that a job that fails on every machine is started
-// once on each, one task at a time and with growing delays. Such jobs, however many, do not get a
-// machine quarantined. A machine is still quarantined if jobs fail on it that complete elsewhere. job-1
-// to job-4 fail on every machine, job-500 and later ones only on faulty machines.
+// once on each, one task at a time and with growing delays. However many such jobs fail on a machine, it
+// is not quarantined. It is quarantined if jobs fail on it that complete on other machines. job-1 to
+// job-4 fail on every machine, job-500 and later ones only on faulty machines.
 func TestJobFailingEverywhereQuarantinesNoMachine(t *testing.T) {
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	machines := []string{"m1", "m2", "m3"}
--- a/internal/leader/reachability_test.go
+++ b/internal/leader/reachability_test.go
@@ -118,14 +118,14 @@
 	return j
 }
 
-// newUrgentJob returns a job that would miss its deadline if its tasks were started elsewhere only after
-// a lease of 15 s has expired.
+// newUrgentJob returns a job that misses its deadline if its tasks are started on other machines only
+// after a lease of 15 s has expired.
 func newUrgentJob() *wire.Job { return newJobDueIn(50) }
 
-// TestPartitionedZoneIsReleasedForUrgentWork checks what the leader does when no heartbeats arrive from
-// a zone. A machine in it is released if a task on it would otherwise miss its deadline: after the
-// release the task can start elsewhere, before the lease expires. Machines without such tasks are not
-// released. No machine is provisioned in that zone.
+// TestPartitionedZoneIsReleasedForUrgentWork checks that a machine in a zone from which no heartbeats
+// arrive is released if a task on it would miss its deadline by waiting for the expiry of the lease: after
+// the release, the task can start elsewhere before the lease expires. Machines without such tasks are not released. No
+// machine is provisioned in that zone.
 func TestPartitionedZoneIsReleasedForUrgentWork(t *testing.T) {
 	addWideTeam(t)
 	z := newZonedCluster(t, 5, startTime, map[string]json.RawMessage{})
@@ -161,8 +161,7 @@
 }
 
 // TestSilenceOfAllMachinesReleasesNone checks that a leader that receives no heartbeats at all concludes
-// that its own node is isolated. It releases no machine before the lease
-// of that machine has expired.
+// that its own node is isolated. It releases no machine before the lease of that machine has expired.
 func TestSilenceOfAllMachinesReleasesNone(t *testing.T) {
 	addWideTeam(t)
 	z := newZonedCluster(t, 5, startTime, map[string]json.RawMessage{})
@@ -171,8 +170,8 @@
 	}
 }
 
-// TestSilenceInAllZonesReleasesNone checks that a leader also concludes that its own node is isolated if
-// it receives no heartbeats from half of the machines of every zone. It releases none of them.
+// TestSilenceInAllZonesReleasesNone checks that a leader concludes that its own node is isolated if it
+// receives no heartbeats from half of the machines of every zone. It releases none of these machines.
 func TestSilenceInAllZonesReleasesNone(t *testing.T) {
 	addWideTeam(t)
 	z := newZonedCluster(t, 5, startTime, map[string]json.RawMessage{})
@@ -186,8 +185,8 @@
 }
 
 // TestSuccessorReleasesPartitionedZone checks that a successor releases machines with urgent work from
-// which it has never received a heartbeat. Its predecessor may be in the same partition and still renew
-// their leases.
+// which it has never received a heartbeat. The predecessor may be in the same partition as these machines
+// and still renew their leases.
 func TestSuccessorReleasesPartitionedZone(t *testing.T) {
 	addWideTeam(t)
 	z := newZonedCluster(t, 5, startTime, map[string]json.RawMessage{})
--- a/internal/leader/records_test.go
+++ b/internal/leader/records_test.go
@@ -20,8 +20,8 @@
 
 // TestLongDependenciesFitSmallValues checks that a job with long lists of dependencies and machine types
 // is stored in pieces that fit the value limit of the key-value store. If a leader crashes between the
-// writes, a successor knows either the whole job or nothing of it. It deletes pieces that belong to no
-// job record.
+// writes, a successor loads either the whole job or no part of it. The successor deletes pieces that
+// belong to no job record.
 func TestLongDependenciesFitSmallValues(t *testing.T) {
 	useSmallStoreLimits(t)
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
@@ -166,7 +166,7 @@
 	l.tickAfter(time.Second)
 	b := l.NextWriteBatch(10, 10)
 	if b == nil || !strings.HasPrefix(b.Mutations[0].Put, "s/") {
-		t.Fatal("the first change is not a start record")
+		t.Fatal("the first queued change is not a start record, want one")
 	}
 	l.MarkBatchCommitted(b, []string{b.Mutations[0].Put})
 	if cs := l.sendHeartbeat("m1", 1); len(cs) != 0 {
--- a/internal/leader/recovery_test.go
+++ b/internal/leader/recovery_test.go
@@ -64,9 +64,9 @@
 	}
 }
 
-// TestReportedTaskIsRecordedAgain checks a machine that lists an exited attempt of a task and a newer
-// attempt that runs. The leader deletes the start record of the exited attempt, but writes a new one
-// for the running attempt: without it, a successor would start the task a second time.
+// TestReportedTaskIsRecordedAgain checks that the leader writes a start record for a running attempt
+// when it deletes that of an exited attempt of the same task, if a machine lists both attempts. Without
+// the new record, a successor would start the task a second time.
 func TestReportedTaskIsRecordedAgain(t *testing.T) {
 	l, task := leaderWithRunningTask(t)
 	successor := newLeader(t, 6, l.now, l.store)
@@ -84,8 +84,8 @@
 }
 
 // TestUnlistedMachineIsRemoved checks that a machine is removed if a later machine list lacks it, and
-// that its tasks are then placed elsewhere. A list is ignored for this if it may describe an earlier
-// time than the list before it.
+// that its tasks are then placed elsewhere. A list that may describe an earlier time than the list
+// before it removes no machine.
 func TestUnlistedMachineIsRemoved(t *testing.T) {
 	l, _ := leaderWithRunningTask(t)
 	l.ApplyMachineList(l.now, l.now, []wire.ListedMachine{{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
@@ -121,7 +121,7 @@
 		}
 	}
 	if !successor.MachineTypesKnown() {
-		t.Fatal("the successor does not know the machine types")
+		t.Fatal("the successor does not know the machine types, want them loaded")
 	}
 }
 
--- a/internal/leader/reports_test.go
+++ b/internal/leader/reports_test.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// TestLateStartKeepsTaskOnMachine checks a start sent by a direct call with an uncertain result, which
-// may arrive minutes late. The task stays allocated to its machine. After the task has exited, the agent
-// is told to forget it only in a new session, because the late start could run it again before.
+// TestLateStartKeepsTaskOnMachine checks that a task stays allocated to its machine if its start was sent
+// by a direct call with an uncertain result, which may arrive minutes late. After the task has exited,
+// the agent is told to forget it only in a new session: in the old one, the late start could run it again.
 func TestLateStartKeepsTaskOnMachine(t *testing.T) {
 	l, call, task := leaderWithDirectCallInFlight(t)
 	l.FinishDirectCall(l.now, call, leader.DirectCallUncertain, nil)
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestMachineWithoutResponsesIsReleased checks a machine that receives no responses although its
-// heartbeats arrive. A new session of its agent shows that the lease has expired: the task is then
-// placed elsewhere, and the machine gets no more work and is released.
+// TestMachineWithoutResponsesIsReleased checks that a machine gets no more work and is released if it
+// receives no responses although its heartbeats arrive. Its task is placed elsewhere once a new session
+// of its agent shows that the lease has expired.
 func TestMachineWithoutResponsesIsReleased(t *testing.T) {
 	l, task := leaderWithRunningTask(t)
 	l.ApplyMachineList(l.now, l.now, []wire.ListedMachine{{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
@@ -115,9 +115,10 @@
 	t.Fatal("m1 was not released")
 }
 
-// TestIgnoredStartIsPlacedElsewhere checks a machine whose heartbeats do not list a task although several
-// responses in a row have started it. The task is placed elsewhere, long before the lease expires.
-func TestIgnoredStartIsPlacedElsewhere(t *testing.T) {
+// TestIneffectiveStartIsPlacedElsewhere checks that a task is placed elsewhere, long before the lease
+// expires, if the machine's heartbeats do not list it although several responses in a row have sent its
+// start.
+func TestIneffectiveStartIsPlacedElsewhere(t *testing.T) {
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	l.submit("job-1")
 	l.sendHeartbeat("m1", 1)
@@ -134,9 +135,9 @@
 	}
 }
 
-// TestMachineThatNeverSeesTheTermIsReleased checks a machine whose heartbeats reach a successor, while
-// no response of the successor reaches its agent: the heartbeats still carry the earlier term. The
-// machine is released, and its task is placed elsewhere only after the release.
+// TestMachineThatNeverSeesTheTermIsReleased checks that a machine is released if its heartbeats reach a
+// successor but still carry the earlier term, because no response of the successor reaches its agent.
+// Its task is placed elsewhere only after the release.
 func TestMachineThatNeverSeesTheTermIsReleased(t *testing.T) {
 	l, task := leaderWithRunningTask(t)
 	successor := newLeader(t, 6, l.now, l.store)
@@ -167,13 +168,13 @@
 	}
 	duplicate.Sequence += 100 // no longer a duplicate, but of the expired session
 	if _, outcome := l.HandleHeartbeat(l.now, duplicate, true /* holdsLeaderLease */); outcome != leader.HeartbeatRejected {
-		t.Fatal("a heartbeat of the expired session was not treated as stale")
+		t.Fatal("a heartbeat of the expired session was not rejected, want HeartbeatRejected")
 	}
 }
 
-// TestReplacedAgentIsDetectedByDirectReply checks a reply to a direct call that is older than the state
-// known before the call: it comes from a new agent on the same machine. The tasks that the new agent may
-// run are placed elsewhere only after the machine is released.
+// TestReplacedAgentIsDetectedByDirectReply checks that tasks are placed elsewhere only after the release
+// of their machine if a reply to a direct call is older than the state known before the call. Such a
+// reply comes from a new agent on the machine, which may run the tasks.
 func TestReplacedAgentIsDetectedByDirectReply(t *testing.T) {
 	l, call, _ := leaderWithDirectCallInFlight(t)
 	l.FinishDirectCall(l.now, call, leader.DirectCallReplied, &wire.Heartbeat{
@@ -216,8 +217,8 @@
 	l.checkPlacedOnlyAfterRelease(time.Second, func() {})
 }
 
-// TestMachineOfReplacedAgentIsReleased checks a machine on which a new agent sends heartbeats that look
-// like late duplicates of the earlier agent's. The machine is released soon after the lease has expired.
+// TestMachineOfReplacedAgentIsReleased checks that a machine is released soon after its lease has expired
+// if a new agent on it sends heartbeats that look like late duplicates of the earlier agent's heartbeats.
 func TestMachineOfReplacedAgentIsReleased(t *testing.T) {
 	l, _ := leaderWithRunningTask(t)
 	l.ApplyMachineList(l.now, l.now, []wire.ListedMachine{{Name: "m1", Type: "std-8", Zone: "a", State: wire.MachineRunning}})
@@ -225,7 +226,7 @@
 		l.tickAfter(3 * time.Second)
 		_, outcome := l.HandleHeartbeat(l.now, &wire.Heartbeat{Machine: "m1", Type: "std-8", Zone: "a", AgentEpoch: 1, Sequence: uint64(i%2 + 1)}, true /* holdsLeaderLease */)
 		if outcome != leader.HeartbeatRejected {
-			t.Fatal("heartbeat of the new agent: want HeartbeatRejected")
+			t.Fatal("heartbeat of the new agent was not rejected, want HeartbeatRejected")
 		}
 		if l.planReleaseOf("m1") != nil {
 			return
@@ -234,9 +235,9 @@
 	t.Fatal("m1 was not released")
 }
 
-// TestOvertakenHeartbeatGetsResponse checks a heartbeat that came through another node and was overtaken
-// by a newer reply to a direct call. It gets a response but does not change the task state: without a
-// response, the agent would switch to another node. A duplicate of the heartbeat gets no response.
+// TestOvertakenHeartbeatGetsResponse checks that a heartbeat that came through another node, after a newer
+// reply to a direct call, gets a response but does not change the task state. Without a response, the
+// agent would switch to another node. A duplicate of the heartbeat gets no response.
 func TestOvertakenHeartbeatGetsResponse(t *testing.T) {
 	l, call, task := leaderWithDirectCallInFlight(t)
 	l.lastSequence += 2
--- a/internal/leader/requests_test.go
+++ b/internal/leader/requests_test.go
@@ -17,8 +17,8 @@
 )
 
 // TestCompletionIsDurableBeforeForget checks that, before the completion of a task is durable, the agent
-// is not told to forget the task and users do not see the completion. Until then, only the agent's list
-// of tasks shows that the task has completed.
+// is not told to forget the task and users do not see the completion. Until then, only the agent's task
+// list shows that the task has completed.
 func TestCompletionIsDurableBeforeForget(t *testing.T) {
 	l, task := leaderWithRunningTask(t)
 	task.State, task.ExitReason = wire.TaskExited, wire.ExitDone
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestNoResponseBeforeAcceptanceIsDurable checks a job that is cancelled before its acceptance is
-// durable. No response may mention the job until the acceptance is durable: after a crash of the leader
-// the job would not exist.
+// TestNoResponseBeforeAcceptanceIsDurable checks that no response reports the state of a job before its
+// acceptance is durable, even if the job is cancelled meanwhile: after a crash of the leader, the job
+// would not exist.
 func TestNoResponseBeforeAcceptanceIsDurable(t *testing.T) {
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
 	l.Submit(l.now, l.now, newJob("job-1"), func(leader.JobResponse) {})
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -15,8 +15,8 @@
 )
 
 // TestLargeFleet simulates 600 machines with about 70 starts per second. It checks that few changes are
-// written to the key-value store per start, that the sizes of values and transactions and the work of a
-// placement pass are limited, that tasks start within 2 s, and that a successor knows every running
+// written to the key-value store per start, that the sizes of values and transactions are limited, that the
+// work of a placement pass is limited, that tasks start within 2 s, and that a successor knows every running
 // task.
 func TestLargeFleet(t *testing.T) {
 	oldParams := testParams
@@ -80,7 +80,7 @@
 func TestFleetBeyondPlannedSize(t *testing.T) {
 	oldParams, oldType := testParams, std8Type
 	defer func() { testParams, std8Type = oldParams, oldType }()
-	std8Type.CPUs, std8Type.MemoryGB = 32, 128 // despite its name
+	std8Type.CPUs, std8Type.MemoryGB = 32, 128 // more CPUs than the 8 that its name suggests
 	testParams.Teams = nil
 	for k := range 10 {
 		testParams.Teams = append(testParams.Teams, config.Team{Name: fmt.Sprint("team", k), CPUs: 11000, CPUsMax: 22000})
@@ -168,8 +168,8 @@
 	}
 }
 
-// TestPlanIncludesStartDelay checks that the scaling plan counts the time from the placement of a task to
-// its start, because the CPUs of the task are already allocated during that time. Short tasks with slow
+// TestPlanIncludesStartDelay checks that the scaling plan includes the time from the placement of a task
+// to its start, because the CPUs of the task are already allocated during that time. Short tasks with slow
 // starts therefore need more machines. When the plan counted only run times, urgent jobs under a backlog
 // were late.
 func TestPlanIncludesStartDelay(t *testing.T) {
--- a/internal/leader/upgrade_test.go
+++ b/internal/leader/upgrade_test.go
@@ -19,8 +19,8 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// previousVersionLeader returns a leader that has loaded the stored records in the way in which the
-// previous version of the scheduler reads them.
+// previousVersionLeader returns a leader that has loaded the stored records as the previous version of
+// the scheduler reads them.
 func previousVersionLeader(t *testing.T, term uint64, now time.Time, store map[string]json.RawMessage) *testLeader {
 	t.Helper()
 	oldParams := testParams
@@ -37,8 +37,8 @@
 	return l
 }
 
-// previousVersionCommit commits all queued changes, but applies only those to the store that the previous
-// version would write.
+// previousVersionCommit commits all queued changes, but applies to the store only the changes that the
+// previous version would write.
 func (l *testLeader) previousVersionCommit() {
 	for b := l.NextWriteBatch(10, 10); b != nil; b = l.NextWriteBatch(10, 10) {
 		l.apply(simulation.PreviousVersionWrites(b.Mutations))
@@ -155,8 +155,8 @@
 }
 
 // TestPreviousVersionKeepsDependentJobs checks that a leader of the previous version loads a dependent
-// job and can cancel it, but never starts it, whatever machine types the cloud offers. It does not change
-// records that it does not know.
+// job and can cancel it, but never starts it, whatever machine types the cloud offers. A successor of the current
+// version still knows the other dependent jobs.
 func TestPreviousVersionKeepsDependentJobs(t *testing.T) {
 	useSmallStoreLimits(t)
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
@@ -191,7 +191,7 @@
 		t.Errorf("%d tasks allocated, want only that of job-1", got)
 	}
 	if previous.queryState("job-2") != wire.JobQueued || previous.queryState("job-3") != wire.JobQueued {
-		t.Error("the previous version does not report the dependent jobs as queued")
+		t.Error("the previous version does not report job-2 and job-3 as queued, want both queued")
 	}
 	previous.Cancel(previous.now, "job-2", func(leader.JobResponse) {})
 	previous.previousVersionCommit()
