--- a/internal/leader/reachability_test.go
+++ b/internal/leader/reachability_test.go
@@ -124,8 +124,8 @@
 
 // TestPartitionedZoneIsReleasedForUrgentWork checks that a machine in a zone from which no heartbeats
 // arrive is released if a task on it would miss its deadline by waiting for the expiry of the lease: after
-// the release, the task can start elsewhere before the lease expires. Machines without such tasks are not released. No
-// machine is provisioned in that zone.
+// the release, the task can start elsewhere before the lease expires. Machines without such tasks are not
+// released. No machine is provisioned in that zone.
 func TestPartitionedZoneIsReleasedForUrgentWork(t *testing.T) {
 	addWideTeam(t)
 	z := newZonedCluster(t, 5, startTime, map[string]json.RawMessage{})
--- a/internal/leader/scale_test.go
+++ b/internal/leader/scale_test.go
@@ -15,9 +15,9 @@
 )
 
 // TestLargeFleet simulates 600 machines with about 70 starts per second. It checks that few changes are
-// written to the key-value store per start, that the sizes of values and transactions are limited, that the
-// work of a placement pass is limited, that tasks start within 2 s, and that a successor knows every running
-// task.
+// written to the key-value store per start, that the sizes of values and transactions are limited, that
+// the work of a placement pass is limited, that tasks start within 2 s, and that a successor knows every
+// running task.
 func TestLargeFleet(t *testing.T) {
 	oldParams := testParams
 	defer func() { testParams = oldParams }()
--- a/internal/leader/upgrade_test.go
+++ b/internal/leader/upgrade_test.go
@@ -155,8 +155,8 @@
 }
 
 // TestPreviousVersionKeepsDependentJobs checks that a leader of the previous version loads a dependent
-// job and can cancel it, but never starts it, whatever machine types the cloud offers. A successor of the current
-// version still knows the other dependent jobs.
+// job and can cancel it, but never starts it, whatever machine types the cloud offers. It leaves records
+// of kinds that it does not know unchanged.
 func TestPreviousVersionKeepsDependentJobs(t *testing.T) {
 	useSmallStoreLimits(t)
 	l := newLeader(t, 5, startTime, map[string]json.RawMessage{})
