--- a/cmd/loadtest/run.go
+++ b/cmd/loadtest/run.go
@@ -14,44 +14,44 @@
 	"switchshore.example/switchshore/internal/loadtest"
 )
 
-// commonOptions are the options of all measurements.
+// commonOptions are the options that all subcommands share.
 type commonOptions struct {
 	Seed uint64 `help:"Seed of the load." default:"1"`
 	Out  string `help:"Folder for binary, settings, logs, histories and the report." default:"target/loadtest"`
 }
 
-// Bounds of the progress check, and of a run.
+// Times of the checks and of a run.
 const (
 	progressWindow = 30 * time.Second
 	warmUp         = 30 * time.Second
-	// pollSlack is how long after a job's end its user may learn of it.
+	// pollSlack is the additional time of a run in which users can learn that their jobs have ended.
 	pollSlack = 30 * time.Second
 )
 
-// historyName is the file of a run's exchanges, tasksName that of its tasks.
+// historyFileName is the file of a run's exchanges, taskEventsFileName that of its tasks.
 const (
-	historyName = "history.parquet"
-	tasksName   = "tasks.parquet"
+	historyFileName    = "history.parquet"
+	taskEventsFileName = "tasks.parquet"
 )
 
-// clusterRun is one run of a cluster under load.
+// clusterRun describes a run of a cluster under load.
 type clusterRun struct {
-	name     string // also of its folder
-	operator string // the operators' file
+	name     string // also the name of its directory
+	operator string // content of the operator settings
 	cluster  loadtest.ClusterOptions
 	load     loadtest.LoadOptions
-	// during, if set, runs beside the load.
-	during func(context.Context, *loadtest.Cluster) error
+	// concurrent, if set, runs concurrently with the load.
+	concurrent func(context.Context, *loadtest.Cluster) error
 }
 
-// runResult is what a run has recorded.
+// runResult holds the recorded data of a run.
 type runResult struct {
 	exchanges []loadtest.Exchange
 	tasks     []loadtest.TaskEvent
-	usage     []loadtest.Usage
+	usage     []loadtest.ResourceUsage
 }
 
-// build builds the controllers' binary.
+// build builds the controllers' binary and returns its path.
 func (o *commonOptions) build(ctx context.Context) (string, error) {
 	binary, err := filepath.Abs(filepath.Join(o.Out, "switchshore"))
 	if err != nil {
@@ -65,28 +65,29 @@
 	return binary, command.Run()
 }
 
-// folder is where a run writes its files.
-func (o *commonOptions) folder(name string) string { return filepath.Join(o.Out, name) }
+// dir returns the directory of a run's files.
+func (o *commonOptions) dir(name string) string { return filepath.Join(o.Out, name) }
 
-// historyFile is the file of a run's exchanges.
+// historyFile returns the path of a run's exchanges.
 func (o *commonOptions) historyFile(name string) string {
-	return filepath.Join(o.folder(name), historyName)
+	return filepath.Join(o.dir(name), historyFileName)
 }
 
-// prepare makes an empty folder for a run, writes the operators' file there and returns its path.
+// prepare creates an empty directory for a run and writes the operator settings there. It returns their
+// path.
 func (o *commonOptions) prepare(r clusterRun) (operatorPath string, err error) {
-	folder := o.folder(r.name)
-	if err := os.RemoveAll(folder); err != nil {
+	dir := o.dir(r.name)
+	if err := os.RemoveAll(dir); err != nil {
 		return "", err
 	}
-	if err := os.MkdirAll(folder, 0o755); err != nil {
+	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return "", err
 	}
-	operatorPath = filepath.Join(folder, "operator.xml")
+	operatorPath = filepath.Join(dir, "operator.xml")
 	return operatorPath, os.WriteFile(operatorPath, []byte(r.operator), 0o600)
 }
 
-// run runs a cluster under load, and saves the history of the exchanges.
+// run runs a cluster under load and saves the history of the exchanges.
 func (o *commonOptions) run(ctx context.Context, binary string, r clusterRun) (*runResult, error) {
 	operatorPath, err := o.prepare(r)
 	if err != nil {
@@ -94,7 +95,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.load.Duration+loadtest.LongestObjective()+pollSlack)
 	defer cancel()
-	cluster, err := loadtest.StartCluster(ctx, binary, operatorPath, o.folder(r.name), r.cluster)
+	cluster, err := loadtest.StartCluster(ctx, binary, operatorPath, o.dir(r.name), r.cluster)
 	if err != nil {
 		return nil, err
 	}
@@ -106,26 +107,26 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", r.name, err)
 	}
-	result.usage = cluster.Usage()
+	result.usage = cluster.ResourceUsage()
 	return result, loadtest.SaveHistory(o.historyFile(r.name), result.exchanges)
 }
 
-// measure runs the load and what goes on beside it.
+// measure runs the load and r.concurrent, which is cancelled if the load fails.
 func (result *runResult) measure(ctx context.Context, cluster *loadtest.Cluster, r clusterRun) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var beside errgroup.Group
-	if r.during != nil {
-		beside.Go(func() error { return r.during(ctx, cluster) })
+	var group errgroup.Group
+	if r.concurrent != nil {
+		group.Go(func() error { return r.concurrent(ctx, cluster) })
 	}
 	var err error
 	if result.exchanges, err = loadtest.RunLoad(ctx, cluster, r.load); err != nil {
 		cancel()
 	}
-	return errors.Join(err, beside.Wait())
+	return errors.Join(err, group.Wait())
 }
 
-// writeReport writes the results as a page in the folder of the run.
+// writeReport writes the results to an HTML page with the given name in the output directory.
 func (o *commonOptions) writeReport(name string, results []*loadtest.Result) error {
 	file, err := os.Create(filepath.Join(o.Out, name))
 	if err != nil {
@@ -134,7 +135,7 @@
 	return errors.Join(loadtest.WriteReport(file, results), file.Close())
 }
 
-// maxPrintedProblems bounds the problems that are printed; the report has all.
+// maxPrintedProblems is the number of problems that are printed. The report lists all.
 const maxPrintedProblems = 10
 
 func printProblems(problems []string) {
--- a/internal/autoscale/bins.go
+++ b/internal/autoscale/bins.go
@@ -8,42 +8,44 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// bin is an existing or requested machine to which the planner assigns demand.
+// bin is a machine to which the planner assigns demand: an existing or requested one, or one that the
+// plan provisions.
 type bin struct {
-	machine             string // the machine's ID, or empty if it is to be provisioned
-	offer               Offer
+	machineID           string // empty unless the machine exists
+	offering            Offering
 	capacity            placement.Resources
 	free                placement.Resources
-	remainingCPUSeconds float64 // of running and assigned tasks
-	bootRemainingS      float64
+	remainingCPUSeconds float64 // estimated work of the machine's tasks and of those assigned to it
+	bootRemainingS      float64 // expected time until it has booted
 	schedulable         bool
-	used                bool // whether demand was assigned to it
+	hasDemand           bool // whether the plan has assigned tasks to it
 }
 
 func newBin(m *Machine) bin {
 	return bin{
-		machine: m.ID, offer: m.Offer, capacity: m.Capacity, free: m.Free,
+		machineID: m.ID, offering: m.Offering, capacity: m.Capacity, free: m.Free,
 		remainingCPUSeconds: m.RemainingCPUSeconds, bootRemainingS: m.BootRemainingS, schedulable: m.Schedulable,
 	}
 }
 
-// assign assigns up to the given number of tasks to the bin: as many as fit into its free
-// resources now or, if that is more, as it can run within withinS. It returns their number.
-func (b *bin) assign(d *Demand, tasks int, withinS float64) int {
+// assignTasks assigns as many of the tasks to the bin as fit into its free resources now, or as many as
+// its CPUs can run within withinS seconds, whichever is more. The remaining boot time shortens withinS,
+// but by at most half. assignTasks returns the number of assigned tasks.
+func (b *bin) assignTasks(d *Demand, tasks int, withinS float64) int {
 	taskCPUSeconds := max(d.EstimateS, tuning.MinimumEstimateS) * d.Request.CPUs
 	availableCPUSeconds := b.capacity.CPUs*usableShare(b.capacity, d.Request)*(withinS-min(b.bootRemainingS, withinS/2)) - b.remainingCPUSeconds
 	n := max(parallelTasks(b.free, d.Request), int(availableCPUSeconds/taskCPUSeconds))
 	n = max(0, min(n, tasks))
-	b.used = b.used || n > 0
+	b.hasDemand = b.hasDemand || n > 0
 	b.remainingCPUSeconds += float64(n) * taskCPUSeconds
 	b.free = b.free.Add(d.Request, -float64(n))
 	return n
 }
 
-// roundingTolerance compensates for rounding errors when amounts of resources are divided.
+// roundingTolerance compensates for floating-point errors when amounts of resources are divided.
 const roundingTolerance = 1e-6
 
-// parallelTasks returns how many tasks with the request fit into the free resources.
+// parallelTasks returns how many tasks with the request fit into the free resources at the same time.
 func parallelTasks(free, request placement.Resources) int {
 	n := math.Inf(1)
 	for _, amount := range [][2]float64{{free.CPUs, request.CPUs}, {free.MemoryGB, request.MemoryGB}, {free.GPUs, request.GPUs}} {
@@ -54,7 +56,8 @@
 	return int(max(0, min(n, wire.MaxTasks)))
 }
 
-// usableShare returns the share of a machine's CPUs that tasks with the request can use.
+// usableShare returns the share of a machine's CPUs, from 0 to 1, that tasks with the request can use.
+// The rest stays unused if memory or GPUs run out first, or if it is too small for another task.
 func usableShare(capacity, request placement.Resources) float64 {
 	if capacity.CPUs <= 0 {
 		return 0
--- a/internal/drain/eviction.go
+++ b/internal/drain/eviction.go
@@ -10,11 +10,12 @@
 type Candidate struct {
 	Team    string
 	Attempt Attempt
-	// LossS is the maximum run time in seconds that stopping the task loses.
-	LossS float64
-	// EndsSoon is set if the task is expected to end while the batch reason for it.
+	// LostS is the maximum run time, in seconds, that is lost if the task is stopped.
+	LostS float64
+	// EndsSoon is set if the task is expected to end before the batch stops waiting for it.
 	EndsSoon bool
-	// NoAlternative is set if the task can only run on machines that are drained.
+	// NoAlternative is set if the task can run on no machine that may be provisioned, so it might
+	// not run again after an eviction.
 	NoAlternative bool
 }
 
@@ -22,19 +23,20 @@
 type Evictor struct {
 	Ledger  *Ledger
 	Budgets *Budgets
-	// Force also evicts tasks that can run nowhere else.
+	// Force allows the eviction of tasks without an alternative.
 	Force bool
 	// Now is the time on the ledger's clock.
 	Now time.Time
-	// MaxChargeBytes bounds the stored form of a charge.
+	// MaxChargeBytes is the maximum size of an encoded charge.
 	MaxChargeBytes int
 }
 
-// Choose adds the candidates to be evicted now to the charge, in ascending order of loss. It
-// returns the first reason why one of the others may not be evicted, WaitTaskEnd only if there is
-// no other reason. If the charge is full, the remaining candidates are left to the next charge.
+// Choose adds to the charge the candidates that may be evicted now, in ascending order of lost run
+// time, until the charge is full. The next charge can hold the remaining ones. Choose returns the
+// first reason why a candidate may not be evicted; it returns WaitTaskEnd only if it found no other
+// reason. The reason is empty if every candidate considered may be evicted.
 func (e *Evictor) Choose(charge *Charge, candidates []Candidate) Reason {
-	slices.SortStableFunc(candidates, func(a, b Candidate) int { return cmp.Compare(a.LossS, b.LossS) })
+	slices.SortStableFunc(candidates, func(a, b Candidate) int { return cmp.Compare(a.LostS, b.LostS) })
 	var reason Reason
 	for _, candidate := range candidates {
 		cause := e.blockedBy(charge, candidate)
@@ -48,21 +50,22 @@
 	return reason
 }
 
-// blockedBy returns why a candidate may not be evicted now, "" if it may.
+// blockedBy returns why a candidate may not be evicted now, or "" if it may. The evictions already
+// in the charge count as usage of the budget.
 func (e *Evictor) blockedBy(charge *Charge, c Candidate) Cause {
-	budget, used := e.Budgets.For(c.Team), e.Ledger.Used(c.Team, e.Now)
+	budget, used := e.Budgets.For(c.Team), e.Ledger.Usage(c.Team, e.Now)
 	charged := charge.Teams[c.Team]
 	switch {
 	case c.EndsSoon:
 		return WaitTaskEnd
 	case c.NoAlternative && !e.Force:
 		return WaitNoAlternative
-	case e.Ledger.Unavailable(c.Team)+charged.Evictions+1 > budget.MaxUnavailable:
-		return WaitUnavailable
+	case e.Ledger.UnavailableTasks(c.Team)+charged.Evictions+1 > budget.MaxUnavailable:
+		return WaitUnavailableBudget
 	case used.Evictions+charged.Evictions+1 > budget.Evictions:
-		return WaitEvictions
-	case used.LostS+charged.LostS+c.LossS > budget.LostS:
-		return WaitLostTime
+		return WaitEvictionBudget
+	case used.LostS+charged.LostS+c.LostS > budget.LostS:
+		return WaitLostTimeBudget
 	}
 	return ""
 }
--- a/internal/drain/lifecycle_test.go
+++ b/internal/drain/lifecycle_test.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// TestNext checks that drains run one at a time in the order of their creation, that the next one
-// runs while one is paused, and that a resumed one runs before younger pending ones.
-func TestNext(t *testing.T) {
+// TestDrainsRunOneAtATime checks that drains run one at a time, the oldest pending one first, that the
+// next one runs while one is paused, and that a resumed one runs before younger pending ones.
+func TestDrainsRunOneAtATime(t *testing.T) {
 	var all []*Record
 	for i, name := range []string{"c", "a", "b"} {
-		all = append(all, NewRecord(Spec{Name: name}, now.Add(time.Duration(i)*time.Second)))
+		all = append(all, NewRecord(Spec{Name: name}, testNow.Add(time.Duration(i)*time.Second)))
 	}
 	runNext := func() string {
-		r, _ := Next(all)
+		r, _ := EnsureRunning(all)
 		if r == nil {
 			return ""
 		}
 		return r.Spec.Name
 	}
-	first, _ := Next(all)
+	first, _ := EnsureRunning(all)
 	order := []string{runNext()}
 	first.Pause(Reason{Cause: PausedByOperator})
 	order = append(order, runNext())
-	first.Resume(now)
+	first.Resume(testNow)
 	order = append(order, runNext())
 	for _, r := range all {
 		if r.State == Running {
@@ -33,7 +33,7 @@
 	}
 	order = append(order, runNext())
 	if got := strings.Join(order, ""); got != "caac" {
-		t.Errorf("ran %s", got)
+		t.Errorf("drains ran in the order %s, want caac", got)
 	}
 }
 
@@ -41,21 +41,21 @@
 // waits for machines to be released.
 func TestDeadline(t *testing.T) {
 	for _, force := range []bool{false, true} {
-		deadline := now.Add(time.Minute)
-		r := NewRecord(Spec{Name: "a", Deadline: &deadline, Force: force}, now)
+		deadline := testNow.Add(time.Minute)
+		r := NewRecord(Spec{Name: "a", Deadline: &deadline, Force: force}, testNow)
 		r.State = Running
 		reason := Reason{Cause: WaitNoAlternative, Team: "blue"}
-		r.SetWaitReason(now, reason)
+		r.SetWaitReason(testNow, reason)
 		if r.State != Running {
-			t.Fatal("paused before the deadline")
+			t.Fatal("the drain is paused before its deadline")
 		}
-		r.SetWaitReason(now.Add(2*time.Minute), Reason{Cause: WaitMachineRelease})
+		r.SetWaitReason(testNow.Add(2*time.Minute), Reason{Cause: WaitMachineRelease})
 		if r.State != Running {
-			t.Fatal("paused while its machines are being released")
+			t.Fatal("the drain is paused while it waits for its machines to be released")
 		}
-		r.SetWaitReason(now.Add(2*time.Minute), reason)
-		if (r.State == Paused) == force || r.Forced(now.Add(2*time.Minute)) != force || !strings.Contains(r.Reason.String(), "(team blue)") {
-			t.Errorf("force %v: %s, %s", force, r.State, r.Reason)
+		r.SetWaitReason(testNow.Add(2*time.Minute), reason)
+		if (r.State == Paused) == force || r.IsForced(testNow.Add(2*time.Minute)) != force || !strings.Contains(r.Reason.String(), "(team blue)") {
+			t.Errorf("force %v: got state %s and reason %s, want it paused only without force, and a reason with the team", force, r.State, r.Reason)
 		}
 	}
 }
--- a/internal/drainer/batch.go
+++ b/internal/drainer/batch.go
@@ -11,25 +11,26 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// beginBatch selects the next machines to drain, those with the fewest attempts first. It
-// starts no batch while it is blocked or the other machines could not meet the teams' guarantees.
-func (s *step) beginBatch() {
-	if cause := s.d.cluster.BlockedCause(s.now); cause != "" {
+// beginBatch starts a batch of the selected machines that have the fewest attempts. It starts none
+// while batches are blocked, or if the remaining machines could not meet the teams' guarantees. If no
+// selected machine can be drained any more, the drain is done or waits for the outstanding ones.
+func (s *drainStep) beginBatch() {
+	if cause := s.d.cluster.BatchBlockedCause(s.now); cause != "" {
 		s.setWaitReason(cause, "")
 		return
 	}
-	if s.now.Before(s.d.nextBatch) {
+	if s.now.Before(s.d.nextBatchAt) {
 		return
 	}
-	s.d.nextBatch = s.now.Add(tuning.DrainBatchInterval)
+	s.d.nextBatchAt = s.now.Add(tuning.DrainBatchInterval)
 	selected, outstanding := s.selectedMachines()
 	if len(selected) == 0 {
-		s.finish(outstanding)
+		s.markDoneIfComplete(outstanding)
 		return
 	}
 	slices.SortStableFunc(selected, func(a, b *machines.Machine) int { return cmp.Compare(len(a.Attempts()), len(b.Attempts())) })
 	batch := selected[:min(s.record.Spec.BatchSize, len(selected))]
-	if team := s.unmetGuarantee(batch); team != "" {
+	if team := s.teamWithUnmetGuarantee(batch); team != "" {
 		s.setWaitReason(drain.BlockedByGuarantee, team)
 		return
 	}
@@ -43,8 +44,8 @@
 	s.d.storeDrain(s.record, nil)
 }
 
-// applyBatchCordon applies the cordon of the record to the machines of the batch.
-func (s *step) applyBatchCordon() {
+// applyBatchCordon cordons the machines of the batch if the record marks the batch as cordoned.
+func (s *drainStep) applyBatchCordon() {
 	for _, name := range s.record.Batch.Machines {
 		if m := s.d.cluster.Machines.Get(name); m != nil {
 			s.d.ApplyCordon(m)
@@ -52,10 +53,11 @@
 	}
 }
 
-// finish ends a drain without further machines to drain, once no selected machine is being
-// released, not listed yet or being provisioned.
-func (s *step) finish(outstanding int) {
-	if outstanding > 0 || s.provisioningSelected() {
+// markDoneIfComplete marks a drain done that has no machine left to drain. It waits while outstanding
+// selected machines are being released or not listed yet, and while a provision call in flight may
+// add more.
+func (s *drainStep) markDoneIfComplete(outstanding int) {
+	if outstanding > 0 || s.selectsProvisionInFlight() {
 		s.setWaitReason(drain.WaitMachineRelease, "")
 		return
 	}
@@ -64,22 +66,22 @@
 	s.d.storeDrain(s.record, nil)
 }
 
-// provisioningSelected reports whether a pending provisioning call may add machines that the
-// drain selects.
-func (s *step) provisioningSelected() bool {
-	return s.d.cluster.Scaler.AnyPending(func(p *scaling.PendingProvision) bool {
-		return s.record.Spec.Selector.SelectsAllOf(p.Offer.Type, p.Offer.Zone)
+// selectsProvisionInFlight reports whether a provision call in flight may add machines that the drain
+// selects.
+func (s *drainStep) selectsProvisionInFlight() bool {
+	return s.d.cluster.Scaler.AnyProvisionInFlight(func(p *scaling.InFlightProvision) bool {
+		return s.record.Spec.Selector.SelectsAllOf(p.Offering.Type, p.Offering.Zone)
 	})
 }
 
-// selectedMachines returns the selected machines that can be drained now, and the number of
-// selected machines that are being released or not listed by the cloud yet.
-func (s *step) selectedMachines() (selected []*machines.Machine, outstanding int) {
+// selectedMachines returns the selected machines that can be drained now. outstanding is the number of
+// the other selected machines: those that are being released or that the cloud does not list yet.
+func (s *drainStep) selectedMachines() (selected []*machines.Machine, outstanding int) {
 	for _, m := range s.d.cluster.Machines.All() {
-		s.d.examined++
+		s.d.examinedCount++
 		switch {
-		case !selects(s.record.Record, s.now, s.wall, m):
-		case m.IsReleasing() || !m.IsListed():
+		case !isSelected(s.record.Record, s.now, s.wall, m):
+		case m.IsBeingReleased() || !m.WasListedByCloud():
 			outstanding++
 		default:
 			selected = append(selected, m)
@@ -88,22 +90,23 @@
 	return selected, outstanding
 }
 
-// selects reports whether a drain selects a machine.
-func selects(r *drain.Record, now, wall time.Time, m *machines.Machine) bool {
+// isSelected reports whether a drain selects a machine. now and wall are the same moment on the
+// monotonic clock and as wall-clock time.
+func isSelected(r *drain.Record, now, wall time.Time, m *machines.Machine) bool {
 	provisionedAt := wall.Add(m.ProvisionedAt().Sub(now))
 	return r.Spec.Selector.Selects(drain.Machine{Name: m.ID, Type: m.Type, Zone: m.Zone, ProvisionedAt: provisionedAt})
 }
 
-// unmetGuarantee returns the first team whose guarantee could not be met without the machines of
-// the batch, "" if there is none. For the teams with waiting tasks, it adds up the
-// guarantee or the CPUs in use and waiting, whichever is less, and compares the sum with the CPUs
-// of the schedulable machines that remain.
-func (s *step) unmetGuarantee(batch []*machines.Machine) string {
+// teamWithUnmetGuarantee returns the first team whose guarantee could not be met without the machines
+// of the batch, or "" if there is none. A team with waiting tasks needs its guaranteed CPUs, or the
+// CPUs that its tasks use and wait for if these are fewer. The needs of such teams together must not
+// exceed the CPUs of the schedulable machines that remain.
+func (s *drainStep) teamWithUnmetGuarantee(batch []*machines.Machine) string {
 	waiting := map[string]float64{}
 	for j := range s.d.cluster.RunnableJobs() {
 		waiting[j.Team] += float64(j.ReadyTasks()) * j.CPUs
 	}
-	capacity := s.schedulableCPUs(batch)
+	capacity := s.schedulableCPUsWithout(batch)
 	for _, t := range s.d.config.Teams {
 		if waiting[t.Name] == 0 {
 			continue
@@ -116,13 +119,13 @@
 	return ""
 }
 
-// schedulableCPUs returns the CPUs of the schedulable machines. It leaves out the batch unless the
-// machines of the batch are replaced.
-func (s *step) schedulableCPUs(batch []*machines.Machine) float64 {
+// schedulableCPUsWithout returns the CPUs of the schedulable machines without those of the batch. If
+// the drain replaces its machines, their replacements add as many CPUs, so the batch is included.
+func (s *drainStep) schedulableCPUsWithout(batch []*machines.Machine) float64 {
 	cpus := 0.0
 	for _, m := range s.d.cluster.Machines.All() {
-		s.d.examined++
-		if s.d.cluster.AcceptsWork(s.now, m) {
+		s.d.examinedCount++
+		if s.d.cluster.IsSchedulable(s.now, m) {
 			cpus += m.Capacity().CPUs
 		}
 	}
@@ -130,17 +133,17 @@
 		return cpus
 	}
 	for _, m := range batch {
-		if s.d.cluster.AcceptsWork(s.now, m) {
+		if s.d.cluster.IsSchedulable(s.now, m) {
 			cpus -= m.Capacity().CPUs
 		}
 	}
 	return cpus
 }
 
-// removeReleased removes the machines that no longer exist from the batch. A batch without
-// machines ends.
-func (s *step) removeReleased() {
-	remaining := slices.DeleteFunc(slices.Clone(s.record.Batch.Machines), s.d.confirmedReleased)
+// removeReleased removes the machines that no longer exist from the batch, and ends the batch if none
+// are left.
+func (s *drainStep) removeReleased() {
+	remaining := slices.DeleteFunc(slices.Clone(s.record.Batch.Machines), s.d.noLongerExists)
 	removed := len(s.record.Batch.Machines) - len(remaining)
 	if removed == 0 {
 		return
@@ -150,7 +153,7 @@
 	if len(remaining) == 0 {
 		s.record.Batch = nil
 		s.record.Counts.Batches++
-		s.d.nextBatch = time.Time{}
+		s.d.nextBatchAt = time.Time{}
 		s.d.log.Info().Str("drain", s.record.Spec.Name).Int("batches", s.record.Counts.Batches).Msg("drain batch finished")
 	}
 	s.d.storeDrain(s.record, nil)
--- a/internal/drainer/replacements.go
+++ b/internal/drainer/replacements.go
@@ -12,14 +12,15 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// replacementCount counts the replacements of a batch by machine type: those needed, those ready,
-// and those provisioned that are not ready yet.
+// replacementCount counts the replacements of a batch by machine type. notReady counts those that were
+// provisioned but are not ready yet.
 type replacementCount struct {
-	needed, ready, pending map[string]int
+	needed, ready, notReady map[string]int
 }
 
-// countReplacements counts the replacements of a batch. A replacement is ready once it is
-// schedulable. Replacements that are being released or will not become schedulable don't count.
+// countReplacements counts the replacements of a batch. Each machine of the batch needs one of its
+// type. A replacement is ready once it is schedulable. Replacements that are being released, or that
+// will be, don't count.
 func (d *Drainer) countReplacements(now time.Time, b *drain.Batch) replacementCount {
 	n := replacementCount{map[string]int{}, map[string]int{}, map[string]int{}}
 	for _, name := range b.Machines {
@@ -30,23 +31,23 @@
 	for _, name := range b.Replacements {
 		m := d.cluster.Machines.Get(name)
 		switch {
-		case m == nil || m.IsReleasing() || m.CordonedFor(machines.ReleaseWhenEmptyReasons|machines.CordonAgentReplaced):
-		case d.cluster.AcceptsWork(now, m):
+		case m == nil || m.IsBeingReleased() || m.IsCordonedFor(machines.ReleaseWhenEmptyReasons|machines.CordonAgentReplaced):
+		case d.cluster.IsSchedulable(now, m):
 			n.ready[m.Type]++
 		default:
-			n.pending[m.Type]++
+			n.notReady[m.Type]++
 		}
 	}
 	return n
 }
 
-// missing returns the number of replacements of a type that are yet to be provisioned.
-func (n *replacementCount) missing(machineType string) int {
-	return max(0, n.needed[machineType]-n.ready[machineType]-n.pending[machineType])
+// missingOfType returns the number of replacements of a type that have not been provisioned yet.
+func (n *replacementCount) missingOfType(machineType string) int {
+	return max(0, n.needed[machineType]-n.ready[machineType]-n.notReady[machineType])
 }
 
-// complete reports whether every machine of the batch has a replacement that is ready.
-func (n *replacementCount) complete() bool {
+// allReady reports whether as many replacements of each type are ready as are needed.
+func (n *replacementCount) allReady() bool {
 	for machineType, needed := range n.needed {
 		if n.ready[machineType] < needed {
 			return false
@@ -55,12 +56,12 @@
 	return true
 }
 
-// awaitReplacements cordons the batch once its replacements are ready. If they are not ready
-// within ReplacementTimeout, it pauses the drain.
-func (s *step) awaitReplacements() {
+// cordonOnceReplaced cordons the batch if all of its replacements are ready, and otherwise records that
+// the drain waits for them. After tuning.ReplacementTimeout it pauses the drain.
+func (s *drainStep) cordonOnceReplaced() {
 	n := s.d.countReplacements(s.now, s.record.Batch)
 	switch {
-	case n.complete():
+	case n.allReady():
 		s.cordonBatch()
 	case s.wall.Sub(time.UnixMilli(s.record.Batch.SinceMS)) > tuning.ReplacementTimeout:
 		if s.record.Pause(drain.Reason{Cause: drain.ReplacementTimedOut}) {
@@ -71,15 +72,16 @@
 	}
 }
 
-// cordonBatch cordons the machines of the batch and stores that.
-func (s *step) cordonBatch() {
+// cordonBatch cordons the machines of the batch and stores the record.
+func (s *drainStep) cordonBatch() {
 	s.record.Batch.Cordoned, s.record.Batch.SinceMS = true, s.wall.UnixMilli()
 	s.applyBatchCordon()
 	s.d.storeDrain(s.record, nil)
 }
 
-// awaitingReplacements returns the drain whose batch waits for replacements, nil if there is none.
-func (d *Drainer) awaitingReplacements() *storedDrain {
+// drainWaitingForReplacements returns the drain whose batch waits for replacements, or nil if there is
+// none.
+func (d *Drainer) drainWaitingForReplacements() *storedDrain {
 	for _, r := range d.drains {
 		if r.durable && r.State == drain.Running && r.Batch != nil && !r.Batch.Cordoned {
 			return r
@@ -88,35 +90,36 @@
 	return nil
 }
 
-// ReplacementCalls returns the cloud calls that provision the replacements missing for the running
-// drain's batch.
+// ReplacementCalls returns the cloud calls that provision the missing replacements for the batch of
+// the running drain. It returns none while such a call is in flight.
 func (d *Drainer) ReplacementCalls(now time.Time) []scaling.CloudCall {
-	r := d.awaitingReplacements()
-	if r == nil || !d.cluster.ListsComplete() {
-		// Before the lists are complete, a new leader could provision a second time what an
-		// earlier leader has provisioned and no list shows yet.
+	r := d.drainWaitingForReplacements()
+	if r == nil || !d.cluster.HasCurrentMachineList() {
+		// An earlier leader may have provisioned replacements that no machine list shows yet. Without
+		// this check, a new leader could provision them a second time.
 		return nil
 	}
-	if d.cluster.Scaler.AnyPending(func(p *scaling.PendingProvision) bool { return p.ReplacementFor != "" }) {
+	if d.cluster.Scaler.AnyProvisionInFlight(func(p *scaling.InFlightProvision) bool { return p.ReplacementFor != "" }) {
 		return nil
 	}
 	n := d.countReplacements(now, r.Batch)
 	var calls []scaling.CloudCall
 	for _, machineType := range slices.Sorted(maps.Keys(n.needed)) {
-		missing := n.missing(machineType)
+		missing := n.missingOfType(machineType)
 		if limit := d.config.MaxMachines; limit > 0 {
 			missing = min(missing, limit-d.cluster.Machines.Len())
 		}
-		if o, ok := d.replacementOffer(now, r.Batch, machineType); ok && missing > 0 {
+		if o, ok := d.replacementOffering(now, r.Batch, machineType); ok && missing > 0 {
 			calls = append(calls, d.cluster.Scaler.Provision(now, o, missing, r.Spec.Name))
 		}
 	}
 	return calls
 }
 
-// replacementOffer returns the offer from which to provision a replacement of a type. It prefers
-// the zone of the replaced machine, then any other zone, and falls back from spot to on-demand.
-func (d *Drainer) replacementOffer(now time.Time, b *drain.Batch, machineType string) (autoscale.Offer, bool) {
+// replacementOffering returns the offering of which to provision a replacement of a type, and false if
+// none can be provisioned now. It prefers the zone of the replaced machine to other zones. For a spot
+// machine it tries the spot offerings of all zones before the on-demand ones.
+func (d *Drainer) replacementOffering(now time.Time, b *drain.Batch, machineType string) (autoscale.Offering, bool) {
 	i := slices.IndexFunc(b.Machines, func(name string) bool {
 		m := d.cluster.Machines.Get(name)
 		return m != nil && m.Type == machineType
@@ -125,24 +128,25 @@
 	offeredZones := d.cluster.Catalogue.Type(machineType).Zones
 	for _, spot := range []bool{m.Spot, false} {
 		for _, zone := range slices.Concat([]string{m.Zone}, offeredZones) {
-			o := autoscale.Offer{Type: machineType, Zone: zone, Spot: spot}
+			o := autoscale.Offering{Type: machineType, Zone: zone, Spot: spot}
 			if slices.Contains(offeredZones, zone) && d.cluster.Scaler.CanProvision(now, o) {
 				return o, true
 			}
 		}
 	}
-	return autoscale.Offer{}, false
+	return autoscale.Offering{}, false
 }
 
-// AddReplacements adds machines that were provisioned for a drain to its current batch.
-func (d *Drainer) AddReplacements(drainName string, replacements []string) {
+// AddReplacements records machines that were provisioned for a drain as replacements of its current
+// batch.
+func (d *Drainer) AddReplacements(drainName string, machineIDs []string) {
 	r := d.drains[drainName]
-	if r == nil || r.Batch == nil || len(replacements) == 0 {
+	if r == nil || r.Batch == nil || len(machineIDs) == 0 {
 		return
 	}
-	// Replacements that no longer exist would only take space in the record.
-	r.Batch.Replacements = slices.DeleteFunc(r.Batch.Replacements, d.confirmedReleased)
-	r.Batch.Replacements = append(r.Batch.Replacements, replacements...)
-	r.Counts.Replacements += len(replacements)
+	// Replacements that no longer exist would only make the record larger.
+	r.Batch.Replacements = slices.DeleteFunc(r.Batch.Replacements, d.noLongerExists)
+	r.Batch.Replacements = append(r.Batch.Replacements, machineIDs...)
+	r.Counts.Replacements += len(machineIDs)
 	d.storeDrain(r, nil)
 }
--- a/internal/loadtest/settings_test.go
+++ b/internal/loadtest/settings_test.go
@@ -8,11 +8,11 @@
 	"switchshore.example/switchshore/internal/config"
 )
 
-// TestSettingsAreValid: every controller gets settings that the service accepts, with addresses of
-// its own and the other controllers as peers.
+// TestSettingsAreValid: the service accepts the settings of each controller, which have distinct
+// addresses and list the other controllers as peers.
 func TestSettingsAreValid(t *testing.T) {
 	options := ClusterOptions{WriteRPS: 40, HeartbeatInterval: time.Second, Zones: []string{"a", "b"}}
-	c := &Cluster{folder: t.TempDir(), options: options}
+	c := &Cluster{dir: t.TempDir(), options: options}
 	if err := c.writeSettings("127.0.0.1:1"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/machines/attempt_test.go
+++ b/internal/machines/attempt_test.go
@@ -10,16 +10,20 @@
 	"switchshore.example/switchshore/wire"
 )
 
-var start = time.Unix(1_700_000_000, 0)
+// termStart is when the term of the tests begins.
+var termStart = time.Unix(1_700_000_000, 0)
 
-func newMachine() *machines.Machine { return machines.New(start, "m1", "std-8", "a", "m1:9", false) }
+func newMachine() *machines.Machine {
+	return machines.New(termStart, "m1", "std-8", "a", "m1:9", false)
+}
 
-// newActiveJob returns a job whose tasks may run, with checkpoints or without.
+// newActiveJob returns an accepted job with two tasks. They save checkpoints unless
+// checkpointIntervalS is 0.
 func newActiveJob(checkpointIntervalS float64) *jobs.Job {
 	j := jobs.New(wire.Job{
 		ID: "job-1", Team: "blue", Tasks: 2, CPUs: 2, MemoryGB: 1,
 		CheckpointIntervalS: checkpointIntervalS, CheckpointSaveS: 7,
-	}, 0, start)
+	}, 0, termStart)
 	j.MarkAccepted()
 	return j
 }
@@ -31,21 +35,22 @@
 	}
 	for _, from := range all {
 		for _, to := range all {
-			// A machine may report any state at any time; a start is sent only once recorded.
+			// A machine may report any state at any time. A start is sent only after its record
+			// is durable.
 			want := to.IsReported() || from == machines.RecordPending && to == machines.StartSent
 			if got := from.CanBecome(to); got != want {
-				t.Errorf("%v to %v: %v", from, to, got)
+				t.Errorf("transition from %v to %v: allowed: %v, want the opposite", from, to, got)
 			}
 		}
 	}
 }
 
 func TestStartIsSentOnlyAfterItsRecord(t *testing.T) {
-	a := machines.NewPendingAttempt(newMachine(), newActiveJob(0), 0, start, 1, false)
+	a := machines.NewPendingAttempt(newMachine(), newActiveJob(0), 0, termStart, 1, false)
 	if a.NeedsStart() {
 		t.Error("start needed before the record is durable")
 	}
-	a.MarkRecorded()
+	a.MarkStartRecorded()
 	if !a.NeedsStart() {
 		t.Error("start not needed although the record is durable")
 	}
@@ -54,13 +59,13 @@
 			t.Error("no panic when marked as recorded twice")
 		}
 	}()
-	a.MarkRecorded()
+	a.MarkStartRecorded()
 }
 
 func TestApplyReport(t *testing.T) {
 	m := newMachine()
-	a := machines.NewPendingAttempt(m, newActiveJob(0), 0, start, 1, false)
-	a.MarkRecorded()
+	a := machines.NewPendingAttempt(m, newActiveJob(0), 0, termStart, 1, false)
+	a.MarkStartRecorded()
 	steps := []struct {
 		reported string
 		state    machines.AttemptState
@@ -72,13 +77,13 @@
 		{wire.TaskSaving, machines.Saving, false},
 	}
 	for i, s := range steps {
-		now := start.Add(time.Duration(i) * time.Second)
+		now := termStart.Add(time.Duration(i) * time.Second)
 		if began := a.ApplyReport(now, machines.ReportedState(s.reported)); began != s.began || a.State() != s.state {
-			t.Errorf("%s: state %v, began: %v", s.reported, a.State(), began)
+			t.Errorf("report %s: got state %v, began %v, want the values of the step", s.reported, a.State(), began)
 		}
 	}
-	if got := a.RunTime(start.Add(11 * time.Second)); got != 10*time.Second {
-		t.Errorf("run time %v", got)
+	if got := a.RunTime(termStart.Add(11 * time.Second)); got != 10*time.Second {
+		t.Errorf("run time %v, want 10s", got)
 	}
 }
 
@@ -91,28 +96,28 @@
 		needed              bool
 	}{
 		"not stopped":            {stop: func(*machines.Attempt) {}, reported: machines.Running},
-		"now":                    {checkpointIntervalS: 30, stop: (*machines.Attempt).StopNow, reported: machines.Running, needed: true},
-		"saving":                 {checkpointIntervalS: 30, stop: (*machines.Attempt).StopGracefully, reported: machines.Running, graceS: 7, needed: true},
-		"saving already":         {checkpointIntervalS: 30, stop: (*machines.Attempt).StopGracefully, reported: machines.Saving, graceS: 7},
-		"saving, no checkpoints": {stop: (*machines.Attempt).StopGracefully, reported: machines.Running, needed: true},
-		"evicted":                {checkpointIntervalS: 30, stop: (*machines.Attempt).Evict, reported: machines.Running, graceS: 7, needed: true},
-		"reverted":               {stop: func(a *machines.Attempt) { a.StopNow(); a.RevertStop() }, reported: machines.Running},
-		"now, while saving":      {checkpointIntervalS: 30, stop: (*machines.Attempt).StopNow, reported: machines.Saving, needed: true},
+		"now":                    {checkpointIntervalS: 30, stop: (*machines.Attempt).RequestStop, reported: machines.Running, needed: true},
+		"saving":                 {checkpointIntervalS: 30, stop: (*machines.Attempt).RequestGracefulStop, reported: machines.Running, graceS: 7, needed: true},
+		"saving already":         {checkpointIntervalS: 30, stop: (*machines.Attempt).RequestGracefulStop, reported: machines.Saving, graceS: 7},
+		"saving, no checkpoints": {stop: (*machines.Attempt).RequestGracefulStop, reported: machines.Running, needed: true},
+		"evicted":                {checkpointIntervalS: 30, stop: (*machines.Attempt).RequestEviction, reported: machines.Running, graceS: 7, needed: true},
+		"reverted":               {stop: func(a *machines.Attempt) { a.RequestStop(); a.RevertStop() }, reported: machines.Running},
+		"now, while saving":      {checkpointIntervalS: 30, stop: (*machines.Attempt).RequestStop, reported: machines.Saving, needed: true},
 	} {
-		a := machines.NewAttempt(newMachine(), newActiveJob(c.checkpointIntervalS), 0, start)
-		a.ApplyReport(start, c.reported)
+		a := machines.NewPossiblyStartedAttempt(newMachine(), newActiveJob(c.checkpointIntervalS), 0, termStart)
+		a.ApplyReport(termStart, c.reported)
 		c.stop(a)
 		if a.NeedsStop() != c.needed || a.GracePeriodS() != c.graceS || a.ShouldRun() == a.IsStopping() {
-			t.Errorf("%s: needed: %v, grace period %v s", name, a.NeedsStop(), a.GracePeriodS())
+			t.Errorf("%s: got stop needed %v, grace period %v s, want the values of the case", name, a.NeedsStop(), a.GracePeriodS())
 		}
-		if first, second := a.ClaimDirectStop(), a.ClaimDirectStop(); first != a.IsStopping() || second {
-			t.Errorf("%s: direct stops: %v, %v", name, first, second)
+		if first, second := a.MarkDirectStopIfNeeded(), a.MarkDirectStopIfNeeded(); first != a.IsStopping() || second {
+			t.Errorf("%s: direct stop claimed: %v, then %v; want it claimed once if a stop is requested", name, first, second)
 		}
 	}
 }
 
 func TestProgressOfEndedAttempt(t *testing.T) {
-	end := start.Add(25 * time.Second)
+	end := termStart.Add(25 * time.Second)
 	for name, c := range map[string]struct {
 		intervalS   float64
 		saved       bool
@@ -122,13 +127,13 @@
 		"periodic checkpoints": {intervalS: 10, lost: 5, saves: 20},
 		"saved when stopped":   {intervalS: 10, saved: true, saves: 25},
 	} {
-		a := machines.NewAttempt(newMachine(), newActiveJob(c.intervalS), 0, start)
-		a.RecordProgress(end) // has not run yet
-		a.ApplyReport(start, machines.Running)
+		a := machines.NewPossiblyStartedAttempt(newMachine(), newActiveJob(c.intervalS), 0, termStart)
+		a.RecordProgress(end) // no effect, as the attempt has not run yet
+		a.ApplyReport(termStart, machines.Running)
 		a.MarkExited(c.saved, false)
 		a.RecordProgress(end)
 		if lost, saved := a.LostProgressS(end), a.Job.Progress(0); lost != c.lost || saved != c.saves {
-			t.Errorf("%s: lost %v, saved %v", name, lost, saved)
+			t.Errorf("%s: got %v s lost, %v s saved, want the values of the case", name, lost, saved)
 		}
 	}
 }
@@ -136,7 +141,7 @@
 func TestRegistry(t *testing.T) {
 	r := machines.NewRegistry()
 	for _, id := range []string{"m2", "m3", "m1"} {
-		r.Add(machines.New(start, id, "std-8", "a", "", false))
+		r.Add(machines.New(termStart, id, "std-8", "a", "", false))
 	}
 	names := func() []string {
 		var list []string
@@ -146,11 +151,11 @@
 		return list
 	}
 	if got := names(); !slices.Equal(got, []string{"m1", "m2", "m3"}) {
-		t.Errorf("machines %v", got)
+		t.Errorf("machines %v, want [m1 m2 m3]", got)
 	}
 	r.Remove(r.Get("m2"))
 	r.MarkReleased("m2")
 	if got := names(); !slices.Equal(got, []string{"m1", "m3"}) || r.Len() != 2 || r.Get("m2") != nil || !r.WasReleased("m2") || r.WasReleased("m1") {
-		t.Errorf("after a release: machines %v", got)
+		t.Errorf("after the release of m2: machines %v, want [m1 m3] and only m2 released", got)
 	}
 }
--- a/internal/placement/score.go
+++ b/internal/placement/score.go
@@ -6,40 +6,43 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// FetchTime returns T(f) of the paper, an image's size divided by the fetch
-// bandwidth, or zero if the bandwidth is unknown.
-func FetchTime(gb, gbPerS float64) float64 {
+// FetchTimeS returns the time in seconds that a machine needs to fetch an image of the
+// size, T(f) in the paper. It is zero if the bandwidth is unknown.
+func FetchTimeS(sizeGB, gbPerS float64) float64 {
 	if gbPerS <= 0 {
 		return 0
 	}
-	return gb / gbPerS
+	return sizeGB / gbPerS
 }
 
-// fetchDelay returns the time until the machine has the image: zero if it is cached,
-// the rest of its fetch if that is in progress, or else T(f) plus the time of the
-// other fetches in progress, which share the bandwidth.
-func (m *Machine) fetchDelay(now float64, image string, gb float64) float64 {
+// fetchDelayS returns the time in seconds until the machine has the image. It is zero
+// if the image is cached, and the rest of the fetch if one is in progress. Otherwise
+// it is FetchTimeS plus the remaining times of the other images' fetches, which share
+// the bandwidth.
+func (m *Machine) fetchDelayS(now float64, image string, sizeGB float64) float64 {
 	if readyAt, ok := m.Images[image]; ok {
 		return max(0, readyAt-now)
 	}
 	if m.FetchGBPerS <= 0 {
 		return 0
 	}
-	// Whole milliseconds make the sum independent of the iteration order.
+	// The sum of whole milliseconds is exact, so the random iteration order of the map
+	// doesn't change it.
 	var othersMS float64
 	for _, readyAt := range m.Images {
 		if readyAt > now {
 			othersMS += math.Round((readyAt - now) * 1000)
 		}
 	}
-	return FetchTime(gb, m.FetchGBPerS) + othersMS/1000
+	return FetchTimeS(sizeGB, m.FetchGBPerS) + othersMS/1000
 }
 
-// waitFor returns the time until the request fits, given the tasks that run or are
-// queued on the machine. It is zero only if the request fits now: a task that has
-// exceeded its estimate counts as running for another MinRemainingS. If its
-// resources counted as free, the machine would refuse starts.
-func (m *Machine) waitFor(now float64, request Resources) float64 {
+// timeUntilFits returns the time in seconds until the request fits on the machine, as
+// its running and queued tasks end. It is zero only if the request fits now. A task
+// that has exceeded its estimate counts as running for another tuning.MinRemainingS;
+// if its resources counted as free, tasks would be started for which the machine has
+// no capacity yet, and it would refuse them.
+func (m *Machine) timeUntilFits(now float64, request Resources) float64 {
 	if m.Free.Fits(request) {
 		return 0
 	}
@@ -64,22 +67,23 @@
 	if m.isReservedForHigherPriority(j) && j.AgedS == 0 {
 		return false
 	}
-	return len(m.PlacedTasks) < tuning.MaxTasksPerMachine && !m.AvoidedJobs[j.Job] && j.CanRunOn(m)
+	return len(m.PlacedTasks) < tuning.MaxTasksPerMachine && !m.AvoidedJobs[j.JobID] && j.CanRunOn(m)
 }
 
-// score returns the machine as a candidate for the job, or false if the machine
-// can't run its tasks. The score is S(t, vm) = Rs(t) - Rvm(t, vm) of the paper, in
-// microseconds. R(t) cancels out, which leaves the fetch time on an empty machine
-// minus the wait and the fetch delay on this one.
+// score returns the machine as a candidate for the job, or false if no task of the job
+// may be assigned to it. The score is the speedup S(t, vm) = Rs(t) - Rvm(t, vm) of the
+// paper, in microseconds: the time that the task takes with a fetch on an idle machine,
+// minus its time on this machine. The run time is part of both and cancels out. The
+// fetch time remains, minus the wait and the fetch delay on this machine.
 func (p *pass) score(j *PendingJob, m *Machine) (candidate, bool) {
 	p.stats.ScoredPairs++
 	if !m.isEligible(j) {
 		return candidate{}, false
 	}
-	wait := m.waitFor(p.now, j.Request)
-	if math.IsInf(wait, 1) || p.startOnly && wait > 0 {
+	waitS := m.timeUntilFits(p.now, j.Request)
+	if math.IsInf(waitS, 1) || p.startOnly && waitS > 0 {
 		return candidate{}, false
 	}
-	speedup := FetchTime(j.ImageGB, m.FetchGBPerS) - wait - m.fetchDelay(p.now, j.Image, j.ImageGB)
-	return candidate{machine: m, version: m.version, score: int64(math.Round(speedup * 1e6)), wait: wait}, true
+	speedupS := FetchTimeS(j.ImageGB, m.FetchGBPerS) - waitS - m.fetchDelayS(p.now, j.Image, j.ImageGB)
+	return candidate{machine: m, version: m.version, score: int64(math.Round(speedupS * 1e6)), waitS: waitS}, true
 }
--- a/internal/scaling/plan_input.go
+++ b/internal/scaling/plan_input.go
@@ -11,25 +11,26 @@
 	"switchshore.example/switchshore/internal/tuning"
 )
 
-// planInput returns the snapshot of demand and machines from which the planner decides.
+// planInput returns the snapshot of demand and machines on which the plan is based. It also adds a
+// sample of the CPUs in use to the history.
 func (s *Scaler) planInput(now time.Time) autoscale.Input {
 	return autoscale.Input{
 		MachineTypes:    s.cluster.Catalogue.OfferedTypes(),
 		ScaleInIdleTime: s.config.ScaleInIdleTime,
 		MaxMachines:     s.config.MaxMachines,
-		Unavailable:     func(o autoscale.Offer) bool { return !s.CanProvision(now, o) },
-		Machines:        slices.Concat(s.existingMachines(now), s.pendingMachines()),
+		Unavailable:     func(o autoscale.Offering) bool { return !s.CanProvision(now, o) },
+		Machines:        slices.Concat(s.existingMachines(now), s.requestedMachines()),
 		Demand:          s.cluster.Demand(now),
-		ReserveCPUs:     s.History.UpdateCPUs(now, s.busyCPUs()),
-		InflowCPUs:      s.History.InflowCPUs(now),
+		ReserveCPUs:     s.History.AddUsedCPUs(now, s.usedCPUs()),
+		ArrivalCPUs:     s.History.ArrivalCPUs(now),
 	}
 }
 
-// busyCPUs returns the CPUs allocated to attempts on machines that are not being released.
-func (s *Scaler) busyCPUs() float64 {
+// usedCPUs returns the CPUs allocated to attempts on machines that are not being released.
+func (s *Scaler) usedCPUs() float64 {
 	busy := 0.0
 	for _, m := range s.cluster.Machines.All() {
-		if m.IsReleasing() {
+		if m.IsBeingReleased() {
 			continue
 		}
 		for _, a := range m.Attempts() {
@@ -39,51 +40,51 @@
 	return busy
 }
 
-// existingMachines returns all machines that are not being released, in the form the planner uses.
+// existingMachines returns snapshots of all machines that are not being released.
 func (s *Scaler) existingMachines(now time.Time) []autoscale.Machine {
 	list := make([]autoscale.Machine, 0, s.cluster.Machines.Len())
 	for _, m := range s.cluster.Machines.All() {
-		if !m.IsReleasing() {
+		if !m.IsBeingReleased() {
 			list = append(list, s.toPlannerMachine(now, m))
 		}
 	}
 	return list
 }
 
-// toPlannerMachine converts a machine to the form the planner uses.
+// toPlannerMachine returns the planner's snapshot of a machine.
 func (s *Scaler) toPlannerMachine(now time.Time, m *machines.Machine) autoscale.Machine {
-	converted := autoscale.Machine{
+	snapshot := autoscale.Machine{
 		ID:          m.ID,
-		Offer:       autoscale.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot},
+		Offering:    autoscale.Offering{Type: m.Type, Zone: m.Zone, Spot: m.Spot},
 		Capacity:    m.Capacity(),
 		Free:        m.Free(),
 		Price:       s.cluster.Catalogue.Price(m),
-		Schedulable: !m.Cordoned() && (!m.HasJoined() || !s.cluster.HeartbeatOverdue(now, m)),
+		Schedulable: !m.IsCordoned() && (!m.HasJoined() || !s.cluster.HeartbeatOverdue(now, m)),
 		Idle: len(m.Attempts()) == 0 && m.HasJoined() && m.IsReconciled() &&
 			now.Sub(m.ProvisionedAt()) >= tuning.MinimumBillingTime && !s.cluster.IsReplacement(m.ID),
 		IdleFor: m.IdleFor(now),
 	}
 	if !m.HasJoined() {
-		converted.Schedulable = converted.Schedulable && !s.cluster.Partitioned(now, m.Zone)
-		converted.BootRemainingS = max(0, s.cluster.Catalogue.Type(m.Type).BootTimeS-now.Sub(m.ProvisionedAt()).Seconds())
+		snapshot.Schedulable = snapshot.Schedulable && !s.cluster.Partitioned(now, m.Zone)
+		snapshot.BootRemainingS = max(0, s.cluster.Catalogue.Type(m.Type).BootTimeS-now.Sub(m.ProvisionedAt()).Seconds())
 	}
 	for _, a := range m.Attempts() {
-		converted.RemainingCPUSeconds += s.cluster.RemainingS(now, a) * a.Job.CPUs
+		snapshot.RemainingCPUSeconds += s.cluster.RemainingS(now, a) * a.Job.CPUs
 	}
-	return converted
+	return snapshot
 }
 
-// pendingMachines returns one machine for each that is requested in a provision call in flight, so
-// that the planner does not provision for the same demand twice.
-func (s *Scaler) pendingMachines() []autoscale.Machine {
+// requestedMachines returns a snapshot for every machine that a provision call in flight requests.
+// Without them, the planner would provision machines for the same demand twice.
+func (s *Scaler) requestedMachines() []autoscale.Machine {
 	var list []autoscale.Machine
-	for _, requestID := range slices.Sorted(maps.Keys(s.pending)) {
-		p := s.pending[requestID]
-		t := s.cluster.Catalogue.Type(p.Offer.Type)
+	for _, requestID := range slices.Sorted(maps.Keys(s.provisionsInFlight)) {
+		p := s.provisionsInFlight[requestID]
+		t := s.cluster.Catalogue.Type(p.Offering.Type)
 		capacity := placement.MachineCapacity(t)
 		for range p.Count {
 			list = append(list, autoscale.Machine{
-				Offer: p.Offer, Capacity: capacity, Free: capacity, Schedulable: true, BootRemainingS: t.BootTimeS,
+				Offering: p.Offering, Capacity: capacity, Free: capacity, Schedulable: true, BootRemainingS: t.BootTimeS,
 			})
 		}
 	}
--- a/internal/scaling/scale_out.go
+++ b/internal/scaling/scale_out.go
@@ -12,13 +12,13 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// ScaleOut returns the provision calls for the wanted machines, up to the limit of calls in
-// flight.
-func (s *Scaler) ScaleOut(now time.Time, wanted map[autoscale.Offer]int) []CloudCall {
-	limit := max(1, int(s.config.CloudRPS*tuning.CloudShare*tuning.ProvisionsInFlight))
+// ScaleOut returns provision calls for the wanted number of machines of each offering, up to the limit
+// of provision calls in flight.
+func (s *Scaler) ScaleOut(now time.Time, wanted map[autoscale.Offering]int) []CloudCall {
+	maxCalls := max(1, int(s.config.CloudRPS*tuning.CloudCallShare*tuning.ProvisionsInFlight))
 	var calls []CloudCall
-	for _, o := range slices.SortedFunc(maps.Keys(wanted), compareOffers) {
-		if len(s.pending) >= limit {
+	for _, o := range slices.SortedFunc(maps.Keys(wanted), compareOfferings) {
+		if len(s.provisionsInFlight) >= maxCalls {
 			break
 		}
 		calls = append(calls, s.Provision(now, o, wanted[o], ""))
@@ -26,23 +26,24 @@
 	return calls
 }
 
-// Provision returns the call that provisions machines of an offer and records it as in flight.
-// replacementFor is the name of the drain whose machines they replace, or "".
-func (s *Scaler) Provision(now time.Time, o autoscale.Offer, count int, replacementFor string) CloudCall {
-	s.lastRequest++
+// Provision returns a call that provisions machines of an offering, and records it as in flight. It
+// requests at most tuning.MaxProvisionCount machines. replacementFor is the name of the drain whose
+// machines they replace, or "".
+func (s *Scaler) Provision(now time.Time, o autoscale.Offering, count int, replacementFor string) CloudCall {
+	s.lastRequestNumber++
 	r := wire.ProvisionRequest{
-		RequestID: fmt.Sprintf("r-%d-%d", s.config.Term, s.lastRequest),
+		RequestID: fmt.Sprintf("r-%d-%d", s.config.Term, s.lastRequestNumber),
 		Type:      o.Type,
 		Zone:      o.Zone,
 		Spot:      o.Spot,
 		Count:     min(count, tuning.MaxProvisionCount),
 	}
-	s.pending[r.RequestID] = &PendingProvision{Offer: o, Count: r.Count, RequestedAt: now, ReplacementFor: replacementFor}
+	s.provisionsInFlight[r.RequestID] = &InFlightProvision{Offering: o, Count: r.Count, RequestedAt: now, ReplacementFor: replacementFor}
 	return CloudCall{Op: CloudProvision, Provision: r}
 }
 
-// compareOffers orders spot offers first, then by type and zone.
-func compareOffers(a, b autoscale.Offer) int {
+// compareOfferings sorts spot offerings before on-demand ones, and then by type and zone.
+func compareOfferings(a, b autoscale.Offering) int {
 	if a.Spot != b.Spot {
 		if a.Spot {
 			return -1
@@ -52,28 +53,27 @@
 	return cmp.Or(cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone))
 }
 
-// CanProvision reports whether machines of an offer may be provisioned now: the cloud has not
-// recently run out of capacity for the offer, the zone is not partitioned, and no drain blocks
-// the offer.
-func (s *Scaler) CanProvision(now time.Time, o autoscale.Offer) bool {
-	return !now.Before(s.unavailable[o]) && !s.cluster.Partitioned(now, o.Zone) && !s.cluster.BlockedByDrain(o)
+// CanProvision reports whether machines of an offering may be provisioned now: the cloud has not
+// recently run out of capacity for the offering, its zone is not partitioned, and no drain forbids it.
+func (s *Scaler) CanProvision(now time.Time, o autoscale.Offering) bool {
+	return !now.Before(s.unavailableUntil[o]) && !s.cluster.Partitioned(now, o.Zone) && !s.cluster.BlockedByDrain(o)
 }
 
-// FinishProvision records the number of machines that a provision call returned, and returns the
-// call, or nil if it is not in flight. If the cloud returned fewer machines than requested, the
-// offer counts as unavailable for tuning.UnavailableOfferBackoff.
-func (s *Scaler) FinishProvision(now time.Time, r wire.ProvisionRequest, received int) *PendingProvision {
-	p := s.pending[r.RequestID]
-	delete(s.pending, r.RequestID)
+// FinishProvision records that a provision call has returned, with the number of received machines. It
+// returns the call, or nil if the call is not in flight. If the cloud returned fewer machines than
+// requested, the offering can't be provisioned for tuning.UnavailableOfferingBackoff.
+func (s *Scaler) FinishProvision(now time.Time, r wire.ProvisionRequest, received int) *InFlightProvision {
+	p := s.provisionsInFlight[r.RequestID]
+	delete(s.provisionsInFlight, r.RequestID)
 	if p != nil && received < r.Count {
-		s.unavailable[p.Offer] = now.Add(tuning.UnavailableOfferBackoff)
+		s.unavailableUntil[p.Offering] = now.Add(tuning.UnavailableOfferingBackoff)
 	}
 	return p
 }
 
-// AnyPending reports whether any provision call in flight matches.
-func (s *Scaler) AnyPending(matches func(*PendingProvision) bool) bool {
-	for _, p := range s.pending {
+// AnyProvisionInFlight reports whether matches returns true for any provision call in flight.
+func (s *Scaler) AnyProvisionInFlight(matches func(*InFlightProvision) bool) bool {
+	for _, p := range s.provisionsInFlight {
 		if matches(p) {
 			return true
 		}
--- a/internal/simulation/client_requests.go
+++ b/internal/simulation/client_requests.go
@@ -12,54 +12,54 @@
 // clientTimeout is how long a client waits for a response.
 const clientTimeout = 5 * time.Second
 
-// Responses that no leader gives.
+// Responses to requests that no leader handled.
 var (
-	unavailable = leader.Response{Status: http.StatusServiceUnavailable}
-	timedOut    = leader.Response{Status: http.StatusGatewayTimeout}
+	unavailable = leader.JobResponse{Status: http.StatusServiceUnavailable}
+	timedOut    = leader.JobResponse{Status: http.StatusGatewayTimeout}
 )
 
-// succeeded reports whether a status is one of success.
+// succeeded reports whether a status code means success.
 func succeeded(status int) bool { return status/100 == 2 }
 
-// ignoreResponse is for requests that are sent only to be checked.
-func ignoreResponse(leader.Response) {}
+// ignoreResponse is the callback for requests whose responses only the invariant checks need.
+func ignoreResponse(leader.JobResponse) {}
 
 // request is a user's request about a job.
 type request struct {
 	job        *wire.Job
 	submission bool
-	execute    func(n *node, claim *admission.Claim, respond func(leader.Response))
-	done       func(leader.Response)
+	execute    func(n *node, claim *admission.Claim, respond func(leader.JobResponse))
+	done       func(leader.JobResponse)
 }
 
-// pendingRequest is a request that was sent to a node and whose user waits for the response.
+// pendingRequest is a request that was sent to a node and waits for its response.
 type pendingRequest struct {
 	request
-	clients *clients
-	sim     *Simulation
-	target  *node
-	settled bool
+	clients  *clients
+	sim      *Simulation
+	target   *node
+	finished bool
 }
 
-// send sends a request to a node. All responses are checked against the invariants.
+// send sends a request to a node. Every response is checked against the invariants.
 func (c *clients) send(target *node, r request) {
 	p := &pendingRequest{request: r, clients: c, sim: c.sim, target: target}
 	target.after(c.sim.between(1, 20), p.arrive)
 	c.sim.after(clientTimeout, func() { p.finish(timedOut) })
 }
 
-// finish gives the user the first response.
-func (p *pendingRequest) finish(response leader.Response) {
-	if !p.settled {
-		p.settled = true
+// finish passes the first response to the user and ignores later ones.
+func (p *pendingRequest) finish(response leader.JobResponse) {
+	if !p.finished {
+		p.finished = true
 		p.done(response)
 	}
 }
 
-// arrive is called as the request gets to its node, which forwards it to the leader.
+// arrive handles the request's arrival at its node, which forwards it to the leader.
 func (p *pendingRequest) arrive() {
 	sim := p.sim
-	if sim.network.zonesPartitioned(p.target.zone, outside) {
+	if sim.network.zonesPartitioned(p.target.zone, noZone) {
 		return
 	}
 	leading := sim.leaderFor(p.target)
@@ -68,16 +68,16 @@
 		return
 	}
 	check := p.target.admit(leading, p.request)
-	if check.refused != nil {
-		sim.after(sim.between(1, 20), func() { p.finish(*check.refused) })
+	if check.rejection != nil {
+		sim.after(sim.between(1, 20), func() { p.finish(*check.rejection) })
 		return
 	}
 	term := leading.leadership
-	p.execute(leading, check.claim, func(response leader.Response) {
+	p.execute(leading, check.claim, func(response leader.JobResponse) {
 		check.recordResponse(response)
 		leading.after(sim.between(0, 2), func() {
-			// As in the real node, a response that is not terminal is sent only while the leader
-			// still holds its lease: it may have been frozen since it decided.
+			// Like the real node, send a response that is not terminal only while the leader still
+			// holds its lease, because it may have been frozen since its decision.
 			if !response.IsTerminal() && !term.HoldsLease(leading.clock()) {
 				response = unavailable
 			}
@@ -87,18 +87,18 @@
 	})
 }
 
-// receive is called as the leader's response gets to the user.
-func (p *pendingRequest) receive(from *node, sentAt time.Time, response leader.Response) {
-	if p.settled {
+// receive handles the arrival of the leader's response at the user.
+func (p *pendingRequest) receive(from *node, sentAt time.Time, response leader.JobResponse) {
+	if p.finished {
 		return
 	}
 	sim, id := p.sim, p.job.ID
 	sim.trace(boundaryUserResponse, from, id, p.submission, response.Status, response.State, response.CompletedTasks,
 		response.RunningTasks, response.Reason, response.RetryAfter)
-	sim.fail(sim.Invariants.ResponseReceived(ObservedResponse{
+	sim.fail(sim.Invariants.CheckResponse(ObservedResponse{
 		SentAt: sentAt, ReceivedAt: sim.now, Job: id,
 		Status: response.Status, State: response.State, Submission: p.submission,
 	}))
 	p.finish(response)
-	p.clients.followUp(p.job, response)
+	p.clients.sendFollowUps(p.job, response)
 }
--- a/internal/simulation/drain_budgets.go
+++ b/internal/simulation/drain_budgets.go
@@ -7,15 +7,16 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// DrainBudgetChecker checks that drains keep to the disruption budgets, by what the agents execute.
-// A stop of a running task counts as an eviction if its machine is, or ever was, in a batch.
+// DrainBudgetChecker checks that drains stay within the disruption budgets, from the tasks that the
+// agents execute. The stop of a running task counts as an eviction if its machine is, or ever was,
+// in a cordoned batch of a drain.
 type DrainBudgetChecker struct {
 	Budgets *drain.Budgets
 
-	cordoned    map[string]bool // machines that were in a batch
+	cordoned    map[string]bool // machines that are or were in a cordoned batch
 	charged     map[uint64]bool // attempts in stored charges
 	evictions   []eviction
-	unavailable map[string]evictedTask // by name, until they run again
+	unavailable map[string]evictedTask // evicted tasks by name, until they run again
 }
 
 // eviction is a running task that was stopped.
@@ -25,7 +26,7 @@
 	lostS float64
 }
 
-// evictedTask is a task that was stopped and does not run again yet.
+// evictedTask is an evicted task that has not run since.
 type evictedTask struct {
 	team    string
 	attempt uint64
@@ -38,52 +39,53 @@
 	}
 }
 
-// Evicted notes that a running task was stopped.
-func (c *DrainBudgetChecker) Evicted(now time.Time, team, task string, attempt uint64, lostS float64) {
+// RecordEviction records that a drain stopped a running task.
+func (c *DrainBudgetChecker) RecordEviction(now time.Time, team, task string, attempt uint64, lostS float64) {
 	c.evictions = append(c.evictions, eviction{now, team, lostS})
 	c.unavailable[task] = evictedTask{team, attempt}
 }
 
-// Check compares the evictions within the window, and the tasks that are unavailable now, with the
-// budgets; settled reports whether a task is not to run any more.
-func (c *DrainBudgetChecker) Check(now time.Time, agents []*Agent, settled func(task string) bool) error {
+// Check returns a violation if the evictions within the window, or the tasks that are unavailable
+// now, exceed a team's budget; ended reports whether a task must not run any more.
+func (c *DrainBudgetChecker) Check(now time.Time, agents []*Agent, ended func(task string) bool) error {
 	if len(c.unavailable) > 0 {
-		c.removeResumed(agents, settled)
+		c.removeAvailable(agents, ended)
 	}
 	unavailable := map[string]int{}
 	for _, t := range c.unavailable {
 		unavailable[t.team]++
 	}
-	for team, use := range c.usedInWindow(now) {
+	for team, usage := range c.usageInWindow(now) {
 		budget := c.Budgets.For(team)
 		switch {
 		case unavailable[team] > budget.MaxUnavailable:
-			return violated(WithinDrainBudget, "%d tasks of %s are unavailable, allowed are %d", unavailable[team], team, budget.MaxUnavailable)
-		case use.Evictions > budget.Evictions:
-			return violated(WithinDrainBudget, "%d evictions of %s in a window, allowed are %d", use.Evictions, team, budget.Evictions)
-		case use.LostS > budget.LostS:
-			return violated(WithinDrainBudget, "%g s of %s lost in a window, allowed are %g", use.LostS, team, budget.LostS)
+			return violated(WithinDrainBudget, "%d tasks of %s are unavailable, the budget allows %d", unavailable[team], team, budget.MaxUnavailable)
+		case usage.Evictions > budget.Evictions:
+			return violated(WithinDrainBudget, "%d evictions of %s in a window, the budget allows %d", usage.Evictions, team, budget.Evictions)
+		case usage.LostS > budget.LostS:
+			return violated(WithinDrainBudget, "%g s of %s lost in a window, the budget allows %g", usage.LostS, team, budget.LostS)
 		}
 	}
 	return nil
 }
 
-// usedInWindow sums up the evictions within the window, by team.
-func (c *DrainBudgetChecker) usedInWindow(now time.Time) map[string]drain.Usage {
-	used := map[string]drain.Usage{}
+// usageInWindow returns the sums of the evictions within the window, by team.
+func (c *DrainBudgetChecker) usageInWindow(now time.Time) map[string]drain.Usage {
+	usages := map[string]drain.Usage{}
 	for _, e := range c.evictions {
 		if now.Sub(e.at) < c.Budgets.Window {
-			use := used[e.team]
-			used[e.team] = drain.Usage{Evictions: use.Evictions + 1, LostS: use.LostS + e.lostS}
+			usage := usages[e.team]
+			usages[e.team] = drain.Usage{Evictions: usage.Evictions + 1, LostS: usage.LostS + e.lostS}
 		}
 	}
-	return used
+	return usages
 }
 
-// removeResumed removes the tasks that run again, or are not to run any more.
-func (c *DrainBudgetChecker) removeResumed(agents []*Agent, settled func(task string) bool) {
+// removeAvailable removes the tasks that run again, or must not run any more, from the unavailable
+// ones.
+func (c *DrainBudgetChecker) removeAvailable(agents []*Agent, ended func(task string) bool) {
 	for task := range c.unavailable {
-		if settled(task) {
+		if ended(task) {
 			delete(c.unavailable, task)
 		}
 	}
--- a/internal/simulation/node_writes.go
+++ b/internal/simulation/node_writes.go
@@ -10,22 +10,22 @@
 	"switchshore.example/switchshore/wire"
 )
 
-// maxBatch is the most changes that a leader writes in one transaction.
+// maxBatch is the maximum number of changes that a leader writes in one transaction.
 const maxBatch = 8
 
-// writeBudget is a token bucket of changes that the leader may write.
+// writeBudget is a token bucket that limits the rate of changes that the leader writes.
 type writeBudget struct {
 	tokens    float64
 	updatedAt time.Time
 }
 
-// refill adds the changes allowed since the last call, up to half a second's worth.
+// refill adds the tokens since the last call, up to those of half a second.
 func (b *writeBudget) refill(now time.Time, perSecond float64) {
 	b.tokens = min(b.tokens+perSecond*now.Sub(b.updatedAt).Seconds(), perSecond/2)
 	b.updatedAt = now
 }
 
-// commitLoop commits the leader's changes, one batch after the other.
+// commitLoop commits the leader's changes, one batch at a time.
 func (n *node) commitLoop(l *leader.Leader) {
 	if n.leader != l {
 		return
@@ -48,12 +48,12 @@
 	})
 }
 
-// nextBatch takes the changes to be written now, nil if there are none.
+// nextBatch returns the changes to be written now, or nil if there are none.
 func (n *node) nextBatch(l *leader.Leader) *records.Batch {
 	limits := n.storeLimits()
-	most, spare := min(maxBatch, limits.TxnOps-1), n.sim.rng.IntN(5)
+	maxOps, spare := min(maxBatch, limits.TxnOps-1), n.sim.rng.IntN(5)
 	if !n.sim.LimitWriteRate {
-		return l.NextBatch(most, spare)
+		return l.NextWriteBatch(maxOps, spare)
 	}
 	perSecond := limits.WriteRPS * tuning.StoreWriteShare
 	n.budget.refill(n.sim.now, perSecond)
@@ -61,18 +61,18 @@
 	if tokens < 1 {
 		return nil
 	}
-	batch := l.NextBatch(min(most, int(tokens)), max(0, int(tokens-perSecond/4)))
+	batch := l.NextWriteBatch(min(maxOps, int(tokens)), max(0, int(tokens-perSecond/4)))
 	if batch != nil {
 		n.budget.tokens -= float64(len(batch.Mutations))
 	}
 	return batch
 }
 
-// handleOutcome continues after a transaction of the leader.
+// handleOutcome continues the commit loop after a transaction of the leader.
 func (n *node) handleOutcome(l *leader.Leader, outcome kvstore.Outcome) {
 	switch outcome {
 	case kvstore.Applied:
-		l.BatchCommitted(n.batch, n.writer.Refused())
+		l.MarkBatchCommitted(n.batch, n.writer.Refused())
 		n.batch = nil
 		n.commitLoop(l)
 	case kvstore.ContinueSplit:
